--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -110,7 +110,10 @@
         let mut stock = HashMap::new();
         for zone in ["a", "b"] {
             for spot in [false, true] {
-                stock.insert(("small".to_string(), zone.to_string(), spot), machines * 9 / 40);
+                stock.insert(
+                    ("small".to_string(), zone.to_string(), spot),
+                    machines * 9 / 40,
+                );
                 stock.insert(("large".to_string(), zone.to_string(), spot), machines / 40);
             }
         }
@@ -144,31 +147,48 @@
         };
         job.spot = true;
         job.image = format!("img-{}", self.rng.random_range(0..20));
-        let Spent { rest, longest: [.., longest], .. } = &mut self.spent;
+        let Spent {
+            rest,
+            longest: [.., longest],
+            ..
+        } = &mut self.spent;
         let view = &mut self.view;
         timed(rest, longest, || view.submit(&id, job));
     }
 
     fn report(&mut self, name: &str) {
         let now = self.view.now;
-        let Some(w) = self.workers.get_mut(name) else { return };
-        let tasks = w.tasks.iter().map(|((task, attempt), (from, until))| ReportedTask {
-            task: Cow::Owned(task.clone()),
-            attempt: *attempt,
-            state: match (now >= *from, now >= *until) {
-                (_, true) => TaskState::Exited,
-                (true, false) => TaskState::Running,
-                _ => TaskState::Fetching,
-            },
-            why: (now >= *until).then_some(ExitReason::Done),
-            saved: false,
-        });
+        let Some(w) = self.workers.get_mut(name) else {
+            return;
+        };
+        let tasks = w
+            .tasks
+            .iter()
+            .map(|((task, attempt), (from, until))| ReportedTask {
+                task: Cow::Owned(task.clone()),
+                attempt: *attempt,
+                state: match (now >= *from, now >= *until) {
+                    (_, true) => TaskState::Exited,
+                    (true, false) => TaskState::Running,
+                    _ => TaskState::Fetching,
+                },
+                why: (now >= *until).then_some(ExitReason::Done),
+                saved: false,
+            });
         let tasks: Vec<_> = tasks.collect();
         let view = &mut self.view;
-        let Spent { reports, longest: [longest, ..], started, .. } = &mut self.spent;
-        let outcome =
-            timed(reports, longest, || view.send(name, &w.flavor, &w.zone, w.spot, tasks));
-        let Outcome::Orders(orders) = outcome else { return };
+        let Spent {
+            reports,
+            longest: [longest, ..],
+            started,
+            ..
+        } = &mut self.spent;
+        let outcome = timed(reports, longest, || {
+            view.send(name, &w.flavor, &w.zone, w.spot, tasks)
+        });
+        let Outcome::Orders(orders) = outcome else {
+            return;
+        };
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
@@ -189,7 +209,9 @@
     fn answer(&mut self, call: CloudCall) {
         let now = self.view.now;
         let body = match &call {
-            CloudCall::Rent { name, offer, count, .. } => {
+            CloudCall::Rent {
+                name, offer, count, ..
+            } => {
                 let flavor = self.view.c.flavors[offer.flavor].name.to_string();
                 let kind = (flavor.clone(), offer.zone.clone(), offer.spot);
                 let left = self.stock.entry(kind).or_default();
@@ -207,7 +229,11 @@
                     let boot = self.rng.random_range(25..35) * SECOND;
                     self.due.push(Reverse((now + boot, host.clone())));
                 }
-                if hosts.is_empty() { None } else { Some(json!({ "hosts": hosts })) }
+                if hosts.is_empty() {
+                    None
+                } else {
+                    Some(json!({ "hosts": hosts }))
+                }
             }
             CloudCall::Delete { machines } => {
                 for m in machines {
@@ -225,8 +251,14 @@
             Some(body) => (200, body.to_string()),
             None => (503, json!({"error": "no capacity"}).to_string()),
         };
-        let Spent { rest, longest: [.., longest], .. } = &mut self.spent;
-        timed(rest, longest, || c.cloud_answer(call, Some((status, text.as_bytes())), now));
+        let Spent {
+            rest,
+            longest: [.., longest],
+            ..
+        } = &mut self.spent;
+        timed(rest, longest, || {
+            c.cloud_answer(call, Some((status, text.as_bytes())), now)
+        });
     }
 
     fn play(&mut self, machines: usize, seconds: u64, load: f64) {
@@ -265,7 +297,8 @@
                 plan_at = now + 500_000;
                 let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_fleet(now));
                 s.calls += calls.len() as u64;
-                self.calls.extend(calls.into_iter().map(|call| (now + CLOUD, call)));
+                self.calls
+                    .extend(calls.into_iter().map(|call| (now + CLOUD, call)));
             }
             if now >= write_at {
                 write_at = now + 100_000;
@@ -290,9 +323,13 @@
         "simulated machines; milliseconds of processor a simulated second, load {}",
         options.load
     );
-    let heads =
-        ["size", "rented", "queue", "reports", "passes", "plans", "rest", "total", "starts"];
-    let heads = heads.into_iter().chain(["changes", "calls"]).map(|h| format!("{h:>8}"));
+    let heads = [
+        "size", "rented", "queue", "reports", "passes", "plans", "rest", "total", "starts",
+    ];
+    let heads = heads
+        .into_iter()
+        .chain(["changes", "calls"])
+        .map(|h| format!("{h:>8}"));
     println!("{}", heads.collect::<Vec<_>>().join(" "));
     let mut first = None;
     for &machines in &options.machines {
@@ -300,7 +337,11 @@
         day.play(machines, options.seconds, options.load);
         let s = &day.spent;
         assert!(s.started > 0, "nothing was started");
-        assert_eq!(day.view.c.misplaced(), Vec::<String>::new(), "the index of room is wrong");
+        assert_eq!(
+            day.view.c.misplaced(),
+            Vec::<String>::new(),
+            "the index of room is wrong"
+        );
         let ms = |d: Duration| d.as_secs_f64() * 1000.0 / options.seconds as f64;
         let each = |n: u64| n as f64 / s.started as f64;
         let costs = [s.reports, s.passes, s.plans, s.rest, s.total()];
@@ -313,8 +354,14 @@
             each(s.changes),
             each(s.calls)
         );
-        let longest = s.longest.map(|d| format!("{:.1}", d.as_secs_f64() * 1000.0));
-        println!("{:>8} longest report, pass, plan, other: {} ms", "", longest.join(", "));
+        let longest = s
+            .longest
+            .map(|d| format!("{:.1}", d.as_secs_f64() * 1000.0));
+        println!(
+            "{:>8} longest report, pass, plan, other: {} ms",
+            "",
+            longest.join(", ")
+        );
         let (size, cost) = *first.get_or_insert((machines, ms(s.total())));
         println!(
             "{:>8} {:.1} times the machines cost {:.1} times the processor",
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -21,7 +21,10 @@
 /// A full cluster with a queue to match.
 fn crowded(machines: usize) -> LeaderView {
     let cpus = machines as f64 * 6.8;
-    let teams = [("red", cpus * 0.5, cpus * 4.0), ("blue", cpus * 0.1, cpus * 4.0)];
+    let teams = [
+        ("red", cpus * 0.5, cpus * 4.0),
+        ("blue", cpus * 0.1, cpus * 4.0),
+    ];
     let mut f = LeaderView::with(&teams, Some(20.0));
     f.machines("small", machines * 9 / 10, "small", "a");
     f.machines("large", machines / 10, "large", "b");
@@ -36,8 +39,14 @@
     f.run_all();
     for i in 0..machines / 20 {
         let cpus = 0.6 + (i % 9) as f64 * 0.1;
-        f.submit(&format!("j-{}", 2 * i + 2), spec(Shape::Array, "red", 40, cpus));
-        f.submit(&format!("j-{}", 2 * i + 3), spec(Shape::Gang, "red", 2, 30.0));
+        f.submit(
+            &format!("j-{}", 2 * i + 2),
+            spec(Shape::Array, "red", 40, cpus),
+        );
+        f.submit(
+            &format!("j-{}", 2 * i + 3),
+            spec(Shape::Gang, "red", 2, 30.0),
+        );
     }
     f.c.schedule(f.now);
     f
@@ -59,7 +68,9 @@
         });
         // One task ends at each report, and another takes its place; passes are kept apart from it.
         let f = RefCell::new(crowded(machines));
-        let names: Vec<String> = (0..machines * 9 / 10).map(|i| format!("small-{i:04}")).collect();
+        let names: Vec<String> = (0..machines * 9 / 10)
+            .map(|i| format!("small-{i:04}"))
+            .collect();
         let mut next = 0;
         group.bench_with_input(BenchmarkId::new("report", machines), &machines, |b, _| {
             b.iter_batched(
@@ -76,7 +87,10 @@
                 |(name, tasks)| {
                     let mut f = f.borrow_mut();
                     f.c.last_pass = f.now;
-                    let done = tasks.iter().enumerate().map(|(i, (t, n))| (t.as_str(), *n, i == 0));
+                    let done = tasks
+                        .iter()
+                        .enumerate()
+                        .map(|(i, (t, n))| (t.as_str(), *n, i == 0));
                     black_box(f.report(&name, "small", "a", &done.collect::<Vec<_>>()))
                 },
                 BatchSize::PerIteration,
@@ -99,13 +113,23 @@
     }
     let names: Vec<String> = (0..machines).map(|i| format!("host-{i:06}")).collect();
     for (chunk, names) in names.chunks(40).enumerate() {
-        let member = Member { flavor: "small".into(), zone: "a".into(), spot: false };
+        let member = Member {
+            flavor: "small".into(),
+            zone: "a".into(),
+            spot: false,
+        };
         let machines = names.iter().map(|n| (n.clone(), member.clone())).collect();
-        let record = ChunkRecord { term: 0, holder: "n1".into(), machines };
+        let record = ChunkRecord {
+            term: 0,
+            holder: "n1".into(),
+            machines,
+        };
         f.c.chunk_record(&f.c.block.key(chunk), record, 5);
     }
     f.c.loaded(f.now);
-    names.iter().for_each(|n| drop(f.report(n, "small", "a", &[])));
+    names
+        .iter()
+        .for_each(|n| drop(f.report(n, "small", "a", &[])));
     f.pass(1);
     assert!(f.c.settled);
     f.c.schedule(f.now);
--- a/crates/gannethub-core/src/apply/cloud.rs
+++ b/crates/gannethub-core/src/apply/cloud.rs
@@ -40,7 +40,12 @@
                     }
                 }
             }
-            CloudCall::Rent { name, offer, count, tries } => {
+            CloudCall::Rent {
+                name,
+                offer,
+                count,
+                tries,
+            } => {
                 let rented = answer
                     .filter(|a| a.0 == 200)
                     .and_then(|a| serde_json::from_slice::<crate::wire::cloud::Rented>(a.1).ok());
@@ -58,7 +63,11 @@
                             // It may have reported by now, and have been adopted.
                             Some(to) if !self.machines.contains_key(m.as_str()) => {
                                 let (flavor, zone) = (flavor.to_string(), offer.zone.clone());
-                                let record = MoveRecord { flavor, zone, spot: offer.spot };
+                                let record = MoveRecord {
+                                    flavor,
+                                    zone,
+                                    spot: offer.spot,
+                                };
                                 self.give(&m, record, to);
                             }
                             _ => drop(self.machine(&m, &flavor, &offer.zone, offer.spot, now)),
@@ -75,7 +84,12 @@
                     self.refused(&offer, now);
                 } else {
                     // The same name again: it rents once, however often it is carried out.
-                    let again = CloudCall::Rent { name, offer, count, tries: tries + 1 };
+                    let again = CloudCall::Rent {
+                        name,
+                        offer,
+                        count,
+                        tries: tries + 1,
+                    };
                     self.fleet.retry.push(again);
                 }
             }
@@ -86,7 +100,12 @@
     pub fn told_refused(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
         for (offer, left) in offers {
             let held = self.held(&offer);
-            let refusal = Refusal { at: now, until: now + left, times: 1, held };
+            let refusal = Refusal {
+                at: now,
+                until: now + left,
+                times: 1,
+                held,
+            };
             self.fleet.refusals.insert(offer, refusal);
         }
     }
@@ -94,7 +113,12 @@
     fn refused(&mut self, offer: &Offer, now: Micros) {
         let times = self.fleet.refusals.get(offer).map_or(0, |r| r.times);
         let until = now + ((8 * SECOND) << times.min(2));
-        let refusal = Refusal { at: now, until, times: times + 1, held: self.held(offer) };
+        let refusal = Refusal {
+            at: now,
+            until,
+            times: times + 1,
+            held: self.held(offer),
+        };
         self.fleet.refusals.insert(offer.clone(), refusal);
     }
 
@@ -121,11 +145,16 @@
         let lag = 2 * self.settings.list_lag;
         // What other blocks have and is on no list any more is gone, however old the list is.
         let old = now > self.taken_at + lag + GHOSTS;
-        self.elsewhere.retain(|m, _| !old || seen.iter().any(|l| l.id == *m));
+        self.elsewhere
+            .retain(|m, _| !old || seen.iter().any(|l| l.id == *m));
         let limit = self.lease_limit();
         let mut gone: Vec<MachineId> = Vec::new();
         let names: HashSet<&str> = seen.iter().map(|l| l.id.as_str()).collect();
-        for m in self.machines.values_mut().filter(|m| !names.contains(&*m.id)) {
+        for m in self
+            .machines
+            .values_mut()
+            .filter(|m| !names.contains(&*m.id))
+        {
             m.missed_lists += 1;
             // Lists lag and may be older than the one before; a machine counts as gone only when
             // it has long been silent as well, so that nothing can be left on it.
--- a/crates/gannethub-core/src/apply/configured.rs
+++ b/crates/gannethub-core/src/apply/configured.rs
@@ -18,12 +18,17 @@
             own.teams.clone_from(&self.settings.teams);
         }
         self.used.resize(own.teams.len(), Resources::default());
-        self.doubt.held.resize(own.teams.len(), Resources::default());
+        self.doubt
+            .held
+            .resize(own.teams.len(), Resources::default());
         self.whole.clone_from(&settings.teams);
         let halts = |s: &Settings| s.policy.number(Setting::Halts, &[]);
         if halts(&own) != halts(&self.settings) {
             let due = std::mem::take(&mut self.halts.due);
-            self.halts = Halts { due, ..Halts::new(halts(&own)) };
+            self.halts = Halts {
+                due,
+                ..Halts::new(halts(&own))
+            };
         }
         self.settings = Arc::new(own);
         self.over_limit = over_limit;
--- a/crates/gannethub-core/src/apply/halts.rs
+++ b/crates/gannethub-core/src/apply/halts.rs
@@ -27,9 +27,13 @@
 impl Cluster {
     /// An attempt of a cancelled job is to end.
     pub(crate) fn halt_soon(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
-        let Some(m) = self.machines.get(machine).filter(|m| m.addr.is_some()) else { return };
+        let Some(m) = self.machines.get(machine).filter(|m| m.addr.is_some()) else {
+            return;
+        };
         let key = (task, attempt);
-        let Some(a) = m.attempts.get(&key) else { return };
+        let Some(a) = m.attempts.get(&key) else {
+            return;
+        };
         let starts = matches!(a.phase, Phase::Starting | Phase::Fetching | Phase::Waiting);
         let halt = self.halts.due.entry(machine.clone()).or_default();
         halt.since = self.now;
@@ -55,14 +59,20 @@
             // Nothing is gone through at each step for what may not be sent yet.
             return Vec::new();
         }
-        let (machines, late) = (&self.machines, self.settings.report + self.settings.report / 4);
+        let (machines, late) = (
+            &self.machines,
+            self.settings.report + self.settings.report / 4,
+        );
         halts.due.retain(|id, halt| {
             let machine = machines.get(id);
             now < halt.since + late
                 && machine.is_some_and(|m| m.heard_at.is_none_or(|t| t <= halt.since))
         });
-        let mut due: Vec<(bool, MachineId)> =
-            halts.due.iter().map(|(id, halt)| (!halt.starting, id.clone())).collect();
+        let mut due: Vec<(bool, MachineId)> = halts
+            .due
+            .iter()
+            .map(|(id, halt)| (!halt.starting, id.clone()))
+            .collect();
         due.sort();
         due.truncate(halts.may.level as usize);
         let mut sent = Vec::new();
@@ -71,7 +81,9 @@
                 continue;
             };
             let alive = |key: &(TaskId, u64)| {
-                m.attempts.get(key).is_some_and(|a| !matches!(a.phase, Phase::Ended(_)))
+                m.attempts
+                    .get(key)
+                    .is_some_and(|a| !matches!(a.phase, Phase::Ended(_)))
             };
             let attempts = halt.attempts.into_iter().filter(alive);
             let stop = |(task, attempt): (TaskId, u64)| Order::Stop {
@@ -82,7 +94,11 @@
             let orders: Vec<Order> = attempts.map(stop).collect();
             if let (Some(addr), false) = (m.addr, orders.is_empty()) {
                 halts.may.level -= 1.0;
-                sent.push(Directly { addr, session: m.session, orders });
+                sent.push(Directly {
+                    addr,
+                    session: m.session,
+                    orders,
+                });
             }
         }
         sent
--- a/crates/gannethub-core/src/apply/moves.rs
+++ b/crates/gannethub-core/src/apply/moves.rs
@@ -21,7 +21,14 @@
     /// A request for another block has brought a machine.
     pub fn give(&mut self, machine: &str, record: MoveRecord, to: u32) {
         self.elsewhere.insert(machine.into(), to);
-        self.giving.insert(machine.into(), Giving { to, record, writing: false });
+        self.giving.insert(
+            machine.into(),
+            Giving {
+                to,
+                record,
+                writing: false,
+            },
+        );
     }
 
     /// Adds machines on their way to other blocks to a transaction, until it has `most` changes.
@@ -40,14 +47,19 @@
             commit.put(&key, store::raw(&giving.record), None);
             *bytes += 250;
             giving.writing = true;
-            batch.items.push(Item::Gave { machine: machine.clone() });
+            batch.items.push(Item::Gave {
+                machine: machine.clone(),
+            });
         }
     }
 
     pub(crate) fn gave(&mut self, machine: &str) {
         if let Some(giving) = self.giving.remove(machine) {
             let until = self.now + ARRIVES;
-            self.arriving.entry(giving.to).or_default().push((until, giving.record));
+            self.arriving
+                .entry(giving.to)
+                .or_default()
+                .push((until, giving.record));
         }
     }
 
@@ -67,7 +79,8 @@
             || self.fleet.removed.contains_key(machine)
         {
             // It is here already, or was: only what says that it is on its way is left over.
-            self.drops.push(format!("{}{}/{machine}", store::MOVE, self.block.id));
+            self.drops
+                .push(format!("{}{}/{machine}", store::MOVE, self.block.id));
             return;
         }
         self.machine(machine, &record.flavor, &record.zone, record.spot, now);
@@ -83,7 +96,11 @@
         let arriving = self.arriving.entry(block).or_default();
         arriving.retain(|(until, _)| now < *until);
         let arriving = arriving.iter().filter(|(_, r)| same(r)).count() as u32;
-        let giving = self.giving.values().filter(|g| g.to == block && same(&g.record)).count();
+        let giving = self
+            .giving
+            .values()
+            .filter(|g| g.to == block && same(&g.record))
+            .count();
         let asked = self.renting_for.iter().filter(|(_, to)| **to == block);
         let asked = asked.filter_map(|(name, _)| self.fleet.renting.get(name));
         let asked = asked.filter(|(offer, _)| {
--- a/crates/gannethub-core/src/apply/pipelines.rs
+++ b/crates/gannethub-core/src/apply/pipelines.rs
@@ -59,7 +59,10 @@
 
     /// What a change upstream leads to is written down with the next transactions.
     fn follow_up(&mut self, cause: &str, consequences: Consequences) {
-        let Consequences { released, cancelled } = consequences;
+        let Consequences {
+            released,
+            cancelled,
+        } = consequences;
         if !cancelled.is_empty() {
             tracing::info!(job = cause, jobs = cancelled.len(), "cancelled with it");
         }
@@ -107,7 +110,9 @@
         let lines = &mut self.pipelines;
         let mut due: Vec<(u8, JobId)> = Vec::new();
         for id in std::mem::take(&mut lines.todo) {
-            let Some(w) = lines.waiting.get(&id) else { continue };
+            let Some(w) = lines.waiting.get(&id) else {
+                continue;
+            };
             let step = match (lines.links.is_cancelled(&id), w.marked) {
                 (false, _) if lines.links.is_ready(&id) => 0,
                 // It goes on waiting. What happens upstream brings it here again.
@@ -120,7 +125,11 @@
         due.sort();
         for (step, id) in due {
             lines.todo.insert(id.clone());
-            let Some(w) = lines.waiting.get_mut(&id).filter(|w| !w.writing && !w.unsure) else {
+            let Some(w) = lines
+                .waiting
+                .get_mut(&id)
+                .filter(|w| !w.writing && !w.unsure)
+            else {
                 continue;
             };
             let changes = if step == 2 { 2 } else { 1 };
@@ -141,7 +150,13 @@
                         record.open = Some(0);
                     }
                     commit.put(&live, record.value(), None);
-                    batch.push(Item::Release { id: id.clone(), record: Box::new(record) }, live);
+                    batch.push(
+                        Item::Release {
+                            id: id.clone(),
+                            record: Box::new(record),
+                        },
+                        live,
+                    );
                 }
                 1 => {
                     // It is marked before it ends: whoever follows only its own record then sees it
@@ -153,9 +168,20 @@
                     batch.push(Item::Mark { id: id.clone() }, live);
                 }
                 _ => {
-                    let over = OverRecord { cancelled: true, tasks: w.spec.tasks, owner: None };
+                    let over = OverRecord {
+                        cancelled: true,
+                        tasks: w.spec.tasks,
+                        owner: None,
+                    };
                     commit.end(&id, &over);
-                    batch.push(Item::Over { id: id.clone(), cancelled: true, late_s: None }, live);
+                    batch.push(
+                        Item::Over {
+                            id: id.clone(),
+                            cancelled: true,
+                            late_s: None,
+                        },
+                        live,
+                    );
                 }
             }
             *bytes += 1500;
--- a/crates/gannethub-core/src/apply/reports.rs
+++ b/crates/gannethub-core/src/apply/reports.rs
@@ -68,7 +68,13 @@
         }
         let every = self.settings.report + self.settings.report / 4 + SECOND / 20;
         let lease = self.settings.lease;
-        let machine = self.machine(&report.machine, &report.flavor, &report.zone, report.spot, now);
+        let machine = self.machine(
+            &report.machine,
+            &report.flavor,
+            &report.zone,
+            report.spot,
+            now,
+        );
         let id = machine.id.clone();
         let zone = machine.zone.clone();
         if (report.session, report.seq) <= (machine.session, machine.seq)
@@ -110,10 +116,20 @@
         machine.notice |= notice;
         if !machine.recorded && !machine.deleting && !self.block.contains(&id) {
             let (flavor, zone) = (report.flavor.to_string(), report.zone.to_string());
-            self.block.add(&id, Member { flavor, zone, spot: report.spot }, None);
+            self.block.add(
+                &id,
+                Member {
+                    flavor,
+                    zone,
+                    spot: report.spot,
+                },
+                None,
+            );
         }
         if let Some((f, took)) = booted {
-            self.fleet.boots.up(f, &zone, self.flavors[f].boot, took, now);
+            self.fleet
+                .boots
+                .up(f, &zone, self.flavors[f].boot, took, now);
         }
         self.stirred |= news;
         if new_session {
@@ -136,7 +152,11 @@
             tracing::info!(%zone, "a zone is heard again");
         }
         let digest = digest(report);
-        if self.machines.get(&id).is_some_and(|m| m.digest != Some(digest)) {
+        if self
+            .machines
+            .get(&id)
+            .is_some_and(|m| m.digest != Some(digest))
+        {
             self.reconcile(&id, now, report);
             if let Some(m) = self.machines.get_mut(&id) {
                 m.digest = Some(digest);
@@ -156,7 +176,9 @@
     fn reconcile(&mut self, id: &MachineId, now: Micros, report: &Report<'_>) {
         let mut reported: HashSet<(TaskId, u64)> = HashSet::with_capacity(report.tasks.len());
         for t in &report.tasks {
-            let Some(task) = TaskId::parse(&t.task) else { continue };
+            let Some(task) = TaskId::parse(&t.task) else {
+                continue;
+            };
             let key = (task, t.attempt);
             reported.insert(key.clone());
             let phase = match t.state {
@@ -166,7 +188,9 @@
                 TaskState::Saving => Phase::Saving,
                 TaskState::Exited => Phase::Ended(t.why.unwrap_or(ExitReason::Other)),
             };
-            let Some(machine) = self.machines.get_mut(id) else { return };
+            let Some(machine) = self.machines.get_mut(id) else {
+                return;
+            };
             let known = machine.attempts.get_mut(&key).map(|a| {
                 if let Some(tab) = &mut a.tab {
                     tab.saved |= t.saved;
@@ -180,12 +204,22 @@
             }
         }
         self.ghosts_shown(id, report.session, now);
-        let Some(machine) = self.machines.get(id) else { return };
-        let missing: Vec<_> =
-            machine.attempts.keys().filter(|k| !reported.contains(*k)).cloned().collect();
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        let missing: Vec<_> = machine
+            .attempts
+            .keys()
+            .filter(|k| !reported.contains(*k))
+            .cloned()
+            .collect();
         for key in missing {
-            let Some(machine) = self.machines.get_mut(id) else { return };
-            let Some(a) = machine.attempts.get(&key) else { continue };
+            let Some(machine) = self.machines.get_mut(id) else {
+                return;
+            };
+            let Some(a) = machine.attempts.get(&key) else {
+                continue;
+            };
             match a.phase {
                 Phase::Ended(_) => {
                     machine.attempts.remove(&key);
@@ -266,10 +300,18 @@
     /// An attempt changed its phase.
     fn moved(&mut self, id: &MachineId, key: &(TaskId, u64), phase: Phase, now: Micros) {
         self.tab_moved(id, key, phase, now);
-        let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(a) = machine.attempts.get_mut(key) else { return };
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(a) = machine.attempts.get_mut(key) else {
+            return;
+        };
         let old = std::mem::replace(&mut a.phase, phase);
-        let ran = if old == Phase::Running { now.saturating_sub(a.since) } else { 0 };
+        let ran = if old == Phase::Running {
+            now.saturating_sub(a.since)
+        } else {
+            0
+        };
         a.since = now;
         a.seen = true;
         // It shows what it was told to launch.
@@ -309,8 +351,12 @@
     /// Gives back what an attempt held.
     fn release(&mut self, id: &MachineId, key: &(TaskId, u64), reason: Reason, now: Micros) {
         self.charge(id, key, reason, now);
-        let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(a) = m.attempts.get_mut(key).filter(|a| a.holds) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(a) = m.attempts.get_mut(key).filter(|a| a.holds) else {
+            return;
+        };
         a.holds = false;
         self.freed = true;
         self.stirred = true;
@@ -323,7 +369,9 @@
 
     /// A task is done: its saga commits, and with the last one its job's does.
     fn complete(&mut self, task: &TaskId, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         if job.cancelled || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
             return;
         }
@@ -359,8 +407,14 @@
         if why == Some(ExitReason::Done) {
             self.complete(task, now);
         }
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if job.live.get(&task.index).is_none_or(|p| p.1 != *attempt || p.0 != *id) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        if job
+            .live
+            .get(&task.index)
+            .is_none_or(|p| p.1 != *attempt || p.0 != *id)
+        {
             return;
         }
         job.live.remove(&task.index);
@@ -372,7 +426,11 @@
             Some(ExitReason::Error) => self.failed(task, id, now),
             Some(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
                 tracing::info!(task = %task, machine = %id, ?why, "launch refused");
-                let wait = if why == Some(ExitReason::Unknown) { 5 * SECOND } else { SECOND };
+                let wait = if why == Some(ExitReason::Unknown) {
+                    5 * SECOND
+                } else {
+                    SECOND
+                };
                 let n = job.backoff.get(&task.index).map_or(0, |b| b.1);
                 job.backoff.insert(task.index, (now + wait, n));
                 if let Some(m) = self.machines.get_mut(id) {
@@ -386,8 +444,12 @@
 
     /// A task of a gang is gone without being done.
     fn gang_lost(&mut self, task: &TaskId, attempt: u64, why: Option<ExitReason>) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(gang) = job.gang.as_mut().filter(|g| g.attempt == attempt) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(gang) = job.gang.as_mut().filter(|g| g.attempt == attempt) else {
+            return;
+        };
         // Before the start a replacement with the same attempt number completes the gang.
         let replace = !gang.running
             && !gang.stopping
@@ -412,7 +474,9 @@
 
     /// Everything that was on the machine is gone.
     fn lose(&mut self, id: &MachineId, now: Micros, reason: Reason, why: &str) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         m.digest = None;
         let keys: Vec<_> = m.attempts.keys().cloned().collect();
         let held = m.attempts.values().filter(|a| a.holds).count();
@@ -422,7 +486,10 @@
         self.gap(id, now);
         for key in keys {
             self.release(id, &key, reason, now);
-            let ended = self.machines.get_mut(id).and_then(|m| m.attempts.remove(&key));
+            let ended = self
+                .machines
+                .get_mut(id)
+                .and_then(|m| m.attempts.remove(&key));
             if ended.is_some_and(|a| !matches!(a.phase, Phase::Ended(_))) {
                 self.gone(&key, id, None, now);
             }
@@ -443,7 +510,9 @@
 
     fn orders(&mut self, id: &MachineId) -> Vec<Order> {
         let now = self.now;
-        let Some(machine) = self.machines.get(id) else { return Vec::new() };
+        let Some(machine) = self.machines.get(id) else {
+            return Vec::new();
+        };
         let mut starts = Vec::new();
         let mut orders = Vec::new();
         for (key, a) in &machine.attempts {
@@ -462,17 +531,27 @@
                                 || j.spec.shape == Shape::Service
                         });
                     if durable && self.settled_tab(machine, key) {
-                        orders.push(Order::Forget { task: name(), attempt });
+                        orders.push(Order::Forget {
+                            task: name(),
+                            attempt,
+                        });
                     }
                 }
                 (Phase::Saving, Some(grace)) if grace > 0 => {}
                 (_, Some(grace)) if a.seen => {
                     let grace_s = grace as f64 / SECOND as f64;
-                    orders.push(Order::Stop { task: name(), attempt, grace_s });
+                    orders.push(Order::Stop {
+                        task: name(),
+                        attempt,
+                        grace_s,
+                    });
                 }
                 // Until the mark that covers it is written, its place is only kept for it.
                 (Phase::Starting, None) if job.is_some_and(|j| self.may_launch(j, task.index)) => {
-                    starts.push(Order::Start { task: name(), attempt });
+                    starts.push(Order::Start {
+                        task: name(),
+                        attempt,
+                    });
                 }
                 _ => {}
             }
@@ -498,7 +577,10 @@
         self.scanned_at = now;
         let limit = self.lease_limit();
         self.size = Resources::default();
-        self.machines.values().filter(|m| m.up).for_each(|m| self.size += m.size);
+        self.machines
+            .values()
+            .filter(|m| m.up)
+            .for_each(|m| self.size += m.size);
         let silent: Vec<MachineId> = self
             .machines
             .values()
@@ -526,13 +608,20 @@
                 }
             }
             if waiting == 0 {
-                tracing::info!(machines = self.machines.len(), jobs = self.jobs.len(), "settled");
+                tracing::info!(
+                    machines = self.machines.len(),
+                    jobs = self.jobs.len(),
+                    "settled"
+                );
                 self.settled = true;
             }
         }
         self.reshelve_all(now);
         self.sweep_ghosts(now);
         let empty = |j: &&mut Job| j.live.is_empty() && j.gang.is_some();
-        self.jobs.values_mut().filter(empty).for_each(|j| j.gang = None);
+        self.jobs
+            .values_mut()
+            .filter(empty)
+            .for_each(|j| j.gang = None);
     }
 }
--- a/crates/gannethub-core/src/apply/storing.rs
+++ b/crates/gannethub-core/src/apply/storing.rs
@@ -118,7 +118,10 @@
             let facts = self.facts(&job, within, self.latest_start(&job, within));
             let spot = self.settings.policy.truth(Setting::UseSpot, &facts);
             if !spot {
-                job.spec = Arc::new(JobSpec { spot, ..(*job.submitted).clone() });
+                job.spec = Arc::new(JobSpec {
+                    spot,
+                    ..(*job.submitted).clone()
+                });
             }
         }
         self.queue.arrived(job.id.clone());
@@ -148,7 +151,9 @@
 
     /// Takes in finished tasks of a large array.
     pub fn part_record(&mut self, key: &str, record: &PartRecord) {
-        let parsed = key.strip_prefix(store::PART).and_then(|k| k.rsplit_once('/'));
+        let parsed = key
+            .strip_prefix(store::PART)
+            .and_then(|k| k.rsplit_once('/'));
         let Some((id, part)) = parsed.and_then(|(j, n)| Some((j, n.parse::<u32>().ok()?))) else {
             return;
         };
@@ -175,9 +180,12 @@
     /// Takes in a part of the block's record. Its machines may hold tasks of an earlier term.
     pub fn chunk_record(&mut self, key: &str, record: ChunkRecord, stamp: u64) {
         let Some(index) = self.block.chunk_of_key(key) else {
-            let block = key.strip_prefix(store::BLOCK).and_then(|k| k.split_once('/'));
+            let block = key
+                .strip_prefix(store::BLOCK)
+                .and_then(|k| k.split_once('/'));
             if let Some(block) = block.and_then(|(b, _)| b.parse().ok()) {
-                self.elsewhere.extend(record.machines.into_keys().map(|m| (m, block)));
+                self.elsewhere
+                    .extend(record.machines.into_keys().map(|m| (m, block)));
             }
             return;
         };
@@ -205,7 +213,9 @@
 
     /// The user cancelled: the pipeline's saga aborts. Nothing of it starts from here on.
     fn cancel(&mut self, id: &str) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         job.cancelled = true;
         job.pending = Ranges::default();
         job.dirty_since = Some(0);
@@ -216,7 +226,14 @@
         if actions.contains(&Action::Cancel(0)) {
             for (index, (machine, attempt)) in live {
                 self.stop(id, index, &machine, attempt, 0);
-                self.halt_soon(&machine, TaskId { job: id.into(), index }, attempt);
+                self.halt_soon(
+                    &machine,
+                    TaskId {
+                        job: id.into(),
+                        index,
+                    },
+                    attempt,
+                );
             }
         }
     }
@@ -291,7 +308,9 @@
         }
         due.sort();
         for (what, _, id) in due {
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             let live = format!("{}{id}", store::LIVE);
             let room = ops - commit.changes();
             if let (Due::Home, Some(home)) = (what, job.home) {
@@ -305,7 +324,13 @@
                 commit.put(&live, r.value(), None);
                 bytes += 1500;
                 job.writing = true;
-                batch.push(Item::Home { id, record: Box::new(r) }, live);
+                batch.push(
+                    Item::Home {
+                        id,
+                        record: Box::new(r),
+                    },
+                    live,
+                );
                 continue;
             }
             if matches!(what, Due::Over | Due::Tidy) {
@@ -315,13 +340,31 @@
                 let cancelled = job.cancelled;
                 commit.guard(&live, job.stamp);
                 let owner = self.ledger.as_ref().map(|_| owner_of(job));
-                commit.end(&id, &OverRecord { cancelled, tasks: job.spec.tasks, owner });
+                commit.end(
+                    &id,
+                    &OverRecord {
+                        cancelled,
+                        tasks: job.spec.tasks,
+                        owner,
+                    },
+                );
                 bytes += 400;
                 job.writing = true;
-                let due = job.submitted.deadline.filter(|_| !cancelled).map(|d| job.at + d);
+                let due = job
+                    .submitted
+                    .deadline
+                    .filter(|_| !cancelled)
+                    .map(|d| job.at + d);
                 let late = due.and_then(|due| self.wall.checked_sub(due));
                 let late_s = late.map(|t| seconds(t) as u32);
-                batch.push(Item::Over { id, cancelled, late_s }, live);
+                batch.push(
+                    Item::Over {
+                        id,
+                        cancelled,
+                        late_s,
+                    },
+                    live,
+                );
                 continue;
             }
             // Every write of a job's ends changes its live value and is guarded by that one's version: a transaction of
@@ -356,7 +399,13 @@
                 job.dirty_parts.remove(&0);
                 parts.insert(0, job.done.slice(0, PART_TASKS));
             }
-            for part in job.dirty_parts.iter().copied().take(room - 1).collect::<Vec<_>>() {
+            for part in job
+                .dirty_parts
+                .iter()
+                .copied()
+                .take(room - 1)
+                .collect::<Vec<_>>()
+            {
                 let done = store::encode_done(&job.done, part);
                 job.dirty_parts.remove(&part);
                 bytes += done.len() + 200;
@@ -369,11 +418,22 @@
                 job.dirty_since = None;
             }
             job.writing = true;
-            batch.push(Item::Job { id, parts, open: job.opening }, live);
+            batch.push(
+                Item::Job {
+                    id,
+                    parts,
+                    open: job.opening,
+                },
+                live,
+            );
         }
         if self.marked == Some(false) && commit.changes() < ops && self.covered() {
             let holder = self.settings.name.clone();
-            let record = LeadRecord { holder, term: self.term, marked: true };
+            let record = LeadRecord {
+                holder,
+                term: self.term,
+                marked: true,
+            };
             commit.put(&self.keys.1, store::raw(&record), None);
             batch.items.push(Item::Marked);
             self.marked = None;
@@ -400,7 +460,9 @@
         idle: bool,
     ) {
         while commit.changes() < most && *bytes < 40_000 {
-            let Some((index, stamp, record)) = self.block.dirty(idle) else { break };
+            let Some((index, stamp, record)) = self.block.dirty(idle) else {
+                break;
+            };
             let key = self.block.key(index);
             let value = store::raw(&record);
             *bytes += value.get().len() + 200;
@@ -421,13 +483,21 @@
         now: Micros,
     ) {
         let room = self.most_changes() - commit.changes().min(self.most_changes());
-        let Some(ledger) = &mut self.ledger else { return };
-        let Some(write) = ledger.book.write(now, self.wall, room) else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
+        let Some(write) = ledger.book.write(now, self.wall, room) else {
+            return;
+        };
         let key = store::ledger_page(write.page);
         *bytes += write.value.len() + 200;
         commit.guard(&key, write.stamp);
         // It is built as JSON; what is not would be refused and read back.
-        commit.put(&key, RawValue::from_string(write.value).unwrap_or_default(), None);
+        commit.put(
+            &key,
+            RawValue::from_string(write.value).unwrap_or_default(),
+            None,
+        );
         if let Some(head) = &write.head {
             commit.put(store::LEDGER_HEAD, store::raw(head), None);
         }
@@ -439,7 +509,9 @@
 
     /// A page of the ledger has been read again, as its write had no answer.
     pub fn ledger_reread(&mut self, item: Option<&store::Item>) {
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         let page = item.and_then(|i| Some((i.record::<Page>()?, i.stamp)));
         let unreadable = item.is_some() && page.is_none();
         let found = page.as_ref().map(|(p, stamp)| (p, *stamp));
@@ -459,7 +531,9 @@
         for item in batch.items {
             match item {
                 Item::Job { id, parts, open } => {
-                    let Some(job) = self.jobs.get_mut(&id) else { continue };
+                    let Some(job) = self.jobs.get_mut(&id) else {
+                        continue;
+                    };
                     job.writing = false;
                     job.stamp = job.stamp.max(stamp);
                     job.opened = job.opened.max(open);
@@ -467,7 +541,11 @@
                         job.flushed.insert(x);
                     }
                 }
-                Item::Over { id, cancelled, late_s } => {
+                Item::Over {
+                    id,
+                    cancelled,
+                    late_s,
+                } => {
                     match late_s {
                         Some(late_s) => tracing::info!(job = %id, late_s, "over"),
                         None => tracing::info!(job = %id, cancelled, "over"),
@@ -480,7 +558,8 @@
                     for name in members {
                         if self.taking.remove(&name) {
                             // Only now that it is on this block's record may that of its way here go.
-                            self.drops.push(format!("{}{}/{name}", store::MOVE, self.block.id));
+                            self.drops
+                                .push(format!("{}{}/{name}", store::MOVE, self.block.id));
                         }
                         if let Some(m) = self.machines.get_mut(name.as_str()) {
                             m.recorded = true;
--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -20,9 +20,21 @@
 
 /// Policy settings that take a restart, and why.
 const FIXED: [(Setting, &str, &str); 3] = [
-    (Setting::Grant, "grant_s", "leases in use were counted by it"),
-    (Setting::Blocks, "blocks", "machines would have to change blocks while limits do"),
-    (Setting::BlockChunk, "block_chunk", "it shapes records that are being written"),
+    (
+        Setting::Grant,
+        "grant_s",
+        "leases in use were counted by it",
+    ),
+    (
+        Setting::Blocks,
+        "blocks",
+        "machines would have to change blocks while limits do",
+    ),
+    (
+        Setting::BlockChunk,
+        "block_chunk",
+        "it shapes records that are being written",
+    ),
 ];
 
 /// What operators have changed, as it is stored and as their files say it.
@@ -112,7 +124,10 @@
 }
 
 fn wrong<T>(field: impl Into<String>, reason: impl Into<String>) -> Result<T, DocumentError> {
-    Err(DocumentError { field: field.into(), reason: reason.into() })
+    Err(DocumentError {
+        field: field.into(),
+        reason: reason.into(),
+    })
 }
 
 impl Document {
@@ -182,11 +197,22 @@
     fn fits_the_service(&self, base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
         let blocks = base.policy.number(Setting::Blocks, &[]) as u32;
         if blocks > 1 && settings.teams != base.teams {
-            return wrong("teams", "limits are divided among blocks; a restart is needed");
+            return wrong(
+                "teams",
+                "limits are divided among blocks; a restart is needed",
+            );
         }
         let unknown = |t: &&Team| base.team(&t.name).is_none();
-        if let Some(team) = settings.teams.iter().find(unknown).filter(|_| base.ledger.is_some()) {
-            let why = format!("the ledger has no team {:?}; a restart is needed", team.name);
+        if let Some(team) = settings
+            .teams
+            .iter()
+            .find(unknown)
+            .filter(|_| base.ledger.is_some())
+        {
+            let why = format!(
+                "the ledger has no team {:?}; a restart is needed",
+                team.name
+            );
             return wrong("teams", why);
         }
         Ok(())
@@ -196,8 +222,13 @@
 impl TeamEntry {
     /// A team as it would be written.
     pub fn of(team: &Team) -> TeamEntry {
-        let cpus =
-            |milli: i64| if milli >= crate::model::UNLIMITED { 0.0 } else { milli as f64 / 1e3 };
+        let cpus = |milli: i64| {
+            if milli >= crate::model::UNLIMITED {
+                0.0
+            } else {
+                milli as f64 / 1e3
+            }
+        };
         TeamEntry {
             name: team.name.clone(),
             cpus: cpus(team.guarantee.cpu),
@@ -209,18 +240,35 @@
     }
 
     fn removed(&self) -> TeamEntry {
-        TeamEntry { cpus: 0.0, gpus: 0.0, removed: true, ..self.clone() }
+        TeamEntry {
+            cpus: 0.0,
+            gpus: 0.0,
+            removed: true,
+            ..self.clone()
+        }
     }
 
     fn team(&self, at: &str) -> Result<Team, DocumentError> {
         if self.name.is_empty() || self.name.len() > MOST_NAME {
-            return wrong(format!("{at}.name"), format!("must have 1 to {MOST_NAME} bytes"));
+            return wrong(
+                format!("{at}.name"),
+                format!("must have 1 to {MOST_NAME} bytes"),
+            );
         }
-        let amounts = [("cpus", self.cpus, self.cpus_max), ("gpus", self.gpus, self.gpus_max)];
+        let amounts = [
+            ("cpus", self.cpus, self.cpus_max),
+            ("gpus", self.gpus, self.gpus_max),
+        ];
         for (field, guarantee, limit) in amounts {
-            for (field, x) in [(field.to_string(), guarantee), (format!("{field}_max"), limit)] {
+            for (field, x) in [
+                (field.to_string(), guarantee),
+                (format!("{field}_max"), limit),
+            ] {
                 if !(0.0..=MOST_AMOUNT).contains(&x) {
-                    return wrong(format!("{at}.{field}"), format!("{x} is not a usable amount"));
+                    return wrong(
+                        format!("{at}.{field}"),
+                        format!("{x} is not a usable amount"),
+                    );
                 }
             }
             // No limit is above any guarantee.
@@ -231,15 +279,27 @@
         }
         let guarantee = Resources::new(self.cpus, self.gpus, 0.0);
         let limit = unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0));
-        let team = Team { name: self.name.clone(), guarantee, limit, closed: false };
+        let team = Team {
+            name: self.name.clone(),
+            guarantee,
+            limit,
+            closed: false,
+        };
         Ok(if self.removed { team.closed() } else { team })
     }
 }
 
 impl ObjectiveEntry {
     fn objective(&self, index: usize) -> Result<Objective, DocumentError> {
-        let amounts = [("within_s", self.within_s), ("share", self.share), ("times", self.times)];
-        if let Some((field, x)) = amounts.iter().find(|(_, x)| !(0.0..=MOST_AMOUNT).contains(x)) {
+        let amounts = [
+            ("within_s", self.within_s),
+            ("share", self.share),
+            ("times", self.times),
+        ];
+        if let Some((field, x)) = amounts
+            .iter()
+            .find(|(_, x)| !(0.0..=MOST_AMOUNT).contains(x))
+        {
             let why = format!("{x} is not a usable amount");
             return wrong(format!("objectives[{index}].{field}"), why);
         }
@@ -261,7 +321,8 @@
             return wrong("policy", format!("{name} takes a restart: {why}"));
         }
     }
-    base.overlaid(text).or_else(|e| wrong("policy", e.to_string()))
+    base.overlaid(text)
+        .or_else(|e| wrong("policy", e.to_string()))
 }
 
 impl Team {
@@ -287,11 +348,19 @@
     }
 
     fn entry(name: &str, cpus: f64, cpus_max: f64) -> TeamEntry {
-        TeamEntry { name: name.into(), cpus, cpus_max, ..TeamEntry::default() }
+        TeamEntry {
+            name: name.into(),
+            cpus,
+            cpus_max,
+            ..TeamEntry::default()
+        }
     }
 
     fn document(teams: Vec<TeamEntry>) -> Document {
-        Document { teams, ..Document::default() }
+        Document {
+            teams,
+            ..Document::default()
+        }
     }
 
     #[test]
@@ -300,13 +369,23 @@
         let known = base.teams.len();
         let first = document(vec![entry("late", 1.0, 4.0), entry("later", 1.0, 4.0)]);
         let first = first.effective(&base, &base).unwrap();
-        assert_eq!((first.team("late"), first.team("later")), (Some(known), Some(known + 1)));
-        let second = document(vec![entry("later", 2.0, 8.0)]).effective(&base, &first).unwrap();
+        assert_eq!(
+            (first.team("late"), first.team("later")),
+            (Some(known), Some(known + 1))
+        );
+        let second = document(vec![entry("later", 2.0, 8.0)])
+            .effective(&base, &first)
+            .unwrap();
         assert_eq!(second.team("later"), Some(known + 1));
         assert!(second.teams[known].closed, "it is named no more");
-        let third = document(vec![entry("late", 1.0, 2.0)]).effective(&base, &second).unwrap();
+        let third = document(vec![entry("late", 1.0, 2.0)])
+            .effective(&base, &second)
+            .unwrap();
         assert!(!third.teams[known].closed && third.teams[known + 1].closed);
-        assert_eq!(Document::default().effective(&base, &base).unwrap().teams, base.teams);
+        assert_eq!(
+            Document::default().effective(&base, &base).unwrap().teams,
+            base.teams
+        );
     }
 
     #[test]
@@ -316,15 +395,31 @@
         let second = first.followed_by(Document::default(), &base);
         assert_eq!(
             second.teams,
-            [TeamEntry { cpus: 0.0, removed: true, ..entry("late", 0.0, 4.0) }]
+            [TeamEntry {
+                cpus: 0.0,
+                removed: true,
+                ..entry("late", 0.0, 4.0)
+            }]
         );
         let own = base.teams[0].name.clone();
-        let removed = TeamEntry { removed: true, ..entry(&own, 0.0, 0.0) };
+        let removed = TeamEntry {
+            removed: true,
+            ..entry(&own, 0.0, 0.0)
+        };
         let third = second.followed_by(document(vec![removed]), &base);
         let limit = TeamEntry::of(&base.teams[0]).cpus_max;
-        assert!(third.teams.iter().any(|t| t.name == own && t.removed && t.cpus_max == limit));
+        assert!(
+            third
+                .teams
+                .iter()
+                .any(|t| t.name == own && t.removed && t.cpus_max == limit)
+        );
         let again = third.followed_by(document(vec![entry("late", 1.0, 2.0)]), &base);
-        assert_eq!(again.teams, [entry("late", 1.0, 2.0)], "the platform's own is back as well");
+        assert_eq!(
+            again.teams,
+            [entry("late", 1.0, 2.0)],
+            "the platform's own is back as well"
+        );
     }
 
     #[test]
@@ -333,11 +428,17 @@
         let refused = |d: Document| d.effective(&base, &base).unwrap_err().to_string();
         let above = refused(document(vec![entry("late", 5.0, 4.0)]));
         assert_eq!(above, "teams[0].cpus: the guarantee 5 is above the limit 4");
-        let twice = refused(document(vec![entry("late", 1.0, 4.0), entry("late", 1.0, 4.0)]));
+        let twice = refused(document(vec![
+            entry("late", 1.0, 4.0),
+            entry("late", 1.0, 4.0),
+        ]));
         assert_eq!(twice, "teams[1].name: \"late\" appears twice");
         let nan = refused(document(vec![entry("late", f64::NAN, 4.0)]));
         assert!(nan.starts_with("teams[0].cpus: NaN"), "{nan}");
-        let policy = |text: &str| Document { policy: Some(text.into()), ..Document::default() };
+        let policy = |text: &str| Document {
+            policy: Some(text.into()),
+            ..Document::default()
+        };
         assert!(refused(policy("grant_s = 4")).starts_with("policy: grant_s takes a restart"));
         assert!(refused(policy("patience_s = no")).starts_with("policy: "));
         let set = policy("patience_s = 7").effective(&base, &base).unwrap();
@@ -348,9 +449,14 @@
     fn with_blocks_or_a_ledger_what_other_records_divide_stays() {
         let mut base = base();
         base.policy = Policy::parse("blocks = 3").unwrap();
-        let error = document(vec![entry("late", 1.0, 4.0)]).effective(&base, &base).unwrap_err();
+        let error = document(vec![entry("late", 1.0, 4.0)])
+            .effective(&base, &base)
+            .unwrap_err();
         assert_eq!(error.field, "teams");
-        let objectives = Document { objectives: Some(Vec::new()), ..Document::default() };
+        let objectives = Document {
+            objectives: Some(Vec::new()),
+            ..Document::default()
+        };
         assert!(objectives.effective(&base, &base).is_ok());
     }
 }
--- a/crates/gannethub-core/src/control/allotter.rs
+++ b/crates/gannethub-core/src/control/allotter.rs
@@ -48,7 +48,10 @@
 impl Allotter {
     /// A part, as the state service holds it.
     pub fn read(&mut self, item: &Item) {
-        let block = item.k.strip_prefix(ALLOT).and_then(|b| b.parse::<u32>().ok());
+        let block = item
+            .k
+            .strip_prefix(ALLOT)
+            .and_then(|b| b.parse::<u32>().ok());
         match (block.filter(|b| *b > 0), item.record::<AllotRecord>()) {
             (Some(block), Some(record)) => self.records.push((block, record, item.stamp)),
             _ => {
@@ -90,7 +93,10 @@
             0 if self.damaged => whole.iter().map(|_| Resources::default()).collect(),
             0 if parts.is_empty() => return,
             0 => allot::rest(&whole, &parts),
-            b => parts.get(&b).cloned().unwrap_or_else(|| vec![Resources::default(); whole.len()]),
+            b => parts
+                .get(&b)
+                .cloned()
+                .unwrap_or_else(|| vec![Resources::default(); whole.len()]),
         };
         let now: Vec<Resources> = cluster.settings.teams.iter().map(|t| t.limit).collect();
         let same = |(a, b): (&Resources, &Resources)| (a.cpu, a.gpu) == (b.cpu, b.gpu);
@@ -105,8 +111,10 @@
         if !port.several {
             return;
         }
-        if let Some((_, commit)) =
-            self.pending.as_ref().filter(|_| !self.sent && now >= self.again_at)
+        if let Some((_, commit)) = self
+            .pending
+            .as_ref()
+            .filter(|_| !self.sent && now >= self.again_at)
         {
             self.sent = true;
             let purpose = Purpose::Allot { term: lease.term };
@@ -182,12 +190,19 @@
             b => vec![b],
         };
         for b in BTreeSet::from_iter(guarded) {
-            commit.guard(&format!("{ALLOT}{b}"), self.parts.get(&b).map_or(0, |p| p.1));
+            commit.guard(
+                &format!("{ALLOT}{b}"),
+                self.parts.get(&b).map_or(0, |p| p.1),
+            );
         }
         for (b, part) in &raised {
             let names = cluster.whole.iter().map(|t| t.name.clone());
             let teams = names.zip(part.iter().copied()).collect();
-            commit.put(&format!("{ALLOT}{b}"), store::raw(&AllotRecord { teams }), None);
+            commit.put(
+                &format!("{ALLOT}{b}"),
+                store::raw(&AllotRecord { teams }),
+                None,
+            );
         }
         self.pending = Some((raised, commit));
         (self.sent, self.again_at) = (false, now);
--- a/crates/gannethub-core/src/control/configured.rs
+++ b/crates/gannethub-core/src/control/configured.rs
@@ -57,7 +57,10 @@
 
     /// Puts settings in force in this process, in all of its roles at once.
     fn configure(&mut self, new: NewSettings) {
-        let NewSettings { settings, over_limit } = new;
+        let NewSettings {
+            settings,
+            over_limit,
+        } = new;
         let now = self.port.clock.now;
         self.port.settings = settings.clone();
         for holder in self.holders.values_mut() {
@@ -76,11 +79,16 @@
             heard: true,
             version: Some(configuring.version()),
         };
-        let siblings = port.settings.siblings.iter().enumerate().map(|(i, s)| NodeTold {
-            name: &s.name,
-            heard: standing.heard(port, i),
-            version: standing.siblings[i].configuration,
-        });
+        let siblings = port
+            .settings
+            .siblings
+            .iter()
+            .enumerate()
+            .map(|(i, s)| NodeTold {
+                name: &s.name,
+                heard: standing.heard(port, i),
+                version: standing.siblings[i].configuration,
+            });
         let told = Told {
             version: configuring.version(),
             newest: configuring.newest(),
--- a/crates/gannethub-core/src/control/configuring.rs
+++ b/crates/gannethub-core/src/control/configuring.rs
@@ -206,7 +206,11 @@
         match value.map(serde_json::from_str::<VersionRecord>) {
             Some(Ok(record)) => {
                 tracing::info!(version = record.version, by = %record.by, why = %record.why, "a new configuration");
-                self.seen = Some(Seen { stamp, guard: stamp, version: record.version });
+                self.seen = Some(Seen {
+                    stamp,
+                    guard: stamp,
+                    version: record.version,
+                });
                 self.candidates.push_back(record);
                 self.read_at = 0;
             }
@@ -216,7 +220,11 @@
                     _ => "it was deleted".to_string(),
                 };
                 let guard = if value.is_some() { stamp } else { 0 };
-                self.seen = Some(Seen { stamp, guard, version: self.newest() });
+                self.seen = Some(Seen {
+                    stamp,
+                    guard,
+                    version: self.newest(),
+                });
                 self.refuse(CURRENT, &reason);
             }
         }
@@ -226,7 +234,8 @@
     fn refuse(&mut self, key: &str, reason: &str) {
         let in_force = self.version;
         tracing::error!(key, reason, in_force, "the configuration cannot be used");
-        self.refused.get_or_insert_with(|| format!("{key}: {reason}"));
+        self.refused
+            .get_or_insert_with(|| format!("{key}: {reason}"));
         if !self.candidates.is_empty() {
             return;
         }
@@ -250,7 +259,10 @@
             return None;
         }
         let next = match self.candidates.front() {
-            Some(record) => (ConfigurationRead::Document, StoreRequest::list(&record.prefix(), "")),
+            Some(record) => (
+                ConfigurationRead::Document,
+                StoreRequest::list(&record.prefix(), ""),
+            ),
             None if self.needs_history => (ConfigurationRead::History, StoreRequest::get(HISTORY)),
             None => return None,
         };
@@ -288,7 +300,9 @@
         let record = self.candidates.front().filter(|r| own(r))?.clone();
         let document = record.assemble(listing).map_err(|e| e.to_string());
         let checked = document.and_then(|d| {
-            let settings = d.effective(&self.base, running).map_err(|e| e.to_string())?;
+            let settings = d
+                .effective(&self.base, running)
+                .map_err(|e| e.to_string())?;
             Ok((settings, d))
         });
         match checked {
@@ -312,7 +326,10 @@
         self.settle();
         let (teams, by, why) = (settings.teams.len(), &record.by, &record.why);
         tracing::info!(version = record.version, %by, %why, teams, "the configuration is in force");
-        NewSettings { settings: Arc::new(settings), over_limit: document.over_limit }
+        NewSettings {
+            settings: Arc::new(settings),
+            over_limit: document.over_limit,
+        }
     }
 
     fn history_read(&mut self, answer: Option<(u16, Bytes)>, now: Micros) {
@@ -320,7 +337,9 @@
         match answer {
             Some((200, body)) => {
                 let item = serde_json::from_slice::<Item>(&body).ok();
-                let history = item.and_then(|i| i.record::<HistoryRecord>()).unwrap_or_default();
+                let history = item
+                    .and_then(|i| i.record::<HistoryRecord>())
+                    .unwrap_or_default();
                 let before = history.versions.into_iter();
                 let before = before.filter(|v| newest == 0 || v.version < newest);
                 self.candidates = before.collect();
@@ -352,8 +371,12 @@
     }
 
     fn stored(version: u64, stamp: u64) -> Listing {
-        let record =
-            VersionRecord { version, id: format!("{version}-x"), parts: 1, ..Default::default() };
+        let record = VersionRecord {
+            version,
+            id: format!("{version}-x"),
+            parts: 1,
+            ..Default::default()
+        };
         let text = serde_json::json!({"items": [{"k": CURRENT, "v": record, "stamp": stamp}],
             "truncated": false, "ledger_no": stamp});
         serde_json::from_str(&text.to_string()).unwrap()
@@ -371,13 +394,20 @@
     #[test]
     fn a_version_is_acted_on_once_it_is_read_and_for_so_long_after_it_was_known() {
         let (mut c, base) = configuring();
-        assert!(!c.fresh(0) && !c.holds_starts(0), "nothing was ever stored, as far as is known");
+        assert!(
+            !c.fresh(0) && !c.holds_starts(0),
+            "nothing was ever stored, as far as is known"
+        );
         c.knew(100);
         assert!(c.fresh(100 + FRESH - 1) && !c.fresh(100 + FRESH));
         c.listed(&stored(4, 50), true);
         assert!(!c.fresh(200) && c.holds_starts(200) && c.guard() == 0);
         let (what, request) = c.next_read(200).unwrap();
-        assert!(request.path.contains("gh/config/doc/4-x/"), "{}", request.path);
+        assert!(
+            request.path.contains("gh/config/doc/4-x/"),
+            "{}",
+            request.path
+        );
         assert!(c.answered(what, None, &base, 200).is_none() && c.next_read(201).is_none());
         let (what, _) = c.next_read(200 + READ_AGAIN).unwrap();
         let new = c.answered(what, part(4, TEAM), &base, 300).unwrap();
@@ -385,7 +415,11 @@
         assert_eq!((c.version(), c.guard(), c.fresh(300)), (4, 50, true));
         assert!(!c.holds_starts(100 + FRESH - 1) && c.holds_starts(100 + FRESH));
         c.listed(&stored(3, 40), true);
-        assert_eq!((c.version(), c.fresh(300)), (4, true), "older news come late");
+        assert_eq!(
+            (c.version(), c.fresh(300)),
+            (4, true),
+            "older news come late"
+        );
     }
 
     #[test]
@@ -428,9 +462,16 @@
         assert!(c.answered(what, part(4, TEAM), &base, 300).is_some());
         c.listed(&stored(5, 60), true);
         let (what, _) = c.next_read(300).unwrap();
-        assert!(c.answered(what, part(5, r#"{"future":1}"#), &base, 300).is_none());
+        assert!(
+            c.answered(what, part(5, r#"{"future":1}"#), &base, 300)
+                .is_none()
+        );
         assert_eq!((c.version(), c.guard(), c.fresh(300)), (4, 60, true));
-        assert!(c.refused().is_some_and(|r| r.contains("5-x")), "{:?}", c.refused());
+        assert!(
+            c.refused().is_some_and(|r| r.contains("5-x")),
+            "{:?}",
+            c.refused()
+        );
         let (mut c, base) = configuring();
         c.knew(100);
         c.listed(&stored(5, 60), true);
@@ -444,7 +485,10 @@
         let history = r#"{"k":"gh/config/history","v":{"versions":[
             {"version":5,"id":"5-x","parts":1,"at":0,"by":"","why":""},
             {"version":4,"id":"4-x","parts":1,"at":0,"by":"","why":""}]},"stamp":60}"#;
-        assert!(c.answered(what, Some((200, Bytes::from(history))), &base, 300).is_none());
+        assert!(
+            c.answered(what, Some((200, Bytes::from(history))), &base, 300)
+                .is_none()
+        );
         let (what, _) = c.next_read(300).unwrap();
         assert!(c.answered(what, part(4, TEAM), &base, 300).is_some());
         assert_eq!((c.version(), c.guard(), c.fresh(300)), (4, 60, true));
--- a/crates/gannethub-core/src/control/controller.rs
+++ b/crates/gannethub-core/src/control/controller.rs
@@ -44,7 +44,10 @@
 
 /// Who holds a block in that term. Answers to an earlier term of this controller's own are nobody's any more.
 fn of_term(holders: &mut Holders, term: u64) -> Option<&mut Holder> {
-    holders.values_mut().find(|h| h.lease.term == term).map(|h| &mut **h)
+    holders
+        .values_mut()
+        .find(|h| h.lease.term == term)
+        .map(|h| &mut **h)
 }
 
 pub struct Controller {
@@ -119,8 +122,15 @@
             self.check_ended();
         }
         let port = &mut self.port;
-        self.holders.values_mut().filter(|h| h.loaded()).for_each(|h| h.halt(port));
-        if self.holders.get(&0).is_some_and(|h| h.cluster.urgent_tabs()) {
+        self.holders
+            .values_mut()
+            .filter(|h| h.loaded())
+            .for_each(|h| h.halt(port));
+        if self
+            .holders
+            .get(&0)
+            .is_some_and(|h| h.cluster.urgent_tabs())
+        {
             self.tell_tabs();
         }
         self.intake.flush_accepts(&mut self.port);
@@ -144,7 +154,10 @@
         if !stands_by {
             return TICK;
         }
-        self.standing.due().saturating_sub(port.clock.now).clamp(TICK, QUIET)
+        self.standing
+            .due()
+            .saturating_sub(port.clock.now)
+            .clamp(TICK, QUIET)
     }
 
     /// The cluster as the leader sees it; `None` on every other controller.
@@ -155,7 +168,10 @@
     /// The version of the configuration in force here, and whether it may be acted on now.
     pub fn configuration(&self) -> (u64, bool) {
         let configuring = &self.port.configuring;
-        (configuring.version(), configuring.fresh(self.port.clock.now))
+        (
+            configuring.version(),
+            configuring.fresh(self.port.clock.now),
+        )
     }
 
     /// All blocks that this controller holds.
@@ -172,7 +188,10 @@
     }
 
     fn check_ended(&mut self) {
-        let ended = self.holders.iter().find_map(|(b, h)| h.ended.map(|why| (*b, why)));
+        let ended = self
+            .holders
+            .iter()
+            .find_map(|(b, h)| h.ended.map(|why| (*b, why)));
         if let Some((block, why)) = ended {
             self.step_down(block, why);
             self.check_ended();
@@ -180,12 +199,16 @@
     }
 
     fn step_down(&mut self, block: u32, why: &str) {
-        let Some(holder) = self.holders.remove(&block) else { return };
+        let Some(holder) = self.holders.remove(&block) else {
+            return;
+        };
         let (term, grant) = (holder.lease.term, holder.lease.grant);
         if block > 0 {
             tracing::info!(block, term, why, "gives up a block");
             let handed = why == HANDED_ON;
-            return self.seats.left(&mut self.port, block, grant, handed, holder.deaf);
+            return self
+                .seats
+                .left(&mut self.port, block, grant, handed, holder.deaf);
         }
         tracing::info!(term, why, "no longer leading");
         if holder.cluster.ledger.is_some() {
@@ -193,7 +216,8 @@
             self.shadow = Shadow::own(term, holder.cluster.all_tabs(now), now);
         }
         self.port.lead(false);
-        self.standing.stepped_down(&mut self.port, grant, holder.deaf);
+        self.standing
+            .stepped_down(&mut self.port, grant, holder.deaf);
     }
 
     /// What one role has told is for others.
@@ -217,11 +241,17 @@
         for holder in self.holders.values_mut() {
             holder.expect(&self.port, id, stamp);
         }
-        let told = Changed { job: id.to_string(), stamp };
+        let told = Changed {
+            job: id.to_string(),
+            stamp,
+        };
         if self.port.several {
             let all = 0..self.standing.siblings.len();
             all.for_each(|i| self.port.say(i, Body::Changed(told.clone())));
-        } else if let Some(i) = self.standing.leader(&self.port).filter(|_| self.holders.is_empty())
+        } else if let Some(i) = self
+            .standing
+            .leader(&self.port)
+            .filter(|_| self.holders.is_empty())
         {
             self.port.say(i, Body::Changed(told));
         }
@@ -238,21 +268,29 @@
         self.port.forgive();
         self.intake.refresh(&mut self.port);
         self.read_configuration();
-        self.intake.read_ends(&mut self.port, self.holders.get(&0).map(|h| &**h));
+        self.intake
+            .read_ends(&mut self.port, self.holders.get(&0).map(|h| &**h));
         if self.standing.beat(&mut self.port, &self.holders) {
             self.tell_tabs();
             self.share_out();
         }
         if self.port.flavors.is_empty() && now >= self.flavors_at {
             self.flavors_at = now + 2 * SECOND;
-            self.port.call(0, CloudCall::Flavors, CloudRequest::flavors());
+            self.port
+                .call(0, CloudCall::Flavors, CloudRequest::flavors());
         }
         if !self.holders.contains_key(&0) {
             self.standing.tick(&mut self.port);
         }
-        self.holders.values_mut().for_each(|h| h.tick(&mut self.port));
-        self.seats.tick(&mut self.port, &self.standing, &self.holders);
-        if let Some(block) = self.seats.hands_over(&self.port, &self.standing, &self.holders) {
+        self.holders
+            .values_mut()
+            .for_each(|h| h.tick(&mut self.port));
+        self.seats
+            .tick(&mut self.port, &self.standing, &self.holders);
+        if let Some(block) = self
+            .seats
+            .hands_over(&self.port, &self.standing, &self.holders)
+        {
             self.step_down(block, HANDED_ON);
         }
     }
@@ -290,7 +328,10 @@
 
     fn tell_tabs(&mut self) {
         let now = self.port.clock.now;
-        let tabs = self.holders.get_mut(&0).map(|h| h.cluster.tabs_to_tell(now));
+        let tabs = self
+            .holders
+            .get_mut(&0)
+            .map(|h| h.cluster.tabs_to_tell(now));
         for (i, tabs) in tabs.into_iter().flatten() {
             self.port.say(i, Body::OpenTabs(tabs));
         }
@@ -309,7 +350,11 @@
         match route {
             Route::Health => {
                 let response = if self.standing.healthy(port) {
-                    Response { status: 200, body: Bytes::from_static(b"{}"), retry_after: None }
+                    Response {
+                        status: 200,
+                        body: Bytes::from_static(b"{}"),
+                        retry_after: None,
+                    }
                 } else {
                     Response::error(503, "not ready to take requests")
                 };
@@ -339,12 +384,19 @@
     fn peer(&mut self, message: Envelope) {
         let port = &mut self.port;
         let now = port.clock.now;
-        let Some(i) = port.settings.siblings.iter().position(|s| s.name == message.from) else {
+        let Some(i) = port
+            .settings
+            .siblings
+            .iter()
+            .position(|s| s.name == message.from)
+        else {
             tracing::info!(from = %message.from, "a message from a stranger is dropped");
             return;
         };
         self.standing.siblings[i].heard_at = Some(now);
-        self.holders.values_mut().for_each(|h| h.heard_at = Some(now));
+        self.holders
+            .values_mut()
+            .for_each(|h| h.heard_at = Some(now));
         match message.body {
             Some(Body::Heartbeat(beat)) => {
                 self.shadow.heard(beat.leading, now);
@@ -417,7 +469,10 @@
 
     fn promised(&mut self, i: usize, promise: &Promise) {
         let block = promise.block;
-        let asked = self.holders.get_mut(&block).filter(|h| h.lease.term == promise.term);
+        let asked = self
+            .holders
+            .get_mut(&block)
+            .filter(|h| h.lease.term == promise.term);
         let Some(holder) = asked else { return };
         let ids = store::decode_ids(&promise.cancelled);
         for id in &ids {
@@ -441,7 +496,10 @@
             holder.lease.knew(at);
             self.port.configuring.knew(at);
         }
-        holder.lease.authority.promised(promise.round, i, self.port.clock.now);
+        holder
+            .lease
+            .authority
+            .promised(promise.round, i, self.port.clock.now);
         if holder.lease.authority.bridged() {
             holder.cluster.unmarked = true;
             if let Some(candidacy) = self.candidacy(block) {
@@ -452,7 +510,11 @@
 
     fn tabs_told(&mut self, i: usize, tabs: OpenTabs) {
         let port = &mut self.port;
-        let off = port.settings.ledger.as_ref().map_or(0, |l| l.settings.clock_off);
+        let off = port
+            .settings
+            .ledger
+            .as_ref()
+            .map_or(0, |l| l.settings.clock_off);
         let late = port.clock.wall.saturating_sub(tabs.at);
         // What two clocks may be apart does not count.
         let late = if late > off + SECOND { late } else { 0 };
@@ -466,7 +528,9 @@
 
     fn store_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
         let port = &mut self.port;
-        let Some(purpose) = port.purposes.remove(&id) else { return };
+        let Some(purpose) = port.purposes.remove(&id) else {
+            return;
+        };
         let now = port.clock.now;
         let status = answer.as_ref().map(|a| a.0);
         if status.is_some_and(|s| s < 500 && s != 429) && !matches!(purpose, Purpose::Follow { .. })
@@ -484,7 +548,11 @@
         match purpose {
             Purpose::Probe => standing.probed(port, answer),
             Purpose::Grant { sent } => standing.granted(port, sent, answer),
-            Purpose::Takeover { record, grant, sent } => {
+            Purpose::Takeover {
+                record,
+                grant,
+                sent,
+            } => {
                 self.taken_over(record, grant, sent, answer);
             }
             Purpose::DropGrant { block, grant } => {
@@ -495,7 +563,9 @@
                 }
             }
             Purpose::Renew { sent, term } => {
-                let Some(holder) = of_term(holders, term) else { return };
+                let Some(holder) = of_term(holders, term) else {
+                    return;
+                };
                 if !holder.lease.renewed(sent, status, now) {
                     holder.ended = Some("its grant ended");
                 }
@@ -520,7 +590,12 @@
             Purpose::SeatTerms { block, grant, sent } => {
                 self.seats.terms_read(port, block, grant, sent, answer);
             }
-            Purpose::SeatTake { block, record, grant, sent } => {
+            Purpose::SeatTake {
+                block,
+                record,
+                grant,
+                sent,
+            } => {
                 self.seat_taken(block, record, grant, sent, answer);
             }
             Purpose::Load { term, stage } => {
@@ -646,7 +721,9 @@
             Some((200, body)) => serde_json::from_slice::<Committed>(body).ok(),
             _ => None,
         };
-        let Some(seat) = self.seats.seats.get_mut(&block) else { return };
+        let Some(seat) = self.seats.seats.get_mut(&block) else {
+            return;
+        };
         seat.candidacy.trying = false;
         let Some(stamp) = stamp else {
             return self.seats.not_taken(port, block, grant, status);
@@ -667,9 +744,13 @@
     }
 
     fn cloud_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
-        let Some((term, call)) = self.port.calls.remove(&id) else { return };
+        let Some((term, call)) = self.port.calls.remove(&id) else {
+            return;
+        };
         if term == 0 {
-            let flavors = answer.filter(|a| a.0 == 200).and_then(|a| cloud::parse_flavors(&a.1));
+            let flavors = answer
+                .filter(|a| a.0 == 200)
+                .and_then(|a| cloud::parse_flavors(&a.1));
             if let Some(flavors) = flavors {
                 self.port.flavors = Arc::new(flavors);
             }
--- a/crates/gannethub-core/src/control/holder.rs
+++ b/crates/gannethub-core/src/control/holder.rs
@@ -90,7 +90,10 @@
 
 impl Holder {
     pub fn new(lease: Lease, cluster: Cluster) -> Holder {
-        let nothing = ReportAnswer { token: lease.term, orders: &[] };
+        let nothing = ReportAnswer {
+            token: lease.term,
+            orders: &[],
+        };
         Holder {
             nothing: Response::json(200, &nothing).body,
             lease,
@@ -130,7 +133,12 @@
 
     /// Jobs with tasks on machines, for siblings to tell users of.
     pub fn running(&self) -> Vec<Running> {
-        let running = self.cluster.jobs.values().filter(|j| j.running() > 0).take(MOST_RUNNING);
+        let running = self
+            .cluster
+            .jobs
+            .values()
+            .filter(|j| j.running() > 0)
+            .take(MOST_RUNNING);
         let told = running.map(|job| Running {
             job: job.id.to_string(),
             tasks: job.running(),
@@ -141,7 +149,10 @@
 
     /// What a job has on machines, and has done.
     pub fn progress(&self, id: &JobId) -> Option<(u32, u32)> {
-        self.cluster.jobs.get(id).map(|job| (job.running(), job.done.len()))
+        self.cluster
+            .jobs
+            .get(id)
+            .map(|job| (job.running(), job.done.len()))
     }
 
     /// How a job ended that was no longer alive when it was read.
@@ -198,7 +209,11 @@
         let (term, wanted) = (self.lease.term, self.cluster.owners_wanted(now));
         for job in wanted {
             let key = format!("{}{job}", store::OVER);
-            port.send(Urgency::Rest, StoreRequest::get(&key), Purpose::ReadOwner { term, job });
+            port.send(
+                Urgency::Rest,
+                StoreRequest::get(&key),
+                Purpose::ReadOwner { term, job },
+            );
         }
     }
 
@@ -208,7 +223,8 @@
             Some((200, body)) => {
                 let over = serde_json::from_slice::<Item>(&body).ok();
                 let over = over.and_then(|i| i.record::<OverRecord>());
-                self.cluster.owner_read(job, over.and_then(|o| o.owner), now);
+                self.cluster
+                    .owner_read(job, over.and_then(|o| o.owner), now);
             }
             Some((404, _)) => self.cluster.owner_read(job, None, now),
             // It is asked for again.
@@ -242,7 +258,11 @@
             self.writing = true;
             self.write_at = now + 100_000;
             let term = self.lease.term;
-            port.send(Urgency::Commit, commit.request(), Purpose::Write { term, batch });
+            port.send(
+                Urgency::Commit,
+                commit.request(),
+                Purpose::Write { term, batch },
+            );
         }
     }
 
@@ -253,7 +273,8 @@
             if !come && now < *due {
                 break;
             }
-            self.readbacks.extend(self.expected.pop_front().filter(|_| !come).map(|e| e.2));
+            self.readbacks
+                .extend(self.expected.pop_front().filter(|_| !come).map(|e| e.2));
         }
         if self.reading > 0 || now < self.readback_at || self.readbacks.is_empty() {
             return;
@@ -263,14 +284,19 @@
         self.reading = keys.len();
         let term = self.lease.term;
         for key in keys {
-            port.send(Urgency::Commit, StoreRequest::get(&key), Purpose::ReadBack { term, key });
+            port.send(
+                Urgency::Commit,
+                StoreRequest::get(&key),
+                Purpose::ReadBack { term, key },
+            );
         }
     }
 
     pub(super) fn expect(&mut self, port: &Port, id: &str, stamp: u64) {
         let due = port.clock.now + WATCH_PATIENCE;
         if self.watched < stamp {
-            self.expected.push_back((due, stamp, format!("{}{id}", store::LIVE)));
+            self.expected
+                .push_back((due, stamp, format!("{}{id}", store::LIVE)));
         }
     }
 
@@ -284,7 +310,10 @@
         self.catching = true;
         self.catch_at = now + SECOND;
         let request = StoreRequest::changes(store::LIVE, self.watched);
-        let purpose = Purpose::CatchUp { term: self.lease.term, sent: now };
+        let purpose = Purpose::CatchUp {
+            term: self.lease.term,
+            sent: now,
+        };
         port.send(Urgency::Renewal, request, purpose);
     }
 
@@ -305,8 +334,17 @@
 
     /// Tells workers of cancelled tasks at once.
     pub fn halt(&mut self, port: &mut Port) {
-        for Directly { addr, session, orders } in self.cluster.next_halts(port.clock.now) {
-            let commands = Commands { token: self.lease.term, session, orders: &orders };
+        for Directly {
+            addr,
+            session,
+            orders,
+        } in self.cluster.next_halts(port.clock.now)
+        {
+            let commands = Commands {
+                token: self.lease.term,
+                session,
+                orders: &orders,
+            };
             let body = Response::json(200, &commands).body;
             port.effects.push(Effect::Worker { addr, body });
         }
@@ -342,7 +380,10 @@
         match self.cluster.report(now, &report) {
             Outcome::Orders(orders) if orders.is_empty() => Answer::Now(200, self.nothing.clone()),
             Outcome::Orders(orders) => {
-                let body = ReportAnswer { token: self.lease.term, orders: &orders };
+                let body = ReportAnswer {
+                    token: self.lease.term,
+                    orders: &orders,
+                };
                 Answer::Now(200, Response::json(200, &body).body)
             }
             Outcome::Elsewhere(block) => Answer::Elsewhere(block),
@@ -364,7 +405,8 @@
                 tracing::info!("the watch fell behind; reading all jobs again");
                 let waiting = self.cluster.pipelines.waiting.keys();
                 let known = self.cluster.jobs.keys().chain(waiting);
-                self.readbacks.extend(known.map(|id| format!("{}{id}", store::LIVE)));
+                self.readbacks
+                    .extend(known.map(|id| format!("{}{id}", store::LIVE)));
                 self.watched = 0;
                 self.stage = 0;
                 return self.load(port, "");
@@ -383,14 +425,30 @@
         let now = port.clock.now;
         port.configuring.changed(&followed.log);
         port.configuring.knew(sent);
-        let jobs = followed.log.into_iter().filter(|c| c.key() != Some(CURRENT));
+        let jobs = followed
+            .log
+            .into_iter()
+            .filter(|c| c.key() != Some(CURRENT));
         for change in jobs.filter(|c| c.stamp > self.watched) {
-            if let Some(id) = change.delete.as_deref().and_then(|k| k.strip_prefix(store::LIVE)) {
+            if let Some(id) = change
+                .delete
+                .as_deref()
+                .and_then(|k| k.strip_prefix(store::LIVE))
+            {
                 self.cluster.job_gone(id, change.stamp, None);
             }
-            let key = change.write.as_deref().and_then(|k| k.strip_prefix(store::LIVE));
-            let (Some(id), Some(v)) = (key, &change.v) else { continue };
-            if self.cluster.stamp_of(id).is_some_and(|known| known >= change.stamp) {
+            let key = change
+                .write
+                .as_deref()
+                .and_then(|k| k.strip_prefix(store::LIVE));
+            let (Some(id), Some(v)) = (key, &change.v) else {
+                continue;
+            };
+            if self
+                .cluster
+                .stamp_of(id)
+                .is_some_and(|known| known >= change.stamp)
+            {
                 continue;
             }
             match LiveRecord::parse(v.get()) {
@@ -492,7 +550,10 @@
             (None, Some((404, _))) => {
                 self.reading += 1;
                 let key = format!("{}{id}", store::OVER);
-                let purpose = Purpose::ReadOver { term: self.lease.term, key: key.clone() };
+                let purpose = Purpose::ReadOver {
+                    term: self.lease.term,
+                    key: key.clone(),
+                };
                 port.send(Urgency::Commit, StoreRequest::get(&key), purpose);
             }
             _ => {
@@ -511,7 +572,8 @@
             self.ended = Some("it hears neither workers nor siblings");
             return;
         }
-        self.lease.keep(port, if self.loaded() { self.watched } else { 0 });
+        self.lease
+            .keep(port, if self.loaded() { self.watched } else { 0 });
         if !self.loaded() {
             if self.load_at.is_some_and(|t| t <= now) {
                 self.load_at = None;
--- a/crates/gannethub-core/src/control/intake.rs
+++ b/crates/gannethub-core/src/control/intake.rs
@@ -100,7 +100,8 @@
     }
 
     pub(super) fn submit(&mut self, port: &mut Port, conn: u64, body: &[u8]) {
-        port.deadlines.insert(conn, port.clock.now + SUBMIT_PATIENCE);
+        port.deadlines
+            .insert(conn, port.clock.now + SUBMIT_PATIENCE);
         let (map, id) = match api::parse_object(body) {
             Ok(parsed) => parsed,
             Err(refusal) => return port.refuse(conn, &refusal),
@@ -136,7 +137,11 @@
         id: JobId,
         submission: Box<Submission>,
     ) {
-        if submission.waits_on.iter().all(|u| self.mirror.fate(u) != Fate::Unknown) {
+        if submission
+            .waits_on
+            .iter()
+            .all(|u| self.mirror.fate(u) != Fate::Unknown)
+        {
             self.accepting.push_back((conn, id, submission));
         } else if self.asking.len() >= MAX_ASKING {
             port.too_much(conn, SECOND);
@@ -162,14 +167,30 @@
             return self.look(port, job, Waiter::Submit(conn, Ok(submission)));
         }
         let unknown = |u: &&JobId| self.mirror.fate(u) == Fate::Unknown;
-        let unread: Vec<JobId> = submission.waits_on.iter().filter(unknown).cloned().collect();
+        let unread: Vec<JobId> = submission
+            .waits_on
+            .iter()
+            .filter(unknown)
+            .cloned()
+            .collect();
         if unread.is_empty() {
             return self.accepting.push_back((conn, job, submission));
         }
-        self.naming.insert(conn, Naming { job, submission, unread: unread.len() });
+        self.naming.insert(
+            conn,
+            Naming {
+                job,
+                submission,
+                unread: unread.len(),
+            },
+        );
         for job in unread {
             let key = format!("{}{job}", store::OVER);
-            port.send(Urgency::User, StoreRequest::get(&key), Purpose::Named { conn, job });
+            port.send(
+                Urgency::User,
+                StoreRequest::get(&key),
+                Purpose::Named { conn, job },
+            );
         }
     }
 
@@ -184,12 +205,16 @@
         if let Some(view) = &end {
             self.mirror.end(job.clone(), view.clone());
         }
-        let Some(naming) = self.naming.get_mut(&conn) else { return };
+        let Some(naming) = self.naming.get_mut(&conn) else {
+            return;
+        };
         match (end, answer) {
             (Some(_), _) => {
                 naming.unread -= 1;
                 if naming.unread == 0 {
-                    let Some(n) = self.naming.remove(&conn) else { return };
+                    let Some(n) = self.naming.remove(&conn) else {
+                        return;
+                    };
                     self.accepting.push_back((conn, n.job, n.submission));
                 }
             }
@@ -221,15 +246,28 @@
         }
         if open.is_empty() {
             let block = port.home(&spec);
-            (JobRecord { block, ..JobRecord::new(spec, at) }.value(), 0)
+            (
+                JobRecord {
+                    block,
+                    ..JobRecord::new(spec, at)
+                }
+                .value(),
+                0,
+            )
         } else {
-            (store::raw(&WaitingRecord::new(spec, at, cancelled, &open)), open.len())
+            (
+                store::raw(&WaitingRecord::new(spec, at, cancelled, &open)),
+                open.len(),
+            )
         }
     }
 
     /// A new configuration is in force: what was refused by the one before is to be asked again.
     pub(super) fn configured(&mut self) {
-        let waiters = self.lookups.values_mut().flat_map(|l| l.now.iter_mut().chain(&mut l.next));
+        let waiters = self
+            .lookups
+            .values_mut()
+            .flat_map(|l| l.now.iter_mut().chain(&mut l.next));
         for waiter in waiters {
             if let Waiter::Submit(_, checked @ Err(Refusal::Impossible(_))) = waiter {
                 *checked = Err(Refusal::Changing);
@@ -312,7 +350,9 @@
             port.configuring.doubt(port.clock.now);
         }
         for (conn, id) in jobs {
-            let Some(spec) = self.accept_specs.remove(&conn) else { continue };
+            let Some(spec) = self.accept_specs.remove(&conn) else {
+                continue;
+            };
             match status {
                 Some(200) => {
                     let (class, tasks) = (&spec.spec.class, spec.spec.tasks);
--- a/crates/gannethub-core/src/control/leadership.rs
+++ b/crates/gannethub-core/src/control/leadership.rs
@@ -166,7 +166,8 @@
     /// Takes in what the state service says of the leader and of the last term.
     pub fn saw(&mut self, holder: Option<(LeadRecord, u64)>, term: Option<(LeadRecord, u64)>) {
         self.seen = true;
-        self.first.get_or_insert(term.as_ref().map_or(0, |t| t.0.term));
+        self.first
+            .get_or_insert(term.as_ref().map_or(0, |t| t.0.term));
         self.holder = holder;
         self.term = term;
     }
@@ -182,13 +183,19 @@
     /// Whether a successor to the last term may go by the jobs' marks.
     pub fn trusts(&self) -> bool {
         // If nobody ever led, nothing was launched.
-        self.term.as_ref().is_none_or(|(last, _)| last.marked && self.knows_marks(last.term))
+        self.term
+            .as_ref()
+            .is_none_or(|(last, _)| last.marked && self.knows_marks(last.term))
     }
 
     /// The term that siblings are to be asked about now: only once nothing that this process may have promised
     /// before it began can be of use to that term's leader any more.
     pub fn asks_marks(&mut self, now: Micros) -> Option<u64> {
-        let term = self.term.as_ref().filter(|t| t.0.marked).map(|t| t.0.term)?;
+        let term = self
+            .term
+            .as_ref()
+            .filter(|t| t.0.marked)
+            .map(|t| t.0.term)?;
         let due = now >= self.ask_at.max(self.born + FORGOTTEN);
         if !due || self.promised >= term || self.knows_marks(term) {
             return None;
@@ -232,7 +239,11 @@
     /// Versions of the leader's and the term's key, and the last term.
     pub fn versions(&self) -> (u64, u64, u64) {
         let stamp = |r: &Option<(LeadRecord, u64)>| r.as_ref().map_or(0, |r| r.1);
-        (stamp(&self.holder), stamp(&self.term), self.term.as_ref().map_or(0, |r| r.0.term))
+        (
+            stamp(&self.holder),
+            stamp(&self.term),
+            self.term.as_ref().map_or(0, |r| r.0.term),
+        )
     }
 
     /// Promises not to take over, if that can be kept.
@@ -289,7 +300,14 @@
     const TTL: Micros = 3 * SECOND;
 
     fn rec(name: &str, term: u64) -> Option<(LeadRecord, u64)> {
-        Some((LeadRecord { holder: name.into(), term, marked: true }, term + 10))
+        Some((
+            LeadRecord {
+                holder: name.into(),
+                term,
+                marked: true,
+            },
+            term + 10,
+        ))
     }
 
     #[test]
@@ -325,9 +343,17 @@
         assert_eq!(a.informed(first, 1), None, "an earlier round");
         assert_eq!(a.informed(second, 1), None);
         assert_eq!(a.informed(second, 1), None, "the same once more");
-        assert_eq!(a.informed(second + 1, 0), None, "a round that was not asked for");
+        assert_eq!(
+            a.informed(second + 1, 0),
+            None,
+            "a round that was not asked for"
+        );
         assert_eq!(a.informed(second, 0), Some(2 * SECOND));
-        assert_eq!(Authority::new(0, TTL).informed(0, 0), None, "nobody was asked");
+        assert_eq!(
+            Authority::new(0, TTL).informed(0, 0),
+            None,
+            "nobody was asked"
+        );
     }
 
     #[test]
@@ -345,7 +371,10 @@
         assert!(!c.promise(3, late, PROMISE), "a takeover is under way");
         c.trying = false;
         c.not_taken(7, None, late);
-        assert!(!c.promise(3, late, PROMISE), "a takeover may still be carried out");
+        assert!(
+            !c.promise(3, late, PROMISE),
+            "a takeover may still be carried out"
+        );
         c.grant_dropped(6);
         assert!(!c.promise(3, late, PROMISE), "that was another grant");
         assert_eq!(c.drop_again(late + DROP_AGAIN - 1), None);
--- a/crates/gannethub-core/src/control/lease.rs
+++ b/crates/gannethub-core/src/control/lease.rs
@@ -40,7 +40,10 @@
 /// task is gone within `cancel_s`. Where the settings leave no room for that, no more than a grant's time.
 fn patience(settings: &Settings, ttl: Micros) -> Micros {
     let lease = settings.lease + settings.lease / 1000 + SECOND / 2;
-    settings.cancel.saturating_sub(lease + settings.cancel / 1000).max(ttl)
+    settings
+        .cancel
+        .saturating_sub(lease + settings.cancel / 1000)
+        .max(ttl)
 }
 
 impl Lease {
@@ -52,7 +55,17 @@
         // Until the state has been read, nothing is answered that needs this knowledge.
         let known_at = now;
         let renew_at = now;
-        Lease { block, term, grant, stamp, authority, renew_at, ask_at: 0, known_at, patience }
+        Lease {
+            block,
+            term,
+            grant,
+            stamp,
+            authority,
+            renew_at,
+            ask_at: 0,
+            known_at,
+            patience,
+        }
     }
 
     /// Why it is no more to be acted on, if it is not.
@@ -88,14 +101,23 @@
         let now = port.clock.now;
         if now >= self.renew_at {
             self.renew_at = now + port.ttl() / 4;
-            let purpose = Purpose::Renew { sent: now, term: self.term };
+            let purpose = Purpose::Renew {
+                sent: now,
+                term: self.term,
+            };
             port.send(Urgency::Renewal, StoreRequest::renew(self.grant), purpose);
         }
         let siblings = port.settings.siblings.len();
         if self.authority.low(now) && now >= self.ask_at && siblings > 0 {
             self.ask_at = now + ASK_EVERY;
             let (round, term) = (self.authority.ask(now, siblings), self.term);
-            let ask = PromiseAsk { round, term, micros: PROMISE, block: self.block, known };
+            let ask = PromiseAsk {
+                round,
+                term,
+                micros: PROMISE,
+                block: self.block,
+                known,
+            };
             (0..siblings).for_each(|i| port.say(i, Body::PromiseAsk(ask.clone())));
         }
     }
--- a/crates/gannethub-core/src/control/loading.rs
+++ b/crates/gannethub-core/src/control/loading.rs
@@ -15,7 +15,13 @@
 
 /// Machines on their way here are looked for this often.
 const MOVES_EVERY: Micros = SECOND;
-const STAGES: [&str; 5] = [store::LIVE, store::PART, store::BLOCK, store::MOVE, store::ALLOT];
+const STAGES: [&str; 5] = [
+    store::LIVE,
+    store::PART,
+    store::BLOCK,
+    store::MOVE,
+    store::ALLOT,
+];
 const MOVE_STAGE: usize = 3;
 const ALLOT_STAGE: usize = 4;
 /// What follows where a ledger is kept: its head, and its last pages.
@@ -26,7 +32,10 @@
 impl Holder {
     /// A machine that was given to a block and is on no record yet.
     pub(super) fn on_the_way(&mut self, item: &Item, now: Micros) {
-        let key = item.k.strip_prefix(store::MOVE).and_then(|k| k.split_once('/'));
+        let key = item
+            .k
+            .strip_prefix(store::MOVE)
+            .and_then(|k| k.split_once('/'));
         let Some((block, machine)) = key.and_then(|(b, m)| Some((b.parse::<u32>().ok()?, m)))
         else {
             return;
@@ -55,7 +64,13 @@
         }
         self.moves_at = now + MOVES_EVERY;
         let request = StoreRequest::list(&format!("{}{}/", store::MOVE, self.lease.block), "");
-        port.send(Urgency::Commit, request, Purpose::Moves { term: self.lease.term });
+        port.send(
+            Urgency::Commit,
+            request,
+            Purpose::Moves {
+                term: self.lease.term,
+            },
+        );
     }
 
     pub(super) fn load(&mut self, port: &mut Port, after: &str) {
@@ -84,7 +99,10 @@
             }
             None if stage == PAGE_STAGE => {
                 let from = self.ledger_head.as_ref().map_or(0, |h| h.from);
-                let first = from.checked_sub(1).map(store::ledger_page).unwrap_or_default();
+                let first = from
+                    .checked_sub(1)
+                    .map(store::ledger_page)
+                    .unwrap_or_default();
                 let after = if after.is_empty() { &first } else { after };
                 let request = StoreRequest::list(store::LEDGER_PAGE, after);
                 port.send(Urgency::Renewal, request, Purpose::Load { term, stage });
@@ -180,13 +198,18 @@
                 }
             }
         }
-        let last = listing.items.last().map(|i| i.k.clone()).filter(|_| listing.truncated);
+        let last = listing
+            .items
+            .last()
+            .map(|i| i.k.clone())
+            .filter(|_| listing.truncated);
         if last.is_none() {
             self.stage += 1;
             if stage == PAGE_STAGE {
                 let pages = std::mem::take(&mut self.ledger_pages);
                 let head = self.ledger_head.take();
-                self.cluster.open_ledger(head, &pages, shadow, port.clock.now);
+                self.cluster
+                    .open_ledger(head, &pages, shadow, port.clock.now);
             }
         }
         self.load(port, last.as_deref().unwrap_or(""));
--- a/crates/gannethub-core/src/control/port.rs
+++ b/crates/gannethub-core/src/control/port.rs
@@ -39,9 +39,18 @@
 /// What the owner of all state is told.
 #[derive(Debug)]
 pub enum Command {
-    Request { conn: u64, request: Request },
-    Store { id: u64, answer: Option<(u16, Bytes)> },
-    Cloud { id: u64, answer: Option<(u16, Bytes)> },
+    Request {
+        conn: u64,
+        request: Request,
+    },
+    Store {
+        id: u64,
+        answer: Option<(u16, Bytes)>,
+    },
+    Cloud {
+        id: u64,
+        answer: Option<(u16, Bytes)>,
+    },
     Peer(Envelope),
     Tick,
 }
@@ -275,7 +284,8 @@
             (false, true) => 0.6 / n,
         };
         let share = share * self.restraint;
-        self.budget.set_share(self.rates.requests * share, self.rates.changes * share);
+        self.budget
+            .set_share(self.rates.requests * share, self.rates.changes * share);
     }
 
     /// Asks for a little more again, some time after the last refusal.
@@ -291,7 +301,11 @@
     /// Into how many blocks the machines are divided.
     pub fn blocks(&self) -> u32 {
         let blocks = self.settings.policy.number(Setting::Blocks, &[]) as u32;
-        if self.settings.ledger.is_some() { 1 } else { blocks }
+        if self.settings.ledger.is_some() {
+            1
+        } else {
+            blocks
+        }
     }
 
     /// The block that a job accepted now goes to.
@@ -306,7 +320,8 @@
     }
 
     pub fn state_ok(&self) -> bool {
-        self.state_ok_at.is_some_and(|t| self.clock.now < t + 3 * PROBE_EVERY)
+        self.state_ok_at
+            .is_some_and(|t| self.clock.now < t + 3 * PROBE_EVERY)
     }
 
     /// It has not answered for a while, or has refused what was asked last. That is enough for a promise, which binds nobody
@@ -325,7 +340,11 @@
         if self.rates != self.settings.state_rates_next {
             self.rates = self.settings.state_rates_next;
             let Rates { requests, changes } = self.rates;
-            tracing::info!(requests, changes, "the state service allows less from now on");
+            tracing::info!(
+                requests,
+                changes,
+                "the state service allows less from now on"
+            );
         } else {
             self.restraint = (self.restraint * 0.9).max(0.5);
         }
@@ -352,7 +371,10 @@
     }
 
     pub(super) fn say(&mut self, to: usize, body: Body) {
-        let message = Envelope { from: self.settings.name.clone(), body: Some(body) };
+        let message = Envelope {
+            from: self.settings.name.clone(),
+            body: Some(body),
+        };
         self.effects.push(Effect::Peer { to, message });
     }
 
@@ -388,6 +410,9 @@
     /// What cannot be answered is refused at once, with the time to come back: another controller
     /// may be able to.
     pub(super) fn unavailable(&mut self, conn: u64) {
-        self.reply(conn, Response::error(503, "the state service does not answer").retry(1));
+        self.reply(
+            conn,
+            Response::error(503, "the state service does not answer").retry(1),
+        );
     }
 }
--- a/crates/gannethub-core/src/control/queries.rs
+++ b/crates/gannethub-core/src/control/queries.rs
@@ -49,7 +49,11 @@
         }
         let key = page.map_or(store::LEDGER_HEAD.into(), store::ledger_page);
         let team = team.map(str::to_string);
-        port.send(Urgency::User, StoreRequest::get(&key), Purpose::ShowLedger { conn, team });
+        port.send(
+            Urgency::User,
+            StoreRequest::get(&key),
+            Purpose::ShowLedger { conn, team },
+        );
     }
 
     /// What is written is shown as it is written; so what was shown once never changes.
@@ -68,7 +72,9 @@
             }
             _ => None,
         };
-        let Some(item) = item else { return port.unavailable(conn) };
+        let Some(item) = item else {
+            return port.unavailable(conn);
+        };
         let response = match (team, item.record::<Page>()) {
             (Some(team), Some(mut page)) => {
                 page.lines.retain(|l| l[1] == "charge" && l[2][0] == *team);
@@ -90,14 +96,27 @@
         self.ends_asked.retain(|_, until| now < *until);
         // While the copy or the state is being read, what is not known yet may still turn up.
         let holder = holder.filter(|h| h.loaded());
-        let theirs = holder.into_iter().flat_map(|h| h.cluster.pipelines.links.unknown());
-        let ours = self.mirror.at().into_iter().flat_map(|_| self.mirror.links.unknown());
-        let wanted: BTreeSet<JobId> =
-            theirs.chain(ours).filter(|j| !self.ends_asked.contains_key(*j)).cloned().collect();
+        let theirs = holder
+            .into_iter()
+            .flat_map(|h| h.cluster.pipelines.links.unknown());
+        let ours = self
+            .mirror
+            .at()
+            .into_iter()
+            .flat_map(|_| self.mirror.links.unknown());
+        let wanted: BTreeSet<JobId> = theirs
+            .chain(ours)
+            .filter(|j| !self.ends_asked.contains_key(*j))
+            .cloned()
+            .collect();
         for job in wanted.into_iter().take(MOST_ENDS) {
             self.ends_asked.insert(job.clone(), now + 3 * SECOND);
             let key = format!("{}{job}", store::OVER);
-            port.send(Urgency::Commit, StoreRequest::get(&key), Purpose::Upstream { job });
+            port.send(
+                Urgency::Commit,
+                StoreRequest::get(&key),
+                Purpose::Upstream { job },
+            );
         }
     }
 
@@ -116,7 +135,9 @@
         };
         self.ends_asked.remove(&job);
         if let Some(holder) = holder.filter(|h| h.loaded()) {
-            holder.cluster.upstream_over(&job, Some(view.status == Status::Cancelled));
+            holder
+                .cluster
+                .upstream_over(&job, Some(view.status == Status::Cancelled));
         }
         self.mirror.upstream_over(job, view);
         self.refresh(port);
@@ -150,7 +171,11 @@
 
     pub(super) fn start_look(&mut self, port: &mut Port, job: JobId, over: bool) {
         let key = format!("{}{job}", if over { store::OVER } else { store::LIVE });
-        port.send(Urgency::User, StoreRequest::get(&key), Purpose::Look { job, over });
+        port.send(
+            Urgency::User,
+            StoreRequest::get(&key),
+            Purpose::Look { job, over },
+        );
     }
 
     /// A query waits for the next read of what has changed, which answers all that wait then.
@@ -242,7 +267,9 @@
                 // Too far behind: the changes are not kept any more.
                 self.mirror.lost();
             }
-            waiting.into_iter().for_each(|asker| port.unavailable(asker.conn()));
+            waiting
+                .into_iter()
+                .for_each(|asker| port.unavailable(asker.conn()));
             return self.refresh(port);
         };
         port.configuring.changed(&followed.log);
@@ -287,10 +314,14 @@
                     return self.look_failed(port, job);
                 };
                 if over {
-                    let Some(view) = view_of_end(&item) else { return self.look_failed(port, job) };
+                    let Some(view) = view_of_end(&item) else {
+                        return self.look_failed(port, job);
+                    };
                     self.found(port, job, view, None);
                 } else {
-                    let Some(r) = item.live() else { return self.look_failed(port, job) };
+                    let Some(r) = item.live() else {
+                        return self.look_failed(port, job);
+                    };
                     let view = view_of(&job, &r, progress);
                     self.found(port, job, view, Some((r, item.stamp)));
                 }
@@ -327,7 +358,9 @@
 
     /// Those whom the finished read may answer; starts the next read for the rest.
     pub(super) fn take_waiters(&mut self, port: &mut Port, job: &JobId) -> Vec<Waiter> {
-        let Some(lookup) = self.lookups.get_mut(job) else { return Vec::new() };
+        let Some(lookup) = self.lookups.get_mut(job) else {
+            return Vec::new();
+        };
         let waiters = std::mem::take(&mut lookup.now);
         lookup.now = std::mem::take(&mut lookup.next);
         if lookup.now.is_empty() {
@@ -369,13 +402,19 @@
             }
         }
         self.refresh(port);
-        let Some((record, stamp)) = live.filter(|_| !cancels.is_empty()) else { return };
+        let Some((record, stamp)) = live.filter(|_| !cancels.is_empty()) else {
+            return;
+        };
         let key = format!("{}{job}", store::LIVE);
         let mut commit = Commit::default();
         commit.guard(&key, stamp);
         commit.put(&key, record.cancel(port.settings.value_bytes), None);
         let view = JobView::new(Status::Cancelled, view.done);
-        let purpose = Purpose::Cancel { job, conns: cancels, view };
+        let purpose = Purpose::Cancel {
+            job,
+            conns: cancels,
+            view,
+        };
         port.send(Urgency::User, commit.request(), purpose);
     }
 
@@ -415,7 +454,11 @@
     if let LiveRecord::Job(record) = record {
         store::decode_done(&record.done, 0, &mut done);
     }
-    let status = if record.cancelled() { Status::Cancelled } else { Status::Pending };
+    let status = if record.cancelled() {
+        Status::Cancelled
+    } else {
+        Status::Pending
+    };
     let mut view = JobView::new(status, done.len());
     show_progress(id, &mut view, progress);
     view
--- a/crates/gannethub-core/src/control/routing.rs
+++ b/crates/gannethub-core/src/control/routing.rs
@@ -59,7 +59,11 @@
         let (to, machine) = match self.report_here(&body) {
             Reported::Now(421, _) => return self.send_on(conn),
             Reported::Now(status, body) => {
-                let response = Response { status, body, retry_after: None };
+                let response = Response {
+                    status,
+                    body,
+                    retry_after: None,
+                };
                 return self.port.reply(conn, response);
             }
             Reported::Elsewhere(to, machine) => (to, machine),
@@ -107,7 +111,10 @@
         let Ok(Named { machine }) = serde_json::from_slice::<Named>(body) else {
             return Reported::Now(400, Response::error(400, "not a report").body);
         };
-        let other = self.holders.values_mut().find(|h| h.lease.block > 0 && h.has(&machine));
+        let other = self
+            .holders
+            .values_mut()
+            .find(|h| h.lease.block > 0 && h.has(&machine));
         let holder = match other {
             Some(holder) => Some(holder),
             None => self.holders.get_mut(&0),
@@ -136,13 +143,21 @@
     fn came_early(&mut self, from: Reporter, report: Bytes) {
         if self.early.len() < MOST_EARLY {
             let until = self.port.clock.now + RELAY_PATIENCE;
-            return self.early.push(Early { from, until, report });
+            return self.early.push(Early {
+                from,
+                until,
+                report,
+            });
         }
         let busy = Response::error(503, "the state is being read");
         match from {
             Reporter::Worker(conn) => self.port.reply(conn, busy),
             Reporter::Sibling(i, id) => {
-                let reply = Relayed { id, status: 503, body: busy.body };
+                let reply = Relayed {
+                    id,
+                    status: 503,
+                    body: busy.body,
+                };
                 self.port.say(i, Body::Relayed(reply));
             }
         }
@@ -154,7 +169,12 @@
         let reading = self.holders.get(&0).is_some_and(|h| !h.loaded());
         let ready = |e: &mut Early| !reading || now >= e.until;
         let ready: Vec<Early> = self.early.extract_if(.., ready).collect();
-        for Early { from, until, report } in ready {
+        for Early {
+            from,
+            until,
+            report,
+        } in ready
+        {
             match from {
                 // Nobody waits for it any more: it is not to count as answered.
                 _ if now >= until => {}
@@ -173,22 +193,35 @@
             Reported::Now(status, body) => (status, body),
             Reported::Elsewhere(Some(i), _) => {
                 let report_to = Some(self.port.settings.siblings[i].name.as_str());
-                (421, Response::json(421, &ReportElsewhere { report_to }).body)
+                (
+                    421,
+                    Response::json(421, &ReportElsewhere { report_to }).body,
+                )
             }
             Reported::Elsewhere(None, _) => (404, Response::error(404, "not held here").body),
             Reported::Later => {
                 return self.came_early(Reporter::Sibling(from, relay.id), relay.report);
             }
         };
-        let reply = Relayed { id: relay.id, status: u32::from(status), body };
+        let reply = Relayed {
+            id: relay.id,
+            status: u32::from(status),
+            body,
+        };
         self.port.say(from, Body::Relayed(reply));
     }
 
     /// A sibling has answered a report that was passed on to it.
     pub(super) fn relay_answered(&mut self, from: usize, reply: Relayed) {
-        let Some((conn, _, report)) = self.relays.remove(&reply.id) else { return };
+        let Some((conn, _, report)) = self.relays.remove(&reply.id) else {
+            return;
+        };
         let status = u16::try_from(reply.status).unwrap_or(503);
-        let machine = || serde_json::from_slice::<Named>(&report).ok().map(|n| n.machine);
+        let machine = || {
+            serde_json::from_slice::<Named>(&report)
+                .ok()
+                .map(|n| n.machine)
+        };
         match status {
             404 => {
                 machine().map(|m| self.routes.remove(&m));
@@ -199,7 +232,9 @@
                 }
             }
             421 if self.port.several => {
-                let to = serde_json::from_slice::<ReportTo>(&reply.body).ok().map(|t| t.to);
+                let to = serde_json::from_slice::<ReportTo>(&reply.body)
+                    .ok()
+                    .map(|t| t.to);
                 let siblings = &self.port.settings.siblings;
                 let to = to.and_then(|to| siblings.iter().position(|s| *s.name == *to));
                 match (to.filter(|i| *i != from), machine()) {
@@ -215,7 +250,11 @@
                 }
             }
             _ => {
-                let response = Response { status, body: reply.body, retry_after: None };
+                let response = Response {
+                    status,
+                    body: reply.body,
+                    retry_after: None,
+                };
                 self.port.reply(conn, response);
             }
         }
--- a/crates/gannethub-core/src/control/seats.rs
+++ b/crates/gannethub-core/src/control/seats.rs
@@ -60,8 +60,9 @@
     fn place(port: &Port, standing: &Standing, holders: &Holders, block: u32) -> usize {
         let siblings = port.settings.siblings.iter().enumerate();
         let heard = siblings.filter(|(i, _)| standing.heard(port, *i));
-        let mut all: Vec<(usize, &str)> =
-            heard.map(|(i, s)| (standing.siblings[i].loads.len(), &*s.name)).collect();
+        let mut all: Vec<(usize, &str)> = heard
+            .map(|(i, s)| (standing.siblings[i].loads.len(), &*s.name))
+            .collect();
         let own = (holders.len(), &*port.settings.name);
         all.push(own);
         all.sort_unstable_by_key(|c| c.1);
@@ -84,8 +85,17 @@
         }
         if !self.probing && now >= self.probe_at {
             self.probing = true;
-            self.probe_at = now + if self.seats.is_empty() { LEFT_OVER } else { PROBE_EVERY };
-            port.send(Urgency::Renewal, StoreRequest::list(SEAT, ""), Purpose::Seats);
+            self.probe_at = now
+                + if self.seats.is_empty() {
+                    LEFT_OVER
+                } else {
+                    PROBE_EVERY
+                };
+            port.send(
+                Urgency::Renewal,
+                StoreRequest::list(SEAT, ""),
+                Purpose::Seats,
+            );
         }
         for block in 1..port.blocks() {
             self.seat(port, block);
@@ -93,7 +103,11 @@
         let led = holders.contains_key(&0) || standing.leader(port).is_some();
         for (block, seat) in &mut self.seats {
             if let Some(term) = seat.candidacy.asks_marks(now) {
-                let ask = Marks { term, life: standing.life, block: *block };
+                let ask = Marks {
+                    term,
+                    life: standing.life,
+                    block: *block,
+                };
                 let all = 0..standing.siblings.len();
                 all.for_each(|i| port.say(i, Body::MarksAsk(ask.clone())));
             }
@@ -111,7 +125,10 @@
             let place = Seats::place(port, standing, holders, *block);
             if now >= since + TURN * place as Micros {
                 seat.candidacy.trying = true;
-                let purpose = Purpose::SeatGrant { block: *block, sent: now };
+                let purpose = Purpose::SeatGrant {
+                    block: *block,
+                    sent: now,
+                };
                 port.send(Urgency::Renewal, StoreRequest::grant(port.ttl()), purpose);
             }
         }
@@ -133,7 +150,10 @@
                 && sibling.loads.is_empty()
         });
         let ready = |h: &Holder| h.loaded() && h.cluster.settled;
-        let mut held = holders.iter().filter(|(b, h)| **b > 0 && ready(h)).map(|(b, _)| *b);
+        let mut held = holders
+            .iter()
+            .filter(|(b, h)| **b > 0 && ready(h))
+            .map(|(b, _)| *b);
         held.next().filter(|_| idle && holders.len() > 1)
     }
 
@@ -167,7 +187,9 @@
                 }
                 continue;
             };
-            let Some(record) = item.record::<LeadRecord>().filter(|_| block > 0) else { continue };
+            let Some(record) = item.record::<LeadRecord>().filter(|_| block > 0) else {
+                continue;
+            };
             let (holder, term) = seen.entry(block).or_default();
             match what {
                 "holder" => *holder = Some((record, item.stamp)),
@@ -175,7 +197,13 @@
                 _ => {}
             }
         }
-        for block in self.seats.keys().chain(seen.keys()).copied().collect::<Vec<_>>() {
+        for block in self
+            .seats
+            .keys()
+            .chain(seen.keys())
+            .copied()
+            .collect::<Vec<_>>()
+        {
             let (holder, term) = seen.get(&block).cloned().unwrap_or_default();
             self.seat(port, block).candidacy.saw(holder, term);
         }
@@ -195,7 +223,11 @@
             seat.candidacy.trying = false;
             return;
         };
-        let purpose = Purpose::SeatTerms { block, grant: granted.permit, sent };
+        let purpose = Purpose::SeatTerms {
+            block,
+            grant: granted.permit,
+            sent,
+        };
         port.send(Urgency::Renewal, StoreRequest::list(LEAD, ""), purpose);
     }
 
@@ -217,13 +249,18 @@
         };
         let find = |key: &str| {
             let item = listing.items.iter().find(|i| i.k == key);
-            item.and_then(|i| Some((i.record::<LeadRecord>()?.term, i.stamp))).unwrap_or((0, 0))
+            item.and_then(|i| Some((i.record::<LeadRecord>()?.term, i.stamp)))
+                .unwrap_or((0, 0))
         };
         let (lead, count) = (find(TERM), find(COUNT));
         let (holder, term, last) = candidacy.versions();
         let marked = candidacy.trusts();
         let next = lead.0.max(count.0).max(last) + 1;
-        let record = LeadRecord { holder: name, term: next, marked };
+        let record = LeadRecord {
+            holder: name,
+            term: next,
+            marked,
+        };
         let keys = seat_keys(block);
         let mut commit = Commit::default();
         commit.guard(&keys.0, holder);
@@ -233,14 +270,21 @@
         commit.put(&keys.0, store::raw(&record), Some(grant));
         commit.put(&keys.1, store::raw(&record), None);
         commit.put(COUNT, store::raw(&record), None);
-        let purpose = Purpose::SeatTake { block, record, grant, sent };
+        let purpose = Purpose::SeatTake {
+            block,
+            record,
+            grant,
+            sent,
+        };
         port.send(Urgency::Renewal, commit.request(), purpose);
     }
 
     /// A block was not taken, or nothing is known of it.
     pub fn not_taken(&mut self, port: &mut Port, block: u32, grant: u64, answer: Option<u16>) {
         let now = port.clock.now;
-        self.seat(port, block).candidacy.not_taken(grant, answer, now);
+        self.seat(port, block)
+            .candidacy
+            .not_taken(grant, answer, now);
         self.probe_at = now;
         port.drop_grant(block, grant);
     }
--- a/crates/gannethub-core/src/control/standing.rs
+++ b/crates/gannethub-core/src/control/standing.rs
@@ -72,7 +72,9 @@
     }
 
     pub(super) fn heard(&self, port: &Port, i: usize) -> bool {
-        self.siblings[i].heard_at.is_some_and(|t| port.clock.now < t + HEARD)
+        self.siblings[i]
+            .heard_at
+            .is_some_and(|t| port.clock.now < t + HEARD)
     }
 
     /// The sibling that says it leads, and can be heard.
@@ -99,7 +101,9 @@
         let mut holder = None;
         let (mut term, mut count) = (None, None);
         for item in &listing.items {
-            let Some(record) = item.record::<LeadRecord>() else { return };
+            let Some(record) = item.record::<LeadRecord>() else {
+                return;
+            };
             match item.k.as_str() {
                 COUNT => count = Some((record, item.stamp)),
                 HOLDER => holder = Some((record, item.stamp)),
@@ -128,7 +132,11 @@
         let marked = self.candidacy.trusts();
         let counted = self.count.as_ref().map_or(0, |c| c.0.term);
         let next = last.max(counted) + 1;
-        let record = LeadRecord { holder: port.settings.name.clone(), term: next, marked };
+        let record = LeadRecord {
+            holder: port.settings.name.clone(),
+            term: next,
+            marked,
+        };
         let mut commit = Commit::default();
         commit.guard(HOLDER, holder);
         commit.guard(TERM, term);
@@ -138,7 +146,11 @@
         }
         commit.put(HOLDER, store::raw(&record), Some(granted.permit));
         commit.put(TERM, store::raw(&record), None);
-        let purpose = Purpose::Takeover { record, grant: granted.permit, sent };
+        let purpose = Purpose::Takeover {
+            record,
+            grant: granted.permit,
+            sent,
+        };
         port.send(Urgency::Renewal, commit.request(), purpose);
     }
 
@@ -151,11 +163,19 @@
         self.beat_at = now + BEAT_EVERY;
         let leader = holders.get(&0);
         let several = port.several;
-        let own: Vec<Load> =
-            holders.values().filter(|_| several).map(|h| h.cluster.load()).collect();
-        let refused = leader.filter(|_| several).map(|h| h.cluster.refused_offers());
+        let own: Vec<Load> = holders
+            .values()
+            .filter(|_| several)
+            .map(|h| h.cluster.load())
+            .collect();
+        let refused = leader
+            .filter(|_| several)
+            .map(|h| h.cluster.refused_offers());
         let flavors = &port.flavors;
-        let refused = refused.into_iter().flatten().map(|(o, left)| told(flavors, &o, left / 1000));
+        let refused = refused
+            .into_iter()
+            .flatten()
+            .map(|(o, left)| told(flavors, &o, left / 1000));
         let beat = Heartbeat {
             leading: leader.map_or(0, |h| h.lease.term),
             state_ok: port.state_ok(),
@@ -176,7 +196,11 @@
 
     /// When it has something to say or to ask next.
     pub fn due(&self) -> Micros {
-        if self.probing { self.beat_at } else { self.beat_at.min(self.probe_at) }
+        if self.probing {
+            self.beat_at
+        } else {
+            self.beat_at.min(self.probe_at)
+        }
     }
 
     /// All siblings are to be told without delay.
@@ -214,13 +238,21 @@
     pub fn tick(&mut self, port: &mut Port) {
         let now = port.clock.now;
         if let Some(term) = self.candidacy.asks_marks(now) {
-            let ask = Marks { term, life: self.life, block: 0 };
+            let ask = Marks {
+                term,
+                life: self.life,
+                block: 0,
+            };
             (0..self.siblings.len()).for_each(|i| port.say(i, Body::MarksAsk(ask.clone())));
         }
         if !self.probing && now >= self.probe_at {
             self.probing = true;
             self.probe_at = now + PROBE_EVERY;
-            port.send(Urgency::Renewal, StoreRequest::list(LEAD, ""), Purpose::Probe);
+            port.send(
+                Urgency::Renewal,
+                StoreRequest::list(LEAD, ""),
+                Purpose::Probe,
+            );
         }
         if let Some(grant) = self.candidacy.drop_again(now) {
             port.drop_grant(0, grant);
@@ -252,7 +284,11 @@
     pub fn beaten(&mut self, port: &mut Port, i: usize, beat: Heartbeat) {
         port.several |= !beat.blocks.is_empty();
         let sibling = &mut self.siblings[i];
-        sibling.loads = beat.blocks.iter().map(|b| load_of(&port.flavors, b, i)).collect();
+        sibling.loads = beat
+            .blocks
+            .iter()
+            .map(|b| load_of(&port.flavors, b, i))
+            .collect();
         sibling.leading = beat.leading;
         sibling.configuration = beat.configurable.then_some(beat.configuration);
         port.configuring.told(beat.newest_configuration);
@@ -276,7 +312,9 @@
         if port.state_fails() && candidacy.promise(ask.term, port.clock.now, micros) {
             let (round, term, block) = (ask.round, ask.term, ask.block);
             let asked = Some(ask.known).filter(|known| *known > 0);
-            let since = asked.into_iter().flat_map(|known| copy.cancelled_since(known));
+            let since = asked
+                .into_iter()
+                .flat_map(|known| copy.cancelled_since(known));
             let mut ids: Vec<JobId> = since.take(MOST_TOLD + 1).cloned().collect();
             let all = ids.len() <= MOST_TOLD;
             ids.truncate(MOST_TOLD);
@@ -286,7 +324,15 @@
             let knows = asked.is_some() && copy.at().is_some() && all;
             let (count, cancelled) = (ids.len() as u32, store::encode_ids(&ids));
             let configuration = port.configuring.newest();
-            let promise = Promise { round, term, block, knows, cancelled, count, configuration };
+            let promise = Promise {
+                round,
+                term,
+                block,
+                knows,
+                cancelled,
+                count,
+                configuration,
+            };
             port.say(i, Body::Promise(promise));
         }
     }
@@ -311,14 +357,25 @@
 }
 
 fn told(flavors: &[Flavor], offer: &Offer, number: u64) -> OfferTold {
-    let flavor = flavors.get(offer.flavor).map_or(String::new(), |f| f.name.to_string());
-    OfferTold { flavor, zone: offer.zone.clone(), spot: offer.spot, number }
+    let flavor = flavors
+        .get(offer.flavor)
+        .map_or(String::new(), |f| f.name.to_string());
+    OfferTold {
+        flavor,
+        zone: offer.zone.clone(),
+        spot: offer.spot,
+        number,
+    }
 }
 
 /// The offer that a sibling means, if its type of machine is known here.
 pub(super) fn offer_of(flavors: &[Flavor], told: &OfferTold) -> Option<Offer> {
     let flavor = flavors.iter().position(|f| *f.name == *told.flavor)?;
-    Some(Offer { flavor, zone: told.zone.clone(), spot: told.spot })
+    Some(Offer {
+        flavor,
+        zone: told.zone.clone(),
+        spot: told.spot,
+    })
 }
 
 fn tell(flavors: &[Flavor], load: &Load) -> BlockTold {
@@ -328,7 +385,10 @@
         waits_cpu: waits.cpu,
         waits_gpu: waits.gpu,
     });
-    let wants = load.wants.iter().map(|(offer, n)| told(flavors, offer, u64::from(*n)));
+    let wants = load
+        .wants
+        .iter()
+        .map(|(offer, n)| told(flavors, offer, u64::from(*n)));
     BlockTold {
         block: load.block,
         term: load.term,
@@ -341,10 +401,20 @@
 }
 
 fn load_of(flavors: &[Flavor], b: &BlockTold, i: usize) -> Load {
-    let amount = |cpu: i64, gpu: i64| Resources { cpu: cpu.max(0), gpu: gpu.max(0), mem: 0 };
+    let amount = |cpu: i64, gpu: i64| Resources {
+        cpu: cpu.max(0),
+        gpu: gpu.max(0),
+        mem: 0,
+    };
     let teams = b.teams.iter();
-    let teams =
-        teams.map(|t| (amount(t.used_cpu, t.used_gpu), amount(t.waits_cpu, t.waits_gpu))).collect();
+    let teams = teams
+        .map(|t| {
+            (
+                amount(t.used_cpu, t.used_gpu),
+                amount(t.waits_cpu, t.waits_gpu),
+            )
+        })
+        .collect();
     let want = |o: &OfferTold| Some((offer_of(flavors, o)?, u32::try_from(o.number).ok()?));
     Load {
         block: b.block,
@@ -374,30 +444,52 @@
     fn copy(cancelled: usize) -> Mirror {
         let item = |i: usize| {
             let value = r#"{"spec":{"tasks":4},"at":0,"done":"","cancelled":true}"#;
-            format!(r#"{{"k":"gh/live/j-{i:06}","v":{value},"stamp":{}}}"#, i + 10)
+            format!(
+                r#"{{"k":"gh/live/j-{i:06}","v":{value},"stamp":{}}}"#,
+                i + 10
+            )
         };
         let items: Vec<String> = (0..cancelled).map(item).collect();
-        let text =
-            format!(r#"{{"items":[{}],"truncated":false,"ledger_no":90000}}"#, items.join(","));
+        let text = format!(
+            r#"{{"items":[{}],"truncated":false,"ledger_no":90000}}"#,
+            items.join(",")
+        );
         let mut mirror = Mirror::default();
-        assert!(mirror.listed(&serde_json::from_str(&text).unwrap()).is_none());
+        assert!(
+            mirror
+                .listed(&serde_json::from_str(&text).unwrap())
+                .is_none()
+        );
         mirror
     }
 
     /// What a controller with this copy answers a sibling that has seen all changes up to `known`.
     fn promise(copy: &Mirror, known: u64) -> (Promise, usize) {
         let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
-        let clock = Clock { now: 100 * SECOND, wall: 0 };
+        let clock = Clock {
+            now: 100 * SECOND,
+            wall: 0,
+        };
         let mut port = Port::new(Arc::new(settings), clock);
         let mut candidacy = Candidacy::new("n0", 0);
-        let ask = PromiseAsk { round: 3, term: 2, micros: PROMISE, block: 0, known };
+        let ask = PromiseAsk {
+            round: 3,
+            term: 2,
+            micros: PROMISE,
+            block: 0,
+            known,
+        };
         Standing::promise_asked(&mut port, &mut candidacy, copy, 0, &ask);
         let Some(Effect::Peer { message, .. }) = port.effects.pop() else {
             panic!("it says nothing")
         };
         let mut frame = BytesMut::new();
         encode(&message, &mut frame);
-        let Envelope { body: Some(Body::Promise(promise)), .. } = message else {
+        let Envelope {
+            body: Some(Body::Promise(promise)),
+            ..
+        } = message
+        else {
             panic!("it does not promise")
         };
         (promise, frame.len())
@@ -414,7 +506,11 @@
         copy.cancelled("j-000777".into(), 90_001);
         let (p, _) = promise(&copy, 90_000);
         assert!(p.knows && p.cancelled == "6:777" && p.count == 1);
-        assert_eq!(promise(&copy, 90_001).0.count, 0, "the asker has read that one");
+        assert_eq!(
+            promise(&copy, 90_001).0.count,
+            0,
+            "the asker has read that one"
+        );
     }
 
     #[test]
@@ -422,12 +518,18 @@
         let (p, size) = promise(&copy(MOST_TOLD), 5);
         assert!(p.knows && size < MAX_FRAME, "{size} bytes");
         let (p, size) = promise(&copy(MOST_TOLD + 1), 5);
-        assert!(!p.knows && p.count == MOST_TOLD as u32 && size < MAX_FRAME, "{size} bytes");
+        assert!(
+            !p.knows && p.count == MOST_TOLD as u32 && size < MAX_FRAME,
+            "{size} bytes"
+        );
         // Nothing has been read in this life: an earlier one may have confirmed anything.
         let mut unread = Mirror::default();
         unread.cancelled("j-000777".into(), 100);
         let (p, _) = promise(&unread, 5);
-        assert!(!p.knows && p.cancelled == "6:777", "what it knows it tells all the same");
+        assert!(
+            !p.knows && p.cancelled == "6:777",
+            "what it knows it tells all the same"
+        );
         // The version before does not say what it has seen.
         let (p, _) = promise(&copy(20), 0);
         assert!(!p.knows && p.count == 0);
--- a/crates/gannethub-core/src/decide/allot.rs
+++ b/crates/gannethub-core/src/decide/allot.rs
@@ -25,7 +25,11 @@
 pub type Parts = BTreeMap<u32, Vec<Resources>>;
 
 fn clamp(r: Resources) -> Resources {
-    Resources { cpu: r.cpu.max(0), gpu: r.gpu.max(0), mem: 0 }
+    Resources {
+        cpu: r.cpu.max(0),
+        gpu: r.gpu.max(0),
+        mem: 0,
+    }
 }
 
 /// What block 0 may use: what is left of the whole limits.
@@ -49,14 +53,20 @@
     for (t, (mut left, (held, waits))) in rest(whole, parts).into_iter().zip(own).enumerate() {
         left -= *held;
         let lacks = |block: &u32, teams: &Vec<(Resources, Resources)>| {
-            let part = parts.get(block).and_then(|p| p.get(t)).copied().unwrap_or_default();
+            let part = parts
+                .get(block)
+                .and_then(|p| p.get(t))
+                .copied()
+                .unwrap_or_default();
             let (used, waiting) = teams.get(t).copied().unwrap_or_default();
             let mut wish = used;
             wish += waiting;
             clamp(wish - part)
         };
-        let lacking: Vec<(u32, Resources)> =
-            told.iter().map(|(b, teams)| (*b, lacks(b, teams))).collect();
+        let lacking: Vec<(u32, Resources)> = told
+            .iter()
+            .map(|(b, teams)| (*b, lacks(b, teams)))
+            .collect();
         let mut all = clamp(*waits);
         lacking.iter().for_each(|(_, l)| all += *l);
         for (block, lack) in lacking {
@@ -76,7 +86,9 @@
             }
             let part = parts.get(&block).cloned();
             let none = || vec![Resources::default(); whole.len()];
-            let new = raised.entry(block).or_insert_with(|| part.unwrap_or_else(none));
+            let new = raised
+                .entry(block)
+                .or_insert_with(|| part.unwrap_or_else(none));
             new[t] += more;
         }
     }
@@ -106,7 +118,11 @@
 impl Cluster {
     /// How this block stands.
     pub fn load(&self) -> Load {
-        let mut load = Load { block: self.block.id, term: self.term, ..Load::default() };
+        let mut load = Load {
+            block: self.block.id,
+            term: self.term,
+            ..Load::default()
+        };
         let held = self.used.iter().zip(&self.doubt.held);
         load.teams = held
             .map(|(used, doubted)| {
@@ -121,7 +137,10 @@
             load.waiting += job.spec.need.cpu * waiting;
             if let Some(t) = job.team.filter(|_| waiting > 0) {
                 // No more than it could start soon, however long its queue.
-                load.teams[t].1 += Resources { mem: 0, ..job.spec.need.times(waiting) };
+                load.teams[t].1 += Resources {
+                    mem: 0,
+                    ..job.spec.need.times(waiting)
+                };
             }
         }
         for (t, team) in self.whole.iter().enumerate() {
@@ -129,9 +148,16 @@
             waiting.cpu = waiting.cpu.min((team.limit.cpu - used.cpu).max(0));
             waiting.gpu = waiting.gpu.min((team.limit.gpu - used.gpu).max(0));
         }
-        let usable = self.machines.values().filter(|m| m.usable(self.now, self.settings.report));
+        let usable = self
+            .machines
+            .values()
+            .filter(|m| m.usable(self.now, self.settings.report));
         load.free = usable.map(|m| m.free().cpu.max(0)).sum();
-        load.wants = self.wants.iter().map(|(offer, n)| (offer.clone(), *n)).collect();
+        load.wants = self
+            .wants
+            .iter()
+            .map(|(offer, n)| (offer.clone(), *n))
+            .collect();
         load
     }
 
@@ -159,8 +185,14 @@
 
     /// Offers that the cloud has refused lately, and for how long they are left alone.
     pub fn refused_offers(&self) -> Vec<(Offer, Micros)> {
-        let refused = self.fleet.refusals.iter().filter(|(_, r)| r.until > self.now);
-        refused.map(|(offer, r)| (offer.clone(), r.until - self.now)).collect()
+        let refused = self
+            .fleet
+            .refusals
+            .iter()
+            .filter(|(_, r)| r.until > self.now);
+        refused
+            .map(|(offer, r)| (offer.clone(), r.until - self.now))
+            .collect()
     }
 
     /// Sends jobs that nothing was launched of, and that have no room here, to a block that has; all that can go, if
@@ -173,7 +205,9 @@
         let best = |need: i64| {
             let others = self.loads.iter().filter(|l| l.block != own);
             let roomy = others.filter(|l| give_up || l.free - l.waiting >= need);
-            roomy.max_by_key(|l| (l.free - l.waiting, l.block)).map(|l| l.block)
+            roomy
+                .max_by_key(|l| (l.free - l.waiting, l.block))
+                .map(|l| l.block)
         };
         let waits = |j: &&Job| {
             let waited = self.wall.saturating_sub(j.ready) > WAITED + self.settings.report;
@@ -211,20 +245,30 @@
     use proptest::prelude::*;
 
     fn cpus(n: i64) -> Resources {
-        Resources { cpu: n, gpu: 0, mem: 0 }
+        Resources {
+            cpu: n,
+            gpu: 0,
+            mem: 0,
+        }
     }
 
     #[test]
     fn what_is_free_goes_to_those_that_lack_it_and_comes_back_when_it_lies_idle() {
         let whole = [cpus(100)];
-        let told = BTreeMap::from([(1, vec![(cpus(0), cpus(60))]), (2, vec![(cpus(0), cpus(60))])]);
+        let told = BTreeMap::from([
+            (1, vec![(cpus(0), cpus(60))]),
+            (2, vec![(cpus(0), cpus(60))]),
+        ]);
         let parts = raise(&whole, &Parts::new(), &[(cpus(20), cpus(0))], &told);
         assert_eq!((parts[&1][0].cpu, parts[&2][0].cpu), (40, 40));
         assert_eq!(rest(&whole, &parts), [cpus(20)]);
         // Nothing is free any more.
         assert!(raise(&whole, &parts, &[(cpus(20), cpus(9))], &told).is_empty());
         assert_eq!(lower(&parts[&1], &[(cpus(30), cpus(10))]), None);
-        assert_eq!(lower(&parts[&1], &[(cpus(10), cpus(0))]), Some(vec![cpus(11)]));
+        assert_eq!(
+            lower(&parts[&1], &[(cpus(10), cpus(0))]),
+            Some(vec![cpus(11)])
+        );
     }
 
     proptest! {
--- a/crates/gannethub-core/src/decide/blame.rs
+++ b/crates/gannethub-core/src/decide/blame.rs
@@ -22,8 +22,17 @@
     /// Something of the job has gone well on some machine.
     fn proved(&self, job: &Job, now: Micros) -> bool {
         let lasting = |(machine, attempt): &(MachineId, u64), index: u32| {
-            let key = (TaskId { job: job.id.clone(), index }, *attempt);
-            let a = self.machines.get(machine).and_then(|m| m.attempts.get(&key));
+            let key = (
+                TaskId {
+                    job: job.id.clone(),
+                    index,
+                },
+                *attempt,
+            );
+            let a = self
+                .machines
+                .get(machine)
+                .and_then(|m| m.attempts.get(&key));
             a.is_some_and(|a| a.phase == Phase::Running && now >= a.since + PROVED)
         };
         !job.done.is_empty()
@@ -32,19 +41,28 @@
 
     /// A task ended with an error on a machine.
     pub fn failed(&mut self, task: &TaskId, id: &MachineId, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let first = job.blame.machines.is_empty();
         let was = job.suspect();
         job.blame.machines.insert(id.clone());
         let (_, n) = job.backoff.get(&task.index).copied().unwrap_or((0, 0));
-        job.backoff.insert(task.index, (now + ((2 * SECOND) << n.min(5)), n + 1));
-        if self.jobs.get(&task.job).is_some_and(|j| self.proved(j, now)) {
+        job.backoff
+            .insert(task.index, (now + ((2 * SECOND) << n.min(5)), n + 1));
+        if self
+            .jobs
+            .get(&task.job)
+            .is_some_and(|j| self.proved(j, now))
+        {
             // A service that runs elsewhere: what it failed on says nothing against it.
             if let Some(j) = self.jobs.get_mut(&task.job).filter(|j| j.done.is_empty()) {
                 j.blame = Failing::default();
             }
         }
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         if job.suspect() {
             // Tasks that were on machines already fail together: they are one trial.
             if now >= job.blame.retry_at {
@@ -70,7 +88,9 @@
 
     /// A job's first task is done: it is cleared, and the machines it failed on are not.
     pub fn cleared(&mut self, id: &JobId, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         if job.blame.known {
             tracing::info!(job = %id, "the job does well after all");
         }
@@ -81,9 +101,14 @@
 
     /// Decides whether a machine is to blame for what failed on it since a task last did well.
     fn judge(&mut self, id: &MachineId, now: Micros) {
-        let Some(m) = self.machines.get(id).filter(|m| !m.bad) else { return };
+        let Some(m) = self.machines.get(id).filter(|m| !m.bad) else {
+            return;
+        };
         let credible = || {
-            let jobs = m.failures.iter().filter_map(|(j, n)| Some((self.jobs.get(j)?, *n)));
+            let jobs = m
+                .failures
+                .iter()
+                .filter_map(|(j, n)| Some((self.jobs.get(j)?, *n)));
             jobs.filter(|(j, _)| !j.suspect())
         };
         let faulty =
--- a/crates/gannethub-core/src/decide/gather.rs
+++ b/crates/gannethub-core/src/decide/gather.rs
@@ -38,8 +38,19 @@
 
 impl Site {
     fn of(spec: &JobSpec) -> Site {
-        let JobSpec { need, types, zone, spot, .. } = spec;
-        Site { need: *need, types: types.clone(), zone: zone.clone(), spot: *spot }
+        let JobSpec {
+            need,
+            types,
+            zone,
+            spot,
+            ..
+        } = spec;
+        Site {
+            need: *need,
+            types: types.clone(),
+            zone: zone.clone(),
+            spot: *spot,
+        }
     }
 }
 
@@ -116,7 +127,12 @@
         let steps = MAKING as f64 / self.cost_of(1).max(1) as f64;
         let until = self.looks.get() + steps as u64;
         let behind = round && std::mem::take(&mut self.behind);
-        Gathering { round, until, behind, ..Gathering::default() }
+        Gathering {
+            round,
+            until,
+            behind,
+            ..Gathering::default()
+        }
     }
 
     /// The last pass has found work to place of this job, before any that it has yet to look at.
@@ -132,7 +148,9 @@
         gathering: &mut Gathering,
         now: Micros,
     ) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.suspect()) else { return };
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.suspect()) else {
+            return;
+        };
         if !gathering.round && job.gathered {
             return;
         }
@@ -140,7 +158,9 @@
         // Work is stopped only where waiting for it to end would be too late.
         let soon = self.gather(id, tasks, gathering, now);
         let Some(job) = self.jobs.get(id) else { return };
-        let slack = self.latest_start(job, job.within).map_or(0, |t| t.saturating_sub(self.wall));
+        let slack = self
+            .latest_start(job, job.within)
+            .map_or(0, |t| t.saturating_sub(self.wall));
         if soon.is_none_or(|at| at > now + slack.max(2 * self.settings.report)) {
             self.make_room(id, tasks, gathering, now);
         }
@@ -160,13 +180,25 @@
         let job = self.jobs.get(id)?;
         let spec = job.spec.clone();
         let zones = self.zones_of(job);
-        let book = gathering.books.entry(Site::of(&spec)).or_insert_with(|| self.book(&spec, now));
+        let book = gathering
+            .books
+            .entry(Site::of(&spec))
+            .or_insert_with(|| self.book(&spec, now));
         let (keep, last) = self.choose_soonest(book, id, &spec, zones, tasks, now)?;
         let found: i64 = keep.values().sum();
         for (machine, tasks) in keep {
-            let Some(m) = self.machines.get(&machine) else { continue };
+            let Some(m) = self.machines.get(&machine) else {
+                continue;
+            };
             let until = m.kept.as_ref().map_or(0, |k| k.until).max(now + GATHERED);
-            self.keep(&machine, Kept { job: id.clone(), tasks, until });
+            self.keep(
+                &machine,
+                Kept {
+                    job: id.clone(),
+                    tasks,
+                    until,
+                },
+            );
         }
         (found == tasks as i64).then_some(last)
     }
@@ -174,15 +206,22 @@
     /// When and where there will be room for tasks like this job's.
     fn book(&self, spec: &JobSpec, now: Micros) -> Book {
         let mut book = Book::new();
-        for shelf in self.rooms.shelves.iter().filter(|s| self.allowed(spec, &s.kind)) {
+        for shelf in self
+            .rooms
+            .shelves
+            .iter()
+            .filter(|s| self.allowed(spec, &s.kind))
+        {
             let list = book.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.all.iter().filter_map(|m| self.machines.get(m)) {
-                self.looks.set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
+                self.looks
+                    .set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
                 let times = self.room_times(m, spec, now);
                 list.extend(times.into_iter().map(|at| (at, m.id.clone())));
             }
         }
-        book.values_mut().for_each(|list| list.make_contiguous().sort_unstable());
+        book.values_mut()
+            .for_each(|list| list.make_contiguous().sort_unstable());
         book
     }
 
@@ -230,12 +269,18 @@
         let mut taken: Vec<(Arc<str>, usize)> = Vec::new();
         let mut last = 0;
         while taken.len() < tasks {
-            let open = firsts.iter_mut().filter(|f| zone_room(spec, &zones, f.0) > 0);
-            let next = open.filter_map(|f| Some((f.1.front()?.clone(), f))).min_by(|a, b| {
-                let key = |(f, _): &((Micros, MachineId, usize), _)| (f.0, f.1.clone());
-                key(a).cmp(&key(b))
-            });
-            let Some(((at, machine, place), from)) = next else { break };
+            let open = firsts
+                .iter_mut()
+                .filter(|f| zone_room(spec, &zones, f.0) > 0);
+            let next = open
+                .filter_map(|f| Some((f.1.front()?.clone(), f)))
+                .min_by(|a, b| {
+                    let key = |(f, _): &((Micros, MachineId, usize), _)| (f.0, f.1.clone());
+                    key(a).cmp(&key(b))
+                });
+            let Some(((at, machine, place), from)) = next else {
+                break;
+            };
             from.1.pop_front();
             *zones.entry(from.0.clone()).or_default() += 1;
             *chosen.entry(machine).or_default() += 1;
@@ -271,7 +316,9 @@
         let mut times = Vec::new();
         for _ in 0..most {
             while !spec.need.fits(&free) {
-                let Some((end, need)) = ends.next() else { return times };
+                let Some((end, need)) = ends.next() else {
+                    return times;
+                };
                 free += need;
                 at = end;
             }
@@ -283,7 +330,8 @@
 
     /// Whether the job's team has no guarantee: all that it uses is borrowed.
     pub fn guest(&self, job: &Job) -> bool {
-        job.team.is_some_and(|t| self.settings.teams[t].guarantee == Resources::default())
+        job.team
+            .is_some_and(|t| self.settings.teams[t].guarantee == Resources::default())
     }
 
     /// What each team runs above its guarantee, less what has been told to stop.
@@ -304,7 +352,9 @@
     /// for a job within its team's guarantee by stopping work that other teams run above theirs.
     /// What loses least is stopped first, and the room is kept for the job.
     pub fn make_room(&mut self, id: &JobId, tasks: usize, gathering: &mut Gathering, now: Micros) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.settled) else { return };
+        let Some(job) = self.jobs.get(id).filter(|_| self.settled) else {
+            return;
+        };
         let spec = job.spec.clone();
         let urgent = spec.priority >= Priority::High;
         let gang = spec.shape == Shape::Gang;
@@ -334,7 +384,11 @@
         } else {
             0
         };
-        let tasks = if gang { tasks } else { tasks.min(most).saturating_sub(making as usize) };
+        let tasks = if gang {
+            tasks
+        } else {
+            tasks.min(most).saturating_sub(making as usize)
+        };
         if tasks == 0 {
             return;
         }
@@ -375,7 +429,9 @@
         let mut left = borrowed.clone();
         let mut stops = Vec::new();
         for (machine, n) in &keep {
-            let Some(m) = self.machines.get(machine) else { continue };
+            let Some(m) = self.machines.get(machine) else {
+                continue;
+            };
             let mut free = m.free_after_stops();
             for v in made.victims.remove(machine).into_iter().flatten() {
                 if spec.need.times(*n).fits(&free) {
@@ -402,7 +458,14 @@
             job.made_at = Some(now);
         }
         for (machine, tasks) in keep {
-            self.keep(&machine, Kept { job: id.clone(), tasks, until: now + MADE });
+            self.keep(
+                &machine,
+                Kept {
+                    job: id.clone(),
+                    tasks,
+                    until: now + MADE,
+                },
+            );
         }
         if !stops.is_empty() {
             tracing::info!(job = %id, stopped = stops.len(), tasks, urgent, "making room");
@@ -418,18 +481,30 @@
         let urgent = spec.priority >= Priority::High;
         let gang = spec.shape == Shape::Gang;
         let mut made = Made::default();
-        for shelf in self.rooms.shelves.iter().filter(|s| self.allowed(spec, &s.kind)) {
+        for shelf in self
+            .rooms
+            .shelves
+            .iter()
+            .filter(|s| self.allowed(spec, &s.kind))
+        {
             let list = made.book.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.all.iter().filter_map(|m| self.machines.get(m)) {
-                self.looks.set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
+                self.looks
+                    .set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
                 if !m.usable(now, self.settings.report) || (!gang && m.kept(now).is_some()) {
                     continue;
                 }
                 let mut victims = Vec::new();
                 let mut free = m.free_after_stops();
-                for ((task, _), a) in m.attempts.iter().filter(|(_, a)| a.holds && a.stop.is_none())
+                for ((task, _), a) in m
+                    .attempts
+                    .iter()
+                    .filter(|(_, a)| a.holds && a.stop.is_none())
                 {
-                    let victim = self.jobs.get(&task.job).filter(|j| j.spec.shape != Shape::Gang);
+                    let victim = self
+                        .jobs
+                        .get(&task.job)
+                        .filter(|j| j.spec.shape != Shape::Gang);
                     let Some(j) = victim else { continue };
                     let lower = urgent && j.priority() < spec.priority;
                     let above = job.within
@@ -442,11 +517,23 @@
                     if lower || above {
                         // A task that can save loses only its saving time.
                         let running = a.phase == Phase::Running;
-                        let ran = if running { now.saturating_sub(a.since) } else { 0 };
-                        let loss =
-                            if j.spec.checkpoint_every > 0 { ran.min(j.spec.save) } else { ran };
+                        let ran = if running {
+                            now.saturating_sub(a.since)
+                        } else {
+                            0
+                        };
+                        let loss = if j.spec.checkpoint_every > 0 {
+                            ran.min(j.spec.save)
+                        } else {
+                            ran
+                        };
                         let team = a.team.filter(|_| !lower);
-                        victims.push(Victim { loss, task: task.clone(), need: a.need, team });
+                        victims.push(Victim {
+                            loss,
+                            task: task.clone(),
+                            need: a.need,
+                            team,
+                        });
                     }
                 }
                 victims.sort_by_key(|v| (v.loss, v.task.index));
@@ -474,7 +561,9 @@
                 made.victims.insert(m.id.clone(), victims);
             }
         }
-        made.book.values_mut().for_each(|list| list.make_contiguous().sort_unstable());
+        made.book
+            .values_mut()
+            .for_each(|list| list.make_contiguous().sort_unstable());
         made
     }
 }
--- a/crates/gannethub-core/src/decide/limits.rs
+++ b/crates/gannethub-core/src/decide/limits.rs
@@ -35,9 +35,17 @@
                 }
                 held += a.need;
                 let starting = a.phase == Phase::Starting && !a.seen;
-                let ran = if starting { 0 } else { 1 + now.saturating_sub(a.since) };
+                let ran = if starting {
+                    0
+                } else {
+                    1 + now.saturating_sub(a.since)
+                };
                 if starting || self.over_limit == OverLimit::Stop {
-                    excess.push(Excess { ran, task: task.clone(), need: a.need });
+                    excess.push(Excess {
+                        ran,
+                        task: task.clone(),
+                        need: a.need,
+                    });
                 }
             }
         }
@@ -65,10 +73,16 @@
     }
 
     fn stopping(&self, task: &TaskId) -> bool {
-        let live = self.jobs.get(&task.job).and_then(|j| j.live.get(&task.index));
+        let live = self
+            .jobs
+            .get(&task.job)
+            .and_then(|j| j.live.get(&task.index));
         live.is_some_and(|(machine, attempt): &(MachineId, u64)| {
             let key = (task.clone(), *attempt);
-            let attempt = self.machines.get(machine).and_then(|m| m.attempts.get(&key));
+            let attempt = self
+                .machines
+                .get(machine)
+                .and_then(|m| m.attempts.get(&key));
             attempt.is_some_and(|a| a.stop.is_some())
         })
     }
--- a/crates/gannethub-core/src/decide/order.rs
+++ b/crates/gannethub-core/src/decide/order.rs
@@ -18,8 +18,13 @@
 
 /// Counts a job against what is left of its team's guarantee; whether it fits there.
 fn charge(left: &mut [Resources], job: &Job) -> bool {
-    let Some(t) = job.team.filter(|_| !job.suspect()) else { return false };
-    let all = job.spec.need.times(i64::from(job.spec.tasks - job.done.len()));
+    let Some(t) = job.team.filter(|_| !job.suspect()) else {
+        return false;
+    };
+    let all = job
+        .spec
+        .need
+        .times(i64::from(job.spec.tasks - job.done.len()));
     let within = Team::within(&left[t], &Resources::default(), &all);
     left[t] -= all;
     within
@@ -47,10 +52,13 @@
             let keys = ready.into_iter().map(|j| self.key(j, charge(left, j)));
             queue.entries = keys.collect();
             queue.entries.sort_unstable();
-            self.looks.set(self.looks.get() + queue.entries.len() as u64);
+            self.looks
+                .set(self.looks.get() + queue.entries.len() as u64);
         }
         for id in std::mem::take(&mut queue.arrivals) {
-            let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else { continue };
+            let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else {
+                continue;
+            };
             let within = charge(&mut queue.left, job);
             let key = self.key(job, within);
             if let Err(place) = queue.entries.binary_search(&key) {
--- a/crates/gannethub-core/src/decide/plan.rs
+++ b/crates/gannethub-core/src/decide/plan.rs
@@ -142,7 +142,11 @@
         let step = 1i64 << bits.saturating_sub(3);
         x / step * step
     };
-    Resources { cpu: coarse(need.cpu), gpu: coarse(need.gpu), mem: coarse(need.mem) }
+    Resources {
+        cpu: coarse(need.cpu),
+        gpu: coarse(need.gpu),
+        mem: coarse(need.mem),
+    }
 }
 
 /// The machines there are and that will be, as the plan sees them.
@@ -170,10 +174,19 @@
     /// The line of a kind.
     fn line(&mut self, flavor: usize, zone: &Arc<str>, spot: bool, price: f64) -> usize {
         let next = self.lines.len();
-        let line = *self.numbers.entry((flavor, zone.clone(), spot)).or_insert(next);
+        let line = *self
+            .numbers
+            .entry((flavor, zone.clone(), spot))
+            .or_insert(next);
         if line == next {
             let zone = zone.clone();
-            self.lines.push(Line { flavor, zone, spot, price, lanes: Vec::new() });
+            self.lines.push(Line {
+                flavor,
+                zone,
+                spot,
+                price,
+                lanes: Vec::new(),
+            });
             self.books.values_mut().for_each(|b| b.push(None));
         }
         line
@@ -204,10 +217,17 @@
     /// Reads on in a line's book until nothing in it can be sooner than the soonest read.
     fn read(&mut self, line: usize, key: &Resources, w: &Waiting, read: &mut Read) {
         let lines = self.lines.len();
-        let book = self.books.entry(*key).or_insert_with(|| (0..lines).map(|_| None).collect());
+        let book = self
+            .books
+            .entry(*key)
+            .or_insert_with(|| (0..lines).map(|_| None).collect());
         let heap = book[line].get_or_insert_with(|| {
             let open = self.lines[line].lanes.iter().map(|i| {
-                Reverse((self.lanes[*i].earliest(key, self.now), *i, self.lanes[*i].version))
+                Reverse((
+                    self.lanes[*i].earliest(key, self.now),
+                    *i,
+                    self.lanes[*i].version,
+                ))
             });
             self.steps += self.lines[line].lanes.len() as u64;
             open.filter(|e| e.0.0 < Micros::MAX).collect()
@@ -215,7 +235,10 @@
         let mine = &mut read[line];
         while let Some(Reverse((least, i, version))) = heap.peek().copied() {
             // Those that have room before the job is released are as good as one another.
-            if mine.peek().is_some_and(|Reverse(m)| (m.0, m.1) <= (least.max(w.from), i)) {
+            if mine
+                .peek()
+                .is_some_and(|Reverse(m)| (m.0, m.1) <= (least.max(w.from), i))
+            {
                 break;
             }
             heap.pop();
@@ -243,12 +266,21 @@
                 continue;
             }
             self.read(line, key, w, read);
-            let soonest = read[line].peek().copied().filter(|Reverse(r)| r.0 < Micros::MAX);
-            let Some(Reverse((start, lane, _))) = soonest else { continue };
+            let soonest = read[line]
+                .peek()
+                .copied()
+                .filter(|Reverse(r)| r.0 < Micros::MAX);
+            let Some(Reverse((start, lane, _))) = soonest else {
+                continue;
+            };
             // Prices are positive, and such numbers are in the order of their bits.
             let price = self.lines[line].price.max(0.0).to_bits();
             let late = start > w.limit;
-            let rank = if late { (late, start, price, lane) } else { (late, price, start, lane) };
+            let rank = if late {
+                (late, start, price, lane)
+            } else {
+                (late, price, start, lane)
+            };
             if best.as_ref().is_none_or(|(r, _)| rank < *r) {
                 best = Some((rank, Choice { start, lane, line }));
             }
@@ -258,7 +290,9 @@
 
     /// Puts back what a job has read and not used.
     fn put_back(&mut self, key: &Resources, read: Read) {
-        let Some(book) = self.books.get_mut(key) else { return };
+        let Some(book) = self.books.get_mut(key) else {
+            return;
+        };
         for (heap, mine) in book.iter_mut().zip(read) {
             for Reverse((_, i, least)) in mine {
                 let entry = Reverse((least, i, self.lanes[i].version));
@@ -282,15 +316,24 @@
         let mut out = Vec::new();
         for (id, within) in self.queue.jobs() {
             self.looks.set(self.looks.get() + 1);
-            let Some(job) = self.jobs.get(id) else { continue };
+            let Some(job) = self.jobs.get(id) else {
+                continue;
+            };
             let Some(t) = job.team else { continue };
             let pending = job.placeable() as i64;
             if pending == 0 {
                 continue;
             }
             spare[t].mem = UNLIMITED;
-            let need = Resources { mem: 0, ..job.spec.need };
-            let backing = job.backoff.values().filter(|b| b.0 > now + 10 * SECOND).count() as i64;
+            let need = Resources {
+                mem: 0,
+                ..job.spec.need
+            };
+            let backing = job
+                .backoff
+                .values()
+                .filter(|b| b.0 > now + 10 * SECOND)
+                .count() as i64;
             let mut tasks = (pending - backing).min(need.times_in(&spare[t]));
             tasks = tasks.min(job.worth_renting(now).saturating_sub(job.live.len() as i64));
             if job.spec.shape == Shape::Gang && tasks < i64::from(job.pending.len()) {
@@ -319,7 +362,14 @@
             };
             let limit = now + slack;
             let spec = job.spec.clone();
-            out.push(Waiting { spec, tasks, zones, run, from: now, limit });
+            out.push(Waiting {
+                spec,
+                tasks,
+                zones,
+                run,
+                from: now,
+                limit,
+            });
         }
         self.foresee(&mut out, &mut spare, now);
         out
@@ -336,16 +386,23 @@
                 .min_by(|a, b| price(a).total_cmp(&price(b)))?;
             let flavor = &self.flavors[f];
             let zones = flavor.zones.iter();
-            zones.map(|z| self.fleet.boots.expected(f, z, flavor.boot, now)).min()
+            zones
+                .map(|z| self.fleet.boots.expected(f, z, flavor.boot, now))
+                .min()
         };
         let longest = self.flavors.iter().map(|f| 2 * f.boot).max().unwrap_or(0);
         for (from, _, w) in self.foreseen(now, now + longest) {
             if boot(&w.spec).is_none_or(|boot| from > now + boot) {
                 continue;
             }
-            let Some(t) = self.settings.team(&w.spec.team) else { continue };
+            let Some(t) = self.settings.team(&w.spec.team) else {
+                continue;
+            };
             spare[t].mem = UNLIMITED;
-            let need = Resources { mem: 0, ..w.spec.need };
+            let need = Resources {
+                mem: 0,
+                ..w.spec.need
+            };
             let all = i64::from(w.spec.tasks);
             let mut tasks = all.min(need.times_in(&spare[t]));
             if w.spec.shape == Shape::Gang && tasks < all {
@@ -401,13 +458,18 @@
             }
             let (head, rest) = waiting.split_at_mut(i + 1);
             let w = &mut head[i];
-            let key = if exact { w.spec.need } else { shape(&w.spec.need) };
+            let key = if exact {
+                w.spec.need
+            } else {
+                shape(&w.spec.need)
+            };
             let allows = |line: &Line| {
                 let flavor = &self.flavors[line.flavor];
                 w.spec.need.fits(&flavor.size) && w.spec.allows(&flavor.name, &line.zone, line.spot)
             };
-            let mut allowed: Vec<usize> =
-                (0..future.lines.len()).filter(|l| allows(&future.lines[*l])).collect();
+            let mut allowed: Vec<usize> = (0..future.lines.len())
+                .filter(|l| allows(&future.lines[*l]))
+                .collect();
             let mut read: Read = (0..future.lines.len()).map(|_| BinaryHeap::new()).collect();
             // The offer that is best for it, once that is known and as long as it stays the best.
             let mut offer: Option<Option<&Priced>> = None;
@@ -432,8 +494,9 @@
                         continue;
                     }
                 }
-                let found =
-                    offer.take().unwrap_or_else(|| self.best_offer(w, rest, &least, &offers));
+                let found = offer
+                    .take()
+                    .unwrap_or_else(|| self.best_offer(w, rest, &least, &offers));
                 let Some(found) = found else { break };
                 let Offer { flavor, zone, spot } = &found.offer;
                 let ready = self.boots(&found.offer, now).max(w.from);
@@ -469,11 +532,18 @@
         let mut offers = Vec::new();
         for (i, flavor) in self.flavors.iter().enumerate() {
             for (zone, spot) in flavor.zones.iter().flat_map(|z| [(z, false), (z, true)]) {
-                let offer = Offer { flavor: i, zone: zone.clone(), spot };
+                let offer = Offer {
+                    flavor: i,
+                    zone: zone.clone(),
+                    spot,
+                };
                 if !self.blocked(&offer, now) {
                     let boots = &self.fleet.boots;
                     let dearer = boots.dearer(i, zone, flavor.boot, patience(flavor.boot), now);
-                    offers.push(Priced { offer, price: flavor.price_of(spot) * dearer });
+                    offers.push(Priced {
+                        offer,
+                        price: flavor.price_of(spot) * dearer,
+                    });
                 }
             }
         }
@@ -534,7 +604,10 @@
 
     /// The machines there are or that are on their way, and when their room comes free.
     fn future(&self, now: Micros) -> Future {
-        let mut future = Future { now, ..Future::default() };
+        let mut future = Future {
+            now,
+            ..Future::default()
+        };
         for m in self.machines.values() {
             let Some(flavor) = m.flavor else { continue };
             if m.deleting || m.leaving || m.bad || m.notice || m.deaf(now) {
@@ -573,7 +646,10 @@
     /// When a machine rented now is expected to be up.
     fn boots(&self, offer: &Offer, now: Micros) -> Micros {
         let usual = self.flavors[offer.flavor].boot;
-        now + self.fleet.boots.expected(offer.flavor, &offer.zone, usual, now)
+        now + self
+            .fleet
+            .boots
+            .expected(offer.flavor, &offer.zone, usual, now)
     }
 }
 
@@ -612,15 +688,26 @@
     type Given = (usize, u64, Vec<(u64, i64)>);
 
     fn future(lanes: &[Given]) -> Future {
-        let mut future = Future { now: 10 * SECOND, ..Future::default() };
+        let mut future = Future {
+            now: 10 * SECOND,
+            ..Future::default()
+        };
         for (i, price) in [0.1, 0.3, 0.2].into_iter().enumerate() {
             future.line(i, &Arc::from("a"), false, price);
         }
         for (line, ready, busy) in lanes {
-            let mut free = Resources { cpu: SIZES[*line], gpu: 0, mem: SIZES[*line] };
+            let mut free = Resources {
+                cpu: SIZES[*line],
+                gpu: 0,
+                mem: SIZES[*line],
+            };
             let mut releases = Vec::new();
             for (end, cpu) in busy {
-                let need = Resources { cpu: *cpu, gpu: 0, mem: *cpu };
+                let need = Resources {
+                    cpu: *cpu,
+                    gpu: 0,
+                    mem: *cpu,
+                };
                 if need.fits(&free) {
                     free -= need;
                     releases.push((future.now + end * SECOND, 1, need));
@@ -629,7 +716,15 @@
             releases.sort_by_key(|r| Reverse(r.0));
             let ready = future.now + ready * SECOND;
             let zone = Arc::from("a");
-            let lane = Lane { line: *line, zone, free, ready, releases, machine: None, version: 0 };
+            let lane = Lane {
+                line: *line,
+                zone,
+                free,
+                ready,
+                releases,
+                machine: None,
+                version: 0,
+            };
             future.add(lane);
         }
         future
--- a/crates/gannethub-core/src/decide/pulls.rs
+++ b/crates/gannethub-core/src/decide/pulls.rs
@@ -17,7 +17,11 @@
     /// time that the final deadline leaves after what is still to run behind them.
     pub fn pull(&mut self, now: Micros) {
         let lines = &mut self.pipelines;
-        let every = if lines.changed { PULL_EVERY } else { PULL_AT_LEAST };
+        let every = if lines.changed {
+            PULL_EVERY
+        } else {
+            PULL_AT_LEAST
+        };
         if now < lines.pulled_at + every {
             return;
         }
@@ -34,19 +38,25 @@
         let mut found: Vec<(JobId, Pull)> = Vec::new();
         for id in self.pipelines.links.ends_first() {
             let job = self.jobs.get(id);
-            let spec = job.map(|j| &j.spec).or(self.pipelines.waiting.get(id).map(|w| &w.spec));
+            let spec = job
+                .map(|j| &j.spec)
+                .or(self.pipelines.waiting.get(id).map(|w| &w.spec));
             let Some(spec) = spec else { continue };
             let pulled = pulls.remove(id);
             if let Some(pull) = &pulled {
                 found.push((id.clone(), pull.clone()));
             }
-            let Some(w) = self.pipelines.waiting.get(id) else { continue };
+            let Some(w) = self.pipelines.waiting.get(id) else {
+                continue;
+            };
             if self.pipelines.links.is_cancelled(id) {
                 continue;
             }
             // Its own deadlines or those of what follows it, whichever come first.
             let own = times.iter().map(|(class, times)| {
-                let due = spec.deadline.filter(|_| class.is_none_or(|c| *c == *spec.class))?;
+                let due = spec
+                    .deadline
+                    .filter(|_| class.is_none_or(|c| *c == *spec.class))?;
                 let due = w.at + (due as f64 * times) as Micros;
                 Some(Due { by: due, last: due })
             });
@@ -61,7 +71,10 @@
                 .collect();
             let priority = pulled.map_or(spec.priority, |p| p.priority.max(spec.priority));
             for u in self.pipelines.links.saga.open(id) {
-                let pull = pulls.entry(u).or_insert_with(|| Pull { priority, due: due.clone() });
+                let pull = pulls.entry(u).or_insert_with(|| Pull {
+                    priority,
+                    due: due.clone(),
+                });
                 pull.priority = pull.priority.max(priority);
                 for (mine, theirs) in pull.due.iter_mut().zip(&due) {
                     *mine = [*mine, *theirs].into_iter().flatten().reduce(Due::first);
@@ -69,7 +82,11 @@
             }
         }
         let kept: BTreeSet<&JobId> = found.iter().map(|f| &f.0).collect();
-        for id in self.pipelines.pulled.extract_if(.., |id| !kept.contains(id)) {
+        for id in self
+            .pipelines
+            .pulled
+            .extract_if(.., |id| !kept.contains(id))
+        {
             if let Some(j) = self.jobs.get_mut(&id) {
                 j.pull = None;
             }
@@ -106,9 +123,13 @@
             if let Some(job) = self.jobs.get(id).filter(|j| !j.cancelled) {
                 ends.insert(id, self.job_end(job, now));
             }
-            let Some((id, w)) = lines.waiting.get_key_value(id) else { continue };
+            let Some((id, w)) = lines.waiting.get_key_value(id) else {
+                continue;
+            };
             let upstream = lines.links.saga.open(id).map(|u| ends.get(u).copied());
-            let Some(upstream) = upstream.collect::<Option<Vec<_>>>() else { continue };
+            let Some(upstream) = upstream.collect::<Option<Vec<_>>>() else {
+                continue;
+            };
             let release = upstream.into_iter().max().unwrap_or(now);
             if !lines.links.is_cancelled(id) {
                 ends.insert(id, release + self.stage_time(&w.spec).likely);
@@ -124,12 +145,25 @@
     /// When a job is expected to end at the earliest.
     pub(crate) fn job_end(&self, job: &Job, now: Micros) -> Micros {
         let ends = job.live.iter().map(|(index, (machine, attempt))| {
-            let key = (TaskId { job: job.id.clone(), index: *index }, *attempt);
-            let attempt = self.machines.get(machine).and_then(|m| m.attempts.get(&key));
+            let key = (
+                TaskId {
+                    job: job.id.clone(),
+                    index: *index,
+                },
+                *attempt,
+            );
+            let attempt = self
+                .machines
+                .get(machine)
+                .and_then(|m| m.attempts.get(&key));
             attempt.map_or(now, |a| self.expected_end(&key.0, a, now))
         });
         let last = ends.max().unwrap_or(now);
-        if job.pending.is_empty() { last } else { last.max(now + self.expected_run(&job.spec)) }
+        if job.pending.is_empty() {
+            last
+        } else {
+            last.max(now + self.expected_run(&job.spec))
+        }
     }
 
     /// What a job takes from its release to its end, when it finds room: until workers are told
@@ -138,12 +172,18 @@
     pub(crate) fn stage_time(&self, spec: &JobSpec) -> Stage {
         let told = 2 * self.settings.report;
         let stage = self.run_time(spec);
-        Stage { likely: stage.likely + told, least: stage.least + told / 2 }
+        Stage {
+            likely: stage.likely + told,
+            least: stage.least + told / 2,
+        }
     }
 
     /// The same from the start of its tasks.
     pub fn run_time(&self, spec: &JobSpec) -> Stage {
         let run = self.expected_run(spec);
-        Stage { likely: self.fetch_time(spec) + run * 5 / 4, least: run * 3 / 4 }
+        Stage {
+            likely: self.fetch_time(spec) + run * 5 / 4,
+            least: run * 3 / 4,
+        }
     }
 }
--- a/crates/gannethub-core/src/decide/renting.rs
+++ b/crates/gannethub-core/src/decide/renting.rs
@@ -91,8 +91,12 @@
             self.return_idle(now);
             self.consolidate(now);
         }
-        let doomed: Vec<String> =
-            self.machines.values().filter(|m| m.deleting).map(|m| m.id.to_string()).collect();
+        let doomed: Vec<String> = self
+            .machines
+            .values()
+            .filter(|m| m.deleting)
+            .map(|m| m.id.to_string())
+            .collect();
         if !doomed.is_empty() && !self.fleet.deleting && self.fleet.may_call(0.0) {
             self.fleet.deleting = true;
             let machines = doomed.into_iter().take(MAX_DELETE).collect();
@@ -100,7 +104,9 @@
         }
         if leads && !self.fleet.listing && now >= self.fleet.next_list && self.fleet.may_call(1.0) {
             self.fleet.listing = true;
-            calls.push(CloudCall::List { after: self.fleet.list_after.clone() });
+            calls.push(CloudCall::List {
+                after: self.fleet.list_after.clone(),
+            });
         }
         if leads && now >= self.fleet.next_flavors && self.fleet.may_call(1.0) {
             self.fleet.next_flavors = now + 30 * SECOND;
@@ -143,18 +149,33 @@
         let name = format!("r-{}-{}", self.fleet.term, self.fleet.requests);
         tracing::info!(%name, flavor = %self.flavors[offer.flavor].name, zone = %offer.zone,
             spot = offer.spot, count, "renting");
-        self.fleet.renting.insert(name.clone(), (offer.clone(), count));
-        CloudCall::Rent { name, offer, count, tries: 0 }
+        self.fleet
+            .renting
+            .insert(name.clone(), (offer.clone(), count));
+        CloudCall::Rent {
+            name,
+            offer,
+            count,
+            tries: 0,
+        }
     }
 
     /// Logs what the machines of each offer are used for, and what deciding has cost.
     fn summarize(&mut self, now: Micros) {
-        let Spent { passes, pass_steps, plans, plan_steps, most } = std::mem::take(&mut self.spent);
+        let Spent {
+            passes,
+            pass_steps,
+            plans,
+            plan_steps,
+            most,
+        } = std::mem::take(&mut self.spent);
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
         let (jobs, machines) = (self.jobs.len(), self.machines.len());
-        tracing::debug!(passes, pass_steps, plans, plan_steps, most, jobs, machines, "deciding");
+        tracing::debug!(
+            passes, pass_steps, plans, plan_steps, most, jobs, machines, "deciding"
+        );
         #[derive(Default)]
         struct Use {
             booting: u32,
@@ -185,7 +206,15 @@
             }
         }
         for ((flavor, spot), u) in by_kind {
-            let Use { booting, up, idle, kept, cpus, running, fetching } = u;
+            let Use {
+                booting,
+                up,
+                idle,
+                kept,
+                cpus,
+                running,
+                fetching,
+            } = u;
             let flavor = &self.flavors[flavor].name;
             tracing::debug!(%flavor, spot, booting, up, idle, kept, cpus, running, fetching, "fleet");
         }
@@ -201,7 +230,11 @@
             let boot = usual.max(expected.unwrap_or(0));
             // What boots in a zone that is cut off is of no use, but its first minute is paid.
             let dark = self.dark.contains_key(&m.zone);
-            let most = if dark { MIN_CHARGE.max(2 * boot) } else { patience(boot) };
+            let most = if dark {
+                MIN_CHARGE.max(2 * boot)
+            } else {
+                patience(boot)
+            };
             let age = now.saturating_sub(m.rented_at.max(m.known_since));
             let stuck = !m.up && age > most;
             if let Some(f) = m.flavor.filter(|_| !m.up && !dark) {
@@ -242,12 +275,18 @@
             m.up && !m.deleting && m.attempts.is_empty() && m.kept(now).is_none() && !awaited
         };
         // The shortest idle first: the others have that many spares beside them.
-        let mut idle: Vec<(Micros, MachineId)> =
-            self.machines.values().filter(empty).map(|m| (m.idle_since, m.id.clone())).collect();
+        let mut idle: Vec<(Micros, MachineId)> = self
+            .machines
+            .values()
+            .filter(empty)
+            .map(|m| (m.idle_since, m.id.clone()))
+            .collect();
         idle.sort_by(|a, b| b.cmp(a));
         let mut spares: HashMap<(usize, bool), u32> = HashMap::new();
         for (_, id) in idle {
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
             let Some(f) = m.flavor else { continue };
             let others = spares.entry((f, m.spot)).or_default();
             *others += 1;
@@ -256,7 +295,11 @@
                 continue;
             }
             let flavor = &self.flavors[f];
-            let boot = self.fleet.boots.expected(f, &m.zone, flavor.boot, now).max(flavor.boot);
+            let boot = self
+                .fleet
+                .boots
+                .expected(f, &m.zone, flavor.boot, now)
+                .max(flavor.boot);
             let urgent = m.urgent_at.map_or(1e9, |t| seconds(now.saturating_sub(t)));
             let facts = [
                 Value::Text(&flavor.name),
@@ -322,7 +365,10 @@
                 continue;
             }
             let own = room.remove(&id);
-            let taken: Vec<_> = tasks.iter().map_while(|t| self.host(t, &mut room, now)).collect();
+            let taken: Vec<_> = tasks
+                .iter()
+                .map_while(|t| self.host(t, &mut room, now))
+                .collect();
             if taken.len() == tasks.len() {
                 hosts.extend(taken.into_iter().map(|t| t.0));
                 leaving.push((id, tasks));
@@ -365,7 +411,9 @@
     /// Whether stopping a task here and going on with it elsewhere costs little against the time
     /// that it still holds its machine.
     fn movable(&self, m: &Machine, task: &TaskId, attempt: &Attempt, now: Micros) -> bool {
-        let (Some(job), Some(f)) = (self.jobs.get(&task.job), m.flavor) else { return false };
+        let (Some(job), Some(f)) = (self.jobs.get(&task.job), m.flavor) else {
+            return false;
+        };
         let spec = &job.spec;
         let cost = spec.save + self.fetch_time(spec) + MOVE_COST;
         spec.shape == Shape::Array
@@ -387,7 +435,10 @@
     pub fn blocked(&self, offer: &Offer, now: Micros) -> bool {
         if let Some(at) = self.dark.get(&*offer.zone) {
             // Tried with one machine now and then.
-            let tried = self.machines.values().any(|m| !m.up && *m.zone == *offer.zone)
+            let tried = self
+                .machines
+                .values()
+                .any(|m| !m.up && *m.zone == *offer.zone)
                 || self.fleet.renting.values().any(|r| r.0.zone == offer.zone);
             if tried || now < at + DARK {
                 return true;
