--- a/crates/gannethub-core/src/decide/scheduler.rs
+++ b/crates/gannethub-core/src/decide/scheduler.rs
@@ -152,7 +152,9 @@
         let stage = self.run_time(spec);
         let pulled = pull.iter().flat_map(|p| &p.due).flatten();
         let pulled = pulled.filter_map(|due| due.start(stage, self.wall));
-        let own = starts.map(|t| t.saturating_sub(fetch)).filter(|t| *t >= self.wall);
+        let own = starts
+            .map(|t| t.saturating_sub(fetch))
+            .filter(|t| *t >= self.wall);
         own.chain(pulled).min()
     }
 
@@ -198,10 +200,15 @@
 
     /// How many more of the job's tasks its team's limit allows.
     pub fn headroom(&self, job: &Job) -> i64 {
-        let Some(t) = job.team.filter(|_| !self.holds_starts) else { return 0 };
+        let Some(t) = job.team.filter(|_| !self.holds_starts) else {
+            return 0;
+        };
         let mut free = self.room_of(t);
         free.mem = UNLIMITED;
-        let need = Resources { mem: 0, ..job.spec.need };
+        let need = Resources {
+            mem: 0,
+            ..job.spec.need
+        };
         need.times_in(&free)
     }
 
@@ -209,7 +216,12 @@
     /// a price, small machines first, since large tasks need the large ones whole. Kinds that
     /// are as good as one another share a tier.
     fn rank_kinds(&mut self) {
-        let shelves = self.rooms.shelves.iter().enumerate().filter(|(_, s)| s.any_open());
+        let shelves = self
+            .rooms
+            .shelves
+            .iter()
+            .enumerate()
+            .filter(|(_, s)| s.any_open());
         let mut priced: Vec<(f64, i64, usize)> = shelves
             .map(|(i, s)| {
                 let price = self.room_price(s.kind.flavor, s.kind.spot);
@@ -228,7 +240,9 @@
         }
         ranked.sort();
         let same = |a: &(usize, i64, usize), b: &(usize, i64, usize)| (a.0, a.1) == (b.0, b.1);
-        let tiers = ranked.chunk_by(same).map(|tier| tier.iter().map(|r| r.2).collect());
+        let tiers = ranked
+            .chunk_by(same)
+            .map(|tier| tier.iter().map(|r| r.2).collect());
         self.tiers = tiers.collect();
     }
 
@@ -243,8 +257,11 @@
         self.pull(now);
         self.order_queue(now);
         self.rank_kinds();
-        let queue: Vec<(JobId, bool)> =
-            self.queue.jobs().map(|(id, within)| (id.clone(), within)).collect();
+        let queue: Vec<(JobId, bool)> = self
+            .queue
+            .jobs()
+            .map(|(id, within)| (id.clone(), within))
+            .collect();
         for (id, within) in &queue {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.within = *within;
@@ -255,15 +272,22 @@
         self.last_pass = now;
         self.passes += 1;
         self.order.clear();
-        let mut pass = Pass { gathering: self.begin_gathering(now), ..Pass::default() };
+        let mut pass = Pass {
+            gathering: self.begin_gathering(now),
+            ..Pass::default()
+        };
         for (id, within) in queue {
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             if job.pending.is_empty() {
                 continue;
             }
             job.queued = self.passes;
             self.order.push(id.clone());
-            let Some(job) = self.jobs.get(&id).filter(|j| self.headroom(j) > 0) else { continue };
+            let Some(job) = self.jobs.get(&id).filter(|j| self.headroom(j) > 0) else {
+                continue;
+            };
             match job.spec.shape {
                 Shape::Gang => self.place_gang(&id, &mut pass, now),
                 Shape::Array | Shape::Service => {
@@ -275,7 +299,9 @@
                     }
                 }
             }
-            let Some(job) = self.jobs.get(&id) else { continue };
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
             let limited = self.settled && self.headroom(job) <= 0;
             if !job.placed && (job.pending.is_empty() || limited) {
                 let waited_s = seconds(self.wall.saturating_sub(job.ready)) as u32;
@@ -312,11 +338,17 @@
             return self.schedule(now);
         }
         let report = self.settings.report;
-        let Some(machine) = self.machines.get(id).filter(|m| m.usable(now, report)) else { return };
+        let Some(machine) = self.machines.get(id).filter(|m| m.usable(now, report)) else {
+            return;
+        };
         let Some(flavor) = machine.flavor else { return };
         let free = machine.free();
         let candidates = || {
-            let offered = self.order.iter().take(OFFERED).filter_map(|j| self.jobs.get(j));
+            let offered = self
+                .order
+                .iter()
+                .take(OFFERED)
+                .filter_map(|j| self.jobs.get(j));
             offered.filter(|job| {
                 job.placeable() > 0
                     && !job.cancelled
@@ -324,9 +356,14 @@
                     && self.suits(machine, &job.spec)
             })
         };
-        let Some(first) = candidates().find(|job| self.headroom(job) > 0) else { return };
+        let Some(first) = candidates().find(|job| self.headroom(job) > 0) else {
+            return;
+        };
         if let Some(kept) = machine.kept(now) {
-            let array = self.jobs.get(&kept.job).filter(|j| j.spec.shape == Shape::Array);
+            let array = self
+                .jobs
+                .get(&kept.job)
+                .filter(|j| j.spec.shape == Shape::Array);
             return match array.map(|j| (j.id.clone(), j.spec.need.fits(&free))) {
                 Some((holder, true)) => {
                     self.place_tasks(&holder, &mut Pass::default(), Some(id), now);
@@ -350,8 +387,12 @@
             return;
         }
         for i in 0..self.order.len().min(OFFERED) {
-            let Some(j) = self.jobs.get(&self.order[i]) else { continue };
-            let Some(m) = self.machines.get(id) else { return };
+            let Some(j) = self.jobs.get(&self.order[i]) else {
+                continue;
+            };
+            let Some(m) = self.machines.get(id) else {
+                return;
+            };
             if j.placeable() > 0
                 && !j.cancelled
                 && j.spec.shape != Shape::Gang
@@ -406,7 +447,11 @@
         {
             free -= holder.spec.need.times(kept.tasks);
         }
-        if spec.need.fits(&free) { spec.need.times_in(&free) } else { 0 }
+        if spec.need.fits(&free) {
+            spec.need.times_in(&free)
+        } else {
+            0
+        }
     }
 
     /// Places what it can of a job, on one machine or on all; returns how many tasks found no room.
@@ -417,23 +462,32 @@
         only: Option<&MachineId>,
         now: Micros,
     ) -> usize {
-        let Some(job) = self.jobs.get(id) else { return 0 };
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
         let spec = job.spec.clone();
-        let limit = self.headroom(job).min(job.trials(now).saturating_sub(job.live.len() as i64));
+        let limit = self
+            .headroom(job)
+            .min(job.trials(now).saturating_sub(job.live.len() as i64));
         // A huge array must cost no more than the room there is for it.
         let waiting = job.backoff.values().filter(|b| b.0 > now).count();
         if spec.zoned() && !job.doubted.is_empty() {
             // Where those are decides where the others may go.
             return 0;
         }
-        let wanted = job.placeable().saturating_sub(waiting).min(limit.max(0) as usize);
+        let wanted = job
+            .placeable()
+            .saturating_sub(waiting)
+            .min(limit.max(0) as usize);
         let simple = !spec.zoned() && job.blame.machines.is_empty();
         if wanted == 0 || (simple && !self.keeps(id) && pass.is_full(&spec, 1)) {
             return wanted;
         }
         let mut zones = self.zones_of(job);
         if spec.one_zone && zones.is_empty() {
-            let Some(zone) = self.roomiest_zone(id, &spec, only, now) else { return wanted };
+            let Some(zone) = self.roomiest_zone(id, &spec, only, now) else {
+                return wanted;
+            };
             zones.insert(zone, 0);
         }
         let seats = match only {
@@ -470,7 +524,12 @@
         now: Micros,
     ) -> Option<Arc<str>> {
         let mut room: HashMap<&Arc<str>, i64> = HashMap::new();
-        for shelf in self.rooms.shelves.iter().filter(|s| self.allowed(spec, &s.kind)) {
+        for shelf in self
+            .rooms
+            .shelves
+            .iter()
+            .filter(|s| self.allowed(spec, &s.kind))
+        {
             let open = shelf.with_cpu(spec.need.cpu);
             for m in open.filter_map(|m| self.machines.get(m)) {
                 if only.is_none_or(|o| *o == m.id) {
@@ -478,7 +537,10 @@
                 }
             }
         }
-        let best = room.into_iter().filter(|r| r.1 > 0).max_by_key(|(z, n)| (*n, Reverse(*z)));
+        let best = room
+            .into_iter()
+            .filter(|r| r.1 > 0)
+            .max_by_key(|(z, n)| (*n, Reverse(*z)));
         best.map(|(zone, _)| zone.clone())
     }
 
@@ -492,10 +554,18 @@
         n: usize,
         now: Micros,
     ) -> Seats {
-        let Some(m) = self.machines.get(machine) else { return Seats::new() };
+        let Some(m) = self.machines.get(machine) else {
+            return Seats::new();
+        };
         let suspect = self.jobs.get(id).is_some_and(Job::suspect);
-        let most = if self.suits(m, spec) { self.takes(m, id, spec, suspect, now) } else { 0 };
-        let most = (most as usize).min(n).min(zone_room(spec, zones, &m.zone) as usize);
+        let most = if self.suits(m, spec) {
+            self.takes(m, id, spec, suspect, now)
+        } else {
+            0
+        };
+        let most = (most as usize)
+            .min(n)
+            .min(zone_room(spec, zones, &m.zone) as usize);
         if most == 0 {
             return Seats::new();
         }
@@ -521,7 +591,9 @@
                 if !self.allowed(spec, &shelf.kind) || !zone_ok(spec, zones, &shelf.kind.zone) {
                     continue;
                 }
-                let open = shelf.with_cpu(spec.need.cpu).filter_map(|m| self.machines.get(m));
+                let open = shelf
+                    .with_cpu(spec.need.cpu)
+                    .filter_map(|m| self.machines.get(m));
                 let seen = found.len() + CHOICES + CHOICES_EACH * left;
                 for m in open {
                     let most = self.takes(m, id, spec, suspect, now);
@@ -557,12 +629,21 @@
     /// task that needs more would never find any. For a stage of a pipeline, what is free and too little
     /// is held on the machines where most can end next.
     fn hold_room(&mut self, id: &JobId, tasks: usize, now: Micros) {
-        let Some(job) = self.jobs.get(id).filter(|j| j.pull.is_some() && !j.spec.zoned()) else {
+        let Some(job) = self
+            .jobs
+            .get(id)
+            .filter(|j| j.pull.is_some() && !j.spec.zoned())
+        else {
             return;
         };
         let spec = job.spec.clone();
         let mut choices: Vec<(Reverse<usize>, &MachineId)> = Vec::new();
-        for shelf in self.rooms.shelves.iter().filter(|s| self.allowed(&spec, &s.kind)) {
+        for shelf in self
+            .rooms
+            .shelves
+            .iter()
+            .filter(|s| self.allowed(&spec, &s.kind))
+        {
             for m in shelf.with_cpu(1).filter_map(|m| self.machines.get(m)) {
                 self.looks.set(self.looks.get() + 1);
                 if !spec.need.fits(&m.free())
@@ -574,15 +655,28 @@
             }
         }
         choices.sort();
-        let held: Vec<MachineId> = choices.into_iter().take(tasks).map(|c| c.1.clone()).collect();
+        let held: Vec<MachineId> = choices
+            .into_iter()
+            .take(tasks)
+            .map(|c| c.1.clone())
+            .collect();
         for machine in held {
-            self.keep(&machine, Kept { job: id.clone(), tasks: 1, until: now + HELD });
+            self.keep(
+                &machine,
+                Kept {
+                    job: id.clone(),
+                    tasks: 1,
+                    until: now + HELD,
+                },
+            );
         }
     }
 
     /// Keeps a machine's room for a job.
     pub fn keep(&mut self, machine: &MachineId, kept: Kept) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.machines.get_mut(machine) else {
+            return;
+        };
         if let Some(job) = self.jobs.get_mut(&kept.job) {
             job.kept_until = job.kept_until.max(kept.until);
         }
@@ -618,7 +712,12 @@
             };
             if let Some(j) = self.jobs.get_mut(id).filter(|j| j.gang.is_none()) {
                 let saga = Saga::flat(spec.tasks);
-                j.gang = Some(Gang { attempt, saga, running: false, stopping: false });
+                j.gang = Some(Gang {
+                    attempt,
+                    saga,
+                    running: false,
+                    stopping: false,
+                });
             }
             let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
             for (index, machine) in missing.iter().copied().zip(places) {
@@ -640,18 +739,29 @@
     /// they run.
     fn keep_heard(&mut self, id: &JobId, spec: &JobSpec, tasks: usize, now: Micros) {
         let mut zones: BTreeMap<&Arc<str>, Vec<(bool, &MachineId, i64)>> = BTreeMap::new();
-        for shelf in self.rooms.shelves.iter().filter(|s| self.allowed(spec, &s.kind)) {
+        for shelf in self
+            .rooms
+            .shelves
+            .iter()
+            .filter(|s| self.allowed(spec, &s.kind))
+        {
             let open = shelf.with_cpu(spec.need.cpu).take(CHOICES);
             for m in open.filter_map(|m| self.machines.get(m)) {
                 let other = m.kept(now).is_some_and(|k| k.job != *id);
-                let most = if other { 0 } else { self.takes(m, id, spec, false, now) };
+                let most = if other {
+                    0
+                } else {
+                    self.takes(m, id, spec, false, now)
+                };
                 if most > 0 {
                     let entry = (m.kept(now).is_none(), &m.id, most);
                     zones.entry(&m.zone).or_default().push(entry);
                 }
             }
         }
-        let all = zones.into_values().max_by_key(|z| z.iter().map(|m| m.2).sum::<i64>());
+        let all = zones
+            .into_values()
+            .max_by_key(|z| z.iter().map(|m| m.2).sum::<i64>());
         let mut found = all.unwrap_or_default();
         found.sort_unstable();
         let mut left = tasks as i64;
@@ -664,7 +774,14 @@
             left -= most;
         }
         for (machine, tasks) in keep {
-            self.keep(&machine, Kept { job: id.clone(), tasks, until: now + HELD });
+            self.keep(
+                &machine,
+                Kept {
+                    job: id.clone(),
+                    tasks,
+                    until: now + HELD,
+                },
+            );
         }
     }
 
@@ -709,7 +826,8 @@
 
     /// Whether the job's own rules let its tasks go to a machine, wherever its others are.
     pub fn suits(&self, m: &Machine, spec: &JobSpec) -> bool {
-        m.flavor.is_some_and(|f| spec.allows(&self.flavors[f].name, &m.zone, m.spot))
+        m.flavor
+            .is_some_and(|f| spec.allows(&self.flavors[f].name, &m.zone, m.spot))
     }
 
     /// Whether the job's tasks may go to a machine once it has room.
@@ -729,14 +847,23 @@
 
     /// When an attempt is expected to end.
     pub fn expected_end(&self, task: &TaskId, attempt: &Attempt, now: Micros) -> Micros {
-        let Some(job) = self.jobs.get(&task.job) else { return now };
+        let Some(job) = self.jobs.get(&task.job) else {
+            return now;
+        };
         if job.spec.shape == Shape::Service {
             return Micros::MAX;
         }
         let running = attempt.phase == Phase::Running;
-        let ran = if running { now.saturating_sub(attempt.since) } else { 0 };
+        let ran = if running {
+            now.saturating_sub(attempt.since)
+        } else {
+            0
+        };
         let ran = ran + job.progress.get(&task.index).copied().unwrap_or(0);
         // What runs longer than expected is expected to run for a while yet.
-        now + self.expected_run(&job.spec).saturating_sub(ran).max(ran / 4)
+        now + self
+            .expected_run(&job.spec)
+            .saturating_sub(ran)
+            .max(ran / 4)
     }
 }
--- a/crates/gannethub-core/src/decide/takeover.rs
+++ b/crates/gannethub-core/src/decide/takeover.rs
@@ -27,7 +27,11 @@
             Some(kind) => spec.need.times_in(&self.flavors[kind.flavor].size),
             None => i64::MAX,
         };
-        let each = self.doubt.silent.iter().map(|(kind, n)| fits(kind).saturating_mul(*n));
+        let each = self
+            .doubt
+            .silent
+            .iter()
+            .map(|(kind, n)| fits(kind).saturating_mul(*n));
         each.fold(0, i64::saturating_add)
     }
 
@@ -55,7 +59,10 @@
                 clear.push(job.id.clone());
             }
             if let Some(t) = job.team {
-                held[t] += job.submitted.need.times(most.min(i64::from(job.doubted.len())));
+                held[t] += job
+                    .submitted
+                    .need
+                    .times(most.min(i64::from(job.doubted.len())));
             }
         }
         for id in clear {
@@ -81,13 +88,19 @@
         let mut left = AHEAD_LEAST.max(large).max(self.launching.ahead as usize);
         for i in 0..self.order.len() {
             let id = self.order[i].clone();
-            let Some(job) = self.jobs.get(&id) else { continue };
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
             self.looks.set(self.looks.get() + 1);
             let waiting = job.placeable();
             if waiting == 0 || job.cancelled || self.headroom(job) <= 0 {
                 continue;
             }
-            let wanted = if job.spec.shape == Shape::Gang { waiting } else { waiting.min(left) };
+            let wanted = if job.spec.shape == Shape::Gang {
+                waiting
+            } else {
+                waiting.min(left)
+            };
             let covered = job.pending.slice(0, job.opening).len() as usize;
             // A mark that has half of what it should have is raised by all of it.
             if covered < wanted && covered <= wanted / 2 {
--- a/crates/gannethub-core/src/decide/zones.rs
+++ b/crates/gannethub-core/src/decide/zones.rs
@@ -18,5 +18,6 @@
     if spec.one_zone && zones.keys().any(|z| **z != *zone) {
         return 0;
     }
-    spec.zone_cap().saturating_sub(zones.get(zone).copied().unwrap_or(0))
+    spec.zone_cap()
+        .saturating_sub(zones.get(zone).copied().unwrap_or(0))
 }
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -51,7 +51,11 @@
 impl Response {
     pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
         let body = serde_json::to_vec(body).unwrap_or_default();
-        Response { status, body: body.into(), retry_after: None }
+        Response {
+            status,
+            body: body.into(),
+            retry_after: None,
+        }
     }
 
     /// An error answer with its reason.
@@ -60,7 +64,12 @@
         struct Reason {
             error: String,
         }
-        Response::json(status, &Reason { error: reason.to_string() })
+        Response::json(
+            status,
+            &Reason {
+                error: reason.to_string(),
+            },
+        )
     }
 
     pub fn retry(mut self, seconds: u32) -> Response {
--- a/crates/gannethub-core/src/memory/block.rs
+++ b/crates/gannethub-core/src/memory/block.rs
@@ -99,8 +99,13 @@
 
     /// The chunk that `key` names, if it is one of this block's.
     pub fn chunk_of_key(&self, key: &str) -> Option<usize> {
-        let rest = key.strip_prefix(BLOCK)?.strip_prefix(&self.id.to_string())?;
-        rest.strip_prefix('/')?.parse().ok().filter(|n| *n < 100_000)
+        let rest = key
+            .strip_prefix(BLOCK)?
+            .strip_prefix(&self.id.to_string())?;
+        rest.strip_prefix('/')?
+            .parse()
+            .ok()
+            .filter(|n| *n < 100_000)
     }
 
     /// Takes over what a chunk holds. A machine that another chunk holds as well was on its way from
@@ -128,7 +133,9 @@
             let mut moving = Vec::new();
             let c = &mut self.chunks[i];
             while c.bytes > self.room || c.machines.len() > self.per_chunk {
-                let Some(name) = c.machines.keys().next_back().cloned() else { break };
+                let Some(name) = c.machines.keys().next_back().cloned() else {
+                    break;
+                };
                 moving.extend(c.remove(&name).map(|member| (name, member)));
             }
             for (name, member) in moving {
@@ -157,10 +164,15 @@
                 && c.machines.len() < self.per_chunk
                 && c.bytes + bytes <= self.room
         };
-        let chunk = self.chunks.iter().enumerate().position(roomy).unwrap_or_else(|| {
-            self.chunks.push(Chunk::default());
-            self.chunks.len() - 1
-        });
+        let chunk = self
+            .chunks
+            .iter()
+            .enumerate()
+            .position(roomy)
+            .unwrap_or_else(|| {
+                self.chunks.push(Chunk::default());
+                self.chunks.len() - 1
+            });
         self.chunks[chunk].insert(name, member);
         self.chunks[chunk].added = true;
         self.place.insert(name.into(), chunk);
@@ -182,7 +194,15 @@
         let due = |c: &Chunk| c.held.is_empty() && (c.added || c.removed >= least);
         let (i, c) = self.chunks.iter().enumerate().find(|(_, c)| due(c))?;
         let machines = c.machines.clone();
-        Some((i, c.stamp, ChunkRecord { term: self.term, holder: self.holder.clone(), machines }))
+        Some((
+            i,
+            c.stamp,
+            ChunkRecord {
+                term: self.term,
+                holder: self.holder.clone(),
+                machines,
+            },
+        ))
     }
 
     /// A chunk is on its way to the store: what changes from here on makes it dirty again.
@@ -215,7 +235,11 @@
     use super::*;
 
     fn member() -> Member {
-        Member { flavor: "g8".into(), zone: "a".into(), spot: false }
+        Member {
+            flavor: "g8".into(),
+            zone: "a".into(),
+            spot: false,
+        }
     }
 
     /// Writes all there is to write, in any number of steps, and returns what the store then holds.
@@ -230,7 +254,9 @@
 
     fn load(store: &BTreeMap<usize, ChunkRecord>, limit: usize) -> Block {
         let mut block = Block::new(0, 2, "n1", limit, 100);
-        store.iter().for_each(|(chunk, record)| block.load(*chunk, record.clone(), 9));
+        store
+            .iter()
+            .for_each(|(chunk, record)| block.load(*chunk, record.clone(), 9));
         block.loaded();
         block
     }
@@ -250,7 +276,11 @@
         assert!(next.contains("host-13") && !next.contains("host-3"));
         assert!(next.dirty(true).is_none());
         next.add("host-99", member(), None);
-        assert_eq!(next.dirty(false).unwrap().0, 0, "the room that host-3 left is used again");
+        assert_eq!(
+            next.dirty(false).unwrap().0,
+            0,
+            "the room that host-3 left is used again"
+        );
     }
 
     #[test]
@@ -267,7 +297,9 @@
             let mut store = store.clone();
             let mut block = load(&store, 2048);
             for _ in 0..most {
-                let Some((chunk, _, record)) = block.dirty(true) else { break };
+                let Some((chunk, _, record)) = block.dirty(true) else {
+                    break;
+                };
                 assert!(serde_json::to_string(&record).unwrap().len() <= 2048);
                 store.insert(chunk, record);
                 block.writing(chunk);
@@ -277,7 +309,9 @@
             }
             let mut next = load(&store, 2048);
             write_all(&mut next, &mut store, 2048);
-            let sizes = store.values().map(|r| serde_json::to_string(r).unwrap().len());
+            let sizes = store
+                .values()
+                .map(|r| serde_json::to_string(r).unwrap().len());
             assert!(sizes.max().unwrap() <= 2048 && store.len() >= 4);
             let total: usize = store.values().map(|r| r.machines.len()).sum();
             assert_eq!(total, 100, "none is left in two chunks");
@@ -298,6 +332,9 @@
         write_all(&mut block, &mut BTreeMap::new(), 4096);
         (2..9).for_each(|i| block.remove(&format!("host-{i}")));
         block.remove("host-10");
-        assert!(block.dirty(false).is_some(), "many removals do not wait for ever");
+        assert!(
+            block.dirty(false).is_some(),
+            "many removals do not wait for ever"
+        );
     }
 }
--- a/crates/gannethub-core/src/memory/boots.rs
+++ b/crates/gannethub-core/src/memory/boots.rs
@@ -47,11 +47,19 @@
     fn now(&self, flavor: usize, zone: &str, now: Micros) -> Seen {
         // A look-up without copying the name would need a second map; there are few places.
         let Some(s) = self.seen.get(&(flavor, zone.to_string())) else {
-            return Seen { factor: 1.0, lost: 0.0, at: now };
+            return Seen {
+                factor: 1.0,
+                lost: 0.0,
+                at: now,
+            };
         };
         let age = now.saturating_sub(s.at) as f64 / HALF_LIFE as f64;
         let weight = 0.5f64.powf(age);
-        Seen { factor: 1.0 + (s.factor - 1.0) * weight, lost: s.lost * weight, at: now }
+        Seen {
+            factor: 1.0 + (s.factor - 1.0) * weight,
+            lost: s.lost * weight,
+            at: now,
+        }
     }
 
     /// Like [`Boots::now`], but the ordinary spread is no news: else the choice among zones that are
@@ -129,10 +137,21 @@
         let mut b = Boots::default();
         let mut now = 100 * SECOND;
         (0..30).for_each(|_| b.up(0, "a", USUAL, SECOND, now));
-        assert!(b.expected(0, "a", USUAL, now) < 4 * SECOND, "they are up at once");
-        assert_eq!(b.expected(0, "b", USUAL, now), USUAL, "nothing is known of another zone");
+        assert!(
+            b.expected(0, "a", USUAL, now) < 4 * SECOND,
+            "they are up at once"
+        );
+        assert_eq!(
+            b.expected(0, "b", USUAL, now),
+            USUAL,
+            "nothing is known of another zone"
+        );
         (0..3).for_each(|_| b.late(0, "b", now));
-        assert_eq!(b.expected(0, "b", USUAL, now), USUAL, "three stragglers of a burst");
+        assert_eq!(
+            b.expected(0, "b", USUAL, now),
+            USUAL,
+            "three stragglers of a burst"
+        );
         (0..50).for_each(|_| b.late(0, "b", now));
         let slow = b.expected(0, "b", USUAL, now);
         assert!(slow > 3 * USUAL, "{slow}");
--- a/crates/gannethub-core/src/memory/cluster.rs
+++ b/crates/gannethub-core/src/memory/cluster.rs
@@ -250,7 +250,10 @@
 
     /// The newest version of a live record that is known here.
     pub fn stamp_of(&self, id: &str) -> Option<u64> {
-        self.jobs.get(id).map(|j| j.stamp).or_else(|| self.waiting_stamp(id))
+        self.jobs
+            .get(id)
+            .map(|j| j.stamp)
+            .or_else(|| self.waiting_stamp(id))
     }
 
     /// The job was over at this version.
@@ -298,13 +301,23 @@
         spot: bool,
         now: Micros,
     ) -> &mut Machine {
-        let id = self.machines.get(name).map_or_else(|| name.into(), |m| m.id.clone());
+        let id = self
+            .machines
+            .get(name)
+            .map_or_else(|| name.into(), |m| m.id.clone());
         let (flavors, rooms) = (&self.flavors, &mut self.rooms);
         self.machines.entry(id).or_insert_with_key(|id| {
             let flavor = flavors.iter().position(|f| *f.name == *flavor);
             Machine {
                 shelf: flavor.map(|flavor| {
-                    rooms.enter(Kind { flavor, zone: zone.into(), spot }, id.clone())
+                    rooms.enter(
+                        Kind {
+                            flavor,
+                            zone: zone.into(),
+                            spot,
+                        },
+                        id.clone(),
+                    )
                 }),
                 open: None,
                 id: id.clone(),
@@ -362,8 +375,16 @@
         attempt: u64,
         grace: Micros,
     ) {
-        let key = (TaskId { job: job.into(), index }, attempt);
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let key = (
+            TaskId {
+                job: job.into(),
+                index,
+            },
+            attempt,
+        );
+        let Some(m) = self.machines.get_mut(machine) else {
+            return;
+        };
         m.digest = None;
         if let Some(a) = m.attempts.get_mut(&key) {
             a.stop = Some(a.stop.map_or(grace, |g| g.min(grace)));
@@ -372,7 +393,9 @@
 
     /// Stops a task so that it saves if it can; a gang is stopped whole, and in order.
     pub fn evict(&mut self, job: &JobId, index: u32) {
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
         let saves = j.spec.checkpoint_every > 0;
         let grace = if saves { j.spec.save + 2 * SECOND } else { 0 };
         let targets: Vec<u32> = match &mut j.gang {
@@ -383,8 +406,10 @@
             }
             None => vec![index],
         };
-        let live: Vec<_> =
-            targets.iter().filter_map(|i| Some((*i, j.live.get(i)?.clone()))).collect();
+        let live: Vec<_> = targets
+            .iter()
+            .filter_map(|i| Some((*i, j.live.get(i)?.clone())))
+            .collect();
         for (i, (machine, attempt)) in live {
             self.stop(job, i, &machine, attempt, grace);
         }
@@ -392,7 +417,9 @@
 
     /// Moves off a machine what can save its work.
     pub fn drain(&mut self, id: &MachineId) {
-        let Some(m) = self.machines.get(id) else { return };
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
         let tasks: Vec<TaskId> = m
             .attempts
             .iter()
@@ -400,7 +427,9 @@
             .map(|(k, _)| k.0.clone())
             .collect();
         for t in tasks {
-            let Some(j) = self.jobs.get(&t.job) else { continue };
+            let Some(j) = self.jobs.get(&t.job) else {
+                continue;
+            };
             if j.spec.checkpoint_every > 0 || j.spec.shape == Shape::Service {
                 self.evict(&t.job, t.index);
             }
@@ -446,7 +475,16 @@
         };
         let team = j.team;
         m.digest = None;
-        m.attempts.insert((TaskId { job: job.clone(), index }, attempt), entry);
+        m.attempts.insert(
+            (
+                TaskId {
+                    job: job.clone(),
+                    index,
+                },
+                attempt,
+            ),
+            entry,
+        );
         self.occupy(machine, team, need, now);
     }
 
@@ -473,7 +511,9 @@
 impl Cluster {
     /// Brings a machine's place in the index up to date.
     pub fn reshelve(&mut self, id: &MachineId, now: Micros) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         let Some(number) = m.shelf else { return };
         let free = m.free();
         let open = (m.usable(now, self.settings.report) && free.cpu >= 0).then_some(free.cpu);
@@ -500,8 +540,12 @@
         let moved = |m: &&Machine| {
             m.shelf.is_some() && m.open.is_some() != (m.usable(now, report) && m.free().cpu >= 0)
         };
-        let moved: Vec<MachineId> =
-            self.machines.values().filter(moved).map(|m| m.id.clone()).collect();
+        let moved: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(moved)
+            .map(|m| m.id.clone())
+            .collect();
         moved.iter().for_each(|id| self.reshelve(id, now));
     }
 
@@ -509,7 +553,9 @@
     pub fn misplaced(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         for m in self.machines.values() {
-            let Some(shelf) = m.shelf.map(|n| &self.rooms.shelves[n]) else { continue };
+            let Some(shelf) = m.shelf.map(|n| &self.rooms.shelves[n]) else {
+                continue;
+            };
             let here = shelf.open.iter().filter(|(_, id)| *id == m.id);
             let cpus: Vec<i64> = here.map(|(cpu, _)| *cpu).collect();
             if !shelf.all.contains(&m.id) || cpus != Vec::from_iter(m.open) {
--- a/crates/gannethub-core/src/memory/doubt.rs
+++ b/crates/gannethub-core/src/memory/doubt.rs
@@ -18,7 +18,11 @@
 
 impl Doubt {
     pub fn new(teams: usize) -> Doubt {
-        Doubt { silent: Vec::new(), held: vec![Resources::default(); teams], loading: true }
+        Doubt {
+            silent: Vec::new(),
+            held: vec![Resources::default(); teams],
+            loading: true,
+        }
     }
 }
 
--- a/crates/gannethub-core/src/memory/fleet.rs
+++ b/crates/gannethub-core/src/memory/fleet.rs
@@ -28,9 +28,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
     Flavors,
-    List { after: String },
-    Rent { name: String, offer: Offer, count: u32, tries: u32 },
-    Delete { machines: Vec<String> },
+    List {
+        after: String,
+    },
+    Rent {
+        name: String,
+        offer: Offer,
+        count: u32,
+        tries: u32,
+    },
+    Delete {
+        machines: Vec<String>,
+    },
 }
 
 #[derive(Debug)]
@@ -100,7 +109,9 @@
             CloudCall::Flavors => CloudRequest::flavors(),
             CloudCall::List { after } => CloudRequest::list(after),
             CloudCall::Delete { machines } => CloudRequest::delete(machines),
-            CloudCall::Rent { name, offer, count, .. } => {
+            CloudCall::Rent {
+                name, offer, count, ..
+            } => {
                 let flavor = &flavors[offer.flavor].name;
                 CloudRequest::rent(name, flavor, &offer.zone, offer.spot, *count)
             }
--- a/crates/gannethub-core/src/memory/halt.rs
+++ b/crates/gannethub-core/src/memory/halt.rs
@@ -26,6 +26,9 @@
 impl Halts {
     /// So many machines may be told a second.
     pub fn new(rate: f64) -> Halts {
-        Halts { due: BTreeMap::new(), may: Bucket::new(rate) }
+        Halts {
+            due: BTreeMap::new(),
+            may: Bucket::new(rate),
+        }
     }
 }
--- a/crates/gannethub-core/src/memory/ledger.rs
+++ b/crates/gannethub-core/src/memory/ledger.rs
@@ -184,7 +184,10 @@
 /// A page that is not as it was written is left as it is, and the service goes on.
 pub(crate) fn tell_damage(page: Damaged) {
     let key = ledger_page(page.0);
-    tracing::error!(key, "a page of the ledger is not as it was written; it is kept");
+    tracing::error!(
+        key,
+        "a page of the ledger is not as it was written; it is kept"
+    );
 }
 
 impl Cluster {
@@ -196,7 +199,9 @@
         shadow: &mut Shadow,
         now: Micros,
     ) {
-        let Some(setup) = self.settings.ledger.clone() else { return };
+        let Some(setup) = self.settings.ledger.clone() else {
+            return;
+        };
         let limit = self.settings.value_bytes - SLACK;
         let window = Book::window(self.settings.lease, &setup.settings);
         let opened = Book::open(setup.settings, setup.keys, limit, window, head, pages);
@@ -223,7 +228,12 @@
         let (tabs, complete) = shadow.inherit(self.term - 1);
         self.inherit(tabs, now);
         let (term, holder) = (self.term, self.settings.name.clone());
-        let took = Took { term, holder, at: self.wall, complete };
+        let took = Took {
+            term,
+            holder,
+            at: self.wall,
+            complete,
+        };
         if let Some(ledger) = &mut self.ledger {
             ledger.complete = complete;
             ledger.book.note(Body::Took(took), now);
@@ -232,22 +242,51 @@
 
     /// Goes on with what the leader before this one had not in writing, as far as it told.
     fn inherit(&mut self, tabs: Vec<Told>, now: Micros) {
-        for Told { tab: t, at: told_at, late, until } in tabs {
+        for Told {
+            tab: t,
+            at: told_at,
+            late,
+            until,
+        } in tabs
+        {
             let Some(k) = &t.key else { continue };
             let name = (k.job.clone(), k.task, k.attempt, k.machine.clone());
-            let known = self.ledger.as_ref().is_none_or(|l| l.before.contains(&name));
-            let Some(reading) = reading_of(&t).filter(|_| !known) else { continue };
-            let key = (TaskId { job: k.job.as_str().into(), index: k.task }, k.attempt);
+            let known = self
+                .ledger
+                .as_ref()
+                .is_none_or(|l| l.before.contains(&name));
+            let Some(reading) = reading_of(&t).filter(|_| !known) else {
+                continue;
+            };
+            let key = (
+                TaskId {
+                    job: k.job.as_str().into(),
+                    index: k.task,
+                },
+                k.attempt,
+            );
             let machine: MachineId = k.machine.as_str().into();
             let owner = t.owner.as_ref().map(|o| Arc::new(read_owner(o)));
             let kind = (t.flavor.clone(), t.zone.clone(), t.spot, t.price);
             if let Some(reason) = REASONS.get((t.reason as usize).wrapping_sub(1)) {
                 let at = told_at.saturating_sub(t.ended);
                 // The process may be younger than that end.
-                let ago = now.saturating_sub(told_at).saturating_add(t.ended).saturating_add(late);
+                let ago = now
+                    .saturating_sub(told_at)
+                    .saturating_add(t.ended)
+                    .saturating_add(late);
                 let end = self.time_of_day(now).saturating_sub(ago);
                 let (reason, saved) = (*reason, t.saved);
-                let end = End { key, machine, kind, reading, at, end, reason, saved };
+                let end = End {
+                    key,
+                    machine,
+                    kind,
+                    reading,
+                    at,
+                    end,
+                    reason,
+                    saved,
+                };
                 if let Some(ticket) = self.charge_end(owner, end, now)
                     && let Some(ledger) = &mut self.ledger
                 {
@@ -255,7 +294,9 @@
                 }
                 continue;
             }
-            let Some(stage) = Stage::from_index(t.stage as usize) else { continue };
+            let Some(stage) = Stage::from_index(t.stage as usize) else {
+                continue;
+            };
             let mut spent = reading.spent;
             spent.0[stage.index()] += t.since;
             let meter = Meter {
@@ -268,9 +309,22 @@
                 unsure: t.unsure + until - told_at,
                 guessed: t.guessed,
             };
-            let tab = Tab { meter, owner, charged: Charged::Open, saved: t.saved };
-            let ghost = Ghost { tab, kind, session: t.session, told_at: until, late };
-            let Some(ledger) = &mut self.ledger else { return };
+            let tab = Tab {
+                meter,
+                owner,
+                charged: Charged::Open,
+                saved: t.saved,
+            };
+            let ghost = Ghost {
+                tab,
+                kind,
+                session: t.session,
+                told_at: until,
+                late,
+            };
+            let Some(ledger) = &mut self.ledger else {
+                return;
+            };
             ledger.changed.insert((machine.clone(), key.clone()));
             ledger.ghosts.entry(machine).or_default().insert(key, ghost);
         }
@@ -282,8 +336,14 @@
         let owner = owner.or_else(job);
         let ledger = self.ledger.as_mut()?;
         let Some(owner) = owner else {
-            ledger.changed.insert((end.machine.clone(), end.key.clone()));
-            ledger.unowned.entry(end.key.0.job.clone()).or_default().push(end);
+            ledger
+                .changed
+                .insert((end.machine.clone(), end.key.clone()));
+            ledger
+                .unowned
+                .entry(end.key.0.job.clone())
+                .or_default()
+                .push(end);
             return None;
         };
         let ticket = ledger.book.charge_to(&owner, &end, now);
@@ -301,27 +361,47 @@
         likely: Micros,
         gone: impl Fn(&(TaskId, u64), &Ghost) -> bool,
     ) {
-        let Some(ledger) = &mut self.ledger else { return };
-        let Some(ghosts) = ledger.ghosts.remove(id) else { return };
-        let (over, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            ghosts.into_iter().partition(|(key, ghost)| gone(key, ghost));
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
+        let Some(ghosts) = ledger.ghosts.remove(id) else {
+            return;
+        };
+        let (over, left): (BTreeMap<_, _>, BTreeMap<_, _>) = ghosts
+            .into_iter()
+            .partition(|(key, ghost)| gone(key, ghost));
         if !left.is_empty() {
             ledger.ghosts.insert(id.clone(), left);
         }
         let end = self.time_of_day(now);
         for (key, ghost) in over {
             // Whenever it ended, that was not seen.
-            let news = News::Silence { heard: Some(ghost.told_at), likely };
+            let news = News::Silence {
+                heard: Some(ghost.told_at),
+                likely,
+            };
             let reading = ghost.tab.meter.end(now, news).quiet(ghost.late);
             let (machine, kind, saved) = (id.clone(), ghost.kind, ghost.tab.saved);
-            let end = End { key, machine, kind, reading, at: now, end, reason, saved };
+            let end = End {
+                key,
+                machine,
+                kind,
+                reading,
+                at: now,
+                end,
+                reason,
+                saved,
+            };
             self.charge_end(ghost.tab.owner, end, now);
         }
     }
 
     /// A worker has shown all that it holds to this leader for the first time.
     pub(crate) fn ghosts_shown(&mut self, id: &MachineId, session: u64, now: Micros) {
-        let known = self.ledger.as_ref().is_some_and(|l| l.ghosts.contains_key(id));
+        let known = self
+            .ledger
+            .as_ref()
+            .is_some_and(|l| l.ghosts.contains_key(id));
         if !known {
             return;
         }
@@ -343,14 +423,20 @@
             return;
         }
         let Some(ledger) = &self.ledger else { return };
-        let lost = ledger.ghosts.keys().filter(|id| !self.machines.contains_key(*id));
+        let lost = ledger
+            .ghosts
+            .keys()
+            .filter(|id| !self.machines.contains_key(*id));
         let lost: Vec<MachineId> = lost.cloned().collect();
-        lost.iter().for_each(|id| self.ghosts_gone(id, Reason::Machine, now));
+        lost.iter()
+            .for_each(|id| self.ghosts_gone(id, Reason::Machine, now));
     }
 
     /// The transaction with the ledger's page was carried out.
     pub(crate) fn ledger_written(&mut self, tickets: Vec<u64>) {
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         for (_, end) in tickets.iter().filter_map(|t| ledger.ends.remove(t)) {
             ledger.closed.push(tab_key(&end.machine, &end.key));
         }
@@ -358,34 +444,64 @@
 
     /// All that is not charged yet, or not in writing.
     pub fn all_tabs(&self, now: Micros) -> Vec<OpenTab> {
-        let Some(ledger) = &self.ledger else { return Vec::new() };
+        let Some(ledger) = &self.ledger else {
+            return Vec::new();
+        };
         let placed = self.machines.iter().flat_map(|(id, m)| {
-            m.attempts.iter().filter_map(|(k, a)| self.open_tab(id, k, a.tab.as_deref()?, now))
+            m.attempts
+                .iter()
+                .filter_map(|(k, a)| self.open_tab(id, k, a.tab.as_deref()?, now))
         });
         let ghosts = ledger
             .ghosts
             .iter()
             .flat_map(|(id, g)| g.keys().filter_map(|k| self.told_tab(id, k, now)));
-        let ends = ledger.ends.values().map(|(o, e)| end_tab(Some(&**o), e, now));
-        let unowned = ledger.unowned.values().flatten().map(|e| end_tab(None, e, now));
+        let ends = ledger
+            .ends
+            .values()
+            .map(|(o, e)| end_tab(Some(&**o), e, now));
+        let unowned = ledger
+            .unowned
+            .values()
+            .flatten()
+            .map(|e| end_tab(None, e, now));
         placed.chain(ghosts).chain(ends).chain(unowned).collect()
     }
 
     /// What has changed since siblings were last told.
     fn new_tabs(&self, now: Micros) -> Vec<OpenTab> {
-        let Some(ledger) = &self.ledger else { return Vec::new() };
-        let changed = ledger.changed.iter().filter_map(|(id, key)| self.told_tab(id, key, now));
-        let ended = ledger.ended.iter().filter_map(|ticket| ledger.ends.get(ticket));
-        changed.chain(ended.map(|(owner, end)| end_tab(Some(&**owner), end, now))).collect()
+        let Some(ledger) = &self.ledger else {
+            return Vec::new();
+        };
+        let changed = ledger
+            .changed
+            .iter()
+            .filter_map(|(id, key)| self.told_tab(id, key, now));
+        let ended = ledger
+            .ended
+            .iter()
+            .filter_map(|ticket| ledger.ends.get(ticket));
+        changed
+            .chain(ended.map(|(owner, end)| end_tab(Some(&**owner), end, now)))
+            .collect()
     }
 
     /// What to tell each sibling of the ledger now.
     pub fn tabs_to_tell(&mut self, now: Micros) -> Vec<(usize, OpenTabs)> {
         let (term, at) = (self.term, self.wall);
-        let lagging = self.ledger.as_ref().is_some_and(|l| l.told.iter().any(|t| t.all));
-        let all = if lagging { self.all_tabs(now) } else { Vec::new() };
+        let lagging = self
+            .ledger
+            .as_ref()
+            .is_some_and(|l| l.told.iter().any(|t| t.all));
+        let all = if lagging {
+            self.all_tabs(now)
+        } else {
+            Vec::new()
+        };
         let news = self.new_tabs(now);
-        let Some(ledger) = &mut self.ledger else { return Vec::new() };
+        let Some(ledger) = &mut self.ledger else {
+            return Vec::new();
+        };
         ledger.changed.clear();
         ledger.urgent = false;
         ledger.ended.clear();
@@ -405,7 +521,18 @@
                 let (first, last) = (told.all && n == 0, told.all && n + 1 == count);
                 let seq = told.seq;
                 told.seq += 1;
-                messages.push((sibling, OpenTabs { term, seq, first, last, open, closed, at }));
+                messages.push((
+                    sibling,
+                    OpenTabs {
+                        term,
+                        seq,
+                        first,
+                        last,
+                        open,
+                        closed,
+                        at,
+                    },
+                ));
             }
             told.all = false;
         }
@@ -429,7 +556,11 @@
     fn told_tab(&self, id: &MachineId, key: &(TaskId, u64), now: Micros) -> Option<OpenTab> {
         let ledger = self.ledger.as_ref()?;
         let ended = |e: &&End| e.key == *key && e.machine == *id;
-        if let Some(end) = ledger.unowned.get(&key.0.job).and_then(|l| l.iter().find(ended)) {
+        if let Some(end) = ledger
+            .unowned
+            .get(&key.0.job)
+            .and_then(|l| l.iter().find(ended))
+        {
             return Some(end_tab(None, end, now));
         }
         if let Some(g) = ledger.ghosts.get(id).and_then(|g| g.get(key)) {
@@ -448,7 +579,10 @@
         tab: &Tab,
         now: Micros,
     ) -> Option<OpenTab> {
-        let m = self.machines.get(id).filter(|_| tab.charged == Charged::Open)?;
+        let m = self
+            .machines
+            .get(id)
+            .filter(|_| tab.charged == Charged::Open)?;
         Some(tab_of(id, key, tab, &self.kind(m), m.session, now))
     }
 
@@ -466,7 +600,9 @@
 
     /// The number of a start now, if numbers tell the time of theirs.
     pub(crate) fn number_now(&mut self) -> Option<u64> {
-        let ms = (self.wall / 1000).checked_sub(EPOCH).filter(|ms| *ms < 1 << TIME_BITS)?;
+        let ms = (self.wall / 1000)
+            .checked_sub(EPOCH)
+            .filter(|ms| *ms < 1 << TIME_BITS)?;
         let term = self.term;
         let ledger = self.ledger.as_mut().filter(|_| term < MOST_TERMS)?;
         // The clock may step back; a start must never get the number of an earlier one of its task.
@@ -476,7 +612,11 @@
 
     /// How long ago an attempt of another term began, and how far that may be off.
     fn age(&self, attempt: u64, ready: Micros) -> (Micros, Micros) {
-        let off = self.settings.ledger.as_ref().map_or(0, |l| l.settings.clock_off);
+        let off = self
+            .settings
+            .ledger
+            .as_ref()
+            .map_or(0, |l| l.settings.clock_off);
         let ms = attempt & ((1 << TIME_BITS) - 1);
         let at = (attempt >> TIME_BITS > 0).then_some((EPOCH + ms) * 1000);
         // A number of another make gives a time that cannot be.
@@ -498,10 +638,18 @@
     ) -> Option<Box<Tab>> {
         let ledger = self.ledger.as_mut()?;
         let job = self.jobs.get(job)?;
-        let task = TaskId { job: job.id.clone(), index };
+        let task = TaskId {
+            job: job.id.clone(),
+            index,
+        };
         ledger.changed.insert((machine.clone(), (task, attempt)));
         let (owner, charged) = (Some(Arc::new(owner_of(job))), Charged::Open);
-        Some(Box::new(Tab { meter: Meter::placed(now), owner, charged, saved: false }))
+        Some(Box::new(Tab {
+            meter: Meter::placed(now),
+            owner,
+            charged,
+            saved: false,
+        }))
     }
 
     /// The tab of an attempt that another leader started, and that is found on a machine.
@@ -513,7 +661,10 @@
     ) -> Option<Box<Tab>> {
         let now = self.now;
         let job = self.jobs.get(&key.0.job);
-        let (owner, ready) = (job.map(|j| Arc::new(owner_of(j))), job.map_or(0, |j| j.ready));
+        let (owner, ready) = (
+            job.map(|j| Arc::new(owner_of(j))),
+            job.map_or(0, |j| j.ready),
+        );
         // Of a job that is over nobody knows here when it was released.
         let (age, unsure) = self.age(key.1, ready);
         let ended = matches!(phase, Phase::Ended(_));
@@ -545,9 +696,18 @@
         };
         // How long its launch took to reach the worker is not known: a report, or another after a lost answer.
         let unsure = unsure + 2 * self.settings.report + LOST_ANSWER;
-        let (age, unsure) = if ended { (age / 2, unsure + age) } else { (age, unsure) };
+        let (age, unsure) = if ended {
+            (age / 2, unsure + age)
+        } else {
+            (age, unsure)
+        };
         let meter = Meter::found(age, unsure, stage(phase), now);
-        Some(Box::new(Tab { meter, owner, charged, saved: false }))
+        Some(Box::new(Tab {
+            meter,
+            owner,
+            charged,
+            saved: false,
+        }))
     }
 
     /// An attempt is in another phase than before.
@@ -558,12 +718,18 @@
         phase: Phase,
         now: Micros,
     ) {
-        let Some(ledger) = self.ledger.as_mut().filter(|_| !matches!(phase, Phase::Ended(_)))
+        let Some(ledger) = self
+            .ledger
+            .as_mut()
+            .filter(|_| !matches!(phase, Phase::Ended(_)))
         else {
             return;
         };
         ledger.changed.insert((id.clone(), key.clone()));
-        let attempt = self.machines.get_mut(id).and_then(|m| m.attempts.get_mut(key));
+        let attempt = self
+            .machines
+            .get_mut(id)
+            .and_then(|m| m.attempts.get_mut(key));
         if let Some(tab) = attempt.and_then(|a| a.tab.as_mut()) {
             tab.meter.enter(stage(phase), now);
         }
@@ -571,17 +737,26 @@
 
     /// Launches that wait on a machine go out with the answer to its report.
     pub(crate) fn launches_sent(&mut self, id: &MachineId, now: Micros) {
-        let Some(m) = self.machines.get(id) else { return };
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
         let goes = |(t, _): &&(TaskId, u64)| {
-            self.jobs.get(&t.job).is_some_and(|j| self.may_launch(j, t.index))
+            self.jobs
+                .get(&t.job)
+                .is_some_and(|j| self.may_launch(j, t.index))
         };
-        let starting = m.attempts.iter().filter(|(_, a)| a.phase == Phase::Starting);
+        let starting = m
+            .attempts
+            .iter()
+            .filter(|(_, a)| a.phase == Phase::Starting);
         let sent: Vec<_> = starting.map(|(key, _)| key).filter(goes).cloned().collect();
         if let Some(ledger) = &mut self.ledger {
             let untold = |key: &(TaskId, u64)| ledger.changed.contains(&(id.clone(), key.clone()));
             ledger.urgent |= sent.iter().any(untold);
         }
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         for key in sent {
             if let Some(tab) = m.attempts.get_mut(&key).and_then(|a| a.tab.as_mut()) {
                 tab.meter.sent(now);
@@ -600,30 +775,53 @@
         if self.ledger.is_none() {
             return;
         }
-        let Some(machine) = self.machines.get(id) else { return };
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
         let tab = machine.attempts.get(key).and_then(|a| a.tab.as_ref());
-        let Some(tab) = tab.filter(|t| t.charged == Charged::Open) else { return };
+        let Some(tab) = tab.filter(|t| t.charged == Charged::Open) else {
+            return;
+        };
         let kind = self.kind(machine);
         let news = match reason {
             // A report that shows a new session shows that the lease of the one before ran out, after the last answer
             // in it; of a machine that is silent nobody knows.
             Reason::Lease | Reason::Machine => match machine.heard_at {
-                Some(t) if t == now => {
-                    News::Silence { heard: machine.heard_before, likely: self.settings.lease }
-                }
-                heard => News::Silence { heard, likely: self.settings.report / 2 },
+                Some(t) if t == now => News::Silence {
+                    heard: machine.heard_before,
+                    likely: self.settings.lease,
+                },
+                heard => News::Silence {
+                    heard,
+                    likely: self.settings.report / 2,
+                },
+            },
+            _ => News::Reported {
+                before: machine.heard_before,
+                missed: machine.missed,
             },
-            _ => News::Reported { before: machine.heard_before, missed: machine.missed },
         };
         let reading = tab.meter.end(now, news);
         let (owner, saved) = (tab.owner.clone(), tab.saved);
         let (key_of, machine, end) = (key.clone(), id.clone(), self.time_of_day(now));
-        let end = End { key: key_of, machine, kind, reading, at: now, end, reason, saved };
+        let end = End {
+            key: key_of,
+            machine,
+            kind,
+            reading,
+            at: now,
+            end,
+            reason,
+            saved,
+        };
         let charged = match self.charge_end(owner, end, now) {
             Some(ticket) => Charged::Ticket(ticket),
             None => Charged::Unowned,
         };
-        let attempt = self.machines.get_mut(id).and_then(|m| m.attempts.get_mut(key));
+        let attempt = self
+            .machines
+            .get_mut(id)
+            .and_then(|m| m.attempts.get_mut(key));
         if let Some(tab) = attempt.and_then(|a| a.tab.as_mut()) {
             tab.charged = charged;
         }
@@ -631,7 +829,9 @@
 
     /// Jobs whose owners are to be read from what is kept of their ends.
     pub fn owners_wanted(&mut self, now: Micros) -> Vec<JobId> {
-        let Some(ledger) = &mut self.ledger else { return Vec::new() };
+        let Some(ledger) = &mut self.ledger else {
+            return Vec::new();
+        };
         let asked = &mut ledger.asked;
         asked.retain(|_, at| now < *at + ASK_AGAIN);
         let open = ledger.unowned.keys().filter(|j| !asked.contains_key(*j));
@@ -644,12 +844,19 @@
 
     /// Whose a job was, as far as is kept; what nobody owns is charged to nobody.
     pub fn owner_read(&mut self, job: &JobId, owner: Option<Owner>, now: Micros) {
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         let owner = Arc::new(owner.unwrap_or_default());
         for end in ledger.unowned.remove(job).unwrap_or_default() {
             let (machine, key) = (end.machine.clone(), end.key.clone());
-            let Some(ticket) = self.charge_end(Some(owner.clone()), end, now) else { continue };
-            let attempt = self.machines.get_mut(&machine).and_then(|m| m.attempts.get_mut(&key));
+            let Some(ticket) = self.charge_end(Some(owner.clone()), end, now) else {
+                continue;
+            };
+            let attempt = self
+                .machines
+                .get_mut(&machine)
+                .and_then(|m| m.attempts.get_mut(&key));
             if let Some(tab) = attempt.and_then(|a| a.tab.as_mut()) {
                 tab.charged = Charged::Ticket(ticket);
             }
@@ -658,12 +865,24 @@
 
     /// A recorded machine that never reported to this leader is given up.
     pub(crate) fn gap(&mut self, id: &MachineId, now: Micros) {
-        let blind = self.ledger.as_ref().is_some_and(|l| !l.complete && !l.gaps.contains(id));
+        let blind = self
+            .ledger
+            .as_ref()
+            .is_some_and(|l| !l.complete && !l.gaps.contains(id));
         let unheard = |m: &&Machine| blind && m.recorded && m.heard_at.is_none();
-        let Some(m) = self.machines.get(id).filter(unheard) else { return };
+        let Some(m) = self.machines.get(id).filter(unheard) else {
+            return;
+        };
         let (flavor, zone, spot, _) = self.kind(m);
         let (from, to) = (self.time_of_day(self.taken_at), self.time_of_day(now));
-        let gap = Gap { machine: id.to_string(), flavor, zone, spot, from, to };
+        let gap = Gap {
+            machine: id.to_string(),
+            flavor,
+            zone,
+            spot,
+            from,
+            to,
+        };
         if let Some(ledger) = &mut self.ledger {
             ledger.gaps.insert(id.clone());
             ledger.book.note(Body::Gap(gap), now);
@@ -672,7 +891,9 @@
 
     /// Whether a worker may forget an ended attempt, as far as the ledger goes.
     pub(crate) fn settled_tab(&self, machine: &Machine, key: &(TaskId, u64)) -> bool {
-        let Some(ledger) = &self.ledger else { return true };
+        let Some(ledger) = &self.ledger else {
+            return true;
+        };
         let tab = machine.attempts.get(key).and_then(|a| a.tab.as_ref());
         let written = match tab.map(|t| t.charged) {
             None | Some(Charged::Before) => true,
@@ -688,7 +909,10 @@
             machine.attempts.iter().any(other)
         };
         let crowd = || {
-            let ended = machine.attempts.values().filter(|a| matches!(a.phase, Phase::Ended(_)));
+            let ended = machine
+                .attempts
+                .values()
+                .filter(|a| matches!(a.phase, Phase::Ended(_)));
             ended.count() > MOST_ENDED
         };
         written || again() || crowd()
@@ -702,8 +926,15 @@
         }
         let settings = ledger.book.settings().clone();
         let mut open: BTreeMap<String, f64> = BTreeMap::new();
-        for a in self.machines.values().flat_map(|m| m.attempts.values()).filter(|a| a.holds) {
-            let Some(team) = a.team.and_then(|t| self.settings.teams.get(t)) else { continue };
+        for a in self
+            .machines
+            .values()
+            .flat_map(|m| m.attempts.values())
+            .filter(|a| a.holds)
+        {
+            let Some(team) = a.team.and_then(|t| self.settings.teams.get(t)) else {
+                continue;
+            };
             let age = |t: &Tab| t.meter.age(now);
             let age = a.tab.as_ref().map_or(0, |t| age(t)) as f64;
             let half = settings.half_life(&team.name).time() as f64;
@@ -711,7 +942,9 @@
             let rate = settings.rate(need(a.need)) as f64;
             *open.entry(team.name.clone()).or_default() += rate * decayed / 1e9;
         }
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         let shares = ledger.book.accounts().shares(&settings, self.wall, &open);
         let of = |t: &crate::model::Team| shares.get(&t.name).copied().unwrap_or((0.0, 1.0));
         ledger.shares = self.settings.teams.iter().map(of).collect();
@@ -730,18 +963,39 @@
 fn tab_key(machine: &MachineId, key: &(TaskId, u64)) -> TabKey {
     let (task, attempt) = key;
     let (machine, job) = (machine.to_string(), task.job.to_string());
-    TabKey { machine, job, task: task.index, attempt: *attempt }
+    TabKey {
+        machine,
+        job,
+        task: task.index,
+        attempt: *attempt,
+    }
 }
 
 fn write_owner(o: &Owner) -> TabOwner {
     let (team, class) = (o.team.clone(), o.class.clone());
     let Resources { cpu, gpu, mem } = o.need;
-    TabOwner { team, class, cpu, gpu, mem, replica: o.replica }
+    TabOwner {
+        team,
+        class,
+        cpu,
+        gpu,
+        mem,
+        replica: o.replica,
+    }
 }
 
 fn read_owner(o: &TabOwner) -> Owner {
-    let need = Resources { cpu: o.cpu, gpu: o.gpu, mem: o.mem };
-    Owner { team: o.team.clone(), class: o.class.clone(), need, replica: o.replica }
+    let need = Resources {
+        cpu: o.cpu,
+        gpu: o.gpu,
+        mem: o.mem,
+    };
+    Owner {
+        team: o.team.clone(),
+        class: o.class.clone(),
+        need,
+        replica: o.replica,
+    }
 }
 
 /// What is told of an attempt that is not over.
@@ -797,7 +1051,11 @@
 /// The times of a tab as it was told; `None` if they make no sense.
 fn reading_of(t: &OpenTab) -> Option<Reading> {
     let spent: [Micros; 6] = t.spent.clone().try_into().ok()?;
-    Some(Reading { spent: Spent(spent), bound: t.bound, estimate: t.guessed })
+    Some(Reading {
+        spent: Spent(spent),
+        bound: t.bound,
+        estimate: t.guessed,
+    })
 }
 
 /// A need as the ledger writes it.
--- a/crates/gannethub-core/src/memory/mirror.rs
+++ b/crates/gannethub-core/src/memory/mirror.rs
@@ -121,9 +121,15 @@
 
     /// Live jobs whose cancellation is known here and was stored after that version, some of them twice.
     pub fn cancelled_since(&self, version: u64) -> impl Iterator<Item = &JobId> {
-        let live = self.live.iter().filter(|(_, l)| l.cancelled).map(|(id, l)| (id, l.stamp));
+        let live = self
+            .live
+            .iter()
+            .filter(|(_, l)| l.cancelled)
+            .map(|(id, l)| (id, l.stamp));
         let told = self.told.iter().map(|(id, stamp)| (id, *stamp));
-        live.chain(told).filter(move |(_, stamp)| *stamp > version).map(|(id, _)| id)
+        live.chain(told)
+            .filter(move |(_, stamp)| *stamp > version)
+            .map(|(id, _)| id)
     }
 
     /// The job was neither alive nor over at this version. That holds until a change shows it, if
@@ -151,7 +157,10 @@
                 if !self.links.complete_for(id) {
                     return Found::Unsure;
                 }
-                Found::Job(JobView { waits_on: self.links.open(id), ..l.view() })
+                Found::Job(JobView {
+                    waits_on: self.links.open(id),
+                    ..l.view()
+                })
             }
             Some((_, l)) => Found::Job(l.view()),
             None if self.absent.contains(id) => Found::Absent,
@@ -219,7 +228,8 @@
         if let Some(w) = &brief.waiting {
             let upstream = decode_ids(&w.on);
             let (over, live) = (&self.over, &self.live);
-            self.links.add(&id, &upstream, brief.cancelled, |u| recorded(over, live, u));
+            self.links
+                .add(&id, &upstream, brief.cancelled, |u| recorded(over, live, u));
         } else {
             self.links.released(&id);
             if brief.cancelled {
@@ -281,11 +291,21 @@
         let mut done = Ranges::default();
         decode_done(&brief.done, 0, &mut done);
         let (tasks, waiting) = (brief.spec.tasks, brief.waiting.is_some());
-        Live { stamp, tasks, done: done.len(), cancelled: brief.cancelled, waiting }
+        Live {
+            stamp,
+            tasks,
+            done: done.len(),
+            cancelled: brief.cancelled,
+            waiting,
+        }
     }
 
     fn view(&self) -> JobView {
-        let status = if self.cancelled { Status::Cancelled } else { Status::Pending };
+        let status = if self.cancelled {
+            Status::Cancelled
+        } else {
+            Status::Pending
+        };
         JobView::new(status, self.done)
     }
 
@@ -328,7 +348,11 @@
         assert!(matches!(m.find("j-1"), Found::Job(v) if v.done == 2));
         assert_eq!(m.find("j-3"), Found::NotLive);
         m.miss("j-3".into(), 6);
-        assert_eq!(m.find("j-3"), Found::NotLive, "a later change may have shown it");
+        assert_eq!(
+            m.find("j-3"),
+            Found::NotLive,
+            "a later change may have shown it"
+        );
         m.miss("j-3".into(), 9);
         assert_eq!(m.find("j-3"), Found::Absent);
         let log = format!(
@@ -340,8 +364,14 @@
         assert_eq!(m.at(), Some(12));
         assert!(matches!(m.find("j-1"), Found::Job(v) if v.status == Status::Done && v.done == 4));
         assert!(matches!(m.find("j-2"), Found::Job(v) if v.status == Status::Cancelled));
-        assert!(matches!(m.find("j-3"), Found::Job(_)), "it is not absent any more");
+        assert!(
+            matches!(m.find("j-3"), Found::Job(_)),
+            "it is not absent any more"
+        );
         m.lost();
-        assert!(m.at().is_none() && m.ended("j-1").is_some(), "an end holds at any time");
+        assert!(
+            m.at().is_none() && m.ended("j-1").is_some(),
+            "an end holds at any time"
+        );
     }
 }
--- a/crates/gannethub-core/src/memory/pipeline.rs
+++ b/crates/gannethub-core/src/memory/pipeline.rs
@@ -48,7 +48,10 @@
 
 impl Default for Links {
     fn default() -> Links {
-        Links { saga: Saga::standing(), unknown: BTreeSet::new() }
+        Links {
+            saga: Saga::standing(),
+            unknown: BTreeSet::new(),
+        }
     }
 }
 
@@ -78,7 +81,11 @@
             }
             self.saga.add(id.clone(), false, &open);
         }
-        if lost { self.cancel(id) } else { Consequences::default() }
+        if lost {
+            self.cancel(id)
+        } else {
+            Consequences::default()
+        }
     }
 
     /// A job that others wait for is alive after all.
@@ -98,7 +105,10 @@
         let cancelled = self.saga.abort_element(id).into_iter().map(|a| match a {
             Action::Cancel(id) | Action::Compensate(id) => id,
         });
-        Consequences { cancelled: cancelled.collect(), released: Vec::new() }
+        Consequences {
+            cancelled: cancelled.collect(),
+            released: Vec::new(),
+        }
     }
 
     /// A job that waited has been released: its record says that all it waited for is done.
@@ -119,7 +129,10 @@
             self.cancel(id)
         } else {
             self.released(id);
-            Consequences { released: self.saga.commit(id), cancelled: Vec::new() }
+            Consequences {
+                released: self.saga.commit(id),
+                cancelled: Vec::new(),
+            }
         };
         self.saga.forget(id);
         consequences
@@ -168,8 +181,11 @@
 
     /// Jobs that wait for others or are waited for, those downstream before those upstream.
     pub(crate) fn ends_first(&self) -> Vec<&JobId> {
-        let mut left: HashMap<&JobId, usize> =
-            self.saga.keys().map(|k| (k, self.saga.downstream(k).count())).collect();
+        let mut left: HashMap<&JobId, usize> = self
+            .saga
+            .keys()
+            .map(|k| (k, self.saga.downstream(k).count()))
+            .collect();
         let mut order: Vec<&JobId> = left.iter().filter(|l| *l.1 == 0).map(|l| *l.0).collect();
         order.sort();
         let mut next = 0;
--- a/crates/gannethub-core/src/memory/records.rs
+++ b/crates/gannethub-core/src/memory/records.rs
@@ -126,7 +126,10 @@
     /// Its room once everything that was told to stop has gone.
     pub fn free_after_stops(&self) -> Resources {
         let mut free = self.free();
-        let stopping = self.attempts.values().filter(|a| a.holds && a.stop.is_some());
+        let stopping = self
+            .attempts
+            .values()
+            .filter(|a| a.holds && a.stop.is_some());
         stopping.for_each(|a| free += a.need);
         free
     }
@@ -143,7 +146,9 @@
     /// The session that its worker begins anew ended within a lease of a report that was answered. Reports that were
     /// held back and came together are no sign of that: what answers them is late.
     pub(crate) fn ended_unheard(&self, now: Micros, lease: Micros) -> bool {
-        let (Some(last), Some(before)) = (self.heard_at, self.heard_before) else { return false };
+        let (Some(last), Some(before)) = (self.heard_at, self.heard_before) else {
+            return false;
+        };
         now + SECOND < last + lease && now >= last + APART && last >= before + APART
     }
 
@@ -250,7 +255,11 @@
 
     /// Its mark is to cover all tasks below `to`.
     pub fn open_to(&mut self, to: u32) {
-        let to = if self.spec.shape == Shape::Gang { self.spec.tasks } else { to };
+        let to = if self.spec.shape == Shape::Gang {
+            self.spec.tasks
+        } else {
+            to
+        };
         self.opening = self.opening.max(to.min(self.spec.tasks));
     }
 
@@ -262,7 +271,9 @@
 
     /// Its own priority, or that of a job that needs it.
     pub fn priority(&self) -> Priority {
-        self.pull.as_ref().map_or(self.spec.priority, |p| p.priority.max(self.spec.priority))
+        self.pull
+            .as_ref()
+            .map_or(self.spec.priority, |p| p.priority.max(self.spec.priority))
     }
 
     pub fn running(&self) -> u32 {
@@ -285,7 +296,10 @@
 impl Failing {
     /// Of a job that an earlier leader found suspect, or not.
     pub fn new(known: bool) -> Failing {
-        Failing { known, ..Failing::default() }
+        Failing {
+            known,
+            ..Failing::default()
+        }
     }
 }
 
@@ -308,7 +322,11 @@
     /// How many of its tasks a machine may be rented for. A suspect job's next trial uses room that
     /// is there; only when none came free for long would it never be cleared without one.
     pub fn worth_renting(&self, now: Micros) -> i64 {
-        if self.suspect() && now < self.blame.retry_at + OVERDUE { 0 } else { self.trials(now) }
+        if self.suspect() && now < self.blame.retry_at + OVERDUE {
+            0
+        } else {
+            self.trials(now)
+        }
     }
 }
 
@@ -334,11 +352,17 @@
     /// The same for a job whose own time, from its release to its end, lies before these.
     pub(crate) fn less(self, stage: Stage) -> Due {
         let by = self.by.saturating_sub(stage.likely);
-        Due { by, last: self.last.saturating_sub(stage.least) }
+        Due {
+            by,
+            last: self.last.saturating_sub(stage.least),
+        }
     }
 
     pub(crate) fn first(self, other: Due) -> Due {
-        Due { by: self.by.min(other.by), last: self.last.min(other.last) }
+        Due {
+            by: self.by.min(other.by),
+            last: self.last.min(other.last),
+        }
     }
 
     /// The time of day by which the job has to start, if that is not too late.
--- a/crates/gannethub-core/src/memory/room.rs
+++ b/crates/gannethub-core/src/memory/room.rs
@@ -51,9 +51,16 @@
 impl Rooms {
     /// A machine is known from now on. Returns the number of its shelf.
     pub fn enter(&mut self, kind: Kind, id: MachineId) -> usize {
-        let number = *self.numbers.entry(kind.clone()).or_insert(self.shelves.len());
+        let number = *self
+            .numbers
+            .entry(kind.clone())
+            .or_insert(self.shelves.len());
         if number == self.shelves.len() {
-            self.shelves.push(Shelf { kind, all: BTreeSet::new(), open: BTreeSet::new() });
+            self.shelves.push(Shelf {
+                kind,
+                all: BTreeSet::new(),
+                open: BTreeSet::new(),
+            });
         }
         self.shelves[number].all.insert(id);
         number
@@ -78,7 +85,13 @@
 
     /// How many machines of a kind are known.
     pub fn held(&self, flavor: usize, zone: &str, spot: bool) -> usize {
-        let kind = Kind { flavor, zone: zone.into(), spot };
-        self.numbers.get(&kind).map_or(0, |n| self.shelves[*n].all.len())
+        let kind = Kind {
+            flavor,
+            zone: zone.into(),
+            spot,
+        };
+        self.numbers
+            .get(&kind)
+            .map_or(0, |n| self.shelves[*n].all.len())
     }
 }
--- a/crates/gannethub-core/src/memory/share.rs
+++ b/crates/gannethub-core/src/memory/share.rs
@@ -40,11 +40,16 @@
         return 0;
     }
     if spec.shape == Shape::Gang {
-        loads.iter_mut().filter(|l| l.block == 0).for_each(|l| l.backlog += work);
+        loads
+            .iter_mut()
+            .filter(|l| l.block == 0)
+            .for_each(|l| l.backlog += work);
         return 0;
     }
     let open = loads.iter_mut().filter(|l| l.block < most);
-    let Some(load) = open.min_by_key(|l| (l.backlog, l.block)) else { return 0 };
+    let Some(load) = open.min_by_key(|l| (l.backlog, l.block)) else {
+        return 0;
+    };
     load.backlog += work;
     load.block
 }
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -49,7 +49,10 @@
         if !valid_job_id(job) {
             return None;
         }
-        Some(TaskId { job: job.into(), index: index.parse().ok()? })
+        Some(TaskId {
+            job: job.into(),
+            index: index.parse().ok()?,
+        })
     }
 }
 
@@ -70,7 +73,11 @@
 impl Resources {
     pub fn new(cpus: f64, gpus: f64, mem_gb: f64) -> Resources {
         let milli = |x: f64| (x * 1000.0).round() as i64;
-        Resources { cpu: milli(cpus), gpu: milli(gpus), mem: milli(mem_gb) }
+        Resources {
+            cpu: milli(cpus),
+            gpu: milli(gpus),
+            mem: milli(mem_gb),
+        }
     }
 
     pub fn fits(&self, room: &Resources) -> bool {
@@ -79,13 +86,25 @@
 
     /// How many of `self` fit into `room`.
     pub fn times_in(&self, room: &Resources) -> i64 {
-        let part = |need: i64, have: i64| if need > 0 { have.max(0) / need } else { i64::MAX };
-        part(self.cpu, room.cpu).min(part(self.gpu, room.gpu)).min(part(self.mem, room.mem))
+        let part = |need: i64, have: i64| {
+            if need > 0 {
+                have.max(0) / need
+            } else {
+                i64::MAX
+            }
+        };
+        part(self.cpu, room.cpu)
+            .min(part(self.gpu, room.gpu))
+            .min(part(self.mem, room.mem))
     }
 
     pub fn times(&self, n: i64) -> Resources {
         let m = |x: i64| x.saturating_mul(n);
-        Resources { cpu: m(self.cpu), gpu: m(self.gpu), mem: m(self.mem) }
+        Resources {
+            cpu: m(self.cpu),
+            gpu: m(self.gpu),
+            mem: m(self.mem),
+        }
     }
 }
 
@@ -194,7 +213,10 @@
     pub fn allows(&self, flavor: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
-            && self.types.as_ref().is_none_or(|t| t.iter().any(|x| x == flavor))
+            && self
+                .types
+                .as_ref()
+                .is_none_or(|t| t.iter().any(|x| x == flavor))
     }
 
     /// Whether where its tasks are matters to where its others may go.
@@ -204,7 +226,11 @@
 
     /// The most tasks that may share a zone.
     pub fn zone_cap(&self) -> u32 {
-        if self.spread { self.tasks.div_ceil(2) } else { u32::MAX }
+        if self.spread {
+            self.tasks.div_ceil(2)
+        } else {
+            u32::MAX
+        }
     }
 }
 
@@ -215,7 +241,11 @@
 impl Ranges {
     /// The numbers `0..n`.
     pub fn up_to(n: u32) -> Ranges {
-        if n == 0 { Ranges::default() } else { Ranges(vec![(0, n - 1)]) }
+        if n == 0 {
+            Ranges::default()
+        } else {
+            Ranges(vec![(0, n - 1)])
+        }
     }
 
     fn slot(&self, x: u32) -> usize {
@@ -247,7 +277,9 @@
 
     pub fn remove(&mut self, x: u32) -> bool {
         let i = self.slot(x);
-        let Some(&(lo, hi)) = self.0.get(i) else { return false };
+        let Some(&(lo, hi)) = self.0.get(i) else {
+            return false;
+        };
         if lo > x {
             return false;
         }
--- a/crates/gannethub-core/src/policy.rs
+++ b/crates/gannethub-core/src/policy.rs
@@ -138,22 +138,106 @@
     min: f64,
     max: f64,
 ) -> Rule {
-    Rule { setting, name, scope, kind, min, max }
+    Rule {
+        setting,
+        name,
+        scope,
+        kind,
+        min,
+        max,
+    }
 }
 
 /// Every setting, in the order of [`Setting`].
 const RULES: [Rule; 11] = [
-    rule(Setting::QueueWeight, "queue_weight", Scope::Job, Type::Number, -1e9, 1e9),
-    rule(Setting::PlanSlack, "plan_slack", Scope::Job, Type::Number, 0.0, 1.0),
-    rule(Setting::Patience, "patience_s", Scope::Job, Type::Number, 0.0, 3600.0),
-    rule(Setting::UseSpot, "use_spot", Scope::Job, Type::Bool, 0.0, 1.0),
-    rule(Setting::Idle, "idle_s", Scope::Machine, Type::Number, 0.0, 3600.0),
-    rule(Setting::Grant, "grant_s", Scope::Cluster, Type::Number, 2.0, 10.0),
-    rule(Setting::BlockChunk, "block_chunk", Scope::Cluster, Type::Number, 4.0, 200.0),
-    rule(Setting::DecideSteps, "decide_steps", Scope::Cluster, Type::Number, 1e3, 1e7),
-    rule(Setting::QueueShare, "queue_share", Scope::Job, Type::Number, 0.0, 1e6),
-    rule(Setting::Blocks, "blocks", Scope::Cluster, Type::Number, 1.0, 64.0),
-    rule(Setting::Halts, "halts_per_s", Scope::Cluster, Type::Number, 0.0, 1e4),
+    rule(
+        Setting::QueueWeight,
+        "queue_weight",
+        Scope::Job,
+        Type::Number,
+        -1e9,
+        1e9,
+    ),
+    rule(
+        Setting::PlanSlack,
+        "plan_slack",
+        Scope::Job,
+        Type::Number,
+        0.0,
+        1.0,
+    ),
+    rule(
+        Setting::Patience,
+        "patience_s",
+        Scope::Job,
+        Type::Number,
+        0.0,
+        3600.0,
+    ),
+    rule(
+        Setting::UseSpot,
+        "use_spot",
+        Scope::Job,
+        Type::Bool,
+        0.0,
+        1.0,
+    ),
+    rule(
+        Setting::Idle,
+        "idle_s",
+        Scope::Machine,
+        Type::Number,
+        0.0,
+        3600.0,
+    ),
+    rule(
+        Setting::Grant,
+        "grant_s",
+        Scope::Cluster,
+        Type::Number,
+        2.0,
+        10.0,
+    ),
+    rule(
+        Setting::BlockChunk,
+        "block_chunk",
+        Scope::Cluster,
+        Type::Number,
+        4.0,
+        200.0,
+    ),
+    rule(
+        Setting::DecideSteps,
+        "decide_steps",
+        Scope::Cluster,
+        Type::Number,
+        1e3,
+        1e7,
+    ),
+    rule(
+        Setting::QueueShare,
+        "queue_share",
+        Scope::Job,
+        Type::Number,
+        0.0,
+        1e6,
+    ),
+    rule(
+        Setting::Blocks,
+        "blocks",
+        Scope::Cluster,
+        Type::Number,
+        1.0,
+        64.0,
+    ),
+    rule(
+        Setting::Halts,
+        "halts_per_s",
+        Scope::Cluster,
+        Type::Number,
+        0.0,
+        1e4,
+    ),
 ];
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -199,7 +283,11 @@
     let before = &text[..text.floor_char_boundary(offset.min(text.len()))];
     let line = before.matches('\n').count() + 1;
     let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-    PolicyError { line, column, reason: reason.into() }
+    PolicyError {
+        line,
+        column,
+        reason: reason.into(),
+    }
 }
 
 // ---- Parsing ----
@@ -207,7 +295,11 @@
 type Input<'a> = LocatingSlice<&'a str>;
 
 fn space(i: &mut Input<'_>) -> ModalResult<()> {
-    repeat(0.., alt((multispace1.void(), ('#', till_line_ending).void()))).parse_next(i)
+    repeat(
+        0..,
+        alt((multispace1.void(), ('#', till_line_ending).void())),
+    )
+    .parse_next(i)
 }
 
 fn expected(what: &'static str) -> StrContext {
@@ -229,14 +321,22 @@
 }
 
 fn number(i: &mut Input<'_>) -> ModalResult<Expr> {
-    let digits = (digit1, opt(('.', digit1))).take().try_map(|s: &str| s.parse::<f64>());
+    let digits = (digit1, opt(('.', digit1)))
+        .take()
+        .try_map(|s: &str| s.parse::<f64>());
     terminated(digits, space).map(Expr::Number).parse_next(i)
 }
 
 fn text(i: &mut Input<'_>) -> ModalResult<Expr> {
     let inner = take_while(0.., |c: char| c != '"' && c != '\n');
-    let quoted = delimited('"', inner, cut_err('"').context(expected("a closing quote")));
-    terminated(quoted, space).map(|s: &str| Expr::Text(s.to_string())).parse_next(i)
+    let quoted = delimited(
+        '"',
+        inner,
+        cut_err('"').context(expected("a closing quote")),
+    );
+    terminated(quoted, space)
+        .map(|s: &str| Expr::Text(s.to_string()))
+        .parse_next(i)
 }
 
 const KEYWORDS: [&str; 8] = ["if", "then", "else", "and", "or", "not", "true", "false"];
@@ -261,7 +361,11 @@
         keyword("true").value(Expr::Bool(true)),
         keyword("false").value(Expr::Bool(false)),
         choice,
-        delimited(symbol("("), cut_err(expression), cut_err(symbol(")")).context(expected(")"))),
+        delimited(
+            symbol("("),
+            cut_err(expression),
+            cut_err(symbol(")")).context(expected(")")),
+        ),
         preceded(symbol("-"), cut_err(primary)).map(move |e| Expr::Negate(Box::new(e), at)),
         preceded(keyword("not"), cut_err(primary)).map(move |e| Expr::Not(Box::new(e), at)),
         name,
@@ -279,7 +383,9 @@
     let mut left = operand(i)?;
     loop {
         let at = i.current_token_start();
-        let Some(op) = opt(operator).parse_next(i)? else { return Ok(left) };
+        let Some(op) = opt(operator).parse_next(i)? else {
+            return Ok(left);
+        };
         let right = cut_err(operand).parse_next(i)?;
         left = Expr::Binary(op, Box::new((left, right)), at);
     }
@@ -287,7 +393,11 @@
 
 fn product(i: &mut Input<'_>) -> ModalResult<Expr> {
     level(i, primary, |i| {
-        alt((symbol("*").value(Op::Multiply), symbol("/").value(Op::Divide))).parse_next(i)
+        alt((
+            symbol("*").value(Op::Multiply),
+            symbol("/").value(Op::Divide),
+        ))
+        .parse_next(i)
     })
 }
 
@@ -312,11 +422,15 @@
 }
 
 fn conjunction(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, comparison, |i| keyword("and").value(Op::And).parse_next(i))
+    level(i, comparison, |i| {
+        keyword("and").value(Op::And).parse_next(i)
+    })
 }
 
 fn expression(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, conjunction, |i| keyword("or").value(Op::Or).parse_next(i))
+    level(i, conjunction, |i| {
+        keyword("or").value(Op::Or).parse_next(i)
+    })
 }
 
 fn statement(i: &mut Input<'_>) -> ModalResult<(String, usize, Expr)> {
@@ -357,7 +471,11 @@
             Expr::Name(name, at) => {
                 let Some(i) = self.fields.iter().position(|f| f.0 == name) else {
                     let names: Vec<_> = self.fields.iter().map(|f| f.0).collect();
-                    let known = if names.is_empty() { "none".into() } else { names.join(", ") };
+                    let known = if names.is_empty() {
+                        "none".into()
+                    } else {
+                        names.join(", ")
+                    };
                     return fail(*at, format!("unknown name {name:?}; known here: {known}"));
                 };
                 *e = Expr::Field(i);
@@ -425,7 +543,11 @@
         Expr::Not(inner, _) => Value::Bool(!evaluate(inner, fields).truth()),
         Expr::Negate(inner, _) => Value::Number(-evaluate(inner, fields).number()),
         Expr::If(parts, _) => {
-            let chosen = if evaluate(&parts.0, fields).truth() { &parts.1 } else { &parts.2 };
+            let chosen = if evaluate(&parts.0, fields).truth() {
+                &parts.1
+            } else {
+                &parts.2
+            };
             evaluate(chosen, fields)
         }
         Expr::Binary(op, sides, _) => {
@@ -461,7 +583,9 @@
 
 impl Default for Policy {
     fn default() -> Policy {
-        let empty = Policy { settings: vec![None; RULES.len()] };
+        let empty = Policy {
+            settings: vec![None; RULES.len()],
+        };
         Policy::read(BUILT_IN, empty).expect("the built-in policy is covered by tests")
     }
 }
@@ -479,7 +603,10 @@
 
     /// The settings that a text names; none of a text that is no policy.
     pub fn named(text: &str) -> Vec<String> {
-        parse(text).map_or_else(|_| Vec::new(), |list| list.into_iter().map(|s| s.0).collect())
+        parse(text).map_or_else(
+            |_| Vec::new(),
+            |list| list.into_iter().map(|s| s.0).collect(),
+        )
     }
 
     fn read(text: &str, mut policy: Policy) -> Result<Policy, PolicyError> {
@@ -492,7 +619,10 @@
                 return Err(error_at(text, at, format!("{name:?} is set twice")));
             }
             let rule = &RULES[i];
-            let checker = Checker { text, fields: rule.scope.fields() };
+            let checker = Checker {
+                text,
+                fields: rule.scope.fields(),
+            };
             checker.need(&mut value, rule.kind, at)?;
             if rule.kind == Type::Number {
                 let sample: Vec<Value<'_>> = checker.fields.iter().map(|f| f.2).collect();
@@ -512,7 +642,9 @@
     /// A number, within the setting's bounds whatever the expression yields.
     pub fn number(&self, setting: Setting, fields: &[Value<'_>]) -> f64 {
         let rule = &RULES[setting as usize];
-        let x = self.settings[setting as usize].as_ref().map(|e| evaluate(e, fields).number());
+        let x = self.settings[setting as usize]
+            .as_ref()
+            .map(|e| evaluate(e, fields).number());
         match x {
             Some(x) if !x.is_nan() => x.clamp(rule.min, rule.max),
             _ => rule.max,
@@ -520,7 +652,9 @@
     }
 
     pub fn truth(&self, setting: Setting, fields: &[Value<'_>]) -> bool {
-        self.settings[setting as usize].as_ref().is_some_and(|e| evaluate(e, fields).truth())
+        self.settings[setting as usize]
+            .as_ref()
+            .is_some_and(|e| evaluate(e, fields).truth())
     }
 
     /// Each setting's result on the sample job and machine.
@@ -564,8 +698,14 @@
         };
         assert_eq!(value("1 + 2 * 3 - 4 / 2"), 5.0);
         assert_eq!(value("(1 + 2) * -3"), -9.0);
-        assert_eq!(value("if job.team == \"red\" and not job.late then 1 else 2"), 1.0);
-        assert_eq!(value("if 1 > 2 or job.tasks >= 20 # comment\n then 7 else 8"), 7.0);
+        assert_eq!(
+            value("if job.team == \"red\" and not job.late then 1 else 2"),
+            1.0
+        );
+        assert_eq!(
+            value("if 1 > 2 or job.tasks >= 20 # comment\n then 7 else 8"),
+            7.0
+        );
         assert_eq!(value("10 - 4 - 3"), 3.0);
     }
 
@@ -599,6 +739,10 @@
         assert_eq!(policy.number(Setting::Idle, &facts), 3600.0);
         facts[4] = Value::Number(0.0);
         facts[3] = Value::Number(0.0);
-        assert_eq!(policy.number(Setting::Idle, &facts), 3600.0, "0/0 is not a number");
+        assert_eq!(
+            policy.number(Setting::Idle, &facts),
+            3600.0,
+            "0/0 is not a number"
+        );
     }
 }
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -70,7 +70,10 @@
 impl<K: Ord + Clone> Saga<K> {
     /// A saga that elements keep joining and leaving.
     pub fn standing() -> Saga<K> {
-        Saga { standing: true, ..Saga::default() }
+        Saga {
+            standing: true,
+            ..Saga::default()
+        }
     }
 
     fn enter(&mut self, key: &K, vital: bool) -> &mut Element<K> {
@@ -78,7 +81,12 @@
         self.elements.entry(key.clone()).or_insert_with(|| {
             *unfinished += 1;
             let (open, downstream) = (BTreeSet::new(), BTreeSet::new());
-            Element { vital, open, downstream, state: State::Active }
+            Element {
+                vital,
+                open,
+                downstream,
+                state: State::Active,
+            }
         })
     }
 
@@ -120,7 +128,10 @@
 
     /// What waits for an element.
     pub fn downstream(&self, key: &K) -> impl Iterator<Item = &K> {
-        self.elements.get(key).into_iter().flat_map(|e| &e.downstream)
+        self.elements
+            .get(key)
+            .into_iter()
+            .flat_map(|e| &e.downstream)
     }
 
     pub fn keys(&self) -> impl Iterator<Item = &K> {
@@ -129,7 +140,9 @@
 
     /// Commits an element and returns those it releases, in order.
     pub fn commit(&mut self, key: &K) -> Vec<K> {
-        let Some(element) = self.elements.get_mut(key) else { return Vec::new() };
+        let Some(element) = self.elements.get_mut(key) else {
+            return Vec::new();
+        };
         if self.state != State::Active || element.state != State::Active {
             return Vec::new();
         }
@@ -137,7 +150,9 @@
         self.commit_order.push(key.clone());
         let mut released = Vec::new();
         for d in std::mem::take(&mut element.downstream) {
-            let Some(e) = self.elements.get_mut(&d) else { continue };
+            let Some(e) = self.elements.get_mut(&d) else {
+                continue;
+            };
             e.open.remove(key);
             if e.state == State::Waiting && e.open.is_empty() {
                 e.state = State::Active;
@@ -187,7 +202,9 @@
 
     /// Takes an element that is over, or that nothing waits for, out of the saga.
     pub fn forget(&mut self, key: &K) {
-        let Some(e) = self.elements.remove(key) else { return };
+        let Some(e) = self.elements.remove(key) else {
+            return;
+        };
         if matches!(e.state, State::Active | State::Waiting) {
             self.unfinished -= 1;
         }
@@ -203,7 +220,11 @@
 
     /// A waiting element is known to be released: all that it waited for has committed elsewhere.
     pub fn release(&mut self, key: &K) {
-        let Some(e) = self.elements.get_mut(key).filter(|e| e.state == State::Waiting) else {
+        let Some(e) = self
+            .elements
+            .get_mut(key)
+            .filter(|e| e.state == State::Waiting)
+        else {
             return;
         };
         e.state = State::Active;
@@ -235,7 +256,13 @@
             }
             e.state = State::Aborted;
         }
-        actions.extend(self.commit_order.iter().rev().cloned().map(Action::Compensate));
+        actions.extend(
+            self.commit_order
+                .iter()
+                .rev()
+                .cloned()
+                .map(Action::Compensate),
+        );
         actions
     }
 }
@@ -265,7 +292,11 @@
         s.commit(&0);
         assert_eq!(
             s.abort_element(&1),
-            vec![Action::Cancel(3), Action::Compensate(0), Action::Compensate(2)]
+            vec![
+                Action::Cancel(3),
+                Action::Compensate(0),
+                Action::Compensate(2)
+            ]
         );
         assert_eq!(s.state(), State::Aborted);
     }
@@ -287,14 +318,20 @@
     fn a_standing_saga_takes_elements_in_any_order_and_cancels_long_chains() {
         let mut s = Saga::standing();
         // Downstream first, as a list in the order of ids may have it.
-        (1..50_000).rev().for_each(|i: u32| s.add(i, false, &[i - 1]));
+        (1..50_000)
+            .rev()
+            .for_each(|i: u32| s.add(i, false, &[i - 1]));
         s.add(70_000, false, &[10, 20, 30]);
         assert_eq!(s.commit(&0), [1]);
         s.forget(&0);
         assert_eq!(s.abort_element(&1).len(), 49_999);
         assert_eq!(s.element(&70_000), Some(State::Aborted));
         s.add(70_001, false, &[49_999]);
-        assert_eq!(s.element(&70_001), Some(State::Aborted), "it names one that is cancelled");
+        assert_eq!(
+            s.element(&70_001),
+            Some(State::Aborted),
+            "it names one that is cancelled"
+        );
         // One that was cancelled and forgotten may be named again: both sides still agree.
         s.forget(&1);
         s.add(80_000, false, &[1]);
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -23,7 +23,11 @@
     #[error("{file}: {reason}")]
     Parse { file: String, reason: String },
     #[error("{file}: {field}: {reason}")]
-    Field { file: String, field: String, reason: String },
+    Field {
+        file: String,
+        field: String,
+        reason: String,
+    },
 }
 
 /// What users expect of a class of jobs, or of the service.
@@ -196,7 +200,13 @@
     impl Default for State {
         fn default() -> State {
             let next = NextState::default();
-            State { rps: 100.0, write_rps: 40.0, value_kb: 16.0, txn_ops: 16.0, next }
+            State {
+                rps: 100.0,
+                write_rps: 40.0,
+                value_kb: 16.0,
+                txn_ops: 16.0,
+                next,
+            }
         }
     }
 
@@ -209,7 +219,10 @@
         pub txn_ops: Option<f64>,
     }
 
-    section!(Cloud { rps: 3.0, list_lag_s: 5.0 });
+    section!(Cloud {
+        rps: 3.0,
+        list_lag_s: 5.0
+    });
 
     #[derive(Deserialize)]
     #[serde(default)]
@@ -221,7 +234,11 @@
 
     impl Default for Quota {
         fn default() -> Quota {
-            Quota { max_connections: 1000.0, cores: None, memory_mb: 512.0 }
+            Quota {
+                max_connections: 1000.0,
+                cores: None,
+                memory_mb: 512.0,
+            }
         }
     }
 }
@@ -234,20 +251,29 @@
             file: file.to_string(),
             reason: e.to_string().trim_end().to_string(),
         })?;
-        Check { file, warnings: Vec::new() }.settings(raw)
+        Check {
+            file,
+            warnings: Vec::new(),
+        }
+        .settings(raw)
     }
 
     /// The teams, with what each is due in a ledger that names none: in proportion to its guarantee.
     pub fn dues(&self) -> Vec<(String, f64)> {
-        let due =
-            |t: &Team| (t.name.clone(), t.guarantee.cpu as f64 + 8.0 * t.guarantee.gpu as f64);
+        let due = |t: &Team| {
+            (
+                t.name.clone(),
+                t.guarantee.cpu as f64 + 8.0 * t.guarantee.gpu as f64,
+            )
+        };
         self.teams.iter().map(due).collect()
     }
 
     /// How many steps a second deciding may take: what policy says, but no more than the share of a processor allows.
     pub fn decide_steps(&self) -> f64 {
         let wanted = self.policy.number(Setting::DecideSteps, &[]);
-        self.cores.map_or(wanted, |cores| wanted.min(cores * STEPS_A_CORE))
+        self.cores
+            .map_or(wanted, |cores| wanted.min(cores * STEPS_A_CORE))
     }
 
     pub fn team(&self, name: &str) -> Option<usize> {
@@ -259,7 +285,11 @@
 /// no limit, and what others leave.
 pub(crate) fn unlimited(limit: Resources) -> Resources {
     let none = |x: i64| if x == 0 { UNLIMITED } else { x };
-    Resources { cpu: none(limit.cpu), gpu: none(limit.gpu), mem: 0 }
+    Resources {
+        cpu: none(limit.cpu),
+        gpu: none(limit.gpu),
+        mem: 0,
+    }
 }
 
 struct Check<'a> {
@@ -279,7 +309,10 @@
     fn addr(&self, field: &str, text: &str) -> Result<SocketAddrV4, SettingsError> {
         match text.parse::<SocketAddrV4>() {
             Ok(a) if a.port() != 0 => Ok(a),
-            _ => self.bad(field, format!("{text:?} is not an IPv4 address with a port")),
+            _ => self.bad(
+                field,
+                format!("{text:?} is not an IPv4 address with a port"),
+            ),
         }
     }
 
@@ -292,7 +325,11 @@
     }
 
     fn positive(&self, field: &str, x: f64) -> Result<f64, SettingsError> {
-        if self.amount(field, x)? > 0.0 { Ok(x) } else { self.bad(field, "must be above zero") }
+        if self.amount(field, x)? > 0.0 {
+            Ok(x)
+        } else {
+            self.bad(field, "must be above zero")
+        }
     }
 
     fn within(&self, field: &str, x: f64, (least, most): (f64, f64)) -> Result<f64, SettingsError> {
@@ -304,7 +341,11 @@
     }
 
     fn name(&self, field: &str, x: &str) -> Result<String, SettingsError> {
-        if x.is_empty() { self.bad(field, "must not be empty") } else { Ok(x.to_string()) }
+        if x.is_empty() {
+            self.bad(field, "must not be empty")
+        } else {
+            Ok(x.to_string())
+        }
     }
 
     fn settings(mut self, raw: raw::File) -> Result<(Settings, Vec<String>), SettingsError> {
@@ -330,7 +371,8 @@
             let own = std::iter::once((&raw.host_name, &raw.area));
             let all = own.chain(raw.siblings.iter().map(|s| (&s.host_name, &s.area)));
             for (n, z) in all.filter(|(_, z)| !c.zones.contains(z)) {
-                self.warnings.push(format!("controller {n} is in the unlisted zone {z:?}"));
+                self.warnings
+                    .push(format!("controller {n} is in the unlisted zone {z:?}"));
             }
         }
         let mut teams: Vec<Team> = Vec::new();
@@ -354,12 +396,14 @@
                 closed: false,
             };
             if !Team::within(&team.limit, &Resources::default(), &team.guarantee) {
-                self.warnings.push(format!("team {}: the guarantee is above the limit", t.name));
+                self.warnings
+                    .push(format!("team {}: the guarantee is above the limit", t.name));
             }
             teams.push(team);
         }
         if teams.is_empty() {
-            self.warnings.push("no teams: every submission will be refused".into());
+            self.warnings
+                .push("no teams: every submission will be refused".into());
         }
         let mut objectives = Vec::new();
         for (i, o) in c.objectives.iter().enumerate() {
@@ -429,7 +473,10 @@
             return self.bad("cluster.state.value_kb", "below 2 KiB no job fits");
         }
         if settings.txn_ops < 2 {
-            return self.bad("cluster.state.txn_ops", "a takeover writes two keys at once");
+            return self.bad(
+                "cluster.state.txn_ops",
+                "a takeover writes two keys at once",
+            );
         }
         if settings.cancel < settings.lease {
             self.warnings.push(
@@ -491,16 +538,36 @@
         let text = SAMPLE.replace("[cluster.workers]", next);
         let (s, _) = Settings::parse(&text, "f").unwrap();
         assert_eq!((s.value_bytes, s.txn_ops), (2048, 8));
-        assert_eq!(s.state_rates, Rates { requests: 100.0, changes: 40.0 });
-        assert_eq!(s.state_rates_next, Rates { requests: 100.0, changes: 18.0 });
+        assert_eq!(
+            s.state_rates,
+            Rates {
+                requests: 100.0,
+                changes: 40.0
+            }
+        );
+        assert_eq!(
+            s.state_rates_next,
+            Rates {
+                requests: 100.0,
+                changes: 18.0
+            }
+        );
     }
 
     #[test]
     fn impossible_values_are_refused_with_their_field() {
         let cases = [
-            ("cpus_max = 16.0", "cpus_max = -1.0", "cluster.teams[0].cpus_max"),
+            (
+                "cpus_max = 16.0",
+                "cpus_max = -1.0",
+                "cluster.teams[0].cpus_max",
+            ),
             ("name = \"blue\"", "name = \"red\"", "cluster.teams[1].name"),
-            ("host_name = \"n1\"", "host_name = \"n0\"", "siblings[0].host_name"),
+            (
+                "host_name = \"n1\"",
+                "host_name = \"n0\"",
+                "siblings[0].host_name",
+            ),
             ("bind = \"10.0.0.1:8080\"", "bind = \"here\"", "bind"),
             ("lease_s = 10.0", "lease_s = nan", "cluster.workers.lease_s"),
             (
@@ -540,7 +607,9 @@
             ),
         ];
         for (from, to, field) in cases {
-            let error = Settings::parse(&SAMPLE.replace(from, to), "f").unwrap_err().to_string();
+            let error = Settings::parse(&SAMPLE.replace(from, to), "f")
+                .unwrap_err()
+                .to_string();
             assert!(error.starts_with(&format!("f: {field}: ")), "{error}");
         }
         assert!(Settings::parse("host_name = 3", "f").is_err());
@@ -552,14 +621,20 @@
             let text = format!("{SAMPLE}\n[cluster.quota]\n{quota}\n");
             Settings::parse(&text, "f").unwrap().0.decide_steps()
         };
-        assert_eq!(steps(""), 50_000.0, "a controller that is told no share goes by policy alone");
+        assert_eq!(
+            steps(""),
+            50_000.0,
+            "a controller that is told no share goes by policy alone"
+        );
         assert_eq!(steps("cores = 0.4"), 50_000.0);
         assert_eq!(steps("cores = 0.02"), 10_000.0);
     }
 
     #[test]
     fn what_is_odd_but_usable_is_only_a_warning() {
-        let odd = SAMPLE.replace("cpus = 8.0", "cpus = 80.0").replace("\"b\"\n", "\"zz\"\n");
+        let odd = SAMPLE
+            .replace("cpus = 8.0", "cpus = 80.0")
+            .replace("\"b\"\n", "\"zz\"\n");
         let (_, warnings) = Settings::parse(&odd, "f").unwrap();
         assert_eq!(warnings.len(), 2, "{warnings:?}");
     }
--- a/crates/gannethub-core/src/wire/api.rs
+++ b/crates/gannethub-core/src/wire/api.rs
@@ -36,7 +36,12 @@
 
 impl JobView {
     pub fn new(status: Status, done: u32) -> JobView {
-        JobView { status, done, running: 0, waits_on: Vec::new() }
+        JobView {
+            status,
+            done,
+            running: 0,
+            waits_on: Vec::new(),
+        }
     }
 }
 
@@ -68,7 +73,16 @@
         Status::Cancelled => "cancelled",
     };
     let waits_on = view.waits_on.iter().take(SHOWN).map(|id| &**id).collect();
-    Response::json(code, &Wire { id, status, done: view.done, running: view.running, waits_on })
+    Response::json(
+        code,
+        &Wire {
+            id,
+            status,
+            done: view.done,
+            running: view.running,
+            waits_on,
+        },
+    )
 }
 
 /// Why a submission is refused.
@@ -112,7 +126,9 @@
     }
 
     fn flag(&self, field: &str) -> Result<bool, Refusal> {
-        self.get(field).and_then(Value::as_bool).map_or_else(|| bad(field, "true or false"), Ok)
+        self.get(field)
+            .and_then(Value::as_bool)
+            .map_or_else(|| bad(field, "true or false"), Ok)
     }
 }
 
@@ -121,7 +137,11 @@
     let Ok(Value::Object(map)) = serde_json::from_slice(body) else {
         return Err(Refusal::Malformed("the body is not a JSON object".into()));
     };
-    let id = map.get("id").and_then(Value::as_str).filter(|id| valid_job_id(id)).map(JobId::from);
+    let id = map
+        .get("id")
+        .and_then(Value::as_str)
+        .filter(|id| valid_job_id(id))
+        .map(JobId::from);
     Ok((map, id))
 }
 
@@ -150,11 +170,19 @@
 /// Reads a submission. Nothing here depends on the cluster.
 pub fn parse_submission(map: &Map<String, Value>) -> Result<Submission, Refusal> {
     let f = Fields(map);
-    if !f.get("id").and_then(Value::as_str).is_some_and(valid_job_id) {
+    if !f
+        .get("id")
+        .and_then(Value::as_str)
+        .is_some_and(valid_job_id)
+    {
         return bad("id", "a job id like j-000412 is needed");
     }
     let waits_on = parse_waits_on(&f)?;
-    Ok(Submission { spec: parse_spec(&f)?, waits_on, checked_under: 0 })
+    Ok(Submission {
+        spec: parse_spec(&f)?,
+        waits_on,
+        checked_under: 0,
+    })
 }
 
 fn parse_spec(f: &Fields<'_>) -> Result<JobSpec, Refusal> {
@@ -186,7 +214,11 @@
         }
         Some(_) => return bad("rigs", "a list of names or null"),
     };
-    let zone = if f.get("yard").is_some() { Some(f.text("yard")?) } else { None };
+    let zone = if f.get("yard").is_some() {
+        Some(f.text("yard")?)
+    } else {
+        None
+    };
     let deadline = match f.get("due_s") {
         Some(_) => Some(micros(f.amount("due_s")?)),
         None => None,
@@ -236,7 +268,11 @@
     let Some(team) = teams.iter().find(|t| t.name == spec.team && !t.closed) else {
         return never("crew: no such team");
     };
-    let typed = |f: &&Flavor| spec.types.as_ref().is_none_or(|t| t.iter().any(|t| **t == *f.name));
+    let typed = |f: &&Flavor| {
+        spec.types
+            .as_ref()
+            .is_none_or(|t| t.iter().any(|t| **t == *f.name))
+    };
     let placed = |f: &&Flavor| spec.zone.as_ref().is_none_or(|z| f.zones.contains(z));
     let allowed: Vec<&Flavor> = flavors.iter().filter(typed).collect();
     if allowed.is_empty() {
@@ -246,26 +282,38 @@
     if allowed.is_empty() {
         return never("yard: no allowed machine type is in that zone");
     }
-    let fitting: Vec<&Flavor> =
-        allowed.iter().copied().filter(|f| spec.need.fits(&f.size)).collect();
+    let fitting: Vec<&Flavor> = allowed
+        .iter()
+        .copied()
+        .filter(|f| spec.need.fits(&f.size))
+        .collect();
     if fitting.is_empty() {
         let sizes: Vec<&Resources> = allowed.iter().map(|f| &f.size).collect();
         let field = beyond(&spec.need, &sizes);
         return never(&format!("{field}: a task fits no allowed machine type"));
     }
-    let at_once = if spec.shape == Shape::Array { 1 } else { i64::from(spec.tasks) };
+    let at_once = if spec.shape == Shape::Array {
+        1
+    } else {
+        i64::from(spec.tasks)
+    };
     if !Team::within(&team.limit, &Resources::default(), &spec.need) {
         let field = beyond(&spec.need, &[&team.limit]);
         return never(&format!("{field}: a task needs more than its team's limit"));
     }
-    if !Team::within(&team.limit, &Resources::default(), &spec.need.times(at_once)) {
+    if !Team::within(
+        &team.limit,
+        &Resources::default(),
+        &spec.need.times(at_once),
+    ) {
         return never("pieces: the job needs more than its team's limit");
     }
     // Half of the tasks at the most may be in a zone: all of them at once need two. Tasks of an array run in turn.
     if spec.spread && at_once > 1 {
         let zones = fitting.iter().flat_map(|f| &f.zones);
-        let zones: BTreeSet<&String> =
-            zones.filter(|z| spec.zone.as_ref().is_none_or(|own| own == *z)).collect();
+        let zones: BTreeSet<&String> = zones
+            .filter(|z| spec.zone.as_ref().is_none_or(|own| own == *z))
+            .collect();
         if spec.one_zone || zones.len() < 2 {
             return never("scatter: the job's tasks cannot all run at the same time in one zone");
         }
@@ -334,7 +382,10 @@
         },
     };
     if method != needed {
-        return Err(Response::error(405, "this resource does not take that method"));
+        return Err(Response::error(
+            405,
+            "this resource does not take that method",
+        ));
     }
     Ok(route)
 }
@@ -364,7 +415,11 @@
         let teams = crate::settings::tests::SAMPLE;
         let (settings, _) = crate::settings::Settings::parse(teams, "f").unwrap();
         let mut spec = parse_submission(&parse_object(body.as_bytes())?.0)?.spec;
-        admit(&mut spec, &settings.teams, &[flavor("g8", 96.0, 8.0, 768.0)])?;
+        admit(
+            &mut spec,
+            &settings.teams,
+            &[flavor("g8", 96.0, 8.0, 768.0)],
+        )?;
         Ok(spec)
     }
 
@@ -374,7 +429,10 @@
         assert_eq!(spec.types, Some(vec!["g8".to_string()]));
         assert_eq!(spec.deadline, Some(900_000_000));
         assert_eq!(spec.need, Resources::new(4.0, 1.0, 64.0));
-        assert!(check(&JOB.replace(",\"due_s\":900.0", "")).is_ok(), "null may be omitted");
+        assert!(
+            check(&JOB.replace(",\"due_s\":900.0", "")).is_ok(),
+            "null may be omitted"
+        );
     }
 
     #[test]
@@ -410,7 +468,14 @@
         }
         let two = parse(r#"["j-000405","j-000398","j-000405"]"#).unwrap();
         assert_eq!(two, [JobId::from("j-000398"), JobId::from("j-000405")]);
-        for wrong in ["\"j-1\"", "[1]", "[\"x\"]", "{}", "[\"j-000412\"]", "[null]"] {
+        for wrong in [
+            "\"j-1\"",
+            "[1]",
+            "[\"x\"]",
+            "{}",
+            "[\"j-000412\"]",
+            "[null]",
+        ] {
             match parse(wrong) {
                 Err(Refusal::Malformed(why)) => assert!(why.starts_with("waits_on"), "{why}"),
                 other => panic!("{wrong}: {other:?}"),
@@ -427,7 +492,10 @@
             ("\"yard\":null", "\"yard\":\"moon\""),
             ("\"g8\",", ""),
         ] {
-            assert!(matches!(check(&JOB.replace(from, to)), Err(Refusal::Impossible(_))), "{to}");
+            assert!(
+                matches!(check(&JOB.replace(from, to)), Err(Refusal::Impossible(_))),
+                "{to}"
+            );
         }
         let mut spec = check(JOB).unwrap();
         assert_eq!(admit(&mut spec, &[], &[]), Err(Refusal::NotYet));
@@ -436,13 +504,32 @@
     #[test]
     fn routes_know_their_methods() {
         use crate::http::Method;
-        assert_eq!(route(Method::Post, "/api/jobs/j-1/cancel"), Ok(Route::Cancel("j-1")));
-        assert_eq!(route(Method::Get, "/api/jobs/j-1?x=1"), Ok(Route::Query("j-1")));
+        assert_eq!(
+            route(Method::Post, "/api/jobs/j-1/cancel"),
+            Ok(Route::Cancel("j-1"))
+        );
+        assert_eq!(
+            route(Method::Get, "/api/jobs/j-1?x=1"),
+            Ok(Route::Query("j-1"))
+        );
         assert_eq!(route(Method::Get, "/api/jobs").unwrap_err().status, 405);
         assert_eq!(route(Method::Get, "/nothing").unwrap_err().status, 404);
-        let page = Route::Ledger { page: Some(7), team: Some("red") };
+        let page = Route::Ledger {
+            page: Some(7),
+            team: Some("red"),
+        };
         assert_eq!(route(Method::Get, "/api/ledger?page=7&team=red"), Ok(page));
-        assert_eq!(route(Method::Get, "/api/ledger?page=-1").unwrap_err().status, 400);
-        assert_eq!(route(Method::Get, "/api/ledger?team=red").unwrap_err().status, 400);
+        assert_eq!(
+            route(Method::Get, "/api/ledger?page=-1")
+                .unwrap_err()
+                .status,
+            400
+        );
+        assert_eq!(
+            route(Method::Get, "/api/ledger?team=red")
+                .unwrap_err()
+                .status,
+            400
+        );
     }
 }
--- a/crates/gannethub-core/src/wire/budget.rs
+++ b/crates/gannethub-core/src/wire/budget.rs
@@ -14,7 +14,11 @@
 
 impl Bucket {
     pub fn new(rate: f64) -> Bucket {
-        Bucket { rate, level: rate.max(1.0), at: 0 }
+        Bucket {
+            rate,
+            level: rate.max(1.0),
+            at: 0,
+        }
     }
 
     pub fn refill(&mut self, now: Micros) {
@@ -110,7 +114,9 @@
                 Some(lane) => &mut self.lanes[lane],
                 None => &mut self.rest,
             };
-            let Some(&(n, _)) = queue.front() else { continue };
+            let Some(&(n, _)) = queue.front() else {
+                continue;
+            };
             let changes = f64::from(n);
             // A transaction larger than the bucket goes when the bucket is full. Until it can
             // go, only what changes nothing passes it.
@@ -149,7 +155,9 @@
     fn behind(&self, lane: usize) -> Micros {
         let own = self.lanes[lane].len();
         let others = (0..self.lanes.len()).filter(|other| *other != lane);
-        let between: usize = others.map(|other| self.lanes[other].len().min(own + 1)).sum();
+        let between: usize = others
+            .map(|other| self.lanes[other].len().min(own + 1))
+            .sum();
         Self::time((self.renewals.len() + own + between) as f64, &self.requests)
     }
 
@@ -179,7 +187,11 @@
         while let Some(x) = b.pop(SECOND) {
             first.push(x);
         }
-        assert_eq!(first, [100, 0, 1], "the renewal first, then two changes a second");
+        assert_eq!(
+            first,
+            [100, 0, 1],
+            "the renewal first, then two changes a second"
+        );
         let later = std::iter::from_fn(|| b.pop(2 * SECOND)).count();
         assert_eq!(later, 2);
         assert_eq!(b.queued(), 6);
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -16,7 +16,11 @@
 
 impl CloudRequest {
     pub fn flavors() -> CloudRequest {
-        CloudRequest { method: Method::Get, path: "/flavors".into(), body: Bytes::new() }
+        CloudRequest {
+            method: Method::Get,
+            path: "/flavors".into(),
+            body: Bytes::new(),
+        }
     }
 
     pub fn list(after: &str) -> CloudRequest {
@@ -25,7 +29,11 @@
         } else {
             format!("/rentals?from={after}&page=500")
         };
-        CloudRequest { method: Method::Get, path, body: Bytes::new() }
+        CloudRequest {
+            method: Method::Get,
+            path,
+            body: Bytes::new(),
+        }
     }
 
     pub fn rent(name: &str, flavor: &str, zone: &str, spot: bool, count: u32) -> CloudRequest {
@@ -37,7 +45,13 @@
             loaners: bool,
             how_many: u32,
         }
-        let body = Rent { hire: name, rig: flavor, yard: zone, loaners: spot, how_many: count };
+        let body = Rent {
+            hire: name,
+            rig: flavor,
+            yard: zone,
+            loaners: spot,
+            how_many: count,
+        };
         CloudRequest::post("/rentals", &body)
     }
 
@@ -51,7 +65,11 @@
 
     fn post(path: &str, body: &impl Serialize) -> CloudRequest {
         let body = serde_json::to_vec(body).unwrap_or_default().into();
-        CloudRequest { method: Method::Post, path: path.into(), body }
+        CloudRequest {
+            method: Method::Post,
+            path: path.into(),
+            body,
+        }
     }
 }
 
@@ -85,14 +103,26 @@
     let flavors: Vec<Flavor> = raw
         .rigs
         .into_iter()
-        .filter(|f| [f.vcpus, f.cards, f.mem_gb, f.price, f.spot_price].into_iter().all(sane))
+        .filter(|f| {
+            [f.vcpus, f.cards, f.mem_gb, f.price, f.spot_price]
+                .into_iter()
+                .all(sane)
+        })
         .map(|f| Flavor {
             size: Resources::new(f.vcpus, f.cards, f.mem_gb),
             name: f.label.into(),
             price: f.price,
-            spot_price: if f.spot_price > 0.0 { f.spot_price } else { f.price },
+            spot_price: if f.spot_price > 0.0 {
+                f.spot_price
+            } else {
+                f.price
+            },
             boot: micros(f.boot_s),
-            fetch_gb_per_s: if f.fetch_gb_per_s > 0.0 { f.fetch_gb_per_s } else { 1.0 },
+            fetch_gb_per_s: if f.fetch_gb_per_s > 0.0 {
+                f.fetch_gb_per_s
+            } else {
+                1.0
+            },
             zones: f.yards,
         })
         .collect();
--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -64,12 +64,18 @@
     pub fn assemble(&self, listing: &Listing) -> Result<Document, StoredError> {
         let found = listing.items.len();
         if found != self.parts as usize || listing.truncated {
-            return Err(StoredError::Parts { found, needed: self.parts });
+            return Err(StoredError::Parts {
+                found,
+                needed: self.parts,
+            });
         }
         let mut document = Document::default();
         for item in &listing.items {
-            let part: Document = serde_json::from_str(item.v.get())
-                .map_err(|e| StoredError::Part { key: item.k.clone(), reason: e.to_string() })?;
+            let part: Document =
+                serde_json::from_str(item.v.get()).map_err(|e| StoredError::Part {
+                    key: item.k.clone(),
+                    reason: e.to_string(),
+                })?;
             document.teams.extend(part.teams);
             document.objectives = part.objectives.or(document.objectives);
             document.policy = part.policy.or(document.policy);
@@ -86,7 +92,10 @@
     let limit = value_bytes.saturating_sub(SLACK);
     let size = |d: &Document| serde_json::to_string(d).map_or(usize::MAX, |s| s.len());
     let too_large = |field: String| Err(StoredError::TooLarge { field, limit });
-    let objectives = Document { objectives: document.objectives.clone(), ..Document::default() };
+    let objectives = Document {
+        objectives: document.objectives.clone(),
+        ..Document::default()
+    };
     if size(&objectives) > limit {
         return too_large("objectives".into());
     }
@@ -172,8 +181,11 @@
         for part in &parts {
             assert!(serde_json::to_string(part).unwrap().len() <= 4096);
         }
-        let record =
-            VersionRecord { id: "3-a".into(), parts: parts.len() as u32, ..Default::default() };
+        let record = VersionRecord {
+            id: "3-a".into(),
+            parts: parts.len() as u32,
+            ..Default::default()
+        };
         assert_eq!(record.assemble(&listing(&record, &parts)), Ok(whole));
         let missing = record.assemble(&listing(&record, &parts[1..]));
         assert!(matches!(missing, Err(StoredError::Parts { .. })));
@@ -182,9 +194,15 @@
 
     #[test]
     fn what_fits_no_value_is_named() {
-        let long = Document { policy: Some("# ".repeat(4000)), ..Document::default() };
+        let long = Document {
+            policy: Some("# ".repeat(4000)),
+            ..Document::default()
+        };
         let error = split(&long, 4096).unwrap_err();
-        assert!(error.to_string().starts_with("policy does not fit"), "{error}");
+        assert!(
+            error.to_string().starts_with("policy does not fit"),
+            "{error}"
+        );
     }
 
     #[test]
@@ -192,10 +210,20 @@
         let mut history = HistoryRecord::default();
         let mut dropped = 0;
         for version in 1..=100 {
-            let record = VersionRecord { version, why: "x".repeat(100), ..Default::default() };
+            let record = VersionRecord {
+                version,
+                why: "x".repeat(100),
+                ..Default::default()
+            };
             dropped += history.push(record, 4096).len();
         }
-        assert_eq!((history.versions[0].version, history.versions.len() + dropped), (100, 100));
+        assert_eq!(
+            (
+                history.versions[0].version,
+                history.versions.len() + dropped
+            ),
+            (100, 100)
+        );
         assert!(serde_json::to_string(&history).unwrap().len() <= 4096 && dropped > 50);
     }
 }
--- a/crates/gannethub-core/src/wire/peer.rs
+++ b/crates/gannethub-core/src/wire/peer.rs
@@ -325,7 +325,9 @@
 
 /// Takes the next whole frame off `buf`, if there is one.
 pub fn decode(buf: &mut BytesMut) -> Result<Option<Envelope>, FrameError> {
-    let Some(head) = buf.get(..4) else { return Ok(None) };
+    let Some(head) = buf.get(..4) else {
+        return Ok(None);
+    };
     let n = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
     if n > MAX_FRAME {
         return Err(FrameError::TooLong(n));
@@ -345,7 +347,10 @@
     fn frames_survive_splitting_and_garbage_is_refused() {
         let m = Envelope {
             from: "n1".into(),
-            body: Some(Body::Relay(Relay { id: 9, report: Bytes::from_static(b"{}") })),
+            body: Some(Body::Relay(Relay {
+                id: 9,
+                report: Bytes::from_static(b"{}"),
+            })),
         };
         let mut wire = BytesMut::new();
         encode(&m, &mut wire);
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -110,7 +110,9 @@
         }
         let r = self.clone();
         raw(&HomedRecord {
-            spec: Size { tasks: r.spec.tasks },
+            spec: Size {
+                tasks: r.spec.tasks,
+            },
             at: r.at,
             done: r.done,
             cancelled: r.cancelled,
@@ -127,7 +129,16 @@
     /// Of a job that is accepted at `at`, none of whose tasks has been launched.
     pub fn new(spec: JobSpec, at: u64) -> JobRecord {
         let (done, ready, open) = (String::new(), None, Some(0));
-        JobRecord { spec, at, ready, done, cancelled: false, failing: false, open, block: 0 }
+        JobRecord {
+            spec,
+            at,
+            ready,
+            done,
+            cancelled: false,
+            failing: false,
+            open,
+            block: 0,
+        }
     }
 
     /// The mark: tasks with this number or a higher one are on no machine.
@@ -180,9 +191,24 @@
 
 impl From<HomedRecord> for JobRecord {
     fn from(r: HomedRecord) -> JobRecord {
-        let Homed { block, job, ready, failing, open } = r.homed;
+        let Homed {
+            block,
+            job,
+            ready,
+            failing,
+            open,
+        } = r.homed;
         let (at, done, cancelled) = (r.at, r.done, r.cancelled);
-        JobRecord { spec: job, at, ready, done, cancelled, failing, open, block }
+        JobRecord {
+            spec: job,
+            at,
+            ready,
+            done,
+            cancelled,
+            failing,
+            open,
+            block,
+        }
     }
 }
 
@@ -196,7 +222,12 @@
 impl WaitingRecord {
     pub fn new(job: JobSpec, at: u64, cancelled: bool, upstream: &[JobId]) -> WaitingRecord {
         let on = encode_ids(upstream);
-        WaitingRecord { spec: Size { tasks: job.tasks }, at, cancelled, waiting: Held { job, on } }
+        WaitingRecord {
+            spec: Size { tasks: job.tasks },
+            at,
+            cancelled,
+            waiting: Held { job, on },
+        }
     }
 }
 
@@ -209,12 +240,16 @@
 
 impl LiveRecord {
     pub fn parse(text: &str) -> Result<LiveRecord, serde_json::Error> {
-        serde_json::from_str(text).map(LiveRecord::Job).or_else(|e| {
-            // What is neither is explained as what it is most likely meant to be.
-            let homed = || serde_json::from_str::<HomedRecord>(text);
-            let waiting = serde_json::from_str(text).map(LiveRecord::Waiting);
-            waiting.or_else(|_| homed().map(|r| LiveRecord::Job(r.into()))).map_err(|_| e)
-        })
+        serde_json::from_str(text)
+            .map(LiveRecord::Job)
+            .or_else(|e| {
+                // What is neither is explained as what it is most likely meant to be.
+                let homed = || serde_json::from_str::<HomedRecord>(text);
+                let waiting = serde_json::from_str(text).map(LiveRecord::Waiting);
+                waiting
+                    .or_else(|_| homed().map(|r| LiveRecord::Job(r.into())))
+                    .map_err(|_| e)
+            })
     }
 
     pub fn cancelled(&self) -> bool {
@@ -279,7 +314,9 @@
 pub fn decode_ids(text: &str) -> Vec<JobId> {
     let mut ids = Vec::new();
     for (digits, numbers) in text.split(';').filter_map(|group| group.split_once(':')) {
-        let Ok(digits) = digits.parse::<usize>() else { continue };
+        let Ok(digits) = digits.parse::<usize>() else {
+            continue;
+        };
         for item in numbers.split(',') {
             let (a, b) = item.split_once('-').unwrap_or((item, item));
             if let (Ok(a), Ok(b)) = (a.parse::<u64>(), b.parse::<u64>()) {
@@ -335,10 +372,16 @@
     for &(a, b) in slice.as_slice() {
         let sep = if out.is_empty() { "" } else { "," };
         // Writing to a String cannot fail.
-        let _ = if a == b { write!(out, "{sep}{a}") } else { write!(out, "{sep}{a}-{b}") };
+        let _ = if a == b {
+            write!(out, "{sep}{a}")
+        } else {
+            write!(out, "{sep}{a}-{b}")
+        };
         if out.len() > PART_TASKS as usize / 4 {
             let mut map = vec![0u8; PART_TASKS as usize / 8];
-            slice.iter().for_each(|x| map[(x - lo) as usize / 8] |= 1 << ((x - lo) % 8));
+            slice
+                .iter()
+                .for_each(|x| map[(x - lo) as usize / 8] |= 1 << ((x - lo) % 8));
             out = String::from("x");
             map.iter().for_each(|b| {
                 let _ = write!(out, "{b:02x}");
@@ -353,8 +396,15 @@
 pub fn decode_done(text: &str, part: u32, done: &mut Ranges) {
     let lo = part * PART_TASKS;
     if let Some(hex) = text.strip_prefix('x') {
-        for (i, pair) in hex.as_bytes().chunks(2).enumerate().take(PART_TASKS as usize / 8) {
-            let byte = std::str::from_utf8(pair).ok().and_then(|p| u8::from_str_radix(p, 16).ok());
+        for (i, pair) in hex
+            .as_bytes()
+            .chunks(2)
+            .enumerate()
+            .take(PART_TASKS as usize / 8)
+        {
+            let byte = std::str::from_utf8(pair)
+                .ok()
+                .and_then(|p| u8::from_str_radix(p, 16).ok());
             let byte = byte.unwrap_or(0);
             for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
                 done.insert(lo + i as u32 * 8 + bit);
@@ -385,7 +435,13 @@
 
 impl StoreRequest {
     fn new(method: Method, path: String, body: Bytes) -> StoreRequest {
-        StoreRequest { method, path, body, patience: 2 * SECOND, changes: 0 }
+        StoreRequest {
+            method,
+            path,
+            body,
+            patience: 2 * SECOND,
+            changes: 0,
+        }
     }
 
     pub fn get(key: &str) -> StoreRequest {
@@ -393,7 +449,11 @@
     }
 
     pub fn list(prefix: &str, after: &str) -> StoreRequest {
-        let from = if after.is_empty() { String::new() } else { format!("&from={after}") };
+        let from = if after.is_empty() {
+            String::new()
+        } else {
+            format!("&from={after}")
+        };
         let path = format!("/kv?starts={prefix}{from}&page=200");
         StoreRequest::new(Method::Get, path, Bytes::new())
     }
@@ -416,7 +476,11 @@
         struct Grant {
             ttl_ms: u64,
         }
-        StoreRequest::new(Method::Post, "/grants".into(), json(&Grant { ttl_ms: ttl / 1000 }))
+        StoreRequest::new(
+            Method::Post,
+            "/grants".into(),
+            json(&Grant { ttl_ms: ttl / 1000 }),
+        )
     }
 
     pub fn renew(grant: u64) -> StoreRequest {
@@ -471,11 +535,18 @@
 impl Commit {
     /// Requires `key` to have version `stamp`; 0: not to exist.
     pub fn guard(&mut self, key: &str, stamp: u64) {
-        self.guards.push(Guard { k: key.into(), stamp });
+        self.guards.push(Guard {
+            k: key.into(),
+            stamp,
+        });
     }
 
     pub fn put(&mut self, key: &str, value: Box<RawValue>, grant: Option<u64>) {
-        self.writes.push(Write::Put { write: key.into(), v: value, permit: grant });
+        self.writes.push(Write::Put {
+            write: key.into(),
+            v: value,
+            permit: grant,
+        });
     }
 
     pub fn delete(&mut self, key: &str) {
@@ -612,10 +683,16 @@
 
     #[test]
     fn ids_are_written_briefly_and_come_back_as_they_were() {
-        let ids: Vec<JobId> =
-            ["j-000398", "j-000399", "j-000400", "j-7", "j-007", "j-999999999999999999"]
-                .map(JobId::from)
-                .to_vec();
+        let ids: Vec<JobId> = [
+            "j-000398",
+            "j-000399",
+            "j-000400",
+            "j-7",
+            "j-007",
+            "j-999999999999999999",
+        ]
+        .map(JobId::from)
+        .to_vec();
         let text = encode_ids(&ids);
         assert_eq!(text, "1:7;3:7;6:398-400;18:999999999999999999");
         let back: BTreeSet<JobId> = decode_ids(&text).into_iter().collect();
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -56,7 +56,10 @@
         }
     }
     assert_eq!(taking, 0, "allocations for 49 reports that hold no news");
-    assert_eq!(parsing, 49, "the list of tasks is the only thing that is kept of the bytes");
+    assert_eq!(
+        parsing, 49,
+        "the list of tasks is the only thing that is kept of the bytes"
+    );
     // One that does hold news shows that the count counts.
     let mut changed: Report<'_> = serde_json::from_str(&texts[0]).expect("a report");
     changed.seq = 1000;
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -7,7 +7,9 @@
 /// Folders of the core that a file names in a path.
 fn named(text: &str) -> impl Iterator<Item = &str> {
     text.split("crate::").skip(1).filter_map(|rest| {
-        let end = rest.find(|c: char| !c.is_ascii_lowercase()).unwrap_or(rest.len());
+        let end = rest
+            .find(|c: char| !c.is_ascii_lowercase())
+            .unwrap_or(rest.len());
         LAYERS.into_iter().find(|l| *l == &rest[..end])
     })
 }
@@ -27,7 +29,14 @@
         }
     }
     // What lies beside the folders is below them all.
-    for module in ["configuration", "http", "model", "policy", "saga", "settings"] {
+    for module in [
+        "configuration",
+        "http",
+        "model",
+        "policy",
+        "saga",
+        "settings",
+    ] {
         let text = std::fs::read_to_string(src.join(format!("{module}.rs"))).expect("a module");
         read += 1;
         upward.extend(named(&text).map(|other| format!("{module} names {other}")));
--- a/crates/gannethub-core/tests/stories/configuration.rs
+++ b/crates/gannethub-core/tests/stories/configuration.rs
@@ -22,7 +22,11 @@
     let mut w = World::new(3, seed);
     w.cloud.capacity = 16;
     w.run(10);
-    w.submit(job(1, replicas, json!({"shape": "service", "crew": "red", "rigs": ["small"]})));
+    w.submit(job(
+        1,
+        replicas,
+        json!({"shape": "service", "crew": "red", "rigs": ["small"]}),
+    ));
     w.run_until(60, "the replicas run", |w| w.starts >= replicas as usize);
     w
 }
@@ -37,13 +41,19 @@
         let id = t.name.split('/').next().unwrap_or("");
         t.on_machine() && w.jobs.get(id).is_some_and(|j| j.body["crew"] == "red")
     };
-    w.workers.values().flat_map(|m| m.tasks.values()).filter(of_red).count()
+    w.workers
+        .values()
+        .flat_map(|m| m.tasks.values())
+        .filter(of_red)
+        .count()
 }
 
 fn lose_leader(w: &mut World) {
     let old = w.leader().expect("someone leads");
     w.crash(old, 20 * SECOND);
-    w.run_until(20, "another leads", |w| w.leader().is_some_and(|l| l != old));
+    w.run_until(20, "another leads", |w| {
+        w.leader().is_some_and(|l| l != old)
+    });
 }
 
 #[test]
@@ -73,7 +83,9 @@
         }
         w.run(30);
         let raised = w.configure(red(40.0), 0);
-        w.run_until(90, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(90, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         assert!(w.in_force(raised));
         w.finish();
     }
@@ -82,7 +94,10 @@
 #[test]
 fn what_runs_above_a_lowered_limit_is_stopped_where_operators_want_that() {
     let mut w = red_runs(7, 16);
-    let stop = Document { over_limit: OverLimit::Stop, ..red(8.0) };
+    let stop = Document {
+        over_limit: OverLimit::Stop,
+        ..red(8.0)
+    };
     w.configure(stop, 0);
     w.run_until(20, "red is within its limit", |w| used(w) == 8);
     lose_leader(&mut w);
@@ -94,7 +109,11 @@
 /// The settings of a leader's view with another limit for red.
 fn with_limit(f: &LeaderView, cpus_max: f64) -> Arc<Settings> {
     let settings = &f.c.settings;
-    Arc::new(red(cpus_max).effective(settings, settings).expect("it is fine"))
+    Arc::new(
+        red(cpus_max)
+            .effective(settings, settings)
+            .expect("it is fine"),
+    )
 }
 
 /// Tasks that machines are told to launch now.
@@ -114,7 +133,11 @@
     let settings = with_limit(&f, 6.0);
     f.c.configure(&settings, OverLimit::Run, f.now);
     assert_eq!(launches(&mut f), 6);
-    assert_eq!(f.c.jobs["j-1"].live.len(), 6, "the others wait for room under the limit");
+    assert_eq!(
+        f.c.jobs["j-1"].live.len(),
+        6,
+        "the others wait for room under the limit"
+    );
 }
 
 #[test]
@@ -128,7 +151,10 @@
     assert_eq!(launches(&mut f), 0);
     f.submit("j-2", spec(Shape::Array, "blue", 1, 1.0));
     f.c.schedule(f.now);
-    assert!(!f.c.jobs["j-2"].live.contains_key(&0), "and nothing is placed");
+    assert!(
+        !f.c.jobs["j-2"].live.contains_key(&0),
+        "and nothing is placed"
+    );
     f.c.holds_starts = false;
     assert_eq!(launches(&mut f), 16);
 }
@@ -144,7 +170,9 @@
         w.pause(300_000);
         let version = w.configure(red(9.0), 0);
         w.run_until(EVERYWHERE, "the last is in force", |w| w.in_force(version));
-        w.run_until(120, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(120, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         w.finish();
     }
 }
@@ -159,7 +187,9 @@
     w.run_until(EVERYWHERE, "it is in force", |w| w.none_older(version));
     w.run_until(EVERYWHERE, "the leader knows it", |w| w.in_force(version));
     w.hung_watches.clear();
-    w.run_until(120, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+    w.run_until(120, "the array is done", |w| {
+        w.jobs["j-000002"].told_done.is_some()
+    });
     w.finish();
 }
 
@@ -175,7 +205,9 @@
         assert!(w.none_older(version), "{:?}", w.versions());
         w.run(20);
         w.all_well();
-        w.run_until(120, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(120, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         w.finish();
     }
 }
@@ -190,10 +222,14 @@
         // From before anybody can know of the loss until after somebody leads.
         w.pause((seed - 20) * 700_000);
         w.configure(red(8.0), 0);
-        w.run_until(20, "another leads", |w| w.leader().is_some_and(|l| l != old));
+        w.run_until(20, "another leads", |w| {
+            w.leader().is_some_and(|l| l != old)
+        });
         w.run(20);
         w.configure(red(40.0), 0);
-        w.run_until(150, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(150, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         w.finish();
     }
 }
@@ -212,7 +248,9 @@
         w.run(outage);
         w.state.down = false;
         w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
-        w.run_until(120, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(120, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         w.finish();
     }
 }
@@ -222,7 +260,11 @@
     let mut w = red_runs(35, 4);
     let version = w.configure(red(20.0), 0);
     w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
-    w.submit(job(2, 60, json!({"crew": "blue", "rigs": ["small"], "guess_s": 3.0})));
+    w.submit(job(
+        2,
+        60,
+        json!({"crew": "blue", "rigs": ["small"], "guess_s": 3.0}),
+    ));
     w.run(12);
     w.state.down = true;
     w.run(8);
@@ -230,7 +272,9 @@
     w.run(8);
     assert!(w.starts > before, "nothing was started in the outage");
     w.state.down = false;
-    w.run_until(120, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+    w.run_until(120, "the array is done", |w| {
+        w.jobs["j-000002"].told_done.is_some()
+    });
     w.finish();
 }
 
@@ -238,24 +282,34 @@
 fn a_team_is_removed_and_added_again_with_jobs_alive() {
     let mut w = red_runs(40, 4);
     w.submit(job(2, 30, json!({"crew": "red", "rigs": ["small"]})));
-    w.run_until(20, "it is accepted", |w| w.jobs["j-000002"].accepted.is_some());
+    w.run_until(20, "it is accepted", |w| {
+        w.jobs["j-000002"].accepted.is_some()
+    });
     let mut gone = red(16.0);
     gone.teams[0].removed = true;
     let version = w.configure(gone, 0);
     w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
     // No new jobs, at any controller; the old ones finish within the last limit.
     for node in 0..3 {
-        w.submit_odd(job(50 + node as u32, 1, json!({"crew": "red"})), "crew", node);
+        w.submit_odd(
+            job(50 + node as u32, 1, json!({"crew": "red"})),
+            "crew",
+            node,
+        );
     }
     w.run(2);
     assert!(w.odd.values().all(|o| o.refused == 1), "{:?}", w.odd);
     w.submit(job(3, 2, json!({"crew": "blue"})));
     lose_leader(&mut w);
-    w.run_until(120, "the old job is done", |w| w.jobs["j-000002"].told_done.is_some());
+    w.run_until(120, "the old job is done", |w| {
+        w.jobs["j-000002"].told_done.is_some()
+    });
     let version = w.configure(red(12.0), 0);
     w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
     w.submit(job(4, 10, json!({"crew": "red"})));
-    w.run_until(90, "the new job is done", |w| w.jobs["j-000004"].told_done.is_some());
+    w.run_until(90, "the new job is done", |w| {
+        w.jobs["j-000004"].told_done.is_some()
+    });
     w.finish();
 }
 
@@ -298,7 +352,10 @@
         w.run(5);
         for i in 50..59 {
             let key = format!("gh/live/j-{i:06}");
-            assert!(w.state.stamp(&key) < stored, "{key} was accepted after its team was removed");
+            assert!(
+                w.state.stamp(&key) < stored,
+                "{key} was accepted after its team was removed"
+            );
         }
         w.finish();
     }
@@ -308,7 +365,10 @@
 fn a_document_that_cannot_be_used_leaves_the_last_good_one_in_force() {
     for (seed, broken) in [
         (50, "7"),
-        (51, "{\"version\":9,\"id\":\"9-x\",\"parts\":2,\"at\":0,\"by\":\"\",\"why\":\"\"}"),
+        (
+            51,
+            "{\"version\":9,\"id\":\"9-x\",\"parts\":2,\"at\":0,\"by\":\"\",\"why\":\"\"}",
+        ),
         (52, ""),
     ] {
         let mut w = red_runs(seed, 4);
@@ -321,13 +381,17 @@
         w.run(EVERYWHERE);
         assert!(w.in_force(version), "{:?}", w.versions());
         w.submit(job(2, 10, json!({"crew": "red"})));
-        w.run_until(60, "the service goes on", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(60, "the service goes on", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         if !broken.is_empty() {
             // Processes that are new find it as well.
             (0..3).for_each(|node| w.restart(node));
             w.run_until(20, "it is in force", |w| w.in_force(version));
             w.submit(job(3, 10, json!({"crew": "red"})));
-            w.run_until(90, "the service goes on", |w| w.jobs["j-000003"].told_done.is_some());
+            w.run_until(90, "the service goes on", |w| {
+                w.jobs["j-000003"].told_done.is_some()
+            });
         }
         w.finish();
     }
@@ -346,7 +410,12 @@
     for (i, document) in documents.into_iter().enumerate() {
         let number = 10 + i as u64;
         let id = format!("{number}-tool");
-        let record = VersionRecord { version: number, id, parts: 1, ..VersionRecord::default() };
+        let record = VersionRecord {
+            version: number,
+            id,
+            parts: 1,
+            ..VersionRecord::default()
+        };
         w.state.put(&record.part_key(0), &document.to_string());
         w.state.put(CURRENT, raw(&record).get());
         w.run(EVERYWHERE);
@@ -354,7 +423,9 @@
     }
     w.state.remove(HISTORY);
     w.submit(job(2, 10, json!({"crew": "red"})));
-    w.run_until(60, "the service goes on", |w| w.jobs["j-000002"].told_done.is_some());
+    w.run_until(60, "the service goes on", |w| {
+        w.jobs["j-000002"].told_done.is_some()
+    });
     w.finish();
 }
 
@@ -370,16 +441,28 @@
         share: 0.9,
         times: 1.0,
     };
-    let objectives = Document { objectives: Some(vec![objective]), ..Document::default() };
+    let objectives = Document {
+        objectives: Some(vec![objective]),
+        ..Document::default()
+    };
     let version = w.configure(objectives, 0);
     w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
-    let record =
-        VersionRecord { version: 9, id: "9-tool".into(), parts: 1, ..VersionRecord::default() };
-    w.state.put(&record.part_key(0), r#"{"teams":[{"name":"red","cpus":1.0,"cpus_max":2.0}]}"#);
+    let record = VersionRecord {
+        version: 9,
+        id: "9-tool".into(),
+        parts: 1,
+        ..VersionRecord::default()
+    };
+    w.state.put(
+        &record.part_key(0),
+        r#"{"teams":[{"name":"red","cpus":1.0,"cpus_max":2.0}]}"#,
+    );
     w.state.put(CURRENT, raw(&record).get());
     w.run(EVERYWHERE);
     assert!(w.in_force(version), "{:?}", w.versions());
-    w.run_until(120, "the array is done", |w| w.jobs["j-000001"].told_done.is_some());
+    w.run_until(120, "the array is done", |w| {
+        w.jobs["j-000001"].told_done.is_some()
+    });
     w.finish();
 }
 
@@ -425,17 +508,26 @@
         // The leader alone is refused while the others hear of a change, and then all are.
         w.queries = 3;
         w.refused.insert(leader);
-        w.cut.extend((0..3).filter(|i| *i != leader).flat_map(|i| [(i, leader), (leader, i)]));
+        w.cut.extend(
+            (0..3)
+                .filter(|i| *i != leader)
+                .flat_map(|i| [(i, leader), (leader, i)]),
+        );
         let version = w.configure(red(4.0), 0);
         w.pause(1_200_000);
-        assert!(w.versions().iter().any(|v| v.0 == version), "nobody has heard of it");
+        assert!(
+            w.versions().iter().any(|v| v.0 == version),
+            "nobody has heard of it"
+        );
         w.state.down = true;
         w.cut.clear();
         w.run(25);
         assert!(w.none_older(version), "{:?}", w.versions());
         w.all_well();
         w.configure(red(24.0), 0);
-        w.run_until(120, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(120, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         w.finish();
     }
 }
--- a/crates/gannethub-core/tests/stories/deaf.rs
+++ b/crates/gannethub-core/tests/stories/deaf.rs
@@ -9,7 +9,11 @@
     w.run(2);
     w.submit(job(1, 12, json!({"guess_s": 60.0, "rigs": ["small"]})));
     w.run_until(60, "all of it runs", |w| w.starts >= 12);
-    let busy = w.workers.values().find(|x| !x.tasks.is_empty()).expect("one has work");
+    let busy = w
+        .workers
+        .values()
+        .find(|x| !x.tasks.is_empty())
+        .expect("one has work");
     let name = busy.name.clone();
     (w, name)
 }
@@ -23,7 +27,9 @@
             w.submit(job(i, 8, json!({"rigs": ["small"]})));
             w.run(4);
         }
-        w.run_until(120, "the machine is returned", |w| !w.workers.contains_key(&name));
+        w.run_until(120, "the machine is returned", |w| {
+            !w.workers.contains_key(&name)
+        });
         w.run_until(180, "all are over", World::all_over);
         w.finish();
     }
@@ -34,8 +40,12 @@
     for seed in 1..=6 {
         let (mut w, name) = working(seed);
         let zone = w.workers[&name].zone.clone();
-        let deaf: Vec<String> =
-            w.workers.values().filter(|x| x.zone == zone).map(|x| x.name.clone()).collect();
+        let deaf: Vec<String> = w
+            .workers
+            .values()
+            .filter(|x| x.zone == zone)
+            .map(|x| x.name.clone())
+            .collect();
         w.unheard.extend(deaf.iter().cloned());
         w.run(14);
         // The first session has ended: what is new, and what was lost, starts on machines that are rented for it.
@@ -59,12 +69,19 @@
         w.run(2);
         for i in 1..=5 {
             w.submit(job(2 * i, 8, json!({"rigs": ["small"]})));
-            w.submit(job(2 * i + 1, 3, json!({"shape": "group", "guess_s": 12.0})));
+            w.submit(job(
+                2 * i + 1,
+                3,
+                json!({"shape": "group", "guess_s": 12.0}),
+            ));
             w.run(6);
             if i % 2 == 0 {
                 w.lose_leader(5 * SECOND);
-            } else if let Some(name) =
-                w.workers.values().find(|x| !x.tasks.is_empty()).map(|x| x.name.clone())
+            } else if let Some(name) = w
+                .workers
+                .values()
+                .find(|x| !x.tasks.is_empty())
+                .map(|x| x.name.clone())
             {
                 // It is silent for longer than its lease and begins another session.
                 let until = w.now + 12 * SECOND;
@@ -91,12 +108,23 @@
         for i in &others {
             w.cut.extend([(old, *i), (*i, old)]);
         }
-        w.run_until(15, "another leads", |w| w.leader().is_some_and(|l| l != old));
+        w.run_until(15, "another leads", |w| {
+            w.leader().is_some_and(|l| l != old)
+        });
         w.run(20);
-        let before: Vec<(String, u64)> =
-            w.workers.values().map(|x| (x.name.clone(), x.session)).collect();
-        assert!(before.iter().all(|(_, session)| *session == 1), "lost sessions: {before:?}");
-        let acts = w.nodes[old].controller.as_ref().is_some_and(|c| c.cluster().is_some());
+        let before: Vec<(String, u64)> = w
+            .workers
+            .values()
+            .map(|x| (x.name.clone(), x.session))
+            .collect();
+        assert!(
+            before.iter().all(|(_, session)| *session == 1),
+            "lost sessions: {before:?}"
+        );
+        let acts = w.nodes[old]
+            .controller
+            .as_ref()
+            .is_some_and(|c| c.cluster().is_some());
         assert!(!acts, "it still leads");
         w.refused.clear();
         w.cut.clear();
--- a/crates/gannethub-core/tests/stories/further.rs
+++ b/crates/gannethub-core/tests/stories/further.rs
@@ -43,7 +43,11 @@
                     _ => Vec::new(),
                 };
                 let shape = if next % 7 == 0 { "group" } else { "array" };
-                w.submit(job(next, 1 + next % 2, json!({"shape": shape, "waits_on": on})));
+                w.submit(job(
+                    next,
+                    1 + next % 2,
+                    json!({"shape": shape, "waits_on": on}),
+                ));
             }
             if round % 3 == 0 {
                 // As soon as it is accepted, or before; the one that waits for it goes with it.
@@ -64,7 +68,10 @@
             }
         }
         assert!(w.looked > 500, "{} looks", w.looked);
-        assert!(w.state.keeps.is_none() || w.state.forgot > 0, "no watch fell behind");
+        assert!(
+            w.state.keeps.is_none() || w.state.forgot > 0,
+            "no watch fell behind"
+        );
         to_the_end(w, seed);
     }
 }
@@ -87,8 +94,16 @@
             w.run(u64::from(i % 2));
         }
         w.run_until(120, "all are over", World::all_over);
-        ends.0 += w.jobs.values().filter(|j| j.told_done.is_some() && j.cancel_asked).count();
-        ends.1 += w.jobs.values().filter(|j| j.told_cancelled.is_some()).count();
+        ends.0 += w
+            .jobs
+            .values()
+            .filter(|j| j.told_done.is_some() && j.cancel_asked)
+            .count();
+        ends.1 += w
+            .jobs
+            .values()
+            .filter(|j| j.told_cancelled.is_some())
+            .count();
         to_the_end(w, seed);
     }
     // The cancellations come from before the end is known until after it is stored.
@@ -142,20 +157,29 @@
         w.run(2);
         for i in 1..=8 {
             let crew = ["red", "blue"][i as usize % 2];
-            w.submit(job(i, 10, json!({"crew": crew, "guess_s": 150.0, "rigs": ["small"]})));
+            w.submit(job(
+                i,
+                10,
+                json!({"crew": crew, "guess_s": 150.0, "rigs": ["small"]}),
+            ));
         }
         // 16 of red, 40 of blue: as much as their limits allow.
         w.run_until(90, "both teams are at their limits", |w| w.starts >= 56);
         w.run(3);
         let on = |x: &sim::Worker| x.tasks.keys().any(|t| t[7..8].parse().unwrap_or(0) <= 4);
-        let some: Vec<String> =
-            w.workers.values().filter(|x| on(x)).map(|x| x.name.clone()).collect();
+        let some: Vec<String> = w
+            .workers
+            .values()
+            .filter(|x| on(x))
+            .map(|x| x.name.clone())
+            .collect();
         let some: Vec<String> = some.into_iter().step_by(2).collect();
         match seed % 4 {
             0 => w.unheard.extend(some),
             1 => {
                 let until = w.now + [LEASE - SECOND, 2 * LEASE][seed as usize / 4 % 2];
-                some.iter().for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
+                some.iter()
+                    .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
             2 => w.mute.extend(some),
             _ => (0..3).for_each(|n| {
@@ -228,7 +252,9 @@
     for seed in 1..=6 {
         let w = World::with_blocks(3, seed, 3, &|text| text);
         cancelled_at_every_step(w, seed, |w| {
-            let holder = w.holds(seed as u32 % 3).expect("held")[1..].parse().expect("a node");
+            let holder = w.holds(seed as u32 % 3).expect("held")[1..]
+                .parse()
+                .expect("a node");
             match seed {
                 1 | 2 => w.crash(holder, 20 * SECOND),
                 3 | 4 => w.crash(holder, SECOND / 5),
@@ -266,7 +292,9 @@
             let more = json!({"guess_s": 60.0, "rigs": ["small"]});
             w.submit(job(1 + round, 6, more));
             let until = w.now + 25 * SECOND;
-            w.run_until(26, "it starts, if it may", |w| w.starts > before || w.now >= until);
+            w.run_until(26, "it starts, if it may", |w| {
+                w.starts > before || w.now >= until
+            });
             w.run(seed % 2);
             w.lose_leader([SECOND / 5, 20 * SECOND][round as usize % 2]);
             // They can tell the successor nothing for a while: only the record tells of them.
@@ -291,8 +319,16 @@
         w.run(2);
         w.keep_copies = 0.5;
         for round in 0..6 {
-            w.submit(job(10 * round + 1, 6, json!({"guess_s": 30.0, "rigs": ["small"]})));
-            w.submit(job(10 * round + 2, 3, json!({"shape": "group", "crew": "red"})));
+            w.submit(job(
+                10 * round + 1,
+                6,
+                json!({"guess_s": 30.0, "rigs": ["small"]}),
+            ));
+            w.submit(job(
+                10 * round + 2,
+                3,
+                json!({"shape": "group", "crew": "red"}),
+            ));
             w.run(8);
             // A session ends, another machine is gone, and a job is called off.
             let busy = w.workers.values().filter(|x| !x.tasks.is_empty());
@@ -301,8 +337,10 @@
             if let Some(x) = busy.first().and_then(|n| w.workers.get_mut(n)) {
                 x.hung_until = until;
             }
-            if let Some(x) =
-                busy.last().filter(|_| round % 2 == 1).and_then(|n| w.workers.get_mut(n))
+            if let Some(x) = busy
+                .last()
+                .filter(|_| round % 2 == 1)
+                .and_then(|n| w.workers.get_mut(n))
             {
                 x.dead = true;
                 x.tasks.clear();
@@ -349,7 +387,8 @@
     for seed in 1..=8 {
         let mut w = long(3, seed);
         let names: Vec<String> = w.workers.keys().cloned().collect();
-        w.mute.extend(names.into_iter().skip(seed as usize % 3).step_by(2));
+        w.mute
+            .extend(names.into_iter().skip(seed as usize % 3).step_by(2));
         w.cloud.no_deletes = seed % 2 == 0;
         (1..=3).for_each(|i| w.cancel(i));
         w.submit(job(30, 8, json!({"guess_s": 30.0, "rigs": ["small"]})));
@@ -405,7 +444,10 @@
         w.state.down = true;
         w.run(2 * LEASE / SECOND);
         assert_eq!(w.leader(), Some(old), "seed {seed}: promises carry it");
-        assert!(w.workers.values().all(|x| x.session == 1), "a lease ran out");
+        assert!(
+            w.workers.values().all(|x| x.session == 1),
+            "a lease ran out"
+        );
         recover(w, seed);
     }
 }
@@ -449,10 +491,16 @@
             w.deaf.insert((n, "a".into()));
         }
         w.run(2);
-        let outside = (0..w.nodes.len()).find(|n| *n != inside).expect("there are others");
+        let outside = (0..w.nodes.len())
+            .find(|n| *n != inside)
+            .expect("there are others");
         (1..=3).for_each(|i| w.cancel_at(i, outside));
         w.submit(job(20, 4, json!({"guess_s": 30.0, "rigs": ["small"]})));
-        w.submit(job(21, 4, json!({"guess_s": 30.0, "rigs": ["small"], "yard": "a"})));
+        w.submit(job(
+            21,
+            4,
+            json!({"guess_s": 30.0, "rigs": ["small"], "yard": "a"}),
+        ));
         w.run(LEASE / SECOND * [1, 4][seed as usize / 2 % 2] + 6);
         w.deaf.clear();
         w.refused.clear();
@@ -498,7 +546,11 @@
                 1 => json!({"together": true}),
                 _ => json!({"scatter": true}),
             };
-            let mut body = job(i, 4, json!({"shape": shapes[i as usize % 4], "guess_s": 20.0}));
+            let mut body = job(
+                i,
+                4,
+                json!({"shape": shapes[i as usize % 4], "guess_s": 20.0}),
+            );
             body.as_object_mut()
                 .expect("an object")
                 .extend(bound.as_object().cloned().expect("one"));
@@ -510,7 +562,10 @@
         for round in 0..6 {
             w.run(7);
             let zone = ["a", "b"][round % 2];
-            let hit = w.workers.values_mut().filter(|x| x.zone == zone && !x.tasks.is_empty());
+            let hit = w
+                .workers
+                .values_mut()
+                .filter(|x| x.zone == zone && !x.tasks.is_empty());
             hit.step_by(2).for_each(|x| match round % 3 {
                 0 => {
                     x.dead = true;
@@ -524,10 +579,13 @@
             }
             w.cancel(1 + round as u32);
         }
-        w.workers.values_mut().filter(|x| x.hung_until > w.now).for_each(|x| {
-            x.dead = true;
-            x.tasks.clear();
-        });
+        w.workers
+            .values_mut()
+            .filter(|x| x.hung_until > w.now)
+            .for_each(|x| {
+                x.dead = true;
+                x.tasks.clear();
+            });
         w.workers.values_mut().for_each(|x| x.notice = false);
         recover(w, seed);
     }
@@ -551,7 +609,8 @@
                 "stamp_s": save});
             w.submit(job(i, 1 + i % 5, more));
             w.run(2);
-            w.behind.insert(i as usize % 3, u64::from(i % 5) * SECOND / 8);
+            w.behind
+                .insert(i as usize % 3, u64::from(i % 5) * SECOND / 8);
             if i % 3 == 0 {
                 w.cancel(i - 1);
             }
@@ -591,7 +650,11 @@
             w.pause(SECOND / 20);
         }
         w.run(3);
-        let told = w.jobs.values().filter(|j| j.told_cancelled.is_some()).count();
+        let told = w
+            .jobs
+            .values()
+            .filter(|j| j.told_cancelled.is_some())
+            .count();
         assert!(told >= 20, "{told} told");
         to_the_end(w, seed);
     }
@@ -666,7 +729,10 @@
     println!("starts after a confirmation, seconds run on, commands: {without:?}, {with:?}");
     assert_eq!(without.2, 0);
     assert!(with.2 > 0 && with.2 <= 4 * 20, "{with:?}");
-    assert!(2 * with.0 < without.0 && 3 * with.1 < without.1, "{without:?} {with:?}");
+    assert!(
+        2 * with.0 < without.0 && 3 * with.1 < without.1,
+        "{without:?} {with:?}"
+    );
 }
 
 /// Jobs are called off as their machines hang, for less than a lease or more, with an answer that renews the lease in flight.
@@ -689,7 +755,10 @@
         // Again, just as they go on.
         w.run(hang / SECOND);
         let until = w.now + LEASE - SECOND;
-        w.workers.values_mut().step_by(2).for_each(|x| x.hung_until = until);
+        w.workers
+            .values_mut()
+            .step_by(2)
+            .for_each(|x| x.hung_until = until);
         w.run(CANCEL / SECOND);
         recover(w, seed);
     }
@@ -702,7 +771,8 @@
     for seed in 1..=2 {
         let small = |text: String| {
             let text = text.replace("write_rps = 100.0", "write_rps = 25.0");
-            text.replace("rps = 200.0", "rps = 70.0").replace("cpus_max = 40.0", "cpus_max = 80.0")
+            text.replace("rps = 200.0", "rps = 70.0")
+                .replace("cpus_max = 40.0", "cpus_max = 80.0")
         };
         let mut w = World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &small);
         w.state.rate = Some(25.0);
@@ -718,7 +788,11 @@
         for second in 0..120 {
             for _ in 0..4 {
                 next += 1;
-                w.submit(job(next, 1, json!({"guess_s": 3.0, "vcpus": 0.5, "rank": "normal"})));
+                w.submit(job(
+                    next,
+                    1,
+                    json!({"guess_s": 3.0, "vcpus": 0.5, "rank": "normal"}),
+                ));
             }
             if second > 2 {
                 w.cancel(next - 6);
@@ -733,16 +807,28 @@
             }
             w.run(1);
         }
-        assert_eq!(w.state.value(TERM).cloned(), term, "its renewals are served");
+        assert_eq!(
+            w.state.value(TERM).cloned(),
+            term,
+            "its renewals are served"
+        );
         for (i, _) in &large {
             let at = w.jobs[&id(*i)].told_done;
             assert!(at.is_some(), "the end of {i} waits behind those of others");
         }
-        assert!(w.unanswered < 20 * SECOND, "not answered for {} s", w.unanswered / SECOND);
+        assert!(
+            w.unanswered < 20 * SECOND,
+            "not answered for {} s",
+            w.unanswered / SECOND
+        );
         let requests = (w.state.requests - requests) as f64 / f64::from(next);
         assert!(requests < 25.0, "{requests:.1} requests a job");
         w.run_until(200, "all are over", World::all_over);
-        let told = w.jobs.values().filter(|j| j.told_cancelled.is_some()).count();
+        let told = w
+            .jobs
+            .values()
+            .filter(|j| j.told_cancelled.is_some())
+            .count();
         assert!(told > 60, "{told} cancelled");
         assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
         w.finish();
@@ -758,7 +844,12 @@
     let good = job(1, 2, json!({"shape": "group"}));
     w.submit(good.clone());
     w.run_until(5, "accepted", |w| w.jobs[&id(1)].accepted.is_some());
-    let fields: Vec<String> = good.as_object().expect("an object").keys().cloned().collect();
+    let fields: Vec<String> = good
+        .as_object()
+        .expect("an object")
+        .keys()
+        .cloned()
+        .collect();
     let nullable = ["rigs", "yard", "due_s", "waits_on"];
     let mut odd: Vec<(serde_json::Value, String)> = Vec::new();
     let mut next = 100;
@@ -811,21 +902,47 @@
         ("cards", json!(5.0)),
         ("mem_gb", json!(65.0)),
     ];
-    odd.extend(wrong.into_iter().map(|(f, v)| (fresh(json!({f: v})), f.to_string())));
+    odd.extend(
+        wrong
+            .into_iter()
+            .map(|(f, v)| (fresh(json!({f: v})), f.to_string())),
+    );
     let never = [
         // Each of these is allowed, and not together.
         ("mem_gb", json!({"rigs": ["small"], "mem_gb": 17.0})),
         ("cards", json!({"rigs": ["small"], "cards": 1.0})),
         ("pieces", json!({"pieces": 41, "shape": "group"})),
         ("pieces", json!({"pieces": 41, "shape": "service"})),
-        ("pieces", json!({"pieces": 17, "shape": "group", "crew": "red"})),
-        ("pieces", json!({"pieces": 9, "shape": "group", "crew": "red", "cards": 1.0})),
-        ("scatter", json!({"shape": "group", "scatter": true, "yard": "a"})),
-        ("scatter", json!({"shape": "service", "scatter": true, "yard": "a"})),
-        ("scatter", json!({"shape": "group", "scatter": true, "together": true})),
-        ("scatter", json!({"shape": "service", "scatter": true, "together": true})),
+        (
+            "pieces",
+            json!({"pieces": 17, "shape": "group", "crew": "red"}),
+        ),
+        (
+            "pieces",
+            json!({"pieces": 9, "shape": "group", "crew": "red", "cards": 1.0}),
+        ),
+        (
+            "scatter",
+            json!({"shape": "group", "scatter": true, "yard": "a"}),
+        ),
+        (
+            "scatter",
+            json!({"shape": "service", "scatter": true, "yard": "a"}),
+        ),
+        (
+            "scatter",
+            json!({"shape": "group", "scatter": true, "together": true}),
+        ),
+        (
+            "scatter",
+            json!({"shape": "service", "scatter": true, "together": true}),
+        ),
     ];
-    odd.extend(never.into_iter().map(|(f, more)| (fresh(more), f.to_string())));
+    odd.extend(
+        never
+            .into_iter()
+            .map(|(f, more)| (fresh(more), f.to_string())),
+    );
     let fine = [
         json!({"pieces": 41}),
         json!({"scatter": true, "yard": "a"}),
--- a/crates/gannethub-core/tests/stories/growth.rs
+++ b/crates/gannethub-core/tests/stories/growth.rs
@@ -12,7 +12,10 @@
 /// gangs of several shapes that find no room.
 fn crowded(n: usize) -> (LeaderView, Vec<String>) {
     let cpus = n as f64 * 7.2;
-    let teams = [("red", cpus * 0.4, cpus * 4.0), ("blue", cpus * 0.1, cpus * 4.0)];
+    let teams = [
+        ("red", cpus * 0.4, cpus * 4.0),
+        ("blue", cpus * 0.1, cpus * 4.0),
+    ];
     let mut f = LeaderView::with(&teams, Some(20.0));
     let names = f.machines("host", n / 2, "small", "a");
     f.machines("more", n / 2, "small", "b");
@@ -20,16 +23,25 @@
     f.machines("huge", n / 20, "large", "b");
     f.submit(
         "j-1",
-        JobSpec { checkpoint_every: SECOND, ..spec(Shape::Array, "blue", 7 * n as u32, 1.0) },
+        JobSpec {
+            checkpoint_every: SECOND,
+            ..spec(Shape::Array, "blue", 7 * n as u32, 1.0)
+        },
     );
     f.c.schedule(f.now);
     f.run_all();
     f.pass(1);
     for i in 0..n / 10 {
         let cpus = 0.6 + (i % 9) as f64 * 0.1;
-        f.submit(&format!("j-{}", 2 * i + 2), spec(Shape::Array, "red", 40, cpus));
+        f.submit(
+            &format!("j-{}", 2 * i + 2),
+            spec(Shape::Array, "red", 40, cpus),
+        );
         let team = if i % 2 == 0 { "red" } else { "blue" };
-        f.submit(&format!("j-{}", 2 * i + 3), spec(Shape::Gang, team, 1 + (i % 3) as u32, 30.0));
+        f.submit(
+            &format!("j-{}", 2 * i + 3),
+            spec(Shape::Gang, team, 1 + (i % 3) as u32, 30.0),
+        );
     }
     assert_eq!(f.c.misplaced(), Vec::<String>::new());
     (f, names)
@@ -61,20 +73,30 @@
                     .keys()
                     .map(|(t, attempt)| (t.to_string(), *attempt))
                     .collect();
-                let done = on_it.iter().enumerate().map(|(i, (t, a))| (t.as_str(), *a, i < 2));
+                let done = on_it
+                    .iter()
+                    .enumerate()
+                    .map(|(i, (t, a))| (t.as_str(), *a, i < 2));
                 let orders = f.report(name, "small", "a", &done.collect::<Vec<_>>());
-                starts += orders.iter().filter(|o| matches!(o, Order::Start { .. })).count();
+                starts += orders
+                    .iter()
+                    .filter(|o| matches!(o, Order::Start { .. }))
+                    .count();
             }
         });
         assert!(starts >= n / 20, "what came free is used: {starts} starts");
         [first, idle, plan, reports]
     };
     let (small, large) = (costs(400), costs(1200));
-    for (what, (small, large)) in
-        ["first pass", "pass", "plan", "reports"].iter().zip(small.iter().zip(&large))
+    for (what, (small, large)) in ["first pass", "pass", "plan", "reports"]
+        .iter()
+        .zip(small.iter().zip(&large))
     {
         assert!(*small > 0.0);
-        assert!(large / small < 3.6, "{what}: {small} looks, {large} at three times the size");
+        assert!(
+            large / small < 3.6,
+            "{what}: {small} looks, {large} at three times the size"
+        );
     }
 }
 
@@ -91,7 +113,10 @@
         looks
     };
     let (small, large) = (cost(1000), cost(3000));
-    assert!(large / small < 3.6, "{small} looks, {large} at three times the size");
+    assert!(
+        large / small < 3.6,
+        "{small} looks, {large} at three times the size"
+    );
 }
 
 #[test]
@@ -108,7 +133,11 @@
     assert_eq!([on(&f, "up-0000"), on(&f, "quiet-0000")], [4, 0]);
     f.report("quiet-0001", "small", "a", &[]);
     f.c.schedule(f.now);
-    assert_eq!([on(&f, "quiet-0001"), on(&f, "quiet-0000")], [4, 0], "heard again, it gets work");
+    assert_eq!(
+        [on(&f, "quiet-0001"), on(&f, "quiet-0000")],
+        [4, 0],
+        "heard again, it gets work"
+    );
     assert_eq!(f.c.misplaced(), Vec::<String>::new());
 }
 
--- a/crates/gannethub-core/tests/stories/leader_view.rs
+++ b/crates/gannethub-core/tests/stories/leader_view.rs
@@ -43,7 +43,11 @@
             "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"c\"\nwithin_s = {within:.1}\nshare = 0.9\n"
         );
     }
-    Arc::new(Settings::parse(&text, "story").expect("the story's settings are fine").0)
+    Arc::new(
+        Settings::parse(&text, "story")
+            .expect("the story's settings are fine")
+            .0,
+    )
 }
 
 fn flavors() -> Arc<Vec<Flavor>> {
@@ -83,7 +87,11 @@
 
 impl LeaderView {
     pub fn new() -> LeaderView {
-        let teams = [("red", 64.0, 4000.0), ("blue", 64.0, 4000.0), ("guest", 0.0, 0.0)];
+        let teams = [
+            ("red", 64.0, 4000.0),
+            ("blue", 64.0, 4000.0),
+            ("guest", 0.0, 0.0),
+        ];
         LeaderView::with(&teams, None)
     }
 
@@ -99,7 +107,12 @@
     pub fn unread(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> LeaderView {
         let now = 100 * SECOND;
         let c = Cluster::new(TERM, settings(teams, wait_s), flavors(), now, WALL);
-        LeaderView { c, now, stamp: 10, seqs: BTreeMap::new() }
+        LeaderView {
+            c,
+            now,
+            stamp: 10,
+            seqs: BTreeMap::new(),
+        }
     }
 
     pub fn pass(&mut self, seconds: u64) {
@@ -109,7 +122,8 @@
 
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
         self.stamp += 1;
-        self.c.job_record(id, JobRecord::new(spec, WALL + self.now), self.stamp);
+        self.c
+            .job_record(id, JobRecord::new(spec, WALL + self.now), self.stamp);
     }
 
     /// A report with these tasks; the orders it is answered with.
@@ -136,7 +150,11 @@
         let tasks = tasks.iter().map(|(task, attempt, done)| ReportedTask {
             task: Cow::Borrowed(*task),
             attempt: *attempt,
-            state: if *done { TaskState::Exited } else { TaskState::Running },
+            state: if *done {
+                TaskState::Exited
+            } else {
+                TaskState::Running
+            },
             why: done.then_some(ExitReason::Done),
             saved: false,
         });
@@ -192,9 +210,13 @@
         zone: &str,
     ) -> Vec<String> {
         let names: Vec<String> = (0..count).map(|i| format!("{prefix}-{i:04}")).collect();
-        names.iter().for_each(|n| drop(self.report(n, flavor, zone, &[])));
+        names
+            .iter()
+            .for_each(|n| drop(self.report(n, flavor, zone, &[])));
         self.write();
-        names.iter().for_each(|n| drop(self.report(n, flavor, zone, &[])));
+        names
+            .iter()
+            .for_each(|n| drop(self.report(n, flavor, zone, &[])));
         names
     }
 
@@ -205,9 +227,14 @@
             .machines
             .values()
             .map(|m| {
-                let flavor = m.flavor.map_or("", |f| if f == 0 { "small" } else { "large" });
-                let tasks: Vec<(String, u64)> =
-                    m.attempts.keys().map(|(t, attempt)| (t.to_string(), *attempt)).collect();
+                let flavor = m
+                    .flavor
+                    .map_or("", |f| if f == 0 { "small" } else { "large" });
+                let tasks: Vec<(String, u64)> = m
+                    .attempts
+                    .keys()
+                    .map(|(t, attempt)| (t.to_string(), *attempt))
+                    .collect();
                 (m.id.to_string(), flavor, m.zone.to_string(), tasks)
             })
             .collect();
@@ -229,17 +256,21 @@
             self.now += SECOND / 2;
             for call in self.c.plan_fleet(self.now) {
                 let body = match &call {
-                    CloudCall::Rent { name, offer, count, .. } => {
+                    CloudCall::Rent {
+                        name, offer, count, ..
+                    } => {
                         assert!(*count <= 50);
                         let flavor = self.c.flavors[offer.flavor].name.to_string();
                         *rented.entry((flavor, offer.zone.clone())).or_default() += count;
-                        let hosts: Vec<_> =
-                            (0..*count).map(|i| format!("host-{round}-{name}-{i}")).collect();
+                        let hosts: Vec<_> = (0..*count)
+                            .map(|i| format!("host-{round}-{name}-{i}"))
+                            .collect();
                         json!({ "hosts": hosts })
                     }
                     _ => json!({"hosts": []}),
                 };
-                self.c.cloud_answer(call, Some((200, body.to_string().as_bytes())), self.now);
+                self.c
+                    .cloud_answer(call, Some((200, body.to_string().as_bytes())), self.now);
             }
         }
         rented
--- a/crates/gannethub-core/tests/stories/lean.rs
+++ b/crates/gannethub-core/tests/stories/lean.rs
@@ -42,7 +42,9 @@
             w.run(seed % 3);
             let (lost, at) = (w.leader().expect("one leads"), w.now);
             w.crash(lost, 60 * SECOND);
-            w.run_until(15, "another leads", |w| w.leader().is_some_and(|l| l != lost));
+            w.run_until(15, "another leads", |w| {
+                w.leader().is_some_and(|l| l != lost)
+            });
             let took = w.now - at;
             assert!(w.broken.is_empty(), "{:?}", w.broken);
             took / 1000
@@ -59,8 +61,13 @@
     for seed in 1..=6 {
         let mut w = busy(seed);
         let old = w.leader().expect("one leads");
-        let term =
-            |w: &World| w.nodes[old].controller.as_ref().and_then(|c| c.cluster()).map(|c| c.term);
+        let term = |w: &World| {
+            w.nodes[old]
+                .controller
+                .as_ref()
+                .and_then(|c| c.cluster())
+                .map(|c| c.term)
+        };
         let before = term(&w);
         w.behind.insert(old, SECOND / 2);
         w.run(20);
@@ -82,7 +89,9 @@
             let sent = w.now + late + SECOND / 10;
             w.run_until(5, "it renewed its grant", |w| w.now >= sent);
             w.refused.insert(old);
-            w.run_until(25, "another leads", |w| w.leader().is_some_and(|l| l != old));
+            w.run_until(25, "another leads", |w| {
+                w.leader().is_some_and(|l| l != old)
+            });
             w.run(10);
             w.refused.clear();
             recover(w);
--- a/crates/gannethub-core/tests/stories/ledger.rs
+++ b/crates/gannethub-core/tests/stories/ledger.rs
@@ -45,7 +45,11 @@
                 for e in c.entries {
                     let task = format!("{}/{}", c.common.job, e.task);
                     let key = (e.machine.clone(), task, e.attempt);
-                    audit.entries.entry(key).or_default().push((c.common.team.clone(), e));
+                    audit
+                        .entries
+                        .entry(key)
+                        .or_default()
+                        .push((c.common.team.clone(), e));
                 }
             }
             Body::Gap(g) => audit.gaps.push(g),
@@ -53,7 +57,9 @@
                 if !t.complete {
                     // What ended just before may not have been in writing, and a lease may have run out before
                     // its worker found the new leader.
-                    audit.blind.push((before - LEASE.min(before), t.at + 2 * LEASE));
+                    audit
+                        .blind
+                        .push((before - LEASE.min(before), t.at + 2 * LEASE));
                 }
                 audit.took.push(t);
             }
@@ -70,7 +76,9 @@
     let mut teams: BTreeMap<String, (u64, u64, u64)> = BTreeMap::new();
     let unknown: HashSet<&str> = audit.gaps.iter().map(|g| &*g.machine).collect();
     for (key, span) in &w.record.spans {
-        let (Some(ended), Some(real)) = (span.ended, span.time()) else { continue };
+        let (Some(ended), Some(real)) = (span.ended, span.time()) else {
+            continue;
+        };
         let Some(entries) = audit.entries.get(key) else {
             // It was forgotten before anyone who knew of it could write it down, and the ledger says so: of its
             // machine, or of a leader that did not know what was open when the last line was written.
@@ -87,7 +95,10 @@
         let mut stints: Vec<&Entry> = entries.iter().map(|(_, e)| e).collect();
         stints.sort_by_key(|e| e.begin);
         if stints.windows(2).any(|two| two[1].begin < two[0].end()) || stints.len() > span.stints {
-            wrong.push(format!("{key:?} is charged {} times: {stints:?}", entries.len()));
+            wrong.push(format!(
+                "{key:?} is charged {} times: {stints:?}",
+                entries.len()
+            ));
         }
         let team = &entries[0].0;
         let job = key.1.split('/').next().unwrap_or("");
@@ -97,7 +108,9 @@
         let charged: u64 = stints.iter().map(|e| e.spent.at_worker()).sum();
         let bound: u64 = stints.iter().map(|e| e.bound).sum();
         if charged.abs_diff(real) > bound + SLACK {
-            wrong.push(format!("{key:?} took {real}, charged {charged}: {stints:?} {span:?}"));
+            wrong.push(format!(
+                "{key:?} took {real}, charged {charged}: {stints:?} {span:?}"
+            ));
         }
         let sums = teams.entry(team.clone()).or_default();
         *sums = (sums.0 + real, sums.1 + charged, sums.2 + bound);
@@ -108,8 +121,17 @@
             wrong.push(format!("{key:?} is charged and never ran: {entries:?}"));
         }
     }
-    assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
-    Compared { compared, excused, teams }
+    assert!(
+        wrong.is_empty(),
+        "{} wrong:\n{}",
+        wrong.len(),
+        wrong.join("\n")
+    );
+    Compared {
+        compared,
+        excused,
+        teams,
+    }
 }
 
 struct Compared {
@@ -132,14 +154,21 @@
     w.run_until(200, "all are over", World::all_over);
     w.run(6);
     let audit = audit(&w);
-    let Compared { compared, excused, teams } = compare(&w, &audit);
+    let Compared {
+        compared,
+        excused,
+        teams,
+    } = compare(&w, &audit);
     assert!(compared >= 76 && excused == 0, "{compared} attempts");
     assert_eq!((audit.took.len(), audit.gaps.len()), (1, 0));
     assert_eq!(audit.verified.charged as usize, audit.entries.len());
     for (team, (real, charged, bound)) in teams {
         // Ends right after another report are late by a quarter of a second on average.
         let lag = charged as i64 - real as i64;
-        assert!(lag.unsigned_abs() <= bound + 2 * SECOND, "{team}: {real} {charged} {bound}");
+        assert!(
+            lag.unsigned_abs() <= bound + 2 * SECOND,
+            "{team}: {real} {charged} {bound}"
+        );
     }
     w.finish();
 }
@@ -156,7 +185,10 @@
         leaders += audit.took.len();
         w.finish();
     }
-    assert!(all > 500 && leaders > 24, "{all} attempts under {leaders} leaders");
+    assert!(
+        all > 500 && leaders > 24,
+        "{all} attempts under {leaders} leaders"
+    );
     assert!(8 * excused < all, "{excused} of {all} are not charged");
 }
 
@@ -165,7 +197,9 @@
     let mut w = World::with_ledger(3, 9, &|text| text);
     w.run(2);
     w.submit(job(1, 12, json!({"crew": "red"})));
-    w.run_until(60, "some are done", |w| w.record.spans.values().any(|s| s.ended.is_some()));
+    w.run_until(60, "some are done", |w| {
+        w.record.spans.values().any(|s| s.ended.is_some())
+    });
     // Its pages are not written; the ends are known to it and to the workers only.
     let leader = w.leader().expect("one leads");
     w.late_commits = 1.0;
@@ -190,17 +224,27 @@
     let ask = |settings: &std::sync::Arc<gannethub_core::settings::Settings>, path: &str| {
         let mut c = Controller::new(settings.clone(), Clock::default());
         let (method, path, body) = (Method::Get, path.to_string(), bytes::Bytes::new());
-        let request = Request { method, path, body, close: false };
+        let request = Request {
+            method,
+            path,
+            body,
+            close: false,
+        };
         let effects = c.step(Clock::default(), [Command::Request { conn: 1, request }]);
         let mut answers = effects.into_iter().filter_map(|e| match e {
-            Effect::Reply { response, .. } => {
-                Some((response.status, String::from_utf8_lossy(&response.body).into_owned()))
-            }
+            Effect::Reply { response, .. } => Some((
+                response.status,
+                String::from_utf8_lossy(&response.body).into_owned(),
+            )),
             _ => None,
         });
         answers.next()
     };
-    assert_eq!(ask(&settings, "/api/ledger?page=0"), None, "it is being read");
+    assert_eq!(
+        ask(&settings, "/api/ledger?page=0"),
+        None,
+        "it is being read"
+    );
     for (path, status, names) in [
         ("/api/ledger?page=x", 400, "page"),
         ("/api/ledger?page=1&team=green", 400, "team"),
@@ -211,5 +255,8 @@
     }
     let mut off = (*settings).clone();
     off.ledger = None;
-    assert_eq!(ask(&std::sync::Arc::new(off), "/api/ledger").map(|a| a.0), Some(404));
+    assert_eq!(
+        ask(&std::sync::Arc::new(off), "/api/ledger").map(|a| a.0),
+        Some(404)
+    );
 }
--- a/crates/gannethub-core/tests/stories/main.rs
+++ b/crates/gannethub-core/tests/stories/main.rs
@@ -30,7 +30,11 @@
     let mut w = World::new(3, seed);
     w.run(2);
     w.submit(job(1, 20, json!({})));
-    w.submit(job(2, 3, json!({"shape": "group", "together": true, "crew": "red"})));
+    w.submit(job(
+        2,
+        3,
+        json!({"shape": "group", "together": true, "crew": "red"}),
+    ));
     w.submit(job(3, 2, json!({"shape": "service"})));
     w.run_until(30, "work is running", |w| w.starts > 4);
     w
@@ -51,11 +55,23 @@
 #[test]
 fn gpus_zones_spread_and_on_demand_rules_are_kept() {
     let mut w = World::new(3, 2);
-    w.submit(job(1, 2, json!({"cards": 3.0, "vcpus": 2.0, "rigs": ["gpu"], "yard": "b"})));
+    w.submit(job(
+        1,
+        2,
+        json!({"cards": 3.0, "vcpus": 2.0, "rigs": ["gpu"], "yard": "b"}),
+    ));
     w.submit(job(2, 9, json!({"scatter": true, "loaners": false})));
-    w.submit(job(3, 6, json!({"shape": "group", "together": true, "vcpus": 2.0})));
+    w.submit(job(
+        3,
+        6,
+        json!({"shape": "group", "together": true, "vcpus": 2.0}),
+    ));
     w.submit(job(4, 5, json!({"shape": "group", "scatter": true})));
-    w.submit(job(5, 8, json!({"together": true, "crew": "red", "vcpus": 4.0})));
+    w.submit(job(
+        5,
+        8,
+        json!({"together": true, "crew": "red", "vcpus": 4.0}),
+    ));
     w.run_until(180, "all are done", World::all_over);
     w.finish();
 }
@@ -76,7 +92,9 @@
     let old = w.leader().expect("someone leads");
     w.crash(old, 30 * SECOND);
     let limit = TTL / SECOND + 3;
-    w.run_until(limit, "another leads", |w| w.leader().is_some_and(|l| l != old));
+    w.run_until(limit, "another leads", |w| {
+        w.leader().is_some_and(|l| l != old)
+    });
     w.run_until(120, "all are done", World::all_over);
     w.finish();
 }
@@ -95,7 +113,11 @@
     let leader = w.leader();
     w.state.down = true;
     w.run(25);
-    assert_eq!(w.leader(), leader, "it kept its authority for longer than any grant or lease");
+    assert_eq!(
+        w.leader(),
+        leader,
+        "it kept its authority for longer than any grant or lease"
+    );
     w.state.down = false;
     w.run_until(120, "all are done", World::all_over);
     w.finish();
@@ -106,7 +128,9 @@
     let mut w = busy(7);
     let old = w.leader().expect("someone leads");
     w.refused.insert(old);
-    w.run_until(12, "another leads", |w| w.leader().is_some_and(|l| l != old));
+    w.run_until(12, "another leads", |w| {
+        w.leader().is_some_and(|l| l != old)
+    });
     w.run_until(120, "all are done", World::all_over);
     w.finish();
 }
@@ -133,9 +157,17 @@
     let leader = w.leader().expect("someone leads");
     w.deaf.insert((leader, "a".into()));
     w.deaf.insert((leader, "b".into()));
-    let lost = w.workers.values().map(|m| m.name.clone()).collect::<Vec<_>>();
+    let lost = w
+        .workers
+        .values()
+        .map(|m| m.name.clone())
+        .collect::<Vec<_>>();
     w.run_until(120, "all are done", World::all_over);
-    assert_eq!(w.leader(), Some(leader), "it hears its workers through its siblings");
+    assert_eq!(
+        w.leader(),
+        Some(leader),
+        "it hears its workers through its siblings"
+    );
     assert!(!lost.is_empty());
     w.finish();
 }
@@ -149,8 +181,11 @@
     w.cut.extend([(leader, near), (near, leader)]);
     w.deaf.insert((leader, "a".into()));
     w.deaf.insert((leader, "b".into()));
-    let sessions: Vec<(String, u64)> =
-        w.workers.values().map(|m| (m.name.clone(), m.session)).collect();
+    let sessions: Vec<(String, u64)> = w
+        .workers
+        .values()
+        .map(|m| (m.name.clone(), m.session))
+        .collect();
     w.run(30);
     assert_eq!(w.leader(), Some(leader));
     for (name, session) in sessions {
@@ -173,7 +208,9 @@
     }
     w.deaf.insert((old, "a".into()));
     w.deaf.insert((old, "b".into()));
-    w.run_until(12, "another leads", |w| w.leader().is_some_and(|l| l != old));
+    w.run_until(12, "another leads", |w| {
+        w.leader().is_some_and(|l| l != old)
+    });
     w.run(10);
     // What was held back in the network comes now, long after the takeover.
     w.cut.clear();
@@ -223,7 +260,9 @@
     w.run(8);
     w.cancel(7);
     w.cancel(2);
-    w.run_until(10, "the user is told", |w| w.jobs["j-000007"].told_cancelled.is_some());
+    w.run_until(10, "the user is told", |w| {
+        w.jobs["j-000007"].told_cancelled.is_some()
+    });
     let leader = w.leader().expect("someone leads");
     w.crash(leader, 6 * SECOND);
     w.run(40);
@@ -256,12 +295,18 @@
     w.run(2);
     w.submit(job(1, 16, json!({})));
     w.submit(job(2, 6, json!({"jobclass": "broken"})));
-    w.run_until(30, "machines are up", |w| w.workers.values().any(|m| m.token > 0));
+    w.run_until(30, "machines are up", |w| {
+        w.workers.values().any(|m| m.token > 0)
+    });
     let bad = w.workers.keys().next().cloned().expect("a machine");
     w.workers.get_mut(&bad).expect("it is there").faulty = true;
-    w.run_until(150, "the good job is done", |w| w.jobs["j-000001"].told_done.is_some());
+    w.run_until(150, "the good job is done", |w| {
+        w.jobs["j-000001"].told_done.is_some()
+    });
     w.submit(job(3, 4, json!({})));
-    w.run_until(60, "other work still runs", |w| w.jobs["j-000003"].told_done.is_some());
+    w.run_until(60, "other work still runs", |w| {
+        w.jobs["j-000003"].told_done.is_some()
+    });
     w.cancel(2);
     w.run_until(60, "the broken job is cancelled", World::all_over);
     w.finish();
@@ -271,7 +316,11 @@
 fn a_spot_notice_empties_the_machine_and_its_work_goes_on_elsewhere() {
     let mut w = World::new(3, 14);
     w.run(2);
-    w.submit(job(1, 3, json!({"shape": "service", "stamp_every_s": 2.0, "stamp_s": 1.0})));
+    w.submit(job(
+        1,
+        3,
+        json!({"shape": "service", "stamp_every_s": 2.0, "stamp_s": 1.0}),
+    ));
     w.run_until(30, "the replicas run", |w| w.starts >= 3);
     w.workers.values_mut().for_each(|m| m.notice = true);
     let noticed: Vec<String> = w.workers.keys().cloned().collect();
@@ -279,7 +328,12 @@
         noticed.iter().all(|m| !w.workers.contains_key(m))
     });
     w.run_until(60, "the replicas run again", |w| {
-        w.workers.values().flat_map(|m| m.tasks.values()).filter(|t| t.on_machine()).count() == 3
+        w.workers
+            .values()
+            .flat_map(|m| m.tasks.values())
+            .filter(|t| t.on_machine())
+            .count()
+            == 3
     });
     w.finish();
 }
@@ -292,7 +346,11 @@
         let mut w = World::new(3, seed);
         w.run(2);
         w.cloud.capacity = 9;
-        w.submit(job(1, 36, json!({"yard": "a", "shape": "group", "rigs": ["small"]})));
+        w.submit(job(
+            1,
+            36,
+            json!({"yard": "a", "shape": "group", "rigs": ["small"]}),
+        ));
         w.run_until(60, "the first gang is done", World::all_over);
         assert_eq!(w.workers.len(), w.cloud.capacity);
         let more = json!({"shape": "group", "scatter": true, "rank": "urgent", "rigs": ["small"]});
--- a/crates/gannethub-core/tests/stories/meetings.rs
+++ b/crates/gannethub-core/tests/stories/meetings.rs
@@ -15,9 +15,17 @@
         let mut w = long(3, seed);
         w.copies = 0.8;
         for round in 0..4 {
-            w.submit(job(20 + round, 3, json!({"shape": "group", "guess_s": 30.0, "crew": "red"})));
+            w.submit(job(
+                20 + round,
+                3,
+                json!({"shape": "group", "guess_s": 30.0, "crew": "red"}),
+            ));
             // A session ends, the attempts in it are replaced elsewhere, and the machine comes back.
-            let busy = w.workers.values().find(|x| !x.tasks.is_empty()).map(|x| x.name.clone());
+            let busy = w
+                .workers
+                .values()
+                .find(|x| !x.tasks.is_empty())
+                .map(|x| x.name.clone());
             let until = w.now + LEASE + 2 * SECOND;
             busy.map(|name| w.workers.get_mut(&name).map(|x| x.hung_until = until));
             w.run(14);
@@ -40,7 +48,9 @@
         let mut w = long(nodes, seed);
         let (old, others) = roles(&w, seed);
         w.isolate(old);
-        w.run_until(15, "another leads", |w| w.leader().is_some_and(|l| l != old));
+        w.run_until(15, "another leads", |w| {
+            w.leader().is_some_and(|l| l != old)
+        });
         // Its users ask the old one too, which may not know; what it answers is not older than what they were told.
         for i in 1..=4 {
             w.cancel_at(i, others[i as usize % others.len()]);
@@ -124,7 +134,11 @@
         let mut w = long(3, seed);
         w.slow_answers = 4 * SECOND;
         for round in 0..5 {
-            w.submit(job(20 + round, 4, json!({"guess_s": 60.0, "rigs": ["small"]})));
+            w.submit(job(
+                20 + round,
+                4,
+                json!({"guess_s": 60.0, "rigs": ["small"]}),
+            ));
             w.run(3);
             let until = w.now + w.rng.random_range(SECOND..LEASE);
             let busy = w.workers.values_mut().filter(|x| !x.tasks.is_empty());
@@ -156,7 +170,11 @@
         w.runs = (SECOND, 70 * SECOND);
         w.run(2);
         for i in 1..=10 {
-            w.submit(job(i, 2 + i % 2, json!({"guess_s": 40.0, "rigs": ["small"]})));
+            w.submit(job(
+                i,
+                2 + i % 2,
+                json!({"guess_s": 40.0, "rigs": ["small"]}),
+            ));
         }
         for round in 0..6 {
             w.run(9);
@@ -183,7 +201,11 @@
         w.cloud.capacity = 12;
         w.late_commits = 0.25;
         // An array whose first half is done already, so that its ends go to the second of its parts.
-        let large = job(1, 9000, json!({"vcpus": 0.25, "mem_gb": 0.1, "rigs": ["small"]}));
+        let large = job(
+            1,
+            9000,
+            json!({"vcpus": 0.25, "mem_gb": 0.1, "rigs": ["small"]}),
+        );
         let value = json!({"at": 1_700_000_000_000_000_u64, "done": "0-4095", "open": 4096, "spec": {
             "class": "c", "team": "blue", "shape": "Array", "priority": "Normal", "tasks": 9000,
             "need": {"cpu": 250, "gpu": 0, "mem": 100}, "types": ["small"], "zone": null,
@@ -201,7 +223,10 @@
                 w.lose_leader(SECOND * (round as u64 % 4 + 1));
             }
         }
-        assert!(!w.state.keys("gh/part/j-000001/").is_empty(), "the array has a part");
+        assert!(
+            !w.state.keys("gh/part/j-000001/").is_empty(),
+            "the array has a part"
+        );
         recover(w, seed);
     }
 }
@@ -213,15 +238,20 @@
     for seed in 1..=9 {
         let mut w = long(3, seed);
         let (old, _) = roles(&w, seed);
-        let busy: Vec<String> =
-            w.workers.values().filter(|x| !x.tasks.is_empty()).map(|x| x.name.clone()).collect();
+        let busy: Vec<String> = w
+            .workers
+            .values()
+            .filter(|x| !x.tasks.is_empty())
+            .map(|x| x.name.clone())
+            .collect();
         let some: Vec<String> = busy.into_iter().step_by(2).collect();
         w.cloud.no_deletes = seed % 2 == 0;
         match seed % 3 {
             0 => w.unheard.extend(some),
             1 => {
                 let until = w.now + LEASE - SECOND / 2;
-                some.iter().for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
+                some.iter()
+                    .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
             _ => (0..3).for_each(|n| {
                 w.deaf.insert((n, "a".into()));
@@ -286,7 +316,11 @@
             w.jobs.values().filter(|j| j.accepted.is_some()).count() < 400,
             "too few to matter"
         );
-        assert!(w.unanswered < 15 * SECOND, "not answered for {} s", w.unanswered / SECOND);
+        assert!(
+            w.unanswered < 15 * SECOND,
+            "not answered for {} s",
+            w.unanswered / SECOND
+        );
         assert_eq!(w.broken, Vec::<String>::new());
     }
 }
@@ -342,11 +376,18 @@
                 let names: Vec<String> = w.workers.keys().cloned().collect();
                 let deaf = names.into_iter().filter(|_| w.rng.random_bool(0.3));
                 let deaf: Vec<String> = deaf.collect();
-                if w.unheard.is_empty() { w.unheard.extend(deaf) } else { w.unheard.clear() }
+                if w.unheard.is_empty() {
+                    w.unheard.extend(deaf)
+                } else {
+                    w.unheard.clear()
+                }
             }
             12 => {
                 let until = w.now + w.rng.random_range(SECOND..2 * LEASE);
-                w.workers.values_mut().step_by(2).for_each(|x| x.hung_until = until);
+                w.workers
+                    .values_mut()
+                    .step_by(2)
+                    .for_each(|x| x.hung_until = until);
             }
             13 => w.slow_state = [0, SECOND, 2 * SECOND][w.rng.random_range(0..3)],
             14 => w.slow_answers = [0, 4 * SECOND][w.rng.random_range(0..2)],
@@ -356,7 +397,11 @@
                 let names: Vec<String> = w.workers.keys().cloned().collect();
                 let mute = names.into_iter().filter(|_| w.rng.random_bool(0.3));
                 let mute: Vec<String> = mute.collect();
-                if w.mute.is_empty() { w.mute.extend(mute) } else { w.mute.clear() }
+                if w.mute.is_empty() {
+                    w.mute.extend(mute)
+                } else {
+                    w.mute.clear()
+                }
             }
             18 => w.close_looks = !w.close_looks,
             19 => w.cancel_at_end = if w.cancel_at_end > 0.0 { 0.0 } else { 0.5 },
@@ -368,7 +413,10 @@
             21 => {
                 // Some are called off as their machines hang.
                 let until = w.now + w.rng.random_range(SECOND..2 * LEASE);
-                w.workers.values_mut().step_by(3).for_each(|x| x.hung_until = until);
+                w.workers
+                    .values_mut()
+                    .step_by(3)
+                    .for_each(|x| x.hung_until = until);
                 (1..next).step_by(2).for_each(|i| w.cancel(i));
             }
             22 => w.slow_watches = [0, SECOND][w.rng.random_range(0..2)],
@@ -402,9 +450,19 @@
 fn change(w: &mut World) {
     let cpus_max = [6.0f64, 8.0, 12.0, 16.0, 24.0][w.rng.random_range(0..5)];
     let stop = w.rng.random_bool(0.3);
-    let over_limit = if stop { OverLimit::Stop } else { OverLimit::Run };
+    let over_limit = if stop {
+        OverLimit::Stop
+    } else {
+        OverLimit::Run
+    };
     let red = team("red", cpus_max.min(8.0), cpus_max);
-    w.configure(Document { over_limit, ..teams(vec![red]) }, 0);
+    w.configure(
+        Document {
+            over_limit,
+            ..teams(vec![red])
+        },
+        0,
+    );
 }
 
 /// `MEETINGS=400 cargo test -p gannethub-core --test stories at_random_break -- --nocapture` plays more seeds, from 1000
@@ -430,7 +488,11 @@
             }
         }
     }
-    println!("{} seeds, the longest without an answer {} s", seeds.count(), longest / SECOND);
+    println!(
+        "{} seeds, the longest without an answer {} s",
+        seeds.count(),
+        longest / SECOND
+    );
     println!(
         "starts after a confirmation {late}, seconds run on {ran_on}, answers overtaken {overtaken}"
     );
@@ -440,8 +502,15 @@
 #[test]
 fn troubles_that_meet_at_random_break_no_rule() {
     let more = std::env::var("MEETINGS").unwrap_or_default();
-    let range = more.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    play(range.or_else(|| Some(1000..1000 + more.parse::<u64>().ok()?)).unwrap_or(1..13), false);
+    let range = more
+        .split_once("..")
+        .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
+    play(
+        range
+            .or_else(|| Some(1000..1000 + more.parse::<u64>().ok()?))
+            .unwrap_or(1..13),
+        false,
+    );
 }
 
 #[test]
@@ -453,6 +522,8 @@
 #[test]
 fn troubles_that_meet_changes_of_the_configuration_break_no_rule() {
     let more = std::env::var("CHANGES").unwrap_or_default();
-    let range = more.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
+    let range = more
+        .split_once("..")
+        .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
     play(range.unwrap_or(1..17), true);
 }
