--- a/crates/gannethub-core/tests/stories/ops.rs
+++ b/crates/gannethub-core/tests/stories/ops.rs
@@ -11,7 +11,8 @@
 
 /// The rates of a small state service.
 fn slow_state(text: String) -> String {
-    text.replace("write_rps = 100.0", "write_rps = 25.0").replace("rps = 200.0", "rps = 70.0")
+    text.replace("write_rps = 100.0", "write_rps = 25.0")
+        .replace("rps = 200.0", "rps = 70.0")
 }
 
 #[test]
@@ -19,14 +20,20 @@
     let mut w = World::with_settings(3, 60, 10.0, &slow_state);
     w.run(2);
     (0..150).for_each(|i| w.submit(job(i, 1, json!({"shape": "service"}))));
-    w.run_until(60, "all are accepted", |w| w.jobs.values().all(|j| j.accepted.is_some()));
+    w.run_until(60, "all are accepted", |w| {
+        w.jobs.values().all(|j| j.accepted.is_some())
+    });
     w.queries = 40;
     w.run(5);
     (0..10).for_each(|i| w.cancel(i));
     w.run(60);
     // The users were told, and nothing is left on any machine.
     w.check_cancelled();
-    let told = w.jobs.values().filter(|j| j.told_cancelled.is_some()).count();
+    let told = w
+        .jobs
+        .values()
+        .filter(|j| j.told_cancelled.is_some())
+        .count();
     assert_eq!(told, 10);
     w.finish();
 }
@@ -54,20 +61,34 @@
     w.submit(job(3, 3, json!({"jobclass": "broken", "shape": "group"})));
     w.submit(job(4, 2, json!({"jobclass": "broken", "shape": "service"})));
     w.run(30);
-    let (failed, machines) = (w.errors.len(), w.workers.keys().cloned().collect::<Vec<_>>());
+    let (failed, machines) = (
+        w.errors.len(),
+        w.workers.keys().cloned().collect::<Vec<_>>(),
+    );
     let old = w.leader().expect("someone leads");
     w.crash(old, 6 * SECOND);
     w.run(90);
     // Three jobs, each with a handful of trials: a successor knows what its predecessor found out.
     let more = w.errors.len() - failed;
     assert!((3..36).contains(&more), "{more} failures in 90 s");
-    let cluster = w.leader().and_then(|l| w.nodes[l].controller.as_ref()?.cluster());
+    let cluster = w
+        .leader()
+        .and_then(|l| w.nodes[l].controller.as_ref()?.cluster());
     let blamed = cluster.map_or(0, |c| c.machines.values().filter(|m| m.bad).count());
     assert_eq!(blamed, 0);
-    assert!(machines.iter().filter(|m| w.workers.contains_key(*m)).count() >= 5, "all returned");
+    assert!(
+        machines
+            .iter()
+            .filter(|m| w.workers.contains_key(*m))
+            .count()
+            >= 5,
+        "all returned"
+    );
     // The mistake is mended: the job does well at its next trial, and the others at once.
     w.jobs.get_mut("j-000002").expect("known").body["jobclass"] = json!("c");
-    w.run_until(180, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+    w.run_until(180, "the array is done", |w| {
+        w.jobs["j-000002"].told_done.is_some()
+    });
     (1..5).for_each(|i| w.cancel(i));
     w.run_until(60, "the rest is cancelled", World::all_over);
     w.finish();
@@ -80,22 +101,39 @@
     f.submit("j-1", spec(Shape::Array, "red", 2, 30.0));
     f.c.schedule(f.now);
     f.run_all();
-    let mine: Vec<(String, u64)> =
-        f.c.machines["host-0000"].attempts.keys().map(|(t, n)| (t.to_string(), *n)).collect();
+    let mine: Vec<(String, u64)> = f.c.machines["host-0000"]
+        .attempts
+        .keys()
+        .map(|(t, n)| (t.to_string(), *n))
+        .collect();
     // It falls silent for longer than its lease and is deleted; the other goes on.
     for _ in 0..6 {
         f.pass(2);
         f.report("host-0001", "large", "a", &[]);
     }
     let calls = f.c.plan_fleet(f.now);
-    let delete = calls.into_iter().find(|c| matches!(c, CloudCall::Delete { .. }));
-    f.c.cloud_answer(delete.expect("the silent one is returned"), Some((200, b"{}")), f.now);
+    let delete = calls
+        .into_iter()
+        .find(|c| matches!(c, CloudCall::Delete { .. }));
+    f.c.cloud_answer(
+        delete.expect("the silent one is returned"),
+        Some((200, b"{}")),
+        f.now,
+    );
     // What it had sent before was held back in the network. Its task must not wait for it again.
     f.pass(60);
     let tasks: Vec<_> = mine.iter().map(|(t, n)| (t.as_str(), *n, false)).collect();
-    assert_eq!(f.try_report("host-0000", "large", "a", &tasks), Outcome::Stale);
+    assert_eq!(
+        f.try_report("host-0000", "large", "a", &tasks),
+        Outcome::Stale
+    );
     assert!(!f.c.machines.contains_key("host-0000"));
-    assert!(f.c.jobs["j-1"].live.values().all(|(m, _)| &**m != "host-0000"));
+    assert!(
+        f.c.jobs["j-1"]
+            .live
+            .values()
+            .all(|(m, _)| &**m != "host-0000")
+    );
 }
 
 #[test]
@@ -107,7 +145,12 @@
     let save = 3 * SECOND;
     f.submit(
         "j-2",
-        JobSpec { estimate: 400 * SECOND, checkpoint_every: 30 * SECOND, save, ..long },
+        JobSpec {
+            estimate: 400 * SECOND,
+            checkpoint_every: 30 * SECOND,
+            save,
+            ..long
+        },
     );
     f.c.schedule(f.now);
     f.run_all();
@@ -117,7 +160,10 @@
         let tasks: Vec<_> = attempts.map(|(t, n)| (t.to_string(), *n)).collect();
         assert_eq!(tasks.len(), 2);
         let ended = |t: &str| t.starts_with("j-1/");
-        let tasks: Vec<_> = tasks.iter().map(|(t, n)| (t.as_str(), *n, ended(t))).collect();
+        let tasks: Vec<_> = tasks
+            .iter()
+            .map(|(t, n)| (t.as_str(), *n, ended(t)))
+            .collect();
         f.report(name, "small", "a", &tasks);
         f.report(name, "small", "a", &tasks[1..]);
     }
@@ -127,7 +173,11 @@
             f.run_all();
         }
         f.c.plan_fleet(f.now);
-        f.c.machines.values().filter(|m| m.leaving).map(|m| m.id.to_string()).collect::<Vec<_>>()
+        f.c.machines
+            .values()
+            .filter(|m| m.leaving)
+            .map(|m| m.id.to_string())
+            .collect::<Vec<_>>()
     };
     f.submit("j-3", spec(Shape::Array, "red", 1, 30.0));
     assert!(wait(&mut f).is_empty(), "something waits for room");
@@ -135,14 +185,23 @@
     let leaving = wait(&mut f);
     assert_eq!(leaving.len(), 1, "a part at a time");
     let m = &f.c.machines[leaving[0].as_str()];
-    assert!(m.attempts.values().all(|a| a.stop.is_some_and(|grace| grace > save)));
+    assert!(
+        m.attempts
+            .values()
+            .all(|a| a.stop.is_some_and(|grace| grace > save))
+    );
     assert!(!m.usable(f.now, SECOND));
     // Its task has saved: the machine goes, and the task goes on beside another.
     f.report(&leaving[0], "small", "a", &[]);
     f.c.schedule(f.now);
     f.c.plan_fleet(f.now);
     assert!(f.c.machines[leaving[0].as_str()].deleting);
-    assert!(f.c.jobs["j-2"].live.values().all(|(m, _)| **m != *leaving[0]));
+    assert!(
+        f.c.jobs["j-2"]
+            .live
+            .values()
+            .all(|(m, _)| **m != *leaving[0])
+    );
     assert_eq!(f.c.jobs["j-2"].live.len(), 3);
 }
 
@@ -185,7 +244,10 @@
         .collect();
     assert!(cut.len() > 2);
     w.run(9);
-    assert!(cut.iter().all(|m| w.workers.contains_key(m)), "its work goes on");
+    assert!(
+        cut.iter().all(|m| w.workers.contains_key(m)),
+        "its work goes on"
+    );
     w.finish();
 }
 
@@ -224,7 +286,9 @@
     let mut w = World::new(3, 65);
     w.run(2);
     (0..60).for_each(|i| w.submit(job(i, 1, json!({"shape": "service"}))));
-    w.run_until(60, "all are accepted", |w| w.jobs.values().all(|j| j.accepted.is_some()));
+    w.run_until(60, "all are accepted", |w| {
+        w.jobs.values().all(|j| j.accepted.is_some())
+    });
     w.run(20);
     let quiet = w.state.requests;
     w.run(10);
@@ -238,7 +302,10 @@
     assert!(answered > 5500, "{answered} of some 6000 queries answered");
     let more = w.state.requests - before;
     // Ten reads a second on each of three controllers.
-    assert!(more < usual + 330, "{more} requests against {usual} without the storm");
+    assert!(
+        more < usual + 330,
+        "{more} requests against {usual} without the storm"
+    );
     // A flood of queries for ten ids that were never submitted, on three controllers.
     let before = w.state.requests;
     for _ in 0..10 {
@@ -246,7 +313,10 @@
         w.run(1);
     }
     let more = w.state.requests - before;
-    assert!(more < usual + 150, "{more} requests against {usual} without the flood");
+    assert!(
+        more < usual + 150,
+        "{more} requests against {usual} without the flood"
+    );
     w.finish();
 }
 
@@ -261,7 +331,11 @@
     w.run_until(200, "the array is done", World::all_over);
     // Nothing is left of what never came up.
     w.run(60);
-    assert!(w.workers.is_empty(), "{} are still paid for", w.workers.len());
+    assert!(
+        w.workers.is_empty(),
+        "{} are still paid for",
+        w.workers.len()
+    );
     // Now they are up at once, before the rental's answer, and long before any list names them.
     (w.cloud.never_boot, w.cloud.boot) = (0.0, (1, 2));
     let rented = w.starts;
--- a/crates/gannethub-core/tests/stories/pipelines.rs
+++ b/crates/gannethub-core/tests/stories/pipelines.rs
@@ -90,7 +90,9 @@
     accept(&mut w, after(12, 1, &[7]));
     w.run_until(60, "all are over", World::all_over);
     assert!(done(&w, 9) && done(&w, 11) && cancelled(&w, 12));
-    w.run_until(20, "nothing is left to write", |w| w.state.keys("gh/live/").is_empty());
+    w.run_until(20, "nothing is left to write", |w| {
+        w.state.keys("gh/live/").is_empty()
+    });
     w.finish();
 }
 
@@ -110,9 +112,13 @@
     (0..3).for_each(|n| w.crash(n, if n == leader { 60 * SECOND } else { SECOND }));
     w.run(3);
     assert!(w.leader().is_none());
-    w.run_until(3, "its followers are known to be cancelled", |w| cancelled(w, 3));
+    w.run_until(3, "its followers are known to be cancelled", |w| {
+        cancelled(w, 3)
+    });
     assert!(w.leader().is_none());
-    w.run_until(120, "all is tidied up", |w| w.state.keys("gh/live/").is_empty());
+    w.run_until(120, "all is tidied up", |w| {
+        w.state.keys("gh/live/").is_empty()
+    });
     w.finish();
 }
 
@@ -145,7 +151,10 @@
     w.run(2);
     w.submit(after(2, 1, &[1]));
     w.run(1);
-    assert!(w.jobs["j-000002"].accepted.is_none(), "it names nothing that was accepted");
+    assert!(
+        w.jobs["j-000002"].accepted.is_none(),
+        "it names nothing that was accepted"
+    );
     // Every controller has heard of that id by now, and that it is none.
     for _ in 0..6 {
         w.ask("j-000002", "submit");
@@ -177,7 +186,9 @@
     w.run_until(60, "the last stage is accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    w.run_until(400, "the wide stage is done", |w| (100..220).all(|i| done(w, i)));
+    w.run_until(400, "the wide stage is done", |w| {
+        (100..220).all(|i| done(w, i))
+    });
     w.cancel(300);
     w.run_until(60, "all are over", World::all_over);
     assert_eq!(w.state.too_large, 0);
@@ -190,10 +201,24 @@
     w.run(2);
     // A service never ends, and a job that waits for one of its tasks' worth of room is not ready.
     accept(&mut w, job(1, 12, json!({"crew": "red", "vcpus": 1.0})));
-    accept(&mut w, job(2, 4, json!({"crew": "red", "vcpus": 4.0, "waits_on": ["j-000001"]})));
+    accept(
+        &mut w,
+        job(
+            2,
+            4,
+            json!({"crew": "red", "vcpus": 4.0, "waits_on": ["j-000001"]}),
+        ),
+    );
     w.run(3);
-    let cluster = w.nodes[0].controller.as_ref().and_then(|c| c.cluster()).expect("it leads");
-    assert!(!cluster.jobs.contains_key("j-000002"), "what is not here cannot be placed");
+    let cluster = w.nodes[0]
+        .controller
+        .as_ref()
+        .and_then(|c| c.cluster())
+        .expect("it leads");
+    assert!(
+        !cluster.jobs.contains_key("j-000002"),
+        "what is not here cannot be placed"
+    );
     assert_eq!(cluster.pipelines.waiting.len(), 1);
     assert_eq!(w.waits_on("j-000002"), ["j-000001"]);
     w.run_until(120, "both are done", World::all_over);
@@ -204,16 +229,27 @@
 fn machines_are_rented_for_a_job_shortly_before_it_is_released_and_no_room_is_held_for_it() {
     let mut f = LeaderView::new();
     f.machines("up", 1, "small", "a");
-    let long = JobSpec { estimate: 60 * SECOND, ..spec(Shape::Array, "blue", 1, 4.0) };
+    let long = JobSpec {
+        estimate: 60 * SECOND,
+        ..spec(Shape::Array, "blue", 1, 4.0)
+    };
     f.submit("j-1", long);
     f.c.schedule(f.now);
     f.run_all();
-    let held = WaitingRecord::new(spec(Shape::Array, "blue", 6, 4.0), 0, false, &["j-1".into()]);
+    let held = WaitingRecord::new(
+        spec(Shape::Array, "blue", 6, 4.0),
+        0,
+        false,
+        &["j-1".into()],
+    );
     f.stamp += 1;
     f.c.waiting_record("j-2", held, f.stamp);
     let rents = |f: &mut LeaderView| {
         let calls = f.c.plan_fleet(f.now);
-        calls.iter().filter(|c| matches!(c, CloudCall::Rent { .. })).count()
+        calls
+            .iter()
+            .filter(|c| matches!(c, CloudCall::Rent { .. }))
+            .count()
     };
     f.pass(1);
     f.run_all();
@@ -246,17 +282,28 @@
     f.c.waiting_record("j-3", held, f.stamp);
     f.pass(1);
     f.c.schedule(f.now);
-    assert_eq!(f.c.jobs["j-2"].priority(), Priority::High, "what needs it is urgent");
+    assert_eq!(
+        f.c.jobs["j-2"].priority(),
+        Priority::High,
+        "what needs it is urgent"
+    );
     // One small task ends, then another: the bit of room that the first leaves is held.
     let running: Vec<_> = f.c.machines["up-0000"].attempts.keys().cloned().collect();
     for ended in 1..=2 {
-        let tasks: Vec<(String, u64, bool)> =
-            running.iter().enumerate().map(|(i, (t, a))| (t.to_string(), *a, i < ended)).collect();
+        let tasks: Vec<(String, u64, bool)> = running
+            .iter()
+            .enumerate()
+            .map(|(i, (t, a))| (t.to_string(), *a, i < ended))
+            .collect();
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
         f.pass(1);
         f.report("up-0000", "small", "a", &tasks);
         f.c.schedule(f.now);
-        assert_eq!(f.c.jobs["j-1"].live.len(), 4 - ended, "nothing else has started");
+        assert_eq!(
+            f.c.jobs["j-1"].live.len(),
+            4 - ended,
+            "nothing else has started"
+        );
         assert_eq!(f.c.jobs["j-2"].live.len(), usize::from(ended == 2));
     }
 }
@@ -268,7 +315,9 @@
     w.run(2);
     w.state.rate = Some(15.0);
     (100..240).for_each(|i| w.submit(job(i, 1, json!({}))));
-    w.run_until(60, "all are accepted", |w| w.jobs.values().all(|j| j.accepted.is_some()));
+    w.run_until(60, "all are accepted", |w| {
+        w.jobs.values().all(|j| j.accepted.is_some())
+    });
     let learning = w.state.too_many;
     assert!(learning > 0, "the old rate was tried");
     (300..400).for_each(|i| w.submit(after(i, 1, &[i - 200])));
--- a/crates/gannethub-core/tests/stories/scale.rs
+++ b/crates/gannethub-core/tests/stories/scale.rs
@@ -18,7 +18,10 @@
     f.c.schedule(f.now);
     // Each in one zone; the third machine of zone a is half of what the third gang needs, and
     // half a gang's room is not kept at all.
-    assert_eq!([f.kept_for("j-1"), f.kept_for("j-2"), f.kept_for("j-3")], [2, 2, 0]);
+    assert_eq!(
+        [f.kept_for("j-1"), f.kept_for("j-2"), f.kept_for("j-3")],
+        [2, 2, 0]
+    );
     for m in f.c.machines.values().filter(|m| m.kept(f.now).is_some()) {
         let same = |o: &&gannethub_core::memory::records::Machine| {
             o.kept(f.now).map(|k| &k.job) == m.kept(f.now).map(|k| &k.job)
@@ -36,7 +39,10 @@
     f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
     f.c.schedule(f.now);
     assert_eq!(f.kept_for("j-1"), 2);
-    let first = JobSpec { priority: Priority::High, ..spec(Shape::Gang, "blue", 2, 30.0) };
+    let first = JobSpec {
+        priority: Priority::High,
+        ..spec(Shape::Gang, "blue", 2, 30.0)
+    };
     f.submit("j-2", first);
     f.pass(1);
     f.c.schedule(f.now);
@@ -75,7 +81,11 @@
         f.submit("j-2", spec(Shape::Gang, "red", tasks, 30.0));
         f.c.schedule(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
-        assert_eq!(attempts.filter(|a| a.stop.is_some()).count(), expected, "{tasks} tasks");
+        assert_eq!(
+            attempts.filter(|a| a.stop.is_some()).count(),
+            expected,
+            "{tasks} tasks"
+        );
         // Asked again, nothing more is stopped.
         f.pass(1);
         f.c.schedule(f.now);
@@ -91,7 +101,10 @@
     f.submit("j-1", spec(Shape::Array, "blue", 32, 1.0));
     f.c.schedule(f.now);
     f.run_all();
-    let urgent = JobSpec { priority: Priority::High, ..spec(Shape::Array, "red", 1, 4.0) };
+    let urgent = JobSpec {
+        priority: Priority::High,
+        ..spec(Shape::Array, "red", 1, 4.0)
+    };
     f.submit("j-2", urgent);
     f.c.schedule(f.now);
     let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
@@ -105,11 +118,21 @@
     f.submit("j-2", spec(Shape::Gang, "blue", 3, 30.0));
     f.pass(59);
     let rented = f.rent_all();
-    let cpus: u32 =
-        rented.iter().map(|((f, _), n)| if f == "small" { 4 * n } else { 32 * n }).sum();
+    let cpus: u32 = rented
+        .iter()
+        .map(|((f, _), n)| if f == "small" { 4 * n } else { 32 * n })
+        .sum();
     assert!(cpus > 1500, "{rented:?}");
-    let large = |zone: &str| rented.get(&("large".into(), zone.into())).copied().unwrap_or(0);
-    assert!(large("a") >= 3 || large("b") >= 3, "a whole gang's room in one zone: {rented:?}");
+    let large = |zone: &str| {
+        rented
+            .get(&("large".into(), zone.into()))
+            .copied()
+            .unwrap_or(0)
+    };
+    assert!(
+        large("a") >= 3 || large("b") >= 3,
+        "a whole gang's room in one zone: {rented:?}"
+    );
 }
 
 #[test]
@@ -120,15 +143,23 @@
     f.submit("j-1", spec(Shape::Array, "red", 400, 1.0));
     for _ in 0..8 {
         f.pass(1);
-        heard.iter().for_each(|n| drop(f.report(n, "small", "b", &[])));
+        heard
+            .iter()
+            .for_each(|n| drop(f.report(n, "small", "b", &[])));
     }
     f.c.plan_fleet(f.now);
     assert!(f.c.dark.contains_key("a") && !f.c.dark.contains_key("b"));
     f.pass(52);
-    heard.iter().for_each(|n| drop(f.report(n, "small", "b", &[])));
+    heard
+        .iter()
+        .for_each(|n| drop(f.report(n, "small", "b", &[])));
     let rented = f.rent_all();
     assert!(rented.keys().any(|k| k.1 == "b"), "{rented:?}");
-    let tried: u32 = rented.iter().filter(|(k, _)| k.1 == "a").map(|(_, n)| n).sum();
+    let tried: u32 = rented
+        .iter()
+        .filter(|(k, _)| k.1 == "a")
+        .map(|(_, n)| n)
+        .sum();
     assert!(tried <= 1, "{rented:?}");
     f.report("new-0000", "small", "a", &[]);
     assert!(!f.c.dark.contains_key("a"), "heard again");
@@ -147,7 +178,11 @@
     let running: Vec<Vec<(String, u64)>> = names
         .iter()
         .map(|n| {
-            f.c.machines[n.as_str()].attempts.keys().map(|(t, a)| (t.to_string(), *a)).collect()
+            f.c.machines[n.as_str()]
+                .attempts
+                .keys()
+                .map(|(t, a)| (t.to_string(), *a))
+                .collect()
         })
         .collect();
     assert!(running.iter().all(|r| r.len() == 4));
@@ -158,10 +193,16 @@
     // A hundred machines with a task done each, at one moment: one look over the machines for
     // each of them, and not one for each job that waits.
     for (name, tasks) in names.iter().zip(&running).take(100) {
-        let tasks: Vec<_> =
-            tasks.iter().enumerate().map(|(i, (t, a))| (t.as_str(), *a, i == 0)).collect();
+        let tasks: Vec<_> = tasks
+            .iter()
+            .enumerate()
+            .map(|(i, (t, a))| (t.as_str(), *a, i == 0))
+            .collect();
         let orders = f.report(name, "small", "a", &tasks);
-        let starts = orders.iter().filter(|o| matches!(o, Order::Start { .. })).count();
+        let starts = orders
+            .iter()
+            .filter(|o| matches!(o, Order::Start { .. }))
+            .count();
         assert_eq!(starts, 1, "the room is used with the same answer");
     }
     let looks = f.c.looks.get() - before;
@@ -169,7 +210,10 @@
     // And a hundred completions of a few jobs are few changes.
     f.pass(3);
     let (calls, changes) = f.write();
-    assert!(calls <= 4 && changes <= 20, "{calls} calls, {changes} changes");
+    assert!(
+        calls <= 4 && changes <= 20,
+        "{calls} calls, {changes} changes"
+    );
 }
 
 /// Hundreds of machines, thousands of tasks, small values and transactions, and a takeover.
@@ -187,7 +231,11 @@
     w.submit(job(1, 1500, json!({})));
     w.submit(job(2, 700, json!({"crew": "red"})));
     for i in 3..8 {
-        w.submit(job(i, 3, json!({"shape": "group", "together": true, "vcpus": 4.0})));
+        w.submit(job(
+            i,
+            3,
+            json!({"shape": "group", "together": true, "vcpus": 4.0}),
+        ));
     }
     w.run_until(40, "much is running", |w| w.starts > 600);
     let leader = w.leader().expect("someone leads");
@@ -203,14 +251,20 @@
 #[test]
 fn more_submissions_than_can_be_written_are_refused_at_once_and_accepted_later() {
     let mut w = World::with_settings(3, 41, 10.0, &|text| {
-        text.replace("write_rps = 100.0", "write_rps = 25.0").replace("rps = 200.0", "rps = 70.0")
+        text.replace("write_rps = 100.0", "write_rps = 25.0")
+            .replace("rps = 200.0", "rps = 70.0")
     });
     w.run(2);
     (0..400).for_each(|i| w.submit(job(i, 1, json!({}))));
     w.run(1);
     let told = w.refusals.len();
     assert!(told > 100, "{told} were told to come back");
-    assert!(w.refusals.iter().all(|t| *t < SECOND / 5), "none of them was held");
-    w.run_until(120, "all are accepted", |w| w.jobs.values().all(|j| j.accepted.is_some()));
+    assert!(
+        w.refusals.iter().all(|t| *t < SECOND / 5),
+        "none of them was held"
+    );
+    w.run_until(120, "all are accepted", |w| {
+        w.jobs.values().all(|j| j.accepted.is_some())
+    });
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
--- a/crates/gannethub-core/tests/stories/shares.rs
+++ b/crates/gannethub-core/tests/stories/shares.rs
@@ -8,7 +8,9 @@
 use crate::{Kind, troubles};
 
 fn three(seed: u64) -> World {
-    World::with_blocks(3, seed, 3, &|text| text.replace("cpus_max = 40.0", "cpus_max = 90.0"))
+    World::with_blocks(3, seed, 3, &|text| {
+        text.replace("cpus_max = 40.0", "cpus_max = 90.0")
+    })
 }
 
 fn holders(w: &World) -> BTreeSet<String> {
@@ -19,12 +21,20 @@
 fn shared(seed: u64, replicas: u32) -> World {
     let mut w = three(seed);
     w.cloud.capacity = 30;
-    w.run_until(15, "each controller holds a block", |w| holders(w).len() == 3);
+    w.run_until(15, "each controller holds a block", |w| {
+        holders(w).len() == 3
+    });
     w.run(2);
     for i in 1..7 {
-        w.submit(job(i, replicas, json!({"shape": "service", "rigs": ["small"]})));
+        w.submit(job(
+            i,
+            replicas,
+            json!({"shape": "service", "rigs": ["small"]}),
+        ));
     }
-    w.run_until(60, "the replicas run", |w| w.starts >= 6 * replicas as usize);
+    w.run_until(60, "the replicas run", |w| {
+        w.starts >= 6 * replicas as usize
+    });
     w.run(3);
     w
 }
@@ -35,18 +45,31 @@
 
 /// Tasks that are on machines of a block, as its holder sees them.
 fn placed(w: &World, block: u32) -> usize {
-    w.block(block).map_or(0, |c| c.jobs.values().map(|j| j.live.len()).sum())
+    w.block(block)
+        .map_or(0, |c| c.jobs.values().map(|j| j.live.len()).sum())
 }
 
 #[test]
 fn each_controller_holds_a_block_and_work_runs_in_all() {
     let mut w = shared(1, 5);
-    assert!((0..3).all(|b| placed(&w, b) > 0), "{:?}", [0, 1, 2].map(|b| placed(&w, b)));
+    assert!(
+        (0..3).all(|b| placed(&w, b) > 0),
+        "{:?}",
+        [0, 1, 2].map(|b| placed(&w, b))
+    );
     for i in 10..16 {
         w.submit(job(i, 8, json!({})));
     }
-    w.submit(job(20, 4, json!({"shape": "group", "together": true, "crew": "red"})));
-    w.submit(job(21, 3, json!({"waits_on": ["j-000010", "j-000011", "j-000012"]})));
+    w.submit(job(
+        20,
+        4,
+        json!({"shape": "group", "together": true, "crew": "red"}),
+    ));
+    w.submit(job(
+        21,
+        3,
+        json!({"waits_on": ["j-000010", "j-000011", "j-000012"]}),
+    ));
     (1..7).for_each(|i| w.cancel(i));
     w.run_until(150, "all are done", World::all_over);
     w.run_until(120, "all machines are returned", |w| w.workers.is_empty());
@@ -68,7 +91,11 @@
             let before = w.starts;
             w.run(4);
             assert!(w.starts > before, "starts stop in blocks that go on");
-            assert!(others.iter().all(|b| w.block(*b).is_some_and(|c| c.settled)));
+            assert!(
+                others
+                    .iter()
+                    .all(|b| w.block(*b).is_some_and(|c| c.settled))
+            );
         }
         w.run_until(10, "the block is held again", |w| {
             w.holds(lost).is_some_and(|h| node(&h) != victim)
@@ -88,15 +115,30 @@
     let mut w = shared(3, 5);
     let victim = node(&w.holds(1).expect("held"));
     w.crash(victim, 8 * SECOND);
-    w.run_until(10, "another holds it", |w| w.holds(1).is_some_and(|h| node(&h) != victim));
-    w.run_until(8, "it knows all of it", |w| w.block(1).is_some_and(|c| c.settled));
+    w.run_until(10, "another holds it", |w| {
+        w.holds(1).is_some_and(|h| node(&h) != victim)
+    });
+    w.run_until(8, "it knows all of it", |w| {
+        w.block(1).is_some_and(|c| c.settled)
+    });
     let (starts, running) = (w.starts, placed(&w, 1));
     assert!(running > 0);
-    w.run_until(30, "it is handed back", |w| w.holds(1).is_some_and(|h| node(&h) == victim));
-    w.run_until(8, "and known there", |w| w.block(1).is_some_and(|c| c.settled));
-    assert!(w.block(1).is_some_and(|c| c.trusted), "it was told that marks hold");
+    w.run_until(30, "it is handed back", |w| {
+        w.holds(1).is_some_and(|h| node(&h) == victim)
+    });
+    w.run_until(8, "and known there", |w| {
+        w.block(1).is_some_and(|c| c.settled)
+    });
+    assert!(
+        w.block(1).is_some_and(|c| c.trusted),
+        "it was told that marks hold"
+    );
     w.run(5);
-    assert_eq!((placed(&w, 1), w.starts), (running, starts), "nothing was started anew");
+    assert_eq!(
+        (placed(&w, 1), w.starts),
+        (running, starts),
+        "nothing was started anew"
+    );
     w.finish();
 }
 
@@ -104,7 +146,9 @@
 fn a_teams_limit_holds_across_blocks() {
     for seed in 10..14 {
         let mut w = three(seed);
-        w.run_until(15, "each controller holds a block", |w| holders(w).len() == 3);
+        w.run_until(15, "each controller holds a block", |w| {
+            holders(w).len() == 3
+        });
         w.run(2);
         for i in 1..9 {
             w.submit(job(i, 10, json!({"crew": "red", "vcpus": 2.0})));
@@ -124,10 +168,16 @@
 fn the_checker_sees_a_limit_broken_when_parts_add_up_to_more() {
     let mut w = three(15);
     w.cloud.capacity = 40;
-    w.run_until(15, "each controller holds a block", |w| holders(w).len() == 3);
+    w.run_until(15, "each controller holds a block", |w| {
+        holders(w).len() == 3
+    });
     w.run(2);
     for i in 1..9 {
-        w.submit(job(i, 10, json!({"crew": "red", "shape": "service", "rigs": ["small"]})));
+        w.submit(job(
+            i,
+            10,
+            json!({"crew": "red", "shape": "service", "rigs": ["small"]}),
+        ));
     }
     w.run(10);
     for block in 1..3 {
@@ -138,7 +188,11 @@
     }
     w.run(20);
     let over = |b: &String| b.starts_with("quota") || b.starts_with("allotted");
-    assert!(w.broken.iter().any(over), "the broken guard was not noticed: {:?}", w.broken);
+    assert!(
+        w.broken.iter().any(over),
+        "the broken guard was not noticed: {:?}",
+        w.broken
+    );
 }
 
 #[test]
@@ -177,11 +231,15 @@
         w.crash(n, SECOND);
         w.run(14);
     }
-    w.run_until(30, "each controller holds a block", |w| holders(w).len() == 3);
+    w.run_until(30, "each controller holds a block", |w| {
+        holders(w).len() == 3
+    });
     for i in 10..16 {
         w.submit(job(i, 8, json!({"rigs": ["small"]})));
     }
-    w.run_until(30, "work runs in another", |w| placed(w, 1) + placed(w, 2) > 0);
+    w.run_until(30, "work runs in another", |w| {
+        placed(w, 1) + placed(w, 2) > 0
+    });
     w.set_blocks(1);
     for n in 0..3 {
         w.crash(n, SECOND);
@@ -207,12 +265,17 @@
         w.run_until(60, "the arrays run", |w| w.starts >= 40);
         let old = node(&w.holds(block).expect("held"));
         w.frozen.insert(old, w.now + 9 * SECOND);
-        w.run_until(9, "another holds it", |w| w.holds(block).is_some_and(|h| node(&h) != old));
+        w.run_until(9, "another holds it", |w| {
+            w.holds(block).is_some_and(|h| node(&h) != old)
+        });
         // Reports, answers and cancellations have come for it in the meantime.
         (30..32).for_each(|i| w.cancel(i));
         w.run(12);
         let claims = w.nodes[old].controller.iter().flat_map(|c| c.clusters());
-        assert!(claims.filter(|c| c.block.id == block).all(|c| c.term > 3), "its old term is over");
+        assert!(
+            claims.filter(|c| c.block.id == block).all(|c| c.term > 3),
+            "its old term is over"
+        );
         w.run_until(200, "the arrays are over", |w| {
             (30..34).all(|i| {
                 let j = &w.jobs[&format!("j-{i:06}")];
@@ -228,7 +291,10 @@
     let mut w = shared(22, 5);
     let from = (0..3).find(|b| placed(&w, *b) > 0).expect("one has work");
     let to = (from + 1) % 3;
-    let id = w.block(from).and_then(|c| c.jobs.keys().next().cloned()).expect("a job");
+    let id = w
+        .block(from)
+        .and_then(|c| c.jobs.keys().next().cloned())
+        .expect("a job");
     // What `untouched` guards against: the holder gives a job away though it has launched it, and the other has room.
     let key = format!("gh/live/{id}");
     let mut value = w.state.value(&key).cloned().expect("alive");
--- a/crates/gannethub-core/tests/stories/sim/changes.rs
+++ b/crates/gannethub-core/tests/stories/sim/changes.rs
@@ -28,11 +28,21 @@
 /// A team of a document.
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> TeamEntry {
     let (gpus, gpus_max) = (2.0, 8.0);
-    TeamEntry { name: name.into(), cpus, cpus_max, gpus, gpus_max, removed: false }
+    TeamEntry {
+        name: name.into(),
+        cpus,
+        cpus_max,
+        gpus,
+        gpus_max,
+        removed: false,
+    }
 }
 
 pub fn teams(teams: Vec<TeamEntry>) -> Document {
-    Document { teams, ..Document::default() }
+    Document {
+        teams,
+        ..Document::default()
+    }
 }
 
 impl World {
@@ -41,7 +51,9 @@
     pub fn configure(&mut self, wanted: Document, late: u64) -> u64 {
         let base = self.settings[0].clone();
         let document = self.document.followed_by(wanted, &base);
-        let effective = document.effective(&base, &base).expect("the story's document is fine");
+        let effective = document
+            .effective(&base, &base)
+            .expect("the story's document is fine");
         let parts = split(&document, base.value_bytes).expect("it fits");
         let version = self.changes.len() as u64 + 1;
         let record = VersionRecord {
@@ -60,13 +72,24 @@
         commit.put(CURRENT, raw(&record), None);
         commit.put(HISTORY, raw(&history), None);
         let request = commit.request();
-        let stored =
-            self.state.handle(request.method.name(), &request.path, &request.body, self.now);
-        assert!(matches!(stored, Outcome::Answer(200, _)), "the operator's transaction");
+        let stored = self.state.handle(
+            request.method.name(),
+            &request.path,
+            &request.body,
+            self.now,
+        );
+        assert!(
+            matches!(stored, Outcome::Answer(200, _)),
+            "the operator's transaction"
+        );
         let limits = effective.teams.iter().filter(|t| !t.closed);
-        let limits = limits.map(|t| (t.name.clone(), t.limit.cpu as f64 / 1000.0)).collect();
-        self.changes
-            .push(Changed { by: self.now + EVERYWHERE + FETCH + self.answers_late + late, limits });
+        let limits = limits
+            .map(|t| (t.name.clone(), t.limit.cpu as f64 / 1000.0))
+            .collect();
+        self.changes.push(Changed {
+            by: self.now + EVERYWHERE + FETCH + self.answers_late + late,
+            limits,
+        });
         self.document = document;
         version
     }
@@ -75,7 +98,10 @@
     pub fn wait_out(&mut self, step: u64) {
         let now = self.now;
         if self.state.down {
-            self.changes.iter_mut().filter(|c| c.by > now).for_each(|c| c.by += step);
+            self.changes
+                .iter_mut()
+                .filter(|c| c.by > now)
+                .for_each(|c| c.by += step);
         }
     }
 
@@ -107,12 +133,17 @@
 
     /// What a team may use under any of the versions that may be acted on now.
     pub fn surely_allowed(&self, team: &str) -> f64 {
-        self.limits_of(team).into_iter().fold(f64::INFINITY, f64::min)
+        self.limits_of(team)
+            .into_iter()
+            .fold(f64::INFINITY, f64::min)
     }
 
     /// The version in force at each controller that is there, and whether it may be acted on.
     pub fn versions(&self) -> Vec<(u64, bool)> {
-        self.nodes.iter().filter_map(|n| Some(n.controller.as_ref()?.configuration())).collect()
+        self.nodes
+            .iter()
+            .filter_map(|n| Some(n.controller.as_ref()?.configuration()))
+            .collect()
     }
 
     /// This version is in force at all controllers that are there.
@@ -122,6 +153,8 @@
 
     /// No controller that is there would act by another version than this.
     pub fn none_older(&self, version: u64) -> bool {
-        self.versions().into_iter().all(|(v, fresh)| v == version || !fresh)
+        self.versions()
+            .into_iter()
+            .all(|(v, fresh)| v == version || !fresh)
     }
 }
--- a/crates/gannethub-core/tests/stories/sim/checks.rs
+++ b/crates/gannethub-core/tests/stories/sim/checks.rs
@@ -26,7 +26,11 @@
         if index.is_some_and(|index| self.stored(&id, index)) {
             broken.push(format!("began again: {name} is stored as done"));
         }
-        let others = || self.workers.values().filter(|o| !o.gone(self.now) && o.name != w.name);
+        let others = || {
+            self.workers
+                .values()
+                .filter(|o| !o.gone(self.now) && o.name != w.name)
+        };
         if others().any(|o| o.tasks.get(name).is_some_and(|t| t.on_machine())) {
             broken.push(format!("ran_twice: {name} on {}", w.name));
         }
@@ -51,7 +55,9 @@
         for o in others().chain([w]) {
             for t in o.tasks.values().filter(|t| t.on_machine()) {
                 let other = t.name.split('/').next().unwrap_or("");
-                let Some(j) = self.jobs.get(other) else { continue };
+                let Some(j) = self.jobs.get(other) else {
+                    continue;
+                };
                 if other == id {
                     *zones.entry(&o.zone).or_default() += 1;
                 }
@@ -80,8 +86,9 @@
             let task = order["piece"].as_str().unwrap_or("");
             let job = task.split('/').next().unwrap_or("").to_string();
             if order["verb"] == json!("launch") && self.told_by.contains(&(node, life, job)) {
-                self.broken
-                    .push(format!("launched: {task} by n{node}, which told it is cancelled"));
+                self.broken.push(format!(
+                    "launched: {task} by n{node}, which told it is cancelled"
+                ));
             }
         }
     }
@@ -91,14 +98,24 @@
         if self.keep_copies == 0.0 && self.kept_copies.is_empty() {
             return;
         }
-        let term = self.state.value(TERM).and_then(|v| v["term"].as_u64()).unwrap_or(0);
+        let term = self
+            .state
+            .value(TERM)
+            .and_then(|v| v["term"].as_u64())
+            .unwrap_or(0);
         if term == std::mem::replace(&mut self.last_term, term) {
             return;
         }
         for body in std::mem::take(&mut self.kept_copies) {
             for node in 0..self.nodes.len() {
                 let soon = self.rng.random_range(0..2 * SECOND);
-                self.at(soon, Event::Copy { node: Some(node), body: body.clone() });
+                self.at(
+                    soon,
+                    Event::Copy {
+                        node: Some(node),
+                        body: body.clone(),
+                    },
+                );
                 self.kept_came += 1;
             }
         }
@@ -106,7 +123,10 @@
 
     /// What a machine has left, by what is on it.
     pub(super) fn room(&self, w: &Worker) -> (f64, f64, f64) {
-        let rigs = self.cloud.flavors["rigs"].as_array().cloned().unwrap_or_default();
+        let rigs = self.cloud.flavors["rigs"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         let rig = rigs.iter().find(|r| r["label"] == w.flavor.as_str());
         let number = |v: &Value, f: &str| v[f].as_f64().unwrap_or(0.0);
         let size = |f: &str| rig.map_or(0.0, |r| number(r, f));
@@ -158,7 +178,10 @@
         }
         let limit = self.surely_allowed(body["crew"].as_str().unwrap_or(""));
         let half = wanted.div_ceil(2);
-        let fits = match (body["together"] == json!(true), body["scatter"] == json!(true)) {
+        let fits = match (
+            body["together"] == json!(true),
+            body["scatter"] == json!(true),
+        ) {
             (true, _) => zones.values().any(|n| *n >= wanted),
             (_, true) => zones.values().map(|n| (*n).min(half)).sum::<u64>() >= wanted,
             _ => zones.values().sum::<u64>() >= wanted,
@@ -180,8 +203,13 @@
             .collect();
         for id in self.jobs.keys().cloned().collect::<Vec<_>>() {
             let chain = self.upstream(&id);
-            let released = chain.iter().filter(|u| **u != id).all(|u| self.completed(u));
-            let called_off = chain.iter().any(|u| self.jobs.get(u).is_some_and(|j| j.cancel_asked));
+            let released = chain
+                .iter()
+                .filter(|u| **u != id)
+                .all(|u| self.completed(u));
+            let called_off = chain
+                .iter()
+                .any(|u| self.jobs.get(u).is_some_and(|j| j.cancel_asked));
             let j = &self.jobs[&id];
             let waits = j.accepted.is_some()
                 && !called_off
@@ -190,12 +218,15 @@
                 && j.body["jobclass"] != "broken";
             let idle = waits && self.has_room(&j.body);
             let now = self.now;
-            let Some(j) = self.jobs.get_mut(&id) else { continue };
+            let Some(j) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             match (idle, j.idle_since) {
                 (false, _) => j.idle_since = None,
                 (true, None) => j.idle_since = Some(now),
                 (true, Some(t)) if now == t + 90 * SECOND => {
-                    self.broken.push(format!("left waiting: {id}, though there is room for it"));
+                    self.broken
+                        .push(format!("left waiting: {id}, though there is room for it"));
                 }
                 _ => {}
             }
@@ -204,7 +235,10 @@
 
     /// A leader's index of room agrees with what it knows of its machines.
     pub(super) fn check_index(&mut self) {
-        let leading = self.nodes.iter().filter_map(|n| n.controller.as_ref()?.cluster());
+        let leading = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.controller.as_ref()?.cluster());
         self.broken.extend(leading.flat_map(|c| c.misplaced()));
         self.check_blocks();
     }
@@ -219,21 +253,28 @@
             for name in machines.into_iter().flatten().map(|m| m.0) {
                 let other = seen.insert(name.clone(), block_of(&key));
                 if other.as_ref().is_some_and(|o| *o != block_of(&key)) {
-                    self.broken.push(format!("held twice: {name} in {other:?} and {key}"));
+                    self.broken
+                        .push(format!("held twice: {name} in {other:?} and {key}"));
                 }
             }
         }
         let mut sums: HashMap<String, i64> = HashMap::new();
         for key in self.state.keys("gh/allot/") {
             let teams = self.state.value(&key).map(|v| v["teams"].clone());
-            for (team, part) in teams.as_ref().and_then(Value::as_object).into_iter().flatten() {
+            for (team, part) in teams
+                .as_ref()
+                .and_then(Value::as_object)
+                .into_iter()
+                .flatten()
+            {
                 *sums.entry(team.clone()).or_default() += part["cpu"].as_i64().unwrap_or(0);
             }
         }
         for team in &self.settings[0].teams {
             let sum = sums.get(&team.name).copied().unwrap_or(0);
             if sum > team.limit.cpu {
-                self.broken.push(format!("allotted: {sum} of {}", team.name));
+                self.broken
+                    .push(format!("allotted: {sum} of {}", team.name));
             }
         }
     }
@@ -241,7 +282,10 @@
     /// The state service has it that this task of a live job is done.
     pub(super) fn stored(&self, id: &str, index: u32) -> bool {
         let part = index / PART_TASKS;
-        let values = [(format!("gh/live/{id}"), 0), (format!("gh/part/{id}/{part}"), part)];
+        let values = [
+            (format!("gh/live/{id}"), 0),
+            (format!("gh/part/{id}/{part}"), part),
+        ];
         values.iter().any(|(key, part)| {
             let text = self.state.value(key).and_then(|v| v["done"].as_str());
             let mut done = Ranges::default();
@@ -254,15 +298,26 @@
     pub(super) fn check_parts(&mut self) {
         let mut parts = HashMap::new();
         for key in self.state.keys("gh/part/") {
-            let index = key.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+            let index = key
+                .rsplit('/')
+                .next()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0);
             let mut done = Ranges::default();
-            let text = self.state.value(&key).and_then(|v| v["done"].as_str()).unwrap_or("");
+            let text = self
+                .state
+                .value(&key)
+                .and_then(|v| v["done"].as_str())
+                .unwrap_or("");
             decode_done(text, index, &mut done);
             parts.insert(key, done.len() as usize);
         }
         for (key, before) in std::mem::take(&mut self.parts) {
             if parts.get(&key).is_some_and(|now| *now < before) {
-                self.broken.push(format!("lost: {key} had {before} ends, and has {}", parts[&key]));
+                self.broken.push(format!(
+                    "lost: {key} had {before} ends, and has {}",
+                    parts[&key]
+                ));
             }
         }
         self.parts = parts;
--- a/crates/gannethub-core/tests/stories/sim/mod.rs
+++ b/crates/gannethub-core/tests/stories/sim/mod.rs
@@ -36,8 +36,15 @@
 /// Who sent an HTTP request.
 #[derive(Clone, Debug)]
 pub enum Origin {
-    User { job: String, what: &'static str, asked: u64 },
-    Worker { name: String, sent: u64 },
+    User {
+        job: String,
+        what: &'static str,
+        asked: u64,
+    },
+    Worker {
+        name: String,
+        sent: u64,
+    },
 }
 
 pub enum Event {
@@ -261,7 +268,11 @@
         text += &format!("[[siblings]]\nhost_name = \"n{j}\"\narea = \"z{j}\"\n");
         text += &format!("peer_addr = \"10.0.0.{j}:81\"\n");
     }
-    Arc::new(Settings::parse(&change(text), "story").expect("the story's settings are fine").0)
+    Arc::new(
+        Settings::parse(&change(text), "story")
+            .expect("the story's settings are fine")
+            .0,
+    )
 }
 
 /// What the version before writes of a message.
@@ -269,7 +280,12 @@
     match &mut message.body {
         Some(Body::Promise(p)) => {
             let (round, term, block) = (p.round, p.term, p.block);
-            *p = Promise { round, term, block, ..Promise::default() };
+            *p = Promise {
+                round,
+                term,
+                block,
+                ..Promise::default()
+            };
         }
         Some(Body::PromiseAsk(ask)) => ask.known = 0,
         _ => {}
@@ -312,7 +328,9 @@
             now: 0,
             rng: StdRng::seed_from_u64(seed),
             nodes: Vec::new(),
-            settings: (0..nodes).map(|i| settings(i, nodes, believed_s, change)).collect(),
+            settings: (0..nodes)
+                .map(|i| settings(i, nodes, believed_s, change))
+                .collect(),
             state: State::new(16 * 1024, 8),
             refused: HashSet::new(),
             frozen: HashMap::new(),
@@ -374,7 +392,13 @@
             runs: (2 * SECOND, 8 * SECOND),
         };
         for i in 0..nodes {
-            world.nodes.push(Node { controller: None, life: 0, born: 0, stepped_at: 0, ticks: 0 });
+            world.nodes.push(Node {
+                controller: None,
+                life: 0,
+                born: 0,
+                stepped_at: 0,
+                ticks: 0,
+            });
             world.restart(i);
         }
         world
@@ -434,7 +458,9 @@
     /// What the holder of a block sees, whoever that is.
     pub fn block(&self, block: u32) -> Option<&Cluster> {
         let all = self.nodes.iter().filter_map(|n| n.controller.as_ref());
-        all.flat_map(|c| c.clusters()).filter(|c| c.block.id == block).max_by_key(|c| c.term)
+        all.flat_map(|c| c.clusters())
+            .filter(|c| c.block.id == block)
+            .max_by_key(|c| c.term)
     }
 
     /// Notes what a worker has and no longer has.
@@ -449,8 +475,11 @@
     /// The ledger's pages, as the state service holds them.
     pub fn ledger(&self) -> Vec<Page> {
         let keys = self.state.keys("gh/ledger/page/");
-        let page =
-            |k: &String| self.state.value(k).and_then(|v| serde_json::from_value(v.clone()).ok());
+        let page = |k: &String| {
+            self.state
+                .value(k)
+                .and_then(|v| serde_json::from_value(v.clone()).ok())
+        };
         keys.iter().filter_map(page).collect()
     }
 
@@ -462,7 +491,10 @@
         // Steady clocks drift by a little, each in its own direction.
         let t = self.now - self.nodes[node].born;
         let drift = (t / 2000) * (node as u64 % 2);
-        Clock { now: t + drift, wall: 1_700_000_000 * SECOND + self.now }
+        Clock {
+            now: t + drift,
+            wall: 1_700_000_000 * SECOND + self.now,
+        }
     }
 
     pub fn restart(&mut self, node: usize) {
@@ -488,7 +520,12 @@
     /// The controller that leads, if one does.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
-            .filter(|&i| self.nodes[i].controller.as_ref().is_some_and(|c| c.cluster().is_some()))
+            .filter(|&i| {
+                self.nodes[i]
+                    .controller
+                    .as_ref()
+                    .is_some_and(|c| c.cluster().is_some())
+            })
             .max_by_key(|&i| {
                 let controller = self.nodes[i].controller.as_ref();
                 controller.and_then(|c| c.cluster()).map_or(0, |c| c.term)
@@ -522,9 +559,15 @@
         let end = self.now + seconds * SECOND;
         while !done(self) {
             if self.now >= end {
-                let open: Vec<_> =
-                    self.jobs.iter().filter(|(_, j)| j.told_done.is_none()).collect();
-                panic!("not within {seconds} s: {what}; broken: {:?}; open: {open:?}", self.broken);
+                let open: Vec<_> = self
+                    .jobs
+                    .iter()
+                    .filter(|(_, j)| j.told_done.is_none())
+                    .collect();
+                panic!(
+                    "not within {seconds} s: {what}; broken: {:?}; open: {open:?}",
+                    self.broken
+                );
             }
             self.step();
         }
@@ -543,15 +586,18 @@
         self.send_kept_copies();
         self.wake_watches();
         let cut = self.cut.clone();
-        let (still, free): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.held).into_iter().partition(|h| cut.contains(&(h.0, h.1)));
+        let (still, free): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held)
+            .into_iter()
+            .partition(|h| cut.contains(&(h.0, h.1)));
         self.held = still;
         for (from, to, message) in free {
             let delay = self.jitter();
             self.at(delay, Event::Peer { from, to, message });
         }
         while self.events.peek().is_some_and(|e| e.0.0 <= self.now) {
-            let Some(Reverse((_, seq))) = self.events.pop() else { break };
+            let Some(Reverse((_, seq))) = self.events.pop() else {
+                break;
+            };
             if let Some(event) = self.queue.remove(&seq) {
                 self.handle(event);
             }
@@ -582,9 +628,23 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Command { node, life, command } => self.command(node, life, command),
-            Event::Late { node, life, command } => self.take(node, life, command),
-            Event::Store { node, life, id, request, asked } => {
+            Event::Command {
+                node,
+                life,
+                command,
+            } => self.command(node, life, command),
+            Event::Late {
+                node,
+                life,
+                command,
+            } => self.take(node, life, command),
+            Event::Store {
+                node,
+                life,
+                id,
+                request,
+                asked,
+            } => {
                 let own = self.nodes[node].life == life;
                 if own && self.refused.contains(&node) {
                     return self.store_answer(node, life, id, Some((503, json!({}))));
@@ -611,17 +671,31 @@
                         let quiet = self.state.quiet();
                         self.store_answer(node, life, id, Some((200, quiet)));
                     }
-                    Outcome::Wait { prefix, after, until } => {
+                    Outcome::Wait {
+                        prefix,
+                        after,
+                        until,
+                    } => {
                         self.watches.push((node, life, id, prefix, after, until));
                     }
                 }
             }
-            Event::Cloud { node, life, id, path, body } => {
+            Event::Cloud {
+                node,
+                life,
+                id,
+                path,
+                body,
+            } => {
                 let (status, body) = self.ask_cloud(&path, &body);
                 let answer = Some((status, Bytes::from(body.to_string())));
                 self.at(
                     20_000,
-                    Event::Command { node, life, command: Command::Cloud { id, answer } },
+                    Event::Command {
+                        node,
+                        life,
+                        command: Command::Cloud { id, answer },
+                    },
                 );
             }
             Event::Peer { from, to, message } => {
@@ -635,19 +709,33 @@
                     self.command(to, life, Command::Peer(message));
                 }
             }
-            Event::Answer { origin, node, response } => match origin {
+            Event::Answer {
+                origin,
+                node,
+                response,
+            } => match origin {
                 Origin::User { job, what, asked } => {
                     self.user_answer(&job, what, asked, &response);
                 }
                 Origin::Worker { name, .. } if self.unheard.contains(&name) => {}
                 Origin::Worker { name, sent }
-                    if self.workers.get(&name).is_some_and(|w| w.hung(self.now) && !w.dead) =>
+                    if self
+                        .workers
+                        .get(&name)
+                        .is_some_and(|w| w.hung(self.now) && !w.dead) =>
                 {
                     // It lies there until the machine goes on, if it does within its patience.
                     let until = self.workers[&name].hung_until;
                     if until > self.now && until < sent + 4 * SECOND {
                         let origin = Origin::Worker { name, sent };
-                        self.at(until - self.now, Event::Answer { origin, node, response });
+                        self.at(
+                            until - self.now,
+                            Event::Answer {
+                                origin,
+                                node,
+                                response,
+                            },
+                        );
                     }
                 }
                 Origin::Worker { name, sent } => {
@@ -666,7 +754,10 @@
                 let any = self.rng.random_range(0..self.nodes.len());
                 let node = node.unwrap_or(any);
                 // Nobody waits for its answer any more.
-                let origin = Origin::Worker { name: String::new(), sent: self.now };
+                let origin = Origin::Worker {
+                    name: String::new(),
+                    sent: self.now,
+                };
                 self.copied += 1;
                 self.http(origin, node, Method::Post, "/v1/report", Bytes::from(body));
             }
@@ -680,7 +771,11 @@
 
     /// How long the state service takes for an answer.
     fn slowness(&mut self) -> u64 {
-        let slow = if self.slow_state > 0 { self.rng.random_range(0..self.slow_state) } else { 0 };
+        let slow = if self.slow_state > 0 {
+            self.rng.random_range(0..self.slow_state)
+        } else {
+            0
+        };
         self.jitter() + slow
     }
 
@@ -693,7 +788,14 @@
         answer: Option<(u16, Value)>,
     ) {
         let answer = answer.map(|(s, b)| (s, Bytes::from(b.to_string())));
-        self.at(delay, Event::Command { node, life, command: Command::Store { id, answer } });
+        self.at(
+            delay,
+            Event::Command {
+                node,
+                life,
+                command: Command::Store { id, answer },
+            },
+        );
     }
 
     fn wake_watches(&mut self) {
@@ -713,7 +815,11 @@
             match self.state.changes(&prefix, after) {
                 Some(changes) => {
                     let slow = self.slow_watches;
-                    let slow = if slow > 0 { self.rng.random_range(0..slow) } else { 0 };
+                    let slow = if slow > 0 {
+                        self.rng.random_range(0..slow)
+                    } else {
+                        0
+                    };
                     let delay = slow + self.slowness();
                     self.answer_in(delay, node, life, id, Some((200, changes)));
                 }
@@ -729,7 +835,14 @@
     fn command(&mut self, node: usize, life: u32, command: Command) {
         match self.behind.get(&node).copied() {
             Some(late) if !matches!(command, Command::Tick) => {
-                self.at(late, Event::Late { node, life, command });
+                self.at(
+                    late,
+                    Event::Late {
+                        node,
+                        life,
+                        command,
+                    },
+                );
             }
             Some(late) if self.now < self.nodes[node].stepped_at + late => {}
             _ => self.take(node, life, command),
@@ -742,12 +855,21 @@
         }
         if let Some(until) = self.frozen.get(&node).copied().filter(|t| self.now < *t) {
             if !matches!(command, Command::Tick) {
-                self.at(until - self.now, Event::Command { node, life, command });
+                self.at(
+                    until - self.now,
+                    Event::Command {
+                        node,
+                        life,
+                        command,
+                    },
+                );
             }
             return;
         }
         let clock = self.clock(node);
-        let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+        let Some(controller) = self.nodes[node].controller.as_mut() else {
+            return;
+        };
         let effects = controller.step(clock, [command]);
         let term = controller.cluster().map(|c| c.term);
         let terms: Vec<u64> = controller.clusters().map(|c| c.term).collect();
@@ -775,10 +897,20 @@
                             self.told_by.insert((node, life, job.clone()));
                         }
                         let held = matches!(origin, Origin::Worker { .. }) && self.slow_answers > 0;
-                        let held =
-                            if held { self.rng.random_range(0..self.slow_answers) } else { 0 };
+                        let held = if held {
+                            self.rng.random_range(0..self.slow_answers)
+                        } else {
+                            0
+                        };
                         let delay = delay + held;
-                        self.at(delay, Event::Answer { origin, node, response });
+                        self.at(
+                            delay,
+                            Event::Answer {
+                                origin,
+                                node,
+                                response,
+                            },
+                        );
                     }
                 }
                 Effect::Store { id, request } => {
@@ -793,21 +925,62 @@
                         let long = if lost { delay } else { long };
                         self.unanswered_commits += usize::from(lost);
                         let patience = request.patience;
-                        self.at(long, Event::Store { node, life: 0, id, request, asked });
+                        self.at(
+                            long,
+                            Event::Store {
+                                node,
+                                life: 0,
+                                id,
+                                request,
+                                asked,
+                            },
+                        );
                         let command = Command::Store { id, answer: None };
-                        self.at(patience, Event::Command { node, life, command });
+                        self.at(
+                            patience,
+                            Event::Command {
+                                node,
+                                life,
+                                command,
+                            },
+                        );
                     } else {
                         let asked = self.now;
-                        self.at(delay, Event::Store { node, life, id, request, asked });
+                        self.at(
+                            delay,
+                            Event::Store {
+                                node,
+                                life,
+                                id,
+                                request,
+                                asked,
+                            },
+                        );
                     }
                 }
                 Effect::Cloud { id, request } => {
                     let (path, body) = (request.path, request.body);
-                    self.at(delay, Event::Cloud { node, life, id, path, body });
+                    self.at(
+                        delay,
+                        Event::Cloud {
+                            node,
+                            life,
+                            id,
+                            path,
+                            body,
+                        },
+                    );
                 }
                 Effect::Worker { addr, body } => {
                     self.direct += 1;
-                    self.at(delay, Event::Direct { node, addr: addr.to_string(), body });
+                    self.at(
+                        delay,
+                        Event::Direct {
+                            node,
+                            addr: addr.to_string(),
+                            body,
+                        },
+                    );
                 }
                 Effect::Peer { to, mut message } => {
                     if self.silent.contains(&node) {
@@ -819,8 +992,19 @@
                         p.cancelled = "6:1-;zz:4;x".into();
                     }
                     let name = self.settings[node].siblings[to].name.clone();
-                    let to = self.settings.iter().position(|s| s.name == name).expect("known");
-                    self.at(delay, Event::Peer { from: node, to, message });
+                    let to = self
+                        .settings
+                        .iter()
+                        .position(|s| s.name == name)
+                        .expect("known");
+                    self.at(
+                        delay,
+                        Event::Peer {
+                            from: node,
+                            to,
+                            message,
+                        },
+                    );
                 }
             }
         }
@@ -832,10 +1016,22 @@
         let conn = self.seq;
         let life = self.nodes[node].life;
         self.conns.insert(conn, (origin, node, life));
-        let request = Request { method, path: path.into(), body, close: false };
+        let request = Request {
+            method,
+            path: path.into(),
+            body,
+            close: false,
+        };
         let delay = self.jitter();
         let command = Command::Request { conn, request };
-        self.at(delay, Event::Command { node, life, command });
+        self.at(
+            delay,
+            Event::Command {
+                node,
+                life,
+                command,
+            },
+        );
     }
 
     // ---- The cloud ----
@@ -857,7 +1053,9 @@
     fn step_workers(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let Some(mut w) = self.workers.remove(&name) else { continue };
+            let Some(mut w) = self.workers.remove(&name) else {
+                continue;
+            };
             w.step(self);
             self.log(&w);
             self.workers.insert(name, w);
@@ -871,12 +1069,18 @@
     /// Direct commands reach a worker that reaches no controller, and wait for one that hangs, whoever may lead by then.
     fn command_worker(&mut self, node: usize, addr: String, body: Bytes) {
         let text: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let verbs = text["orders"].as_array().into_iter().flatten().map(|o| o["verb"].clone());
+        let verbs = text["orders"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(|o| o["verb"].clone());
         if verbs.clone().any(|v| v != json!("halt")) {
             self.broken.push(format!("sent directly: {text}"));
         }
         let to = self.workers.values().find(|w| self.addr(&w.name) == addr);
-        let Some(w) = to.filter(|w| !w.dead && !self.unheard.contains(&w.name)) else { return };
+        let Some(w) = to.filter(|w| !w.dead && !self.unheard.contains(&w.name)) else {
+            return;
+        };
         if !self.reaches(node, &w.zone) {
             return;
         }
@@ -888,7 +1092,9 @@
             return;
         }
         let name = w.name.clone();
-        let Some(mut w) = self.workers.remove(&name) else { return };
+        let Some(mut w) = self.workers.remove(&name) else {
+            return;
+        };
         if !w.hung(self.now) && !w.lease_over(self.now) {
             w.commanded(self, &body);
             self.log(&w);
@@ -921,17 +1127,37 @@
     /// A user submits at this node, once, whatever the answer.
     pub fn ask_quietly(&mut self, body: Value, node: usize) {
         let id = body["id"].as_str().unwrap_or("").to_string();
-        let origin =
-            Origin::User { job: format!("quietly {id}"), what: "quietly", asked: self.now };
-        self.http(origin, node, Method::Post, "/api/jobs", Bytes::from(body.to_string()));
+        let origin = Origin::User {
+            job: format!("quietly {id}"),
+            what: "quietly",
+            asked: self.now,
+        };
+        self.http(
+            origin,
+            node,
+            Method::Post,
+            "/api/jobs",
+            Bytes::from(body.to_string()),
+        );
     }
 
     /// A user submits at this node what lacks a field or can never run; the refusal has to name the field.
     pub fn submit_odd(&mut self, body: Value, field: &str, node: usize) {
         let id = format!("odd {} {}", field, self.odd.len());
-        let origin = Origin::User { job: id.clone(), what: "odd", asked: self.now };
+        let origin = Origin::User {
+            job: id.clone(),
+            what: "odd",
+            asked: self.now,
+        };
         let text = Bytes::from(body.to_string());
-        self.odd.insert(id, Odd { body, field: field.into(), refused: 0 });
+        self.odd.insert(
+            id,
+            Odd {
+                body,
+                field: field.into(),
+                refused: 0,
+            },
+        );
         self.http(origin, node, Method::Post, "/api/jobs", text);
     }
 
@@ -944,7 +1170,14 @@
                     continue;
                 }
                 let soon = self.rng.random_range(0..300_000);
-                self.at(soon, Event::Ask { job: id.into(), what, node });
+                self.at(
+                    soon,
+                    Event::Ask {
+                        job: id.into(),
+                        what,
+                        node,
+                    },
+                );
                 self.looked += 1;
             }
         }
@@ -975,7 +1208,11 @@
 
     /// Sends a user's request to this node.
     pub fn ask_at(&mut self, id: &str, what: &'static str, node: usize) {
-        let origin = Origin::User { job: id.into(), what, asked: self.now };
+        let origin = Origin::User {
+            job: id.into(),
+            what,
+            asked: self.now,
+        };
         let body = match what {
             "submit" => Bytes::from(self.jobs[id].body.to_string()),
             _ => Bytes::new(),
@@ -1027,14 +1264,25 @@
         let now = self.now;
         let all_done = self.completed(id);
         let chain = self.upstream(id);
-        let cancel_asked = chain.iter().any(|u| self.jobs.get(u).is_some_and(|j| j.cancel_asked));
+        let cancel_asked = chain
+            .iter()
+            .any(|u| self.jobs.get(u).is_some_and(|j| j.cancel_asked));
         let told = |u: &String| self.jobs.get(u).and_then(|j| j.told_cancelled);
         let lost = chain.iter().filter(|u| *u != id).filter_map(told).min();
-        let named =
-            chain.iter().all(|u| self.jobs.get(u).is_some_and(|j| u == id || j.accepted.is_some()));
+        let named = chain.iter().all(|u| {
+            self.jobs
+                .get(u)
+                .is_some_and(|j| u == id || j.accepted.is_some())
+        });
         let close = self.close_looks;
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let before = (j.accepted.is_some(), j.told_done.is_some(), j.told_cancelled.is_some());
+        let Some(j) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let before = (
+            j.accepted.is_some(),
+            j.told_done.is_some(),
+            j.told_cancelled.is_some(),
+        );
         let mut broken = Vec::new();
         if matches!(response.status, 400 | 422) && what == "submit" && chain.len() == 1 {
             broken.push(format!("refused: {id} gets {}", response.status));
@@ -1051,7 +1299,10 @@
         }
         match response.status {
             200 | 201 => {
-                let quiet = now - j.answered.max(self.asked_since).max(j.accepted.unwrap_or(now));
+                let quiet = now
+                    - j.answered
+                        .max(self.asked_since)
+                        .max(j.accepted.unwrap_or(now));
                 self.unanswered = self.unanswered.max(quiet);
                 j.answered = now;
                 if what == "submit" {
@@ -1099,7 +1350,11 @@
             }
             _ => {}
         }
-        let after = (j.accepted.is_some(), j.told_done.is_some(), j.told_cancelled.is_some());
+        let after = (
+            j.accepted.is_some(),
+            j.told_done.is_some(),
+            j.told_cancelled.is_some(),
+        );
         self.broken.extend(broken);
         if close && before != after {
             self.look_closely(id);
@@ -1125,7 +1380,11 @@
 
     /// Whether each of the job's tasks has completed on some machine at some time.
     fn completed(&self, id: &str) -> bool {
-        let n = self.jobs.get(id).and_then(|j| j.body["pieces"].as_u64()).unwrap_or(0);
+        let n = self
+            .jobs
+            .get(id)
+            .and_then(|j| j.body["pieces"].as_u64())
+            .unwrap_or(0);
         (0..n).all(|i| self.done.contains(&format!("{id}/{i}")))
     }
 
@@ -1181,13 +1440,27 @@
         assert!(self.starts > 0, "nothing ran");
         // Of one that was cancelled at once the end may be the first thing told.
         let untold = |j: &UserJob| j.accepted.is_none() && j.told_cancelled.is_none();
-        let untold: Vec<&String> =
-            self.jobs.iter().filter(|(_, j)| untold(j)).map(|(id, _)| id).collect();
+        let untold: Vec<&String> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| untold(j))
+            .map(|(id, _)| id)
+            .collect();
         assert!(untold.is_empty(), "never accepted: {untold:?}");
         if self.asked_since > 0 {
             let quiet = |j: &UserJob| self.now - j.answered.max(self.asked_since);
-            let quiet = self.jobs.values().map(quiet).max().unwrap_or(0).max(self.unanswered);
-            assert!(quiet < 75 * SECOND, "a job was not answered for {} s", quiet / SECOND);
+            let quiet = self
+                .jobs
+                .values()
+                .map(quiet)
+                .max()
+                .unwrap_or(0)
+                .max(self.unanswered);
+            assert!(
+                quiet < 75 * SECOND,
+                "a job was not answered for {} s",
+                quiet / SECOND
+            );
         }
     }
 }
@@ -1247,7 +1520,14 @@
             j.cancel_asked = true;
             let node = self.rng.random_range(0..self.nodes.len());
             let soon = self.rng.random_range(0..SECOND * 5 / 2);
-            self.at(soon, Event::Ask { job: id.clone(), what: "cancel", node });
+            self.at(
+                soon,
+                Event::Ask {
+                    job: id.clone(),
+                    what: "cancel",
+                    node,
+                },
+            );
         }
         self.look_closely(&id);
     }
@@ -1269,7 +1549,9 @@
         if over || cancelled || self.stored(id, index) {
             return;
         }
-        self.broken.push(format!("lost: the end of {task} is forgotten and not stored"));
+        self.broken.push(format!(
+            "lost: the end of {task} is forgotten and not stored"
+        ));
     }
 
     fn reaches(&self, node: usize, zone: &str) -> bool {
@@ -1279,7 +1561,13 @@
     fn send(&mut self, worker: &str, node: usize, body: String) {
         if self.copies > 0.0 && self.rng.random_bool(self.copies) {
             let late = self.rng.random_range(2 * SECOND..3 * LEASE);
-            self.at(late, Event::Copy { node: None, body: body.clone() });
+            self.at(
+                late,
+                Event::Copy {
+                    node: None,
+                    body: body.clone(),
+                },
+            );
         }
         if self.keep_copies > 0.0 && self.rng.random_bool(self.keep_copies) {
             self.kept_copies.push(body.clone());
@@ -1287,7 +1575,10 @@
         if self.mute.contains(worker) {
             return;
         }
-        let origin = Origin::Worker { name: worker.into(), sent: self.now };
+        let origin = Origin::Worker {
+            name: worker.into(),
+            sent: self.now,
+        };
         self.http(origin, node, Method::Post, "/v1/report", Bytes::from(body));
     }
 
--- a/crates/gannethub-core/tests/stories/takeover.rs
+++ b/crates/gannethub-core/tests/stories/takeover.rs
@@ -25,7 +25,11 @@
     let mut w = World::new(3, seed);
     w.cloud.capacity = 16;
     w.run(2);
-    w.submit(job(1, cpus, json!({"shape": "service", "crew": crew, "rigs": ["small"]})));
+    w.submit(job(
+        1,
+        cpus,
+        json!({"shape": "service", "crew": crew, "rigs": ["small"]}),
+    ));
     w.run_until(40, "the replicas run", |w| w.starts >= cpus as usize);
     w.submit(job(9, 24, json!({"rigs": ["small"]})));
     w.run_until(40, "the array runs", |w| w.starts >= cpus as usize + 24);
@@ -38,7 +42,10 @@
     let until = w.now + LEASE - SECOND / 2;
     w.cloud.no_deletes = true;
     let replica = |t: &String| t.starts_with("j-000001");
-    let with = w.workers.values_mut().filter(|m| m.tasks.keys().any(replica));
+    let with = w
+        .workers
+        .values_mut()
+        .filter(|m| m.tasks.keys().any(replica));
     with.map(|m| m.hung_until = until).count()
 }
 
@@ -46,7 +53,9 @@
 fn lose_leader(w: &mut World) {
     let old = w.leader().expect("someone leads");
     w.crash(old, 60 * SECOND);
-    w.run_until(15, "another leads", |w| w.leader().is_some_and(|l| l != old));
+    w.run_until(15, "another leads", |w| {
+        w.leader().is_some_and(|l| l != old)
+    });
 }
 
 /// Replaces a field of every value under a prefix.
@@ -67,7 +76,9 @@
     w.submit(job(2, 2, json!({"rigs": ["small"]})));
     w.run_until(6, "it starts", |w| w.starts >= before + 2);
     assert!(!settled(&w) && cluster(&w).is_some_and(|c| c.trusted));
-    w.run_until(120, "it is done", |w| w.jobs["j-000002"].told_done.is_some());
+    w.run_until(120, "it is done", |w| {
+        w.jobs["j-000002"].told_done.is_some()
+    });
     w.finish();
 }
 
@@ -79,7 +90,9 @@
         w.run(3);
         hang(&mut w);
         lose_leader(&mut w);
-        w.run_until(150, "the array is done", |w| w.jobs["j-000002"].told_done.is_some());
+        w.run_until(150, "the array is done", |w| {
+            w.jobs["j-000002"].told_done.is_some()
+        });
         w.finish();
     }
 }
@@ -91,7 +104,10 @@
     tamper(&mut w, "gh/live/", |v| v["open"] = json!(0));
     lose_leader(&mut w);
     w.run(8);
-    let twice = w.broken.iter().any(|b| b.starts_with("ran_twice: j-000001"));
+    let twice = w
+        .broken
+        .iter()
+        .any(|b| b.starts_with("ran_twice: j-000001"));
     assert!(twice, "the broken guard was not noticed: {:?}", w.broken);
 }
 
@@ -119,7 +135,9 @@
             assert_eq!(held, 16_000, "all of the limit counts as used");
             w.run(20);
             w.cancel(1);
-            w.run_until(150, "its work is done", |w| w.jobs["j-000002"].told_done.is_some());
+            w.run_until(150, "its work is done", |w| {
+                w.jobs["j-000002"].told_done.is_some()
+            });
             w.finish();
         }
     }
@@ -139,10 +157,16 @@
         w.run(25);
         assert_eq!(open(&w), opened);
         let launched = w.starts as u64;
-        assert!(opened.is_some_and(|o| o.as_u64() < Some(launched)), "{launched} starts");
+        assert!(
+            opened.is_some_and(|o| o.as_u64() < Some(launched)),
+            "{launched} starts"
+        );
         w.cloud.no_deletes = true;
         let until = w.now + LEASE - SECOND / 2;
-        w.workers.values_mut().skip(1).for_each(|m| m.hung_until = until);
+        w.workers
+            .values_mut()
+            .skip(1)
+            .for_each(|m| m.hung_until = until);
         w.state.down = false;
         lose_leader(&mut w);
         assert!(cluster(&w).is_some_and(|c| !c.trusted));
@@ -159,14 +183,17 @@
     for told in [true, false] {
         let mut w = replicas(30, "blue", 12);
         let leader = w.leader().expect("someone leads");
-        (0..3).filter(|n| *n != leader).for_each(|n| w.crash(n, SECOND));
+        (0..3)
+            .filter(|n| *n != leader)
+            .for_each(|n| w.crash(n, SECOND));
         w.run(2);
         if !told {
             // Nobody answers before the leader is gone.
             for other in (0..3).filter(|o| *o != leader) {
                 w.cut.extend([(leader, other), (other, leader)]);
             }
-            w.cut.extend((0..3).flat_map(|a| (0..3).map(move |b| (a, b))));
+            w.cut
+                .extend((0..3).flat_map(|a| (0..3).map(move |b| (a, b))));
         }
         w.run(10);
         w.cut.clear();
@@ -181,13 +208,23 @@
 fn after_a_version_without_marks_nobody_goes_by_them_until_all_is_covered() {
     let mut w = replicas(31, "blue", 12);
     // As the version before writes it: without what it does not know of.
-    let without =
-        |v: &mut Value| drop(v.as_object_mut().map(|o| (o.remove("marked"), o.remove("open"))));
+    let without = |v: &mut Value| {
+        drop(
+            v.as_object_mut()
+                .map(|o| (o.remove("marked"), o.remove("open"))),
+        )
+    };
     tamper(&mut w, "gh/l", without);
-    let marked = |w: &World| w.state.value("gh/lead/term").map(|v| v["marked"] == json!(true));
+    let marked = |w: &World| {
+        w.state
+            .value("gh/lead/term")
+            .map(|v| v["marked"] == json!(true))
+    };
     let old = w.leader().expect("someone leads");
     w.crash(old, SECOND);
-    w.run_until(12, "another leads", |w| cluster(w).is_some_and(|c| c.term > 1));
+    w.run_until(12, "another leads", |w| {
+        cluster(w).is_some_and(|c| c.term > 1)
+    });
     assert!(cluster(&w).is_some_and(|c| !c.trusted));
     assert_eq!(marked(&w), Some(false));
     w.run_until(30, "it says that marks hold", |w| marked(w) == Some(true));
@@ -201,9 +238,17 @@
 fn limits_count_what_is_in_doubt_from_the_moment_that_everything_is_read() {
     let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
     f.c.trust(true);
-    let member = |_| Member { flavor: "small".into(), zone: "a".into(), spot: false };
+    let member = |_| Member {
+        flavor: "small".into(),
+        zone: "a".into(),
+        spot: false,
+    };
     let machines = ["up-1", "up-2"].map(|m| (m.to_string(), member(m))).into();
-    let chunk = ChunkRecord { term: 1, holder: "n9".into(), machines };
+    let chunk = ChunkRecord {
+        term: 1,
+        holder: "n9".into(),
+        machines,
+    };
     let mut record = JobRecord::new(spec(Shape::Array, "red", 20, 1.0), 1);
     record.open = Some(6);
     f.c.job_record("j-1", record, 5);
@@ -211,9 +256,18 @@
     f.c.loaded(f.now);
     assert_eq!(f.c.doubt.held[0].cpu, 6_000, "six tasks may be on them");
     // The first machine shows two of them, before any tick: two more CPUs are left, and tasks from the mark on.
-    f.report("up-1", "small", "a", &[("j-1/0", 1, false), ("j-1/1", 1, false)]);
+    f.report(
+        "up-1",
+        "small",
+        "a",
+        &[("j-1/0", 1, false), ("j-1/1", 1, false)],
+    );
     f.c.schedule(f.now);
-    let placed: Vec<u32> = f.c.machines["up-1"].attempts.keys().map(|k| k.0.index).collect();
+    let placed: Vec<u32> = f.c.machines["up-1"]
+        .attempts
+        .keys()
+        .map(|k| k.0.index)
+        .collect();
     assert_eq!(
         placed,
         [0, 1],
@@ -221,7 +275,11 @@
     );
     f.pass(0);
     f.c.schedule(f.now);
-    let placed: Vec<u32> = f.c.machines["up-1"].attempts.keys().map(|k| k.0.index).collect();
+    let placed: Vec<u32> = f.c.machines["up-1"]
+        .attempts
+        .keys()
+        .map(|k| k.0.index)
+        .collect();
     assert_eq!(placed, [0, 1, 6, 7]);
 }
 
@@ -260,8 +318,10 @@
             }
             match w.rng.random_range(0..7) {
                 6 => {
-                    let (node, long) =
-                        (w.rng.random_range(0..3), w.rng.random_range(SECOND..8 * SECOND));
+                    let (node, long) = (
+                        w.rng.random_range(0..3),
+                        w.rng.random_range(SECOND..8 * SECOND),
+                    );
                     w.frozen.insert(node, w.now + long);
                 }
                 0 => w.state.down = !w.state.down,
@@ -285,10 +345,15 @@
         w.late_commits = 0.0;
         w.cut.clear();
         w.cloud.no_deletes = false;
-        w.workers.values_mut().for_each(|m| m.hung_until = m.hung_until.min(w.now));
+        w.workers
+            .values_mut()
+            .for_each(|m| m.hung_until = m.hung_until.min(w.now));
         (1..5).for_each(|i| w.cancel(i));
         w.run_until(300, "all are over", World::all_over);
         w.finish();
     }
-    assert!(early > 15 && terms > 50, "{early} seconds with early starts, {terms} terms");
+    assert!(
+        early > 15 && terms > 50,
+        "{early} seconds with early starts, {terms} terms"
+    );
 }
--- a/crates/gannethub-core/tests/stories/unheard_of.rs
+++ b/crates/gannethub-core/tests/stories/unheard_of.rs
@@ -36,7 +36,8 @@
 }
 
 pub fn told(w: &World, jobs: &[u32]) -> bool {
-    jobs.iter().all(|i| w.jobs[&id(*i)].told_cancelled.is_some())
+    jobs.iter()
+        .all(|i| w.jobs[&id(*i)].told_cancelled.is_some())
 }
 
 /// The state service refuses the leader, and users cancel these jobs at one other controller, which tells them so.
@@ -59,9 +60,12 @@
     w.run(15);
     let open: Vec<String> = w.jobs.keys().cloned().collect();
     w.runs = (2 * SECOND, 8 * SECOND);
-    open.iter().for_each(|i| w.cancel(i[2..].parse().expect("a number")));
+    open.iter()
+        .for_each(|i| w.cancel(i[2..].parse().expect("a number")));
     w.run_until(240, "all are over", World::all_over);
-    w.run_until(60, "nothing is left", |w| w.state.keys("gh/live/").is_empty());
+    w.run_until(60, "nothing is left", |w| {
+        w.state.keys("gh/live/").is_empty()
+    });
     assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
     w.finish();
 }
@@ -190,16 +194,25 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let save = json!({"guess_s": 350.0, "stamp_every_s": 5.0, "stamp_s": 20.0});
-        w.submit(job(11, 3, json!({"shape": "group", "guess_s": 350.0, "crew": "red"})));
+        w.submit(job(
+            11,
+            3,
+            json!({"shape": "group", "guess_s": 350.0, "crew": "red"}),
+        ));
         w.submit(job(12, 4, save));
         w.run_until(60, "they run", |w| w.starts >= 23);
         w.submit(job(13, 2, json!({"waits_on": ["j-000011"]})));
         // Told to save shortly before, since its machine is to be taken away.
         let on = |x: &sim::Worker| x.tasks.keys().any(|t| t.starts_with("j-000012"));
-        w.workers.values_mut().filter(|x| on(x)).for_each(|x| x.notice = true);
+        w.workers
+            .values_mut()
+            .filter(|x| on(x))
+            .for_each(|x| x.notice = true);
         w.run(1);
         w.submit(job(14, 6, json!({"guess_s": 350.0, "rigs": ["small"]})));
-        w.run_until(5, "it is accepted", |w| w.jobs["j-000014"].accepted.is_some());
+        w.run_until(5, "it is accepted", |w| {
+            w.jobs["j-000014"].accepted.is_some()
+        });
         refused_and_cancelled(&mut w, old, others[0], &[11, 12, 14]);
         outlast(w, seed);
     }
@@ -212,16 +225,25 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let jobs = [1, 2, 3, 4];
-        let holds =
-            |x: &sim::Worker| x.tasks.keys().any(|t| jobs.iter().any(|i| t.starts_with(&id(*i))));
-        let names: Vec<String> =
-            w.workers.values().filter(|x| holds(x)).map(|x| x.name.clone()).collect();
+        let holds = |x: &sim::Worker| {
+            x.tasks
+                .keys()
+                .any(|t| jobs.iter().any(|i| t.starts_with(&id(*i))))
+        };
+        let names: Vec<String> = w
+            .workers
+            .values()
+            .filter(|x| holds(x))
+            .map(|x| x.name.clone())
+            .collect();
         assert!(!names.is_empty());
         match seed % 4 {
             0 => w.unheard.extend(names),
             1 => {
                 let until = w.now + LEASE - SECOND;
-                names.iter().for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
+                names
+                    .iter()
+                    .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
             // The leader hears its workers through its siblings alone.
             2 => w.deaf.extend([(old, "a".into()), (old, "b".into())]),
@@ -230,7 +252,11 @@
             }),
         }
         w.run(2);
-        let (old, others) = if w.leader() == Some(old) { (old, others) } else { roles(&w, seed) };
+        let (old, others) = if w.leader() == Some(old) {
+            (old, others)
+        } else {
+            roles(&w, seed)
+        };
         refused_and_cancelled(&mut w, old, others[0], &jobs);
         outlast(w, seed);
     }
@@ -339,7 +365,10 @@
         w.state.down = true;
         w.run(120);
         assert_eq!(w.leader(), Some(old));
-        assert!(w.workers.values().all(|x| x.session == 1), "a lease ran out");
+        assert!(
+            w.workers.values().all(|x| x.session == 1),
+            "a lease ran out"
+        );
         assert_eq!(w.starts, starts, "nothing began anew");
         recover(w, seed);
     }
--- a/crates/gannethub-core/tests/stories/upgrade.rs
+++ b/crates/gannethub-core/tests/stories/upgrade.rs
@@ -62,7 +62,11 @@
         let LiveRecord::Job(r) = LiveRecord::parse(&text).expect("a job") else {
             panic!("it does not wait")
         };
-        assert_eq!(store::raw(&r).get(), text, "not a byte differs where nothing is new");
+        assert_eq!(
+            store::raw(&r).get(),
+            text,
+            "not a byte differs where nothing is new"
+        );
     }
     let over: OverRecord = serde_json::from_str(OVER).expect("an end");
     assert_eq!(store::raw(&over).get(), OVER);
@@ -94,21 +98,32 @@
             other => panic!("the version before had no {other:?}"),
         });
     }
-    assert_eq!(kinds, [(7, 1), (9, 2), (9, 200), (7, 5_000_000), (7, 1), (44, 3)]);
+    assert_eq!(
+        kinds,
+        [(7, 1), (9, 2), (9, 200), (7, 5_000_000), (7, 1), (44, 3)]
+    );
     assert_eq!(again, bytes);
 }
 
 #[test]
 fn the_version_before_answers_from_a_waiting_record_and_cannot_start_it() {
-    let LiveRecord::Job(r) = LiveRecord::parse(&record(TAIL)).expect("a job") else { panic!() };
+    let LiveRecord::Job(r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+        panic!()
+    };
     let on = [JobId::from("j-000398")];
     for cancelled in [false, true] {
         let waiting = WaitingRecord::new(r.spec.clone(), r.at, cancelled, &on);
         let text = store::raw(&waiting).get().to_string();
-        assert!(serde_json::from_str::<OldJob>(&text).is_err(), "its leader finds nothing to run");
+        assert!(
+            serde_json::from_str::<OldJob>(&text).is_err(),
+            "its leader finds nothing to run"
+        );
         let brief: OldBrief = serde_json::from_str(&text).expect("its copy has an answer");
         assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
-        assert_eq!(LiveRecord::parse(&text).expect("ours"), LiveRecord::Waiting(waiting));
+        assert_eq!(
+            LiveRecord::parse(&text).expect("ours"),
+            LiveRecord::Waiting(waiting)
+        );
     }
     // Once released it is a job like any other, and losing `ready` only costs it its place.
     let mut released = JobRecord::new(r.spec.clone(), r.at);
@@ -121,26 +136,38 @@
 
 #[test]
 fn the_version_before_answers_for_a_job_of_another_block_and_cannot_start_it() {
-    let LiveRecord::Job(mut r) = LiveRecord::parse(&record(TAIL)).expect("a job") else { panic!() };
+    let LiveRecord::Job(mut r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+        panic!()
+    };
     r.open = Some(40);
     // Its leader runs a job of block 0, and a mark is nothing to it; in turn it loses that, and we take all for
     // launched.
     let old: OldJob = serde_json::from_str(r.value().get()).expect("a job to it too");
     assert_eq!(old.done, r.done);
-    let LiveRecord::Job(lost) = LiveRecord::parse(&record(TAIL)).expect("a job") else { panic!() };
+    let LiveRecord::Job(lost) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+        panic!()
+    };
     assert_eq!((r.mark(), lost.mark()), (40, 70));
     r.block = 2;
     r.ready = Some(r.at + 5);
     for cancelled in [false, true] {
         r.cancelled = cancelled;
         let text = r.value().get().to_string();
-        assert!(serde_json::from_str::<OldJob>(&text).is_err(), "its leader finds nothing to run");
+        assert!(
+            serde_json::from_str::<OldJob>(&text).is_err(),
+            "its leader finds nothing to run"
+        );
         let brief: OldBrief = serde_json::from_str(&text).expect("its copy has an answer");
         assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
-        assert_eq!(LiveRecord::parse(&text).expect("ours"), LiveRecord::Job(r.clone()));
+        assert_eq!(
+            LiveRecord::parse(&text).expect("ours"),
+            LiveRecord::Job(r.clone())
+        );
     }
     let cancelled = LiveRecord::Job(r.clone()).cancel(16 * 1024);
-    let LiveRecord::Job(back) = LiveRecord::parse(cancelled.get()).expect("ours") else { panic!() };
+    let LiveRecord::Job(back) = LiveRecord::parse(cancelled.get()).expect("ours") else {
+        panic!()
+    };
     assert_eq!((back.block, back.open, back.cancelled), (2, Some(40), true));
 }
 
@@ -160,7 +187,12 @@
     w.cloud.capacity = 100;
     // A block of 90 machines in one chunk, all of them gone, and a job that nobody has started.
     let machines: serde_json::Map<String, Value> = (0..90)
-        .map(|i| (format!("host-9{i:05}"), json!({"flavor": "small", "zone": "a", "spot": false})))
+        .map(|i| {
+            (
+                format!("host-9{i:05}"),
+                json!({"flavor": "small", "zone": "a", "spot": false}),
+            )
+        })
         .collect();
     let chunk = json!({"term": 1, "holder": "n0", "machines": machines});
     assert!(chunk.to_string().len() > 4096);
@@ -170,12 +202,18 @@
     w.submit(job(1, 2, json!({"waits_on": ["j-000077"]})));
     // The limits fall while they are still in store.
     w.state.limits = (2048, 4);
-    w.run_until(120, "the job left behind is done, and the new one after it", World::all_over);
+    w.run_until(
+        120,
+        "the job left behind is done, and the new one after it",
+        World::all_over,
+    );
     for n in 0..3 {
         w.crash(n, SECOND);
     }
     w.run_until(120, "the block is small again", |w| {
-        w.state.value("gh/block/0/0").is_some_and(|v| v.to_string().len() < 2048)
+        w.state
+            .value("gh/block/0/0")
+            .is_some_and(|v| v.to_string().len() < 2048)
     });
     assert_eq!(w.state.too_large, 0);
     w.finish();
@@ -202,7 +240,9 @@
     w.state.put("gh/live/j-000077", &record.to_string());
     w.submit(job(77, 2000, json!({})));
     w.state.limits = (2048, 4);
-    w.run_until(60, "progress is written", |w| w.state.value("gh/part/j-000077/0").is_some());
+    w.run_until(60, "progress is written", |w| {
+        w.state.value("gh/part/j-000077/0").is_some()
+    });
     assert_eq!(w.state.too_large, 0);
     let live = w.state.value("gh/live/j-000077").expect("alive");
     let part = w.state.value("gh/part/j-000077/0").expect("its part");
@@ -210,6 +250,10 @@
     assert_eq!(old.done, "");
     let mut back = gannethub_core::model::Ranges::default();
     store::decode_done(part["done"].as_str().expect("text"), 0, &mut back);
-    assert!(ranges.iter().all(|r| back.contains(r.parse().expect("a number"))));
+    assert!(
+        ranges
+            .iter()
+            .all(|r| back.contains(r.parse().expect("a number")))
+    );
     assert!(back.len() > 1000, "what was done before and since");
 }
--- a/crates/gannethub-ledger/src/account.rs
+++ b/crates/gannethub-ledger/src/account.rs
@@ -124,7 +124,13 @@
         let mut out = Accounts::default();
         for (common, entries) in later {
             let entries = entries.iter().map(|e| e.1.clone()).collect();
-            out.charge(&Charge { common: common.clone(), entries }, settings);
+            out.charge(
+                &Charge {
+                    common: common.clone(),
+                    entries,
+                },
+                settings,
+            );
         }
         for (name, later) in &out.0 {
             if let Some(account) = self.0.get_mut(name) {
@@ -161,7 +167,9 @@
                 account.add(i, *amount);
             }
             if settings.half_life(&p.team).time() == p.half_life {
-                account.decayed.add(&Decayed::from_sums(p.decayed.iter().copied()));
+                account
+                    .decayed
+                    .add(&Decayed::from_sums(p.decayed.iter().copied()));
             }
         }
         all
--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -68,7 +68,11 @@
             Wrong::UnknownKey => "cannot be checked: the key of its page is not in the key file",
             Wrong::Unbalanced => "is part of a balance that the lines before it do not come to",
         };
-        write!(f, "page {}, line {}: line {} {what}", self.page, self.place, self.seq)
+        write!(
+            f,
+            "page {}, line {}: line {} {what}",
+            self.page, self.place, self.seq
+        )
     }
 }
 
@@ -113,7 +117,14 @@
     settings: &Settings,
     head: Option<(u64, Tie)>,
 ) -> Result<Verified, Fault> {
-    let fault = |page: u64, place, seq, wrong| Err(Fault { page, place, seq, wrong });
+    let fault = |page: u64, place, seq, wrong| {
+        Err(Fault {
+            page,
+            place,
+            seq,
+            wrong,
+        })
+    };
     let mut seen: Option<Verified> = None;
     let mut expected_page = pages.first().map_or(0, |p| p.page);
     let mut fold = Fold::default();
@@ -170,9 +181,12 @@
     // Lines that an earlier check has seen are missing at the end.
     match head {
         Some((seq, _)) if seq >= end.next => fault(expected_page, 0, end.next, Wrong::Dropped),
-        _ if pages.first().is_some_and(|p| p.page > fold.kept) => {
-            fault(pages[0].page, 0, end.first.saturating_sub(1), Wrong::Dropped)
-        }
+        _ if pages.first().is_some_and(|p| p.page > fold.kept) => fault(
+            pages[0].page,
+            0,
+            end.first.saturating_sub(1),
+            Wrong::Dropped,
+        ),
         _ => Ok(end),
     }
 }
@@ -195,7 +209,9 @@
                 return false;
             }
         }
-        let Some(parts) = self.parts.take(&line.body) else { return true };
+        let Some(parts) = self.parts.take(&line.body) else {
+            return true;
+        };
         let said = Accounts::from_parts(&parts, settings);
         if v.whole {
             return sums(&said) == sums(&v.accounts);
@@ -212,6 +228,8 @@
 
 /// What is compared: decayed usage depends on half-lives, which the operator may change.
 fn sums(accounts: &Accounts) -> Vec<Sums<'_>> {
-    let sums = accounts.iter().map(|((t, c), a)| (&**t, &**c, a.entries, a.held(), a.times()));
+    let sums = accounts
+        .iter()
+        .map(|((t, c), a)| (&**t, &**c, a.entries, a.held(), a.times()));
     sums.collect()
 }
--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -134,7 +134,9 @@
 
 /// The attempts that a line charges.
 fn keys_of(line: &Line) -> Vec<Key> {
-    let Body::Charge(c) = &line.body else { return Vec::new() };
+    let Body::Charge(c) = &line.body else {
+        return Vec::new();
+    };
     let key = |e: &Entry| (c.common.job.clone(), e.task, e.attempt, e.machine.clone());
     c.entries.iter().map(key).collect()
 }
@@ -197,7 +199,11 @@
         let mut balance = Parts::default();
         let mut last_fine = fresh;
         let by_number: HashMap<u64, &(Page, u64)> = pages.iter().map(|p| (p.0.page, p)).collect();
-        let numbers = if fresh { 0..0 } else { book.head.from..book.head.newest + 1 };
+        let numbers = if fresh {
+            0..0
+        } else {
+            book.head.from..book.head.newest + 1
+        };
         for number in numbers {
             last_fine = false;
             let Some((page, stamp)) = by_number.get(&number) else {
@@ -205,7 +211,9 @@
                 continue;
             };
             let lines = page.read().unwrap_or_default();
-            lines.iter().for_each(|(line, _)| charged.extend(keys_of(line)));
+            lines
+                .iter()
+                .for_each(|(line, _)| charged.extend(keys_of(line)));
             if !book.ties(page, &lines) {
                 damaged.push(Damaged(number));
                 book.next = book.next.max(page.first + page.lines.len() as u64);
@@ -239,13 +247,20 @@
                 book.full.pop_back();
             }
         }
-        after.iter().for_each(|line| book.accounts.line(line, &book.settings));
+        after
+            .iter()
+            .for_each(|line| book.accounts.line(line, &book.settings));
         if !last_fine || book.open.key != book.keys.newest().id {
             book.turn(0);
         }
         let folded = book.head.kept;
-        book.deletes.extend(folded.saturating_sub(DELETES as u64)..folded);
-        Opened { book, charged, damaged }
+        book.deletes
+            .extend(folded.saturating_sub(DELETES as u64)..folded);
+        Opened {
+            book,
+            charged,
+            damaged,
+        }
     }
 
     /// Whether a page's lines are as they were tied, as far as the keys tell. One that cannot be read has none.
@@ -272,13 +287,19 @@
 
     /// Charges an attempt. The ticket tells later whether that is written.
     pub fn charge(&mut self, common: Common, entry: Entry, now: Micros) -> u64 {
-        let charge = Charge { common, entries: vec![entry] };
+        let charge = Charge {
+            common,
+            entries: vec![entry],
+        };
         self.accounts.charge(&charge, &self.settings);
         self.tickets += 1;
         self.unwritten.insert(self.tickets);
         self.waiting.get_or_insert(now);
         let entries = charge.entries.into_iter().map(|e| (self.tickets, e));
-        self.charges.entry(charge.common).or_default().extend(entries);
+        self.charges
+            .entry(charge.common)
+            .or_default()
+            .extend(entries);
         self.tickets
     }
 
@@ -318,11 +339,16 @@
         }
         self.in_flight = Some(self.open.lines.len());
         self.begun = true;
-        let due = self.head_at.is_none_or(|n| self.open.page >= n + HEAD_EVERY);
+        let due = self
+            .head_at
+            .is_none_or(|n| self.open.page >= n + HEAD_EVERY);
         let tells = self.open.stamp == 0 && due;
         let deletes = match tells {
             true => Vec::new(),
-            false => self.deletes.drain(..self.deletes.len().min(DELETES).min(room - 1)).collect(),
+            false => self
+                .deletes
+                .drain(..self.deletes.len().min(DELETES).min(room - 1))
+                .collect(),
         };
         self.in_flight_head = tells.then_some(self.open.page);
         Some(Write {
@@ -376,7 +402,12 @@
         let folded = self.head.marks.iter().filter(old).map(|m| m.0).max();
         let kept = folded.filter(|_| self.settings.retention > 0).unwrap_or(0);
         let kept = kept.max(self.head.kept).min(self.head.from);
-        let mark = Balance { upto: self.next, parts: parts.len() as u32, kept, at };
+        let mark = Balance {
+            upto: self.next,
+            parts: parts.len() as u32,
+            kept,
+            at,
+        };
         self.notes.push_back(Body::Balance(mark));
         self.notes.extend(parts.into_iter().map(Body::Part));
     }
@@ -384,11 +415,16 @@
     /// Ties what fits into the page.
     fn compose(&mut self, at: Micros) {
         while let Some(body) = self.notes.front() {
-            let line = Line { seq: self.next, body: body.clone() };
+            let line = Line {
+                seq: self.next,
+                body: body.clone(),
+            };
             if !self.add(&line) {
                 return;
             }
-            let Some(body) = self.notes.pop_front() else { return };
+            let Some(body) = self.notes.pop_front() else {
+                return;
+            };
             self.noted(&body, at);
         }
         while let Some((common, mut entries)) = self.charges.pop_first() {
@@ -401,7 +437,10 @@
                 return;
             }
             let (tickets, entries): (Vec<u64>, Vec<Entry>) = entries.into_iter().unzip();
-            let line = Line { seq: self.next, body: Body::Charge(Charge { common, entries }) };
+            let line = Line {
+                seq: self.next,
+                body: Body::Charge(Charge { common, entries }),
+            };
             self.tied.extend(tickets.into_iter().map(|t| (line.seq, t)));
             self.add(&line);
         }
@@ -429,8 +468,14 @@
 
     /// How many of these the page has room for. A page takes one at least.
     fn fitting(&self, common: &Common, entries: &[(u64, Entry)]) -> usize {
-        let empty = Charge { common: common.clone(), entries: Vec::new() };
-        let line = Line { seq: self.next, body: Body::Charge(empty) };
+        let empty = Charge {
+            common: common.clone(),
+            entries: Vec::new(),
+        };
+        let line = Line {
+            seq: self.next,
+            body: Body::Charge(empty),
+        };
         let mut room = self.room().saturating_sub(line.text().len() + BESIDE);
         let mut n = 0;
         for (_, e) in entries {
@@ -441,7 +486,11 @@
             room -= bytes;
             n += 1;
         }
-        if self.open.lines.is_empty() { n.max(1) } else { n }
+        if self.open.lines.is_empty() {
+            n.max(1)
+        } else {
+            n
+        }
     }
 
     fn room(&self) -> usize {
@@ -450,7 +499,9 @@
 
     /// Ties a line, if the page has room for it.
     fn add(&mut self, line: &Line) -> bool {
-        let Some(key) = self.keys.get(&self.open.key) else { return false };
+        let Some(key) = self.keys.get(&self.open.key) else {
+            return false;
+        };
         let (text, tie) = line.seal(key, &self.tie);
         if text.len() + 1 > self.room() && !self.open.lines.is_empty() {
             return false;
@@ -474,7 +525,9 @@
 
     /// The write under way was carried out, at this version. Returns the tickets of what is now written.
     pub fn written(&mut self, stamp: u64) -> Vec<u64> {
-        let Some(lines) = self.in_flight.take() else { return Vec::new() };
+        let Some(lines) = self.in_flight.take() else {
+            return Vec::new();
+        };
         self.open.stamp = stamp;
         self.head_at = self.head_at.max(self.in_flight_head.take());
         self.settle(lines)
@@ -518,7 +571,9 @@
         if !std::mem::take(&mut self.unsure) {
             return Ok(Vec::new());
         }
-        let Some((page, stamp)) = found else { return Ok(Vec::new()) };
+        let Some((page, stamp)) = found else {
+            return Ok(Vec::new());
+        };
         let ours = page.read().ok().filter(|lines| {
             let tied = |n: usize| serde_json::from_str(self.open.lines.get(n)?).ok();
             let same = |n: usize| tied(n).and_then(|v| Line::read(&v)).as_ref() == lines.last();
@@ -548,8 +603,10 @@
         for line in lost {
             match line.body {
                 Body::Charge(c) => {
-                    let again =
-                        c.entries.into_iter().filter_map(|e| Some((tickets.pop_front()?, e)));
+                    let again = c
+                        .entries
+                        .into_iter()
+                        .filter_map(|e| Some((tickets.pop_front()?, e)));
                     self.charges.entry(c.common).or_default().extend(again);
                 }
                 body => self.notes.push_back(body),
--- a/crates/gannethub-ledger/src/chain.rs
+++ b/crates/gannethub-ledger/src/chain.rs
@@ -86,9 +86,16 @@
                 return Err(KeyError::Twice(number, id.into()));
             }
             let secret = unhex(hex.trim()).ok_or(KeyError::Malformed(number))?;
-            keys.push(Key { id: id.into(), secret });
+            keys.push(Key {
+                id: id.into(),
+                secret,
+            });
+        }
+        if keys.is_empty() {
+            Err(KeyError::Empty)
+        } else {
+            Ok(KeyRing(keys))
         }
-        if keys.is_empty() { Err(KeyError::Empty) } else { Ok(KeyRing(keys)) }
     }
 
     /// A line of a key file.
@@ -141,10 +148,16 @@
             ("k1 1234".into(), KeyError::Malformed(1)),
             ("k1".into(), KeyError::Malformed(1)),
             (format!("k/1{}", &key("", 1)), KeyError::BadId(1)),
-            (key("k1", 1) + &key("k1", 2), KeyError::Twice(2, "k1".into())),
+            (
+                key("k1", 1) + &key("k1", 2),
+                KeyError::Twice(2, "k1".into()),
+            ),
         ] {
             assert_eq!(KeyRing::parse(&text).unwrap_err(), error);
         }
-        assert!(!format!("{ring:?}").contains("0707"), "secrets are not printed");
+        assert!(
+            !format!("{ring:?}").contains("0707"),
+            "secrets are not printed"
+        );
     }
 }
--- a/crates/gannethub-ledger/src/decay.rs
+++ b/crates/gannethub-ledger/src/decay.rs
@@ -86,7 +86,9 @@
             let epoch = self.epoch(from);
             let mark = epoch * length;
             let to = end.min(mark + length);
-            let grown = self.grown(to - mark).saturating_sub(self.grown(from - mark));
+            let grown = self
+                .grown(to - mark)
+                .saturating_sub(self.grown(from - mark));
             sums.push((epoch, grown.saturating_mul(u128::from(rate))));
             from = to;
         }
@@ -168,7 +170,10 @@
             assert!((share - 0.5f64.powi(n as i32)).abs() < 1e-9, "{n}: {share}");
         }
         let whole = 4000.0 * 90.0 * SECOND as f64;
-        assert!(at_end < whole && at_end > 0.99 * whole, "{at_end} of {whole}");
+        assert!(
+            at_end < whole && at_end > 0.99 * whole,
+            "{at_end} of {whole}"
+        );
         assert!(HalfLife::new(0).is_none() && HalfLife::new(LONGEST + 1).is_none());
     }
 
--- a/crates/gannethub-ledger/src/export.rs
+++ b/crates/gannethub-ledger/src/export.rs
@@ -149,27 +149,46 @@
         Kind::Flag => format!("REQUIRED BOOLEAN {name};"),
     };
     let fields: String = COLUMNS.into_iter().map(field).collect();
-    let schema = Arc::new(parse_message_type(&format!("message charges {{ {fields} }}"))?);
-    let properties = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
+    let schema = Arc::new(parse_message_type(&format!(
+        "message charges {{ {fields} }}"
+    ))?);
+    let properties = WriterProperties::builder()
+        .set_compression(Compression::SNAPPY)
+        .build();
     let mut writer = SerializedFileWriter::new(out, schema, Arc::new(properties))?;
     let mut group = writer.next_row_group()?;
     for (i, (_, kind)) in COLUMNS.into_iter().enumerate() {
-        let Some(mut column) = group.next_column()? else { break };
+        let Some(mut column) = group.next_column()? else {
+            break;
+        };
         let cells = rows.iter().filter_map(|r| r.get(i));
         match kind {
             Kind::Int => {
                 let int = |c: &Cell| if let Cell::Int(x) = c { *x } else { 0 };
                 let values: Vec<i64> = cells.map(int).collect();
-                column.typed::<Int64Type>().write_batch(&values, None, None)?;
+                column
+                    .typed::<Int64Type>()
+                    .write_batch(&values, None, None)?;
             }
             Kind::Text => {
-                let text = |c: &Cell| if let Cell::Text(t) = c { t.as_str() } else { "" }.into();
+                let text = |c: &Cell| {
+                    if let Cell::Text(t) = c {
+                        t.as_str()
+                    } else {
+                        ""
+                    }
+                    .into()
+                };
                 let values: Vec<ByteArray> = cells.map(text).collect();
-                column.typed::<ByteArrayType>().write_batch(&values, None, None)?;
+                column
+                    .typed::<ByteArrayType>()
+                    .write_batch(&values, None, None)?;
             }
             Kind::Flag => {
                 let values: Vec<bool> = cells.map(|c| *c == Cell::Flag(true)).collect();
-                column.typed::<BoolType>().write_batch(&values, None, None)?;
+                column
+                    .typed::<BoolType>()
+                    .write_batch(&values, None, None)?;
             }
         }
         column.close()?;
@@ -189,12 +208,23 @@
     fn page() -> Page {
         let ring = KeyRing::parse(&KeyRing::write("k", &[3; 32])).unwrap();
         let entries = vec![entry(0, 5_000_000, 6), entry(9, 7_000_000, 8)];
-        let line =
-            Line { seq: 4, body: Body::Charge(Charge { common: common("red", "j-7"), entries }) };
+        let line = Line {
+            seq: 4,
+            body: Body::Charge(Charge {
+                common: common("red", "j-7"),
+                entries,
+            }),
+        };
         let (text, _) = line.seal(ring.newest(), &Tie::default());
         let lines = vec![serde_json::from_str(&text).unwrap()];
         let prev = Tie::default().to_string();
-        Page { page: 2, first: 4, prev, key: "k".into(), lines }
+        Page {
+            page: 2,
+            first: 4,
+            prev,
+            key: "k".into(),
+            lines,
+        }
     }
 
     #[test]
@@ -213,13 +243,23 @@
         let mut file = Vec::new();
         super::parquet(&rows, &mut file).unwrap();
         let reader = SerializedFileReader::new(bytes::Bytes::from(file)).unwrap();
-        let back: Vec<_> = reader.get_row_iter(None).unwrap().map(|r| r.unwrap()).collect();
+        let back: Vec<_> = reader
+            .get_row_iter(None)
+            .unwrap()
+            .map(|r| r.unwrap())
+            .collect();
         assert_eq!(back.len(), 2);
         assert_eq!(back[1].get_string(4).unwrap(), "j-7");
         assert_eq!(back[1].get_long(5).unwrap(), 9);
         assert_eq!(back[1].get_long(18).unwrap(), 7_250_009);
         assert!(super::rows(&[page()], Some("blue")).unwrap().is_empty());
-        let broken = Page { lines: vec![serde_json::Value::Null], ..page() };
-        assert!(matches!(super::rows(&[broken], None), Err(ExportError::Page(2))));
+        let broken = Page {
+            lines: vec![serde_json::Value::Null],
+            ..page()
+        };
+        assert!(matches!(
+            super::rows(&[broken], None),
+            Err(ExportError::Page(2))
+        ));
     }
 }
--- a/crates/gannethub-ledger/src/line.rs
+++ b/crates/gannethub-ledger/src/line.rs
@@ -81,11 +81,23 @@
     }
 
     fn wire(&self, (attempt, begin): (u64, Micros)) -> EntryWire {
-        let used = self.spent.0.iter().rposition(|t| *t > 0).map_or(0, |i| i + 1);
+        let used = self
+            .spent
+            .0
+            .iter()
+            .rposition(|t| *t > 0)
+            .map_or(0, |i| i + 1);
         let spent = self.spent.0[..used].to_vec();
         let bound = self.bound.saturating_mul(2) | u64::from(self.estimate);
         let machine = self.machine.clone();
-        (self.task, self.attempt - attempt, machine, self.begin - begin, spent, bound)
+        (
+            self.task,
+            self.attempt - attempt,
+            machine,
+            self.begin - begin,
+            spent,
+            bound,
+        )
     }
 
     fn read(wire: EntryWire, least: (u64, Micros)) -> Option<Entry> {
@@ -185,7 +197,12 @@
     /// Takes the next line; all parts, once the last one has come.
     pub fn take(&mut self, body: &Body) -> Option<Vec<Part>> {
         match body {
-            Body::Balance(b) => *self = Parts { missing: b.parts, parts: Vec::new() },
+            Body::Balance(b) => {
+                *self = Parts {
+                    missing: b.parts,
+                    parts: Vec::new(),
+                }
+            }
             Body::Part(p) if self.missing > 0 => {
                 self.parts.push(p.clone());
                 self.missing -= 1;
@@ -213,7 +230,18 @@
     pub body: Body,
 }
 
-type CommonWire = (String, String, String, Need, String, String, bool, u64, Reason, Worth);
+type CommonWire = (
+    String,
+    String,
+    String,
+    Need,
+    String,
+    String,
+    bool,
+    u64,
+    Reason,
+    Worth,
+);
 
 fn hex(x: u128) -> String {
     format!("{x:x}")
@@ -286,8 +314,18 @@
                 let entries: Vec<EntryWire> = serde_json::from_value(items[4].clone()).ok()?;
                 let read = entries.into_iter().map(|e| Entry::read(e, least));
                 let entries = read.collect::<Option<Vec<_>>>()?;
-                let common =
-                    Common { team, class, job, need, flavor, zone, spot, price, reason, worth };
+                let common = Common {
+                    team,
+                    class,
+                    job,
+                    need,
+                    flavor,
+                    zone,
+                    spot,
+                    price,
+                    reason,
+                    worth,
+                };
                 Body::Charge(Charge { common, entries })
             }
             ("took", 6) => Body::Took(Took {
@@ -300,7 +338,14 @@
                 let machine: (String, String, String, bool) =
                     serde_json::from_value(items[2].clone()).ok()?;
                 let (machine, flavor, zone, spot) = machine;
-                Body::Gap(Gap { machine, flavor, zone, spot, from: number(3)?, to: number(4)? })
+                Body::Gap(Gap {
+                    machine,
+                    flavor,
+                    zone,
+                    spot,
+                    from: number(3)?,
+                    to: number(4)?,
+                })
             }
             ("balance", 6) => Body::Balance(Balance {
                 upto: number(2)?,
@@ -315,9 +360,18 @@
                 let (entries, amounts, half_life, decayed): Sums =
                     serde_json::from_value(items[3].clone()).ok()?;
                 let amounts = amounts.iter().map(|a| unhex(a)).collect::<Option<_>>()?;
-                let decayed =
-                    decayed.iter().map(|d| Some((d.0, unhex(&d.1)?))).collect::<Option<_>>()?;
-                Body::Part(Part { team, class, entries, amounts, half_life, decayed })
+                let decayed = decayed
+                    .iter()
+                    .map(|d| Some((d.0, unhex(&d.1)?)))
+                    .collect::<Option<_>>()?;
+                Body::Part(Part {
+                    team,
+                    class,
+                    entries,
+                    amounts,
+                    half_life,
+                    decayed,
+                })
             }
             _ => return None,
         };
@@ -380,7 +434,12 @@
     fn lines_come_back_as_they_were_written_and_are_tied_to_their_neighbours() {
         let ring = KeyRing::parse(&KeyRing::write("k", &[3; 32])).unwrap();
         let bodies = [
-            Body::Took(Took { term: 4, holder: "n\u{e9}".into(), at: 9, complete: false }),
+            Body::Took(Took {
+                term: 4,
+                holder: "n\u{e9}".into(),
+                at: 9,
+                complete: false,
+            }),
             Body::Charge(Charge {
                 common: common("red", "j-7"),
                 entries: vec![entry(0, 5, 6), entry(9, 7, 8)],
@@ -393,7 +452,12 @@
                 from: 1,
                 to: 2,
             }),
-            Body::Balance(Balance { upto: 3, parts: 1, kept: 0, at: 11 }),
+            Body::Balance(Balance {
+                upto: 3,
+                parts: 1,
+                kept: 0,
+                at: 11,
+            }),
             Body::Part(Part {
                 team: "red".into(),
                 class: "c".into(),
@@ -414,10 +478,17 @@
             assert_ne!(next, tie.next(ring.newest(), "[0]"));
             tie = next;
         }
-        for bad in
-            ["{}", "[]", "[1]", "[0,\"took\",1]", "[0,\"news\",1,\"AAAAAAAAAAAAAAAAAAAAAA\"]"]
-        {
-            assert!(Line::read(&serde_json::from_str(bad).unwrap()).is_none(), "{bad}");
+        for bad in [
+            "{}",
+            "[]",
+            "[1]",
+            "[0,\"took\",1]",
+            "[0,\"news\",1,\"AAAAAAAAAAAAAAAAAAAAAA\"]",
+        ] {
+            assert!(
+                Line::read(&serde_json::from_str(bad).unwrap()).is_none(),
+                "{bad}"
+            );
         }
     }
 }
--- a/crates/gannethub-ledger/src/meter.rs
+++ b/crates/gannethub-ledger/src/meter.rs
@@ -28,7 +28,9 @@
 }
 
 /// The stages in the order in which [`Spent`] holds them, and time in which nothing was heard.
-pub const STAGES: [&str; 6] = ["starting", "fetching", "waiting", "running", "saving", "silent"];
+pub const STAGES: [&str; 6] = [
+    "starting", "fetching", "waiting", "running", "saving", "silent",
+];
 const SILENT: usize = 5;
 
 impl Stage {
@@ -38,7 +40,13 @@
     }
 
     pub fn from_index(i: usize) -> Option<Stage> {
-        let all = [Stage::Starting, Stage::Fetching, Stage::Waiting, Stage::Running, Stage::Saving];
+        let all = [
+            Stage::Starting,
+            Stage::Fetching,
+            Stage::Waiting,
+            Stage::Running,
+            Stage::Saving,
+        ];
         all.get(i).copied()
     }
 }
@@ -68,10 +76,16 @@
 pub enum News {
     /// Its worker reported it. When the worker's report before that came, if one did.
     /// `missed`: it has sent others in between.
-    Reported { before: Option<Micros>, missed: bool },
+    Reported {
+        before: Option<Micros>,
+        missed: bool,
+    },
     /// Its machine fell silent and is given up. When it was last heard with it, if ever, and how long it went on
     /// after that, most likely: half the time between two reports, or its lease if that is known to have run out.
-    Silence { heard: Option<Micros>, likely: Micros },
+    Silence {
+        heard: Option<Micros>,
+        likely: Micros,
+    },
 }
 
 impl Reading {
@@ -112,7 +126,14 @@
     /// Its place was taken now.
     pub fn placed(now: Micros) -> Meter {
         let (stage, spent) = (Stage::Starting, Spent::default());
-        Meter { stage, since: now, sent: None, spent, unsure: 0, guessed: false }
+        Meter {
+            stage,
+            since: now,
+            sent: None,
+            spent,
+            unsure: 0,
+            guessed: false,
+        }
     }
 
     /// An attempt that is shown in this stage and was placed by another leader this long ago, give or take
@@ -121,7 +142,14 @@
     pub fn found(age: Micros, unsure: Micros, stage: Stage, now: Micros) -> Meter {
         let mut spent = Spent::default();
         spent.0[stage.index()] = age;
-        Meter { stage, since: now, sent: None, spent, unsure, guessed: true }
+        Meter {
+            stage,
+            since: now,
+            sent: None,
+            spent,
+            unsure,
+            guessed: true,
+        }
     }
 
     /// It went on for so long before this process knew of it.
@@ -163,8 +191,20 @@
                 // A report that came as soon as it might after the one before was held up by that, and one after
                 // others that were lost tells of any time since: then it ended in the middle, on average.
                 let held = missed || gap <= SPACING + JITTER;
-                let late = if held { (gap / 2).min(now - self.since) } else { 0 };
-                (now - late, if missed { gap } else { gap.min(SPACING + JITTER) }, false)
+                let late = if held {
+                    (gap / 2).min(now - self.since)
+                } else {
+                    0
+                };
+                (
+                    now - late,
+                    if missed {
+                        gap
+                    } else {
+                        gap.min(SPACING + JITTER)
+                    },
+                    false,
+                )
             }
             News::Silence { heard, likely } => {
                 let heard = heard.unwrap_or(self.since).clamp(self.since, now);
@@ -179,7 +219,11 @@
         self.spent.0[self.stage.index()] += heard - self.since;
         self.spent.0[SILENT] += now - heard;
         estimate |= self.guessed;
-        Reading { spent: self.spent, bound: bound + self.unsure, estimate }
+        Reading {
+            spent: self.spent,
+            bound: bound + self.unsure,
+            estimate,
+        }
     }
 }
 
@@ -197,14 +241,32 @@
         m.enter(Stage::Fetching, 12 * S + S / 2);
         m.enter(Stage::Running, 20 * S);
         m.enter(Stage::Saving, 50 * S);
-        let r = m.end(54 * S, News::Reported { before: Some(53 * S), missed: false });
+        let r = m.end(
+            54 * S,
+            News::Reported {
+                before: Some(53 * S),
+                missed: false,
+            },
+        );
         assert_eq!(r.spent, Spent([2 * S, 8 * S, 0, 30 * S, 4 * S, 0]));
         assert_eq!((r.spent.held(), r.bound), (44 * S, S + SPACING + JITTER));
         // Right after another report it is later by no more than the time between.
-        let r = m.end(54 * S, News::Reported { before: Some(54 * S - S / 4), missed: false });
+        let r = m.end(
+            54 * S,
+            News::Reported {
+                before: Some(54 * S - S / 4),
+                missed: false,
+            },
+        );
         assert_eq!((r.bound, r.estimate), (S / 4 + S, false));
         // Reports before it were lost, and a launch was handed out twice.
-        let r = m.end(60 * S, News::Reported { before: Some(54 * S), missed: true });
+        let r = m.end(
+            60 * S,
+            News::Reported {
+                before: Some(54 * S),
+                missed: true,
+            },
+        );
         assert_eq!(r.bound, 6 * S + S);
     }
 
@@ -213,19 +275,43 @@
         let mut m = Meter::placed(0);
         m.sent(0);
         m.enter(Stage::Running, S);
-        let r = m.end(30 * S, News::Silence { heard: Some(20 * S), likely: S });
+        let r = m.end(
+            30 * S,
+            News::Silence {
+                heard: Some(20 * S),
+                likely: S,
+            },
+        );
         assert_eq!(r.spent, Spent([0, 0, 0, 21 * S, 0, 9 * S]));
         assert_eq!((r.bound, r.estimate), (10 * S + ON_ITS_WAY, true));
         // It did not go on after it was known to be gone.
-        let r = m.end(20 * S, News::Silence { heard: Some(20 * S), likely: S });
+        let r = m.end(
+            20 * S,
+            News::Silence {
+                heard: Some(20 * S),
+                likely: S,
+            },
+        );
         assert_eq!(r.spent.held(), 20 * S);
         // A place that was held for nothing is charged, and there is nothing to estimate.
-        let r = Meter::placed(0).end(9 * S, News::Silence { heard: None, likely: S });
+        let r = Meter::placed(0).end(
+            9 * S,
+            News::Silence {
+                heard: None,
+                likely: S,
+            },
+        );
         assert_eq!((r.spent.held(), r.bound, r.estimate), (9 * S, 0, false));
         // Found with an uncertain begin; and no clock that goes back makes time negative.
         let m = Meter::found(90 * S, S, Stage::Running, 8 * S);
         assert_eq!(m.age(9 * S), 91 * S);
-        let r = m.end(7 * S, News::Reported { before: None, missed: false });
+        let r = m.end(
+            7 * S,
+            News::Reported {
+                before: None,
+                missed: false,
+            },
+        );
         assert_eq!((r.spent.held(), r.estimate), (90 * S, true));
     }
 }
--- a/crates/gannethub-ledger/src/settings.rs
+++ b/crates/gannethub-ledger/src/settings.rs
@@ -14,7 +14,11 @@
     #[error("{file}: {reason}")]
     Parse { file: String, reason: String },
     #[error("{file}: {field}: {reason}")]
-    Field { file: String, field: String, reason: String },
+    Field {
+        file: String,
+        field: String,
+        reason: String,
+    },
 }
 
 /// What a team is due, and how its usage decays.
@@ -86,7 +90,11 @@
 
     impl Default for Cost {
         fn default() -> Cost {
-            Cost { cpu: 1.0, gpu: 8.0, mem_gb: 0.1 }
+            Cost {
+                cpu: 1.0,
+                gpu: 8.0,
+                mem_gb: 0.1,
+            }
         }
     }
 
@@ -118,7 +126,8 @@
         let time = |field: &str, s: f64, least: f64| {
             let fine = s.is_finite() && (least..=1e9).contains(&s);
             let time = (s * SECOND as f64) as Micros;
-            fine.then_some(time).ok_or_else(|| bad(field, format!("{s} is not a usable time")))
+            fine.then_some(time)
+                .ok_or_else(|| bad(field, format!("{s} is not a usable time")))
         };
         let half = |field: &str, s: f64| {
             let half = HalfLife::new(time(field, s, 1e-3)?);
@@ -132,10 +141,19 @@
                 return Err(bad(&at("name"), format!("there is no team {:?}", t.name)));
             }
             if !(t.share.is_finite() && (0.0..=1.0).contains(&t.share)) {
-                return Err(bad(&at("share"), format!("{} is not between 0 and 1", t.share)));
+                return Err(bad(
+                    &at("share"),
+                    format!("{} is not between 0 and 1", t.share),
+                ));
             }
-            let half_life = t.half_life_s.map(|s| half(&at("half_life_s"), s)).transpose()?;
-            let share = TeamShare { share: t.share, half_life: half_life.unwrap_or(common) };
+            let half_life = t
+                .half_life_s
+                .map(|s| half(&at("half_life_s"), s))
+                .transpose()?;
+            let share = TeamShare {
+                share: t.share,
+                half_life: half_life.unwrap_or(common),
+            };
             if shares.insert(t.name.clone(), share).is_some() {
                 return Err(bad(&at("name"), format!("{:?} appears twice", t.name)));
             }
@@ -146,21 +164,34 @@
             let alike = 1.0 / teams.len().max(1) as f64;
             for (name, due) in teams {
                 let share = if all > 0.0 { due / all } else { alike };
-                shares.insert(name.clone(), TeamShare { share, half_life: common });
+                shares.insert(
+                    name.clone(),
+                    TeamShare {
+                        share,
+                        half_life: common,
+                    },
+                );
             }
         } else {
             let sum: f64 = shares.values().map(|s| s.share).sum();
             if (sum - 1.0).abs() > ROUNDING {
-                return Err(bad("teams", format!("the shares add up to {sum}, not to 1")));
+                return Err(bad(
+                    "teams",
+                    format!("the shares add up to {sum}, not to 1"),
+                ));
             }
             if let Some((name, _)) = teams.iter().find(|t| !shares.contains_key(&t.0)) {
-                return Err(bad("teams", format!("team {name:?} is missing; a share may be 0")));
+                return Err(bad(
+                    "teams",
+                    format!("team {name:?} is missing; a share may be 0"),
+                ));
             }
         }
         let weight = |field: &str, x: f64| {
             let fine = x.is_finite() && (0.0..=1e4).contains(&x);
             let weight = (x * 1000.0).round() as u64;
-            fine.then_some(weight).ok_or_else(|| bad(field, format!("{x} is not a usable weight")))
+            fine.then_some(weight)
+                .ok_or_else(|| bad(field, format!("{x} is not a usable weight")))
         };
         let cost = Need(
             weight("cost.cpu", raw.cost.cpu)?,
@@ -171,7 +202,10 @@
             return Err(bad("keys", "the name of a key file is needed".into()));
         }
         if !(1..=10_000).contains(&raw.balance_pages) {
-            return Err(bad("balance_pages", "a number from 1 to 10000 is needed".into()));
+            return Err(bad(
+                "balance_pages",
+                "a number from 1 to 10000 is needed".into(),
+            ));
         }
         Ok(Settings {
             keys: raw.keys,
@@ -187,9 +221,16 @@
     /// The half-life that a team's usage decays by. A team that is not the platform's any more decays like
     /// the slowest.
     pub fn half_life(&self, team: &str) -> HalfLife {
-        let slowest = || self.teams.values().map(|t| t.half_life).max_by_key(|h| h.time());
+        let slowest = || {
+            self.teams
+                .values()
+                .map(|t| t.half_life)
+                .max_by_key(|h| h.time())
+        };
         let known = self.teams.get(team).map(|t| t.half_life).or_else(slowest);
-        known.or_else(|| HalfLife::new(3600 * SECOND)).unwrap_or_else(|| unreachable!("an hour"))
+        known
+            .or_else(|| HalfLife::new(3600 * SECOND))
+            .unwrap_or_else(|| unreachable!("an hour"))
     }
 
     /// What a task that needs this counts in usage while it holds its place.
@@ -223,12 +264,21 @@
         assert_eq!(s.half_life("red").time(), 60 * SECOND);
         assert_eq!(s.half_life("blue").time(), 3600 * SECOND);
         for (more, field) in [
-            (team("red", "0.4") + &team("blue", "0.5"), "teams: the shares add up to 0.9"),
+            (
+                team("red", "0.4") + &team("blue", "0.5"),
+                "teams: the shares add up to 0.9",
+            ),
             (team("red", "1.0"), "teams: team \"blue\" is missing"),
             (team("green", "1.0"), "teams[0].name: there is no team"),
             (team("red", "-0.1"), "teams[0].share: "),
-            (team("red", "0.5") + &team("red", "0.5"), "teams[1].name: \"red\" appears twice"),
-            (team("red", "1.0") + "half_life_s = -5.0", "teams[0].half_life_s: "),
+            (
+                team("red", "0.5") + &team("red", "0.5"),
+                "teams[1].name: \"red\" appears twice",
+            ),
+            (
+                team("red", "1.0") + "half_life_s = -5.0",
+                "teams[0].half_life_s: ",
+            ),
             ("every_s = 0.0".into(), "every_s: "),
             ("[cost]\ngpu = -1.0".into(), "cost.gpu: "),
             ("balance_pages = 0".into(), "balance_pages: "),
@@ -236,7 +286,9 @@
             let error = sample(&more).unwrap_err().to_string();
             assert!(error.starts_with(&format!("f: {field}")), "{error}");
         }
-        let absent = Settings::parse("keys = \"k\"", "f", &[]).unwrap_err().to_string();
+        let absent = Settings::parse("keys = \"k\"", "f", &[])
+            .unwrap_err()
+            .to_string();
         assert!(absent.contains("half_life_s"), "{absent}");
         assert!(Settings::parse("half_life_s = 0.0\nkeys = \"k\"", "f", &[]).is_err());
     }
--- a/crates/gannethub-ledger/tests/keepers.rs
+++ b/crates/gannethub-ledger/tests/keepers.rs
@@ -111,7 +111,10 @@
 }
 
 fn ring(ids: &[&str]) -> KeyRing {
-    let text: String = ids.iter().map(|id| KeyRing::write(id, &[id.len() as u8; 32])).collect();
+    let text: String = ids
+        .iter()
+        .map(|id| KeyRing::write(id, &[id.len() as u8; 32]))
+        .collect();
     KeyRing::parse(&text).expect("it is fine")
 }
 
@@ -147,7 +150,12 @@
         let opened = Book::open(settings, keys, self.limit, WINDOW, head, &pages);
         assert!(opened.damaged.is_empty(), "{:?}", opened.damaged);
         (self.book, self.known) = (opened.book, opened.charged);
-        let took = Took { term: self.term, holder: "n".into(), at: self.now, complete: true };
+        let took = Took {
+            term: self.term,
+            holder: "n".into(),
+            at: self.now,
+            complete: true,
+        };
         self.book.note(Body::Took(took), self.now);
     }
 
@@ -194,7 +202,9 @@
     }
 
     fn write(&mut self, fate: Fate) {
-        let Some(w) = self.book.write(self.now, self.now, 6) else { return };
+        let Some(w) = self.book.write(self.now, self.now, 6) else {
+            return;
+        };
         match fate {
             Fate::Done => match self.store.commit(&w, self.term) {
                 Some(stamp) => {
@@ -261,12 +271,21 @@
                 break;
             }
         }
-        assert!(self.shown.is_empty(), "still not written: {:?}", self.shown.keys());
+        assert!(
+            self.shown.is_empty(),
+            "still not written: {:?}",
+            self.shown.keys()
+        );
         self.pages()
     }
 
     fn pages(&self) -> Vec<Page> {
-        self.store.pages.keys().filter_map(|n| self.store.page(*n)).map(|p| p.0).collect()
+        self.store
+            .pages
+            .keys()
+            .filter_map(|n| self.store.page(*n))
+            .map(|p| p.0)
+            .collect()
     }
 
     /// Everything that ended, charged by hand.
@@ -277,15 +296,19 @@
         (0..self.ended).for_each(|_| world.end());
         let mut sums: BTreeMap<(String, String), u64> = BTreeMap::new();
         for (common, entry) in world.shown.values() {
-            *sums.entry((common.team.clone(), common.class.clone())).or_default() +=
-                entry.spent.held();
+            *sums
+                .entry((common.team.clone(), common.class.clone()))
+                .or_default() += entry.spent.held();
         }
         sums.into_iter().map(|((t, c), s)| (t, c, s)).collect()
     }
 }
 
 fn held(accounts: &Accounts) -> Vec<(String, String, u64)> {
-    accounts.iter().map(|((t, c), a)| (t.clone(), c.clone(), a.times()[0] as u64)).collect()
+    accounts
+        .iter()
+        .map(|((t, c), a)| (t.clone(), c.clone(), a.times()[0] as u64))
+        .collect()
 }
 
 fn play(steps: &[Step], limit: usize, unguarded: bool) -> Result<(), String> {
@@ -329,9 +352,25 @@
 #[test]
 fn a_store_that_lets_a_deposed_keeper_write_is_caught() {
     use Fate::{Done, Held};
-    let charged = [Step::End(3), Step::Report, Step::Write(Held), Step::Takeover, Step::Report];
-    let late = [Step::Write(Done), Step::End(1), Step::Report, Step::Write(Done), Step::Report];
-    let steps: Vec<Step> = charged.into_iter().chain(late).chain([Step::Late]).collect();
+    let charged = [
+        Step::End(3),
+        Step::Report,
+        Step::Write(Held),
+        Step::Takeover,
+        Step::Report,
+    ];
+    let late = [
+        Step::Write(Done),
+        Step::End(1),
+        Step::Report,
+        Step::Write(Done),
+        Step::Report,
+    ];
+    let steps: Vec<Step> = charged
+        .into_iter()
+        .chain(late)
+        .chain([Step::Late])
+        .collect();
     assert_eq!(play(&steps, 4000, false), Ok(()));
     // The check can fail: without the guards the old keeper's page replaces the new one's.
     let caught = std::panic::catch_unwind(|| play(&steps, 4000, true));
@@ -357,7 +396,11 @@
     let check = |pages: &[Page]| verify(pages, &world.keys, &world.settings, None);
     let fine = check(&pages).unwrap();
     assert_eq!(fine.charged, 24);
-    let place = pages[1].lines.iter().position(|l| l[1] == "charge").unwrap();
+    let place = pages[1]
+        .lines
+        .iter()
+        .position(|l| l[1] == "charge")
+        .unwrap();
     let wrong = |change: &dyn Fn(&mut Vec<Page>)| {
         let mut pages = pages.clone();
         change(&mut pages);
@@ -377,7 +420,11 @@
     let reordered = wrong(&|p| p[0].lines.swap(0, 1));
     assert_eq!(reordered, (pages[0].page, 0, Wrong::Reordered));
     assert_eq!(wrong(&|p| drop(p.remove(1))).2, Wrong::Dropped);
-    assert_eq!(wrong(&|p| drop(p.remove(0))).2, Wrong::Dropped, "it was not folded");
+    assert_eq!(
+        wrong(&|p| drop(p.remove(0))).2,
+        Wrong::Dropped,
+        "it was not folded"
+    );
     assert_eq!(wrong(&|p| p[1].key = "other".into()).2, Wrong::UnknownKey);
     // Lines cut off at the end show only to one who knows that they were there.
     let mut cut = pages.clone();
@@ -389,10 +436,18 @@
     assert_eq!(fault.wrong, Wrong::Dropped);
     // Another key file does not verify.
     let other = ring(&["kk", "k"]);
-    assert!(verify(&pages, &other, &world.settings, None).is_ok(), "the same secret");
+    assert!(
+        verify(&pages, &other, &world.settings, None).is_ok(),
+        "the same secret"
+    );
     let text = KeyRing::write("k", &[9; 32]);
     let forged = KeyRing::parse(&text).unwrap();
-    assert_eq!(verify(&pages, &forged, &world.settings, None).unwrap_err().wrong, Wrong::Altered);
+    assert_eq!(
+        verify(&pages, &forged, &world.settings, None)
+            .unwrap_err()
+            .wrong,
+        Wrong::Altered
+    );
 }
 
 #[test]
@@ -415,7 +470,12 @@
     }
     let left = world.finish();
     whole.extend(left.iter().map(|p| (p.page, p.clone())));
-    assert!(left.len() < whole.len() / 2, "{} of {} pages are left", left.len(), whole.len());
+    assert!(
+        left.len() < whole.len() / 2,
+        "{} of {} pages are left",
+        left.len(),
+        whole.len()
+    );
     let whole: Vec<Page> = whole.into_values().collect();
     let all = verify(&whole, &world.keys, &world.settings, None).unwrap();
     let folded = verify(&left, &world.keys, &world.settings, None).unwrap();
@@ -437,13 +497,26 @@
     let (head, keys) = (world.store.head.clone(), world.keys.clone());
     let from = head.as_ref().unwrap().from;
     let found: Vec<(Page, u64)> = (from..newest).filter_map(|n| world.store.page(n)).collect();
-    let Opened { mut book, damaged, .. } =
-        Book::open(world.settings.clone(), keys, 3000, WINDOW, head, &found);
+    let Opened {
+        mut book, damaged, ..
+    } = Book::open(world.settings.clone(), keys, 3000, WINDOW, head, &found);
     assert_eq!(damaged.iter().map(|d| d.0).collect::<Vec<_>>(), [newest]);
-    let took = Took { term: 9, holder: "n".into(), at: world.now, complete: true };
+    let took = Took {
+        term: 9,
+        holder: "n".into(),
+        at: world.now,
+        complete: true,
+    };
     book.note(Body::Took(took), world.now);
-    let w = book.write(world.now + 9 * SECOND, world.now, 2).expect("the service goes on");
+    let w = book
+        .write(world.now + 9 * SECOND, world.now, 2)
+        .expect("the service goes on");
     assert_eq!((w.page, w.stamp), (newest + 1, 0));
     let page: Page = serde_json::from_str(&w.value).unwrap();
-    assert!(page.read().unwrap().iter().any(|(l, _): &(Line, _)| matches!(l.body, Body::Took(_))));
+    assert!(
+        page.read()
+            .unwrap()
+            .iter()
+            .any(|(l, _): &(Line, _)| matches!(l.body, Body::Took(_)))
+    );
 }
--- a/crates/gannethub-scale/src/changes.rs
+++ b/crates/gannethub-scale/src/changes.rs
@@ -78,10 +78,25 @@
         fetch: u64,
     ) -> Result<Operators, FileError> {
         let (base, _) = settings(platform)?;
-        let limits = base.teams.iter().map(|t| TeamEntry::of(t).cpus_max).collect();
-        let seen = RefCell::new(Seen { limits, ..Seen::default() });
+        let limits = base
+            .teams
+            .iter()
+            .map(|t| TeamEntry::of(t).cpus_max)
+            .collect();
+        let seen = RefCell::new(Seen {
+            limits,
+            ..Seen::default()
+        });
         let state = Client::new(state);
-        Ok(Operators { clock, controllers, state, base, record, fetch, seen })
+        Ok(Operators {
+            clock,
+            controllers,
+            state,
+            base,
+            record,
+            fetch,
+            seen,
+        })
     }
 
     /// Makes a row of changes, each whether or not the one before is in force.
@@ -105,7 +120,10 @@
 
     /// Lowers the next team's limit, in a document that names all teams.
     async fn store(&self) -> Result<u64, ConfigError> {
-        let store = ConfigStore { client: &self.state, base: &self.base };
+        let store = ConfigStore {
+            client: &self.state,
+            base: &self.base,
+        };
         let current = store.current().await?;
         let team = current.version() as usize % self.base.teams.len();
         let lowered = {
@@ -116,21 +134,41 @@
         let document = self.document();
         let (at, nonce) = (self.clock.now(), current.version());
         let why = format!("{} needs less", team_name(team));
-        let author = Author { by: "operators".into(), why, at, nonce };
+        let author = Author {
+            by: "operators".into(),
+            why,
+            at,
+            nonce,
+        };
         let record = store.store(&current, document, &author).await?;
         let counts_from = self.clock.now() + EVERYWHERE + ANSWERS + self.fetch;
-        let limit = LimitFrom { at: counts_from, cpus: lowered };
+        let limit = LimitFrom {
+            at: counts_from,
+            cpus: lowered,
+        };
         self.record.borrow_mut().limits[team].push(limit);
         Ok(record.version)
     }
 
     fn document(&self) -> Document {
         let seen = self.seen.borrow();
-        let teams = self.base.teams.iter().zip(&seen.limits).map(|(team, limit)| {
-            let entry = TeamEntry::of(team);
-            TeamEntry { cpus: entry.cpus.min(*limit), cpus_max: *limit, ..entry }
-        });
-        Document { teams: teams.collect(), ..Document::default() }
+        let teams = self
+            .base
+            .teams
+            .iter()
+            .zip(&seen.limits)
+            .map(|(team, limit)| {
+                let entry = TeamEntry::of(team);
+                TeamEntry {
+                    cpus: entry.cpus.min(*limit),
+                    cpus_max: *limit,
+                    ..entry
+                }
+            });
+        Document {
+            teams: teams.collect(),
+            ..Document::default()
+        }
     }
 
     /// Asks all controllers until each that answers has a version in force.
@@ -167,6 +205,9 @@
 
     pub fn report(&self) -> ChangesReport {
         let seen = self.seen.borrow();
-        ChangesReport { in_force: Times::of(seen.took.iter().copied()), ..seen.report.clone() }
+        ChangesReport {
+            in_force: Times::of(seen.took.iter().copied()),
+            ..seen.report.clone()
+        }
     }
 }
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -97,7 +97,12 @@
     let clock = RunClock(args.epoch);
     let (queue, mut commands) = mpsc::channel(QUEUE);
     let listener = TcpListener::bind(("127.0.0.1", args.port)).await?;
-    spawn_local(serve(listener, queue.clone(), Duration::ZERO, Command::Asked));
+    spawn_local(serve(
+        listener,
+        queue.clone(),
+        Duration::ZERO,
+        Command::Asked,
+    ));
     read_driver(queue, Command::Driver);
     let mut cloud = Cloud::default();
     cloud.flavors = serde_json::from_str(&args.flavors).unwrap_or(Value::Null);
@@ -110,8 +115,12 @@
         controllers: args.controllers,
         worker_port: args.worker_port,
     };
-    let mut owner =
-        Owner { cloud, machines: BTreeMap::new(), surroundings, kinds: BTreeMap::new() };
+    let mut owner = Owner {
+        cloud,
+        machines: BTreeMap::new(),
+        surroundings,
+        kinds: BTreeMap::new(),
+    };
     while let Some(command) = commands.recv().await {
         owner.surroundings.now = clock.now();
         owner.command(command);
@@ -149,10 +158,16 @@
             self.count(kind, &asked, status, &body);
             return asked.answer(status, body);
         }
-        let (status, body, deleted) =
-            self.cloud.handle(&asked.path, &asked.body, &mut self.machines, &mut self.surroundings);
+        let (status, body, deleted) = self.cloud.handle(
+            &asked.path,
+            &asked.body,
+            &mut self.machines,
+            &mut self.surroundings,
+        );
         if !deleted.is_empty() {
-            tell(&FromCloud::Deleted(deleted.into_iter().map(|w| w.name).collect()));
+            tell(&FromCloud::Deleted(
+                deleted.into_iter().map(|w| w.name).collect(),
+            ));
         }
         if kind == "rent" && status == 200 {
             self.tell_rented(&body);
@@ -165,13 +180,24 @@
     fn list(&self, path: &str) -> (u16, Value) {
         let query = path.split_once('?').map_or("", |p| p.1);
         let argument = |name: &str| {
-            query.split('&').filter_map(|p| p.split_once('=')).find(|p| p.0 == name).map(|p| p.1)
+            query
+                .split('&')
+                .filter_map(|p| p.split_once('='))
+                .find(|p| p.0 == name)
+                .map(|p| p.1)
         };
         let from = argument("from").unwrap_or("");
-        let page = argument("page").and_then(|p| p.parse().ok()).unwrap_or(500usize).min(500);
+        let page = argument("page")
+            .and_then(|p| p.parse().ok())
+            .unwrap_or(500usize)
+            .min(500);
         let now = self.surroundings.now;
         let old = |w: &&Worker| now > w.rented_at + self.cloud.list_lag;
-        let mut listed = self.machines.values().filter(old).filter(|w| w.name.as_str() > from);
+        let mut listed = self
+            .machines
+            .values()
+            .filter(old)
+            .filter(|w| w.name.as_str() > from);
         let hosts: Vec<Value> = listed
             .by_ref()
             .take(page)
@@ -192,16 +218,26 @@
 
     /// Machines that are new: their workers are started elsewhere. A repeated request rents nothing.
     fn tell_rented(&mut self, body: &Value) {
-        for host in body["hosts"].as_array().into_iter().flatten().filter_map(Value::as_str) {
+        for host in body["hosts"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(Value::as_str)
+        {
             let new = |w: &&Worker| w.rented_at == self.surroundings.now;
-            let Some(machine) = self.machines.get(host).filter(new) else { continue };
+            let Some(machine) = self.machines.get(host).filter(new) else {
+                continue;
+            };
             let rented = Rented {
                 host: host.into(),
                 flavor: machine.flavor.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
                 boot: machine.boots_at - machine.rented_at,
-                node: self.surroundings.rng.random_range(0..self.surroundings.controllers),
+                node: self
+                    .surroundings
+                    .rng
+                    .random_range(0..self.surroundings.controllers),
             };
             tell(&FromCloud::Rented(rented));
         }
--- a/crates/gannethub-scale/src/deployment.rs
+++ b/crates/gannethub-scale/src/deployment.rs
@@ -23,7 +23,9 @@
     let ports: Vec<u16> = free.take(count).collect();
     match ports.len() == count {
         true => Ok(ports),
-        false => Err(std::io::Error::other(format!("{count} free ports are not to be had"))),
+        false => Err(std::io::Error::other(format!(
+            "{count} free ports are not to be had"
+        ))),
     }
 }
 
@@ -53,16 +55,24 @@
 
     /// Where controllers take users' requests and workers' reports.
     pub fn controllers(&self) -> Vec<SocketAddrV4> {
-        self.users.iter().map(|p| SocketAddrV4::new(Ipv4Addr::LOCALHOST, *p)).collect()
+        self.users
+            .iter()
+            .map(|p| SocketAddrV4::new(Ipv4Addr::LOCALHOST, *p))
+            .collect()
     }
 }
 
 /// What a team is guaranteed and may use, in processors.
 pub fn team_cpus(options: &RunOptions, load: &Load) -> (f64, f64) {
     let all = options.workers as f64 * load.machine.cpus;
-    let guarantee = (all * load.teams.guaranteed / options.teams as f64).floor().max(1.0);
+    let guarantee = (all * load.teams.guaranteed / options.teams as f64)
+        .floor()
+        .max(1.0);
     let largest = f64::from(options.gang);
-    (guarantee, (guarantee * load.teams.limit_times).max(largest).floor())
+    (
+        guarantee,
+        (guarantee * load.teams.limit_times).max(largest).floor(),
+    )
 }
 
 /// The types of machines, as the cloud answers.
@@ -108,7 +118,11 @@
         );
     }
     let state = state_role::address(node, ports.state);
-    let _ = write!(text, "[outside]\ncloud = \"127.0.0.1:{}\"\nstate = \"{state}\"\n", ports.cloud);
+    let _ = write!(
+        text,
+        "[outside]\ncloud = \"127.0.0.1:{}\"\nstate = \"{state}\"\n",
+        ports.cloud
+    );
     text
 }
 
--- a/crates/gannethub-scale/src/fit.rs
+++ b/crates/gannethub-scale/src/fit.rs
@@ -20,7 +20,9 @@
 }
 
 /// The sizes that a run is told by, a constant first.
-const SIZES: [&str; 6] = ["constant", "workers", "starts/s", "running", "teams", "zones"];
+const SIZES: [&str; 6] = [
+    "constant", "workers", "starts/s", "running", "teams", "zones",
+];
 
 /// The target's sizes.
 pub const TARGET: [f64; 6] = [1.0, 4500.0, 990.0, 59_000.0, 300.0, 12.0];
@@ -28,7 +30,14 @@
 fn sizes(report: &Report) -> [f64; 6] {
     let reached = &report.reached;
     let (teams, zones) = (report.asked.teams as f64, report.asked.zones as f64);
-    [1.0, reached.workers, reached.starts, reached.running, teams, zones]
+    [
+        1.0,
+        reached.workers,
+        reached.starts,
+        reached.running,
+        teams,
+        zones,
+    ]
 }
 
 /// What is fitted, with its unit and how a report tells it.
@@ -41,7 +50,9 @@
     ("follower: peak MB", |r| role(r, "follower", |u| u.peak_mb)),
     ("real worker: cores", |r| cores(r, "real worker")),
     ("real worker: bytes/s", |r| worker_bytes(r)),
-    ("all workers: reports/s", |r| (r.hollow.reports + r.real.reports) as f64 / r.reached.seconds),
+    ("all workers: reports/s", |r| {
+        (r.hollow.reports + r.real.reports) as f64 / r.reached.seconds
+    }),
     ("all workers: bytes/s", |r| {
         let bytes = |c: &crate::messages::ReportCounts| c.report_bytes + c.answer_bytes;
         (bytes(&r.hollow) + bytes(&r.real)) as f64 / r.reached.seconds
@@ -49,19 +60,32 @@
     ("state service: requests/s", |r| {
         r.state.kinds.values().map(|k| k.count).sum::<u64>() as f64 / r.reached.seconds
     }),
-    ("state service: changes/s", |r| r.state.changes as f64 / r.reached.seconds),
+    ("state service: changes/s", |r| {
+        r.state.changes as f64 / r.reached.seconds
+    }),
     ("state service: keys", |r| r.state.keys as f64),
     ("state service: KB held", |r| r.state.bytes as f64 / 1024.0),
     ("state service: KB/s", |r| {
-        let bytes = r.state.kinds.values().map(|k| k.bytes_in + k.bytes_out).sum::<u64>();
+        let bytes = r
+            .state
+            .kinds
+            .values()
+            .map(|k| k.bytes_in + k.bytes_out)
+            .sum::<u64>();
         bytes as f64 / 1024.0 / r.reached.seconds
     }),
     ("cloud: calls/s", |r| {
         r.cloud.values().map(|k| k.count).sum::<u64>() as f64 / r.reached.seconds
     }),
-    ("between controllers: KB/s", |r| r.between_controllers.unwrap_or(f64::NAN) / 1024.0),
-    ("users: submission p99 ms", |r| user(r, "submission", |t| t.p99_ms)),
-    ("users: urgent start p50 ms", |r| user(r, "urgent start", |t| t.p50_ms)),
+    ("between controllers: KB/s", |r| {
+        r.between_controllers.unwrap_or(f64::NAN) / 1024.0
+    }),
+    ("users: submission p99 ms", |r| {
+        user(r, "submission", |t| t.p99_ms)
+    }),
+    ("users: urgent start p50 ms", |r| {
+        user(r, "urgent start", |t| t.p50_ms)
+    }),
 ];
 
 fn role(report: &Report, name: &str, of: fn(&crate::report::RoleUsage) -> f64) -> f64 {
@@ -92,7 +116,11 @@
 impl Fitted {
     /// What it comes to at these sizes.
     pub fn at(&self, sizes: &[f64]) -> f64 {
-        self.slopes.iter().zip(sizes).map(|(slope, size)| slope * size).sum()
+        self.slopes
+            .iter()
+            .zip(sizes)
+            .map(|(slope, size)| slope * size)
+            .sum()
     }
 }
 
@@ -103,24 +131,38 @@
         return Err(FitError::TooFew(rows.len(), n + 1));
     }
     // Sizes differ by orders of magnitude: each is told in units of its largest.
-    let scale: Vec<f64> =
-        (0..n).map(|i| rows.iter().map(|r| r[i].abs()).fold(1e-12, f64::max)).collect();
-    let scaled: Vec<Vec<f64>> =
-        rows.iter().map(|r| r.iter().zip(&scale).map(|(x, s)| x / s).collect()).collect();
+    let scale: Vec<f64> = (0..n)
+        .map(|i| rows.iter().map(|r| r[i].abs()).fold(1e-12, f64::max))
+        .collect();
+    let scaled: Vec<Vec<f64>> = rows
+        .iter()
+        .map(|r| r.iter().zip(&scale).map(|(x, s)| x / s).collect())
+        .collect();
     let product = |i: usize, j: usize| scaled.iter().map(|r| r[i] * r[j]).sum::<f64>();
-    let normal: Vec<Vec<f64>> = (0..n).map(|i| (0..n).map(|j| product(i, j)).collect()).collect();
+    let normal: Vec<Vec<f64>> = (0..n)
+        .map(|i| (0..n).map(|j| product(i, j)).collect())
+        .collect();
     let inverse = invert(normal)?;
-    let right: Vec<f64> =
-        (0..n).map(|i| scaled.iter().zip(measured).map(|(r, y)| r[i] * y).sum()).collect();
-    let solution: Vec<f64> =
-        inverse.iter().map(|row| row.iter().zip(&right).map(|(a, b)| a * b).sum()).collect();
+    let right: Vec<f64> = (0..n)
+        .map(|i| scaled.iter().zip(measured).map(|(r, y)| r[i] * y).sum())
+        .collect();
+    let solution: Vec<f64> = inverse
+        .iter()
+        .map(|row| row.iter().zip(&right).map(|(a, b)| a * b).sum())
+        .collect();
     let predicted = |r: &Vec<f64>| r.iter().zip(&solution).map(|(x, s)| x * s).sum::<f64>();
-    let misses: Vec<f64> = scaled.iter().zip(measured).map(|(r, y)| y - predicted(r)).collect();
+    let misses: Vec<f64> = scaled
+        .iter()
+        .zip(measured)
+        .map(|(r, y)| y - predicted(r))
+        .collect();
     let variance = misses.iter().map(|m| m * m).sum::<f64>() / (rows.len() - n) as f64;
     let miss = |(m, y): (&f64, &f64)| (m / y.abs().max(1e-12)).abs();
     Ok(Fitted {
         slopes: solution.iter().zip(&scale).map(|(s, k)| s / k).collect(),
-        errors: (0..n).map(|i| (variance * inverse[i][i]).max(0.0).sqrt() / scale[i]).collect(),
+        errors: (0..n)
+            .map(|i| (variance * inverse[i][i]).max(0.0).sqrt() / scale[i])
+            .collect(),
         worst: misses.iter().zip(measured).map(miss).fold(0.0, f64::max),
     })
 }
@@ -132,20 +174,32 @@
         row.extend((0..n).map(|j| f64::from(u8::from(i == j))));
     }
     for column in 0..n {
-        let largest =
-            |a: &usize, b: &usize| matrix[*a][column].abs().total_cmp(&matrix[*b][column].abs());
+        let largest = |a: &usize, b: &usize| {
+            matrix[*a][column]
+                .abs()
+                .total_cmp(&matrix[*b][column].abs())
+        };
         let pivot = (column..n).max_by(largest).unwrap_or(column);
         if matrix[pivot][column].abs() < 1e-9 {
-            return Err(FitError::Alike(SIZES.get(column).copied().unwrap_or("a size")));
+            return Err(FitError::Alike(
+                SIZES.get(column).copied().unwrap_or("a size"),
+            ));
         }
         matrix.swap(column, pivot);
         let divisor = matrix[column][column];
         matrix[column].iter_mut().for_each(|x| *x /= divisor);
         let pivot_row = matrix[column].clone();
-        for (row, values) in matrix.iter_mut().enumerate().filter(|(row, _)| *row != column) {
+        for (row, values) in matrix
+            .iter_mut()
+            .enumerate()
+            .filter(|(row, _)| *row != column)
+        {
             debug_assert!(row < n);
             let factor = values[column];
-            values.iter_mut().zip(&pivot_row).for_each(|(x, p)| *x -= factor * p);
+            values
+                .iter_mut()
+                .zip(&pivot_row)
+                .for_each(|(x, p)| *x -= factor * p);
         }
     }
     Ok(matrix.into_iter().map(|row| row[n..].to_vec()).collect())
@@ -187,11 +241,15 @@
 fn runs(files: &[PathBuf], reports: &[Report]) -> String {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::ASCII_MARKDOWN);
-    let mut head = vec!["run", "workers", "starts/s", "running", "teams", "zones", "busy"];
+    let mut head = vec![
+        "run", "workers", "starts/s", "running", "teams", "zones", "busy",
+    ];
     head.extend(QUANTITIES.iter().map(|q| q.0));
     table.set_header(head);
     for (file, report) in files.iter().zip(reports) {
-        let name = file.file_stem().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
+        let name = file
+            .file_stem()
+            .map_or_else(String::new, |n| n.to_string_lossy().into_owned());
         let mut row = vec![name];
         row.extend(sizes(report)[1..].iter().map(|x| format!("{x:.0}")));
         row.push(format!("{:.0}%", 100.0 * report.machine_busy));
@@ -204,7 +262,11 @@
 /// Three significant digits.
 fn figure(x: f64) -> String {
     if x == 0.0 || !x.is_finite() {
-        return if x.is_nan() { "-".into() } else { format!("{x}") };
+        return if x.is_nan() {
+            "-".into()
+        } else {
+            format!("{x}")
+        };
     }
     let digits = 2 - x.abs().log10().floor() as i32;
     match digits {
@@ -220,9 +282,13 @@
 
     #[test]
     fn slopes_are_found_again() {
-        let rows: Vec<Vec<f64>> =
-            (0..8).map(|i| vec![1.0, f64::from(i * 100), f64::from(i * i)]).collect();
-        let measured: Vec<f64> = rows.iter().map(|r| 3.0 + 0.02 * r[1] + 0.5 * r[2]).collect();
+        let rows: Vec<Vec<f64>> = (0..8)
+            .map(|i| vec![1.0, f64::from(i * 100), f64::from(i * i)])
+            .collect();
+        let measured: Vec<f64> = rows
+            .iter()
+            .map(|r| 3.0 + 0.02 * r[1] + 0.5 * r[2])
+            .collect();
         let fitted = least_squares(&rows, &measured).unwrap();
         for (slope, expected) in fitted.slopes.iter().zip([3.0, 0.02, 0.5]) {
             assert!((slope - expected).abs() < 1e-6, "{fitted:?}");
@@ -232,10 +298,17 @@
 
     #[test]
     fn runs_that_are_alike_or_too_few_are_refused() {
-        let alike: Vec<Vec<f64>> =
-            (1..8).map(|i| vec![1.0, f64::from(i), f64::from(2 * i)]).collect();
-        assert!(matches!(least_squares(&alike, &[1.0; 7]), Err(FitError::Alike(_))));
-        assert!(matches!(least_squares(&alike[..3], &[1.0; 3]), Err(FitError::TooFew(3, 4))));
+        let alike: Vec<Vec<f64>> = (1..8)
+            .map(|i| vec![1.0, f64::from(i), f64::from(2 * i)])
+            .collect();
+        assert!(matches!(
+            least_squares(&alike, &[1.0; 7]),
+            Err(FitError::Alike(_))
+        ));
+        assert!(matches!(
+            least_squares(&alike[..3], &[1.0; 3]),
+            Err(FitError::TooFew(3, 4))
+        ));
     }
 
     #[test]
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -62,7 +62,11 @@
 
 /// Where the worker on this machine takes commands: each has a loopback address of its own.
 pub fn worker_address(host: &str, port: u16) -> SocketAddrV4 {
-    let n: u32 = host.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+    let n: u32 = host
+        .rsplit('-')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
     let [high, middle, low] = [n / 62_500 % 100, n / 250 % 250, n % 250 + 1].map(|x| x as u8);
     SocketAddrV4::new(Ipv4Addr::new(127, 100 + high, middle, low), port)
 }
@@ -151,7 +155,9 @@
         worker_address(worker, self.args.worker_port).to_string()
     }
     fn send(&mut self, worker: &str, node: usize, body: String) {
-        let Some(addr) = self.args.controllers.get(node) else { return };
+        let Some(addr) = self.args.controllers.get(node) else {
+            return;
+        };
         let kept = self.clients.get(worker).filter(|(at, _)| *at == node);
         let client = match kept {
             Some((_, client)) => client.clone(),
@@ -165,8 +171,17 @@
         let (host, sent, queue) = (worker.to_string(), self.now, self.queue.clone());
         spawn_local(async move {
             let report = body.as_bytes();
-            let answer = client.call(Method::Post, "/v1/report", report, ANSWER_PATIENCE).await;
-            let _ = queue.send(Command::Answer { host, node, sent, answer }).await;
+            let answer = client
+                .call(Method::Post, "/v1/report", report, ANSWER_PATIENCE)
+                .await;
+            let _ = queue
+                .send(Command::Answer {
+                    host,
+                    node,
+                    sent,
+                    answer,
+                })
+                .await;
         });
     }
     fn named(&self, name: &str) -> Option<usize> {
@@ -204,7 +219,13 @@
         counts: ReportCounts::default(),
     };
     let (places, processes) = (BTreeMap::new(), HashMap::new());
-    let mut hosts = Hosts { clock, site, places, processes, events: Vec::new() };
+    let mut hosts = Hosts {
+        clock,
+        site,
+        places,
+        processes,
+        events: Vec::new(),
+    };
     let mut batch = Vec::new();
     loop {
         let _ = timeout(TICK, commands.recv_many(&mut batch, 256)).await;
@@ -223,11 +244,18 @@
     fn command(&mut self, command: Command) {
         match command {
             Command::Driver(message) => self.told(message),
-            Command::Answer { host, node, sent, answer } => {
-                self.answered(&host, node, sent, answer)
-            }
+            Command::Answer {
+                host,
+                node,
+                sent,
+                answer,
+            } => self.answered(&host, node, sent, answer),
             Command::Direct(host, asked) => self.commanded(&host, asked),
-            Command::Exited { host, task, attempt } => self.exited(&host, &task, attempt),
+            Command::Exited {
+                host,
+                task,
+                attempt,
+            } => self.exited(&host, &task, attempt),
         }
     }
 
@@ -249,7 +277,11 @@
                 ended.iter().for_each(|host| self.end(host));
                 tell(&FromHosts::Ended(ended));
             }
-            ToHosts::Pretend { task, attempt, not_on } => self.pretend(&task, attempt, &not_on),
+            ToHosts::Pretend {
+                task,
+                attempt,
+                not_on,
+            } => self.pretend(&task, attempt, &not_on),
             ToHosts::Measure => {
                 // What was seen until now comes first.
                 tell(&FromHosts::Events(std::mem::take(&mut self.events)));
@@ -259,8 +291,12 @@
     }
 
     fn describe(&mut self, job: &JobDescription) {
-        let facts =
-            JobFacts { tasks: job.tasks, gang: job.gang, estimate: job.run, ..JobFacts::default() };
+        let facts = JobFacts {
+            tasks: job.tasks,
+            gang: job.gang,
+            estimate: job.run,
+            ..JobFacts::default()
+        };
         self.site.jobs.insert(job.id.clone(), facts);
     }
 
@@ -287,7 +323,9 @@
 
     /// A machine and all that was on it is gone.
     fn end(&mut self, host: &str) {
-        let Some(mut place) = self.places.remove(host) else { return };
+        let Some(mut place) = self.places.remove(host) else {
+            return;
+        };
         place.worker.tasks.clear();
         self.look(host, &mut place);
         if let Some(listener) = place.listener.take() {
@@ -344,7 +382,11 @@
         let before = std::mem::replace(&mut place.on_machine, now_there);
         for (task, attempt) in &before {
             if place.on_machine.get(task) != Some(attempt) {
-                let held = place.worker.tasks.get(task).filter(|t| t.attempt == *attempt);
+                let held = place
+                    .worker
+                    .tasks
+                    .get(task)
+                    .filter(|t| t.attempt == *attempt);
                 let done = held.is_some_and(|t| t.phase == Phase::Ended("done"));
                 let what = if done { Happened::Done } else { Happened::Gone };
                 self.site.counts.ends += 1;
@@ -369,7 +411,13 @@
 
     fn note(&mut self, host: &str, task: &str, attempt: u64, what: Happened) {
         let (host, task) = (host.to_string(), task.to_string());
-        self.events.push(TaskEvent { at: self.site.now, host, task, attempt, what });
+        self.events.push(TaskEvent {
+            at: self.site.now,
+            host,
+            task,
+            attempt,
+            what,
+        });
     }
 
     fn count_reports(&mut self, place: &mut Place) {
@@ -383,7 +431,10 @@
             let changed = std::mem::take(&mut place.changed);
             counts.with_change += u64::from(changed);
             if let Some(before) = place.reported_at.replace(self.site.now) {
-                let interval = counts.intervals.entry(2 * tasks + u32::from(changed)).or_default();
+                let interval = counts
+                    .intervals
+                    .entry(2 * tasks + u32::from(changed))
+                    .or_default();
                 *interval = (interval.0 + 1, interval.1 + self.site.now - before);
             }
         }
@@ -399,7 +450,9 @@
         }
         // Where nothing came the worker finds out by its own clock.
         if let Some((status, body)) = answer {
-            self.with(host, |worker, site| worker.answered(site, node, sent, status, &body));
+            self.with(host, |worker, site| {
+                worker.answered(site, node, sent, status, &body)
+            });
         }
     }
 
@@ -417,11 +470,19 @@
         let member =
             |t: &Task| t.phase == from && t.attempt == attempt && t.name.starts_with(&prefix);
         let holds = |p: &&Place| p.worker.tasks.values().any(member);
-        let hosts: Vec<String> =
-            self.places.values().filter(holds).map(|p| p.worker.name.clone()).collect();
+        let hosts: Vec<String> = self
+            .places
+            .values()
+            .filter(holds)
+            .map(|p| p.worker.name.clone())
+            .collect();
         for host in hosts {
             self.with(&host, |worker, site| {
-                worker.tasks.values_mut().filter(|t| member(t)).for_each(|t| t.phase = to);
+                worker
+                    .tasks
+                    .values_mut()
+                    .filter(|t| member(t))
+                    .for_each(|t| t.phase = to);
                 worker.hasten(site.now);
             });
         }
@@ -439,9 +500,14 @@
         let job = job_of(task);
         let facts = self.site.jobs.get(job).cloned().unwrap_or_default();
         // A gang's tasks are told when it is over.
-        let run =
-            if facts.gang { UNTIL_TOLD } else { run_time(facts.estimate, &mut self.site.rng) };
-        let Ok(program) = std::env::current_exe() else { return };
+        let run = if facts.gang {
+            UNTIL_TOLD
+        } else {
+            run_time(facts.estimate, &mut self.site.rng)
+        };
+        let Ok(program) = std::env::current_exe() else {
+            return;
+        };
         let child = Process::new(program)
             .args(["task", &run.to_string()])
             .stdin(Stdio::piped())
@@ -488,8 +554,15 @@
         phase => discriminant(&phase),
     };
     let state = |t: &Task| (t.attempt, phase(t));
-    let now: BTreeMap<_, _> = worker.tasks.values().map(|t| (t.name.clone(), state(t))).collect();
-    let other = now.iter().filter(|(task, state)| told.get(*task) != Some(*state)).count();
+    let now: BTreeMap<_, _> = worker
+        .tasks
+        .values()
+        .map(|t| (t.name.clone(), state(t)))
+        .collect();
+    let other = now
+        .iter()
+        .filter(|(task, state)| told.get(*task) != Some(*state))
+        .count();
     let gone = told.keys().filter(|task| !now.contains_key(*task)).count();
     *told = now;
     (other + gone) as u64
@@ -502,7 +575,11 @@
             let (direct, mut asked) = mpsc::channel(16);
             spawn_local(async move {
                 while let Some(asked) = asked.recv().await {
-                    if queue.send(Command::Direct(host.clone(), asked)).await.is_err() {
+                    if queue
+                        .send(Command::Direct(host.clone(), asked))
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
--- a/crates/gannethub-scale/src/load.rs
+++ b/crates/gannethub-scale/src/load.rs
@@ -18,7 +18,11 @@
     #[error("{0}: {1}")]
     Parse(String, Box<toml::de::Error>),
     #[error("{file}: {field}: {reason}")]
-    Field { file: String, field: String, reason: String },
+    Field {
+        file: String,
+        field: String,
+        reason: String,
+    },
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -190,7 +194,11 @@
 
     fn check(&self, file: &str) -> Result<(), LoadError> {
         let wrong = |field: String, reason: &str| {
-            Err(LoadError::Field { file: file.into(), field, reason: reason.into() })
+            Err(LoadError::Field {
+                file: file.into(),
+                field,
+                reason: reason.into(),
+            })
         };
         if self.classes.is_empty() {
             return wrong("class".into(), "at least one is needed");
@@ -207,7 +215,10 @@
                 return wrong(format!("class[{i}].run_s"), "must be above zero");
             }
             if !(class.cpus > 0.0 && class.cpus <= self.machine.cpus) {
-                return wrong(format!("class[{i}].cpus"), "above 0 and at most a machine's");
+                return wrong(
+                    format!("class[{i}].cpus"),
+                    "above 0 and at most a machine's",
+                );
             }
             if !(0.0..=1.0).contains(&class.cancelled) {
                 return wrong(format!("class[{i}].cancelled"), "from 0 to 1");
@@ -230,14 +241,20 @@
 
     /// The most tasks that a machine can have at once.
     pub fn tasks_a_machine(&self) -> usize {
-        let least = self.classes.iter().map(|c| c.cpus).fold(f64::INFINITY, f64::min);
+        let least = self
+            .classes
+            .iter()
+            .map(|c| c.cpus)
+            .fold(f64::INFINITY, f64::min);
         (self.machine.cpus / least) as usize
     }
 
     /// The mean run time of a started task, before it is scaled, in seconds.
     pub fn mean_run(&self) -> f64 {
-        let (sum, shares) =
-            self.classes.iter().fold((0.0, 0.0), |(s, w), c| (s + c.share * c.run_s, w + c.share));
+        let (sum, shares) = self
+            .classes
+            .iter()
+            .fold((0.0, 0.0), |(s, w), c| (s + c.share * c.run_s, w + c.share));
         sum / shares
     }
 
@@ -310,9 +327,15 @@
     #[test]
     fn the_built_in_load_is_sound_and_gangs_reach_their_largest_size() {
         let load = Load::read(None).unwrap();
-        let class = load.classes.iter().find(|c| c.shape == Shape::Group).unwrap();
+        let class = load
+            .classes
+            .iter()
+            .find(|c| c.shape == Shape::Group)
+            .unwrap();
         let mut rng = StdRng::seed_from_u64(1);
-        let drawn: Vec<u32> = (0..20_000).map(|_| class.draw_tasks(128, &mut rng)).collect();
+        let drawn: Vec<u32> = (0..20_000)
+            .map(|_| class.draw_tasks(128, &mut rng))
+            .collect();
         assert_eq!(drawn.iter().max(), Some(&128));
         let mean = drawn.iter().sum::<u32>() as f64 / drawn.len() as f64;
         assert!((mean / class.mean_tasks(128) - 1.0).abs() < 0.05, "{mean}");
--- a/crates/gannethub-scale/src/main.rs
+++ b/crates/gannethub-scale/src/main.rs
@@ -80,7 +80,11 @@
     match run::run(options) {
         Ok(report) => {
             println!("{}", report.show());
-            if report.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+            if report.passed() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            }
         }
         Err(e) => failed(&e),
     }
--- a/crates/gannethub-scale/src/options.rs
+++ b/crates/gannethub-scale/src/options.rs
@@ -80,7 +80,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SizeError {
     #[error("--{option}: {reason}")]
-    Option { option: &'static str, reason: String },
+    Option {
+        option: &'static str,
+        reason: String,
+    },
     #[error(
         "--workers, --running: {wanted} MB would be needed, over half of this machine's {has} MB"
     )]
@@ -126,7 +129,10 @@
     pub fn check(&self, load: &Load) -> Result<(), SizeError> {
         let wrong = |option, reason: String| Err(SizeError::Option { option, reason });
         if self.workers < 10 || self.workers <= self.real + self.rack() {
-            let reason = format!("{} are too few beside {} real ones", self.workers, self.real);
+            let reason = format!(
+                "{} are too few beside {} real ones",
+                self.workers, self.real
+            );
             return wrong("workers", reason);
         }
         if self.workers >= SMALL && self.real < LEAST_REAL {
@@ -146,19 +152,31 @@
             return wrong("controllers", "from 1 to 32".into());
         }
         if self.warm_up >= self.seconds {
-            return wrong("warm-up", format!("leaves nothing of {} s to measure", self.seconds));
+            return wrong(
+                "warm-up",
+                format!("leaves nothing of {} s to measure", self.seconds),
+            );
         }
         if !self.program.is_file() {
             let path = self.program.display();
-            return wrong("program", format!("there is no {path}; cargo build --release makes it"));
+            return wrong(
+                "program",
+                format!("there is no {path}; cargo build --release makes it"),
+            );
         }
         let wanted = self.processes(load);
         if wanted > MOST_PROCESSES {
-            return Err(SizeError::Processes { wanted, most: MOST_PROCESSES });
+            return Err(SizeError::Processes {
+                wanted,
+                most: MOST_PROCESSES,
+            });
         }
         let (wanted, has) = (self.memory(load), machine_memory().unwrap_or(u64::MAX));
         if wanted > has / 2 {
-            return Err(SizeError::Memory { wanted: wanted >> 20, has: has >> 20 });
+            return Err(SizeError::Memory {
+                wanted: wanted >> 20,
+                has: has >> 20,
+            });
         }
         Ok(())
     }
--- a/crates/gannethub-scale/src/process.rs
+++ b/crates/gannethub-scale/src/process.rs
@@ -50,7 +50,9 @@
         spawn_local(async move {
             let mut said = BufReader::new(output).lines();
             while let Ok(Some(line)) = said.next_line().await {
-                let Ok(message) = serde_json::from_str(&line) else { continue };
+                let Ok(message) = serde_json::from_str(&line) else {
+                    continue;
+                };
                 if heard.send(wrap(message)).await.is_err() {
                     return;
                 }
@@ -87,7 +89,10 @@
         settings: &Path,
         log: &Path,
     ) -> std::io::Result<ControllerProcess> {
-        let log = std::fs::File::options().create(true).append(true).open(log)?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(log)?;
         let child = Command::new(program)
             .arg("--config")
             .arg(settings)
@@ -105,7 +110,9 @@
 
     /// It has ended by itself.
     pub fn ended(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))))
+        self.child
+            .as_mut()
+            .is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))))
     }
 
     pub async fn kill(&mut self) {
@@ -164,10 +171,15 @@
     while let Some(head) = lines.next() {
         let Some(details) = lines.next() else { break };
         // The connecting side: its remote end is a controller's port for its siblings.
-        let remote = head.split_whitespace().nth(4).and_then(|a| a.rsplit(':').next());
+        let remote = head
+            .split_whitespace()
+            .nth(4)
+            .and_then(|a| a.rsplit(':').next());
         let port = remote.and_then(|p| p.parse::<u16>().ok());
         if port.is_some_and(|p| ports.contains(&p)) {
-            let sent = details.split_whitespace().find_map(|f| f.strip_prefix("bytes_sent:"));
+            let sent = details
+                .split_whitespace()
+                .find_map(|f| f.strip_prefix("bytes_sent:"));
             sum += sent.and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
         }
     }
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -78,7 +78,11 @@
 impl Record {
     /// A record that holds each team to its limits, and cancelled tasks to be gone within `cancel` microseconds.
     pub fn new(limits: Vec<Vec<LimitFrom>>, cancel: u64) -> Record {
-        Record { limits, cancel, ..Record::default() }
+        Record {
+            limits,
+            cancel,
+            ..Record::default()
+        }
     }
 
     pub fn event(&mut self, event: &TaskEvent) {
@@ -92,7 +96,10 @@
                     ended: None,
                     done: false,
                 });
-                self.open.entry(event.host.clone()).or_default().insert(event.task.clone());
+                self.open
+                    .entry(event.host.clone())
+                    .or_default()
+                    .insert(event.task.clone());
             }
             Happened::Done | Happened::Gone => {
                 let same = |s: &&mut Stay| {
@@ -117,7 +124,13 @@
             for stay in stays.filter(|s| s.host == host && s.ended.is_none()) {
                 stay.ended = Some(at);
                 let (host, task, attempt) = (host.to_string(), task.clone(), stay.attempt);
-                gone.push(TaskEvent { at, host, task, attempt, what: Happened::Gone });
+                gone.push(TaskEvent {
+                    at,
+                    host,
+                    task,
+                    attempt,
+                    what: Happened::Gone,
+                });
             }
         }
         gone
@@ -144,7 +157,12 @@
 
     /// The mean number of tasks on machines within a time.
     pub fn mean_running(&self, from: u64, to: u64) -> f64 {
-        let time = |s: &Stay| s.ended.unwrap_or(to).min(to).saturating_sub(s.began.max(from));
+        let time = |s: &Stay| {
+            s.ended
+                .unwrap_or(to)
+                .min(to)
+                .saturating_sub(s.began.max(from))
+        };
         let sum: u64 = self.stays.values().flatten().map(time).sum();
         sum as f64 / (to - from).max(1) as f64
     }
@@ -167,13 +185,20 @@
     pub fn cancellations_gone(&self, until: u64) -> Vec<u64> {
         let mut last: HashMap<&str, u64> = HashMap::new();
         for (task, stays) in &self.stays {
-            let ended = stays.iter().map(|s| s.ended.unwrap_or(until)).max().unwrap_or(0);
+            let ended = stays
+                .iter()
+                .map(|s| s.ended.unwrap_or(until))
+                .max()
+                .unwrap_or(0);
             let entry = last.entry(job_of(task)).or_default();
             *entry = (*entry).max(ended);
         }
         let told = |(id, j): (&String, &JobRecord)| {
             let told = j.told_cancelled?;
-            Some(last.get(id.as_str()).map_or(0, |at| at.saturating_sub(told)))
+            Some(
+                last.get(id.as_str())
+                    .map_or(0, |at| at.saturating_sub(told)),
+            )
         };
         self.jobs.iter().filter_map(told).collect()
     }
@@ -186,7 +211,10 @@
         self.check_places(until);
         for (id, job) in &self.jobs {
             for (rule, what) in &job.broken {
-                self.broken.push(Broken { rule, what: format!("{id}: {what}") });
+                self.broken.push(Broken {
+                    rule,
+                    what: format!("{id}: {what}"),
+                });
             }
         }
         std::mem::take(&mut self.broken)
@@ -200,27 +228,48 @@
             for (a, b) in in_order.iter().zip(in_order.iter().skip(1)) {
                 if b.host != a.host && b.began < a.ended.unwrap_or(u64::MAX) {
                     let what = format!("{task} on {} and on {} at {}", a.host, b.host, b.began);
-                    self.broken.push(Broken { rule: "ran_twice", what });
+                    self.broken.push(Broken {
+                        rule: "ran_twice",
+                        what,
+                    });
                 }
             }
-            if let Some(at) = stays.iter().filter(|s| s.done).filter_map(|s| s.ended).min() {
+            if let Some(at) = stays
+                .iter()
+                .filter(|s| s.done)
+                .filter_map(|s| s.ended)
+                .min()
+            {
                 done.entry(job_of(task)).or_default().push(at);
             }
-            let Some(job) = self.jobs.get(job_of(task)) else { continue };
-            let Some(told) = job.told_cancelled.filter(|t| *t <= until) else { continue };
+            let Some(job) = self.jobs.get(job_of(task)) else {
+                continue;
+            };
+            let Some(told) = job.told_cancelled.filter(|t| *t <= until) else {
+                continue;
+            };
             let late = |s: &&Stay| s.ended.unwrap_or(until) > told + self.cancel;
             if let Some(stay) = stays.iter().find(late) {
                 let what = format!("{task} on {} after {told}", stay.host);
-                self.broken.push(Broken { rule: "ran_cancelled", what });
+                self.broken.push(Broken {
+                    rule: "ran_cancelled",
+                    what,
+                });
             }
         }
         for (id, job) in &self.jobs {
-            let Some(told) = job.told_done.filter(|t| *t <= until) else { continue };
-            let ended =
-                done.get(id.as_str()).map_or(0, |d| d.iter().filter(|at| **at <= told).count());
+            let Some(told) = job.told_done.filter(|t| *t <= until) else {
+                continue;
+            };
+            let ended = done
+                .get(id.as_str())
+                .map_or(0, |d| d.iter().filter(|at| **at <= told).count());
             if ended < job.tasks as usize {
                 let what = format!("{id}: told done with {ended} of {} tasks done", job.tasks);
-                self.broken.push(Broken { rule: "not_done", what });
+                self.broken.push(Broken {
+                    rule: "not_done",
+                    what,
+                });
             }
         }
     }
@@ -230,12 +279,20 @@
     fn check_quota(&mut self, until: u64) {
         let mut changes: BTreeMap<(u64, bool), Vec<UseChange<'_>>> = BTreeMap::new();
         for (task, stays) in &self.stays {
-            let Some(job) = self.jobs.get(job_of(task)) else { continue };
+            let Some(job) = self.jobs.get(job_of(task)) else {
+                continue;
+            };
             for stay in stays {
                 let ended = stay.ended.unwrap_or(until);
                 // At the same moment what ends makes room for what begins.
-                changes.entry((stay.began, true)).or_default().push((job.team, job.cpus, task));
-                changes.entry((ended, false)).or_default().push((job.team, -job.cpus, task));
+                changes
+                    .entry((stay.began, true))
+                    .or_default()
+                    .push((job.team, job.cpus, task));
+                changes
+                    .entry((ended, false))
+                    .or_default()
+                    .push((job.team, -job.cpus, task));
             }
         }
         let mut used = vec![0.0f64; self.limits.len()];
@@ -244,9 +301,14 @@
                 used[team] += cpus;
                 let limit = limit_at(&self.limits[team], at);
                 if begins && used[team] > limit + 1e-6 {
-                    let what =
-                        format!("team {team} uses {} of {limit} with {task} at {at}", used[team]);
-                    self.broken.push(Broken { rule: "quota", what });
+                    let what = format!(
+                        "team {team} uses {} of {limit} with {task} at {at}",
+                        used[team]
+                    );
+                    self.broken.push(Broken {
+                        rule: "quota",
+                        what,
+                    });
                 }
             }
         }
@@ -256,11 +318,18 @@
         let mut by_job: HashMap<&str, Vec<(&Stay, &HostFacts)>> = HashMap::new();
         for (task, stays) in &self.stays {
             for stay in stays {
-                let Some(host) = self.hosts.get(&stay.host) else { continue };
-                let Some(job) = self.jobs.get(job_of(task)) else { continue };
+                let Some(host) = self.hosts.get(&stay.host) else {
+                    continue;
+                };
+                let Some(job) = self.jobs.get(job_of(task)) else {
+                    continue;
+                };
                 if host.spot && !job.spot_allowed {
                     let what = format!("{task} on the spot machine {}", stay.host);
-                    self.broken.push(Broken { rule: "wrong_place", what });
+                    self.broken.push(Broken {
+                        rule: "wrong_place",
+                        what,
+                    });
                 }
                 if job.together {
                     by_job.entry(job_of(task)).or_default().push((stay, host));
@@ -274,11 +343,17 @@
             let apart = stays.iter().enumerate().find_map(|(i, (a, at))| {
                 let other =
                     |(b, there): &&(&Stay, &HostFacts)| at.zone != there.zone && overlap(a, b);
-                stays[i + 1..].iter().find(other).map(|(b, _)| (a.host.clone(), b.host.clone()))
+                stays[i + 1..]
+                    .iter()
+                    .find(other)
+                    .map(|(b, _)| (a.host.clone(), b.host.clone()))
             });
             if let Some((a, b)) = apart {
                 let what = format!("{job} at the same time on {a} and {b}, in two zones");
-                self.broken.push(Broken { rule: "wrong_place", what });
+                self.broken.push(Broken {
+                    rule: "wrong_place",
+                    what,
+                });
             }
         }
     }
@@ -286,7 +361,11 @@
 
 /// The limit that holds at a time.
 fn limit_at(limits: &[LimitFrom], at: u64) -> f64 {
-    limits.iter().rev().find(|l| l.at <= at).map_or(f64::INFINITY, |l| l.cpus)
+    limits
+        .iter()
+        .rev()
+        .find(|l| l.at <= at)
+        .map_or(f64::INFINITY, |l| l.cpus)
 }
 
 #[cfg(test)]
@@ -294,17 +373,35 @@
     use super::*;
 
     fn event(at: u64, host: &str, task: &str, what: Happened) -> TaskEvent {
-        TaskEvent { at, host: host.into(), task: task.into(), attempt: 1, what }
+        TaskEvent {
+            at,
+            host: host.into(),
+            task: task.into(),
+            attempt: 1,
+            what,
+        }
     }
 
     fn record(limit: f64) -> Record {
-        let mut record = Record { cancel: 100, ..Record::default() };
+        let mut record = Record {
+            cancel: 100,
+            ..Record::default()
+        };
         record.limits.push(vec![LimitFrom { at: 0, cpus: limit }]);
         for (host, zone) in [("h-1", "a"), ("h-2", "b")] {
-            let facts = HostFacts { flavor: "f".into(), zone: zone.into(), spot: false };
+            let facts = HostFacts {
+                flavor: "f".into(),
+                zone: zone.into(),
+                spot: false,
+            };
             record.hosts.insert(host.into(), facts);
         }
-        let job = JobRecord { tasks: 2, cpus: 1.0, together: true, ..JobRecord::default() };
+        let job = JobRecord {
+            tasks: 2,
+            cpus: 1.0,
+            together: true,
+            ..JobRecord::default()
+        };
         record.jobs.insert("j-1".into(), job);
         record
     }
--- a/crates/gannethub-scale/src/report.rs
+++ b/crates/gannethub-scale/src/report.rs
@@ -65,7 +65,9 @@
 impl Times {
     /// Of times in microseconds.
     pub fn of(times: impl IntoIterator<Item = u64>) -> Times {
-        let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Times::default() };
+        let Ok(mut histogram) = Histogram::<u64>::new(3) else {
+            return Times::default();
+        };
         for time in times {
             // It grows with its values; none is beyond 64 bits.
             let _ = histogram.record(time);
@@ -104,7 +106,12 @@
         let interval_ms = interval.map(|us| us / 1e3);
         let near = |[a, b]: [f64; 2]| (a - b).abs() <= AGREEMENT * a.max(b);
         let agree = near(report_bytes) && near(interval_ms) && near(changes_a_start);
-        Some(Agreement { report_bytes, interval_ms, changes_a_start, agree })
+        Some(Agreement {
+            report_bytes,
+            interval_ms,
+            changes_a_start,
+            agree,
+        })
     }
 }
 
@@ -115,7 +122,9 @@
 ) -> Option<[f64; 2]> {
     let (mut count, mut sum, mut expected) = (0.0, 0.0, 0.0);
     for (key, (reports, total)) in real {
-        let Some((others, their_total)) = hollow.get(key).filter(|h| h.0 > 0) else { continue };
+        let Some((others, their_total)) = hollow.get(key).filter(|h| h.0 > 0) else {
+            continue;
+        };
         count += *reports as f64;
         sum += *total as f64;
         expected += *reports as f64 * *their_total as f64 / *others as f64;
@@ -181,7 +190,15 @@
     pub fn show(&self) -> String {
         let mut roles = Table::new();
         roles.load_preset(comfy_table::presets::NOTHING);
-        roles.set_header(["role", "processes", "user", "system", "busiest", "peak MB", "sockets"]);
+        roles.set_header([
+            "role",
+            "processes",
+            "user",
+            "system",
+            "busiest",
+            "peak MB",
+            "sockets",
+        ]);
         for (name, role) in &self.roles {
             roles.add_row([
                 name.clone(),
@@ -209,7 +226,13 @@
     }
 
     fn summary(&self) -> String {
-        let Reached { seconds, workers, starts, running, .. } = &self.reached;
+        let Reached {
+            seconds,
+            workers,
+            starts,
+            running,
+            ..
+        } = &self.reached;
         let requests: u64 = self.state.kinds.values().map(|k| k.count).sum();
         let mut text = format!(
             "measured {seconds:.0} s: {workers:.0} workers, {starts:.0} starts/s, {running:.0} running; leader {}\n\
@@ -236,15 +259,22 @@
             ),
         };
         if self.changes.stored + self.changes.failed > 0 {
-            let ChangesReport { stored, failed, in_force, never_in_force, acted_on_older } =
-                &self.changes;
+            let ChangesReport {
+                stored,
+                failed,
+                in_force,
+                never_in_force,
+                acted_on_older,
+            } = &self.changes;
             text += &format!(
                 "configuration: {stored} changes, {failed} failed; in force everywhere after p50 {:.0}, p99 {:.0}, \
                  at most {:.0} ms; {never_in_force} never, {acted_on_older} times acted on an older one\n",
                 in_force.p50_ms, in_force.p99_ms, in_force.max_ms
             );
         }
-        self.faults.iter().for_each(|fault| text += &format!("fault at {fault}\n"));
+        self.faults
+            .iter()
+            .for_each(|fault| text += &format!("fault at {fault}\n"));
         if self.rules.is_empty() {
             text += "no rule broken\n";
         }
@@ -253,7 +283,10 @@
         }
         self.broken.iter().for_each(|b| text += &format!("  {b}\n"));
         if self.ended_by_themselves > 0 {
-            text += &format!("{} controllers ended by themselves\n", self.ended_by_themselves);
+            text += &format!(
+                "{} controllers ended by themselves\n",
+                self.ended_by_themselves
+            );
         }
         text
     }
--- a/crates/gannethub-scale/src/role.rs
+++ b/crates/gannethub-scale/src/role.rs
@@ -31,12 +31,16 @@
 }
 
 fn wall() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// Runs a child's work on one thread.
 pub fn run_local<F: Future>(work: F) -> std::io::Result<F::Output> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, work))
 }
 
@@ -64,7 +68,9 @@
 
 /// Tells the driver something.
 pub fn tell(message: &impl Serialize) {
-    let Ok(mut line) = serde_json::to_vec(message) else { return };
+    let Ok(mut line) = serde_json::to_vec(message) else {
+        return;
+    };
     line.push(b'\n');
     let mut out = std::io::stdout().lock();
     if out.write_all(&line).and_then(|()| out.flush()).is_err() {
