--- a/crates/gannethub-scale/src/run/faults.rs
+++ b/crates/gannethub-scale/src/run/faults.rs
@@ -14,7 +14,8 @@
             }
             FaultKind::Leader => {
                 let leader = self.leader().await;
-                self.kill(leader.iter().filter_map(|name| node_of(name)).collect()).await
+                self.kill(leader.iter().filter_map(|name| node_of(name)).collect())
+                    .await
             }
             FaultKind::Half => {
                 let half = self.controllers.len().div_ceil(2);
@@ -30,15 +31,22 @@
                 let node = leader.as_deref().and_then(node_of);
                 self.state.tell(&ToState::Refuse(node));
                 self.later.entry(over).or_default().push(Later::EndRefusal);
-                format!("the state service refuses {leader:?} alone for {} s", fault.for_s)
+                format!(
+                    "the state service refuses {leader:?} alone for {} s",
+                    fault.for_s
+                )
             }
         };
-        self.faults.push(format!("{:.1} s: {what}", now as f64 / 1e6));
+        self.faults
+            .push(format!("{:.1} s: {what}", now as f64 / 1e6));
         Ok(())
     }
 
     pub(super) async fn end_rack(&mut self) -> String {
-        let Some(rack) = self.hosts.iter_mut().find(|h| h.kind == HostKind::Rack && !h.ended)
+        let Some(rack) = self
+            .hosts
+            .iter_mut()
+            .find(|h| h.kind == HostKind::Rack && !h.ended)
         else {
             return "no rack is left".into();
         };
@@ -50,7 +58,8 @@
             gone.iter().for_each(|event| self.on_gang(event));
         }
         let count = hosts.len();
-        self.cloud.tell(&ToCloud::Failed(hosts.into_iter().collect()));
+        self.cloud
+            .tell(&ToCloud::Failed(hosts.into_iter().collect()));
         format!("a process with {count} hollow workers is killed")
     }
 
@@ -58,17 +67,28 @@
         let back = self.clock.now() + RESTART;
         for node in &nodes {
             self.controllers[*node].kill().await;
-            self.later.entry(back).or_default().push(Later::StartController(*node));
+            self.later
+                .entry(back)
+                .or_default()
+                .push(Later::StartController(*node));
         }
-        format!("controllers {nodes:?} are killed, back after {} s", RESTART / SECOND)
+        format!(
+            "controllers {nodes:?} are killed, back after {} s",
+            RESTART / SECOND
+        )
     }
 
     /// Who leads, as the state service has it.
     pub(super) async fn leader(&self) -> Option<String> {
-        let client = Client::new(state_role::address(self.options.controllers, self.ports.state));
+        let client = Client::new(state_role::address(
+            self.options.controllers,
+            self.ports.state,
+        ));
         let path = "/kv/gh/lead/holder";
-        let (_, body) =
-            client.call(Method::Get, path, b"", PATIENCE).await.filter(|a| a.0 == 200)?;
+        let (_, body) = client
+            .call(Method::Get, path, b"", PATIENCE)
+            .await
+            .filter(|a| a.0 == 200)?;
         let body: serde_json::Value = serde_json::from_slice(&body).ok()?;
         Some(body["v"]["holder"].as_str()?.to_string())
     }
--- a/crates/gannethub-scale/src/run/measuring.rs
+++ b/crates/gannethub-scale/src/run/measuring.rs
@@ -24,14 +24,20 @@
         let until = last.at;
         let broken = self.record.borrow_mut().check(until);
         let mut rules = BTreeMap::new();
-        broken.iter().for_each(|b| *rules.entry(b.rule.to_string()).or_default() += 1);
+        broken
+            .iter()
+            .for_each(|b| *rules.entry(b.rule.to_string()).or_default() += 1);
         let words = broken.iter().take(TOLD_IN_WORDS);
         let (from, to) = (first.at, last.at);
         let seconds = (to - from) as f64 / 1e6;
         let between = last.between.zip(first.between);
         let busy = last.machine.zip(first.machine);
         let (record, latencies) = (self.record.borrow(), self.users.latencies.borrow());
-        let submitted = record.jobs.values().filter(|j| (from..to).contains(&j.asked)).count();
+        let submitted = record
+            .jobs
+            .values()
+            .filter(|j| (from..to).contains(&j.asked))
+            .count();
         let workers = self.hosts.iter().map(|h| h.hosts.len()).sum::<usize>();
         let counted = std::mem::take(&mut self.counted);
         Ok(Report {
@@ -71,7 +77,9 @@
         let all = pids.values().flatten();
         Moment {
             at: self.clock.now(),
-            usage: all.filter_map(|pid| Some((*pid, Usage::of(*pid)?))).collect(),
+            usage: all
+                .filter_map(|pid| Some((*pid, Usage::of(*pid)?)))
+                .collect(),
             machine: machine_busy(),
             between: bytes_between(&self.ports.cluster).await,
         }
@@ -87,7 +95,14 @@
         add("driver and users", Some(std::process::id()));
         for process in self.hosts.iter().filter(|h| !h.ended) {
             let real = process.kind == HostKind::Real;
-            add(if real { "real worker" } else { "hollow workers" }, process.talker.pid());
+            add(
+                if real {
+                    "real worker"
+                } else {
+                    "hollow workers"
+                },
+                process.talker.pid(),
+            );
         }
         for (node, process) in self.controllers.iter().enumerate() {
             add(&format!("n{node}"), process.pid());
@@ -116,7 +131,10 @@
             });
             roles.entry(role).or_default().extend(used);
         }
-        roles.into_iter().map(|(role, used)| (role, role_usage(&used, seconds))).collect()
+        roles
+            .into_iter()
+            .map(|(role, used)| (role, role_usage(&used, seconds)))
+            .collect()
     }
 
     /// Has all processes tell their counts since the last time.
@@ -140,7 +158,9 @@
                 }
             }
         };
-        timeout(PATIENCE, all).await.map_err(|_| RunError::Silent("a process"))
+        timeout(PATIENCE, all)
+            .await
+            .map_err(|_| RunError::Silent("a process"))
     }
 }
 
@@ -174,14 +194,27 @@
     BTreeMap::from([
         ("submission".to_string(), within(&latencies.submissions)),
         ("question".to_string(), within(&latencies.questions)),
-        ("cancellation told".to_string(), within(&latencies.cancellations)),
-        ("cancellation gone".to_string(), Times::of(record.cancellations_gone(until))),
-        ("urgent start".to_string(), Times::of(record.urgent_starts(from, to))),
+        (
+            "cancellation told".to_string(),
+            within(&latencies.cancellations),
+        ),
+        (
+            "cancellation gone".to_string(),
+            Times::of(record.cancellations_gone(until)),
+        ),
+        (
+            "urgent start".to_string(),
+            Times::of(record.urgent_starts(from, to)),
+        ),
     ])
 }
 
 /// The sources that are measured, where they can be told.
 fn commit() -> String {
-    let output = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
-    output.map_or(String::new(), |o| String::from_utf8_lossy(&o.stdout).trim().to_string())
+    let output = std::process::Command::new("git")
+        .args(["rev-parse", "--short", "HEAD"])
+        .output();
+    output.map_or(String::new(), |o| {
+        String::from_utf8_lossy(&o.stdout).trim().to_string()
+    })
 }
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -157,8 +157,13 @@
         let hosts = start_hosts(&options, &load, &ports, clock, &queue)?;
         let load = Rc::new(load);
         let record = Rc::new(RefCell::new(first_record(&options, &load)));
-        let users =
-            Users::new(clock, load.clone(), &ports.controllers(), record.clone(), options.seed ^ 1);
+        let users = Users::new(
+            clock,
+            load.clone(),
+            &ports.controllers(),
+            record.clone(),
+            options.seed ^ 1,
+        );
         let operators = Operators::new(
             clock,
             ports.controllers(),
@@ -216,7 +221,9 @@
                 }
             }
         };
-        timeout(PATIENCE, ready).await.map_err(|_| RunError::Silent("a controller"))
+        timeout(PATIENCE, ready)
+            .await
+            .map_err(|_| RunError::Silent("a controller"))
     }
 
     /// Brings the load for its time and tells what was measured.
@@ -319,7 +326,10 @@
     }
 
     fn tell_hosts(&self, message: &ToHosts) {
-        self.hosts.iter().filter(|h| !h.ended).for_each(|h| h.talker.tell(message));
+        self.hosts
+            .iter()
+            .filter(|h| !h.ended)
+            .for_each(|h| h.talker.tell(message));
     }
 
     /// A machine was rented: its worker goes to a process with room, the first ones to those of real workers.
@@ -329,7 +339,10 @@
             zone: rented.zone.clone(),
             spot: rented.spot,
         };
-        self.record.borrow_mut().hosts.insert(rented.host.clone(), facts);
+        self.record
+            .borrow_mut()
+            .hosts
+            .insert(rented.host.clone(), facts);
         let free = |p: &&mut HostProcess| !p.ended && p.hosts.len() < p.room;
         let emptiest = self.hosts.iter_mut().filter(free).min_by_key(|p| {
             let order = match p.kind {
@@ -351,8 +364,11 @@
 
     fn deleted(&mut self, hosts: &[String]) {
         for process in self.hosts.iter_mut().filter(|p| !p.ended) {
-            let own: Vec<String> =
-                hosts.iter().filter(|h| process.hosts.remove(*h)).cloned().collect();
+            let own: Vec<String> = hosts
+                .iter()
+                .filter(|h| process.hosts.remove(*h))
+                .cloned()
+                .collect();
             if !own.is_empty() {
                 process.talker.tell(&ToHosts::Delete(own));
             }
@@ -421,7 +437,12 @@
         if gang {
             self.gang_facts.insert(job.id.clone(), (job.tasks, run));
         }
-        let description = JobDescription { id: job.id.clone(), tasks: job.tasks, gang, run };
+        let description = JobDescription {
+            id: job.id.clone(),
+            tasks: job.tasks,
+            gang,
+            run,
+        };
         self.tell_hosts(&ToHosts::Describe(description));
         spawn_local(self.users.clone().live(job));
     }
@@ -431,10 +452,19 @@
         let Some((task, attempt, not_on)) = self.record.borrow().any_running() else {
             return false;
         };
-        let hollow = self.hosts.iter().find(|h| h.kind == HostKind::Hollow && h.hosts.len() > 1);
+        let hollow = self
+            .hosts
+            .iter()
+            .find(|h| h.kind == HostKind::Hollow && h.hosts.len() > 1);
         let Some(process) = hollow else { return false };
-        self.faults.push(format!("on purpose: {task} said to be started beside {not_on}"));
-        process.talker.tell(&ToHosts::Pretend { task, attempt, not_on });
+        self.faults.push(format!(
+            "on purpose: {task} said to be started beside {not_on}"
+        ));
+        process.talker.tell(&ToHosts::Pretend {
+            task,
+            attempt,
+            not_on,
+        });
         true
     }
 
--- a/crates/gannethub-scale/src/run/start.rs
+++ b/crates/gannethub-scale/src/run/start.rs
@@ -32,7 +32,10 @@
         ("controllers", options.controllers.to_string()),
         ("rps", limits.rps.to_string()),
         ("write-rps", limits.write_rps.to_string()),
-        ("value-bytes", ((limits.value_kb * 1024.0) as u64).to_string()),
+        (
+            "value-bytes",
+            ((limits.value_kb * 1024.0) as u64).to_string(),
+        ),
         ("txn-ops", limits.txn_ops.to_string()),
         ("lag-ms", limits.lag_ms.to_string()),
     ]);
@@ -56,7 +59,10 @@
         ("flavors", flavors(options, load).to_string()),
         ("boot-least-us", boot_least.to_string()),
         ("boot-most-us", boot_most.max(boot_least + 1).to_string()),
-        ("list-lag-us", ((load.cloud.list_lag_s * 1e6) as u64).to_string()),
+        (
+            "list-lag-us",
+            ((load.cloud.list_lag_s * 1e6) as u64).to_string(),
+        ),
         ("seed", options.seed.to_string()),
     ]);
     Talker::start("cloud", &arguments, queue, Heard::Cloud)
@@ -94,11 +100,19 @@
         }
         let heard = move |message| Heard::Hosts(index, message);
         let talker = Talker::start("hosts", &arguments, queue.clone(), heard)?;
-        processes.push(HostProcess { kind, talker, room, hosts: BTreeSet::new(), ended: false });
+        processes.push(HostProcess {
+            kind,
+            talker,
+            room,
+            hosts: BTreeSet::new(),
+            ended: false,
+        });
     }
     Ok(processes)
 }
 
 fn arguments<const N: usize>(list: [(&str, String); N]) -> Vec<String> {
-    list.into_iter().map(|(name, value)| format!("--{name}={value}")).collect()
+    list.into_iter()
+        .map(|(name, value)| format!("--{name}={value}"))
+        .collect()
 }
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -73,7 +73,9 @@
     for node in 0..=args.controllers {
         let listener = TcpListener::bind(address(node, args.port)).await?;
         let lag = Duration::from_millis(args.lag_ms);
-        spawn_local(serve(listener, queue.clone(), lag, move |a| Command::Asked(node, a)));
+        spawn_local(serve(listener, queue.clone(), lag, move |a| {
+            Command::Asked(node, a)
+        }));
     }
     read_driver(queue, Command::Driver);
     let mut state = State::new(args.value_bytes, args.txn_ops);
@@ -94,7 +96,9 @@
     loop {
         let _ = timeout(TICK, commands.recv_many(&mut batch, 256)).await;
         let now = clock.now();
-        batch.drain(..).for_each(|command| owner.command(command, now));
+        batch
+            .drain(..)
+            .for_each(|command| owner.command(command, now));
         owner.service.tick(now);
     }
 }
@@ -126,7 +130,9 @@
         let (reply, answer) = oneshot::channel::<(u16, Value)>();
         let (to, counts) = (asked.reply, self.counts.clone());
         spawn_local(async move {
-            let Ok((status, body)) = answer.await else { return };
+            let Ok((status, body)) = answer.await else {
+                return;
+            };
             if let Some(count) = counts.borrow_mut().kinds.get_mut(kind) {
                 count.bytes_out += body.to_string().len() as u64;
                 count.refused += u64::from(matches!(status, 429 | 503));
--- a/crates/gannethub-scale/src/users.rs
+++ b/crates/gannethub-scale/src/users.rs
@@ -57,7 +57,10 @@
         Users {
             clock,
             load,
-            clients: controllers.iter().map(|a| Rc::new(Client::new(*a))).collect(),
+            clients: controllers
+                .iter()
+                .map(|a| Rc::new(Client::new(*a)))
+                .collect(),
             record,
             latencies: Rc::default(),
             rng: RefCell::new(StdRng::seed_from_u64(seed)),
@@ -117,14 +120,21 @@
         self.record.borrow_mut().jobs.insert(job.id.clone(), record);
         let body = job.body(&self.load).to_string();
         let good = [200, 201, 400, 422];
-        let answer = self.repeat(Method::Post, "/api/jobs", body.as_bytes(), &good).await;
-        let Some((status, answer)) = answer else { return };
+        let answer = self
+            .repeat(Method::Post, "/api/jobs", body.as_bytes(), &good)
+            .await;
+        let Some((status, answer)) = answer else {
+            return;
+        };
         let now = self.clock.now();
         if status >= 400 {
             let what = format!("{status} {answer}");
             return self.note(&job.id, |j| j.broken.push(("refused", what)));
         }
-        self.latencies.borrow_mut().submissions.push((asked, now - asked));
+        self.latencies
+            .borrow_mut()
+            .submissions
+            .push((asked, now - asked));
         self.note(&job.id, |j| j.accepted = Some(now));
         let cancel_after = job.cancelled.then(|| {
             let most = (job.run_s * 1e6) as usize;
@@ -148,7 +158,10 @@
             match answer {
                 Some((200, body)) => {
                     heard = now;
-                    self.latencies.borrow_mut().questions.push((asked, now - asked));
+                    self.latencies
+                        .borrow_mut()
+                        .questions
+                        .push((asked, now - asked));
                     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
                     match body["status"].as_str() {
                         Some("done") => return self.note(&job.id, |j| j.told_done = Some(now)),
@@ -177,9 +190,14 @@
         let asked = self.clock.now();
         self.note(&job.id, |j| j.cancel_asked = Some(asked));
         let path = format!("/api/jobs/{}/cancel", job.id);
-        let Some((_, answer)) = self.repeat(Method::Post, &path, b"", &[200]).await else { return };
+        let Some((_, answer)) = self.repeat(Method::Post, &path, b"", &[200]).await else {
+            return;
+        };
         let now = self.clock.now();
-        self.latencies.borrow_mut().cancellations.push((asked, now - asked));
+        self.latencies
+            .borrow_mut()
+            .cancellations
+            .push((asked, now - asked));
         match answer["status"].as_str() {
             Some("cancelled") => self.note(&job.id, |j| j.told_cancelled = Some(now)),
             Some("done") => self.note(&job.id, |j| j.told_done = Some(now)),
@@ -208,10 +226,14 @@
             let path = format!("/api/jobs/{id}");
             let client = self.clients[self.draw(self.clients.len())].clone();
             let answer = client.call(Method::Get, &path, b"", POLL_PATIENCE).await;
-            let Some((status, body)) = answer else { continue };
+            let Some((status, body)) = answer else {
+                continue;
+            };
             let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
             if status == 404 {
-                self.note(&id, |j| j.broken.push(("forgotten", "404 at the end".into())));
+                self.note(&id, |j| {
+                    j.broken.push(("forgotten", "404 at the end".into()))
+                });
             }
             if let Some(expected) = expected.filter(|e| status == 200 && body["status"] != **e) {
                 let what = format!("once {expected}, then {}", body["status"]);
--- a/crates/gannethub-scale/tests/loopback.rs
+++ b/crates/gannethub-scale/tests/loopback.rs
@@ -20,8 +20,27 @@
     let file = dir.join(name);
     let load = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/small.toml");
     let output = Command::new(env!("CARGO_BIN_EXE_gannethub-scale"))
-        .args(["run", "--workers", "20", "--real", "2", "--controllers", "3", "--starts", "12"])
-        .args(["--running", "12", "--gang", "3", "--seconds", "24", "--warm-up", "10"])
+        .args([
+            "run",
+            "--workers",
+            "20",
+            "--real",
+            "2",
+            "--controllers",
+            "3",
+            "--starts",
+            "12",
+        ])
+        .args([
+            "--running",
+            "12",
+            "--gang",
+            "3",
+            "--seconds",
+            "24",
+            "--warm-up",
+            "10",
+        ])
         .args(["--load".as_ref(), load.as_os_str()])
         .args(["--program".as_ref(), controllers().as_os_str()])
         .args(["--report".as_ref(), file.as_os_str()])
@@ -31,7 +50,10 @@
     let said = String::from_utf8_lossy(&output.stderr);
     let text = std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{e}: {said}"));
     std::fs::remove_file(&file).expect("it was there");
-    (output.status.success(), serde_json::from_str(&text).expect("it is a report"))
+    (
+        output.status.success(),
+        serde_json::from_str(&text).expect("it is a report"),
+    )
 }
 
 #[test]
@@ -39,11 +61,28 @@
     let (passed, report) = run("plain.json", &[]);
     assert!(passed && report.broken.is_empty(), "{:?}", report.broken);
     assert_eq!(report.faults.len(), 2, "{:?}", report.faults);
-    for role in ["leader", "follower", "real worker", "hollow workers", "state service", "cloud"] {
-        assert!(report.roles[role].processes > 0 && report.roles[role].peak_mb > 0.5, "{role}");
+    for role in [
+        "leader",
+        "follower",
+        "real worker",
+        "hollow workers",
+        "state service",
+        "cloud",
+    ] {
+        assert!(
+            report.roles[role].processes > 0 && report.roles[role].peak_mb > 0.5,
+            "{role}"
+        );
     }
     let changes = &report.changes;
-    assert_eq!((changes.stored, changes.in_force.count, changes.acted_on_older), (3, 3, 0));
+    assert_eq!(
+        (
+            changes.stored,
+            changes.in_force.count,
+            changes.acted_on_older
+        ),
+        (3, 3, 0)
+    );
     assert!(report.reached.starts > 1.0 && report.state.changes > 0 && report.real.reports > 20);
     assert!(report.users["submission"].count > 10 && report.users["question"].count > 10);
     assert!(report.state.kinds["commit"].bytes_in > 0 && report.state.kinds["watch"].bytes_out > 0);
@@ -52,5 +91,9 @@
 #[test]
 fn a_worker_that_says_it_started_what_another_runs_is_caught() {
     let (passed, report) = run("pretend.json", &["--pretend"]);
-    assert!(!passed && report.rules["ran_twice"] > 0, "{:?}", report.rules);
+    assert!(
+        !passed && report.rules["ran_twice"] > 0,
+        "{:?}",
+        report.rules
+    );
 }
--- a/crates/gannethub-standin/src/cloud.rs
+++ b/crates/gannethub-standin/src/cloud.rs
@@ -73,7 +73,9 @@
             }
             "/rentals" => {
                 let now = site.now();
-                let listed = workers.values().filter(|w| now > w.rented_at + self.list_lag);
+                let listed = workers
+                    .values()
+                    .filter(|w| now > w.rented_at + self.list_lag);
                 let hosts: Vec<Value> = listed
                     .map(|w| {
                         let status = match (w.dead, now < w.boots_at) {
--- a/crates/gannethub-standin/src/record.rs
+++ b/crates/gannethub-standin/src/record.rs
@@ -18,7 +18,13 @@
 
 impl Span {
     fn new(began: u64) -> Span {
-        Span { began, ended: None, lost: false, stints: 1, before: 0 }
+        Span {
+            began,
+            ended: None,
+            lost: false,
+            stints: 1,
+            before: 0,
+        }
     }
 
     /// All time at its worker, once it has ended.
@@ -45,7 +51,11 @@
             if t.ended() {
                 span.ended.get_or_insert(now);
             } else if let Some(before) = span.time().filter(|_| !w.dead && !w.lease_over(now)) {
-                *span = Span { before, stints: span.stints + 1, ..Span::new(now) };
+                *span = Span {
+                    before,
+                    stints: span.stints + 1,
+                    ..Span::new(now)
+                };
             }
         }
         let gone = |(k, s): &(&SpanKey, &mut Span)| {
@@ -54,7 +64,11 @@
             s.ended.is_none() && (w.dead || !shown || w.lease_over(now))
         };
         let first = (w.name.clone(), String::new(), 0);
-        let own = self.spans.range_mut(first..).take_while(|(k, _)| k.0 == w.name);
-        own.filter(gone).for_each(|(_, s)| (s.ended, s.lost) = (Some(now), true));
+        let own = self
+            .spans
+            .range_mut(first..)
+            .take_while(|(k, _)| k.0 == w.name);
+        own.filter(gone)
+            .for_each(|(_, s)| (s.ended, s.lost) = (Some(now), true));
     }
 }
--- a/crates/gannethub-standin/src/state.rs
+++ b/crates/gannethub-standin/src/state.rs
@@ -55,12 +55,20 @@
 /// What a request comes to: an answer, or a watch that waits.
 pub enum Outcome {
     Answer(u16, Value),
-    Wait { prefix: String, after: u64, until: u64 },
+    Wait {
+        prefix: String,
+        after: u64,
+        until: u64,
+    },
 }
 
 impl State {
     pub fn new(value: usize, changes: usize) -> State {
-        State { limits: (value, changes), page: 5, ..State::default() }
+        State {
+            limits: (value, changes),
+            page: 5,
+            ..State::default()
+        }
     }
 
     fn change(&mut self, key: &str, value: Option<(Value, Option<u64>)>) {
@@ -68,7 +76,14 @@
         match value {
             Some((value, grant)) => {
                 self.log.push((revision, key.into(), Some(value.clone())));
-                self.entries.insert(key.into(), Entry { value, stamp: revision, grant });
+                self.entries.insert(
+                    key.into(),
+                    Entry {
+                        value,
+                        stamp: revision,
+                        grant,
+                    },
+                );
             }
             None => {
                 if self.entries.remove(key).is_some() {
@@ -98,7 +113,12 @@
             self.grants.values_mut().for_each(|g| g.1 = now + g.0);
             return;
         }
-        let over: Vec<u64> = self.grants.iter().filter(|(_, g)| g.1 <= now).map(|g| *g.0).collect();
+        let over: Vec<u64> = self
+            .grants
+            .iter()
+            .filter(|(_, g)| g.1 <= now)
+            .map(|g| *g.0)
+            .collect();
         over.into_iter().for_each(|id| self.end_grant(id));
     }
 
@@ -112,14 +132,19 @@
                 None => json!({"delete": k, "stamp": r}),
             })
             .collect();
-        let log = if self.unordered { log.into_iter().rev().collect() } else { log };
+        let log = if self.unordered {
+            log.into_iter().rev().collect()
+        } else {
+            log
+        };
         (!log.is_empty()).then(|| json!({"ledger_no": self.revision, "log": log}))
     }
 
     /// Changes after this version are not kept any more.
     fn forgotten(&self, after: u64) -> bool {
         let gone = self.keeps.and_then(|n| self.log.len().checked_sub(n + 1));
-        gone.and_then(|i| self.log.get(i)).is_some_and(|(r, _, _)| *r > after)
+        gone.and_then(|i| self.log.get(i))
+            .is_some_and(|(r, _, _)| *r > after)
     }
 
     pub fn quiet(&self) -> Value {
@@ -132,13 +157,20 @@
         if self.down {
             return Outcome::Answer(503, json!({"error": "down"}));
         }
-        if self.request_rate.is_some_and(|rate| !take(&mut self.requests_left, rate, 1.0, now)) {
+        if self
+            .request_rate
+            .is_some_and(|rate| !take(&mut self.requests_left, rate, 1.0, now))
+        {
             self.too_many += 1;
             return Outcome::Answer(429, json!({"error": "too many"}));
         }
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let arg = |name: &str| {
-            query.split('&').filter_map(|p| p.split_once('=')).find(|p| p.0 == name).map(|p| p.1)
+            query
+                .split('&')
+                .filter_map(|p| p.split_once('='))
+                .find(|p| p.0 == name)
+                .map(|p| p.1)
         };
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (status, answer) = match (method, path) {
@@ -153,13 +185,22 @@
                     return Outcome::Answer(200, changes);
                 }
                 let block: u64 = arg("block_ms").and_then(|b| b.parse().ok()).unwrap_or(0);
-                return Outcome::Wait { prefix, after, until: now + block * 1000 };
+                return Outcome::Wait {
+                    prefix,
+                    after,
+                    until: now + block * 1000,
+                };
             }
             ("GET", "/kv") => {
                 let (prefix, from) = (arg("starts").unwrap_or(""), arg("from").unwrap_or(""));
-                let asked = arg("page").and_then(|p| p.parse().ok()).unwrap_or(usize::MAX);
+                let asked = arg("page")
+                    .and_then(|p| p.parse().ok())
+                    .unwrap_or(usize::MAX);
                 let first = prefix.max(from).to_string();
-                let keys = self.entries.range(first..).take_while(|(k, _)| k.starts_with(prefix));
+                let keys = self
+                    .entries
+                    .range(first..)
+                    .take_while(|(k, _)| k.starts_with(prefix));
                 let mut keys = keys.filter(|(k, _)| k.as_str() > from);
                 let page: Vec<Value> = keys
                     .by_ref()
@@ -169,12 +210,18 @@
                     )
                     .collect();
                 let more = keys.next().is_some();
-                (200, json!({"items": page, "truncated": more, "ledger_no": self.revision}))
+                (
+                    200,
+                    json!({"items": page, "truncated": more, "ledger_no": self.revision}),
+                )
             }
             ("GET", p) => match self.entries.get(p.trim_start_matches("/kv/")) {
                 Some(e) => {
                     let key = p.trim_start_matches("/kv/");
-                    (200, json!({"k": key, "v": e.value, "stamp": e.stamp, "permit": e.grant}))
+                    (
+                        200,
+                        json!({"k": key, "v": e.value, "stamp": e.stamp, "permit": e.grant}),
+                    )
                 }
                 None => (404, json!({"ledger_no": self.revision})),
             },
@@ -190,7 +237,10 @@
             }
             ("POST", "/commit") => self.commit(&body),
             ("POST", p) => {
-                let id = p.trim_start_matches("/grants/").trim_end_matches("/renew").parse();
+                let id = p
+                    .trim_start_matches("/grants/")
+                    .trim_end_matches("/renew")
+                    .parse();
                 match id.ok().and_then(|id: u64| self.grants.get_mut(&id)) {
                     Some(g) => {
                         g.1 = now + g.0;
@@ -222,7 +272,10 @@
         let guards = body["guards"].as_array().unwrap_or(&empty);
         let writes = body["writes"].as_array().unwrap_or(&empty);
         for w in writes {
-            if w["permit"].as_u64().is_some_and(|g| !self.grants.contains_key(&g)) {
+            if w["permit"]
+                .as_u64()
+                .is_some_and(|g| !self.grants.contains_key(&g))
+            {
                 return (400, json!({"error": "no such lease"}));
             }
         }
@@ -289,6 +342,10 @@
 
     /// Keys with a prefix, for the tests to look at.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        self.entries.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
+        self.entries
+            .keys()
+            .filter(|k| k.starts_with(prefix))
+            .cloned()
+            .collect()
     }
 }
--- a/crates/gannethub-standin/src/worker.rs
+++ b/crates/gannethub-standin/src/worker.rs
@@ -59,7 +59,11 @@
     }
     /// Where a worker takes commands.
     fn addr(&self, worker: &str) -> String {
-        let n: u32 = worker.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+        let n: u32 = worker
+            .rsplit('-')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
         format!("10.9.{}.{}:9000", n / 250 % 250, n % 250 + 1)
     }
     /// Sends a worker's report; the answer goes to [`Worker::answered`].
@@ -190,7 +194,9 @@
         let running = |t: &&Task| !(t.ended() || t.gang && t.phase == Phase::Running);
         let tasks = self.tasks.values().filter(running).map(|t| t.until).min();
         let lease = self.lease_from.saturating_add(self.lease) + 1;
-        own.min(lease).min(tasks.unwrap_or(u64::MAX)).max(self.boots_at)
+        own.min(lease)
+            .min(tasks.unwrap_or(u64::MAX))
+            .max(self.boots_at)
     }
 
     pub fn step(&mut self, site: &mut dyn Site) {
@@ -207,7 +213,9 @@
         let names: Vec<String> = self.tasks.keys().cloned().collect();
         let mut changed = false;
         for name in names {
-            let Some(t) = self.tasks.get_mut(&name) else { continue };
+            let Some(t) = self.tasks.get_mut(&name) else {
+                continue;
+            };
             if now < t.until {
                 continue;
             }
@@ -225,7 +233,11 @@
                         t.until = now + site.gang_wait();
                     } else {
                         t.phase = Phase::Running;
-                        t.until = if known { now } else { now + site.run_time(&facts) };
+                        t.until = if known {
+                            now
+                        } else {
+                            now + site.run_time(&facts)
+                        };
                         if t.service {
                             t.until = u64::MAX;
                         }
@@ -359,7 +371,9 @@
                 if held.is_some_and(|h| h.0 == attempt) {
                     return;
                 }
-                let Some(facts) = site.job(job_of(&name)) else { return };
+                let Some(facts) = site.job(job_of(&name)) else {
+                    return;
+                };
                 // A task that ended under another attempt makes way; one that has not refuses.
                 if held.is_some_and(|h| !h.1) {
                     return;
@@ -414,24 +428,40 @@
     for w in workers.values().filter(|w| !w.dead) {
         for t in w.tasks.values().filter(|t| t.gang && !t.ended()) {
             let job = job_of(&t.name).to_string();
-            gangs.entry((job, t.attempt)).or_default().push((w.name.clone(), t.name.clone()));
+            gangs
+                .entry((job, t.attempt))
+                .or_default()
+                .push((w.name.clone(), t.name.clone()));
         }
     }
     for ((job, _), members) in gangs {
-        let Some(facts) = site.job(&job) else { continue };
+        let Some(facts) = site.job(&job) else {
+            continue;
+        };
         let whole = members.len() == facts.tasks as usize;
         let phase = |(w, t): &(String, String)| {
-            workers.get(w).and_then(|w| w.tasks.get(t)).map(|t| (t.phase, t.until))
+            workers
+                .get(w)
+                .and_then(|w| w.tasks.get(t))
+                .map(|t| (t.phase, t.until))
         };
-        let ready = members.iter().all(|m| phase(m).is_some_and(|p| p.0 == Phase::Waiting));
+        let ready = members
+            .iter()
+            .all(|m| phase(m).is_some_and(|p| p.0 == Phase::Waiting));
         let run = site.run_time(&facts);
         // A hung machine holds the whole gang up, and the others leave after a while.
-        let moving = members.iter().all(|(w, _)| workers.get(w).is_some_and(|w| !w.hung(now)));
+        let moving = members
+            .iter()
+            .all(|(w, _)| workers.get(w).is_some_and(|w| !w.hung(now)));
         let ran = |m| phase(m).is_some_and(|p| p.0 == Phase::Running && now >= p.1);
         let over = whole && moving && members.iter().all(ran);
         for (w, t) in members {
-            let Some(worker) = workers.get_mut(&w) else { continue };
-            let Some(task) = worker.tasks.get_mut(&t) else { continue };
+            let Some(worker) = workers.get_mut(&w) else {
+                continue;
+            };
+            let Some(task) = worker.tasks.get_mut(&t) else {
+                continue;
+            };
             let before = task.phase;
             if whole && ready {
                 task.phase = Phase::Running;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -77,7 +77,12 @@
     #[error("{0}")]
     Config(#[from] ConfigError),
     #[error("{file}:{line}: {field}: {reason}")]
-    Field { file: String, line: usize, field: String, reason: String },
+    Field {
+        file: String,
+        line: usize,
+        field: String,
+        reason: String,
+    },
     #[error("{0}: {1}")]
     Parse(String, Box<toml::de::Error>),
     #[error("no controller of {0:?} tells which version is in force; nothing was changed")]
@@ -93,12 +98,18 @@
     #[error(
         "version {version} is not known to be in force everywhere after {seconds} s: not at {missing:?}"
     )]
-    NotInForce { version: u64, seconds: u64, missing: Vec<String> },
+    NotInForce {
+        version: u64,
+        seconds: u64,
+        missing: Vec<String>,
+    },
 }
 
 /// Carries out a command, and prints what comes of it.
 pub fn run(args: ConfigArgs) -> Result<(), CommandError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, command(args))
 }
 
@@ -107,11 +118,20 @@
     if let Some(file) = &args.policy {
         base.policy = files::policy(file)?;
     }
-    let controllers =
-        if args.controllers.is_empty() { vec![base.listen] } else { args.controllers };
+    let controllers = if args.controllers.is_empty() {
+        vec![base.listen]
+    } else {
+        args.controllers
+    };
     let client = Client::new(base.state);
-    let store = ConfigStore { client: &client, base: &base };
-    let change = Change { store: &store, controllers: &controllers };
+    let store = ConfigStore {
+        client: &client,
+        base: &base,
+    };
+    let change = Change {
+        store: &store,
+        controllers: &controllers,
+    };
     match args.command {
         ConfigCommand::Check { file } => {
             let document = read(&file, &base)?;
@@ -124,11 +144,23 @@
             print!("{}", show::differences(&current.document, &next, &base));
         }
         ConfigCommand::History => print!("{}", show::history(&store.current().await?.history)),
-        ConfigCommand::Apply { file, why, by, wait } => {
+        ConfigCommand::Apply {
+            file,
+            why,
+            by,
+            wait,
+        } => {
             let wanted = read(&file, &base)?;
-            change.make(store.current().await?, wanted, author(by, why), wait).await?;
+            change
+                .make(store.current().await?, wanted, author(by, why), wait)
+                .await?;
         }
-        ConfigCommand::Rollback { version, why, by, wait } => {
+        ConfigCommand::Rollback {
+            version,
+            why,
+            by,
+            wait,
+        } => {
             let current = store.current().await?;
             let wanted = store.kept(&current, version).await?;
             change.make(current, wanted, author(by, why), wait).await?;
@@ -156,7 +188,10 @@
         println!("version {} is stored", record.version);
         if wait {
             let took = wait::in_force(self.controllers, record.version).await?;
-            println!("version {} is in force everywhere after {took:.1} s", record.version);
+            println!(
+                "version {} is in force everywhere after {took:.1} s",
+                record.version
+            );
         }
         Ok(())
     }
@@ -164,8 +199,15 @@
 
 fn author(by: Option<String>, why: String) -> Author {
     let user = || std::env::var("USER").unwrap_or_else(|_| "unknown".into());
-    let at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-    Author { by: by.unwrap_or_else(user), why, at, nonce: rand::random() }
+    let at = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64);
+    Author {
+        by: by.unwrap_or_else(user),
+        why,
+        at,
+        nonce: rand::random(),
+    }
 }
 
 /// Reads and checks an operators' file.
@@ -181,7 +223,12 @@
         Ok(_) => Ok(document),
         Err(DocumentError { field, reason }) => {
             let line = line_of(text, &field);
-            Err(CommandError::Field { file: file.into(), line, field, reason })
+            Err(CommandError::Field {
+                file: file.into(),
+                line,
+                field,
+                reason,
+            })
         }
     }
 }
@@ -194,14 +241,22 @@
     let lines = || text.lines().enumerate();
     let begins = |line: &str| {
         let line = line.trim_start();
-        line.strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with('='))
+        line.strip_prefix(key)
+            .is_some_and(|rest| rest.trim_start().starts_with('='))
     };
     let Ok(index) = index.parse::<usize>() else {
         return lines().find(|(_, l)| begins(l)).map_or(1, |(i, _)| i + 1);
     };
-    let Some((start, _)) = lines().filter(|(_, l)| l.trim() == header).nth(index) else { return 1 };
-    let inside = lines().skip(start + 1).take_while(|(_, l)| !l.trim_start().starts_with('['));
-    inside.into_iter().find(|(_, l)| begins(l)).map_or(start + 1, |(i, _)| i + 1)
+    let Some((start, _)) = lines().filter(|(_, l)| l.trim() == header).nth(index) else {
+        return 1;
+    };
+    let inside = lines()
+        .skip(start + 1)
+        .take_while(|(_, l)| !l.trim_start().starts_with('['));
+    inside
+        .into_iter()
+        .find(|(_, l)| begins(l))
+        .map_or(start + 1, |(i, _)| i + 1)
 }
 
 #[cfg(test)]
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -12,13 +12,19 @@
 
 fn table(head: &[&str]) -> Table {
     let mut table = Table::new();
-    table.load_preset(comfy_table::presets::NOTHING).set_header(head);
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(head);
     table
 }
 
 /// A limit of 0 is none.
 fn limit(x: f64) -> String {
-    if x == 0.0 { "none".into() } else { x.to_string() }
+    if x == 0.0 {
+        "none".into()
+    } else {
+        x.to_string()
+    }
 }
 
 fn row(team: &TeamEntry, from: &str) -> [String; 6] {
@@ -49,13 +55,30 @@
             None => teams.add_row(row(&TeamEntry::of(team), "the platform's file")),
         };
     }
-    for entry in document.teams.iter().filter(|t| base.team(&t.name).is_none()) {
+    for entry in document
+        .teams
+        .iter()
+        .filter(|t| base.team(&t.name).is_none())
+    {
         teams.add_row(row(entry, &from_version));
     }
-    let from = |there: bool| if there { from_version.as_str() } else { "the platform's file" };
-    let count = document.objectives.as_ref().map_or(base.objectives.len(), Vec::len);
+    let from = |there: bool| {
+        if there {
+            from_version.as_str()
+        } else {
+            "the platform's file"
+        }
+    };
+    let count = document
+        .objectives
+        .as_ref()
+        .map_or(base.objectives.len(), Vec::len);
     let mut text = format!("{version}\n{teams}\n");
-    let _ = writeln!(text, "{count} objectives, from {}", from(document.objectives.is_some()));
+    let _ = writeln!(
+        text,
+        "{count} objectives, from {}",
+        from(document.objectives.is_some())
+    );
     match &document.policy {
         Some(policy) => {
             let _ = writeln!(text, "policy, from {from_version}:\n{}", policy.trim_end());
@@ -72,15 +95,21 @@
         let own = d.teams.iter().find(|t| t.name == name).cloned();
         own.or_else(|| base.team(name).map(|i| TeamEntry::of(&base.teams[i])))
     };
-    let names: BTreeSet<&str> =
-        now.teams.iter().chain(&next.teams).map(|t| t.name.as_str()).collect();
+    let names: BTreeSet<&str> = now
+        .teams
+        .iter()
+        .chain(&next.teams)
+        .map(|t| t.name.as_str())
+        .collect();
     for name in names {
         let (before, after) = (entry(now, name), entry(next, name));
         if before == after {
             continue;
         }
         let told = |team: Option<TeamEntry>| {
-            team.map_or("not there".to_string(), |t| row(&t, "")[1..].join(" ").trim().to_string())
+            team.map_or("not there".to_string(), |t| {
+                row(&t, "")[1..].join(" ").trim().to_string()
+            })
         };
         let _ = writeln!(text, "team {name}: {} -> {}", told(before), told(after));
     }
@@ -91,7 +120,11 @@
         let _ = writeln!(text, "policy: {:?} -> {:?}", now.policy, next.policy);
     }
     if now.over_limit != next.over_limit {
-        let _ = writeln!(text, "over_limit: {:?} -> {:?}", now.over_limit, next.over_limit);
+        let _ = writeln!(
+            text,
+            "over_limit: {:?} -> {:?}",
+            now.over_limit, next.over_limit
+        );
     }
     if text.is_empty() {
         text += "no difference\n";
@@ -122,9 +155,19 @@
     #[test]
     fn where_values_come_from_and_what_would_change_is_told() {
         let base = base();
-        let blue = TeamEntry { name: "blue".into(), cpus: 1.0, ..TeamEntry::default() };
-        let document = Document { teams: vec![blue], ..Document::default() };
-        let current = Current { document: document.clone(), ..Current::default() };
+        let blue = TeamEntry {
+            name: "blue".into(),
+            cpus: 1.0,
+            ..TeamEntry::default()
+        };
+        let document = Document {
+            teams: vec![blue],
+            ..Document::default()
+        };
+        let current = Current {
+            document: document.clone(),
+            ..Current::default()
+        };
         let shown = all(&current, &base);
         let begins = |l: &&str, name: &str| l.trim_start().starts_with(name);
         let line = |name: &str| shown.lines().find(|l| begins(l, name)).unwrap().to_string();
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -49,7 +49,11 @@
     #[error("{0} holds no version; it was changed by something else")]
     NotOurs(&'static str),
     #[error("version {version} by {by} came between: {why}")]
-    Conflict { version: u64, by: String, why: String },
+    Conflict {
+        version: u64,
+        by: String,
+        why: String,
+    },
     #[error("version {0} is not kept any more")]
     Unknown(u64),
     #[error("the document of version {0}: {1}")]
@@ -100,7 +104,11 @@
     async fn ask(&self, request: &StoreRequest) -> Result<(u16, Bytes), ConfigError> {
         let mut last = None;
         for _ in 0..TRIES {
-            match self.client.call(request.method, &request.path, &request.body).await {
+            match self
+                .client
+                .call(request.method, &request.path, &request.body)
+                .await
+            {
                 Some((status, body)) if status != 429 && status < 500 => return Ok((status, body)),
                 answer => last = answer.map(|a| a.0).or(last),
             }
@@ -126,7 +134,9 @@
             current.history = item.record().ok_or(ConfigError::NotOurs(HISTORY))?;
             current.history_stamp = item.stamp;
         }
-        let Some(item) = self.get(CURRENT).await? else { return Ok(current) };
+        let Some(item) = self.get(CURRENT).await? else {
+            return Ok(current);
+        };
         let record: VersionRecord = item.record().ok_or(ConfigError::NotOurs(CURRENT))?;
         current.stamp = item.stamp;
         current.document = self.document(&record).await?;
@@ -153,8 +163,13 @@
         if version == 0 {
             return Ok(Document::default());
         }
-        let record = current.history.versions.iter().find(|v| v.version == version);
-        self.document(record.ok_or(ConfigError::Unknown(version))?).await
+        let record = current
+            .history
+            .versions
+            .iter()
+            .find(|v| v.version == version);
+        self.document(record.ok_or(ConfigError::Unknown(version))?)
+            .await
     }
 
     /// Makes a document the next version after `current`, and returns that.
@@ -187,11 +202,16 @@
         record: &VersionRecord,
         parts: &[Document],
     ) -> Result<(), ConfigError> {
-        let keys: Vec<(String, &Document)> =
-            parts.iter().enumerate().map(|(i, part)| (record.part_key(i), part)).collect();
+        let keys: Vec<(String, &Document)> = parts
+            .iter()
+            .enumerate()
+            .map(|(i, part)| (record.part_key(i), part))
+            .collect();
         for batch in keys.chunks(self.base.txn_ops.max(1)) {
             let mut commit = Commit::default();
-            batch.iter().for_each(|(key, part)| commit.put(key, raw(part), None));
+            batch
+                .iter()
+                .for_each(|(key, part)| commit.put(key, raw(part), None));
             let request = commit.request();
             match self.ask(&request).await? {
                 (200, _) => {}
@@ -231,14 +251,21 @@
         let holds: Option<VersionRecord> = item.and_then(|i| i.record());
         // Others may have followed it since.
         let ours = |v: &VersionRecord| v.id == record.id;
-        let history = self.get(HISTORY).await?.and_then(|i| i.record::<HistoryRecord>());
+        let history = self
+            .get(HISTORY)
+            .await?
+            .and_then(|i| i.record::<HistoryRecord>());
         if holds.as_ref().is_some_and(ours) || history.is_some_and(|h| h.versions.iter().any(ours))
         {
             return Ok(());
         }
         self.clean_up(std::slice::from_ref(record)).await;
         match holds {
-            Some(v) => Err(ConfigError::Conflict { version: v.version, by: v.by, why: v.why }),
+            Some(v) => Err(ConfigError::Conflict {
+                version: v.version,
+                by: v.by,
+                why: v.why,
+            }),
             None => Err(ConfigError::NotOurs(CURRENT)),
         }
     }
@@ -246,13 +273,17 @@
     /// Deletes the documents of versions that are not kept. What is left over does no harm.
     async fn clean_up(&self, versions: &[VersionRecord]) {
         for version in versions {
-            let keys: Vec<String> =
-                (0..version.parts as usize).map(|i| version.part_key(i)).collect();
+            let keys: Vec<String> = (0..version.parts as usize)
+                .map(|i| version.part_key(i))
+                .collect();
             for batch in keys.chunks(self.base.txn_ops.max(1)) {
                 let mut commit = Commit::default();
                 batch.iter().for_each(|key| commit.delete(key));
                 let request = commit.request();
-                let _ = self.client.call(request.method, &request.path, &request.body).await;
+                let _ = self
+                    .client
+                    .call(request.method, &request.path, &request.body)
+                    .await;
             }
         }
     }
--- a/src/config/wait.rs
+++ b/src/config/wait.rs
@@ -36,7 +36,9 @@
 async fn ask(controllers: &[SocketAddrV4]) -> Vec<Told> {
     let mut told = Vec::new();
     for addr in controllers {
-        let answer = Client::new(*addr).call(Method::Get, "/api/config", b"", PATIENCE).await;
+        let answer = Client::new(*addr)
+            .call(Method::Get, "/api/config", b"", PATIENCE)
+            .await;
         let body = answer.filter(|a| a.0 == 200).map(|a| a.1);
         told.extend(body.and_then(|b| serde_json::from_slice::<Told>(&b).ok()));
     }
@@ -50,9 +52,16 @@
         return Err(CommandError::NoController(controllers.to_vec()));
     }
     let newest = newest(&told);
-    let old: Vec<String> =
-        newest.into_iter().filter(|(_, v)| v.is_none()).map(|(name, _)| name).collect();
-    if old.is_empty() { Ok(()) } else { Err(CommandError::OldControllers(old)) }
+    let old: Vec<String> = newest
+        .into_iter()
+        .filter(|(_, v)| v.is_none())
+        .map(|(name, _)| name)
+        .collect();
+    if old.is_empty() {
+        Ok(())
+    } else {
+        Err(CommandError::OldControllers(old))
+    }
 }
 
 /// The newest version that anybody tells of each controller.
@@ -72,7 +81,10 @@
     let mut missing = Vec::new();
     while began.elapsed() < LONGEST {
         let told = ask(controllers).await;
-        let refused = told.iter().filter(|t| t.newest == version).find_map(|t| t.refused.clone());
+        let refused = told
+            .iter()
+            .filter(|t| t.newest == version)
+            .find_map(|t| t.refused.clone());
         if let Some(reason) = refused {
             return Err(CommandError::CannotUse { version, reason });
         }
@@ -82,13 +94,23 @@
             nodes.into_iter().any(|n| n.heard && n.name == *name)
         };
         let behind = |v: &Option<u64>| v.is_none_or(|v| v < version);
-        missing = newest.iter().filter(|(_, v)| behind(v)).map(|(n, _)| n.clone()).collect();
+        missing = newest
+            .iter()
+            .filter(|(_, v)| behind(v))
+            .map(|(n, _)| n.clone())
+            .collect();
         let fenced = began.elapsed() >= EVERYWHERE && !missing.iter().any(heard);
         if !told.is_empty() && (missing.is_empty() || fenced) {
-            missing.iter().for_each(|n| println!("not heard from {n}, which starts nothing"));
+            missing
+                .iter()
+                .for_each(|n| println!("not heard from {n}, which starts nothing"));
             return Ok(began.elapsed().as_secs_f64());
         }
         sleep(PAUSE).await;
     }
-    Err(CommandError::NotInForce { version, seconds: LONGEST.as_secs(), missing })
+    Err(CommandError::NotInForce {
+        version,
+        seconds: LONGEST.as_secs(),
+        missing,
+    })
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -33,7 +33,9 @@
 
 /// Runs a controller until the process is killed.
 pub fn run(settings: Settings) -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let local = tokio::task::LocalSet::new();
     // The owner is a task like the others: a future outside of them is polled once in a turn of the runtime, so
     // that each command would cost a turn, and a look at the sockets, to be taken and another to be answered.
@@ -56,11 +58,20 @@
     tracing::info!(name = %settings.name, listen = %settings.listen, "started");
     let bodies = Bodies::new(settings.memory / BODIES_OF_MEMORY);
     let most = settings.max_connections;
-    spawn_local(accept_users(users, queue.clone(), replies.clone(), bodies, most));
+    spawn_local(accept_users(
+        users,
+        queue.clone(),
+        replies.clone(),
+        bodies,
+        most,
+    ));
     spawn_local(peers::accept(cluster, queue.clone()));
     let window = Duration::from_micros(settings.report / RELAYS_A_REPORT);
-    let siblings: Vec<mpsc::Sender<Envelope>> =
-        settings.siblings.iter().map(|s| peers::connect(SocketAddr::V4(s.addr), window)).collect();
+    let siblings: Vec<mpsc::Sender<Envelope>> = settings
+        .siblings
+        .iter()
+        .map(|s| peers::connect(SocketAddr::V4(s.addr), window))
+        .collect();
     let state = Rc::new(Client::new(settings.state));
     let cloud = Rc::new(Client::new(settings.cloud));
     let direct = Arc::new(Semaphore::new(MOST_DIRECT));
@@ -89,17 +100,23 @@
                 Effect::Cloud { id, request: r } => {
                     let (client, queue) = (cloud.clone(), queue.clone());
                     spawn_local(async move {
-                        let answer = client.call(r.method, &r.path, &r.body, CLOUD_PATIENCE).await;
+                        let answer = client
+                            .call(r.method, &r.path, &r.body, CLOUD_PATIENCE)
+                            .await;
                         let _ = queue.send(Command::Cloud { id, answer }).await;
                     });
                 }
                 Effect::Worker { addr, body } => {
                     // More at once than there are sockets for are left to the next answers.
-                    let Ok(slot) = direct.clone().try_acquire_owned() else { continue };
+                    let Ok(slot) = direct.clone().try_acquire_owned() else {
+                        continue;
+                    };
                     spawn_local(async move {
                         let client = Client::new(addr);
                         let path = "/commands";
-                        let _ = client.call(Method::Post, path, &body, WORKER_PATIENCE).await;
+                        let _ = client
+                            .call(Method::Post, path, &body, WORKER_PATIENCE)
+                            .await;
                         drop(slot);
                     });
                 }
@@ -125,7 +142,9 @@
     let slots = Arc::new(Semaphore::new(max.saturating_sub(48).max(16)));
     let ids = Rc::new(Cell::new(1u64));
     loop {
-        let Ok(slot) = slots.clone().acquire_owned().await else { return };
+        let Ok(slot) = slots.clone().acquire_owned().await else {
+            return;
+        };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
@@ -156,7 +175,11 @@
         ids.set(conn + 1);
         let (reply, answer) = oneshot::channel();
         replies.borrow_mut().insert(conn, reply);
-        if queue.send(Command::Request { conn, request }).await.is_err() {
+        if queue
+            .send(Command::Request { conn, request })
+            .await
+            .is_err()
+        {
             return;
         }
         let response = match timeout(Duration::from_secs(10), answer).await {
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -116,7 +116,9 @@
         for w in body["writes"].as_array().into_iter().flatten() {
             let id = w["write"].as_str().and_then(|k| k.strip_prefix("gh/live/"));
             let record = id.and_then(|_| LiveRecord::parse(&w["v"].to_string()).ok());
-            let (Some(id), Some(LiveRecord::Job(record))) = (id, record) else { continue };
+            let (Some(id), Some(LiveRecord::Job(record))) = (id, record) else {
+                continue;
+            };
             let spec = record.spec;
             use gannethub_core::model::Shape;
             let facts = JobFacts {
@@ -160,7 +162,10 @@
             Command::Direct(asked) => {
                 // All workers are at one address here. An attempt is on one of them.
                 let tasks: Value = serde_json::from_slice(&asked.body).unwrap_or(Value::Null);
-                let piece = tasks["orders"][0]["piece"].as_str().unwrap_or("").to_string();
+                let piece = tasks["orders"][0]["piece"]
+                    .as_str()
+                    .unwrap_or("")
+                    .to_string();
                 let holds = |w: &&Worker| !w.hung(now) && w.tasks.contains_key(&piece);
                 let name = self.workers.values().find(holds).map(|w| w.name.clone());
                 let worker = name.and_then(|n| self.workers.remove(&n));
@@ -172,8 +177,15 @@
                 });
                 asked.answer(status, json!({}));
             }
-            Command::Answer { worker, node, sent, answer } => {
-                let Some(mut w) = self.workers.remove(&worker) else { return };
+            Command::Answer {
+                worker,
+                node,
+                sent,
+                answer,
+            } => {
+                let Some(mut w) = self.workers.remove(&worker) else {
+                    return;
+                };
                 // Nothing came: the worker finds that out by its own clock.
                 if let Some((status, body)) = answer.filter(|_| !w.hung(now)) {
                     w.answered(self, node, sent, status, &body);
@@ -183,7 +195,10 @@
             }
             Command::Outage(down) => self.state.state.down = down,
             Command::Kill => {
-                let busy = self.workers.values_mut().filter(|w| !w.dead && !w.tasks.is_empty());
+                let busy = self
+                    .workers
+                    .values_mut()
+                    .filter(|w| !w.dead && !w.tasks.is_empty());
                 if let Some(w) = busy.last() {
                     w.dead = true;
                     w.tasks.clear();
@@ -204,7 +219,9 @@
         self.state.tick(now);
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let Some(mut w) = self.workers.remove(&name) else { continue };
+            let Some(mut w) = self.workers.remove(&name) else {
+                continue;
+            };
             w.step(self);
             self.record.note(&w, now);
             self.workers.insert(name, w);
@@ -255,11 +272,22 @@
     }
 
     fn send(&mut self, worker: &str, node: usize, body: String) {
-        let Some(client) = self.nodes.get(node).cloned() else { return };
+        let Some(client) = self.nodes.get(node).cloned() else {
+            return;
+        };
         let (worker, sent, queue) = (worker.to_string(), self.now(), self.queue.clone());
         spawn_local(async move {
-            let answer = client.call(Method::Post, "/v1/report", body.as_bytes(), PATIENCE).await;
-            let _ = queue.send(Command::Answer { worker, node, sent, answer }).await;
+            let answer = client
+                .call(Method::Post, "/v1/report", body.as_bytes(), PATIENCE)
+                .await;
+            let _ = queue
+                .send(Command::Answer {
+                    worker,
+                    node,
+                    sent,
+                    answer,
+                })
+                .await;
         });
     }
 
@@ -344,14 +372,19 @@
     }
     let keys = dir.join("ledger.keys");
     files::make_key(&keys, false)?;
-    let text = format!("keys = {:?}\nhalf_life_s = 600.0\n", keys.display().to_string());
+    let text = format!(
+        "keys = {:?}\nhalf_life_s = 600.0\n",
+        keys.display().to_string()
+    );
     std::fs::write(dir.join("ledger.toml"), text)?;
     Ok(())
 }
 
 /// Runs a cluster until ctrl-c, or until its load is over.
 pub fn run(args: &DevArgs) -> Result<(), DevError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, cluster(args))
 }
@@ -366,8 +399,9 @@
     let (state_port, cloud_port) = (state.local_addr()?.port(), cloud.local_addr()?.port());
     let ports = free_ports(2 * n)?;
     write_settings(&dir, &ports, state_port, cloud_port)?;
-    let addrs: Vec<SocketAddrV4> =
-        (0..n).map(|i| SocketAddrV4::new(Ipv4Addr::LOCALHOST, ports[2 * i])).collect();
+    let addrs: Vec<SocketAddrV4> = (0..n)
+        .map(|i| SocketAddrV4::new(Ipv4Addr::LOCALHOST, ports[2 * i]))
+        .collect();
     let (queue, mut commands) = mpsc::channel(4096);
     let mut store = State::new(16 * 1024, 16);
     store.page = 200;
@@ -386,7 +420,12 @@
         nodes: addrs.iter().map(|a| Rc::new(Client::new(*a))).collect(),
         queue: queue.clone(),
     };
-    spawn_local(serve(workers, queue.clone(), Duration::ZERO, Command::Direct));
+    spawn_local(serve(
+        workers,
+        queue.clone(),
+        Duration::ZERO,
+        Command::Direct,
+    ));
     spawn_local(serve(state, queue.clone(), Duration::ZERO, Command::State));
     spawn_local(serve(cloud, queue.clone(), Duration::ZERO, Command::Cloud));
     spawn_local(async move {
@@ -397,13 +436,18 @@
             region.tick();
         }
     });
-    let mut controllers =
-        Controllers { dir: dir.clone(), children: (0..n).map(|_| None).collect() };
+    let mut controllers = Controllers {
+        dir: dir.clone(),
+        children: (0..n).map(|_| None).collect(),
+    };
     for i in 0..n {
         controllers.start(i)?;
     }
     println!("state service 127.0.0.1:{state_port}, cloud 127.0.0.1:{cloud_port} (stand-ins)");
-    addrs.iter().enumerate().for_each(|(i, a)| println!("controller n{i} http://{a}"));
+    addrs
+        .iter()
+        .enumerate()
+        .for_each(|(i, a)| println!("controller n{i} http://{a}"));
     println!("settings, keys and logs in {}", dir.display());
     match args.load {
         Some(jobs) => {
@@ -497,7 +541,13 @@
         }
     }
     for id in &services {
-        ask(&clients, Method::Post, &format!("/api/jobs/{id}/cancel"), "").await?;
+        ask(
+            &clients,
+            Method::Post,
+            &format!("/api/jobs/{id}/cancel"),
+            "",
+        )
+        .await?;
     }
     for i in 1..=jobs {
         let until = Instant::now() + Duration::from_secs(120);
@@ -531,19 +581,26 @@
                 unknown.insert(g.machine.clone());
             }
             Body::Took(t) if !t.complete && t.term > 1 => {
-                println!("{} took over and did not know of all that was open", t.holder);
+                println!(
+                    "{} took over and did not know of all that was open",
+                    t.holder
+                );
             }
             _ => {}
         }
         let Body::Charge(c) = line.body else { continue };
         for e in c.entries {
             let task = format!("{}/{}", c.common.job, e.task);
-            entries.entry((e.machine.clone(), task, e.attempt)).or_default().push(e);
+            entries
+                .entry((e.machine.clone(), task, e.attempt))
+                .or_default()
+                .push(e);
         }
     }
     // What the ledger itself says that it does not know is no fault of its lines.
-    let known =
-        spans.into_iter().filter(|(k, _)| entries.contains_key(k) || !unknown.contains(&k.0));
+    let known = spans
+        .into_iter()
+        .filter(|(k, _)| entries.contains_key(k) || !unknown.contains(&k.0));
     compare(&known.collect(), &entries, &teams, verified.lines)
 }
 
@@ -578,7 +635,9 @@
         let stints = entries.get(key).map_or(&[][..], Vec::as_slice);
         if stints.len() != span.stints {
             let (times, of) = (stints.len(), span.stints);
-            wrong.push(format!("{key:?} ran {of} times and is charged {times} times: {stints:?}"));
+            wrong.push(format!(
+                "{key:?} ran {of} times and is charged {times} times: {stints:?}"
+            ));
             continue;
         }
         let charged: u64 = stints.iter().map(|e| e.spent.at_worker()).sum();
@@ -586,9 +645,14 @@
         let estimate = stints.iter().any(|e| e.estimate);
         let off = charged.abs_diff(real);
         if off > bound + SLACK {
-            wrong.push(format!("{key:?} took {real} us and is charged {charged}, {stints:?}"));
+            wrong.push(format!(
+                "{key:?} took {real} us and is charged {charged}, {stints:?}"
+            ));
         }
-        let team = teams.get(key.1.split('/').next().unwrap_or("")).copied().unwrap_or("");
+        let team = teams
+            .get(key.1.split('/').next().unwrap_or(""))
+            .copied()
+            .unwrap_or("");
         let s = sums.entry(team).or_default();
         s.attempts += 1;
         s.estimates += u32::from(estimate);
@@ -613,19 +677,31 @@
         "bound s",
         "largest s",
     ];
-    table.load_preset(comfy_table::presets::NOTHING).set_header(head);
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(head);
     for (team, s) in &sums {
         let t = |t: u64| format!("{:.3}", t as f64 / 1e6);
         let differ = (s.ledger as f64 - s.workers as f64) / 1e6;
         let (attempts, estimates) = (s.attempts.to_string(), s.estimates.to_string());
         let differ = format!("{differ:+.3}");
-        let row =
-            [attempts, estimates, t(s.workers), t(s.ledger), differ, t(s.bound), t(s.largest)];
+        let row = [
+            attempts,
+            estimates,
+            t(s.workers),
+            t(s.ledger),
+            differ,
+            t(s.bound),
+            t(s.largest),
+        ];
         table.add_row(std::iter::once((*team).to_string()).chain(row));
     }
     for (team, s) in &sums {
         let differ = (s.seen_ledger as f64 - s.seen_workers as f64) / 1e6;
-        println!("{team}: no report missed of {} attempts, which differ by {differ:+.3} s", s.seen);
+        println!(
+            "{team}: no report missed of {} attempts, which differ by {differ:+.3} s",
+            s.seen
+        );
     }
     println!("{table}\n{lines} lines verify; simulated work on stand-in workers");
     if wrong.is_empty() {
--- a/src/files.rs
+++ b/src/files.rs
@@ -40,7 +40,10 @@
     let settings = gannethub_ledger::Settings::parse(&read(file)?, &name, &platform.dues());
     let settings = settings.map_err(|e| FileError::Settings(e.to_string()))?;
     let keys = keys(Path::new(&settings.keys))?;
-    Ok(LedgerSetup { settings: Arc::new(settings), keys: Arc::new(keys) })
+    Ok(LedgerSetup {
+        settings: Arc::new(settings),
+        keys: Arc::new(keys),
+    })
 }
 
 /// A key file. One that others can read is refused.
@@ -70,10 +73,19 @@
     let mut secret = [0; 32];
     getrandom::fill(&mut secret).map_err(|e| FileError::Wrong(file.into(), e.to_string()))?;
     let taken = |id: &String| known.as_ref().is_some_and(|k| k.get(id).is_some());
-    let id = (1..).map(|n| format!("k{n}")).find(|id| !taken(id)).unwrap_or_default();
+    let id = (1..)
+        .map(|n| format!("k{n}"))
+        .find(|id| !taken(id))
+        .unwrap_or_default();
     let mut options = std::fs::OpenOptions::new();
-    let mut out = options.append(true).create(true).mode(0o600).open(file).map_err(unreadable)?;
-    out.write_all(KeyRing::write(&id, &secret).as_bytes()).map_err(unreadable)?;
+    let mut out = options
+        .append(true)
+        .create(true)
+        .mode(0o600)
+        .open(file)
+        .map_err(unreadable)?;
+    out.write_all(KeyRing::write(&id, &secret).as_bytes())
+        .map_err(unreadable)?;
     Ok(id)
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -32,7 +32,9 @@
 impl Bodies {
     /// Room for so many bytes, and for one body at least.
     pub fn new(bytes: usize) -> Bodies {
-        Bodies(Arc::new(Semaphore::new(bytes.clamp(MAX_BODY, u32::MAX as usize))))
+        Bodies(Arc::new(Semaphore::new(
+            bytes.clamp(MAX_BODY, u32::MAX as usize),
+        )))
     }
 
     fn take(&self, bytes: usize) -> Result<Option<OwnedSemaphorePermit>, ReadError> {
@@ -41,7 +43,11 @@
         }
         let full = ReadError::Bad(503, "too many large requests at once");
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
-        self.0.clone().try_acquire_many_owned(bytes).map(Some).map_err(|_| full)
+        self.0
+            .clone()
+            .try_acquire_many_owned(bytes)
+            .map(Some)
+            .map_err(|_| full)
     }
 }
 
@@ -90,7 +96,9 @@
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
             out.chunked = true;
         } else if h.name.eq_ignore_ascii_case("connection") {
-            out.close |= value.split(',').any(|v| v.trim().eq_ignore_ascii_case("close"));
+            out.close |= value
+                .split(',')
+                .any(|v| v.trim().eq_ignore_ascii_case("close"));
         }
     }
     out
@@ -140,7 +148,12 @@
 
 impl Connection {
     pub fn new(stream: TcpStream, bodies: Bodies) -> Connection {
-        Connection { stream, buf: BytesMut::new(), bodies, held: None }
+        Connection {
+            stream,
+            buf: BytesMut::new(),
+            bodies,
+            held: None,
+        }
     }
 
     /// The next request; `None` when there will be no more. What cannot be read is answered first.
@@ -239,7 +252,11 @@
     /// Answers what could not be read and lets the client see the answer before the end.
     async fn refuse(&mut self, status: u16, why: &str) {
         let response = Response::error(status, why);
-        let response = if status == 503 { response.retry(1) } else { response };
+        let response = if status == 503 {
+            response.retry(1)
+        } else {
+            response
+        };
         if self.write(&response, true).await.is_ok() {
             let _ = self.stream.shutdown().await;
             // Unread input would turn the close into a reset that destroys the answer.
@@ -263,7 +280,10 @@
 
 impl Client {
     pub fn new(addr: SocketAddrV4) -> Client {
-        Client { addr, idle: Default::default() }
+        Client {
+            addr,
+            idle: Default::default(),
+        }
     }
 
     /// Sends one request. `None`: no answer; it may have been carried out, or may still be.
@@ -274,7 +294,10 @@
         body: &[u8],
         patience: Duration,
     ) -> Option<(u16, Bytes)> {
-        timeout(patience, self.try_call(method, path, body)).await.ok()?.ok()
+        timeout(patience, self.try_call(method, path, body))
+            .await
+            .ok()?
+            .ok()
     }
 
     async fn try_call(
@@ -354,7 +377,10 @@
         }
         let mut space = [httparse::EMPTY_HEADER; 48];
         let mut parsed = httparse::Response::new(&mut space);
-        match parsed.parse(&buf).map_err(|e| Error::new(ErrorKind::InvalidData, e))? {
+        match parsed
+            .parse(&buf)
+            .map_err(|e| Error::new(ErrorKind::InvalidData, e))?
+        {
             httparse::Status::Complete(n) => {
                 break (n, parsed.code.unwrap_or(0), headers(parsed.headers));
             }
@@ -457,18 +483,36 @@
     async fn requests_good_and_bad_get_their_answers() {
         let two = b"GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz";
         let text = answer_to(two).await;
-        assert!(text.contains("Get /a 0") && text.contains("Post /b 3"), "{text}");
+        assert!(
+            text.contains("Get /a 0") && text.contains("Post /b 3"),
+            "{text}"
+        );
         let cases: [(&[u8], &str); 6] = [
             (b"\x00\x01garbage\r\n\r\n", "HTTP/1.1 400"),
-            (b"POST /b HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "HTTP/1.1 400"),
-            (b"POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", "HTTP/1.1 413"),
-            (b"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 411"),
-            (b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "HTTP/1.1 200"),
+            (
+                b"POST /b HTTP/1.1\r\nContent-Length: -4\r\n\r\n",
+                "HTTP/1.1 400",
+            ),
+            (
+                b"POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
+                "HTTP/1.1 413",
+            ),
+            (
+                b"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                "HTTP/1.1 411",
+            ),
+            (
+                b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n",
+                "HTTP/1.1 200",
+            ),
             (b"POST /b HTTP/1.1\r\nContent-Length: 9\r\n\r\nshort", ""),
         ];
         for (bytes, start) in cases {
             let text = answer_to(bytes).await;
-            assert!(text.starts_with(start) && (!start.is_empty() || text.is_empty()), "{text}");
+            assert!(
+                text.starts_with(start) && (!start.is_empty() || text.is_empty()),
+                "{text}"
+            );
         }
         let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
         assert!(answer_to(long.as_bytes()).await.starts_with("HTTP/1.1 431"));
@@ -481,15 +525,23 @@
         let bodies = Bodies::new(100_000);
         let connect = async || {
             let (client, server) = tokio::join!(TcpStream::connect(addr), listener.accept());
-            (client.unwrap(), Connection::new(server.unwrap().0, bodies.clone()))
+            (
+                client.unwrap(),
+                Connection::new(server.unwrap().0, bodies.clone()),
+            )
         };
         let head = |n: usize| format!("POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n");
         let ((mut slow, mut first), (mut late, mut second), (mut small, mut third)) =
             (connect().await, connect().await, connect().await);
         // One sends half of a large body and then nothing for a while.
-        slow.write_all(&[head(60_000).as_bytes(), &[b'x'; 30_000]].concat()).await.unwrap();
+        slow.write_all(&[head(60_000).as_bytes(), &[b'x'; 30_000]].concat())
+            .await
+            .unwrap();
         let half = timeout(Duration::from_millis(50), first.read()).await;
-        assert!(half.is_err() && first.held.is_some(), "it waits for the rest");
+        assert!(
+            half.is_err() && first.held.is_some(),
+            "it waits for the rest"
+        );
         // The next one is told to come back before its body is there.
         late.write_all(head(60_000).as_bytes()).await.unwrap();
         assert!(matches!(second.read().await, Err(ReadError::Bad(503, _))));
@@ -512,16 +564,24 @@
         // What is over, answered or not, gives its room back.
         drop(first);
         let (mut again, mut fourth) = connect().await;
-        again.write_all(&[head(60_000).as_bytes(), &[b'x'; 60_000]].concat()).await.unwrap();
+        again
+            .write_all(&[head(60_000).as_bytes(), &[b'x'; 60_000]].concat())
+            .await
+            .unwrap();
         assert_eq!(fourth.read().await.unwrap().body.len(), 60_000);
-        fourth.write(&Response::json(200, &"done"), false).await.unwrap();
+        fourth
+            .write(&Response::json(200, &"done"), false)
+            .await
+            .unwrap();
         assert!(fourth.held.is_none());
     }
 
     #[tokio::test]
     async fn a_client_that_goes_away_while_idle_is_no_error() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        let client = TcpStream::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         drop(client);
         let read = Connection::new(stream, Bodies::new(0)).read().await;
@@ -531,7 +591,9 @@
     #[tokio::test]
     async fn the_client_reads_plain_and_chunked_answers_and_reuses_its_connection() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else { panic!() };
+        let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
+            panic!()
+        };
         let serve = async {
             let (mut s, _) = listener.accept().await.unwrap();
             let mut sink = [0u8; 1024];
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -121,19 +121,35 @@
 /// Carries out a command; what it prints goes to standard output.
 pub fn run(args: LedgerArgs) -> Result<(), LedgerError> {
     if let LedgerCommand::Key { file, rotate } = &args.command {
-        println!("{}: new pages use {}", file.display(), files::make_key(file, *rotate)?);
+        println!(
+            "{}: new pages use {}",
+            file.display(),
+            files::make_key(file, *rotate)?
+        );
         return Ok(());
     }
-    let config = args.config.as_ref().ok_or(LedgerError::Missing("--config"))?;
+    let config = args
+        .config
+        .as_ref()
+        .ok_or(LedgerError::Missing("--config"))?;
     let (platform, _) = files::settings(config)?;
-    let ledger = args.ledger.as_ref().ok_or(LedgerError::Missing("--ledger"))?;
+    let ledger = args
+        .ledger
+        .as_ref()
+        .ok_or(LedgerError::Missing("--ledger"))?;
     let setup = files::ledger(ledger, &platform)?;
     let known = |team: &Option<String>| match team {
         Some(t) if platform.team(t).is_none() => Err(LedgerError::Team(t.clone())),
         _ => Ok(()),
     };
-    let servers = if args.server.is_empty() { vec![platform.listen] } else { args.server.clone() };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let servers = if args.server.is_empty() {
+        vec![platform.listen]
+    } else {
+        args.server.clone()
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let fetch = || runtime.block_on(fetch(&servers));
     match &args.command {
         LedgerCommand::Key { .. } => Ok(()),
@@ -207,12 +223,13 @@
     match ask_any(clients, Method::Get, path, &[]).await {
         Ok((200, body)) => Ok(Some(body)),
         Ok((404, body)) if String::from_utf8_lossy(&body).contains("no such page") => Ok(None),
-        Ok((status, body)) => {
-            Err(LedgerError::Refused(status, String::from_utf8_lossy(&body).into_owned()))
-        }
-        Err(last) => {
-            Err(LedgerError::NoAnswer(last.map_or("nothing".into(), |status| status.to_string())))
-        }
+        Ok((status, body)) => Err(LedgerError::Refused(
+            status,
+            String::from_utf8_lossy(&body).into_owned(),
+        )),
+        Err(last) => Err(LedgerError::NoAnswer(
+            last.map_or("nothing".into(), |status| status.to_string()),
+        )),
     }
 }
 
@@ -228,13 +245,19 @@
     let rows = export::rows(pages, team)?;
     let names: Vec<&str> = export::names().collect();
     let mut table = Table::new();
-    let shown = ["team", "job", "task", "machine", "reason", "worth", "begin", "held s", "bound s"];
-    table.load_preset(comfy_table::presets::NOTHING).set_header(shown);
+    let shown = [
+        "team", "job", "task", "machine", "reason", "worth", "begin", "held s", "bound s",
+    ];
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(shown);
     for row in &rows {
         let by_name: BTreeMap<&str, &Cell> = names.iter().copied().zip(row).collect();
         if output == Output::Json {
-            let object: serde_json::Map<String, serde_json::Value> =
-                by_name.iter().map(|(n, c)| (n.to_string(), cell(c))).collect();
+            let object: serde_json::Map<String, serde_json::Value> = by_name
+                .iter()
+                .map(|(n, c)| (n.to_string(), cell(c)))
+                .collect();
             println!("{}", serde_json::Value::Object(object));
             continue;
         }
@@ -247,7 +270,11 @@
             _ => String::new(),
         };
         let s = |t: i64| format!("{:.3}", t as f64 / 1e6);
-        let estimate = if by_name.get("estimate") == Some(&&Cell::Flag(true)) { " ~" } else { "" };
+        let estimate = if by_name.get("estimate") == Some(&&Cell::Flag(true)) {
+            " ~"
+        } else {
+            ""
+        };
         table.add_row([
             text("team"),
             text("job"),
@@ -284,11 +311,16 @@
         "lost cpu h",
         "bound h",
     ];
-    table.load_preset(comfy_table::presets::NOTHING).set_header(head);
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(head);
     for ((team, class), a) in v.accounts.iter() {
         let (held, useful, lost) = (a.held(), a.useful(), a.lost());
-        let stages: BTreeMap<&str, f64> =
-            STAGES.iter().enumerate().map(|(i, s)| (*s, hours(a.stage(i)[0]))).collect();
+        let stages: BTreeMap<&str, f64> = STAGES
+            .iter()
+            .enumerate()
+            .map(|(i, s)| (*s, hours(a.stage(i)[0])))
+            .collect();
         let bound = a.times()[2] as f64 / 3.6e9;
         match output {
             Output::Json => println!(
@@ -325,8 +357,16 @@
     let now = now.map_or(0, |d| d.as_micros() as u64);
     let shares = v.accounts.shares(&setup.settings, now, &BTreeMap::new());
     let mut table = Table::new();
-    let head = ["team", "due", "share", "share over due", "decayed usage (cost h)"];
-    table.load_preset(comfy_table::presets::NOTHING).set_header(head);
+    let head = [
+        "team",
+        "due",
+        "share",
+        "share over due",
+        "decayed usage (cost h)",
+    ];
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(head);
     for (team, (share, over)) in shares {
         let due = setup.settings.teams[&team].share;
         let usage = v.accounts.usage(&team, &setup.settings, now) / 3600.0;
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,12 @@
 
 /// A controller of the gannethub cluster scheduler.
 #[derive(Parser)]
-#[command(version, about, args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
+#[command(
+    version,
+    about,
+    args_conflicts_with_subcommands = true,
+    subcommand_negates_reqs = true
+)]
 struct Options {
     /// The platform's settings file
     #[arg(long, value_name = "FILE", required = true)]
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -22,7 +22,9 @@
 pub async fn accept(listener: TcpListener, queue: mpsc::Sender<Command>) {
     let slots = Arc::new(Semaphore::new(32));
     loop {
-        let Ok(slot) = slots.clone().acquire_owned().await else { return };
+        let Ok(slot) = slots.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(100)).await;
             continue;
@@ -126,11 +128,20 @@
     use gannethub_core::wire::peer::{Heartbeat, Relay};
 
     fn relay(id: u64) -> Envelope {
-        Envelope { from: "n1".into(), body: Some(Body::Relay(Relay { id, report: "{}".into() })) }
+        Envelope {
+            from: "n1".into(),
+            body: Some(Body::Relay(Relay {
+                id,
+                report: "{}".into(),
+            })),
+        }
     }
 
     fn beat() -> Envelope {
-        Envelope { from: "n1".into(), body: Some(Body::Heartbeat(Heartbeat::default())) }
+        Envelope {
+            from: "n1".into(),
+            body: Some(Body::Heartbeat(Heartbeat::default())),
+        }
     }
 
     /// Writes what `collect` gives, and tells at which millisecond and how many messages.
--- a/src/standins.rs
+++ b/src/standins.rs
@@ -60,11 +60,18 @@
             sleep(lag).await;
         }
         let (reply, answer) = oneshot::channel();
-        let asked = Asked { method: request.method, path: request.path, body: request.body, reply };
+        let asked = Asked {
+            method: request.method,
+            path: request.path,
+            body: request.body,
+            reply,
+        };
         if queue.send(make(asked)).await.is_err() {
             return;
         }
-        let Ok((status, body)) = answer.await else { return };
+        let Ok((status, body)) = answer.await else {
+            return;
+        };
         let response = Response::json(status, &body);
         if connection.write(&response, request.close).await.is_err() || request.close {
             return;
@@ -88,15 +95,30 @@
 
 impl StateService {
     pub fn new(state: State) -> StateService {
-        StateService { state, watches: Vec::new() }
+        StateService {
+            state,
+            watches: Vec::new(),
+        }
     }
 
     /// Answers a request, or keeps it until what it watches has changed.
     pub fn handle(&mut self, asked: Asked, now: u64) {
-        match self.state.handle(asked.method.name(), &asked.path, &asked.body, now) {
+        match self
+            .state
+            .handle(asked.method.name(), &asked.path, &asked.body, now)
+        {
             Outcome::Answer(status, body) => asked.answer(status, body),
-            Outcome::Wait { prefix, after, until } => {
-                self.watches.push(Watch { prefix, after, until, asked });
+            Outcome::Wait {
+                prefix,
+                after,
+                until,
+            } => {
+                self.watches.push(Watch {
+                    prefix,
+                    after,
+                    until,
+                    asked,
+                });
             }
         }
     }
@@ -119,7 +141,8 @@
 
 /// Ports of this machine that nobody uses now.
 pub fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    let probes: Vec<Probe> =
-        (0..count).map(|_| Probe::bind((Ipv4Addr::LOCALHOST, 0))).collect::<Result<_, _>>()?;
+    let probes: Vec<Probe> = (0..count)
+        .map(|_| Probe::bind((Ipv4Addr::LOCALHOST, 0)))
+        .collect::<Result<_, _>>()?;
     probes.iter().map(|p| Ok(p.local_addr()?.port())).collect()
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -24,7 +24,11 @@
         let mut state = State::new(4096, 8);
         state.page = 1000;
         let state = RefCell::new(state);
-        Store { state, lost: Cell::new(0), refused: Cell::new(0) }
+        Store {
+            state,
+            lost: Cell::new(0),
+            refused: Cell::new(0),
+        }
     }
 }
 
@@ -40,7 +44,9 @@
             return Some((503, Bytes::new()));
         }
         let outcome = self.state.borrow_mut().handle(method.name(), path, body, 0);
-        let Outcome::Answer(status, body) = outcome else { return None };
+        let Outcome::Answer(status, body) = outcome else {
+            return None;
+        };
         if path == "/commit" && !used_up(&self.lost) {
             return None;
         }
@@ -57,7 +63,12 @@
 }
 
 fn author(by: &str, nonce: u64) -> Author {
-    Author { by: by.into(), why: "a reason".into(), at: 7, nonce }
+    Author {
+        by: by.into(),
+        why: "a reason".into(),
+        at: 7,
+        nonce,
+    }
 }
 
 fn teams(count: usize, cpus_max: f64) -> Document {
@@ -67,28 +78,46 @@
         cpus_max,
         ..TeamEntry::default()
     };
-    Document { teams: (0..count).map(team).collect(), ..Document::default() }
+    Document {
+        teams: (0..count).map(team).collect(),
+        ..Document::default()
+    }
 }
 
 #[tokio::test(start_paused = true)]
 async fn versions_of_three_hundred_teams_follow_one_another_and_come_back() {
     let (client, base) = (Store::new(), base());
-    let store = ConfigStore { client: &client, base: &base };
+    let store = ConfigStore {
+        client: &client,
+        base: &base,
+    };
     assert_eq!(store.current().await.expect("read").version(), 0);
     for version in 1..=3u64 {
         let current = store.current().await.expect("read");
         let wanted = teams(300, version as f64 * 10.0);
-        let record = store.store(&current, wanted, &author("ada", version)).await.expect("stored");
+        let record = store
+            .store(&current, wanted, &author("ada", version))
+            .await
+            .expect("stored");
         assert_eq!((record.version, record.by.as_str()), (version, "ada"));
     }
     let current = store.current().await.expect("read");
     assert_eq!((current.version(), current.document.teams.len()), (3, 300));
     assert_eq!(current.document.teams[7].cpus_max, 30.0);
     let first = store.kept(&current, 1).await.expect("it is kept");
-    let record = store.store(&current, first, &author("bob", 4)).await.expect("rolled back");
+    let record = store
+        .store(&current, first, &author("bob", 4))
+        .await
+        .expect("rolled back");
     let current = store.current().await.expect("read");
-    assert_eq!((record.version, current.document.teams[7].cpus_max), (4, 10.0));
-    assert!(matches!(store.kept(&current, 99).await, Err(ConfigError::Unknown(99))));
+    assert_eq!(
+        (record.version, current.document.teams[7].cpus_max),
+        (4, 10.0)
+    );
+    assert!(matches!(
+        store.kept(&current, 99).await,
+        Err(ConfigError::Unknown(99))
+    ));
     assert_eq!(client.state.borrow().too_large, 0);
 }
 
@@ -96,11 +125,17 @@
 async fn a_lost_answer_is_found_out_and_nothing_is_stored_twice() {
     for lost in 1..4 {
         let (client, base) = (Store::new(), base());
-        let store = ConfigStore { client: &client, base: &base };
+        let store = ConfigStore {
+            client: &client,
+            base: &base,
+        };
         let current = store.current().await.expect("read");
         client.lost.set(lost);
         client.refused.set(2);
-        let record = store.store(&current, teams(3, 9.0), &author("ada", 1)).await.expect("stored");
+        let record = store
+            .store(&current, teams(3, 9.0), &author("ada", 1))
+            .await
+            .expect("stored");
         let current = store.current().await.expect("read");
         assert_eq!((record.version, current.version()), (1, 1));
         assert_eq!(current.history.versions.len(), 1);
@@ -110,31 +145,52 @@
 #[tokio::test(start_paused = true)]
 async fn of_two_operators_at_once_the_second_is_told_of_the_first() {
     let (client, base) = (Store::new(), base());
-    let store = ConfigStore { client: &client, base: &base };
+    let store = ConfigStore {
+        client: &client,
+        base: &base,
+    };
     let current = store.current().await.expect("read");
-    store.store(&current, teams(3, 9.0), &author("ada", 1)).await.expect("stored");
-    let second = store.store(&current, teams(5, 9.0), &author("bob", 2)).await;
+    store
+        .store(&current, teams(3, 9.0), &author("ada", 1))
+        .await
+        .expect("stored");
+    let second = store
+        .store(&current, teams(5, 9.0), &author("bob", 2))
+        .await;
     match second {
-        Err(ConfigError::Conflict { version: 1, by, why }) => {
+        Err(ConfigError::Conflict {
+            version: 1,
+            by,
+            why,
+        }) => {
             assert_eq!((by.as_str(), why.as_str()), ("ada", "a reason"));
         }
         other => panic!("{other:?}"),
     }
     // What the second had written of its document is gone.
     let documents = client.state.borrow().keys("gh/config/doc/");
-    assert!(documents.iter().all(|k| k.contains("/1-0000000000000001/")), "{documents:?}");
+    assert!(
+        documents.iter().all(|k| k.contains("/1-0000000000000001/")),
+        "{documents:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_cannot_be_used_is_never_stored() {
     let (client, base) = (Store::new(), base());
-    let store = ConfigStore { client: &client, base: &base };
+    let store = ConfigStore {
+        client: &client,
+        base: &base,
+    };
     let current = store.current().await.expect("read");
     let mut wanted = teams(1, 9.0);
     wanted.teams[0].cpus = 10.0;
     let refused = store.store(&current, wanted, &author("ada", 1)).await;
     assert!(matches!(refused, Err(ConfigError::Document(e)) if e.field == "teams[0].cpus"));
-    let long = Document { policy: Some("# ".repeat(9000)), ..Document::default() };
+    let long = Document {
+        policy: Some("# ".repeat(9000)),
+        ..Document::default()
+    };
     assert!(matches!(
         store.store(&current, long, &author("ada", 1)).await,
         Err(ConfigError::Split(_))
@@ -145,10 +201,16 @@
 #[tokio::test(start_paused = true)]
 async fn history_is_bounded_and_documents_beyond_it_are_deleted() {
     let (client, base) = (Store::new(), base());
-    let store = ConfigStore { client: &client, base: &base };
+    let store = ConfigStore {
+        client: &client,
+        base: &base,
+    };
     for version in 1..=60 {
         let current = store.current().await.expect("read");
-        store.store(&current, teams(2, 9.0), &author("ada", version)).await.expect("stored");
+        store
+            .store(&current, teams(2, 9.0), &author("ada", version))
+            .await
+            .expect("stored");
     }
     let current = store.current().await.expect("read");
     let kept = current.history.versions.len();
--- a/tests/counted.rs
+++ b/tests/counted.rs
@@ -15,7 +15,11 @@
         spawn_local(async move {
             let mut connection = Connection::new(stream, Bodies::new(0));
             while let Some(request) = connection.next().await {
-                let answer = Response { status: 200, body: request.body, retry_after: None };
+                let answer = Response {
+                    status: 200,
+                    body: request.body,
+                    retry_after: None,
+                };
                 if connection.write(&answer, false).await.is_err() {
                     return;
                 }
@@ -26,8 +30,14 @@
 
 async fn exchange(stream: &mut TcpStream) {
     let body = [b'x'; 600];
-    let head = format!("POST /v1/report HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len());
-    stream.write_all(&[head.as_bytes(), &body].concat()).await.expect("written");
+    let head = format!(
+        "POST /v1/report HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    stream
+        .write_all(&[head.as_bytes(), &body].concat())
+        .await
+        .expect("written");
     let mut answer = [0; 2048];
     let n = stream.read(&mut answer).await.expect("read");
     assert!(answer[..n].starts_with(b"HTTP/1.1 200 OK") && answer[..n].ends_with(&body));
