--- /dev/null
+++ b/crates/gannethub-core/src/control/standing/tests.rs
@@ -0,0 +1,104 @@
+use std::sync::Arc;
+
+use bytes::BytesMut;
+
+use super::*;
+use crate::control::port::{Clock, Effect};
+use crate::settings::Settings;
+use crate::settings::tests::SAMPLE;
+use crate::wire::peer::{Envelope, MAX_FRAME, encode};
+
+/// A copy with so many jobs that are cancelled, from version 10 on.
+fn copy(cancelled: usize) -> Mirror {
+    let item = |i: usize| {
+        let value = r#"{"spec":{"tasks":4},"at":0,"done":"","cancelled":true}"#;
+        format!(
+            r#"{{"k":"gh/live/j-{i:06}","v":{value},"stamp":{}}}"#,
+            i + 10
+        )
+    };
+    let items: Vec<String> = (0..cancelled).map(item).collect();
+    let text = format!(
+        r#"{{"items":[{}],"truncated":false,"ledger_no":90000}}"#,
+        items.join(",")
+    );
+    let mut mirror = Mirror::default();
+    assert!(
+        mirror
+            .listed(&serde_json::from_str(&text).unwrap())
+            .is_none()
+    );
+    mirror
+}
+
+/// What a controller with this copy answers a sibling that has seen all changes up to `known`.
+fn promise(copy: &Mirror, known: u64) -> (Promise, usize) {
+    let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
+    let clock = Clock {
+        now: 100 * SECOND,
+        wall: 0,
+    };
+    let mut port = Port::new(Arc::new(settings), clock);
+    let mut candidacy = Candidacy::new("n0", 0);
+    let ask = PromiseAsk {
+        round: 3,
+        term: 2,
+        micros: PROMISE,
+        block: 0,
+        known,
+    };
+    Standing::promise_asked(&mut port, &mut candidacy, copy, 0, &ask);
+    let Some(Effect::Peer { message, .. }) = port.effects.pop() else {
+        panic!("it says nothing")
+    };
+    let mut frame = BytesMut::new();
+    encode(&message, &mut frame);
+    let Envelope {
+        body: Some(Body::Promise(promise)),
+        ..
+    } = message
+    else {
+        panic!("it does not promise")
+    };
+    (promise, frame.len())
+}
+
+#[test]
+fn a_promise_tells_what_the_asker_may_not_know() {
+    let (p, _) = promise(&copy(20), 15);
+    assert!(p.knows && p.round == 3 && p.term == 2);
+    assert_eq!(p.count, 14);
+    assert_eq!(store::decode_ids(&p.cancelled).len(), 14);
+    // A cancellation that was stored here since the copy was last brought up to the present.
+    let mut copy = copy(2);
+    copy.cancelled("j-000777".into(), 90_001);
+    let (p, _) = promise(&copy, 90_000);
+    assert!(p.knows && p.cancelled == "6:777" && p.count == 1);
+    assert_eq!(
+        promise(&copy, 90_001).0.count,
+        0,
+        "the asker has read that one"
+    );
+}
+
+#[test]
+fn a_promise_does_not_claim_more_than_it_knows_or_can_say() {
+    let (p, size) = promise(&copy(MOST_TOLD), 5);
+    assert!(p.knows && size < MAX_FRAME, "{size} bytes");
+    let (p, size) = promise(&copy(MOST_TOLD + 1), 5);
+    assert!(
+        !p.knows && p.count == MOST_TOLD as u32 && size < MAX_FRAME,
+        "{size} bytes"
+    );
+    // Nothing has been read in this life: an earlier one may have confirmed anything.
+    let mut unread = Mirror::default();
+    unread.cancelled("j-000777".into(), 100);
+    let (p, _) = promise(&unread, 5);
+    assert!(
+        !p.knows && p.cancelled == "6:777",
+        "what it knows it tells all the same"
+    );
+    // The version before does not say what it has seen.
+    let (p, _) = promise(&copy(20), 0);
+    assert!(!p.knows && p.count == 0);
+}
--- /dev/null
+++ b/crates/gannethub-core/src/decide/plan/tests.rs
@@ -0,0 +1,144 @@
+use super::*;
+use crate::model::Priority;
+use proptest::prelude::*;
+
+fn job(shape: Shape, tasks: u32, need: Resources) -> Arc<JobSpec> {
+    Arc::new(JobSpec {
+        class: "c".into(),
+        team: "red".into(),
+        shape,
+        priority: Priority::Normal,
+        tasks,
+        need,
+        image: "img".into(),
+        image_gb: 1.0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        estimate: SECOND,
+        checkpoint_every: 0,
+        save: 0,
+        deadline: None,
+    })
+}
+
+/// Three lines, a cheap one, a dear one and one of large machines.
+const SIZES: [i64; 3] = [4000, 4000, 32_000];
+
+/// Line, seconds until it is ready, and when tasks end that hold so much.
+type Given = (usize, u64, Vec<(u64, i64)>);
+
+fn future(lanes: &[Given]) -> Future {
+    let mut future = Future {
+        now: 10 * SECOND,
+        ..Future::default()
+    };
+    for (i, price) in [0.1, 0.3, 0.2].into_iter().enumerate() {
+        future.line(i, &Arc::from("a"), false, price);
+    }
+    for (line, ready, busy) in lanes {
+        let mut free = Resources {
+            cpu: SIZES[*line],
+            gpu: 0,
+            mem: SIZES[*line],
+        };
+        let mut releases = Vec::new();
+        for (end, cpu) in busy {
+            let need = Resources {
+                cpu: *cpu,
+                gpu: 0,
+                mem: *cpu,
+            };
+            if need.fits(&free) {
+                free -= need;
+                releases.push((future.now + end * SECOND, 1, need));
+            }
+        }
+        releases.sort_by_key(|r| Reverse(r.0));
+        let ready = future.now + ready * SECOND;
+        let zone = Arc::from("a");
+        let lane = Lane {
+            line: *line,
+            zone,
+            free,
+            ready,
+            releases,
+            machine: None,
+            version: 0,
+        };
+        future.add(lane);
+    }
+    future
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(200))]
+
+    /// Shared books give every task the start and the price that looking at all machines would.
+    #[test]
+    fn a_book_shared_by_many_jobs_misses_no_better_place(
+        lanes in proptest::collection::vec(
+            (0..3usize, 0..40u64, proptest::collection::vec((1..90u64, 300..9000i64), 0..12)),
+            1..14,
+        ),
+        jobs in proptest::collection::vec(
+            (300..9000i64, 1..30i64, 0..60u64, 0..30u64, any::<bool>()),
+            1..12,
+        ),
+    ) {
+        let mut future = future(&lanes);
+        let now = future.now;
+        for (cpu, tasks, limit, from, gang) in jobs {
+            let need = Resources { cpu, gpu: 0, mem: cpu };
+            let shape_of = if gang { Shape::Gang } else { Shape::Array };
+            let from = if from < 15 { now } else { now + from * SECOND };
+            let mut w = Waiting {
+                spec: job(shape_of, tasks as u32, need),
+                tasks,
+                zones: Zones::new(),
+                run: 20 * SECOND,
+                from,
+                limit: from + limit * SECOND,
+            };
+            let key = shape(&need);
+            prop_assert!(key.fits(&need));
+            let allowed: Vec<usize> = (0..3).filter(|l| cpu <= SIZES[*l]).collect();
+            let mut read: Read = (0..3).map(|_| BinaryHeap::new()).collect();
+            for _ in 0..40 {
+                if w.tasks == 0 {
+                    break;
+                }
+                let rank = |start: Micros, line: usize| {
+                    let price = future.lines[line].price.to_bits();
+                    let late = start > w.limit;
+                    if late { (late, start, price) } else { (late, price, start) }
+                };
+                let all = future.lanes.iter().filter(|l| allowed.contains(&l.line));
+                let starts = all.map(|l| (l.earliest(&need, now), l.line));
+                let naive = starts
+                    .filter(|(start, _)| *start < Micros::MAX)
+                    .map(|(start, line)| rank(start.max(from), line))
+                    .min();
+                let mut future_best = None;
+                if naive.is_some() {
+                    let rank_of = |c: &Choice, prices: &[f64]| {
+                        let price = prices[c.line].to_bits();
+                        let late = c.start > w.limit;
+                        if late { (late, c.start, price) } else { (late, price, c.start) }
+                    };
+                    let prices: Vec<f64> = future.lines.iter().map(|l| l.price).collect();
+                    future_best = future.best(&w, &key, &allowed, &mut read);
+                    let found = future_best.as_ref().map(|c| rank_of(c, &prices));
+                    prop_assert_eq!(found, naive);
+                }
+                let Some(c) = future_best else { break };
+                read[c.line].pop();
+                future.lanes[c.lane].take(&mut w, c.start);
+                future.enter(c.lane);
+            }
+            future.put_back(&key, read);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -0,0 +1,140 @@
+use super::*;
+
+pub const JOB: &str = r#"{"id":"j-000412","jobclass":"train","crew":"blue","shape":"group",
+    "rank":"urgent","pieces":2,"vcpus":4.0,"cards":1.0,"mem_gb":64.0,"build":"img-07",
+    "size_gb":6.2,"rigs":["g8","gone"],"yard":null,"together":true,"scatter":false,
+    "loaners":true,"guess_s":240.0,"stamp_every_s":30.0,"stamp_s":4.0,"due_s":900.0,"x":1}"#;
+
+pub fn flavor(name: &str, cpus: f64, gpus: f64, mem: f64) -> Flavor {
+    Flavor {
+        name: name.into(),
+        size: Resources::new(cpus, gpus, mem),
+        price: 0.05 * cpus,
+        spot_price: 0.02 * cpus,
+        boot: 20_000_000,
+        fetch_gb_per_s: 1.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+fn check(body: &str) -> Result<JobSpec, Refusal> {
+    let teams = crate::settings::tests::SAMPLE;
+    let (settings, _) = crate::settings::Settings::parse(teams, "f").unwrap();
+    let mut spec = parse_submission(&parse_object(body.as_bytes())?.0)?.spec;
+    admit(
+        &mut spec,
+        &settings.teams,
+        &[flavor("g8", 96.0, 8.0, 768.0)],
+    )?;
+    Ok(spec)
+}
+
+#[test]
+fn a_submission_is_read_and_its_unknown_types_are_dropped() {
+    let spec = check(JOB).unwrap();
+    assert_eq!(spec.types, Some(vec!["g8".to_string()]));
+    assert_eq!(spec.deadline, Some(900_000_000));
+    assert_eq!(spec.need, Resources::new(4.0, 1.0, 64.0));
+    assert!(
+        check(&JOB.replace(",\"due_s\":900.0", "")).is_ok(),
+        "null may be omitted"
+    );
+}
+
+#[test]
+fn bad_submissions_name_the_field() {
+    for (from, to, field) in [
+        ("\"pieces\":2", "\"pieces\":0", "pieces"),
+        ("\"pieces\":2", "\"pieces\":2.5", "pieces"),
+        ("\"vcpus\":4.0", "\"vcpus\":-4.0", "vcpus"),
+        ("\"vcpus\":4.0", "\"vcpus\":1e300", "vcpus"),
+        ("\"rank\":\"urgent\"", "\"rank\":\"vip\"", "rank"),
+        ("\"together\":true", "\"together\":1", "together"),
+        ("j-000412", "412", "id"),
+        ("\"build\":\"img-07\"", "\"build\":null", "build"),
+    ] {
+        match check(&JOB.replace(from, to)) {
+            Err(Refusal::Malformed(why)) => assert!(why.starts_with(field), "{why}"),
+            other => panic!("{to}: {other:?}"),
+        }
+    }
+    for body in ["[]", "{", "\"x\"", "nan"] {
+        assert!(matches!(check(body), Err(Refusal::Malformed(_))));
+    }
+}
+
+#[test]
+fn the_jobs_that_one_waits_for_are_read_once_each() {
+    let parse = |list: &str| {
+        let body = JOB.replace("\"x\":1", &format!("\"waits_on\":{list}"));
+        parse_submission(&parse_object(body.as_bytes())?.0).map(|s| s.waits_on)
+    };
+    for none in ["null", "[]"] {
+        assert_eq!(parse(none), Ok(Vec::new()));
+    }
+    let two = parse(r#"["j-000405","j-000398","j-000405"]"#).unwrap();
+    assert_eq!(two, [JobId::from("j-000398"), JobId::from("j-000405")]);
+    for wrong in [
+        "\"j-1\"",
+        "[1]",
+        "[\"x\"]",
+        "{}",
+        "[\"j-000412\"]",
+        "[null]",
+    ] {
+        match parse(wrong) {
+            Err(Refusal::Malformed(why)) => assert!(why.starts_with("waits_on"), "{why}"),
+            other => panic!("{wrong}: {other:?}"),
+        }
+    }
+}
+
+#[test]
+fn what_can_never_run_is_told_apart_from_what_cannot_be_decided_yet() {
+    for (from, to) in [
+        ("blue", "green"),
+        ("\"pieces\":2", "\"pieces\":4"),
+        ("\"mem_gb\":64.0", "\"mem_gb\":999.0"),
+        ("\"yard\":null", "\"yard\":\"moon\""),
+        ("\"g8\",", ""),
+    ] {
+        assert!(
+            matches!(check(&JOB.replace(from, to)), Err(Refusal::Impossible(_))),
+            "{to}"
+        );
+    }
+    let mut spec = check(JOB).unwrap();
+    assert_eq!(admit(&mut spec, &[], &[]), Err(Refusal::NotYet));
+}
+
+#[test]
+fn routes_know_their_methods() {
+    use crate::http::Method;
+    assert_eq!(
+        route(Method::Post, "/api/jobs/j-1/cancel"),
+        Ok(Route::Cancel("j-1"))
+    );
+    assert_eq!(
+        route(Method::Get, "/api/jobs/j-1?x=1"),
+        Ok(Route::Query("j-1"))
+    );
+    assert_eq!(route(Method::Get, "/api/jobs").unwrap_err().status, 405);
+    assert_eq!(route(Method::Get, "/nothing").unwrap_err().status, 404);
+    let page = Route::Ledger {
+        page: Some(7),
+        team: Some("red"),
+    };
+    assert_eq!(route(Method::Get, "/api/ledger?page=7&team=red"), Ok(page));
+    assert_eq!(
+        route(Method::Get, "/api/ledger?page=-1")
+            .unwrap_err()
+            .status,
+        400
+    );
+    assert_eq!(
+        route(Method::Get, "/api/ledger?team=red")
+            .unwrap_err()
+            .status,
+        400
+    );
+}
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -1,6 +1,6 @@
 //! Which folder may import which: each one only those below it.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 const LAYERS: [&str; 5] = ["wire", "memory", "decide", "apply", "control"];
 
@@ -14,14 +14,27 @@
     })
 }
 
+/// All files below a folder.
+fn source_files(folder: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(folder).expect("the folder is there") {
+        let path = entry.expect("it can be read").path();
+        if path.is_dir() {
+            files.extend(source_files(&path));
+        } else {
+            files.push(path);
+        }
+    }
+    files
+}
+
 #[test]
 fn modules_import_downwards_only() {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let rank = |layer: &str| LAYERS.iter().position(|l| *l == layer).expect("a layer");
     let (mut read, mut upward) = (0, Vec::new());
     for layer in LAYERS {
-        for entry in std::fs::read_dir(src.join(layer)).expect("the folder is there") {
-            let path = entry.expect("it can be read").path();
+        for path in source_files(&src.join(layer)) {
             let text = std::fs::read_to_string(&path).expect("it is text");
             read += 1;
             let above = named(&text).filter(|other| rank(other) > rank(layer));
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -260,15 +260,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn mistakes_are_told_with_their_line() {
-        let text = "over_limit = \"stop\"\n\n[[teams]]\nname = \"a\"\ncpus = 1.0\n\n[[teams]]\n\
-                    name = \"b\"\ncpus = 3.0\ncpus_max = 2.0\n";
-        assert_eq!(line_of(text, "teams[1].cpus"), 9);
-        assert_eq!(line_of(text, "teams[1].gpus"), 7);
-        assert_eq!(line_of(text, "over_limit"), 1);
-    }
-}
+mod tests;
