--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -19,9 +19,9 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use gannethub_core::apply::reports::Outcome;
-use gannethub_core::memory::fleet::CloudCall;
 use gannethub_core::model::{JobSpec, SECOND, Shape};
+use gannethub_core::reconcile::heartbeat::Outcome;
+use gannethub_core::state::fleet::CloudCall;
 use gannethub_core::wire::worker::{ExitReason, Order, ReportedTask, TaskState};
 use leader_view::{LeaderView, WALL, spec};
 use rand::rngs::StdRng;
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -11,8 +11,8 @@
 use std::hint::black_box;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use gannethub_core::memory::block::{ChunkRecord, Member};
 use gannethub_core::model::{JobSpec, SECOND, Shape};
+use gannethub_core::state::shard::{ChunkRecord, Member};
 use gannethub_core::wire::store::JobRecord;
 use leader_view::{LeaderView, WALL, spec};
 
--- a/crates/gannethub-core/src/control/configured.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-use super::configuring::{ConfigurationRead, NewSettings};
-use super::controller::Controller;
-use super::port::Purpose;
+use super::Controller;
+use super::config_watch::{ConfigurationRead, NewSettings};
+use super::outbox::Purpose;
 use crate::http::Response;
 use crate::wire::budget::Urgency;
 
--- a/crates/gannethub-core/src/control/configuring.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -15,7 +15,7 @@
 
 use bytes::Bytes;
 
-use super::port::read;
+use super::outbox::read;
 use crate::configuration::{Document, OverLimit};
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
--- a/crates/gannethub-core/src/control/routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use serde::Deserialize;
 
-use super::controller::Controller;
-use super::holder::Answer;
+use super::Controller;
+use super::shard_owner::Answer;
 use crate::http::Response;
 use crate::model::Micros;
 use crate::wire::peer::{Body, Relay, Relayed};
--- a/crates/gannethub-core/src/control/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -6,8 +6,8 @@
 //! the last time that its holder provably knew which jobs are cancelled, whoever renews or promises: by its answers the
 //! tasks of a job that is cancelled elsewhere would run on.
 
-use super::leadership::{Authority, PROMISE};
-use super::port::{Port, Purpose};
+use super::election::{Authority, PROMISE};
+use super::outbox::{Port, Purpose};
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
 use crate::wire::budget::Urgency;
--- a/crates/gannethub-core/src/control/standing.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -4,13 +4,13 @@
 
 use bytes::Bytes;
 
-use super::holder::{Holder, Holders};
-use super::leadership::{Candidacy, PROMISE};
-use super::port::{PROBE_EVERY, Port, Purpose, read};
-use crate::memory::fleet::Offer;
-use crate::memory::mirror::Mirror;
-use crate::memory::share::Load;
+use super::election::{Candidacy, PROMISE};
+use super::outbox::{PROBE_EVERY, Port, Purpose, read};
+use super::shard_owner::{Holder, Holders};
 use crate::model::{Flavor, JobId, Micros, Resources, SECOND};
+use crate::state::fleet::Offer;
+use crate::state::job_replica::Mirror;
+use crate::state::shard_load::Load;
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{
     BlockTold, Body, Heartbeat, Marks, OfferTold, Promise, PromiseAsk, TeamTold,
--- a/crates/gannethub-core/src/control/standing/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 
 use super::*;
-use crate::control::port::{Clock, Effect};
+use crate::controller::outbox::{Clock, Effect};
 use crate::settings::Settings;
 use crate::settings::tests::SAMPLE;
 use crate::wire::peer::{Envelope, MAX_FRAME, encode};
--- a/crates/gannethub-core/src/control/controller.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -3,33 +3,47 @@
 //!
 //! | role | what is its |
 //! | --- | --- |
-//! | [`intake`](super::intake), [`queries`](super::queries) | users: submissions, queries, cancellations, and the copy of what is live |
-//! | [`standing`](super::standing) | siblings: who is heard, who leads, and this controller's own chances |
-//! | [`seats`](super::seats), [`allotter`](super::allotter) | where there are several blocks: who holds which, and what teams may use in each |
-//! | [`holder`](super::holder) | under a [`lease`](super::lease): the machines, what runs on them, and what is written of it |
-//! | [`routing`](super::routing) | workers' reports: answered here, or passed on to whoever holds the machine |
-//! | [`port`](super::port) | no role: what all of them ask of the outside |
+//! | [`submissions`](self::submissions), [`queries`](self::queries) | users: submissions, queries, cancellations, and the copy of what is live |
+//! | [`membership`](self::membership) | siblings: who is heard, who leads, and this controller's own chances |
+//! | [`shard_assignment`](self::shard_assignment), [`quota_partitioner`](self::quota_partitioner) | where there are several blocks: who holds which, and what teams may use in each |
+//! | [`shard_owner`](self::shard_owner) | under a [`lease`](self::lease): the machines, what runs on them, and what is written of it |
+//! | [`heartbeat_routing`](self::heartbeat_routing) | workers' reports: answered here, or passed on to whoever holds the machine |
+//! | [`outbox`](self::outbox) | no role: what all of them ask of the outside |
+
+mod config_status;
+mod config_watch;
+pub mod election;
+mod heartbeat_routing;
+mod lease;
+mod membership;
+mod outbox;
+mod queries;
+mod quota_partitioner;
+mod recovery;
+mod shard_assignment;
+mod shard_owner;
+mod submissions;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-use super::holder::{Holder, Holders};
-use super::intake::{Intake, POLL_PATIENCE, SUBMIT_PATIENCE, Waiter};
-use super::leadership::Candidacy;
-use super::lease::Lease;
-pub use super::port::{Clock, Command, Effect};
-use super::port::{News, Port, Purpose};
-use super::routing::Early;
-use super::seats::Seats;
-use super::standing::{Standing, offer_of};
+use self::election::Candidacy;
+use self::heartbeat_routing::Early;
+use self::lease::Lease;
+use self::membership::{Standing, offer_of};
+pub use self::outbox::{Clock, Command, Effect};
+use self::outbox::{News, Port, Purpose};
+use self::shard_assignment::Seats;
+use self::shard_owner::{Holder, Holders};
+use self::submissions::{Intake, POLL_PATIENCE, SUBMIT_PATIENCE, Waiter};
 use crate::http::{Request, Response};
-use crate::memory::cluster::Cluster;
-use crate::memory::fleet::{CloudCall, Offer};
-use crate::memory::shadow::Shadow;
 use crate::model::{JobId, Micros, SECOND, valid_job_id};
 use crate::settings::Settings;
+use crate::state::cluster::Cluster;
+use crate::state::fleet::{CloudCall, Offer};
+use crate::state::usage_replica::Shadow;
 use crate::wire::api::{self, Route};
 use crate::wire::cloud::{self, CloudRequest};
 use crate::wire::peer::{Body, Changed, Envelope, OfferTold, OpenTabs, Promise, TabsAsk};
@@ -51,20 +65,20 @@
 }
 
 pub struct Controller {
-    pub(super) port: Port,
-    pub(super) standing: Standing,
-    pub(super) intake: Intake,
+    port: Port,
+    standing: Standing,
+    intake: Intake,
     seats: Seats,
     /// The blocks that it holds. Whoever holds block 0 is the leader.
-    pub(super) holders: Holders,
+    holders: Holders,
     /// Siblings that hold the blocks of machines that have reported here.
-    pub(super) routes: HashMap<String, usize>,
+    routes: HashMap<String, usize>,
     /// What the leader has not charged yet.
     shadow: Shadow,
     /// Reports passed on to a holder: whose they are, until when it may answer, and what to ask another if it is not its.
-    pub(super) relays: HashMap<u64, (u64, Micros, Bytes)>,
+    relays: HashMap<u64, (u64, Micros, Bytes)>,
     /// Reports that came while the state was being read.
-    pub(super) early: Vec<Early>,
+    early: Vec<Early>,
     flavors_at: Micros,
     next_tick: Micros,
     /// The state service has answered since the last tick, and what follows from that has not been done.
--- a/crates/gannethub-core/src/control/port.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -8,14 +8,14 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 
-use super::configuring::{ConfigurationRead, Configuring};
+use super::config_watch::{ConfigurationRead, Configuring};
 use crate::http::{Request, Response};
-use crate::memory::fleet::CloudCall;
-use crate::memory::share::{self, Load};
-use crate::memory::writes::Batch;
 use crate::model::{Flavor, JobId, JobSpec, Micros, SECOND, micros};
 use crate::policy::Setting;
 use crate::settings::{Rates, Settings};
+use crate::state::fleet::CloudCall;
+use crate::state::shard_load::{self, Load};
+use crate::state::writes::Batch;
 use crate::wire::api::{JobView, Refusal};
 use crate::wire::budget::{Budget, Urgency};
 use crate::wire::cloud::CloudRequest;
@@ -311,7 +311,7 @@
     /// The block that a job accepted now goes to.
     pub fn home(&mut self, spec: &JobSpec) -> u32 {
         let most = self.blocks();
-        share::home(&mut self.loads, most, spec)
+        shard_load::home(&mut self.loads, most, spec)
     }
 
     /// How long this controller's grants last without renewal.
--- a/crates/gannethub-core/src/control/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -5,13 +5,13 @@
 use bytes::Bytes;
 use gannethub_ledger::audit::Page;
 
-use super::configuring::LOOK_EVERY;
-use super::holder::Holder;
-use super::intake::{Asker, Intake, MAX_ASKING, POLL_PATIENCE, Waiter, committed};
-use super::port::{News, Port, Purpose, read};
+use super::config_watch::LOOK_EVERY;
+use super::outbox::{News, Port, Purpose, read};
+use super::shard_owner::Holder;
+use super::submissions::{Asker, Intake, MAX_ASKING, POLL_PATIENCE, Waiter, committed};
 use crate::http::Response;
-use crate::memory::mirror::Found;
 use crate::model::{JobId, Micros, Ranges, SECOND};
+use crate::state::job_replica::Found;
 use crate::wire::api::{self, JobView, Status};
 use crate::wire::budget::Urgency;
 use crate::wire::store::{
--- a/crates/gannethub-core/src/control/allotter.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -1,5 +1,5 @@
 //! A block's part of the teams' limits, as its holder reads, obeys and writes it. What is decided is in
-//! [`allot`](crate::decide::allot).
+//! [`allot`](crate::scheduling::quota_partition).
 //!
 //! Nobody goes by more than is written, at any moment. A holder that gives back obeys before its write is sent, and
 //! until it is certain that the write was carried out or never will be: a write without an answer is sent again, guarded
@@ -11,10 +11,10 @@
 use bytes::Bytes;
 
 use super::lease::Lease;
-use super::port::{Port, Purpose, read};
-use crate::decide::allot::{self, Parts};
-use crate::memory::cluster::Cluster;
+use super::outbox::{Port, Purpose, read};
 use crate::model::{Micros, Resources, SECOND, Team};
+use crate::scheduling::quota_partition::{self, Parts};
+use crate::state::cluster::Cluster;
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, ALLOT, AllotRecord, Commit, Item, Listing, StoreRequest};
 
@@ -92,7 +92,7 @@
         let limits = match own {
             0 if self.damaged => whole.iter().map(|_| Resources::default()).collect(),
             0 if parts.is_empty() => return,
-            0 => allot::rest(&whole, &parts),
+            0 => quota_partition::rest(&whole, &parts),
             b => parts
                 .get(&b)
                 .cloned()
@@ -158,11 +158,11 @@
                 let whole: Vec<Resources> = cluster.whole.iter().map(|t| t.limit).collect();
                 let others = port.loads.iter().filter(|l| l.block > 0);
                 let told = others.map(|l| (l.block, l.teams.clone())).collect();
-                allot::raise(&whole, &self.parts(), &load.teams, &told)
+                quota_partition::raise(&whole, &self.parts(), &load.teams, &told)
             }
             b => {
                 let part = self.parts.get(&b).map(|p| p.0.clone()).unwrap_or_default();
-                let lowered = allot::lower(&part, &load.teams);
+                let lowered = quota_partition::lower(&part, &load.teams);
                 let since = *self.idle_since.get_or_insert(now);
                 if lowered.is_none() {
                     self.idle_since = None;
--- a/crates/gannethub-core/src/control/loading.rs
+++ b/crates/gannethub-core/src/controller/recovery.rs
@@ -4,11 +4,11 @@
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
 
-use super::holder::Holder;
-use super::port::{Port, Purpose, read};
-use crate::memory::block::ChunkRecord;
-use crate::memory::shadow::Shadow;
+use super::outbox::{Port, Purpose, read};
+use super::shard_owner::Holder;
 use crate::model::{Micros, SECOND};
+use crate::state::shard::ChunkRecord;
+use crate::state::usage_replica::Shadow;
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT;
 use crate::wire::store::{self, Item, Listing, MoveRecord, PartRecord, StoreRequest};
--- a/crates/gannethub-core/src/control/seats.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 
-use super::holder::{Holder, Holders};
-use super::leadership::Candidacy;
-use super::port::{PROBE_EVERY, Port, Purpose, read};
-use super::standing::Standing;
+use super::election::Candidacy;
+use super::membership::Standing;
+use super::outbox::{PROBE_EVERY, Port, Purpose, read};
+use super::shard_owner::{Holder, Holders};
 use crate::model::{Micros, SECOND};
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, Marks};
--- a/crates/gannethub-core/src/control/intake.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -5,12 +5,12 @@
 
 use bytes::Bytes;
 
-use super::port::{News, Port, Purpose};
+use super::outbox::{News, Port, Purpose};
 use super::queries::end_of;
 use crate::http::Response;
-use crate::memory::mirror::Mirror;
-use crate::memory::pipeline::Fate;
 use crate::model::{JobId, Micros, SECOND};
+use crate::state::job_replica::Mirror;
+use crate::state::pipeline::Fate;
 use crate::wire::api::{self, JobView, Refusal, Status, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT;
--- a/crates/gannethub-core/src/lib.rs
+++ b/crates/gannethub-core/src/lib.rs
@@ -5,17 +5,17 @@
 //! can embed it and a test can drive it by its own clock. Nothing here opens a socket, reads a file or asks
 //! for the time.
 //!
-//! Modules import downwards only: [`control`] above [`apply`], that above [`decide`], that above
-//! [`memory`], which knows the types of the [`wire`] and the plain modules below.
+//! Modules import downwards only: [`controller`] above [`reconcile`], that above [`scheduling`], that above
+//! [`state`], which knows the types of the [`wire`] and the plain modules below.
 
-pub mod apply;
 pub mod configuration;
-pub mod control;
-pub mod decide;
+pub mod controller;
 pub mod http;
-pub mod memory;
 pub mod model;
 pub mod policy;
+pub mod reconcile;
 pub mod saga;
+pub mod scheduling;
 pub mod settings;
+pub mod state;
 pub mod wire;
--- a/crates/gannethub-core/src/apply/configured.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use crate::configuration::OverLimit;
-use crate::memory::cluster::Cluster;
-use crate::memory::halt::Halts;
 use crate::model::{Micros, Resources};
 use crate::policy::Setting;
 use crate::settings::Settings;
+use crate::state::cluster::Cluster;
+use crate::state::kill_orders::Halts;
 
 impl Cluster {
     /// Goes by these settings from here on. Teams keep their numbers, new ones come behind them.
--- a/crates/gannethub-core/src/apply/reports.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -4,12 +4,12 @@
 
 use gannethub_ledger::line::Reason;
 
-use crate::memory::block::Member;
-use crate::memory::cluster::Cluster;
-use crate::memory::ledger;
-use crate::memory::records::{Attempt, Gang, Job, Machine, MachineId, Phase};
 use crate::model::{Micros, Resources, SECOND, Shape, TaskId, seconds};
 use crate::saga::{Action, Saga, State};
+use crate::state::cluster::Cluster;
+use crate::state::records::{Attempt, Gang, Job, Machine, MachineId, Phase};
+use crate::state::shard::Member;
+use crate::state::usage;
 use crate::wire::store::PART_TASKS;
 use crate::wire::worker::{ExitReason, Order, Report, TaskState};
 
@@ -290,7 +290,7 @@
             m.attempts.insert(key.clone(), entry);
         }
         if let Phase::Ended(why) = phase {
-            self.charge(id, &key, ledger::reason(why), now);
+            self.charge(id, &key, usage::reason(why), now);
         }
         if holds {
             self.occupy(id, team, need, now);
@@ -318,7 +318,7 @@
         machine.unheard = 0;
         let Some(job) = self.jobs.get_mut(&key.0.job) else {
             if let Phase::Ended(why) = phase {
-                self.release(id, key, ledger::reason(why), now);
+                self.release(id, key, usage::reason(why), now);
             }
             return;
         };
@@ -340,7 +340,7 @@
                         *pace += 0.05 * (ratio - *pace);
                     }
                 }
-                self.release(id, key, ledger::reason(why), now);
+                self.release(id, key, usage::reason(why), now);
                 self.gone(key, id, Some(why), now);
             }
             Phase::Saving => *job.progress.entry(key.0.index).or_default() += ran,
--- a/crates/gannethub-core/src/apply/halts.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -9,11 +9,11 @@
 
 use std::net::SocketAddrV4;
 
-use super::reports::MAX_ORDERS;
-use crate::memory::cluster::Cluster;
-use crate::memory::records::{MachineId, Phase};
+use super::heartbeat::MAX_ORDERS;
 use crate::model::{Micros, TaskId};
 use crate::policy::Setting;
+use crate::state::cluster::Cluster;
+use crate::state::records::{MachineId, Phase};
 use crate::wire::worker::Order;
 
 /// What is to be sent to a worker.
--- a/crates/gannethub-core/src/apply/storing.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -6,14 +6,14 @@
 use gannethub_ledger::audit::Page;
 use serde_json::value::RawValue;
 
-use crate::memory::block::ChunkRecord;
-use crate::memory::cluster::Cluster;
-use crate::memory::ledger::{owner_of, tell_damage};
-use crate::memory::records::{Failing, Job};
-use crate::memory::writes::{Batch, Item};
 use crate::model::{JobId, JobSpec, Micros, Ranges, SECOND, TaskId, seconds};
 use crate::policy::Setting;
 use crate::saga::{Action, Saga};
+use crate::state::cluster::Cluster;
+use crate::state::records::{Failing, Job};
+use crate::state::shard::ChunkRecord;
+use crate::state::usage::{owner_of, tell_damage};
+use crate::state::writes::{Batch, Item};
 use crate::wire::store::{
     self, Commit, JobRecord, LeadRecord, LiveRecord, OverRecord, PART_TASKS, PartRecord,
 };
--- a/crates/gannethub-core/src/apply/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use crate::memory::cluster::Cluster;
-use crate::memory::pipeline::{Consequences, Fate, Waiting};
-use crate::memory::share;
-use crate::memory::writes::{Batch, Item};
 use crate::model::{JobId, seconds};
+use crate::state::cluster::Cluster;
+use crate::state::pipeline::{Consequences, Fate, Waiting};
+use crate::state::shard_load;
+use crate::state::writes::{Batch, Item};
 use crate::wire::store::{self, Commit, JobRecord, OverRecord, WaitingRecord};
 
 /// So many tasks of a released job may be launched without another write.
@@ -144,7 +144,7 @@
                     record.ready = Some(self.wall.max(w.at));
                     // It is most likely to start at once.
                     record.open = Some(w.spec.tasks.min(RELEASED_OPEN));
-                    record.block = share::home(&mut self.loads, u32::MAX, &w.spec);
+                    record.block = shard_load::home(&mut self.loads, u32::MAX, &w.spec);
                     if record.block != 0 {
                         // Whoever holds that block may know of others to go first.
                         record.open = Some(0);
--- a/crates/gannethub-core/src/apply/cloud.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -3,10 +3,10 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use crate::memory::cluster::Cluster;
-use crate::memory::fleet::{CloudCall, Offer, Refusal};
-use crate::memory::records::MachineId;
 use crate::model::{Micros, SECOND, micros};
+use crate::state::cluster::Cluster;
+use crate::state::fleet::{CloudCall, Offer, Refusal};
+use crate::state::records::MachineId;
 use crate::wire::store::MoveRecord;
 
 /// Nothing of a deleted machine comes later than this.
--- a/crates/gannethub-core/src/apply/moves.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -7,11 +7,11 @@
 //! lost, its successor reads both; if the giver is lost before it wrote, the machine is adopted like any that nobody
 //! expected.
 
-use crate::memory::block::Member;
-use crate::memory::cluster::Cluster;
-use crate::memory::share::Giving;
-use crate::memory::writes::{Batch, Item};
 use crate::model::{Micros, SECOND};
+use crate::state::cluster::Cluster;
+use crate::state::shard::Member;
+use crate::state::shard_load::Giving;
+use crate::state::writes::{Batch, Item};
 use crate::wire::store::{self, Commit, MoveRecord};
 
 /// What was asked for, for another block, counts as coming for so long after it was given.
--- a/crates/gannethub-core/src/decide/renting.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::decide::zones::Zones;
-use crate::memory::boots::LATE_AFTER;
-use crate::memory::cluster::{Cluster, Spent};
-use crate::memory::fleet::{CloudCall, Offer};
-use crate::memory::records::{Attempt, Job, Machine, MachineId, Phase};
 use crate::model::{Micros, Resources, SECOND, Shape, TaskId, micros, seconds};
 use crate::policy::{Setting, Value};
+use crate::scheduling::zones::Zones;
+use crate::state::cluster::{Cluster, Spent};
+use crate::state::fleet::{CloudCall, Offer};
+use crate::state::provisioning_times::LATE_AFTER;
+use crate::state::records::{Attempt, Job, Machine, MachineId, Phase};
 
 /// What the cloud charges at least for a machine that is deleted.
 const MIN_CHARGE: Micros = 60 * SECOND;
--- a/crates/gannethub-core/src/decide/pulls.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::memory::cluster::Cluster;
-use crate::memory::pipeline::Waiting;
-use crate::memory::records::{Due, Job, Pull, Stage};
 use crate::model::{JobId, JobSpec, Micros, TaskId};
+use crate::state::cluster::Cluster;
+use crate::state::pipeline::Waiting;
+use crate::state::records::{Due, Job, Pull, Stage};
 
 /// How often what downstream jobs ask of those upstream is worked out again.
 const PULL_EVERY: Micros = 500_000;
--- a/crates/gannethub-core/src/decide/takeover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -10,12 +10,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::memory::cluster::Cluster;
-use crate::memory::room::Kind;
 use crate::model::{JobSpec, Micros, Resources, SECOND, Shape};
+use crate::state::capacity_index::Kind;
+use crate::state::cluster::Cluster;
 
 /// Marks are at least so many tasks ahead of what is launched, and one for so many machines, which may all
-/// have room in the same moment; and more where more is launched ([`Pace`](crate::memory::doubt::Pace)).
+/// have room in the same moment; and more where more is launched ([`Pace`](crate::state::unconfirmed::Pace)).
 const AHEAD_LEAST: usize = 32;
 const AHEAD_MACHINES: usize = 4;
 
--- a/crates/gannethub-core/src/decide/blame.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -8,9 +8,9 @@
 //! looked at again. A machine is faulty when a job that does well elsewhere fails on it twice, or
 //! when several jobs do that are not suspect.
 
-use crate::memory::cluster::Cluster;
-use crate::memory::records::{Failing, Job, MachineId, Phase};
 use crate::model::{JobId, Micros, SECOND, Shape, TaskId};
+use crate::state::cluster::Cluster;
+use crate::state::records::{Failing, Job, MachineId, Phase};
 
 /// Replicas never end; one that has run for this long has done well.
 const PROVED: Micros = 10 * SECOND;
--- a/crates/gannethub-core/src/decide/plan.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::decide::renting::patience;
-use crate::decide::zones::{Zones, zone_ok};
-use crate::memory::cluster::Cluster;
-use crate::memory::fleet::Offer;
-use crate::memory::records::MachineId;
 use crate::model::{JobSpec, Micros, Resources, SECOND, Shape, UNLIMITED, micros};
 use crate::policy::Setting;
+use crate::scheduling::autoscaler::patience;
+use crate::scheduling::zones::{Zones, zone_ok};
+use crate::state::cluster::Cluster;
+use crate::state::fleet::Offer;
+use crate::state::records::MachineId;
 
 /// Steps of a plan, in queue order, and so many more for each machine there is: else a large cluster's
 /// plan would end among the machines it has, and never come to what has to be rented. A plan is made
--- a/crates/gannethub-core/src/decide/gather.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::decide::zones::{Zones, zone_ok, zone_room};
-use crate::memory::cluster::Cluster;
-use crate::memory::records::{Job, Kept, Machine, MachineId, Phase};
 use crate::model::{JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
+use crate::scheduling::zones::{Zones, zone_ok, zone_room};
+use crate::state::cluster::Cluster;
+use crate::state::records::{Job, Kept, Machine, MachineId, Phase};
 
 /// Room kept for gangs is looked over this often, for each machine, and always again before the
 /// room lapses.
--- a/crates/gannethub-core/src/decide/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -1,9 +1,9 @@
 //! Teams that are above their limit, since it was lowered: what is not launched after all, and what is stopped.
 
 use crate::configuration::OverLimit;
-use crate::memory::cluster::Cluster;
-use crate::memory::records::{MachineId, Phase};
 use crate::model::{Micros, Resources, TaskId, Team};
+use crate::state::cluster::Cluster;
+use crate::state::records::{MachineId, Phase};
 
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
--- a/crates/gannethub-core/src/decide/order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -7,11 +7,11 @@
 
 use std::cmp::Reverse;
 
-use crate::memory::cluster::Cluster;
-use crate::memory::queue::Key;
-use crate::memory::records::Job;
 use crate::model::{Micros, Resources, Team};
 use crate::policy::Setting;
+use crate::state::cluster::Cluster;
+use crate::state::queue::Key;
+use crate::state::records::Job;
 
 /// The order is worked out anew this often, for each job in it.
 const ORDER_EVERY: Micros = 200;
--- a/crates/gannethub-core/src/decide/allot.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -8,11 +8,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::memory::cluster::Cluster;
-use crate::memory::fleet::{CloudCall, Offer};
-use crate::memory::records::Job;
-use crate::memory::share::Load;
 use crate::model::{JobId, Micros, Resources, SECOND, Shape};
+use crate::state::cluster::Cluster;
+use crate::state::fleet::{CloudCall, Offer};
+use crate::state::records::Job;
+use crate::state::shard_load::Load;
 
 /// What a block keeps beyond what it uses and waits for, as a part of that.
 const SPARE: f64 = 0.1;
--- a/crates/gannethub-core/src/decide/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -1,6 +1,6 @@
 //! What runs where: quota, first-fit placement, gangs, and the passes over the queue.
 //!
-//! A pass asks the index of room ([`Rooms`](crate::memory::room::Rooms)) for what each job needs, and what it
+//! A pass asks the index of room ([`Rooms`](crate::state::capacity_index::Rooms)) for what each job needs, and what it
 //! costs is counted in steps: a job or a machine that is looked at. The next pass begins no sooner than
 //! its steps allow, so that deciding takes the same part of the processor however large the cluster
 //! and however long the queue, and reports, renewals and users are never late behind it.
@@ -10,16 +10,16 @@
 use std::sync::Arc;
 
 use crate::configuration::OverLimit;
-use crate::decide::gather::Gathering;
-use crate::decide::zones::{Zones, zone_ok, zone_room};
-use crate::memory::cluster::Cluster;
-use crate::memory::records::{Attempt, Gang, Job, Kept, Machine, MachineId, Phase, Pull};
-use crate::memory::room::Kind;
 use crate::model::{
     JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED, micros, seconds,
 };
 use crate::policy::Value;
 use crate::saga::Saga;
+use crate::scheduling::gang::Gathering;
+use crate::scheduling::zones::{Zones, zone_ok, zone_room};
+use crate::state::capacity_index::Kind;
+use crate::state::cluster::Cluster;
+use crate::state::records::{Attempt, Gang, Job, Kept, Machine, MachineId, Phase, Pull};
 
 /// Room up to this many times as dear as the cheapest of its rank counts as costing the same.
 const SIMILAR_PRICE: f64 = 1.5;
--- a/crates/gannethub-core/src/memory/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::boots::Boots;
+use super::provisioning_times::Boots;
 use crate::model::{Flavor, Micros};
 use crate::wire::cloud::{CloudRequest, Listed};
 
--- a/crates/gannethub-core/src/memory/mirror.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -11,8 +11,8 @@
 
 use serde::Deserialize;
 
-use crate::memory::pipeline::{Fate, Links};
 use crate::model::{JobId, Ranges};
+use crate::state::pipeline::{Fate, Links};
 use crate::wire::api::{JobView, Status};
 use crate::wire::configuration::CURRENT;
 use crate::wire::store::{Change, Followed, Item, LIVE, Listing, decode_done, decode_ids};
--- a/crates/gannethub-core/src/memory/records.rs
+++ b/crates/gannethub-core/src/state/records.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use super::ledger::Tab;
+use super::usage::Tab;
 use crate::model::{JobId, JobSpec, Micros, Priority, Ranges, Resources, SECOND, Shape, TaskId};
 use crate::saga::Saga;
 use crate::wire::worker::ExitReason;
--- a/crates/gannethub-core/src/memory/doubt.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -1,7 +1,7 @@
 //! What a leader does not know yet of the machines that it took over.
 
+use super::capacity_index::Kind;
 use super::records::Machine;
-use super::room::Kind;
 use crate::model::{Micros, Resources, SECOND};
 
 /// Machines that may hold tasks of an earlier term and have not been heard in this one, by kind. A kind that
--- a/crates/gannethub-core/src/memory/ledger.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -12,7 +12,7 @@
 
 use super::cluster::Cluster;
 use super::records::{Job, Machine, MachineId, Phase};
-use super::shadow::{Shadow, Told};
+use super::usage_replica::{Shadow, Told};
 use crate::model::{JobId, Micros, Resources, SECOND, Shape, TaskId};
 use crate::wire::peer::{OpenTab, OpenTabs, TabKey, TabOwner};
 use crate::wire::store::{Owner, SLACK, ledger_page};
@@ -903,7 +903,7 @@
         // An end that is still shown would get the next start of the task here refused; and a report must
         // not outgrow its limit. Then this leader's memory has to do.
         let again = || {
-            let other = |(k, a): (&(TaskId, u64), &crate::memory::records::Attempt)| {
+            let other = |(k, a): (&(TaskId, u64), &crate::state::records::Attempt)| {
                 k.0 == key.0 && k.1 != key.1 && a.phase == Phase::Starting
             };
             machine.attempts.iter().any(other)
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -4,8 +4,8 @@
 #[path = "stories/leader_view.rs"]
 mod leader_view;
 
-use gannethub_core::apply::reports::Outcome;
 use gannethub_core::model::{SECOND, Shape};
+use gannethub_core::reconcile::heartbeat::Outcome;
 use gannethub_core::wire::worker::{Report, ReportedTask, TaskState};
 use leader_view::{LeaderView, TERM, spec};
 
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-const LAYERS: [&str; 5] = ["wire", "memory", "decide", "apply", "control"];
+const LAYERS: [&str; 5] = ["wire", "state", "scheduling", "reconcile", "controller"];
 
 /// Folders of the core that a file names in a path.
 fn named(text: &str) -> impl Iterator<Item = &str> {
--- a/crates/gannethub-core/tests/stories/leader_view.rs
+++ b/crates/gannethub-core/tests/stories/leader_view.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gannethub_core::apply::reports::Outcome;
-use gannethub_core::memory::cluster::Cluster;
-use gannethub_core::memory::fleet::CloudCall;
 use gannethub_core::model::{Flavor, JobSpec, Priority, Resources, SECOND, Shape};
+use gannethub_core::reconcile::heartbeat::Outcome;
 use gannethub_core::settings::Settings;
+use gannethub_core::state::cluster::Cluster;
+use gannethub_core::state::fleet::CloudCall;
 use gannethub_core::wire::store::JobRecord;
 use gannethub_core::wire::worker::{ExitReason, Order, Report, ReportedTask, TaskState};
 use serde_json::json;
--- a/crates/gannethub-core/tests/stories/ledger.rs
+++ b/crates/gannethub-core/tests/stories/ledger.rs
@@ -217,7 +217,7 @@
 
 #[test]
 fn pages_are_shown_and_bad_questions_are_explained() {
-    use gannethub_core::control::controller::{Clock, Command, Controller, Effect};
+    use gannethub_core::controller::{Clock, Command, Controller, Effect};
     use gannethub_core::http::{Method, Request};
     let w = World::with_ledger(1, 1, &|text| text);
     let settings = std::sync::Arc::new(w.settings().clone());
--- a/crates/gannethub-core/tests/stories/main.rs
+++ b/crates/gannethub-core/tests/stories/main.rs
@@ -17,7 +17,7 @@
 mod unheard_of;
 mod upgrade;
 
-use gannethub_core::control::leadership::PROMISE;
+use gannethub_core::controller::election::PROMISE;
 use rand::Rng;
 use serde_json::json;
 use sim::{LEASE, SECOND, World, job};
--- a/crates/gannethub-core/tests/stories/ops.rs
+++ b/crates/gannethub-core/tests/stories/ops.rs
@@ -2,9 +2,9 @@
 
 use serde_json::json;
 
-use gannethub_core::apply::reports::Outcome;
-use gannethub_core::memory::fleet::CloudCall;
 use gannethub_core::model::{JobSpec, Shape};
+use gannethub_core::reconcile::heartbeat::Outcome;
+use gannethub_core::state::fleet::CloudCall;
 
 use crate::leader_view::{LeaderView, spec};
 use crate::sim::{SECOND, World, job};
--- a/crates/gannethub-core/tests/stories/pipelines.rs
+++ b/crates/gannethub-core/tests/stories/pipelines.rs
@@ -1,7 +1,7 @@
 //! Stories of jobs that wait for others.
 
-use gannethub_core::memory::fleet::CloudCall;
 use gannethub_core::model::{JobSpec, Priority, Shape};
+use gannethub_core::state::fleet::CloudCall;
 use gannethub_core::wire::store::WaitingRecord;
 use serde_json::json;
 
--- a/crates/gannethub-core/tests/stories/scale.rs
+++ b/crates/gannethub-core/tests/stories/scale.rs
@@ -23,7 +23,7 @@
         [2, 2, 0]
     );
     for m in f.c.machines.values().filter(|m| m.kept(f.now).is_some()) {
-        let same = |o: &&gannethub_core::memory::records::Machine| {
+        let same = |o: &&gannethub_core::state::records::Machine| {
             o.kept(f.now).map(|k| &k.job) == m.kept(f.now).map(|k| &k.job)
         };
         assert!(f.c.machines.values().filter(same).all(|o| o.zone == m.zone));
--- a/crates/gannethub-core/tests/stories/sim/mod.rs
+++ b/crates/gannethub-core/tests/stories/sim/mod.rs
@@ -10,12 +10,12 @@
 
 use bytes::Bytes;
 use gannethub_core::configuration::Document;
-use gannethub_core::control::controller::{Clock, Command, Controller, Effect};
+use gannethub_core::controller::{Clock, Command, Controller, Effect};
 use gannethub_core::http::{Method, Request, Response};
-use gannethub_core::memory::cluster::Cluster;
 use gannethub_core::model::Ranges;
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
+use gannethub_core::state::cluster::Cluster;
 use gannethub_core::wire::peer::{Body, Envelope, Promise};
 use gannethub_core::wire::store::{PART_TASKS, StoreRequest, TERM, decode_done, seat_keys};
 use gannethub_ledger::KeyRing;
--- a/crates/gannethub-core/tests/stories/takeover.rs
+++ b/crates/gannethub-core/tests/stories/takeover.rs
@@ -1,8 +1,8 @@
 //! Deciding machine by machine after a loss: what marks, promises and limits allow, and what they forbid.
 
-use gannethub_core::memory::block::{ChunkRecord, Member};
-use gannethub_core::memory::cluster::Cluster;
 use gannethub_core::model::Shape;
+use gannethub_core::state::cluster::Cluster;
+use gannethub_core::state::shard::{ChunkRecord, Member};
 use gannethub_core::wire::store::JobRecord;
 use rand::Rng;
 use serde_json::{Value, json};
--- a/crates/gannethub-core/tests/stories/upgrade.rs
+++ b/crates/gannethub-core/tests/stories/upgrade.rs
@@ -3,8 +3,8 @@
 //! side is kept here as small types of the same fields.
 
 use bytes::BytesMut;
-use gannethub_core::memory::block::ChunkRecord;
 use gannethub_core::model::{JobId, JobSpec};
+use gannethub_core::state::shard::ChunkRecord;
 use gannethub_core::wire::peer::{self, Body};
 use gannethub_core::wire::store::{
     self, JobRecord, LeadRecord, LiveRecord, OverRecord, PartRecord, WaitingRecord,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -14,7 +14,7 @@
 
 use crate::http::{Bodies, Client, Connection, Method, Response};
 use crate::peers;
-use gannethub_core::control::controller::{Clock, Command, Controller, Effect};
+use gannethub_core::controller::{Clock, Command, Controller, Effect};
 use gannethub_core::settings::Settings;
 use gannethub_core::wire::peer::Envelope;
 
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use gannethub_core::control::controller::Command;
+use gannethub_core::controller::Command;
 use gannethub_core::wire::peer::{Body, Envelope, decode, encode};
 
 /// Messages written at once.
