--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -10,7 +10,7 @@
 //! this machine's. `--load` above 1 keeps a long queue.
 
 #[allow(dead_code)]
-#[path = "../tests/stories/leader_view.rs"]
+#[path = "../tests/simulation/leader_view.rs"]
 mod leader_view;
 
 use std::borrow::Cow;
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -4,7 +4,7 @@
 //!     cargo bench -p gannethub-core --bench decide
 
 #[allow(dead_code)]
-#[path = "../tests/stories/leader_view.rs"]
+#[path = "../tests/simulation/leader_view.rs"]
 mod leader_view;
 
 use std::cell::RefCell;
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -1,7 +1,7 @@
 //! What a report costs a holder, counted by an allocator: the same on every run.
 
 #[allow(dead_code)]
-#[path = "stories/leader_view.rs"]
+#[path = "simulation/leader_view.rs"]
 mod leader_view;
 
 use gannethub_core::model::{SECOND, Shape};
--- a/crates/gannethub-core/tests/stories/further.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -1,10 +1,10 @@
 //! The further meetings of two troubles: a story for every row of the table at the top of `docs/design-meetings.md` that
 //! names this module. What must hold in all of them is the checker's: it looks at every machine, answer and launch.
 
-use crate::unheard_of::{begin, id, long, recover, roles};
+use crate::unseen_cancellation::{begin, id, long, recover, roles};
 use crate::*;
 use gannethub_core::wire::store::TERM;
-use sim::CANCEL;
+use harness::CANCEL;
 
 /// Waits until nothing is in trouble any more, then until all jobs are over, and asks once more at all nodes.
 fn to_the_end(mut w: World, seed: u64) {
@@ -166,7 +166,7 @@
         // 16 of red, 40 of blue: as much as their limits allow.
         w.run_until(90, "both teams are at their limits", |w| w.starts >= 56);
         w.run(3);
-        let on = |x: &sim::Worker| x.tasks.keys().any(|t| t[7..8].parse().unwrap_or(0) <= 4);
+        let on = |x: &harness::Worker| x.tasks.keys().any(|t| t[7..8].parse().unwrap_or(0) <= 4);
         let some: Vec<String> = w
             .workers
             .values()
--- a/crates/gannethub-core/tests/stories/meetings.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -3,8 +3,8 @@
 
 use gannethub_core::configuration::{Document, OverLimit};
 
-use crate::sim::changes::{team, teams};
-use crate::unheard_of::{id, long, recover, roles, told};
+use crate::harness::config_changes::{team, teams};
+use crate::unseen_cancellation::{id, long, recover, roles, told};
 use crate::*;
 
 /// Copies of reports come up to three leases late: of sessions that have ended, of attempts that have been replaced, under
@@ -465,7 +465,7 @@
     );
 }
 
-/// `MEETINGS=400 cargo test -p gannethub-core --test stories at_random_break -- --nocapture` plays more seeds, from 1000
+/// `MEETINGS=400 cargo test -p gannethub-core --test simulation at_random_break -- --nocapture` plays more seeds, from 1000
 /// on, and says how many were bad; `MEETINGS=7..9` plays those.
 fn play(seeds: std::ops::Range<u64>, changes: bool) {
     let (mut bad, mut longest) = (Vec::new(), 0);
--- a/crates/gannethub-core/tests/stories/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -10,9 +10,9 @@
 use gannethub_core::wire::worker::Order;
 use serde_json::json;
 
+use crate::harness::config_changes::{team, teams};
+use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
-use crate::sim::changes::{team, teams};
-use crate::sim::{SECOND, World, job};
 
 /// How long a version takes to be in force everywhere, at the most, in seconds.
 const EVERYWHERE: u64 = 7;
@@ -37,7 +37,7 @@
 
 /// What red has on machines.
 fn used(w: &World) -> usize {
-    let of_red = |t: &&gannethub_standin::worker::Task| {
+    let of_red = |t: &&gannethub_emulators::worker::Task| {
         let id = t.name.split('/').next().unwrap_or("");
         t.on_machine() && w.jobs.get(id).is_some_and(|j| j.body["crew"] == "red")
     };
--- a/crates/gannethub-core/tests/stories/takeover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -7,8 +7,8 @@
 use rand::Rng;
 use serde_json::{Value, json};
 
+use crate::harness::{LEASE, SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
-use crate::sim::{LEASE, SECOND, World, job};
 
 fn cluster(w: &World) -> Option<&Cluster> {
     let leader = w.nodes[w.leader()?].controller.as_ref()?;
--- a/crates/gannethub-core/tests/stories/sim/changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -5,7 +5,7 @@
 use gannethub_core::configuration::{Document, TeamEntry};
 use gannethub_core::wire::configuration::{CURRENT, HISTORY, HistoryRecord, VersionRecord, split};
 use gannethub_core::wire::store::{Commit, raw};
-use gannethub_standin::state::Outcome;
+use gannethub_emulators::state::Outcome;
 use serde_json::Value;
 
 use super::{SECOND, World};
--- a/crates/gannethub-core/tests/stories/sim/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -1,8 +1,8 @@
 //! A small world for stories: controllers, workers, cloud, state service and users on one
 //! simulated clock, and an independent checker of the rules.
 
-pub mod changes;
-mod checks;
+pub mod config_changes;
+mod invariants;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -24,9 +24,9 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use gannethub_standin::state::Outcome;
-use gannethub_standin::worker::{self, JobFacts};
-pub use gannethub_standin::{Cloud, Record, Site, State, Worker};
+use gannethub_emulators::state::Outcome;
+use gannethub_emulators::worker::{self, JobFacts};
+pub use gannethub_emulators::{Cloud, Record, Site, State, Worker};
 
 pub const SECOND: u64 = 1_000_000;
 const STEP: u64 = 10_000;
@@ -145,7 +145,7 @@
     pub nodes: Vec<Node>,
     settings: Vec<Arc<Settings>>,
     /// Versions of the configuration that operators have stored, and the last one's document.
-    changes: Vec<changes::Changed>,
+    changes: Vec<config_changes::Changed>,
     document: Document,
     /// How late workers may get what a controller answered.
     pub answers_late: u64,
@@ -383,7 +383,7 @@
             parts: HashMap::new(),
             changes: Vec::new(),
             document: Document::default(),
-            answers_late: changes::ANSWER,
+            answers_late: config_changes::ANSWER,
             unanswered: 0,
             asked_since: 0,
             slow_commits: HashMap::new(),
--- a/crates/gannethub-core/tests/stories/scale.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -1,7 +1,7 @@
 //! Short stories of large clusters: what is rented, kept and stopped, and what it costs to decide.
 
+use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
-use crate::sim::{SECOND, World, job};
 use gannethub_core::model::{JobSpec, Priority, Shape};
 use gannethub_core::wire::worker::Order;
 use serde_json::json;
--- a/crates/gannethub-core/tests/stories/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -1,26 +1,26 @@
 //! Short stories: a whole cluster in memory, on a simulated clock, with the rules checked.
 
+mod cancellation_and_failover;
+mod concurrent_failures;
 mod configuration;
-mod deaf;
-mod further;
-mod growth;
+mod constrained_processor;
+mod failover;
+mod harness;
+mod large_clusters;
 mod leader_view;
-mod lean;
-mod ledger;
-mod meetings;
-mod ops;
+mod one_way_partition;
+mod operations;
 mod pipelines;
-mod scale;
-mod shares;
-mod sim;
-mod takeover;
-mod unheard_of;
+mod scheduling_cost;
+mod sharding;
+mod unseen_cancellation;
 mod upgrade;
+mod usage_ledger;
 
 use gannethub_core::controller::election::PROMISE;
+use harness::{LEASE, SECOND, World, job};
 use rand::Rng;
 use serde_json::json;
-use sim::{LEASE, SECOND, World, job};
 
 /// How long grants last under the built-in policy.
 const TTL: u64 = 3 * SECOND;
--- a/crates/gannethub-core/tests/stories/ops.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -6,8 +6,8 @@
 use gannethub_core::reconcile::heartbeat::Outcome;
 use gannethub_core::state::fleet::CloudCall;
 
+use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
-use crate::sim::{SECOND, World, job};
 
 /// The rates of a small state service.
 fn slow_state(text: String) -> String {
--- a/crates/gannethub-core/tests/stories/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -5,8 +5,8 @@
 use gannethub_core::wire::store::WaitingRecord;
 use serde_json::json;
 
+use crate::harness::{CANCEL, SECOND, World, job};
 use crate::leader_view::{LeaderView, WALL, spec};
-use crate::sim::{CANCEL, SECOND, World, job};
 
 /// A job that waits for these.
 fn after(id: u32, tasks: u32, on: &[u32]) -> serde_json::Value {
--- a/crates/gannethub-core/tests/stories/growth.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 
+use crate::harness::SECOND;
 use crate::leader_view::{LeaderView, spec};
-use crate::sim::SECOND;
 use gannethub_core::model::{JobSpec, Priority, Shape};
 use gannethub_core::wire::worker::Order;
 
--- a/crates/gannethub-core/tests/stories/shares.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use crate::sim::{LEASE, SECOND, World, job};
+use crate::harness::{LEASE, SECOND, World, job};
 use crate::{Kind, troubles};
 
 fn three(seed: u64) -> World {
--- a/crates/gannethub-core/tests/stories/unheard_of.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -4,7 +4,7 @@
 
 use crate::*;
 use gannethub_core::wire::store::TERM;
-use sim::CANCEL;
+use harness::CANCEL;
 
 /// Work that outlasts any outage here: eight arrays of two tasks each, on machines.
 pub fn long(nodes: usize, seed: u64) -> World {
@@ -203,7 +203,7 @@
         w.run_until(60, "they run", |w| w.starts >= 23);
         w.submit(job(13, 2, json!({"waits_on": ["j-000011"]})));
         // Told to save shortly before, since its machine is to be taken away.
-        let on = |x: &sim::Worker| x.tasks.keys().any(|t| t.starts_with("j-000012"));
+        let on = |x: &harness::Worker| x.tasks.keys().any(|t| t.starts_with("j-000012"));
         w.workers
             .values_mut()
             .filter(|x| on(x))
@@ -225,7 +225,7 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let jobs = [1, 2, 3, 4];
-        let holds = |x: &sim::Worker| {
+        let holds = |x: &harness::Worker| {
             x.tasks
                 .keys()
                 .any(|t| jobs.iter().any(|i| t.starts_with(&id(*i))))
--- a/crates/gannethub-core/tests/stories/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::sim::{SECOND, World, job};
+use crate::harness::{SECOND, World, job};
 
 const SPEC: &str = r#"{"class":"scale-ticket","team":"blue","shape":"Array","priority":"Low","tasks":70,"need":{"cpu":1000,"gpu":0,"mem":2300},"image":"img-07","image_gb":0.6,"types":["small"],"zone":null,"one_zone":false,"spread":false,"spot":true,"estimate":30500000,"checkpoint_every":0,"save":0,"deadline":71000000}"#;
 const TAIL: &str = r#","at":1790000000000000,"done":"0-2,9","cancelled":false}"#;
--- a/crates/gannethub-core/tests/stories/ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -6,7 +6,7 @@
 use gannethub_ledger::line::{Body, Entry, Gap, Took};
 use serde_json::json;
 
-use crate::sim::{LEASE, SECOND, World, job};
+use crate::harness::{LEASE, SECOND, World, job};
 use crate::{Kind, troubles};
 
 /// Time of day when a story begins.
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use clap::Args;
-use gannethub::standins::{Asked, serve};
-use gannethub_standin::{Cloud, JobFacts, Site, Worker};
+use gannethub::emulators::{Asked, serve};
+use gannethub_emulators::{Cloud, JobFacts, Site, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -10,10 +10,10 @@
 
 use bytes::Bytes;
 use clap::Args;
+use gannethub::emulators::{Asked, serve};
 use gannethub::http::{Client, Method};
-use gannethub::standins::{Asked, serve};
-use gannethub_standin::worker::{Phase, Task, job_of};
-use gannethub_standin::{JobFacts, Site, Worker};
+use gannethub_emulators::worker::{Phase, Task, job_of};
+use gannethub_emulators::{JobFacts, Site, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use gannethub_standin::worker::job_of;
+use gannethub_emulators::worker::job_of;
 use serde::Serialize;
 
 use crate::messages::{Happened, TaskEvent};
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -12,7 +12,7 @@
 
 use gannethub::files::FileError;
 use gannethub::http::{Client, Method};
-use gannethub_standin::worker::job_of;
+use gannethub_emulators::worker::job_of;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use clap::Args;
+use gannethub::emulators::{Asked, StateService, serve};
 use gannethub::http::Method;
-use gannethub::standins::{Asked, StateService, serve};
-use gannethub_standin::State;
+use gannethub_emulators::State;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -1,7 +1,7 @@
 //! A whole cluster on loopback: stand-ins of state service, cloud and workers in this process, and controllers
 //! as processes of their own, so that they can be killed.
 //!
-//! The stand-ins are the models that the stories play ([`gannethub_standin`]), here on the real clock. One task
+//! The stand-ins are the models that the stories play ([`gannethub_emulators`]), here on the real clock. One task
 //! owns them all and works through a queue; tasks beside it hold the sockets.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -15,10 +15,10 @@
 use comfy_table::Table;
 use gannethub_core::http::Method;
 use gannethub_core::wire::store::LiveRecord;
+use gannethub_emulators::worker::{JobFacts, step_gangs};
+use gannethub_emulators::{Cloud, Record, Site, Span, State, Worker};
 use gannethub_ledger::audit::verify;
 use gannethub_ledger::line::{Body, Entry};
-use gannethub_standin::worker::{JobFacts, step_gangs};
-use gannethub_standin::{Cloud, Record, Site, Span, State, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -27,10 +27,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
+use crate::emulators::{Asked, StateService, free_ports, serve};
 use crate::files::{self, FileError};
 use crate::http::{Client, ask_any};
 use crate::ledger::{LedgerError, fetch};
-use crate::standins::{Asked, StateService, free_ports, serve};
 
 const SECOND: u64 = 1_000_000;
 const TICK: Duration = Duration::from_millis(10);
--- a/src/standins.rs
+++ b/src/emulators.rs
@@ -1,12 +1,12 @@
-//! The models of [`gannethub_standin`] on loopback sockets: what `gannethub dev` and the scale run share.
+//! The models of [`gannethub_emulators`] on loopback sockets: what `gannethub dev` and the scale run share.
 
 use std::net::{Ipv4Addr, TcpListener as Probe};
 use std::time::Duration;
 
 use bytes::Bytes;
 use gannethub_core::http::{Method, Response};
-use gannethub_standin::State;
-use gannethub_standin::state::Outcome;
+use gannethub_emulators::State;
+use gannethub_emulators::state::Outcome;
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -7,8 +7,8 @@
 use gannethub_core::configuration::{Document, TeamEntry};
 use gannethub_core::http::Method;
 use gannethub_core::settings::Settings;
-use gannethub_standin::State;
-use gannethub_standin::state::Outcome;
+use gannethub_emulators::State;
+use gannethub_emulators::state::Outcome;
 
 /// A state service, and what goes wrong on the way to it.
 struct Store {
