--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -163,3 +163,43 @@
     assert_eq!(a, Some((200, Bytes::from("ab"))));
     assert_eq!(b, Some((409, Bytes::from("cde"))));
 }
+
+#[tokio::test]
+async fn answers_and_requests_have_this_form_on_the_wire() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
+        panic!("bound to an IPv4 address");
+    };
+    let answer = async {
+        let (stream, _) = listener.accept().await.unwrap();
+        let mut connection = Connection::new(stream, Bodies::new(0));
+        let response = Response::error(503, "why").retry(2);
+        connection.write(&response, true).await.unwrap();
+    };
+    let read = async {
+        let mut text = String::new();
+        let mut stream = TcpStream::connect(addr).await.unwrap();
+        stream.read_to_string(&mut text).await.unwrap();
+        text
+    };
+    assert_eq!(
+        tokio::join!(answer, read).1,
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 15\r\n\
+            Retry-After: 2\r\nConnection: close\r\n\r\n{\"error\":\"why\"}"
+    );
+    let pinned =
+        format!("POST /commands HTTP/1.1\r\nHost: {addr}\r\nContent-Length: 2\r\n\r\n{{}}");
+    let receive = async {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut received = vec![0; pinned.len()];
+        stream.read_exact(&mut received).await.unwrap();
+        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n[]";
+        stream.write_all(answer).await.unwrap();
+        String::from_utf8(received).unwrap()
+    };
+    let client = Client::new(addr);
+    let call = client.call(Method::Post, "/commands", b"{}", Duration::from_secs(5));
+    let (received, answered) = tokio::join!(receive, call);
+    assert_eq!(received, pinned);
+    assert_eq!(answered, Some((200, Bytes::from_static(b"[]"))));
+}
