--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -28,8 +28,11 @@
     /// How many parts the document has.
     pub parts: u32,
     /// Time of day in microseconds since 1970, by the operator's clock.
+    #[serde(rename = "at")]
     pub at: u64,
+    #[serde(rename = "by")]
     pub by: String,
+    #[serde(rename = "why")]
     pub why: String,
 }
 
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -54,6 +54,7 @@
 /// A machine on its way to a block: [`MOVE`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct MoveRecord {
+    #[serde(rename = "flavor")]
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
@@ -69,11 +70,13 @@
 /// The value of both keys under [`LEAD`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct LeadRecord {
+    #[serde(rename = "holder")]
     pub holder: String,
     pub term: u64,
     /// Whatever may be on a machine of any term so far is below its job's mark ([`JobRecord::open`]). The
     /// version before marks does not write it, and launches without them.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    #[serde(rename = "marked")]
     pub marked: bool,
 }
 
@@ -82,9 +85,11 @@
 pub struct JobRecord {
     pub spec: JobSpec,
     /// Time of day at acceptance, in microseconds.
+    #[serde(rename = "at")]
     pub at: u64,
     /// Time of day at its release, if it waited for other jobs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "ready")]
     pub ready: Option<u64>,
     #[serde(default)]
     pub done: String,
@@ -92,10 +97,12 @@
     pub cancelled: bool,
     /// It fails wherever it runs.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    #[serde(rename = "failing")]
     pub failing: bool,
     /// Its mark: only tasks with lower numbers may be on a machine. It is raised before they are launched.
     /// `None`: any may be.
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "open")]
     pub open: Option<u32>,
     /// The block that its tasks run in. Only [`JobRecord::value`] writes it.
     #[serde(skip)]
@@ -154,6 +161,7 @@
 pub struct WaitingRecord {
     spec: Size,
     /// Time of day at acceptance, in microseconds.
+    #[serde(rename = "at")]
     pub at: u64,
     pub cancelled: bool,
     pub waiting: Held,
@@ -169,23 +177,30 @@
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 struct HomedRecord {
     spec: Size,
+    #[serde(rename = "at")]
     at: u64,
     #[serde(default)]
     done: String,
     #[serde(default)]
     cancelled: bool,
+    #[serde(rename = "homed")]
     homed: Homed,
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 struct Homed {
+    #[serde(rename = "block")]
     block: u32,
+    #[serde(rename = "job")]
     job: JobSpec,
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "ready")]
     ready: Option<u64>,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    #[serde(rename = "failing")]
     failing: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "open")]
     open: Option<u32>,
 }
 
@@ -216,6 +231,7 @@
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Held {
     pub job: JobSpec,
+    #[serde(rename = "on")]
     pub on: String,
 }
 
@@ -346,8 +362,10 @@
 pub struct Owner {
     pub team: String,
     pub class: String,
+    #[serde(rename = "need")]
     pub need: Resources,
     /// It runs until it is stopped, and all of its run counts.
+    #[serde(rename = "replica")]
     pub replica: bool,
 }
 
@@ -507,7 +525,9 @@
 
 #[derive(Serialize, Debug, Clone)]
 struct Guard {
+    #[serde(rename = "k")]
     k: String,
+    #[serde(rename = "stamp")]
     stamp: u64,
 }
 
@@ -515,12 +535,15 @@
 #[serde(untagged)]
 enum Write {
     Put {
+        #[serde(rename = "write")]
         write: String,
+        #[serde(rename = "v")]
         v: Box<RawValue>,
-        #[serde(skip_serializing_if = "Option::is_none")]
+        #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         permit: Option<u64>,
     },
     Delete {
+        #[serde(rename = "delete")]
         delete: String,
     },
 }
@@ -575,8 +598,11 @@
 /// An item read from the store.
 #[derive(Deserialize, Debug)]
 pub struct Item {
+    #[serde(rename = "k")]
     pub k: String,
+    #[serde(rename = "v")]
     pub v: Box<RawValue>,
+    #[serde(rename = "stamp")]
     pub stamp: u64,
 }
 
@@ -605,29 +631,35 @@
     pub items: Vec<Item>,
     #[serde(default)]
     pub truncated: bool,
+    #[serde(rename = "ledger_no")]
     pub ledger_no: u64,
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Committed {
+    #[serde(rename = "ledger_no")]
     pub ledger_no: u64,
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Conflict {
     #[serde(default)]
+    #[serde(rename = "failed")]
     pub failed: Vec<String>,
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Granted {
+    #[serde(rename = "permit")]
     pub permit: u64,
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Followed {
+    #[serde(rename = "ledger_no")]
     pub ledger_no: u64,
     #[serde(default, deserialize_with = "in_order")]
+    #[serde(rename = "log")]
     pub log: Vec<Change>,
 }
 
@@ -641,9 +673,13 @@
 
 #[derive(Deserialize, Debug)]
 pub struct Change {
+    #[serde(rename = "write")]
     pub write: Option<String>,
+    #[serde(rename = "delete")]
     pub delete: Option<String>,
+    #[serde(rename = "v")]
     pub v: Option<Box<RawValue>>,
+    #[serde(rename = "stamp")]
     pub stamp: u64,
 }
 
--- a/crates/gannethub-core/src/wire/worker.rs
+++ b/crates/gannethub-core/src/wire/worker.rs
@@ -10,6 +10,7 @@
     #[serde(rename = "host", borrow)]
     pub machine: Cow<'a, str>,
     #[serde(default, borrow)]
+    #[serde(rename = "addr")]
     pub addr: Cow<'a, str>,
     #[serde(rename = "rig", borrow)]
     pub flavor: Cow<'a, str>,
