--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -291,11 +291,13 @@
             timed(&mut s.rest, &mut s.longest[3], || c.tick(now, WALL + now));
             if now >= schedule_at.max(c.next_pass) && (c.stirred || now >= c.last_pass + SECOND) {
                 schedule_at = now + 100_000;
-                timed(&mut s.passes, &mut s.longest[1], || c.schedule(now));
+                timed(&mut s.passes, &mut s.longest[1], || {
+                    c.run_scheduling_pass(now)
+                });
             }
             if now >= plan_at.max(c.next_plan) {
                 plan_at = now + 500_000;
-                let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_fleet(now));
+                let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_cloud_calls(now));
                 s.calls += calls.len() as u64;
                 self.calls
                     .extend(calls.into_iter().map(|call| (now + CLOUD, call)));
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -35,7 +35,7 @@
             ..spec(Shape::Array, "blue", 7 * machines as u32, 1.0)
         },
     );
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     for i in 0..machines / 20 {
         let cpus = 0.6 + (i % 9) as f64 * 0.1;
@@ -48,7 +48,7 @@
             spec(Shape::Gang, "red", 2, 30.0),
         );
     }
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f
 }
 
@@ -60,11 +60,11 @@
         group.bench_with_input(BenchmarkId::new("pass", machines), &machines, |b, _| {
             b.iter(|| {
                 f.now += 100_000;
-                f.c.schedule(f.now);
+                f.c.run_scheduling_pass(f.now);
             });
         });
         group.bench_with_input(BenchmarkId::new("plan", machines), &machines, |b, _| {
-            b.iter(|| black_box(f.c.wanted(f.now)));
+            b.iter(|| black_box(f.c.machines_wanted(f.now)));
         });
         // One task ends at each report, and another takes its place; passes are kept apart from it.
         let f = RefCell::new(crowded(machines));
@@ -132,7 +132,7 @@
         .for_each(|n| drop(f.report(n, "small", "a", &[])));
     f.pass(1);
     assert!(f.c.settled);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.c.order.len()
 }
 
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -166,7 +166,7 @@
         let own: Vec<Load> = holders
             .values()
             .filter(|_| several)
-            .map(|h| h.cluster.load())
+            .map(|h| h.cluster.shard_load())
             .collect();
         let refused = leader
             .filter(|_| several)
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -336,7 +336,7 @@
         loads.retain(|l| l.block < most);
         for (block, holder) in &mut self.holders {
             holder.cluster.loads.clone_from(&loads);
-            holder.cluster.send_away(*block >= most);
+            holder.cluster.transfer_waiting_jobs(*block >= most);
         }
     }
 
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -13,7 +13,7 @@
 use super::lease::Lease;
 use super::outbox::{Port, Purpose, read};
 use crate::model::{Micros, Resources, SECOND, Team};
-use crate::scheduling::quota_partition::{self, Parts};
+use crate::scheduling::quota_partition::{self, ShardQuotas};
 use crate::state::cluster::Cluster;
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, ALLOT, AllotRecord, Commit, Item, Listing, StoreRequest};
@@ -33,7 +33,7 @@
     reading: bool,
     read_at: Micros,
     /// A write whose fate is not certain: its parts, and its transaction.
-    pending: Option<(Parts, Commit)>,
+    pending: Option<(ShardQuotas, Commit)>,
     sent: bool,
     again_at: Micros,
     /// Since when more lies idle than is to be kept.
@@ -73,7 +73,7 @@
             .collect();
     }
 
-    fn parts(&self) -> Parts {
+    fn parts(&self) -> ShardQuotas {
         self.parts.iter().map(|(b, p)| (*b, p.0.clone())).collect()
     }
 
@@ -92,7 +92,7 @@
         let limits = match own {
             0 if self.damaged => whole.iter().map(|_| Resources::default()).collect(),
             0 if parts.is_empty() => return,
-            0 => quota_partition::rest(&whole, &parts),
+            0 => quota_partition::remaining_quota(&whole, &parts),
             b => parts
                 .get(&b)
                 .cloned()
@@ -151,18 +151,18 @@
         listing.items.iter().for_each(|item| self.read(item));
         self.take_in(&cluster.whole);
         self.obey(cluster);
-        let load = cluster.load();
+        let load = cluster.shard_load();
         let raised = match lease.block {
-            0 if self.damaged => Parts::new(),
+            0 if self.damaged => ShardQuotas::new(),
             0 => {
                 let whole: Vec<Resources> = cluster.whole.iter().map(|t| t.limit).collect();
                 let others = port.loads.iter().filter(|l| l.block > 0);
                 let told = others.map(|l| (l.block, l.teams.clone())).collect();
-                quota_partition::raise(&whole, &self.parts(), &load.teams, &told)
+                quota_partition::raised_quotas(&whole, &self.parts(), &load.teams, &told)
             }
             b => {
                 let part = self.parts.get(&b).map(|p| p.0.clone()).unwrap_or_default();
-                let lowered = quota_partition::lower(&part, &load.teams);
+                let lowered = quota_partition::lowered_quota(&part, &load.teams);
                 let since = *self.idle_since.get_or_insert(now);
                 if lowered.is_none() {
                     self.idle_since = None;
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -185,7 +185,7 @@
             return;
         }
         self.fleet_at = now + 500_000;
-        for call in self.cluster.plan_fleet(now) {
+        for call in self.cluster.plan_cloud_calls(now) {
             let request = call.request(&self.cluster.flavors);
             port.call(self.lease.term, call, request);
         }
@@ -588,7 +588,7 @@
         // Passes and plans are spaced by what they cost: reports, renewals and users come first.
         if now >= self.schedule_at.max(self.cluster.next_pass) && due {
             self.schedule_at = now + 100_000;
-            self.cluster.schedule(now);
+            self.cluster.run_scheduling_pass(now);
         }
         self.plan(port);
         self.follow(port);
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -33,7 +33,7 @@
         self.settings = Arc::new(own);
         self.over_limit = over_limit;
         self.find_teams();
-        self.keep_limits(now);
+        self.enforce_limits(now);
         self.stirred = true;
         self.next_pass = now;
         self.next_plan = now;
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -168,7 +168,7 @@
         self.reshelve(&id, now);
         if std::mem::take(&mut self.freed) {
             // What came free is used at once: the launches go out with this very answer.
-            self.fill(&id, now);
+            self.use_freed_capacity(&id, now);
         }
         Outcome::Orders(self.orders(&id))
     }
@@ -397,7 +397,7 @@
             debug_assert_eq!(job.saga.state(), State::Committed);
         }
         if first {
-            self.cleared(&task.job, now);
+            self.clear_failures(&task.job, now);
         }
     }
 
@@ -423,7 +423,7 @@
         }
         job.pending.insert(task.index);
         match why {
-            Some(ExitReason::Error) => self.failed(task, id, now),
+            Some(ExitReason::Error) => self.record_task_failure(task, id, now),
             Some(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
                 tracing::info!(task = %task, machine = %id, ?why, "launch refused");
                 let wait = if why == Some(ExitReason::Unknown) {
@@ -595,7 +595,7 @@
             }
         }
         if !self.settled {
-            let waiting = self.weigh_doubts(now);
+            let waiting = self.review_unconfirmed(now);
             // Every worker has had the time to find this leader. When only a few are silent they
             // have most likely died, and deleting them is sooner known than their leases' ends. Of
             // a zone that is cut off more are silent, and their work goes on: they are waited for.
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -115,7 +115,7 @@
         };
         if job.spec.spot {
             let within = self.fits_guarantee(&job);
-            let facts = self.facts(&job, within, self.latest_start(&job, within));
+            let facts = self.policy_inputs(&job, within, self.latest_start(&job, within));
             let spot = self.settings.policy.truth(Setting::UseSpot, &facts);
             if !spot {
                 job.spec = Arc::new(JobSpec {
@@ -265,7 +265,7 @@
         self.block.loaded();
         self.machines.values_mut().for_each(|m| m.answered_at = now);
         // A report may come before the next tick: limits count what is in doubt from here on.
-        self.weigh_doubts(now);
+        self.review_unconfirmed(now);
     }
 
     /// The next transaction, if anything needs to be written. `holder` is the leader key's version.
@@ -427,7 +427,10 @@
                 live,
             );
         }
-        if self.marked == Some(false) && commit.changes() < ops && self.covered() {
+        if self.marked == Some(false)
+            && commit.changes() < ops
+            && self.watermarks_cover_all_launches()
+        {
             let holder = self.settings.name.clone();
             let record = LeadRecord {
                 holder,
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -99,7 +99,7 @@
     /// Block 0's holder was refused machines of these offers, and leaves them alone for so long.
     pub fn told_refused(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
         for (offer, left) in offers {
-            let held = self.held(&offer);
+            let held = self.machines_of_offer(&offer);
             let refusal = Refusal {
                 at: now,
                 until: now + left,
@@ -117,7 +117,7 @@
             at: now,
             until,
             times: times + 1,
-            held: self.held(offer),
+            held: self.machines_of_offer(offer),
         };
         self.fleet.refusals.insert(offer.clone(), refusal);
     }
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -5,39 +5,39 @@
 
 use crate::model::{Micros, Resources, SECOND, Shape, TaskId, micros, seconds};
 use crate::policy::{Setting, Value};
-use crate::scheduling::zones::Zones;
+use crate::scheduling::zones::ZoneTaskCounts;
 use crate::state::cluster::{Cluster, Spent};
 use crate::state::fleet::{CloudCall, Offer};
 use crate::state::provisioning_times::LATE_AFTER;
 use crate::state::records::{Attempt, Job, Machine, MachineId, Phase};
 
 /// What the cloud charges at least for a machine that is deleted.
-const MIN_CHARGE: Micros = 60 * SECOND;
-const MAX_RENT: u32 = 50;
-const MAX_DELETE: usize = 100;
+const MIN_BILLED_TIME: Micros = 60 * SECOND;
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
+const MAX_MACHINES_PER_DELETION: usize = 100;
 /// A zone from which nothing was heard for this long is tried with one machine.
-const DARK: Micros = 30 * SECOND;
+const UNREACHABLE_ZONE_RETRY: Micros = 30 * SECOND;
 /// How often work is looked over for machines to empty, and what part of those that could be are
 /// emptied at once.
-const MOVE_EVERY: Micros = 3 * SECOND;
-const MOVE_PART: usize = 8;
+const CONSOLIDATION_INTERVAL: Micros = 3 * SECOND;
+const CONSOLIDATION_FRACTION: usize = 8;
 /// A task that has run for less is left alone.
-const MOVE_AFTER: Micros = 35 * SECOND;
+const MIN_RUN_TIME_BEFORE_MOVE: Micros = 35 * SECOND;
 /// What a move takes beside saving and fetching: reports on both sides.
-const MOVE_COST: Micros = 5 * SECOND;
+const MOVE_OVERHEAD: Micros = 5 * SECOND;
 /// Machines that are looked at to find one for a task that is to be moved.
-const MOST_HOSTS: usize = 50;
+const MAX_HOSTS_EXAMINED: usize = 50;
 /// How long a refusal is remembered while nothing has been given back.
-const MAX_REFUSAL: Micros = 120 * SECOND;
+const REFUSAL_MEMORY: Micros = 120 * SECOND;
 
 /// Room beside what runs, by machine and by free CPU.
 #[derive(Default)]
-struct Room {
+struct SpareCapacity {
     free: HashMap<MachineId, Resources>,
     by_cpu: BTreeSet<(i64, MachineId)>,
 }
 
-impl Room {
+impl SpareCapacity {
     fn insert(&mut self, id: MachineId, free: Resources) {
         self.by_cpu.insert((free.cpu, id.clone()));
         self.free.insert(id, free);
@@ -52,7 +52,7 @@
 
 impl Cluster {
     /// The calls to make to the cloud now.
-    pub fn plan_fleet(&mut self, now: Micros) -> Vec<CloudCall> {
+    pub fn plan_cloud_calls(&mut self, now: Micros) -> Vec<CloudCall> {
         let before = self.looks.get();
         let earned = now.saturating_sub(self.fleet.refilled) as f64 / SECOND as f64;
         self.fleet.tokens =
@@ -72,23 +72,23 @@
         }
         if now >= self.fleet.next_summary {
             self.fleet.next_summary = now + 10 * SECOND;
-            self.summarize(now);
+            self.log_summary(now);
         }
         self.watch_zones(now);
-        self.find_bad(now);
+        self.return_unhealthy(now);
         let leads = self.block.id == 0;
-        if self.settled || self.all_could_report(now) {
+        if self.settled || self.all_workers_had_time_to_report(now) {
             match leads {
-                true => self.rent_wanted(now, &mut calls),
+                true => self.scale_out(now, &mut calls),
                 // Block 0's holder rents for all.
-                false => self.wants = self.wanted(now),
+                false => self.wants = self.machines_wanted(now),
             }
         }
         if leads {
-            self.rent_for_others(now, &mut calls, MAX_RENT);
+            self.scale_out_for_shards(now, &mut calls, MAX_MACHINES_PER_RENTAL);
         }
         if self.settled {
-            self.return_idle(now);
+            self.scale_in(now);
             self.consolidate(now);
         }
         let doomed: Vec<String> = self
@@ -99,7 +99,7 @@
             .collect();
         if !doomed.is_empty() && !self.fleet.deleting && self.fleet.may_call(0.0) {
             self.fleet.deleting = true;
-            let machines = doomed.into_iter().take(MAX_DELETE).collect();
+            let machines = doomed.into_iter().take(MAX_MACHINES_PER_DELETION).collect();
             calls.push(CloudCall::Delete { machines });
         }
         if leads && !self.fleet.listing && now >= self.fleet.next_list && self.fleet.may_call(1.0) {
@@ -113,7 +113,7 @@
             calls.push(CloudCall::Flavors);
         }
         let steps = self.looks.get() - before;
-        self.next_plan = now + self.cost_of(steps);
+        self.next_plan = now + self.pacing_delay(steps);
         self.spent.plans += 1;
         self.spent.plan_steps += steps;
         self.spent.most = self.spent.most.max(steps);
@@ -122,8 +122,8 @@
 
     /// Asks for what the plan wants, one request for each offer and then more of them, as far as the
     /// cloud's rate goes: a large cluster's plans are too far apart to ask for the rest next time.
-    fn rent_wanted(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
-        let mut wanted = self.wanted(now);
+    fn scale_out(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
+        let mut wanted = self.machines_wanted(now);
         while !wanted.is_empty() {
             let mut rest = BTreeMap::new();
             for (offer, count) in wanted {
@@ -132,7 +132,7 @@
                 }
                 // One machine is enough to try a zone that was cut off.
                 let dark = self.dark.contains_key(&*offer.zone);
-                let now = count.min(if dark { 1 } else { MAX_RENT });
+                let now = count.min(if dark { 1 } else { MAX_MACHINES_PER_RENTAL });
                 if count > now && !dark {
                     rest.insert(offer.clone(), count - now);
                 }
@@ -161,7 +161,7 @@
     }
 
     /// Logs what the machines of each offer are used for, and what deciding has cost.
-    fn summarize(&mut self, now: Micros) {
+    fn log_summary(&mut self, now: Micros) {
         let Spent {
             passes,
             pass_steps,
@@ -177,7 +177,7 @@
             passes, pass_steps, plans, plan_steps, most, jobs, machines, "deciding"
         );
         #[derive(Default)]
-        struct Use {
+        struct MachineGroupUse {
             booting: u32,
             up: u32,
             idle: u32,
@@ -186,7 +186,7 @@
             running: i64,
             fetching: i64,
         }
-        let mut by_kind: BTreeMap<(usize, bool), Use> = BTreeMap::new();
+        let mut by_kind: BTreeMap<(usize, bool), MachineGroupUse> = BTreeMap::new();
         for m in self.machines.values() {
             let Some(flavor) = m.flavor else { continue };
             let used = by_kind.entry((flavor, m.spot)).or_default();
@@ -206,7 +206,7 @@
             }
         }
         for ((flavor, spot), u) in by_kind {
-            let Use {
+            let MachineGroupUse {
                 booting,
                 up,
                 idle,
@@ -221,7 +221,7 @@
     }
 
     /// Machines that stay silent, never boot or have been judged faulty are given back.
-    fn find_bad(&mut self, now: Micros) {
+    fn return_unhealthy(&mut self, now: Micros) {
         let limit = self.lease_limit();
         let boots = &mut self.fleet.boots;
         for m in self.machines.values_mut().filter(|m| !m.deleting) {
@@ -231,9 +231,9 @@
             // What boots in a zone that is cut off is of no use, but its first minute is paid.
             let dark = self.dark.contains_key(&m.zone);
             let most = if dark {
-                MIN_CHARGE.max(2 * boot)
+                MIN_BILLED_TIME.max(2 * boot)
             } else {
-                patience(boot)
+                max_boot_time(boot)
             };
             let age = now.saturating_sub(m.rented_at.max(m.known_since));
             let stuck = !m.up && age > most;
@@ -269,7 +269,7 @@
     }
 
     /// Gives back machines that have been idle for as long as policy keeps them.
-    fn return_idle(&mut self, now: Micros) {
+    fn scale_in(&mut self, now: Micros) {
         let empty = |m: &&Machine| {
             let awaited = now < m.awaited_until;
             m.up && !m.deleting && m.attempts.is_empty() && m.kept(now).is_none() && !awaited
@@ -291,7 +291,7 @@
             let others = spares.entry((f, m.spot)).or_default();
             *others += 1;
             // The first minute is charged anyway.
-            if now + SECOND <= m.rented_at + MIN_CHARGE {
+            if now + SECOND <= m.rented_at + MIN_BILLED_TIME {
                 continue;
             }
             let flavor = &self.flavors[f];
@@ -325,14 +325,15 @@
         if now < self.fleet.next_move {
             return;
         }
-        self.fleet.next_move = now + MOVE_EVERY;
-        let waits = |j: &Job| !j.cancelled && !j.pending.is_empty() && self.headroom(j) > 0;
+        self.fleet.next_move = now + CONSOLIDATION_INTERVAL;
+        let waits =
+            |j: &Job| !j.cancelled && !j.pending.is_empty() && self.tasks_within_quota(j) > 0;
         let moving = self.machines.values().any(|m| m.leaving && !m.deleting);
         if moving || self.jobs.values().any(waits) {
             return;
         }
         // Room beside what runs, on machines that stay.
-        let mut room = Room::default();
+        let mut room = SpareCapacity::default();
         let mut sources: Vec<(f64, MachineId, Vec<TaskId>)> = Vec::new();
         for m in self.machines.values() {
             if !m.usable(now, self.settings.report) || m.attempts.is_empty() {
@@ -343,7 +344,7 @@
                 room.insert(m.id.clone(), m.free());
             }
             let task = |((t, _), a): (&(TaskId, u64), &Attempt)| {
-                self.movable(m, t, a, now).then(|| t.clone())
+                self.is_worth_moving(m, t, a, now).then(|| t.clone())
             };
             let tasks: Option<Vec<_>> = m.attempts.iter().map(task).collect();
             if let (Some(tasks), Some(f)) = (tasks, m.flavor) {
@@ -353,7 +354,7 @@
         }
         // What saves most for the work that is moved goes first.
         sources.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        let most = sources.len().div_ceil(MOVE_PART);
+        let most = sources.len().div_ceil(CONSOLIDATION_FRACTION);
         let mut hosts: HashSet<MachineId> = HashSet::new();
         let mut leaving = Vec::new();
         for (_, id, tasks) in sources {
@@ -367,7 +368,7 @@
             let own = room.remove(&id);
             let taken: Vec<_> = tasks
                 .iter()
-                .map_while(|t| self.host(t, &mut room, now))
+                .map_while(|t| self.reserve_host(t, &mut room, now))
                 .collect();
             if taken.len() == tasks.len() {
                 hosts.extend(taken.into_iter().map(|t| t.0));
@@ -392,16 +393,24 @@
     }
 
     /// Takes room for a task that is to be moved, where the least is left over.
-    fn host(&self, task: &TaskId, room: &mut Room, now: Micros) -> Option<(MachineId, Resources)> {
+    fn reserve_host(
+        &self,
+        task: &TaskId,
+        room: &mut SpareCapacity,
+        now: Micros,
+    ) -> Option<(MachineId, Resources)> {
         let spec = &self.jobs.get(&task.job)?.spec;
         let may = |to: &MachineId| {
             self.looks.set(self.looks.get() + 1);
             let free = room.free.get(to).is_some_and(|free| spec.need.fits(free));
             let m = self.machines.get(to).filter(|_| free);
-            m.is_some_and(|m| self.may_host(m, &task.job, spec, &Zones::new(), now))
+            m.is_some_and(|m| self.can_host(m, &task.job, spec, &ZoneTaskCounts::new(), now))
         };
         let none: MachineId = Arc::from("");
-        let mut roomy = room.by_cpu.range((spec.need.cpu, none)..).take(MOST_HOSTS);
+        let mut roomy = room
+            .by_cpu
+            .range((spec.need.cpu, none)..)
+            .take(MAX_HOSTS_EXAMINED);
         let to = roomy.find(|(_, to)| may(to))?.1.clone();
         let free = room.remove(&to)?;
         room.insert(to.clone(), free - spec.need);
@@ -410,29 +419,29 @@
 
     /// Whether stopping a task here and going on with it elsewhere costs little against the time
     /// that it still holds its machine.
-    fn movable(&self, m: &Machine, task: &TaskId, attempt: &Attempt, now: Micros) -> bool {
+    fn is_worth_moving(&self, m: &Machine, task: &TaskId, attempt: &Attempt, now: Micros) -> bool {
         let (Some(job), Some(f)) = (self.jobs.get(&task.job), m.flavor) else {
             return false;
         };
         let spec = &job.spec;
-        let cost = spec.save + self.fetch_time(spec) + MOVE_COST;
+        let cost = spec.save + self.fetch_time(spec) + MOVE_OVERHEAD;
         spec.shape == Shape::Array
             && !spec.zoned()
             && spec.checkpoint_every > 0
             && attempt.phase == Phase::Running
             && attempt.stop.is_none()
-            && now > attempt.since + MOVE_AFTER
+            && now > attempt.since + MIN_RUN_TIME_BEFORE_MOVE
             && self.expected_end(task, attempt, now) > now + 4 * cost + self.flavors[f].boot
     }
 
     /// Machines of an offer that are rented now.
-    pub(crate) fn held(&self, offer: &Offer) -> usize {
+    pub(crate) fn machines_of_offer(&self, offer: &Offer) -> usize {
         self.rooms.held(offer.flavor, &offer.zone, offer.spot)
     }
 
     /// Whether an offer was refused lately. As long as no machine of it has been given back or
     /// taken since, the cloud most likely still has none.
-    pub fn blocked(&self, offer: &Offer, now: Micros) -> bool {
+    pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
         if let Some(at) = self.dark.get(&*offer.zone) {
             // Tried with one machine now and then.
             let tried = self
@@ -440,17 +449,18 @@
                 .values()
                 .any(|m| !m.up && *m.zone == *offer.zone)
                 || self.fleet.renting.values().any(|r| r.0.zone == offer.zone);
-            if tried || now < at + DARK {
+            if tried || now < at + UNREACHABLE_ZONE_RETRY {
                 return true;
             }
         }
         self.fleet.refusals.get(offer).is_some_and(|r| {
-            now < r.until || (now < r.at + MAX_REFUSAL && self.held(offer) >= r.held.max(1))
+            now < r.until
+                || (now < r.at + REFUSAL_MEMORY && self.machines_of_offer(offer) >= r.held.max(1))
         })
     }
 }
 
 /// How long a machine may take to boot before it is given up.
-pub fn patience(boot: Micros) -> Micros {
+pub fn max_boot_time(boot: Micros) -> Micros {
     3 * boot + 20 * SECOND
 }
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -8,19 +8,19 @@
 use crate::state::records::{Due, Job, Pull, Stage};
 
 /// How often what downstream jobs ask of those upstream is worked out again.
-const PULL_EVERY: Micros = 500_000;
+const RECOMPUTE_INTERVAL: Micros = 500_000;
 /// ... and that often when nothing has changed but what is known of how long tasks run.
-const PULL_AT_LEAST: Micros = 5_000_000;
+const MAX_RECOMPUTE_INTERVAL: Micros = 5_000_000;
 
 impl Cluster {
     /// Works out what jobs downstream ask of those that they wait for: the highest priority, and the
     /// time that the final deadline leaves after what is still to run behind them.
-    pub fn pull(&mut self, now: Micros) {
+    pub fn propagate_downstream_demand(&mut self, now: Micros) {
         let lines = &mut self.pipelines;
         let every = if lines.changed {
-            PULL_EVERY
+            RECOMPUTE_INTERVAL
         } else {
-            PULL_AT_LEAST
+            MAX_RECOMPUTE_INTERVAL
         };
         if now < lines.pulled_at + every {
             return;
@@ -111,7 +111,7 @@
     }
 
     /// Waiting jobs that are expected to be released by `until`, and when, the first one first.
-    pub fn foreseen(&self, now: Micros, until: Micros) -> Vec<(Micros, &JobId, &Waiting)> {
+    pub fn upcoming_releases(&self, now: Micros, until: Micros) -> Vec<(Micros, &JobId, &Waiting)> {
         let lines = &self.pipelines;
         if lines.waiting.is_empty() {
             return Vec::new();
@@ -121,7 +121,7 @@
         let mut out = Vec::new();
         for id in lines.links.ends_first().into_iter().rev() {
             if let Some(job) = self.jobs.get(id).filter(|j| !j.cancelled) {
-                ends.insert(id, self.job_end(job, now));
+                ends.insert(id, self.expected_job_end(job, now));
             }
             let Some((id, w)) = lines.waiting.get_key_value(id) else {
                 continue;
@@ -143,7 +143,7 @@
     }
 
     /// When a job is expected to end at the earliest.
-    pub(crate) fn job_end(&self, job: &Job, now: Micros) -> Micros {
+    pub(crate) fn expected_job_end(&self, job: &Job, now: Micros) -> Micros {
         let ends = job.live.iter().map(|(index, (machine, attempt))| {
             let key = (
                 TaskId {
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -16,14 +16,14 @@
 
 /// Marks are at least so many tasks ahead of what is launched, and one for so many machines, which may all
 /// have room in the same moment; and more where more is launched ([`Pace`](crate::state::unconfirmed::Pace)).
-const AHEAD_LEAST: usize = 32;
-const AHEAD_MACHINES: usize = 4;
+const MIN_WATERMARK_LEAD: usize = 32;
+const MACHINES_PER_WATERMARK_STEP: usize = 4;
 
 impl Cluster {
     /// What is in doubt may only be on a machine that its job allows and that has room for it.
-    fn holds_at_most(&self, spec: &JobSpec) -> i64 {
+    fn max_unconfirmed_tasks(&self, spec: &JobSpec) -> i64 {
         let fits = |kind: &Option<Kind>| match kind {
-            Some(kind) if !self.allowed(spec, kind) => 0,
+            Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
             Some(kind) => spec.need.times_in(&self.flavors[kind.flavor].size),
             None => i64::MAX,
         };
@@ -37,7 +37,7 @@
 
     /// Goes over what is in doubt, as machines have been heard or are known to hold nothing. Returns how many
     /// may still hold something.
-    pub fn weigh_doubts(&mut self, now: Micros) -> usize {
+    pub fn review_unconfirmed(&mut self, now: Micros) -> usize {
         let limit = self.lease_limit();
         let mut silent: BTreeMap<Option<Kind>, i64> = BTreeMap::new();
         let mut most = Resources::default();
@@ -54,7 +54,7 @@
         for job in self.jobs.values().filter(|j| !j.doubted.is_empty()) {
             self.looks.set(self.looks.get() + 1);
             // As it was submitted: what policy forbids now, another leader may have allowed.
-            let most = self.holds_at_most(&job.submitted);
+            let most = self.max_unconfirmed_tasks(&job.submitted);
             if most == 0 {
                 clear.push(job.id.clone());
             }
@@ -82,10 +82,12 @@
     }
 
     /// Raises marks ahead of what is to be launched next, in the order of the last pass.
-    pub fn open_ahead(&mut self, now: Micros) {
+    pub fn raise_watermarks_ahead(&mut self, now: Micros) {
         self.launching.measure(now);
-        let large = self.machines.len() / AHEAD_MACHINES;
-        let mut left = AHEAD_LEAST.max(large).max(self.launching.ahead as usize);
+        let large = self.machines.len() / MACHINES_PER_WATERMARK_STEP;
+        let mut left = MIN_WATERMARK_LEAD
+            .max(large)
+            .max(self.launching.ahead as usize);
         for i in 0..self.order.len() {
             let id = self.order[i].clone();
             let Some(job) = self.jobs.get(&id) else {
@@ -93,7 +95,7 @@
             };
             self.looks.set(self.looks.get() + 1);
             let waiting = job.placeable();
-            if waiting == 0 || job.cancelled || self.headroom(job) <= 0 {
+            if waiting == 0 || job.cancelled || self.tasks_within_quota(job) <= 0 {
                 continue;
             }
             let wanted = if job.spec.shape == Shape::Gang {
@@ -118,13 +120,13 @@
 
     /// Every worker that reaches a controller has had the time to report to this leader: what is silent now may
     /// stay so for a lease, and gives no room that can be planned with.
-    pub fn all_could_report(&self, now: Micros) -> bool {
+    pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
         now > self.taken_at + self.settings.report * 5 / 4 + 2 * SECOND
     }
 
     /// Whether all that may be on a machine is below its mark, as the state service holds it: then a successor
     /// can go by them.
-    pub fn covered(&self) -> bool {
+    pub fn watermarks_cover_all_launches(&self) -> bool {
         self.settled && !self.unmarked && self.jobs.values().all(|j| j.opening <= j.opened)
     }
 }
--- a/crates/gannethub-core/src/scheduling/failure_tracking.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -13,14 +13,14 @@
 use crate::state::records::{Failing, Job, MachineId, Phase};
 
 /// Replicas never end; one that has run for this long has done well.
-const PROVED: Micros = 10 * SECOND;
-const FIRST_RETRY: Micros = 4 * SECOND;
+const HEALTHY_AFTER: Micros = 10 * SECOND;
+const FIRST_PROBE_DELAY: Micros = 4 * SECOND;
 /// A suspect job's trials come at most this many doublings apart: about every two minutes.
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Cluster {
     /// Something of the job has gone well on some machine.
-    fn proved(&self, job: &Job, now: Micros) -> bool {
+    fn has_succeeded(&self, job: &Job, now: Micros) -> bool {
         let lasting = |(machine, attempt): &(MachineId, u64), index: u32| {
             let key = (
                 TaskId {
@@ -33,14 +33,14 @@
                 .machines
                 .get(machine)
                 .and_then(|m| m.attempts.get(&key));
-            a.is_some_and(|a| a.phase == Phase::Running && now >= a.since + PROVED)
+            a.is_some_and(|a| a.phase == Phase::Running && now >= a.since + HEALTHY_AFTER)
         };
         !job.done.is_empty()
             || (job.spec.shape == Shape::Service && job.live.iter().any(|(i, p)| lasting(p, *i)))
     }
 
     /// A task ended with an error on a machine.
-    pub fn failed(&mut self, task: &TaskId, id: &MachineId, now: Micros) {
+    pub fn record_task_failure(&mut self, task: &TaskId, id: &MachineId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -53,7 +53,7 @@
         if self
             .jobs
             .get(&task.job)
-            .is_some_and(|j| self.proved(j, now))
+            .is_some_and(|j| self.has_succeeded(j, now))
         {
             // A service that runs elsewhere: what it failed on says nothing against it.
             if let Some(j) = self.jobs.get_mut(&task.job).filter(|j| j.done.is_empty()) {
@@ -66,7 +66,8 @@
         if job.suspect() {
             // Tasks that were on machines already fail together: they are one trial.
             if now >= job.blame.retry_at {
-                job.blame.retry_at = now + (FIRST_RETRY << job.blame.trials.min(MOST_DOUBLINGS));
+                job.blame.retry_at =
+                    now + (FIRST_PROBE_DELAY << job.blame.trials.min(MAX_BACKOFF_DOUBLINGS));
                 job.blame.trials += 1;
             }
             if !was {
@@ -83,11 +84,11 @@
         if let Some(m) = self.machines.get_mut(id) {
             *m.failures.entry(task.job.clone()).or_default() += 1;
         }
-        self.judge(id, now);
+        self.quarantine_if_faulty(id, now);
     }
 
     /// A job's first task is done: it is cleared, and the machines it failed on are not.
-    pub fn cleared(&mut self, id: &JobId, now: Micros) {
+    pub fn clear_failures(&mut self, id: &JobId, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -95,12 +96,12 @@
             tracing::info!(job = %id, "the job does well after all");
         }
         for machine in std::mem::take(&mut job.blame).machines {
-            self.judge(&machine, now);
+            self.quarantine_if_faulty(&machine, now);
         }
     }
 
     /// Decides whether a machine is to blame for what failed on it since a task last did well.
-    fn judge(&mut self, id: &MachineId, now: Micros) {
+    fn quarantine_if_faulty(&mut self, id: &MachineId, now: Micros) {
         let Some(m) = self.machines.get(id).filter(|m| !m.bad) else {
             return;
         };
@@ -111,8 +112,8 @@
                 .filter_map(|(j, n)| Some((self.jobs.get(j)?, *n)));
             jobs.filter(|(j, _)| !j.suspect())
         };
-        let faulty =
-            credible().count() >= 2 || credible().any(|(j, n)| n >= 2 && self.proved(j, now));
+        let faulty = credible().count() >= 2
+            || credible().any(|(j, n)| n >= 2 && self.has_succeeded(j, now));
         if faulty {
             tracing::info!(machine = %id, jobs = m.failures.len(), "machine judged faulty");
             if let Some(m) = self.machines.get_mut(id) {
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -11,8 +11,8 @@
 
 use crate::model::{JobSpec, Micros, Resources, SECOND, Shape, UNLIMITED, micros};
 use crate::policy::Setting;
-use crate::scheduling::autoscaler::patience;
-use crate::scheduling::zones::{Zones, zone_ok};
+use crate::scheduling::autoscaler::max_boot_time;
+use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::Offer;
 use crate::state::records::MachineId;
@@ -20,36 +20,36 @@
 /// Steps of a plan, in queue order, and so many more for each machine there is: else a large cluster's
 /// plan would end among the machines it has, and never come to what has to be rented. A plan is made
 /// anew all the time. A step places all tasks of a job that start on one machine at one time.
-const PLANNED_STEPS: usize = 3000;
-const STEPS_EACH: usize = 12;
+const BASE_STEPS: usize = 3000;
+const STEPS_PER_MACHINE: usize = 12;
 
 /// Jobs behind the first that are looked at for what else a new machine would be used for.
-const BEHIND: usize = 32;
+const LOOKAHEAD_JOBS: usize = 32;
 
 /// So many different needs have books of their own; of more, similar ones share one.
-const EXACT: usize = 24;
+const MAX_EXACT_SHAPES: usize = 24;
 
 /// The part of the time left that is counted on for work that will be released soon.
-const FORESEEN_SLACK: f64 = 0.2;
+const UPCOMING_SLACK: f64 = 0.2;
 
 /// Work of a job that found no room: how many tasks, and where its other tasks are.
-struct Waiting {
+struct PendingWork {
     spec: Arc<JobSpec>,
     tasks: i64,
-    zones: Zones,
-    run: Micros,
+    zones: ZoneTaskCounts,
+    run_time: Micros,
     /// When its tasks can start at the earliest: those of a job that waits for others, at its release.
-    from: Micros,
+    earliest_start: Micros,
     /// When its tasks have to start, on our clock.
-    limit: Micros,
+    latest_start: Micros,
 }
 
 /// A machine's future as the plan sees it: its room, and when more of it comes free.
-struct Lane {
-    line: usize,
+struct MachineForecast {
+    group: usize,
     zone: Arc<str>,
     free: Resources,
-    ready: Micros,
+    available_at: Micros,
     /// The earliest last: when, how many tasks end, and the room of all of them.
     releases: Vec<(Micros, u32, Resources)>,
     /// The machine, if it is there.
@@ -58,13 +58,13 @@
     version: u32,
 }
 
-impl Lane {
+impl MachineForecast {
     /// The earliest start of a task that needs `need`. Waiting for several tasks to end takes
     /// longer than each is expected to run: the last of k is late by about the logarithm of k.
-    fn earliest(&self, need: &Resources, now: Micros) -> Micros {
+    fn earliest_start(&self, need: &Resources, now: Micros) -> Micros {
         let mut free = self.free;
         if need.fits(&free) {
-            return self.ready;
+            return self.available_at;
         }
         let mut k = 0;
         for (at, tasks, room) in self.releases.iter().rev() {
@@ -77,14 +77,14 @@
                 }
                 let late = 1.0 + 0.25 * f64::from(k).log2();
                 let wait = at.saturating_sub(now) as f64 * late;
-                return (now + wait as Micros).max(self.ready);
+                return (now + wait as Micros).max(self.available_at);
             }
         }
         Micros::MAX
     }
 
     /// Takes all the tasks that can start at `start`.
-    fn take(&mut self, w: &mut Waiting, start: Micros) {
+    fn reserve_tasks(&mut self, w: &mut PendingWork, start: Micros) {
         self.version += 1;
         while let Some((at, _, room)) = self.releases.last().copied() {
             if at > start || w.spec.need.fits(&self.free) {
@@ -93,7 +93,7 @@
             self.releases.pop();
             self.free += room;
         }
-        self.ready = self.ready.max(start);
+        self.available_at = self.available_at.max(start);
         let mut most = w.spec.need.times_in(&self.free).min(w.tasks);
         if w.spec.spread {
             let here = w.zones.get(&self.zone).copied().unwrap_or(0);
@@ -110,7 +110,7 @@
             Shape::Service => false,
         };
         if ends {
-            let end = start + w.run.max(SECOND);
+            let end = start + w.run_time.max(SECOND);
             let place = self.releases.partition_point(|r| r.0 > end);
             self.releases.insert(place, (end, most as u32, all));
         }
@@ -122,21 +122,21 @@
 }
 
 /// Machines of one kind.
-struct Line {
+struct MachineGroup {
     flavor: usize,
     zone: Arc<str>,
     spot: bool,
     /// Per hour and thousandth of a CPU.
     price: f64,
-    lanes: Vec<usize>,
+    members: Vec<usize>,
 }
 
 /// Of each line, when its lanes have room for a task of a shape, the soonest first, with the lanes'
 /// versions. `None`: no job has asked yet.
-type Book = Vec<Option<BinaryHeap<Reverse<(Micros, usize, u32)>>>>;
+type ShapeIndex = Vec<Option<BinaryHeap<Reverse<(Micros, usize, u32)>>>>;
 
 /// Tasks whose needs differ by less than an eighth read the same book, made for the least of them.
-fn shape(need: &Resources) -> Resources {
+fn coarse_shape(need: &Resources) -> Resources {
     let coarse = |x: i64| {
         let bits = 63 - x.max(1).leading_zeros();
         let step = 1i64 << bits.saturating_sub(3);
@@ -151,62 +151,62 @@
 
 /// The machines there are and that will be, as the plan sees them.
 #[derive(Default)]
-struct Future {
-    lines: Vec<Line>,
-    numbers: HashMap<(usize, Arc<str>, bool), usize>,
-    lanes: Vec<Lane>,
-    books: HashMap<Resources, Book>,
+struct Forecast {
+    groups: Vec<MachineGroup>,
+    group_index: HashMap<(usize, Arc<str>, bool), usize>,
+    machines: Vec<MachineForecast>,
+    shape_indexes: HashMap<Resources, ShapeIndex>,
     now: Micros,
     steps: u64,
 }
 
 /// Where a job's next tasks would start.
-struct Choice {
+struct PlacementChoice {
     start: Micros,
-    lane: usize,
+    machine: usize,
     line: usize,
 }
 
 /// What a job has read from a book and not used: one for each line, at the most.
-type Read = Vec<BinaryHeap<Reverse<(Micros, usize, Micros)>>>;
+type GroupCandidates = Vec<BinaryHeap<Reverse<(Micros, usize, Micros)>>>;
 
-impl Future {
+impl Forecast {
     /// The line of a kind.
-    fn line(&mut self, flavor: usize, zone: &Arc<str>, spot: bool, price: f64) -> usize {
-        let next = self.lines.len();
+    fn group_for(&mut self, flavor: usize, zone: &Arc<str>, spot: bool, price: f64) -> usize {
+        let next = self.groups.len();
         let line = *self
-            .numbers
+            .group_index
             .entry((flavor, zone.clone(), spot))
             .or_insert(next);
         if line == next {
             let zone = zone.clone();
-            self.lines.push(Line {
+            self.groups.push(MachineGroup {
                 flavor,
                 zone,
                 spot,
                 price,
-                lanes: Vec::new(),
+                members: Vec::new(),
             });
-            self.books.values_mut().for_each(|b| b.push(None));
+            self.shape_indexes.values_mut().for_each(|b| b.push(None));
         }
         line
     }
 
-    fn add(&mut self, lane: Lane) -> usize {
-        let i = self.lanes.len();
-        self.lines[lane.line].lanes.push(i);
-        self.lanes.push(lane);
-        self.enter(i);
+    fn add_machine(&mut self, lane: MachineForecast) -> usize {
+        let i = self.machines.len();
+        self.groups[lane.group].members.push(i);
+        self.machines.push(lane);
+        self.index_machine(i);
         i
     }
 
     /// Enters a lane in all books of its line that have been opened.
-    fn enter(&mut self, i: usize) {
-        let lane = &self.lanes[i];
-        for (need, book) in &mut self.books {
-            if let Some(Some(heap)) = book.get_mut(lane.line) {
+    fn index_machine(&mut self, i: usize) {
+        let lane = &self.machines[i];
+        for (need, book) in &mut self.shape_indexes {
+            if let Some(Some(heap)) = book.get_mut(lane.group) {
                 self.steps += 1;
-                let start = lane.earliest(need, self.now);
+                let start = lane.earliest_start(need, self.now);
                 if start < Micros::MAX {
                     heap.push(Reverse((start, i, lane.version)));
                 }
@@ -215,21 +215,27 @@
     }
 
     /// Reads on in a line's book until nothing in it can be sooner than the soonest read.
-    fn read(&mut self, line: usize, key: &Resources, w: &Waiting, read: &mut Read) {
-        let lines = self.lines.len();
+    fn read_group(
+        &mut self,
+        line: usize,
+        key: &Resources,
+        w: &PendingWork,
+        read: &mut GroupCandidates,
+    ) {
+        let lines = self.groups.len();
         let book = self
-            .books
+            .shape_indexes
             .entry(*key)
             .or_insert_with(|| (0..lines).map(|_| None).collect());
         let heap = book[line].get_or_insert_with(|| {
-            let open = self.lines[line].lanes.iter().map(|i| {
+            let open = self.groups[line].members.iter().map(|i| {
                 Reverse((
-                    self.lanes[*i].earliest(key, self.now),
+                    self.machines[*i].earliest_start(key, self.now),
                     *i,
-                    self.lanes[*i].version,
+                    self.machines[*i].version,
                 ))
             });
-            self.steps += self.lines[line].lanes.len() as u64;
+            self.steps += self.groups[line].members.len() as u64;
             open.filter(|e| e.0.0 < Micros::MAX).collect()
         });
         let mine = &mut read[line];
@@ -237,35 +243,37 @@
             // Those that have room before the job is released are as good as one another.
             if mine
                 .peek()
-                .is_some_and(|Reverse(m)| (m.0, m.1) <= (least.max(w.from), i))
+                .is_some_and(|Reverse(m)| (m.0, m.1) <= (least.max(w.earliest_start), i))
             {
                 break;
             }
             heap.pop();
             self.steps += 1;
-            if self.lanes[i].version == version {
+            if self.machines[i].version == version {
                 // One that never has room for this job may have some for the next of its shape: it is
                 // put back with the others.
-                let start = self.lanes[i].earliest(&w.spec.need, self.now).max(w.from);
+                let start = self.machines[i]
+                    .earliest_start(&w.spec.need, self.now)
+                    .max(w.earliest_start);
                 mine.push(Reverse((start, i, least)));
             }
         }
     }
 
     /// The best place for a job's next tasks: in time at the least price, else the soonest.
-    fn best(
+    fn best_choice(
         &mut self,
-        w: &Waiting,
+        w: &PendingWork,
         key: &Resources,
         allowed: &[usize],
-        read: &mut Read,
-    ) -> Option<Choice> {
-        let mut best: Option<((bool, u64, u64, usize), Choice)> = None;
+        read: &mut GroupCandidates,
+    ) -> Option<PlacementChoice> {
+        let mut best: Option<((bool, u64, u64, usize), PlacementChoice)> = None;
         for line in allowed.iter().copied() {
-            if !zone_ok(&w.spec, &w.zones, &self.lines[line].zone) {
+            if !is_zone_allowed(&w.spec, &w.zones, &self.groups[line].zone) {
                 continue;
             }
-            self.read(line, key, w, read);
+            self.read_group(line, key, w, read);
             let soonest = read[line]
                 .peek()
                 .copied()
@@ -274,28 +282,35 @@
                 continue;
             };
             // Prices are positive, and such numbers are in the order of their bits.
-            let price = self.lines[line].price.max(0.0).to_bits();
-            let late = start > w.limit;
+            let price = self.groups[line].price.max(0.0).to_bits();
+            let late = start > w.latest_start;
             let rank = if late {
                 (late, start, price, lane)
             } else {
                 (late, price, start, lane)
             };
             if best.as_ref().is_none_or(|(r, _)| rank < *r) {
-                best = Some((rank, Choice { start, lane, line }));
+                best = Some((
+                    rank,
+                    PlacementChoice {
+                        start,
+                        machine: lane,
+                        line,
+                    },
+                ));
             }
         }
         best.map(|b| b.1)
     }
 
     /// Puts back what a job has read and not used.
-    fn put_back(&mut self, key: &Resources, read: Read) {
-        let Some(book) = self.books.get_mut(key) else {
+    fn return_candidates(&mut self, key: &Resources, read: GroupCandidates) {
+        let Some(book) = self.shape_indexes.get_mut(key) else {
             return;
         };
         for (heap, mine) in book.iter_mut().zip(read) {
             for Reverse((_, i, least)) in mine {
-                let entry = Reverse((least, i, self.lanes[i].version));
+                let entry = Reverse((least, i, self.machines[i].version));
                 heap.iter_mut().for_each(|h| h.push(entry));
             }
         }
@@ -303,7 +318,7 @@
 }
 
 /// An offer as a plan sees it.
-struct Priced {
+struct PricedOffer {
     offer: Offer,
     /// Its price, dearer by what is lost while it boots.
     price: f64,
@@ -311,8 +326,10 @@
 
 impl Cluster {
     /// Work that has no room now and may run under its team's limit, in queue order.
-    fn waiting(&self, now: Micros) -> Vec<Waiting> {
-        let mut spare: Vec<Resources> = (0..self.used.len()).map(|t| self.room_of(t)).collect();
+    fn pending_work(&self, now: Micros) -> Vec<PendingWork> {
+        let mut spare: Vec<Resources> = (0..self.used.len())
+            .map(|t| self.remaining_quota(t))
+            .collect();
         let mut out = Vec::new();
         for (id, within) in self.queue.jobs() {
             self.looks.set(self.looks.get() + 1);
@@ -344,11 +361,11 @@
                 continue;
             }
             spare[t] -= need.times(tasks);
-            let zones = self.zones_of(job);
+            let zones = self.zones_in_use(job);
             let run = self.expected_run(&job.spec);
             // Estimates are rough: only a part of the time left is counted on.
             let latest = self.latest_start(job, within);
-            let facts = self.facts(job, within, latest);
+            let facts = self.policy_inputs(job, within, latest);
             let policy = &self.settings.policy;
             let slack = match latest {
                 Some(t) => {
@@ -362,25 +379,25 @@
             };
             let limit = now + slack;
             let spec = job.spec.clone();
-            out.push(Waiting {
+            out.push(PendingWork {
                 spec,
                 tasks,
                 zones,
-                run,
-                from: now,
-                limit,
+                run_time: run,
+                earliest_start: now,
+                latest_start: limit,
             });
         }
-        self.foresee(&mut out, &mut spare, now);
+        self.add_upcoming_work(&mut out, &mut spare, now);
         out
     }
 
     /// Adds the work of jobs that will be released before a machine rented now is up.
-    fn foresee(&self, out: &mut Vec<Waiting>, spare: &mut [Resources], now: Micros) {
+    fn add_upcoming_work(&self, out: &mut Vec<PendingWork>, spare: &mut [Resources], now: Micros) {
         // The boot of the cheapest room that a task fits into: most likely it is what will be rented.
         let boot = |spec: &JobSpec| {
             let fits = |f: &usize| spec.need.fits(&self.flavors[*f].size);
-            let price = |f: &usize| self.room_price(*f, spec.spot);
+            let price = |f: &usize| self.price_per_millicpu(*f, spec.spot);
             let f = (0..self.flavors.len())
                 .filter(fits)
                 .min_by(|a, b| price(a).total_cmp(&price(b)))?;
@@ -391,7 +408,7 @@
                 .min()
         };
         let longest = self.flavors.iter().map(|f| 2 * f.boot).max().unwrap_or(0);
-        for (from, _, w) in self.foreseen(now, now + longest) {
+        for (from, _, w) in self.upcoming_releases(now, now + longest) {
             if boot(&w.spec).is_none_or(|boot| from > now + boot) {
                 continue;
             }
@@ -413,30 +430,30 @@
             }
             spare[t] -= need.times(tasks);
             let ready = self.wall + (from - now);
-            let latest = self.latest(&w.spec, w.at, ready, w.pull.as_ref(), false);
+            let latest = self.latest_start_for(&w.spec, w.at, ready, w.pull.as_ref(), false);
             let slack = latest.map_or(0, |t| t.saturating_sub(ready));
-            out.push(Waiting {
+            out.push(PendingWork {
                 spec: w.spec.clone(),
                 tasks,
-                zones: Zones::new(),
-                run: self.expected_run(&w.spec),
-                from,
-                limit: from + (slack as f64 * FORESEEN_SLACK) as Micros,
+                zones: ZoneTaskCounts::new(),
+                run_time: self.expected_run(&w.spec),
+                earliest_start: from,
+                latest_start: from + (slack as f64 * UPCOMING_SLACK) as Micros,
             });
         }
     }
 
     /// Plays the queue forward on the machines there are. What would start too late gets a new one.
     /// Returns how many machines of each offer that takes.
-    pub fn wanted(&mut self, now: Micros) -> BTreeMap<Offer, u32> {
+    pub fn machines_wanted(&mut self, now: Micros) -> BTreeMap<Offer, u32> {
         self.order_queue(now);
-        let mut waiting = self.waiting(now);
+        let mut waiting = self.pending_work(now);
         let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
         if waiting.is_empty() {
             return wanted;
         }
-        let mut future = self.future(now);
-        let offers = self.offers(now);
+        let mut future = self.forecast(now);
+        let offers = self.available_offers(now);
         let mut least = waiting[0].spec.need;
         for w in &waiting {
             let need = &w.spec.need;
@@ -449,8 +466,8 @@
         // Of few shapes each has a book of its own: what is too little for one job is then not read
         // again by all others of its shape.
         let needs: HashSet<Resources> = waiting.iter().map(|w| w.spec.need).collect();
-        let exact = needs.len() <= EXACT;
-        let mut budget = PLANNED_STEPS + STEPS_EACH * future.lanes.len();
+        let exact = needs.len() <= MAX_EXACT_SHAPES;
+        let mut budget = BASE_STEPS + STEPS_PER_MACHINE * future.machines.len();
         let mut awaited: HashSet<MachineId> = HashSet::new();
         for i in 0..waiting.len() {
             if budget == 0 {
@@ -461,22 +478,24 @@
             let key = if exact {
                 w.spec.need
             } else {
-                shape(&w.spec.need)
+                coarse_shape(&w.spec.need)
             };
-            let allows = |line: &Line| {
+            let allows = |line: &MachineGroup| {
                 let flavor = &self.flavors[line.flavor];
                 w.spec.need.fits(&flavor.size) && w.spec.allows(&flavor.name, &line.zone, line.spot)
             };
-            let mut allowed: Vec<usize> = (0..future.lines.len())
-                .filter(|l| allows(&future.lines[*l]))
+            let mut allowed: Vec<usize> = (0..future.groups.len())
+                .filter(|l| allows(&future.groups[*l]))
+                .collect();
+            let mut read: GroupCandidates = (0..future.groups.len())
+                .map(|_| BinaryHeap::new())
                 .collect();
-            let mut read: Read = (0..future.lines.len()).map(|_| BinaryHeap::new()).collect();
             // The offer that is best for it, once that is known and as long as it stays the best.
-            let mut offer: Option<Option<&Priced>> = None;
+            let mut offer: Option<Option<&PricedOffer>> = None;
             while w.tasks > 0 && budget > 0 {
                 budget -= 1;
-                if let Some(c) = future.best(w, &key, &allowed, &mut read) {
-                    let late = c.start > w.limit;
+                if let Some(c) = future.best_choice(w, &key, &allowed, &mut read) {
+                    let late = c.start > w.latest_start;
                     let new = match late {
                         true => {
                             *offer.get_or_insert_with(|| self.best_offer(w, rest, &least, &offers))
@@ -484,13 +503,13 @@
                         false => None,
                     };
                     // A new machine would be there no sooner than the room there is.
-                    if new.is_none_or(|n| c.start <= self.boots(&n.offer, now)) {
-                        if w.from > now {
-                            awaited.extend(future.lanes[c.lane].machine.clone());
+                    if new.is_none_or(|n| c.start <= self.expected_boot_end(&n.offer, now)) {
+                        if w.earliest_start > now {
+                            awaited.extend(future.machines[c.machine].machine.clone());
                         }
                         read[c.line].pop();
-                        future.lanes[c.lane].take(w, c.start);
-                        future.enter(c.lane);
+                        future.machines[c.machine].reserve_tasks(w, c.start);
+                        future.index_machine(c.machine);
                         continue;
                     }
                 }
@@ -499,24 +518,26 @@
                     .unwrap_or_else(|| self.best_offer(w, rest, &least, &offers));
                 let Some(found) = found else { break };
                 let Offer { flavor, zone, spot } = &found.offer;
-                let ready = self.boots(&found.offer, now).max(w.from);
-                let price = self.room_price(*flavor, *spot);
+                let ready = self
+                    .expected_boot_end(&found.offer, now)
+                    .max(w.earliest_start);
+                let price = self.price_per_millicpu(*flavor, *spot);
                 let zone: Arc<str> = zone.as_str().into();
-                let line = future.line(*flavor, &zone, *spot, price);
+                let line = future.group_for(*flavor, &zone, *spot, price);
                 if line == read.len() {
                     read.push(BinaryHeap::new());
                     allowed.push(line);
                 }
-                let mut lane = self.lane(line, *flavor, zone, ready);
-                lane.take(w, ready);
-                future.add(lane);
+                let mut lane = self.empty_machine_forecast(line, *flavor, zone, ready);
+                lane.reserve_tasks(w, ready);
+                future.add_machine(lane);
                 *wanted.entry(found.offer.clone()).or_default() += 1;
                 // As long as its own tasks fill a whole machine, another one is as good.
                 if !w.spec.zoned() && w.tasks >= w.spec.need.times_in(&self.flavors[*flavor].size) {
                     offer = Some(Some(found));
                 }
             }
-            future.put_back(&key, read);
+            future.return_candidates(&key, read);
         }
         self.looks.set(self.looks.get() + future.steps);
         for id in awaited {
@@ -528,7 +549,7 @@
     }
 
     /// What can be rented now.
-    fn offers(&self, now: Micros) -> Vec<Priced> {
+    fn available_offers(&self, now: Micros) -> Vec<PricedOffer> {
         let mut offers = Vec::new();
         for (i, flavor) in self.flavors.iter().enumerate() {
             for (zone, spot) in flavor.zones.iter().flat_map(|z| [(z, false), (z, true)]) {
@@ -537,10 +558,11 @@
                     zone: zone.clone(),
                     spot,
                 };
-                if !self.blocked(&offer, now) {
+                if !self.is_offer_blocked(&offer, now) {
                     let boots = &self.fleet.boots;
-                    let dearer = boots.dearer(i, zone, flavor.boot, patience(flavor.boot), now);
-                    offers.push(Priced {
+                    let dearer =
+                        boots.dearer(i, zone, flavor.boot, max_boot_time(flavor.boot), now);
+                    offers.push(PricedOffer {
                         offer,
                         price: flavor.price_of(spot) * dearer,
                     });
@@ -554,24 +576,24 @@
     /// behind it use. `least`: no waiting task needs less of anything.
     fn best_offer<'a>(
         &self,
-        first: &Waiting,
-        rest: &[Waiting],
+        first: &PendingWork,
+        rest: &[PendingWork],
         least: &Resources,
-        offers: &'a [Priced],
-    ) -> Option<&'a Priced> {
-        let mut best: Option<(f64, &Priced)> = None;
+        offers: &'a [PricedOffer],
+    ) -> Option<&'a PricedOffer> {
+        let mut best: Option<(f64, &PricedOffer)> = None;
         for priced in offers {
             let Offer { flavor, zone, spot } = &priced.offer;
             let flavor = &self.flavors[*flavor];
             if !first.spec.need.fits(&flavor.size)
                 || !first.spec.allows(&flavor.name, zone, *spot)
-                || !zone_ok(&first.spec, &first.zones, zone)
+                || !is_zone_allowed(&first.spec, &first.zones, zone)
             {
                 continue;
             }
             let mut free = flavor.size;
             let mut used = 0;
-            for w in std::iter::once(first).chain(rest.iter().take(BEHIND)) {
+            for w in std::iter::once(first).chain(rest.iter().take(LOOKAHEAD_JOBS)) {
                 if !least.fits(&free) {
                     break;
                 }
@@ -590,12 +612,18 @@
         best.map(|b| b.1)
     }
 
-    fn lane(&self, line: usize, flavor: usize, zone: Arc<str>, ready: Micros) -> Lane {
-        Lane {
-            line,
+    fn empty_machine_forecast(
+        &self,
+        line: usize,
+        flavor: usize,
+        zone: Arc<str>,
+        ready: Micros,
+    ) -> MachineForecast {
+        MachineForecast {
+            group: line,
             zone,
             free: self.flavors[flavor].size,
-            ready,
+            available_at: ready,
             releases: Vec::new(),
             machine: None,
             version: 0,
@@ -603,10 +631,10 @@
     }
 
     /// The machines there are or that are on their way, and when their room comes free.
-    fn future(&self, now: Micros) -> Future {
-        let mut future = Future {
+    fn forecast(&self, now: Micros) -> Forecast {
+        let mut future = Forecast {
             now,
-            ..Future::default()
+            ..Forecast::default()
         };
         for m in self.machines.values() {
             let Some(flavor) = m.flavor else { continue };
@@ -614,37 +642,47 @@
                 continue;
             }
             future.steps += 1 + m.attempts.len() as u64 / 2;
-            let price = self.room_price(flavor, m.spot);
-            let line = future.line(flavor, &m.zone, m.spot, price);
+            let price = self.price_per_millicpu(flavor, m.spot);
+            let line = future.group_for(flavor, &m.zone, m.spot, price);
             if !m.up {
-                if let Some(ready) = self.up_at(m, now) {
-                    future.add(self.lane(line, flavor, m.zone.clone(), ready));
+                if let Some(ready) = self.expected_up_at(m, now) {
+                    future.add_machine(self.empty_machine_forecast(
+                        line,
+                        flavor,
+                        m.zone.clone(),
+                        ready,
+                    ));
                 }
                 continue;
             }
-            let mut lane = self.lane(line, flavor, m.zone.clone(), now);
+            let mut lane = self.empty_machine_forecast(line, flavor, m.zone.clone(), now);
             lane.free = m.free();
             lane.machine = Some(m.id.clone());
             let held = m.attempts.iter().filter(|(_, a)| a.holds);
             lane.releases
                 .extend(held.map(|((task, _), a)| (self.expected_end(task, a, now), 1, a.need)));
             lane.releases.sort_by_key(|r| Reverse(r.0));
-            future.add(lane);
+            future.add_machine(lane);
         }
         for (offer, count) in self.fleet.renting.values() {
-            let ready = self.boots(offer, now);
+            let ready = self.expected_boot_end(offer, now);
             let zone: Arc<str> = offer.zone.as_str().into();
-            let price = self.room_price(offer.flavor, offer.spot);
-            let line = future.line(offer.flavor, &zone, offer.spot, price);
+            let price = self.price_per_millicpu(offer.flavor, offer.spot);
+            let line = future.group_for(offer.flavor, &zone, offer.spot, price);
             for _ in 0..*count {
-                future.add(self.lane(line, offer.flavor, zone.clone(), ready));
+                future.add_machine(self.empty_machine_forecast(
+                    line,
+                    offer.flavor,
+                    zone.clone(),
+                    ready,
+                ));
             }
         }
         future
     }
 
     /// When a machine rented now is expected to be up.
-    fn boots(&self, offer: &Offer, now: Micros) -> Micros {
+    fn expected_boot_end(&self, offer: &Offer, now: Micros) -> Micros {
         let usual = self.flavors[offer.flavor].boot;
         now + self
             .fleet
--- a/crates/gannethub-core/src/scheduling/forecast/tests.rs
+++ b/crates/gannethub-core/src/scheduling/forecast/tests.rs
@@ -30,13 +30,13 @@
 /// Line, seconds until it is ready, and when tasks end that hold so much.
 type Given = (usize, u64, Vec<(u64, i64)>);
 
-fn future(lanes: &[Given]) -> Future {
-    let mut future = Future {
+fn future(lanes: &[Given]) -> Forecast {
+    let mut future = Forecast {
         now: 10 * SECOND,
-        ..Future::default()
+        ..Forecast::default()
     };
     for (i, price) in [0.1, 0.3, 0.2].into_iter().enumerate() {
-        future.line(i, &Arc::from("a"), false, price);
+        future.group_for(i, &Arc::from("a"), false, price);
     }
     for (line, ready, busy) in lanes {
         let mut free = Resources {
@@ -59,16 +59,16 @@
         releases.sort_by_key(|r| Reverse(r.0));
         let ready = future.now + ready * SECOND;
         let zone = Arc::from("a");
-        let lane = Lane {
-            line: *line,
+        let lane = MachineForecast {
+            group: *line,
             zone,
             free,
-            ready,
+            available_at: ready,
             releases,
             machine: None,
             version: 0,
         };
-        future.add(lane);
+        future.add_machine(lane);
     }
     future
 }
@@ -94,51 +94,51 @@
             let need = Resources { cpu, gpu: 0, mem: cpu };
             let shape_of = if gang { Shape::Gang } else { Shape::Array };
             let from = if from < 15 { now } else { now + from * SECOND };
-            let mut w = Waiting {
+            let mut w = PendingWork {
                 spec: job(shape_of, tasks as u32, need),
                 tasks,
-                zones: Zones::new(),
-                run: 20 * SECOND,
-                from,
-                limit: from + limit * SECOND,
+                zones: ZoneTaskCounts::new(),
+                run_time: 20 * SECOND,
+                earliest_start: from,
+                latest_start: from + limit * SECOND,
             };
-            let key = shape(&need);
+            let key = coarse_shape(&need);
             prop_assert!(key.fits(&need));
             let allowed: Vec<usize> = (0..3).filter(|l| cpu <= SIZES[*l]).collect();
-            let mut read: Read = (0..3).map(|_| BinaryHeap::new()).collect();
+            let mut read: GroupCandidates = (0..3).map(|_| BinaryHeap::new()).collect();
             for _ in 0..40 {
                 if w.tasks == 0 {
                     break;
                 }
                 let rank = |start: Micros, line: usize| {
-                    let price = future.lines[line].price.to_bits();
-                    let late = start > w.limit;
+                    let price = future.groups[line].price.to_bits();
+                    let late = start > w.latest_start;
                     if late { (late, start, price) } else { (late, price, start) }
                 };
-                let all = future.lanes.iter().filter(|l| allowed.contains(&l.line));
-                let starts = all.map(|l| (l.earliest(&need, now), l.line));
+                let all = future.machines.iter().filter(|l| allowed.contains(&l.group));
+                let starts = all.map(|l| (l.earliest_start(&need, now), l.group));
                 let naive = starts
                     .filter(|(start, _)| *start < Micros::MAX)
                     .map(|(start, line)| rank(start.max(from), line))
                     .min();
                 let mut future_best = None;
                 if naive.is_some() {
-                    let rank_of = |c: &Choice, prices: &[f64]| {
+                    let rank_of = |c: &PlacementChoice, prices: &[f64]| {
                         let price = prices[c.line].to_bits();
-                        let late = c.start > w.limit;
+                        let late = c.start > w.latest_start;
                         if late { (late, c.start, price) } else { (late, price, c.start) }
                     };
-                    let prices: Vec<f64> = future.lines.iter().map(|l| l.price).collect();
-                    future_best = future.best(&w, &key, &allowed, &mut read);
+                    let prices: Vec<f64> = future.groups.iter().map(|l| l.price).collect();
+                    future_best = future.best_choice(&w, &key, &allowed, &mut read);
                     let found = future_best.as_ref().map(|c| rank_of(c, &prices));
                     prop_assert_eq!(found, naive);
                 }
                 let Some(c) = future_best else { break };
                 read[c.line].pop();
-                future.lanes[c.lane].take(&mut w, c.start);
-                future.enter(c.lane);
+                future.machines[c.machine].reserve_tasks(&mut w, c.start);
+                future.index_machine(c.machine);
             }
-            future.put_back(&key, read);
+            future.return_candidates(&key, read);
         }
     }
 }
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -8,36 +8,36 @@
 use std::sync::Arc;
 
 use crate::model::{JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
-use crate::scheduling::zones::{Zones, zone_ok, zone_room};
+use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
 use crate::state::cluster::Cluster;
 use crate::state::records::{Job, Kept, Machine, MachineId, Phase};
 
 /// Room kept for gangs is looked over this often, for each machine, and always again before the
 /// room lapses.
-const GATHER_EVERY: Micros = 800;
-const GATHER_AT_LEAST: Micros = 500_000;
+const GATHER_INTERVAL_PER_MACHINE: Micros = 800;
+const MAX_GATHER_INTERVAL: Micros = 500_000;
 /// Gathered room lapses after this time unless it is gathered again.
-const GATHERED: Micros = 2 * SECOND;
+const GATHERED_RESERVATION: Micros = 2 * SECOND;
 /// The same of room that was made by stopping work.
-const MADE: Micros = 15 * SECOND;
+const PREEMPTED_RESERVATION: Micros = 15 * SECOND;
 /// A pass makes room for as long as this would take at the rate of steps that policy allows.
-const MAKING: Micros = 500_000;
+const PREEMPTION_STEP_BUDGET: Micros = 500_000;
 /// After a pass that did not come to all gangs, those that had room made for them make way for so long.
-const MADE_ANEW: Micros = 3 * SECOND;
+const PREEMPTION_RETRY: Micros = 3 * SECOND;
 /// Tasks of a gang that are looked for on one machine.
-const MOST_TASKS: i64 = 4096;
+const MAX_TASKS_PER_MACHINE: i64 = 4096;
 
 /// What tells gangs that look for the same room from others.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Site {
+struct PlacementConstraints {
     need: Resources,
     types: Option<Vec<String>>,
     zone: Option<String>,
     spot: bool,
 }
 
-impl Site {
-    fn of(spec: &JobSpec) -> Site {
+impl PlacementConstraints {
+    fn of(spec: &JobSpec) -> PlacementConstraints {
         let JobSpec {
             need,
             types,
@@ -45,7 +45,7 @@
             spot,
             ..
         } = spec;
-        Site {
+        PlacementConstraints {
             need: *need,
             types: types.clone(),
             zone: zone.clone(),
@@ -56,8 +56,8 @@
 
 /// What tells jobs that may stop the same work for the same room from others.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Who {
-    site: Site,
+struct PreemptionClass {
+    constraints: PlacementConstraints,
     shape: Shape,
     priority: Priority,
     team: Option<usize>,
@@ -67,29 +67,29 @@
 /// Work that some jobs may have stopped, by machine, and the room that makes: what is lost stands for the
 /// time.
 #[derive(Debug, Default)]
-struct Made {
-    book: Book,
+struct PreemptionPlan {
+    timeline: CapacityTimeline,
     victims: HashMap<MachineId, Vec<Victim>>,
 }
 
 /// Room for tasks of a shape, by zone: when it will be there, the soonest first, and where.
-type Book = BTreeMap<Arc<str>, VecDeque<(Micros, MachineId)>>;
+type CapacityTimeline = BTreeMap<Arc<str>, VecDeque<(Micros, MachineId)>>;
 
 /// Entries of a zone's list in a [`Book`], with their places there.
-type Entries = VecDeque<(Micros, MachineId, usize)>;
+type IndexedEntries = VecDeque<(Micros, MachineId, usize)>;
 
 /// A job that asks for room to be made.
 #[derive(Debug)]
-struct Asks {
+struct PreemptionRequest {
     spec: Arc<JobSpec>,
     team: Option<usize>,
     within: bool,
     tasks: usize,
 }
 
-impl Asks {
+impl PreemptionRequest {
     /// Where no room can be made for this one, none can be made for the other either.
-    fn covers(&self, other: &Asks) -> bool {
+    fn implies_infeasible(&self, other: &PreemptionRequest) -> bool {
         let (a, b) = (&self.spec, &other.spec);
         self.tasks <= other.tasks
             && (self.team, self.within) == (other.team, other.within)
@@ -103,66 +103,67 @@
 
 /// What a pass knows of room that is gathered and made.
 #[derive(Debug, Default)]
-pub struct Gathering {
+pub struct GangPass {
     /// All gangs that wait gather anew; else only those that never have.
-    round: bool,
-    books: HashMap<Site, Book>,
-    borrowed: Option<Borrowed>,
+    regather_all: bool,
+    timelines: HashMap<PlacementConstraints, CapacityTimeline>,
+    borrowed: Option<BorrowedQuota>,
     /// Steps beyond which no more room is made.
-    until: u64,
+    step_limit: u64,
     /// The last round did not come to all gangs.
-    behind: bool,
-    hopeless: Vec<Asks>,
-    made: HashMap<Who, Made>,
+    catching_up: bool,
+    infeasible: Vec<PreemptionRequest>,
+    preemption_plans: HashMap<PreemptionClass, PreemptionPlan>,
 }
 
 impl Cluster {
     /// What is gathered in a pass that begins now.
-    pub fn begin_gathering(&mut self, now: Micros) -> Gathering {
-        let every = (GATHER_EVERY * self.machines.len() as Micros).min(GATHER_AT_LEAST);
+    pub fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
+        let every =
+            (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
         let round = now >= self.gathered_at + every;
         if round {
             self.gathered_at = now;
         }
-        let steps = MAKING as f64 / self.cost_of(1).max(1) as f64;
+        let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
         let until = self.looks.get() + steps as u64;
         let behind = round && std::mem::take(&mut self.behind);
-        Gathering {
-            round,
-            until,
-            behind,
-            ..Gathering::default()
+        GangPass {
+            regather_all: round,
+            step_limit: until,
+            catching_up: behind,
+            ..GangPass::default()
         }
     }
 
     /// The last pass has found work to place of this job, before any that it has yet to look at.
-    fn in_queue(&self, id: &JobId) -> bool {
+    fn is_still_queued(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|j| j.queued == self.passes)
     }
 
     /// Gathers room for a gang that found none, and makes it where waiting would be too late.
-    pub fn gather_or_make(
+    pub fn gather_or_preempt(
         &mut self,
         id: &JobId,
         tasks: usize,
-        gathering: &mut Gathering,
+        gathering: &mut GangPass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.suspect()) else {
             return;
         };
-        if !gathering.round && job.gathered {
+        if !gathering.regather_all && job.gathered {
             return;
         }
         job.gathered = true;
         // Work is stopped only where waiting for it to end would be too late.
-        let soon = self.gather(id, tasks, gathering, now);
+        let soon = self.gather_capacity(id, tasks, gathering, now);
         let Some(job) = self.jobs.get(id) else { return };
         let slack = self
             .latest_start(job, job.within)
             .map_or(0, |t| t.saturating_sub(self.wall));
         if soon.is_none_or(|at| at > now + slack.max(2 * self.settings.report)) {
-            self.make_room(id, tasks, gathering, now);
+            self.preempt_for(id, tasks, gathering, now);
         }
     }
 
@@ -170,28 +171,32 @@
     /// there, or boots, is kept for it. No machine's room is kept for two gangs, and all of a gang's
     /// room is kept where its zone rules let it be used together, so that gangs never hold half of
     /// what each needs. Returns when the last of its tasks will have room.
-    fn gather(
+    fn gather_capacity(
         &mut self,
         id: &JobId,
         tasks: usize,
-        gathering: &mut Gathering,
+        gathering: &mut GangPass,
         now: Micros,
     ) -> Option<Micros> {
         let job = self.jobs.get(id)?;
         let spec = job.spec.clone();
-        let zones = self.zones_of(job);
+        let zones = self.zones_in_use(job);
         let book = gathering
-            .books
-            .entry(Site::of(&spec))
-            .or_insert_with(|| self.book(&spec, now));
-        let (keep, last) = self.choose_soonest(book, id, &spec, zones, tasks, now)?;
+            .timelines
+            .entry(PlacementConstraints::of(&spec))
+            .or_insert_with(|| self.capacity_timeline(&spec, now));
+        let (keep, last) = self.choose_earliest_capacity(book, id, &spec, zones, tasks, now)?;
         let found: i64 = keep.values().sum();
         for (machine, tasks) in keep {
             let Some(m) = self.machines.get(&machine) else {
                 continue;
             };
-            let until = m.kept.as_ref().map_or(0, |k| k.until).max(now + GATHERED);
-            self.keep(
+            let until = m
+                .kept
+                .as_ref()
+                .map_or(0, |k| k.until)
+                .max(now + GATHERED_RESERVATION);
+            self.reserve(
                 &machine,
                 Kept {
                     job: id.clone(),
@@ -204,19 +209,19 @@
     }
 
     /// When and where there will be room for tasks like this job's.
-    fn book(&self, spec: &JobSpec, now: Micros) -> Book {
-        let mut book = Book::new();
+    fn capacity_timeline(&self, spec: &JobSpec, now: Micros) -> CapacityTimeline {
+        let mut book = CapacityTimeline::new();
         for shelf in self
             .rooms
             .shelves
             .iter()
-            .filter(|s| self.allowed(spec, &s.kind))
+            .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
             let list = book.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.all.iter().filter_map(|m| self.machines.get(m)) {
                 self.looks
                     .set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
-                let times = self.room_times(m, spec, now);
+                let times = self.capacity_times(m, spec, now);
                 list.extend(times.into_iter().map(|at| (at, m.id.clone())));
             }
         }
@@ -227,18 +232,21 @@
 
     /// Takes the soonest room out of the book that a job's zone rules let it use together: how many tasks
     /// on each machine, and when the last has room.
-    fn choose_soonest(
+    fn choose_earliest_capacity(
         &self,
-        book: &mut Book,
+        book: &mut CapacityTimeline,
         id: &JobId,
         spec: &JobSpec,
-        mut zones: Zones,
+        mut zones: ZoneTaskCounts,
         tasks: usize,
         now: Micros,
     ) -> Option<(BTreeMap<MachineId, i64>, Micros)> {
         // In each zone, the places of the first entries that it may have.
-        let mut firsts: Vec<(&Arc<str>, Entries)> = Vec::new();
-        for (zone, list) in book.iter_mut().filter(|(z, _)| zone_ok(spec, &zones, z)) {
+        let mut firsts: Vec<(&Arc<str>, IndexedEntries)> = Vec::new();
+        for (zone, list) in book
+            .iter_mut()
+            .filter(|(z, _)| is_zone_allowed(spec, &zones, z))
+        {
             let mut mine = VecDeque::new();
             let mut i = 0;
             while i < list.len() && mine.len() < tasks {
@@ -248,7 +256,7 @@
                 // What is kept for a gang further down the queue can be had: else each of two gangs
                 // may long hold a machine that is ready beside one that is not.
                 let kept = m.and_then(|m| m.kept(now)).filter(|k| k.job != *id);
-                if kept.is_some_and(|k| self.in_queue(&k.job)) {
+                if kept.is_some_and(|k| self.is_still_queued(&k.job)) {
                     list.remove(i);
                     continue;
                 }
@@ -271,7 +279,7 @@
         while taken.len() < tasks {
             let open = firsts
                 .iter_mut()
-                .filter(|f| zone_room(spec, &zones, f.0) > 0);
+                .filter(|f| zone_allowance(spec, &zones, f.0) > 0);
             let next = open
                 .filter_map(|f| Some((f.1.front()?.clone(), f)))
                 .min_by(|a, b| {
@@ -295,10 +303,12 @@
     }
 
     /// When a machine will have room for the first, the second, ... of a job's tasks.
-    fn room_times(&self, m: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
-        let most = spec.need.times_in(&m.size).min(MOST_TASKS) as usize;
+    fn capacity_times(&self, m: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
+        let most = spec.need.times_in(&m.size).min(MAX_TASKS_PER_MACHINE) as usize;
         if !m.up {
-            let at = self.up_at(m, now).filter(|_| !m.deleting && !m.bad);
+            let at = self
+                .expected_up_at(m, now)
+                .filter(|_| !m.deleting && !m.bad);
             return at.map_or_else(Vec::new, |at| vec![at; most]);
         }
         if !m.usable(now, self.settings.report) {
@@ -329,14 +339,14 @@
     }
 
     /// Whether the job's team has no guarantee: all that it uses is borrowed.
-    pub fn guest(&self, job: &Job) -> bool {
+    pub fn has_no_guarantee(&self, job: &Job) -> bool {
         job.team
             .is_some_and(|t| self.settings.teams[t].guarantee == Resources::default())
     }
 
     /// What each team runs above its guarantee, less what has been told to stop.
-    fn borrowed(&self) -> Borrowed {
-        let mut out: Borrowed = Vec::with_capacity(self.used.len());
+    fn borrowed_quota(&self) -> BorrowedQuota {
+        let mut out: BorrowedQuota = Vec::with_capacity(self.used.len());
         for (used, team) in self.used.iter().zip(&self.settings.teams) {
             out.push(*used - team.guarantee);
         }
@@ -351,7 +361,7 @@
     /// Preemption: makes room for a job of high priority by stopping work of lower priority, and
     /// for a job within its team's guarantee by stopping work that other teams run above theirs.
     /// What loses least is stopped first, and the room is kept for the job.
-    pub fn make_room(&mut self, id: &JobId, tasks: usize, gathering: &mut Gathering, now: Micros) {
+    pub fn preempt_for(&mut self, id: &JobId, tasks: usize, gathering: &mut GangPass, now: Micros) {
         let Some(job) = self.jobs.get(id).filter(|_| self.settled) else {
             return;
         };
@@ -363,10 +373,10 @@
         if !(urgent || job.within) {
             return;
         }
-        if gathering.behind && job.made_at.is_some_and(|t| now < t + MADE_ANEW) {
+        if gathering.catching_up && job.made_at.is_some_and(|t| now < t + PREEMPTION_RETRY) {
             return;
         }
-        if self.looks.get() > gathering.until {
+        if self.looks.get() > gathering.step_limit {
             self.behind = true;
             return;
         }
@@ -375,7 +385,7 @@
         if guests_only && self.settings.teams.iter().all(|t| t.guarantee != none) {
             return;
         }
-        let most = self.headroom(job).clamp(0, 1000) as usize;
+        let most = self.tasks_within_quota(job).clamp(0, 1000) as usize;
         // Enough room may be being made already.
         let kept = job.kept_until > now;
         let making: i64 = if kept && !gang {
@@ -392,37 +402,45 @@
         if tasks == 0 {
             return;
         }
-        let zones = self.zones_of(job);
-        let asks = Asks {
+        let zones = self.zones_in_use(job);
+        let asks = PreemptionRequest {
             spec: spec.clone(),
             team: job.team,
             within: job.within,
             tasks: if gang { tasks } else { 1 },
         };
         let fresh = zones.is_empty() && !kept && job.blame.machines.is_empty();
-        if fresh && gathering.hopeless.iter().any(|h| h.covers(&asks)) {
+        if fresh
+            && gathering
+                .infeasible
+                .iter()
+                .any(|h| h.implies_infeasible(&asks))
+        {
             return;
         }
-        let borrowed = gathering.borrowed.get_or_insert_with(|| self.borrowed());
-        let who = Who {
-            site: Site::of(&spec),
+        let borrowed = gathering
+            .borrowed
+            .get_or_insert_with(|| self.borrowed_quota());
+        let who = PreemptionClass {
+            constraints: PlacementConstraints::of(&spec),
             shape: spec.shape,
             priority: spec.priority,
             team: job.team,
             within: job.within,
         };
         // Jobs that may stop the same work look for it in one book.
-        let mut made = match gathering.made.remove(&who) {
+        let mut made = match gathering.preemption_plans.remove(&who) {
             Some(made) => made,
-            None => self.victims(job, guests_only, borrowed, now),
+            None => self.preemption_plan(job, guests_only, borrowed, now),
         };
-        let chosen = self.choose_soonest(&mut made.book, id, &spec, zones, tasks, now);
+        let chosen =
+            self.choose_earliest_capacity(&mut made.timeline, id, &spec, zones, tasks, now);
         let keep = chosen.map(|c| c.0).unwrap_or_default();
         let found: i64 = keep.values().sum();
         if found == 0 || (gang && found < tasks as i64) {
             // The book is made anew for the next: some of it may have been taken out.
             if fresh {
-                gathering.hopeless.push(asks);
+                gathering.infeasible.push(asks);
             }
             return;
         }
@@ -453,17 +471,17 @@
             }
         }
         *borrowed = left;
-        gathering.made.insert(who, made);
+        gathering.preemption_plans.insert(who, made);
         if let Some(job) = self.jobs.get_mut(id) {
             job.made_at = Some(now);
         }
         for (machine, tasks) in keep {
-            self.keep(
+            self.reserve(
                 &machine,
                 Kept {
                     job: id.clone(),
                     tasks,
-                    until: now + MADE,
+                    until: now + PREEMPTED_RESERVATION,
                 },
             );
         }
@@ -476,18 +494,24 @@
     }
 
     /// What may be stopped for a job, and where that would make room for its tasks, by what is lost.
-    fn victims(&self, job: &Job, guests_only: bool, borrowed: &Borrowed, now: Micros) -> Made {
+    fn preemption_plan(
+        &self,
+        job: &Job,
+        guests_only: bool,
+        borrowed: &BorrowedQuota,
+        now: Micros,
+    ) -> PreemptionPlan {
         let spec = &job.spec;
         let urgent = spec.priority >= Priority::High;
         let gang = spec.shape == Shape::Gang;
-        let mut made = Made::default();
+        let mut made = PreemptionPlan::default();
         for shelf in self
             .rooms
             .shelves
             .iter()
-            .filter(|s| self.allowed(spec, &s.kind))
+            .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
-            let list = made.book.entry(shelf.kind.zone.clone()).or_default();
+            let list = made.timeline.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.all.iter().filter_map(|m| self.machines.get(m)) {
                 self.looks
                     .set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
@@ -510,7 +534,8 @@
                     let above = job.within
                         && !j.within
                         && j.team != job.team
-                        && (!guests_only || self.guest(j) && j.spec.checkpoint_every > 0)
+                        && (!guests_only
+                            || self.has_no_guarantee(j) && j.spec.checkpoint_every > 0)
                         && a.team.is_some_and(|t| {
                             Team::within(&borrowed[t], &Resources::default(), &a.need)
                         });
@@ -539,7 +564,7 @@
                 victims.sort_by_key(|v| (v.loss, v.task.index));
                 let mut loss = 0;
                 let mut used = victims.iter();
-                for _ in 0..spec.need.times_in(&m.size).min(MOST_TASKS) {
+                for _ in 0..spec.need.times_in(&m.size).min(MAX_TASKS_PER_MACHINE) {
                     let before = loss;
                     let mut enough = true;
                     while !spec.need.fits(&free) {
@@ -561,7 +586,7 @@
                 made.victims.insert(m.id.clone(), victims);
             }
         }
-        made.book
+        made.timeline
             .values_mut()
             .for_each(|list| list.make_contiguous().sort_unstable());
         made
@@ -569,7 +594,7 @@
 }
 
 /// What each team runs above its guarantee.
-type Borrowed = Vec<Resources>;
+type BorrowedQuota = Vec<Resources>;
 
 /// A task that may be stopped to make room.
 #[derive(Debug)]
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -7,7 +7,7 @@
 
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
-struct Excess {
+struct ExcessAttempt {
     /// It has run so long; 0 for one that its worker has not shown yet.
     ran: Micros,
     task: TaskId,
@@ -17,16 +17,16 @@
 impl Cluster {
     /// Brings teams within limits that were lowered: what no worker has shown yet is not launched any more, and what
     /// runs is stopped if that is the operators' choice.
-    pub fn keep_limits(&mut self, now: Micros) {
+    pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
             if !Team::within(&limit, &Resources::default(), &self.used[team]) {
-                self.keep_limit(team, limit, now);
+                self.enforce_team_limit(team, limit, now);
             }
         }
     }
 
-    fn keep_limit(&mut self, team: usize, limit: Resources, now: Micros) {
+    fn enforce_team_limit(&mut self, team: usize, limit: Resources, now: Micros) {
         let (mut held, mut excess) = (Resources::default(), Vec::new());
         for machine in self.machines.values() {
             for ((task, _), a) in &machine.attempts {
@@ -41,7 +41,7 @@
                     1 + now.saturating_sub(a.since)
                 };
                 if starting || self.over_limit == OverLimit::Stop {
-                    excess.push(Excess {
+                    excess.push(ExcessAttempt {
                         ran,
                         task: task.clone(),
                         need: a.need,
@@ -53,12 +53,12 @@
             (a.ran, &a.task.job, a.task.index).cmp(&(b.ran, &b.task.job, b.task.index))
         });
         let mut stopped = 0;
-        for Excess { task, need, .. } in excess {
+        for ExcessAttempt { task, need, .. } in excess {
             if Team::within(&limit, &Resources::default(), &held) {
                 break;
             }
             // A gang is stopped whole: its other tasks are marked with the first.
-            if self.stopping(&task) {
+            if self.is_stopping(&task) {
                 held -= need;
                 continue;
             }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn stopping(&self, task: &TaskId) -> bool {
+    fn is_stopping(&self, task: &TaskId) -> bool {
         let live = self
             .jobs
             .get(&task.job)
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -14,10 +14,10 @@
 use crate::state::records::Job;
 
 /// The order is worked out anew this often, for each job in it.
-const ORDER_EVERY: Micros = 200;
+const REORDER_INTERVAL_PER_JOB: Micros = 200;
 
 /// Counts a job against what is left of its team's guarantee; whether it fits there.
-fn charge(left: &mut [Resources], job: &Job) -> bool {
+fn charge_guarantee(left: &mut [Resources], job: &Job) -> bool {
     let Some(t) = job.team.filter(|_| !job.suspect()) else {
         return false;
     };
@@ -34,14 +34,14 @@
     /// Whether a job alone would fit into its team's guarantee.
     pub fn fits_guarantee(&self, job: &Job) -> bool {
         let mut left: Vec<Resources> = self.settings.teams.iter().map(|t| t.guarantee).collect();
-        charge(&mut left, job)
+        charge_guarantee(&mut left, job)
     }
 
     /// Brings the order up to date.
     pub fn order_queue(&mut self, now: Micros) {
         self.share_out(now);
         let mut queue = std::mem::take(&mut self.queue);
-        let every = ORDER_EVERY * queue.entries.len() as Micros;
+        let every = REORDER_INTERVAL_PER_JOB * queue.entries.len() as Micros;
         if queue.ordered_at.is_none_or(|t| now >= t + every) {
             queue.ordered_at = Some(now);
             queue.arrivals.clear();
@@ -49,7 +49,9 @@
             let mut ready: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled).collect();
             ready.sort_by(|a, b| (a.ready, &a.id).cmp(&(b.ready, &b.id)));
             let left = &mut queue.left;
-            let keys = ready.into_iter().map(|j| self.key(j, charge(left, j)));
+            let keys = ready
+                .into_iter()
+                .map(|j| self.queue_key(j, charge_guarantee(left, j)));
             queue.entries = keys.collect();
             queue.entries.sort_unstable();
             self.looks
@@ -59,8 +61,8 @@
             let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else {
                 continue;
             };
-            let within = charge(&mut queue.left, job);
-            let key = self.key(job, within);
+            let within = charge_guarantee(&mut queue.left, job);
+            let key = self.queue_key(job, within);
             if let Err(place) = queue.entries.binary_search(&key) {
                 queue.entries.insert(place, key);
             }
@@ -68,9 +70,9 @@
         self.queue = queue;
     }
 
-    fn key(&self, job: &Job, within: bool) -> Key {
+    fn queue_key(&self, job: &Job, within: bool) -> Key {
         let latest = self.latest_start(job, within);
-        let facts = self.facts(job, within, latest);
+        let facts = self.policy_inputs(job, within, latest);
         let weight = self.settings.policy.number(Setting::QueueWeight, &facts);
         let served = self.settings.policy.number(Setting::QueueShare, &facts);
         // As whole thousandths, so that the order is total.
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -15,16 +15,16 @@
 use crate::state::shard_load::Load;
 
 /// What a block keeps beyond what it uses and waits for, as a part of that.
-const SPARE: f64 = 0.1;
+const HEADROOM_FRACTION: f64 = 0.1;
 /// A job that nothing has been launched of looks for a better place after this time.
-const WAITED: u64 = 2 * SECOND;
+const MIN_WAIT_BEFORE_MOVE: u64 = 2 * SECOND;
 /// Jobs that go elsewhere at once.
-const MOST_LEAVE: usize = 4;
+const MAX_JOBS_MOVED_AT_ONCE: usize = 4;
 
 /// Amounts of CPU and GPU that teams may use in each block other than 0.
-pub type Parts = BTreeMap<u32, Vec<Resources>>;
+pub type ShardQuotas = BTreeMap<u32, Vec<Resources>>;
 
-fn clamp(r: Resources) -> Resources {
+fn without_negatives(r: Resources) -> Resources {
     Resources {
         cpu: r.cpu.max(0),
         gpu: r.gpu.max(0),
@@ -33,7 +33,7 @@
 }
 
 /// What block 0 may use: what is left of the whole limits.
-pub fn rest(whole: &[Resources], parts: &Parts) -> Vec<Resources> {
+pub fn remaining_quota(whole: &[Resources], parts: &ShardQuotas) -> Vec<Resources> {
     let mut rest = whole.to_vec();
     for part in parts.values() {
         rest.iter_mut().zip(part).for_each(|(r, p)| *r -= *p);
@@ -43,14 +43,18 @@
 
 /// What the parts of other blocks are raised to. `own`: what each team may have in block 0 now and waits for there;
 /// `told`: the same of other blocks.
-pub fn raise(
+pub fn raised_quotas(
     whole: &[Resources],
-    parts: &Parts,
+    parts: &ShardQuotas,
     own: &[(Resources, Resources)],
     told: &BTreeMap<u32, Vec<(Resources, Resources)>>,
-) -> Parts {
-    let mut raised = Parts::new();
-    for (t, (mut left, (held, waits))) in rest(whole, parts).into_iter().zip(own).enumerate() {
+) -> ShardQuotas {
+    let mut raised = ShardQuotas::new();
+    for (t, (mut left, (held, waits))) in remaining_quota(whole, parts)
+        .into_iter()
+        .zip(own)
+        .enumerate()
+    {
         left -= *held;
         let lacks = |block: &u32, teams: &Vec<(Resources, Resources)>| {
             let part = parts
@@ -61,13 +65,13 @@
             let (used, waiting) = teams.get(t).copied().unwrap_or_default();
             let mut wish = used;
             wish += waiting;
-            clamp(wish - part)
+            without_negatives(wish - part)
         };
         let lacking: Vec<(u32, Resources)> = told
             .iter()
             .map(|(b, teams)| (*b, lacks(b, teams)))
             .collect();
-        let mut all = clamp(*waits);
+        let mut all = without_negatives(*waits);
         lacking.iter().for_each(|(_, l)| all += *l);
         for (block, lack) in lacking {
             // Each gets its part of what is free, by what it lacks.
@@ -96,10 +100,13 @@
 }
 
 /// What a block's own part is lowered to, if it has more than it uses and waits for.
-pub fn lower(part: &[Resources], teams: &[(Resources, Resources)]) -> Option<Vec<Resources>> {
+pub fn lowered_quota(
+    part: &[Resources],
+    teams: &[(Resources, Resources)],
+) -> Option<Vec<Resources>> {
     let keep = |part: i64, used: i64, waiting: i64| {
         let wish = used + waiting;
-        let most = wish + (wish as f64 * SPARE) as i64;
+        let most = wish + (wish as f64 * HEADROOM_FRACTION) as i64;
         // Little is left alone: each change costs one of the state service's.
         if part > most + part / 8 { most } else { part }
     };
@@ -117,7 +124,7 @@
 
 impl Cluster {
     /// How this block stands.
-    pub fn load(&self) -> Load {
+    pub fn shard_load(&self) -> Load {
         let mut load = Load {
             block: self.block.id,
             term: self.term,
@@ -162,13 +169,18 @@
     }
 
     /// Asks the cloud for what other blocks' plans lack, each one's in turn.
-    pub(crate) fn rent_for_others(&mut self, now: Micros, calls: &mut Vec<CloudCall>, most: u32) {
+    pub(crate) fn scale_out_for_shards(
+        &mut self,
+        now: Micros,
+        calls: &mut Vec<CloudCall>,
+        most: u32,
+    ) {
         for (block, wants) in std::mem::take(&mut self.orders) {
             for (offer, wanted) in wants {
                 let flavor = self.flavors[offer.flavor].name.clone();
                 let coming = self.coming(block, &flavor, &offer.zone, offer.spot);
                 let count = wanted.saturating_sub(coming).min(most);
-                if count == 0 || self.blocked(&offer, now) {
+                if count == 0 || self.is_offer_blocked(&offer, now) {
                     continue;
                 }
                 if !self.fleet.may_call(0.0) {
@@ -197,7 +209,7 @@
 
     /// Sends jobs that nothing was launched of, and that have no room here, to a block that has; all that can go, if
     /// this block is to be given up.
-    pub fn send_away(&mut self, give_up: bool) {
+    pub fn transfer_waiting_jobs(&mut self, give_up: bool) {
         if !self.settled || self.loads.len() < 2 {
             return;
         }
@@ -210,7 +222,8 @@
                 .map(|l| l.block)
         };
         let waits = |j: &&Job| {
-            let waited = self.wall.saturating_sub(j.ready) > WAITED + self.settings.report;
+            let waited =
+                self.wall.saturating_sub(j.ready) > MIN_WAIT_BEFORE_MOVE + self.settings.report;
             let moves = give_up || (waited && j.spec.shape != Shape::Gang);
             j.untouched() && !j.cancelled && !j.writing && !j.unsure && moves
         };
@@ -218,7 +231,7 @@
         let queue = self.order.iter().filter_map(|id| self.jobs.get(id));
         let all = self.jobs.values().filter(|_| give_up);
         for job in queue.chain(all).filter(waits) {
-            if leave.len() >= MOST_LEAVE {
+            if leave.len() >= MAX_JOBS_MOVED_AT_ONCE {
                 break;
             }
             let need = job.spec.need.cpu * job.placeable() as i64;
--- a/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
@@ -16,14 +16,14 @@
         (1, vec![(cpus(0), cpus(60))]),
         (2, vec![(cpus(0), cpus(60))]),
     ]);
-    let parts = raise(&whole, &Parts::new(), &[(cpus(20), cpus(0))], &told);
+    let parts = raised_quotas(&whole, &ShardQuotas::new(), &[(cpus(20), cpus(0))], &told);
     assert_eq!((parts[&1][0].cpu, parts[&2][0].cpu), (40, 40));
-    assert_eq!(rest(&whole, &parts), [cpus(20)]);
+    assert_eq!(remaining_quota(&whole, &parts), [cpus(20)]);
     // Nothing is free any more.
-    assert!(raise(&whole, &parts, &[(cpus(20), cpus(9))], &told).is_empty());
-    assert_eq!(lower(&parts[&1], &[(cpus(30), cpus(10))]), None);
+    assert!(raised_quotas(&whole, &parts, &[(cpus(20), cpus(9))], &told).is_empty());
+    assert_eq!(lowered_quota(&parts[&1], &[(cpus(30), cpus(10))]), None);
     assert_eq!(
-        lower(&parts[&1], &[(cpus(10), cpus(0))]),
+        lowered_quota(&parts[&1], &[(cpus(10), cpus(0))]),
         Some(vec![cpus(11)])
     );
 }
@@ -49,7 +49,7 @@
                 // It lowers it, and obeys at once; the write may fail, or its answer be lost.
                 1 | 2 => {
                     let Some((seen, part)) = holds.get(&block).cloned() else { continue };
-                    let Some(low) = lower(&part, &[(cpus(used), cpus(waiting))]) else { continue };
+                    let Some(low) = lowered_quota(&part, &[(cpus(used), cpus(waiting))]) else { continue };
                     holds.insert(block, (seen, low.clone()));
                     let fits = written.get(&block).is_some_and(|w| w.0 == seen);
                     if what == 1 && fits {
@@ -62,12 +62,12 @@
                 3 => believed = written.clone(),
                 // It raises, guarded by the versions of all that it believes.
                 _ => {
-                    let parts: Parts =
+                    let parts: ShardQuotas =
                         believed.iter().map(|(b, w)| (*b, w.1.clone())).collect();
                     let told = BTreeMap::from([(block, vec![(cpus(used), cpus(waiting))])]);
-                    let free = rest(&whole, &parts)[0].cpu;
+                    let free = remaining_quota(&whole, &parts)[0].cpu;
                     let own = (cpus(free.min(7)), cpus(3));
-                    let raised = raise(&whole, &parts, &[own], &told);
+                    let raised = raised_quotas(&whole, &parts, &[own], &told);
                     if believed != written {
                         continue;
                     }
@@ -78,8 +78,8 @@
                     believed = written.clone();
                 }
             }
-            let parts: Parts = written.iter().map(|(b, w)| (*b, w.1.clone())).collect();
-            prop_assert!(rest(&whole, &parts)[0].cpu >= 0, "{parts:?}");
+            let parts: ShardQuotas = written.iter().map(|(b, w)| (*b, w.1.clone())).collect();
+            prop_assert!(remaining_quota(&whole, &parts)[0].cpu >= 0, "{parts:?}");
             for (b, (_, part)) in &holds {
                 prop_assert!(part[0].cpu <= written[b].1[0].cpu, "{b} goes by more than is written");
             }
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -15,8 +15,8 @@
 };
 use crate::policy::Value;
 use crate::saga::Saga;
-use crate::scheduling::gang::Gathering;
-use crate::scheduling::zones::{Zones, zone_ok, zone_room};
+use crate::scheduling::gang::GangPass;
+use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
 use crate::state::capacity_index::Kind;
 use crate::state::cluster::Cluster;
 use crate::state::records::{Attempt, Gang, Job, Kept, Machine, MachineId, Phase, Pull};
@@ -26,40 +26,40 @@
 
 /// A report that frees room leads to a pass over the whole queue at most this often, for each
 /// machine there is: so that the work of passes does not grow with the cluster.
-const PASS_EVERY: Micros = 250;
+const PASS_INTERVAL_PER_MACHINE: Micros = 250;
 /// Jobs that a report's room is offered to; what none of them can use is left to the next pass.
-const OFFERED: usize = 100;
+const MAX_JOBS_OFFERED: usize = 100;
 
 /// Of each kind a job chooses among so many machines with room, and so many more for each of its tasks, the
 /// fullest first: an empty cluster, as after a takeover, must not be read whole for every job.
-const CHOICES: usize = 512;
-const CHOICES_EACH: usize = 4;
+const CANDIDATES_PER_BUCKET: usize = 512;
+const CANDIDATES_PER_TASK: usize = 4;
 
 /// Room held for a stage of a pipeline lapses unless a pass holds it again.
-const HELD: Micros = 2 * SECOND;
+const STAGE_RESERVATION: Micros = 2 * SECOND;
 
 /// Machines and how many tasks each is to take.
-type Seats = Vec<(MachineId, usize)>;
+type Placements = Vec<(MachineId, usize)>;
 
 /// What a pass has found out, so that it need not find it out again.
 #[derive(Debug, Default)]
-pub struct Pass {
+pub struct SchedulingPass {
     /// Jobs for which there was not enough room, with how many tasks wanted some: during a pass
     /// room only gets less.
-    full: Vec<(Arc<JobSpec>, usize)>,
+    unplaceable: Vec<(Arc<JobSpec>, usize)>,
     /// Gathering and making room for gangs.
-    pub gathering: Gathering,
+    pub gangs: GangPass,
 }
 
-impl Pass {
+impl SchedulingPass {
     /// So many tasks of a job have found no room.
-    fn note_full(&mut self, spec: &Arc<JobSpec>, tasks: usize) {
-        self.full.push((spec.clone(), tasks));
+    fn record_unplaceable(&mut self, spec: &Arc<JobSpec>, tasks: usize) {
+        self.unplaceable.push((spec.clone(), tasks));
     }
 
     /// A job that asks for as much and may go to no other machines has found no room already.
-    fn is_full(&self, spec: &JobSpec, wanted: usize) -> bool {
-        self.full.iter().any(|(other, least)| {
+    fn is_known_unplaceable(&self, spec: &JobSpec, wanted: usize) -> bool {
+        self.unplaceable.iter().any(|(other, least)| {
             wanted >= *least
                 && other.need.fits(&spec.need)
                 && (other.spot || !spec.spot)
@@ -74,7 +74,12 @@
 impl Cluster {
     /// What a policy may know of a job, in the order of [`JOB_FIELDS`](crate::policy::JOB_FIELDS).
     /// `latest` is what [`Cluster::latest_start`] says of it.
-    pub fn facts<'a>(&self, job: &'a Job, within: bool, latest: Option<u64>) -> [Value<'a>; 14] {
+    pub fn policy_inputs<'a>(
+        &self,
+        job: &'a Job,
+        within: bool,
+        latest: Option<u64>,
+    ) -> [Value<'a>; 14] {
         let spec = &job.spec;
         let (share, over_share) = self.share_of(job.team);
         let priority = match job.priority() {
@@ -93,7 +98,7 @@
             Value::Number(spec.need.cpu as f64 / 1000.0),
             number(self.wall.saturating_sub(job.ready)),
             number(latest.unwrap_or(0).saturating_sub(self.wall)),
-            number(self.share_of_work(job)),
+            number(self.remaining_work_at_quota(job)),
             number(self.expected_run(spec)),
             Value::Bool(latest.is_none()),
             Value::Bool(within),
@@ -119,11 +124,11 @@
     /// The time of day by which the job's tasks have to start to meet the next objective that can
     /// still be met; `None` if none can.
     pub fn latest_start(&self, job: &Job, within: bool) -> Option<u64> {
-        self.latest(&job.spec, job.at, job.ready, job.pull.as_ref(), within)
+        self.latest_start_for(&job.spec, job.at, job.ready, job.pull.as_ref(), within)
     }
 
     /// The same for a job that was accepted and is released at these times of day.
-    pub fn latest(
+    pub fn latest_start_for(
         &self,
         spec: &JobSpec,
         at: u64,
@@ -159,7 +164,7 @@
     }
 
     /// The time the job's remaining work takes when its team uses all that it may.
-    fn share_of_work(&self, job: &Job) -> Micros {
+    fn remaining_work_at_quota(&self, job: &Job) -> Micros {
         let Some(t) = job.team else { return 0 };
         let limit = &self.settings.teams[t].limit;
         // No team can use more than there is.
@@ -173,15 +178,15 @@
     }
 
     /// What a thousandth of a CPU of such a machine costs an hour.
-    pub fn room_price(&self, flavor: usize, spot: bool) -> f64 {
+    pub fn price_per_millicpu(&self, flavor: usize, spot: bool) -> f64 {
         let f = &self.flavors[flavor];
         f.price_of(spot) / f.size.cpu.max(1) as f64
     }
 
     /// Where the job's tasks are, tasks that still have to exit included; nothing for a job
     /// without zone rules.
-    pub fn zones_of(&self, job: &Job) -> Zones {
-        let mut zones = Zones::new();
+    pub fn zones_in_use(&self, job: &Job) -> ZoneTaskCounts {
+        let mut zones = ZoneTaskCounts::new();
         if !job.spec.zoned() {
             return zones;
         }
@@ -194,16 +199,16 @@
     }
 
     /// What a team may still use, counting all that it may have on machines.
-    pub fn room_of(&self, team: usize) -> Resources {
+    pub fn remaining_quota(&self, team: usize) -> Resources {
         self.settings.teams[team].limit - self.used[team] - self.doubt.held[team]
     }
 
     /// How many more of the job's tasks its team's limit allows.
-    pub fn headroom(&self, job: &Job) -> i64 {
+    pub fn tasks_within_quota(&self, job: &Job) -> i64 {
         let Some(t) = job.team.filter(|_| !self.holds_starts) else {
             return 0;
         };
-        let mut free = self.room_of(t);
+        let mut free = self.remaining_quota(t);
         free.mem = UNLIMITED;
         let need = Resources {
             mem: 0,
@@ -215,7 +220,7 @@
     /// Kinds in first-fit order: the cheapest room first, so that the dear ones empty; among room of
     /// a price, small machines first, since large tasks need the large ones whole. Kinds that
     /// are as good as one another share a tier.
-    fn rank_kinds(&mut self) {
+    fn rank_buckets(&mut self) {
         let shelves = self
             .rooms
             .shelves
@@ -224,7 +229,7 @@
             .filter(|(_, s)| s.any_open());
         let mut priced: Vec<(f64, i64, usize)> = shelves
             .map(|(i, s)| {
-                let price = self.room_price(s.kind.flavor, s.kind.spot);
+                let price = self.price_per_millicpu(s.kind.flavor, s.kind.spot);
                 (price, self.flavors[s.kind.flavor].size.cpu, i)
             })
             .collect();
@@ -248,15 +253,15 @@
 
     /// Places what can be placed now, and makes room for what must not wait. At a takeover it places on what
     /// has been heard, and stops nothing: there may be room enough.
-    pub fn schedule(&mut self, now: Micros) {
+    pub fn run_scheduling_pass(&mut self, now: Micros) {
         let before = self.looks.get();
         if self.over_limit == OverLimit::Stop {
             // A new leader learns of what runs as it is reported.
-            self.keep_limits(now);
+            self.enforce_limits(now);
         }
-        self.pull(now);
+        self.propagate_downstream_demand(now);
         self.order_queue(now);
-        self.rank_kinds();
+        self.rank_buckets();
         let queue: Vec<(JobId, bool)> = self
             .queue
             .jobs()
@@ -272,9 +277,9 @@
         self.last_pass = now;
         self.passes += 1;
         self.order.clear();
-        let mut pass = Pass {
-            gathering: self.begin_gathering(now),
-            ..Pass::default()
+        let mut pass = SchedulingPass {
+            gangs: self.begin_gang_pass(now),
+            ..SchedulingPass::default()
         };
         for (id, within) in queue {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -285,7 +290,11 @@
             }
             job.queued = self.passes;
             self.order.push(id.clone());
-            let Some(job) = self.jobs.get(&id).filter(|j| self.headroom(j) > 0) else {
+            let Some(job) = self
+                .jobs
+                .get(&id)
+                .filter(|j| self.tasks_within_quota(j) > 0)
+            else {
                 continue;
             };
             match job.spec.shape {
@@ -294,15 +303,15 @@
                     let suspect = job.suspect();
                     let short = self.place_tasks(&id, &mut pass, None, now);
                     if short > 0 && !suspect {
-                        self.make_room(&id, short, &mut pass.gathering, now);
-                        self.hold_room(&id, short, now);
+                        self.preempt_for(&id, short, &mut pass.gangs, now);
+                        self.reserve_for_stage(&id, short, now);
                     }
                 }
             }
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let limited = self.settled && self.headroom(job) <= 0;
+            let limited = self.settled && self.tasks_within_quota(job) <= 0;
             if !job.placed && (job.pending.is_empty() || limited) {
                 let waited_s = seconds(self.wall.saturating_sub(job.ready)) as u32;
                 let (class, team, tasks) = (&job.spec.class, &job.spec.team, job.spec.tasks);
@@ -315,9 +324,9 @@
                 }
             }
         }
-        self.open_ahead(now);
+        self.raise_watermarks_ahead(now);
         let steps = self.looks.get() - before;
-        self.next_pass = now + self.cost_of(steps);
+        self.next_pass = now + self.pacing_delay(steps);
         self.spent.passes += 1;
         self.spent.pass_steps += steps;
         self.spent.most = self.spent.most.max(steps);
@@ -325,17 +334,17 @@
 
     /// How long so many steps are to be the only ones: a step is a look at a machine or a job, and
     /// policy and the share of a processor say how many of them a second deciding may take.
-    pub fn cost_of(&self, steps: u64) -> Micros {
+    pub fn pacing_delay(&self, steps: u64) -> Micros {
         (steps as f64 * SECOND as f64 / self.settings.decide_steps()) as Micros
     }
 
     /// Uses the room that came free on one machine: with a whole pass, if none was made just now,
     /// else in the order of the last one. A gang that may want it needs room elsewhere too, and is
     /// left to the next pass.
-    pub fn fill(&mut self, id: &MachineId, now: Micros) {
-        let paced = self.last_pass + PASS_EVERY * self.machines.len() as Micros;
+    pub fn use_freed_capacity(&mut self, id: &MachineId, now: Micros) {
+        let paced = self.last_pass + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
         if now >= paced.max(self.next_pass) {
-            return self.schedule(now);
+            return self.run_scheduling_pass(now);
         }
         let report = self.settings.report;
         let Some(machine) = self.machines.get(id).filter(|m| m.usable(now, report)) else {
@@ -347,16 +356,16 @@
             let offered = self
                 .order
                 .iter()
-                .take(OFFERED)
+                .take(MAX_JOBS_OFFERED)
                 .filter_map(|j| self.jobs.get(j));
             offered.filter(|job| {
                 job.placeable() > 0
                     && !job.cancelled
                     && job.spec.need.fits(&free)
-                    && self.suits(machine, &job.spec)
+                    && self.is_eligible_machine(machine, &job.spec)
             })
         };
-        let Some(first) = candidates().find(|job| self.headroom(job) > 0) else {
+        let Some(first) = candidates().find(|job| self.tasks_within_quota(job) > 0) else {
             return;
         };
         if let Some(kept) = machine.kept(now) {
@@ -366,17 +375,17 @@
                 .filter(|j| j.spec.shape == Shape::Array);
             return match array.map(|j| (j.id.clone(), j.spec.need.fits(&free))) {
                 Some((holder, true)) => {
-                    self.place_tasks(&holder, &mut Pass::default(), Some(id), now);
+                    self.place_tasks(&holder, &mut SchedulingPass::default(), Some(id), now);
                 }
                 // What came free is held until there is enough of it.
                 Some((_, false)) => {}
-                None if now >= self.next_pass => self.schedule(now),
+                None if now >= self.next_pass => self.run_scheduling_pass(now),
                 None => {}
             };
         }
         // Cheaper room elsewhere, or a smaller machine's, is to be used first: so that dear and
         // large machines empty, a pass decides.
-        if self.room_ahead(flavor, machine.spot, &first.spec, now) {
+        if self.has_cheaper_capacity(flavor, machine.spot, &first.spec, now) {
             return;
         }
         let gang = |job: &Job| {
@@ -386,7 +395,7 @@
         if candidates().any(gang) {
             return;
         }
-        for i in 0..self.order.len().min(OFFERED) {
+        for i in 0..self.order.len().min(MAX_JOBS_OFFERED) {
             let Some(j) = self.jobs.get(&self.order[i]) else {
                 continue;
             };
@@ -398,25 +407,28 @@
                 && j.spec.shape != Shape::Gang
                 && !j.spec.zoned()
                 && j.spec.need.fits(&m.free())
-                && self.headroom(j) > 0
+                && self.tasks_within_quota(j) > 0
             {
                 let job = j.id.clone();
-                self.place_tasks(&job, &mut Pass::default(), Some(id), now);
+                self.place_tasks(&job, &mut SchedulingPass::default(), Some(id), now);
             }
         }
     }
 
     /// Whether there is room for a job's task that is to be used before that of such a machine.
-    fn room_ahead(&self, flavor: usize, spot: bool, spec: &JobSpec, now: Micros) -> bool {
-        let (price, size) = (self.room_price(flavor, spot), self.flavors[flavor].size.cpu);
+    fn has_cheaper_capacity(&self, flavor: usize, spot: bool, spec: &JobSpec, now: Micros) -> bool {
+        let (price, size) = (
+            self.price_per_millicpu(flavor, spot),
+            self.flavors[flavor].size.cpu,
+        );
         self.rooms.shelves.iter().any(|shelf| {
-            let theirs = self.room_price(shelf.kind.flavor, shelf.kind.spot);
+            let theirs = self.price_per_millicpu(shelf.kind.flavor, shelf.kind.spot);
             let better = theirs * SIMILAR_PRICE < price
                 || (self.flavors[shelf.kind.flavor].size.cpu < size
                     && theirs <= price * SIMILAR_PRICE);
             let mut open = shelf.with_cpu(spec.need.cpu);
             better
-                && self.allowed(spec, &shelf.kind)
+                && self.is_eligible_bucket(spec, &shelf.kind)
                 && open.any(|id| {
                     self.looks.set(self.looks.get() + 1);
                     self.machines.get(id).is_some_and(|m| {
@@ -429,13 +441,20 @@
     }
 
     /// Whether machines of a kind may run the job's tasks at all.
-    pub fn allowed(&self, spec: &JobSpec, kind: &Kind) -> bool {
+    pub fn is_eligible_bucket(&self, spec: &JobSpec, kind: &Kind) -> bool {
         let flavor = &self.flavors[kind.flavor];
         spec.need.fits(&flavor.size) && spec.allows(&flavor.name, &kind.zone, kind.spot)
     }
 
     /// How many of a job's tasks may be placed on a machine now.
-    fn takes(&self, m: &Machine, id: &JobId, spec: &JobSpec, suspect: bool, now: Micros) -> i64 {
+    fn tasks_that_fit(
+        &self,
+        m: &Machine,
+        id: &JobId,
+        spec: &JobSpec,
+        suspect: bool,
+        now: Micros,
+    ) -> i64 {
         self.looks.set(self.looks.get() + 1);
         // A suspect job is tried anywhere: it may have met faulty machines only.
         if !m.usable(now, self.settings.report) || (!suspect && m.failures.contains_key(id)) {
@@ -458,7 +477,7 @@
     fn place_tasks(
         &mut self,
         id: &JobId,
-        pass: &mut Pass,
+        pass: &mut SchedulingPass,
         only: Option<&MachineId>,
         now: Micros,
     ) -> usize {
@@ -467,7 +486,7 @@
         };
         let spec = job.spec.clone();
         let limit = self
-            .headroom(job)
+            .tasks_within_quota(job)
             .min(job.trials(now).saturating_sub(job.live.len() as i64));
         // A huge array must cost no more than the room there is for it.
         let waiting = job.backoff.values().filter(|b| b.0 > now).count();
@@ -480,24 +499,26 @@
             .saturating_sub(waiting)
             .min(limit.max(0) as usize);
         let simple = !spec.zoned() && job.blame.machines.is_empty();
-        if wanted == 0 || (simple && !self.keeps(id) && pass.is_full(&spec, 1)) {
+        if wanted == 0
+            || (simple && !self.has_reservation(id) && pass.is_known_unplaceable(&spec, 1))
+        {
             return wanted;
         }
-        let mut zones = self.zones_of(job);
+        let mut zones = self.zones_in_use(job);
         if spec.one_zone && zones.is_empty() {
-            let Some(zone) = self.roomiest_zone(id, &spec, only, now) else {
+            let Some(zone) = self.zone_with_most_capacity(id, &spec, only, now) else {
                 return wanted;
             };
             zones.insert(zone, 0);
         }
         let seats = match only {
-            Some(machine) => self.seat(machine, id, &spec, &mut zones, wanted, now),
-            None => self.fit(id, &spec, &mut zones, wanted, now),
+            Some(machine) => self.fit_on_machine(machine, id, &spec, &mut zones, wanted, now),
+            None => self.first_fit(id, &spec, &mut zones, wanted, now),
         };
         let found: usize = seats.iter().map(|s| s.1).sum();
         // An array takes what there is, so only where there was none is there none for the next.
         if only.is_none() && simple && found == 0 {
-            pass.note_full(&spec, 1);
+            pass.record_unplaceable(&spec, 1);
         }
         let ready =
             |x: &u32| job.backoff.get(x).is_none_or(|b| b.0 <= now) && !job.doubted.contains(*x);
@@ -511,12 +532,12 @@
     }
 
     /// Whether room is kept for a job somewhere, as far as is known.
-    fn keeps(&self, id: &JobId) -> bool {
+    fn has_reservation(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|j| j.kept_until > self.now)
     }
 
     /// The zone with the most room for a job.
-    fn roomiest_zone(
+    fn zone_with_most_capacity(
         &self,
         id: &JobId,
         spec: &JobSpec,
@@ -528,12 +549,13 @@
             .rooms
             .shelves
             .iter()
-            .filter(|s| self.allowed(spec, &s.kind))
+            .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
             let open = shelf.with_cpu(spec.need.cpu);
             for m in open.filter_map(|m| self.machines.get(m)) {
                 if only.is_none_or(|o| *o == m.id) {
-                    *room.entry(&m.zone).or_default() += self.takes(m, id, spec, false, now);
+                    *room.entry(&m.zone).or_default() +=
+                        self.tasks_that_fit(m, id, spec, false, now);
                 }
             }
         }
@@ -545,29 +567,29 @@
     }
 
     /// Takes the room that one machine has for up to `n` tasks of a job.
-    fn seat(
+    fn fit_on_machine(
         &self,
         machine: &MachineId,
         id: &JobId,
         spec: &JobSpec,
-        zones: &mut Zones,
+        zones: &mut ZoneTaskCounts,
         n: usize,
         now: Micros,
-    ) -> Seats {
+    ) -> Placements {
         let Some(m) = self.machines.get(machine) else {
-            return Seats::new();
+            return Placements::new();
         };
         let suspect = self.jobs.get(id).is_some_and(Job::suspect);
-        let most = if self.suits(m, spec) {
-            self.takes(m, id, spec, suspect, now)
+        let most = if self.is_eligible_machine(m, spec) {
+            self.tasks_that_fit(m, id, spec, suspect, now)
         } else {
             0
         };
         let most = (most as usize)
             .min(n)
-            .min(zone_room(spec, zones, &m.zone) as usize);
+            .min(zone_allowance(spec, zones, &m.zone) as usize);
         if most == 0 {
-            return Seats::new();
+            return Placements::new();
         }
         if spec.zoned() {
             *zones.entry(m.zone.clone()).or_default() += most as u32;
@@ -577,9 +599,16 @@
 
     /// Takes room for up to `n` tasks of a job, first-fit in the order of kinds; among machines
     /// whose room costs the same, those that hold the job's image come first.
-    fn fit(&self, id: &JobId, spec: &JobSpec, zones: &mut Zones, n: usize, now: Micros) -> Seats {
+    fn first_fit(
+        &self,
+        id: &JobId,
+        spec: &JobSpec,
+        zones: &mut ZoneTaskCounts,
+        n: usize,
+        now: Micros,
+    ) -> Placements {
         let suspect = self.jobs.get(id).is_some_and(Job::suspect);
-        let mut seats = Seats::new();
+        let mut seats = Placements::new();
         let mut left = n;
         let mut found: Vec<(bool, &Machine, i64)> = Vec::new();
         for tier in &self.tiers {
@@ -588,15 +617,17 @@
             }
             found.clear();
             for shelf in tier.iter().map(|i| &self.rooms.shelves[*i]) {
-                if !self.allowed(spec, &shelf.kind) || !zone_ok(spec, zones, &shelf.kind.zone) {
+                if !self.is_eligible_bucket(spec, &shelf.kind)
+                    || !is_zone_allowed(spec, zones, &shelf.kind.zone)
+                {
                     continue;
                 }
                 let open = shelf
                     .with_cpu(spec.need.cpu)
                     .filter_map(|m| self.machines.get(m));
-                let seen = found.len() + CHOICES + CHOICES_EACH * left;
+                let seen = found.len() + CANDIDATES_PER_BUCKET + CANDIDATES_PER_TASK * left;
                 for m in open {
-                    let most = self.takes(m, id, spec, suspect, now);
+                    let most = self.tasks_that_fit(m, id, spec, suspect, now);
                     if most > 0 {
                         found.push((!m.images.contains(&spec.image), m, most));
                         if found.len() >= seen {
@@ -608,7 +639,7 @@
             found.sort_unstable_by(|a, b| (a.0, &a.1.id).cmp(&(b.0, &b.1.id)));
             for (_, m, most) in &found {
                 let most = (*most as usize).min(left);
-                let most = most.min(zone_room(spec, zones, &m.zone) as usize);
+                let most = most.min(zone_allowance(spec, zones, &m.zone) as usize);
                 if most == 0 {
                     continue;
                 }
@@ -628,7 +659,7 @@
     /// Smaller tasks further down the queue would take all room as it comes free, bit by bit, and a
     /// task that needs more would never find any. For a stage of a pipeline, what is free and too little
     /// is held on the machines where most can end next.
-    fn hold_room(&mut self, id: &JobId, tasks: usize, now: Micros) {
+    fn reserve_for_stage(&mut self, id: &JobId, tasks: usize, now: Micros) {
         let Some(job) = self
             .jobs
             .get(id)
@@ -642,13 +673,13 @@
             .rooms
             .shelves
             .iter()
-            .filter(|s| self.allowed(&spec, &s.kind))
+            .filter(|s| self.is_eligible_bucket(&spec, &s.kind))
         {
             for m in shelf.with_cpu(1).filter_map(|m| self.machines.get(m)) {
                 self.looks.set(self.looks.get() + 1);
                 if !spec.need.fits(&m.free())
                     && m.kept(now).is_none()
-                    && self.may_host(m, id, &spec, &Zones::new(), now)
+                    && self.can_host(m, id, &spec, &ZoneTaskCounts::new(), now)
                 {
                     choices.push((Reverse(m.attempts.len()), &m.id));
                 }
@@ -661,19 +692,19 @@
             .map(|c| c.1.clone())
             .collect();
         for machine in held {
-            self.keep(
+            self.reserve(
                 &machine,
                 Kept {
                     job: id.clone(),
                     tasks: 1,
-                    until: now + HELD,
+                    until: now + STAGE_RESERVATION,
                 },
             );
         }
     }
 
     /// Keeps a machine's room for a job.
-    pub fn keep(&mut self, machine: &MachineId, kept: Kept) {
+    pub fn reserve(&mut self, machine: &MachineId, kept: Kept) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -684,7 +715,7 @@
     }
 
     /// Places all missing tasks of a gang's attempt, or none.
-    fn place_gang(&mut self, id: &JobId, pass: &mut Pass, now: Micros) {
+    fn place_gang(&mut self, id: &JobId, pass: &mut SchedulingPass, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         // The next attempt begins only when nothing of the last one is on a machine any more.
@@ -699,13 +730,15 @@
             return;
         }
         let missing: Vec<u32> = job.pending.iter().collect();
-        if self.headroom(job) < missing.len() as i64 {
+        if self.tasks_within_quota(job) < missing.len() as i64 {
             return;
         }
-        let zones = self.zones_of(job);
+        let zones = self.zones_in_use(job);
         let simple = fresh && job.blame.machines.is_empty();
-        let searched = !simple || self.keeps(id) || !pass.is_full(&spec, missing.len());
-        if searched && let Some(seats) = self.seats_for_all(id, &spec, &zones, missing.len(), now) {
+        let searched =
+            !simple || self.has_reservation(id) || !pass.is_known_unplaceable(&spec, missing.len());
+        if searched && let Some(seats) = self.fit_whole_gang(id, &spec, &zones, missing.len(), now)
+        {
             let attempt = match self.jobs.get(id).and_then(|j| j.gang.as_ref()) {
                 Some(g) => g.attempt,
                 None => self.next_attempt(),
@@ -726,32 +759,38 @@
             return;
         }
         if searched && simple {
-            pass.note_full(&spec, missing.len());
+            pass.record_unplaceable(&spec, missing.len());
         }
         if !self.settled {
-            return self.keep_heard(id, &spec, missing.len(), now);
+            return self.reserve_on_confirmed_machines(id, &spec, missing.len(), now);
         }
-        self.gather_or_make(id, missing.len(), &mut pass.gathering, now);
+        self.gather_or_preempt(id, missing.len(), &mut pass.gangs, now);
     }
 
     /// At a takeover a gang rarely finds room for all of it at once, as machines are heard one by one. What has
     /// been heard is kept for it, most of it in one zone: smaller tasks would take it, bit by bit, for as long as
     /// they run.
-    fn keep_heard(&mut self, id: &JobId, spec: &JobSpec, tasks: usize, now: Micros) {
+    fn reserve_on_confirmed_machines(
+        &mut self,
+        id: &JobId,
+        spec: &JobSpec,
+        tasks: usize,
+        now: Micros,
+    ) {
         let mut zones: BTreeMap<&Arc<str>, Vec<(bool, &MachineId, i64)>> = BTreeMap::new();
         for shelf in self
             .rooms
             .shelves
             .iter()
-            .filter(|s| self.allowed(spec, &s.kind))
+            .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
-            let open = shelf.with_cpu(spec.need.cpu).take(CHOICES);
+            let open = shelf.with_cpu(spec.need.cpu).take(CANDIDATES_PER_BUCKET);
             for m in open.filter_map(|m| self.machines.get(m)) {
                 let other = m.kept(now).is_some_and(|k| k.job != *id);
                 let most = if other {
                     0
                 } else {
-                    self.takes(m, id, spec, false, now)
+                    self.tasks_that_fit(m, id, spec, false, now)
                 };
                 if most > 0 {
                     let entry = (m.kept(now).is_none(), &m.id, most);
@@ -774,26 +813,26 @@
             left -= most;
         }
         for (machine, tasks) in keep {
-            self.keep(
+            self.reserve(
                 &machine,
                 Kept {
                     job: id.clone(),
                     tasks,
-                    until: now + HELD,
+                    until: now + STAGE_RESERVATION,
                 },
             );
         }
     }
 
     /// Room for all of a gang's missing tasks, where its zone rules let them be together.
-    fn seats_for_all(
+    fn fit_whole_gang(
         &self,
         id: &JobId,
         spec: &JobSpec,
-        zones: &Zones,
+        zones: &ZoneTaskCounts,
         tasks: usize,
         now: Micros,
-    ) -> Option<Seats> {
+    ) -> Option<Placements> {
         let mut choices: Vec<Option<Arc<str>>> = vec![None];
         if spec.one_zone && zones.is_empty() {
             let open = self.rooms.shelves.iter().filter(|s| s.any_open());
@@ -805,14 +844,14 @@
         choices.into_iter().find_map(|only| {
             let mut zones = zones.clone();
             zones.extend(only.map(|z| (z, 0)));
-            let seats = self.fit(id, spec, &mut zones, tasks, now);
+            let seats = self.first_fit(id, spec, &mut zones, tasks, now);
             (seats.iter().map(|s| s.1).sum::<usize>() == tasks).then_some(seats)
         })
     }
 
     /// When a booting machine is expected to be up. One that is overdue is expected to take as long
     /// again as it is late; after twice the expected time it is no longer counted on.
-    pub fn up_at(&self, m: &Machine, now: Micros) -> Option<Micros> {
+    pub fn expected_up_at(&self, m: &Machine, now: Micros) -> Option<Micros> {
         if self.dark.contains_key(&m.zone) {
             return None;
         }
@@ -825,24 +864,24 @@
     }
 
     /// Whether the job's own rules let its tasks go to a machine, wherever its others are.
-    pub fn suits(&self, m: &Machine, spec: &JobSpec) -> bool {
+    pub fn is_eligible_machine(&self, m: &Machine, spec: &JobSpec) -> bool {
         m.flavor
             .is_some_and(|f| spec.allows(&self.flavors[f].name, &m.zone, m.spot))
     }
 
     /// Whether the job's tasks may go to a machine once it has room.
-    pub fn may_host(
+    pub fn can_host(
         &self,
         m: &Machine,
         id: &JobId,
         spec: &JobSpec,
-        zones: &Zones,
+        zones: &ZoneTaskCounts,
         now: Micros,
     ) -> bool {
         m.usable(now, self.settings.report)
             && !m.failures.contains_key(id)
-            && self.suits(m, spec)
-            && zone_ok(spec, zones, &m.zone)
+            && self.is_eligible_machine(m, spec)
+            && is_zone_allowed(spec, zones, &m.zone)
     }
 
     /// When an attempt is expected to end.
--- a/crates/gannethub-core/src/scheduling/zones.rs
+++ b/crates/gannethub-core/src/scheduling/zones.rs
@@ -6,15 +6,15 @@
 use crate::model::JobSpec;
 
 /// How many of a job's tasks are on machines in each zone.
-pub type Zones = HashMap<Arc<str>, u32>;
+pub type ZoneTaskCounts = HashMap<Arc<str>, u32>;
 
 /// Whether the job's zone rules let another task into `zone`.
-pub fn zone_ok(spec: &JobSpec, zones: &Zones, zone: &str) -> bool {
-    zone_room(spec, zones, zone) > 0
+pub fn is_zone_allowed(spec: &JobSpec, zones: &ZoneTaskCounts, zone: &str) -> bool {
+    zone_allowance(spec, zones, zone) > 0
 }
 
 /// How many more tasks the job's zone rules let into `zone`.
-pub fn zone_room(spec: &JobSpec, zones: &Zones, zone: &str) -> u32 {
+pub fn zone_allowance(spec: &JobSpec, zones: &ZoneTaskCounts, zone: &str) -> u32 {
     if spec.one_zone && zones.keys().any(|z| **z != *zone) {
         return 0;
     }
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -31,7 +31,7 @@
     let machine = f.machines("m", 1, "small", "a").remove(0);
     f.submit("j-000001", spec(Shape::Array, "red", 4, 1.0));
     f.pass(1);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.write();
     let attempts = f.c.machines[&*machine].attempts.keys();
     let tasks: Vec<(String, u64)> = attempts.map(|(t, a)| (t.to_string(), *a)).collect();
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -128,7 +128,7 @@
     let mut f = LeaderView::with(&[("red", 4.0, 16.0)], None);
     f.machines("up", 4, "small", "a");
     f.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.write();
     let settings = with_limit(&f, 6.0);
     f.c.configure(&settings, OverLimit::Run, f.now);
@@ -145,12 +145,12 @@
     let mut f = LeaderView::with(&[("red", 4.0, 16.0)], None);
     f.machines("up", 4, "small", "a");
     f.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.write();
     f.c.holds_starts = true;
     assert_eq!(launches(&mut f), 0);
     f.submit("j-2", spec(Shape::Array, "blue", 1, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     assert!(
         !f.c.jobs["j-2"].live.contains_key(&0),
         "and nothing is placed"
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -262,7 +262,7 @@
         "a",
         &[("j-1/0", 1, false), ("j-1/1", 1, false)],
     );
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     let placed: Vec<u32> = f.c.machines["up-1"]
         .attempts
         .keys()
@@ -274,7 +274,7 @@
         "what is shown counts beside what was in doubt until that is weighed again"
     );
     f.pass(0);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     let placed: Vec<u32> = f.c.machines["up-1"]
         .attempts
         .keys()
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -15,7 +15,7 @@
     for id in ["j-1", "j-2", "j-3"] {
         f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
     }
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     // Each in one zone; the third machine of zone a is half of what the third gang needs, and
     // half a gang's room is not kept at all.
     assert_eq!(
@@ -37,7 +37,7 @@
         f.c.machine(&format!("host-{i}"), "large", "a", false, f.now);
     }
     f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     assert_eq!(f.kept_for("j-1"), 2);
     let first = JobSpec {
         priority: Priority::High,
@@ -45,7 +45,7 @@
     };
     f.submit("j-2", first);
     f.pass(1);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     assert_eq!([f.kept_for("j-2"), f.kept_for("j-1")], [2, 0]);
 }
 
@@ -54,7 +54,7 @@
     let mut f = LeaderView::new();
     f.machines("up", 3, "large", "a");
     f.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     f.c.machine("late-0", "large", "a", false, f.now);
     for _ in 0..8 {
@@ -62,7 +62,7 @@
         f.run_all();
     }
     f.submit("j-2", spec(Shape::Gang, "red", 1, 30.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
     let stopped = attempts.filter(|a| a.stop.is_some()).count();
     assert_eq!(stopped, 30, "room is made on a machine that is up");
@@ -75,11 +75,11 @@
         let mut f = LeaderView::new();
         f.machines("up", 3, "large", "a");
         f.submit("j-1", spec(Shape::Array, "blue", 200, 1.0));
-        f.c.schedule(f.now);
+        f.c.run_scheduling_pass(f.now);
         f.run_all();
         assert_eq!(f.c.used[1].cpu, 96_000);
         f.submit("j-2", spec(Shape::Gang, "red", tasks, 30.0));
-        f.c.schedule(f.now);
+        f.c.run_scheduling_pass(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
         assert_eq!(
             attempts.filter(|a| a.stop.is_some()).count(),
@@ -88,7 +88,7 @@
         );
         // Asked again, nothing more is stopped.
         f.pass(1);
-        f.c.schedule(f.now);
+        f.c.run_scheduling_pass(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
         assert_eq!(attempts.filter(|a| a.stop.is_some()).count(), expected);
     }
@@ -99,14 +99,14 @@
     let mut f = LeaderView::new();
     f.machines("up", 1, "large", "a");
     f.submit("j-1", spec(Shape::Array, "blue", 32, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     let urgent = JobSpec {
         priority: Priority::High,
         ..spec(Shape::Array, "red", 1, 4.0)
     };
     f.submit("j-2", urgent);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
     assert_eq!(attempts.filter(|a| a.stop.is_some()).count(), 4);
 }
@@ -147,7 +147,7 @@
             .iter()
             .for_each(|n| drop(f.report(n, "small", "b", &[])));
     }
-    f.c.plan_fleet(f.now);
+    f.c.plan_cloud_calls(f.now);
     assert!(f.c.dark.contains_key("a") && !f.c.dark.contains_key("b"));
     f.pass(52);
     heard
@@ -172,7 +172,7 @@
     for i in 0..20 {
         f.submit(&format!("j-{i}"), spec(Shape::Array, "red", 150, 1.0));
     }
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     f.write();
     let running: Vec<Vec<(String, u64)>> = names
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -254,7 +254,7 @@
         let mut rented = BTreeMap::new();
         for round in 0..40 {
             self.now += SECOND / 2;
-            for call in self.c.plan_fleet(self.now) {
+            for call in self.c.plan_cloud_calls(self.now) {
                 let body = match &call {
                     CloudCall::Rent {
                         name, offer, count, ..
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -99,7 +99,7 @@
     let mut f = LeaderView::new();
     f.machines("host", 2, "large", "a");
     f.submit("j-1", spec(Shape::Array, "red", 2, 30.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     let mine: Vec<(String, u64)> = f.c.machines["host-0000"]
         .attempts
@@ -111,7 +111,7 @@
         f.pass(2);
         f.report("host-0001", "large", "a", &[]);
     }
-    let calls = f.c.plan_fleet(f.now);
+    let calls = f.c.plan_cloud_calls(f.now);
     let delete = calls
         .into_iter()
         .find(|c| matches!(c, CloudCall::Delete { .. }));
@@ -152,7 +152,7 @@
             ..long
         },
     );
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     // The others end, and each machine is left with one long task.
     for name in &names {
@@ -172,7 +172,7 @@
             f.pass(1);
             f.run_all();
         }
-        f.c.plan_fleet(f.now);
+        f.c.plan_cloud_calls(f.now);
         f.c.machines
             .values()
             .filter(|m| m.leaving)
@@ -193,8 +193,8 @@
     assert!(!m.usable(f.now, SECOND));
     // Its task has saved: the machine goes, and the task goes on beside another.
     f.report(&leaving[0], "small", "a", &[]);
-    f.c.schedule(f.now);
-    f.c.plan_fleet(f.now);
+    f.c.run_scheduling_pass(f.now);
+    f.c.plan_cloud_calls(f.now);
     assert!(f.c.machines[leaving[0].as_str()].deleting);
     assert!(
         f.c.jobs["j-2"]
@@ -266,7 +266,7 @@
         let mut f = LeaderView::new();
         f.machines("host", 20, "small", "a");
         f.submit("j-1", saving(team));
-        f.c.schedule(f.now);
+        f.c.run_scheduling_pass(f.now);
         f.run_all();
         f.pass(2);
         f.run_all();
@@ -274,7 +274,7 @@
         f.submit("j-2", spec(Shape::Array, "red", 20, 1.0));
         f.submit("j-3", spec(Shape::Array, "red", 100, 1.0));
         for _ in 0..3 {
-            f.c.schedule(f.now);
+            f.c.run_scheduling_pass(f.now);
             f.pass(1);
         }
         assert_eq!(stopped(&f), expected, "work of {team} that makes way");
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -234,7 +234,7 @@
         ..spec(Shape::Array, "blue", 1, 4.0)
     };
     f.submit("j-1", long);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     let held = WaitingRecord::new(
         spec(Shape::Array, "blue", 6, 4.0),
@@ -245,7 +245,7 @@
     f.stamp += 1;
     f.c.waiting_record("j-2", held, f.stamp);
     let rents = |f: &mut LeaderView| {
-        let calls = f.c.plan_fleet(f.now);
+        let calls = f.c.plan_cloud_calls(f.now);
         calls
             .iter()
             .filter(|c| matches!(c, CloudCall::Rent { .. }))
@@ -259,7 +259,7 @@
         f.run_all();
     }
     assert!(rents(&mut f) > 0);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     assert!(f.c.machines.values().all(|m| m.kept(f.now).is_none()));
     assert!(f.c.order.is_empty(), "it is not in the queue");
 }
@@ -269,7 +269,7 @@
     let mut f = LeaderView::new();
     f.machines("up", 1, "small", "a");
     f.submit("j-1", spec(Shape::Array, "blue", 30, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     f.submit("j-2", spec(Shape::Array, "blue", 1, 2.0));
     let last = JobSpec {
@@ -281,7 +281,7 @@
     let held = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
     f.c.waiting_record("j-3", held, f.stamp);
     f.pass(1);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     assert_eq!(
         f.c.jobs["j-2"].priority(),
         Priority::High,
@@ -298,7 +298,7 @@
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
         f.pass(1);
         f.report("up-0000", "small", "a", &tasks);
-        f.c.schedule(f.now);
+        f.c.run_scheduling_pass(f.now);
         assert_eq!(
             f.c.jobs["j-1"].live.len(),
             4 - ended,
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -28,7 +28,7 @@
             ..spec(Shape::Array, "blue", 7 * n as u32, 1.0)
         },
     );
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     f.run_all();
     f.pass(1);
     for i in 0..n / 10 {
@@ -60,10 +60,10 @@
     // that free room.
     let costs = |n: usize| {
         let (mut f, names) = crowded(n);
-        let first = looks(&mut f, |f| f.c.schedule(f.now));
+        let first = looks(&mut f, |f| f.c.run_scheduling_pass(f.now));
         f.pass(1);
-        let idle = looks(&mut f, |f| f.c.schedule(f.now));
-        let plan = looks(&mut f, |f| drop(f.c.wanted(f.now)));
+        let idle = looks(&mut f, |f| f.c.run_scheduling_pass(f.now));
+        let plan = looks(&mut f, |f| drop(f.c.machines_wanted(f.now)));
         f.write();
         let mut starts = 0;
         let reports = looks(&mut f, |f| {
@@ -107,7 +107,7 @@
         let mut f = LeaderView::with(&[("red", cpus, cpus)], Some(20.0));
         f.machines("host", n, "small", "a");
         (0..n / 20).for_each(|i| f.submit(&format!("j-{i}"), spec(Shape::Array, "red", 40, 1.0)));
-        let looks = looks(&mut f, |f| f.c.schedule(f.now));
+        let looks = looks(&mut f, |f| f.c.run_scheduling_pass(f.now));
         let placed: usize = f.c.machines.values().map(|m| m.attempts.len()).sum();
         assert_eq!(placed, n / 20 * 40, "all find room");
         looks
@@ -128,11 +128,11 @@
     f.report("up-0000", "small", "b", &[]);
     f.pass(1);
     f.submit("j-1", spec(Shape::Array, "red", 12, 1.0));
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     let on = |f: &LeaderView, name: &str| f.c.machines[name].attempts.len();
     assert_eq!([on(&f, "up-0000"), on(&f, "quiet-0000")], [4, 0]);
     f.report("quiet-0001", "small", "a", &[]);
-    f.c.schedule(f.now);
+    f.c.run_scheduling_pass(f.now);
     assert_eq!(
         [on(&f, "quiet-0001"), on(&f, "quiet-0000")],
         [4, 0],
