--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -209,10 +209,12 @@
     fn answer(&mut self, call: CloudCall) {
         let now = self.view.now;
         let body = match &call {
-            CloudCall::Rent {
+            CloudCall::Provision {
                 name, offer, count, ..
             } => {
-                let flavor = self.view.c.flavors[offer.flavor].name.to_string();
+                let flavor = self.view.c.machine_types[offer.machine_type]
+                    .name
+                    .to_string();
                 let kind = (flavor.clone(), offer.zone.clone(), offer.spot);
                 let left = self.stock.entry(kind).or_default();
                 let granted = (*count as usize).min(*left);
@@ -244,7 +246,7 @@
                 Some(json!({}))
             }
             // The machine types do not change, and a list would only repeat what is known.
-            CloudCall::Flavors | CloudCall::List { .. } => None,
+            CloudCall::MachineTypes | CloudCall::List { .. } => None,
         };
         let c = &mut self.view.c;
         let (status, text) = match body {
@@ -289,13 +291,15 @@
             let c = &mut self.view.c;
             let s = &mut self.spent;
             timed(&mut s.rest, &mut s.longest[3], || c.tick(now, WALL + now));
-            if now >= schedule_at.max(c.next_pass) && (c.stirred || now >= c.last_pass + SECOND) {
+            if now >= schedule_at.max(c.next_pass_at)
+                && (c.pass_needed || now >= c.last_pass_at + SECOND)
+            {
                 schedule_at = now + 100_000;
                 timed(&mut s.passes, &mut s.longest[1], || {
                     c.run_scheduling_pass(now)
                 });
             }
-            if now >= plan_at.max(c.next_plan) {
+            if now >= plan_at.max(c.next_plan_at) {
                 plan_at = now + 500_000;
                 let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_cloud_calls(now));
                 s.calls += calls.len() as u64;
@@ -314,7 +318,7 @@
                 });
             }
         }
-        self.spent.queue = self.view.c.order.len();
+        self.spent.queue = self.view.c.placement_order.len();
         self.spent.machines = self.view.c.machines.len();
     }
 }
@@ -340,7 +344,7 @@
         let s = &day.spent;
         assert!(s.started > 0, "nothing was started");
         assert_eq!(
-            day.view.c.misplaced(),
+            day.view.c.index_inconsistencies(),
             Vec::<String>::new(),
             "the index of room is wrong"
         );
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -12,7 +12,7 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use gannethub_core::model::{JobSpec, SECOND, Shape};
-use gannethub_core::state::shard::{ChunkRecord, Member};
+use gannethub_core::state::shard::{ChunkRecord, ShardMember};
 use gannethub_core::wire::store::JobRecord;
 use leader_view::{LeaderView, WALL, spec};
 
@@ -86,7 +86,7 @@
                 },
                 |(name, tasks)| {
                     let mut f = f.borrow_mut();
-                    f.c.last_pass = f.now;
+                    f.c.last_pass_at = f.now;
                     let done = tasks
                         .iter()
                         .enumerate()
@@ -113,7 +113,7 @@
     }
     let names: Vec<String> = (0..machines).map(|i| format!("host-{i:06}")).collect();
     for (chunk, names) in names.chunks(40).enumerate() {
-        let member = Member {
+        let member = ShardMember {
             flavor: "small".into(),
             zone: "a".into(),
             spot: false,
@@ -124,7 +124,7 @@
             holder: "n1".into(),
             machines,
         };
-        f.c.chunk_record(&f.c.block.key(chunk), record, 5);
+        f.c.chunk_record(&f.c.shard.chunk_key(chunk), record, 5);
     }
     f.c.loaded(f.now);
     names
@@ -133,7 +133,7 @@
     f.pass(1);
     assert!(f.c.settled);
     f.c.run_scheduling_pass(f.now);
-    f.c.order.len()
+    f.c.placement_order.len()
 }
 
 criterion_group!(benches, decide);
--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Resources, Team, micros};
+use crate::model::{Resources, Team, micros_from_seconds};
 use crate::policy::{Policy, Setting};
 use crate::settings::{Objective, Settings, unlimited};
 
@@ -306,7 +306,7 @@
         Ok(Objective {
             kind: self.kind.clone(),
             class: self.class.clone(),
-            within: micros(self.within_s),
+            within: micros_from_seconds(self.within_s),
             share: self.share,
             times: self.times,
         })
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -124,8 +124,8 @@
             Some(Answer::Now(status, body)) => Reported::Now(status, body),
             Some(Answer::Later) => Reported::Later,
             Some(Answer::Elsewhere(Some(block))) => {
-                let holds = self.port.loads.iter().find(|l| l.block == block);
-                match holds.map(|l| l.holder) {
+                let holds = self.port.loads.iter().find(|l| l.shard == block);
+                match holds.map(|l| l.owner) {
                     Some(Some(i)) => Reported::Elsewhere(Some(i), machine),
                     // Its holder is not known, or does not know of the machine yet.
                     _ => Reported::Now(
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -7,10 +7,10 @@
 use super::election::{Candidacy, PROMISE};
 use super::outbox::{PROBE_EVERY, Port, Purpose, read};
 use super::shard_owner::{Holder, Holders};
-use crate::model::{Flavor, JobId, Micros, Resources, SECOND};
+use crate::model::{JobId, MachineType, Micros, Resources, SECOND};
 use crate::state::fleet::Offer;
-use crate::state::job_replica::Mirror;
-use crate::state::shard_load::Load;
+use crate::state::job_replica::JobReplica;
+use crate::state::shard_load::ShardLoad;
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{
     BlockTold, Body, Heartbeat, Marks, OfferTold, Promise, PromiseAsk, TeamTold,
@@ -36,7 +36,7 @@
     /// Tasks on machines and done, by job, as it last told.
     running: HashMap<String, (u32, u32)>,
     /// How the blocks stand that it holds.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ShardLoad>,
     /// The version of the configuration in force there; `None`: it is of a release that knows of none.
     pub configuration: Option<u64>,
     /// It has promised something that makes no sense, and that was logged.
@@ -49,7 +49,7 @@
     pub life: u64,
     pub siblings: Vec<SiblingView>,
     /// How its own blocks stood when it last told.
-    own: Vec<Load>,
+    own: Vec<ShardLoad>,
     /// The highest term of any block, where there are several.
     count: Option<(LeadRecord, u64)>,
     probing: bool,
@@ -163,7 +163,7 @@
         self.beat_at = now + BEAT_EVERY;
         let leader = holders.get(&0);
         let several = port.several;
-        let own: Vec<Load> = holders
+        let own: Vec<ShardLoad> = holders
             .values()
             .filter(|_| several)
             .map(|h| h.cluster.shard_load())
@@ -215,14 +215,14 @@
     }
 
     /// How all blocks stand whose holders are heard; of one that two say they hold, as the newer says.
-    pub fn loads(&self, port: &Port) -> Vec<Load> {
+    pub fn loads(&self, port: &Port) -> Vec<ShardLoad> {
         let heard = (0..self.siblings.len()).filter(|i| self.heard(port, *i));
         let all = heard.flat_map(|i| &self.siblings[i].loads).chain(&self.own);
-        let mut loads: BTreeMap<u32, Load> = BTreeMap::new();
+        let mut loads: BTreeMap<u32, ShardLoad> = BTreeMap::new();
         for load in all {
-            let newer = loads.get(&load.block).is_none_or(|l| l.term < load.term);
+            let newer = loads.get(&load.shard).is_none_or(|l| l.term < load.term);
             if newer {
-                loads.insert(load.block, load.clone());
+                loads.insert(load.shard, load.clone());
             }
         }
         loads.into_values().collect()
@@ -304,7 +304,7 @@
     pub fn promise_asked(
         port: &mut Port,
         candidacy: &mut Candidacy,
-        copy: &Mirror,
+        copy: &JobReplica,
         i: usize,
         ask: &PromiseAsk,
     ) {
@@ -321,7 +321,7 @@
             ids.sort_unstable();
             ids.dedup();
             // A process that has not read the state does not know what an earlier one of its name has confirmed.
-            let knows = asked.is_some() && copy.at().is_some() && all;
+            let knows = asked.is_some() && copy.version().is_some() && all;
             let (count, cancelled) = (ids.len() as u32, store::encode_ids(&ids));
             let configuration = port.configuring.newest();
             let promise = Promise {
@@ -347,7 +347,7 @@
     ) {
         let leads = holder.filter(|h| h.lease.term == ask.term);
         let holds = match leads {
-            Some(holder) => !holder.cluster.unmarked,
+            Some(holder) => !holder.cluster.launches_without_watermark,
             None => candidacy.knows_marks(ask.term),
         };
         if holds {
@@ -356,9 +356,9 @@
     }
 }
 
-fn told(flavors: &[Flavor], offer: &Offer, number: u64) -> OfferTold {
+fn told(flavors: &[MachineType], offer: &Offer, number: u64) -> OfferTold {
     let flavor = flavors
-        .get(offer.flavor)
+        .get(offer.machine_type)
         .map_or(String::new(), |f| f.name.to_string());
     OfferTold {
         flavor,
@@ -369,16 +369,16 @@
 }
 
 /// The offer that a sibling means, if its type of machine is known here.
-pub(super) fn offer_of(flavors: &[Flavor], told: &OfferTold) -> Option<Offer> {
+pub(super) fn offer_of(flavors: &[MachineType], told: &OfferTold) -> Option<Offer> {
     let flavor = flavors.iter().position(|f| *f.name == *told.flavor)?;
     Some(Offer {
-        flavor,
+        machine_type: flavor,
         zone: told.zone.clone(),
         spot: told.spot,
     })
 }
 
-fn tell(flavors: &[Flavor], load: &Load) -> BlockTold {
+fn tell(flavors: &[MachineType], load: &ShardLoad) -> BlockTold {
     let teams = load.teams.iter().map(|(used, waits)| TeamTold {
         used_cpu: used.cpu,
         used_gpu: used.gpu,
@@ -386,21 +386,21 @@
         waits_gpu: waits.gpu,
     });
     let wants = load
-        .wants
+        .machine_demand
         .iter()
         .map(|(offer, n)| told(flavors, offer, u64::from(*n)));
     BlockTold {
-        block: load.block,
+        block: load.shard,
         term: load.term,
-        backlog: load.backlog,
-        waiting: load.waiting,
-        free: load.free,
+        backlog: load.backlog_cpu,
+        waiting: load.waiting_cpu,
+        free: load.free_cpu,
         teams: teams.collect(),
         wants: wants.collect(),
     }
 }
 
-fn load_of(flavors: &[Flavor], b: &BlockTold, i: usize) -> Load {
+fn load_of(flavors: &[MachineType], b: &BlockTold, i: usize) -> ShardLoad {
     let amount = |cpu: i64, gpu: i64| Resources {
         cpu: cpu.max(0),
         gpu: gpu.max(0),
@@ -416,15 +416,15 @@
         })
         .collect();
     let want = |o: &OfferTold| Some((offer_of(flavors, o)?, u32::try_from(o.number).ok()?));
-    Load {
-        block: b.block,
+    ShardLoad {
+        shard: b.block,
         term: b.term,
-        holder: Some(i),
-        backlog: b.backlog,
-        waiting: b.waiting,
-        free: b.free,
+        owner: Some(i),
+        backlog_cpu: b.backlog,
+        waiting_cpu: b.waiting,
+        free_cpu: b.free,
         teams,
-        wants: b.wants.iter().filter_map(want).collect(),
+        machine_demand: b.wants.iter().filter_map(want).collect(),
     }
 }
 
--- a/crates/gannethub-core/src/controller/membership/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -9,7 +9,7 @@
 use crate::wire::peer::{Envelope, MAX_FRAME, encode};
 
 /// A copy with so many jobs that are cancelled, from version 10 on.
-fn copy(cancelled: usize) -> Mirror {
+fn copy(cancelled: usize) -> JobReplica {
     let item = |i: usize| {
         let value = r#"{"spec":{"tasks":4},"at":0,"done":"","cancelled":true}"#;
         format!(
@@ -22,17 +22,17 @@
         r#"{{"items":[{}],"truncated":false,"ledger_no":90000}}"#,
         items.join(",")
     );
-    let mut mirror = Mirror::default();
+    let mut mirror = JobReplica::default();
     assert!(
         mirror
-            .listed(&serde_json::from_str(&text).unwrap())
+            .apply_listing_page(&serde_json::from_str(&text).unwrap())
             .is_none()
     );
     mirror
 }
 
 /// What a controller with this copy answers a sibling that has seen all changes up to `known`.
-fn promise(copy: &Mirror, known: u64) -> (Promise, usize) {
+fn promise(copy: &JobReplica, known: u64) -> (Promise, usize) {
     let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
     let clock = Clock {
         now: 100 * SECOND,
@@ -71,7 +71,7 @@
     assert_eq!(store::decode_ids(&p.cancelled).len(), 14);
     // A cancellation that was stored here since the copy was last brought up to the present.
     let mut copy = copy(2);
-    copy.cancelled("j-000777".into(), 90_001);
+    copy.record_cancellation("j-000777".into(), 90_001);
     let (p, _) = promise(&copy, 90_000);
     assert!(p.knows && p.cancelled == "6:777" && p.count == 1);
     assert_eq!(
@@ -91,8 +91,8 @@
         "{size} bytes"
     );
     // Nothing has been read in this life: an earlier one may have confirmed anything.
-    let mut unread = Mirror::default();
-    unread.cancelled("j-000777".into(), 100);
+    let mut unread = JobReplica::default();
+    unread.record_cancellation("j-000777".into(), 100);
     let (p, _) = promise(&unread, 5);
     assert!(
         !p.knows && p.cancelled == "6:777",
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -39,11 +39,11 @@
 use self::shard_owner::{Holder, Holders};
 use self::submissions::{Intake, POLL_PATIENCE, SUBMIT_PATIENCE, Waiter};
 use crate::http::{Request, Response};
-use crate::model::{JobId, Micros, SECOND, valid_job_id};
+use crate::model::{JobId, Micros, SECOND, is_valid_job_id};
 use crate::settings::Settings;
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer};
-use crate::state::usage_replica::Shadow;
+use crate::state::usage_replica::UsageReplica;
 use crate::wire::api::{self, Route};
 use crate::wire::cloud::{self, CloudRequest};
 use crate::wire::peer::{Body, Changed, Envelope, OfferTold, OpenTabs, Promise, TabsAsk};
@@ -74,7 +74,7 @@
     /// Siblings that hold the blocks of machines that have reported here.
     routes: HashMap<String, usize>,
     /// What the leader has not charged yet.
-    shadow: Shadow,
+    shadow: UsageReplica,
     /// Reports passed on to a holder: whose they are, until when it may answer, and what to ask another if it is not its.
     relays: HashMap<u64, (u64, Micros, Bytes)>,
     /// Reports that came while the state was being read.
@@ -95,7 +95,7 @@
             seats: Seats::default(),
             holders: Holders::new(),
             routes: HashMap::new(),
-            shadow: Shadow::default(),
+            shadow: UsageReplica::default(),
             relays: HashMap::new(),
             early: Vec::new(),
             flavors_at: 0,
@@ -143,7 +143,7 @@
         if self
             .holders
             .get(&0)
-            .is_some_and(|h| h.cluster.urgent_tabs())
+            .is_some_and(|h| h.cluster.has_urgent_usage())
         {
             self.tell_tabs();
         }
@@ -225,9 +225,10 @@
                 .left(&mut self.port, block, grant, handed, holder.deaf);
         }
         tracing::info!(term, why, "no longer leading");
-        if holder.cluster.ledger.is_some() {
+        if holder.cluster.usage_ledger.is_some() {
             let now = self.port.clock.now;
-            self.shadow = Shadow::own(term, holder.cluster.all_tabs(now), now);
+            self.shadow =
+                UsageReplica::from_own_records(term, holder.cluster.all_usage_records(now), now);
         }
         self.port.lead(false);
         self.standing
@@ -243,7 +244,7 @@
         }
         // Its users are told by its copy, which may be ahead of a holder's watch: what they are told is cancelled is not
         // launched here from then on.
-        for id in self.intake.mirror.fresh() {
+        for id in self.intake.mirror.take_new_cancellations() {
             for holder in self.holders.values_mut() {
                 holder.cluster.cancelled_elsewhere(&id);
             }
@@ -291,7 +292,7 @@
         if self.port.flavors.is_empty() && now >= self.flavors_at {
             self.flavors_at = now + 2 * SECOND;
             self.port
-                .call(0, CloudCall::Flavors, CloudRequest::flavors());
+                .call(0, CloudCall::MachineTypes, CloudRequest::flavors());
         }
         if !self.holders.contains_key(&0) {
             self.standing.tick(&mut self.port);
@@ -319,13 +320,13 @@
         let mut loads = self.standing.loads(&self.port);
         let orders: BTreeMap<u32, BTreeMap<Offer, u32>> = loads
             .iter()
-            .filter(|l| l.block > 0 && !l.wants.is_empty())
-            .map(|l| (l.block, l.wants.iter().cloned().collect()))
+            .filter(|l| l.shard > 0 && !l.machine_demand.is_empty())
+            .map(|l| (l.shard, l.machine_demand.iter().cloned().collect()))
             .collect();
         self.port.loads.clone_from(&loads);
         let mut refused = Vec::new();
         if let Some(holder) = self.holders.get_mut(&0) {
-            holder.cluster.orders = orders;
+            holder.cluster.other_shards_demand = orders;
             refused = holder.cluster.refused_offers();
         }
         let now = self.port.clock.now;
@@ -333,9 +334,9 @@
             holder.cluster.told_refused(refused.clone(), now);
         }
         // A block that is one too many gets no more work.
-        loads.retain(|l| l.block < most);
+        loads.retain(|l| l.shard < most);
         for (block, holder) in &mut self.holders {
-            holder.cluster.loads.clone_from(&loads);
+            holder.cluster.shard_loads.clone_from(&loads);
             holder.cluster.transfer_waiting_jobs(*block >= most);
         }
     }
@@ -345,7 +346,7 @@
         let tabs = self
             .holders
             .get_mut(&0)
-            .map(|h| h.cluster.tabs_to_tell(now));
+            .map(|h| h.cluster.usage_messages(now));
         for (i, tabs) in tabs.into_iter().flatten() {
             self.port.say(i, Body::OpenTabs(tabs));
         }
@@ -378,7 +379,7 @@
             Route::Report => self.report(conn, request.body),
             Route::Ledger { page, team } => intake.show_ledger(port, conn, page, team),
             Route::Submit => intake.submit(port, conn, &request.body),
-            Route::Query(id) | Route::Cancel(id) if !valid_job_id(id) => {
+            Route::Query(id) | Route::Cancel(id) if !is_valid_job_id(id) => {
                 port.reply(conn, Response::error(404, "no such job"));
             }
             Route::Query(id) => intake.query(port, conn, id.into()),
@@ -413,7 +414,7 @@
             .for_each(|h| h.heard_at = Some(now));
         match message.body {
             Some(Body::Heartbeat(beat)) => {
-                self.shadow.heard(beat.leading, now);
+                self.shadow.leader_heard(beat.leading, now);
                 if beat.leading > 0 {
                     let offer =
                         |o: &OfferTold| Some((offer_of(&port.flavors, o)?, o.number * 1000));
@@ -440,7 +441,7 @@
                 }
             }
             Some(Body::Promise(promise)) => self.promised(i, &promise),
-            Some(Body::Changed(changed)) if valid_job_id(&changed.job) => {
+            Some(Body::Changed(changed)) if is_valid_job_id(&changed.job) => {
                 for holder in self.holders.values_mut() {
                     holder.expect(port, &changed.job, changed.stamp);
                 }
@@ -451,7 +452,7 @@
             Some(Body::TabsAsk(ask)) => {
                 let asked = self.holders.values_mut().find(|h| h.lease.term == ask.term);
                 if let Some(holder) = asked {
-                    holder.cluster.tell_all(i);
+                    holder.cluster.resend_all_usage(i);
                 }
             }
             Some(Body::MarksAsk(ask)) => {
@@ -515,7 +516,7 @@
             .authority
             .promised(promise.round, i, self.port.clock.now);
         if holder.lease.authority.bridged() {
-            holder.cluster.unmarked = true;
+            holder.cluster.launches_without_watermark = true;
             if let Some(candidacy) = self.candidacy(block) {
                 candidacy.bridged(promise.term);
             }
@@ -533,7 +534,7 @@
         // What two clocks may be apart does not count.
         let late = if late > off + SECOND { late } else { 0 };
         let term = tabs.term;
-        if !self.holders.contains_key(&0) && self.shadow.take(tabs, port.clock.now, late) {
+        if !self.holders.contains_key(&0) && self.shadow.apply(tabs, port.clock.now, late) {
             port.say(i, Body::TabsAsk(TabsAsk { term }));
         }
     }
@@ -712,7 +713,7 @@
         standing.candidacy.took(record, stamp.ledger_no);
         let (settings, flavors) = (port.settings.clone(), port.flavors.clone());
         let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.wall);
-        cluster.trust(trusted);
+        cluster.set_watermarks_reliable(trusted);
         let mut holder = Holder::new(lease, cluster);
         port.lead(true);
         standing.beat_soon(now);
@@ -749,8 +750,8 @@
         let (settings, flavors) = (port.settings.clone(), port.flavors.clone());
         let now = port.clock.now;
         let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.wall);
-        cluster.of_block(block);
-        cluster.trust(trusted);
+        cluster.assign_shard(block);
+        cluster.set_watermarks_reliable(trusted);
         let mut holder = Holder::new(lease, cluster);
         holder.load(port, "");
         self.standing.beat_soon(now);
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -10,12 +10,12 @@
 
 use super::config_watch::{ConfigurationRead, Configuring};
 use crate::http::{Request, Response};
-use crate::model::{Flavor, JobId, JobSpec, Micros, SECOND, micros};
+use crate::model::{JobId, JobSpec, MachineType, Micros, SECOND, micros_from_seconds};
 use crate::policy::Setting;
 use crate::settings::{Rates, Settings};
 use crate::state::fleet::CloudCall;
-use crate::state::shard_load::{self, Load};
-use crate::state::writes::Batch;
+use crate::state::shard_load::{self, ShardLoad};
+use crate::state::writes::WriteBatch;
 use crate::wire::api::{JobView, Refusal};
 use crate::wire::budget::{Budget, Urgency};
 use crate::wire::cloud::CloudRequest;
@@ -115,7 +115,7 @@
     },
     Write {
         term: u64,
-        batch: Batch,
+        batch: WriteBatch,
     },
     ReadBack {
         term: u64,
@@ -214,7 +214,7 @@
 pub(super) struct Port {
     pub settings: Arc<Settings>,
     pub clock: Clock,
-    pub flavors: Arc<Vec<Flavor>>,
+    pub flavors: Arc<Vec<MachineType>>,
     pub budget: Budget<(u64, StoreRequest)>,
     /// This controller leads, and needs more of what the state service allows.
     leads: bool,
@@ -233,7 +233,7 @@
     pub effects: Vec<Effect>,
     pub news: Vec<News>,
     /// How the blocks stand, as their holders last told.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ShardLoad>,
     /// Which version of the configuration is in force.
     pub configuring: Configuring,
     /// There are several blocks, or have been, or are to be. Where not, nothing is asked or told of them.
@@ -311,12 +311,12 @@
     /// The block that a job accepted now goes to.
     pub fn home(&mut self, spec: &JobSpec) -> u32 {
         let most = self.blocks();
-        shard_load::home(&mut self.loads, most, spec)
+        shard_load::choose_home_shard(&mut self.loads, most, spec)
     }
 
     /// How long this controller's grants last without renewal.
     pub fn ttl(&self) -> Micros {
-        micros(self.settings.policy.number(Setting::Grant, &[]))
+        micros_from_seconds(self.settings.policy.number(Setting::Grant, &[]))
     }
 
     pub fn state_ok(&self) -> bool {
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -10,8 +10,8 @@
 use super::shard_owner::Holder;
 use super::submissions::{Asker, Intake, MAX_ASKING, POLL_PATIENCE, Waiter, committed};
 use crate::http::Response;
-use crate::model::{JobId, Micros, Ranges, SECOND};
-use crate::state::job_replica::Found;
+use crate::model::{JobId, Micros, SECOND, TaskSet};
+use crate::state::job_replica::JobLookup;
 use crate::wire::api::{self, JobView, Status};
 use crate::wire::budget::Urgency;
 use crate::wire::store::{
@@ -88,8 +88,8 @@
     /// Reads how jobs ended that others wait for and that are not alive.
     pub fn read_ends(&mut self, port: &mut Port, holder: Option<&Holder>) {
         let now = port.clock.now;
-        if self.mirror.links.complete()
-            && holder.is_none_or(|h| h.cluster.pipelines.links.complete())
+        if self.mirror.dependencies.is_complete()
+            && holder.is_none_or(|h| h.cluster.pipelines.dependencies.is_complete())
         {
             return;
         }
@@ -98,12 +98,12 @@
         let holder = holder.filter(|h| h.loaded());
         let theirs = holder
             .into_iter()
-            .flat_map(|h| h.cluster.pipelines.links.unknown());
+            .flat_map(|h| h.cluster.pipelines.dependencies.unknown_outcomes());
         let ours = self
             .mirror
-            .at()
+            .version()
             .into_iter()
-            .flat_map(|_| self.mirror.links.unknown());
+            .flat_map(|_| self.mirror.dependencies.unknown_outcomes());
         let wanted: BTreeSet<JobId> = theirs
             .chain(ours)
             .filter(|j| !self.ends_asked.contains_key(*j))
@@ -139,7 +139,7 @@
                 .cluster
                 .upstream_over(&job, Some(view.status == Status::Cancelled));
         }
-        self.mirror.upstream_over(job, view);
+        self.mirror.record_upstream_end(job, view);
         self.refresh(port);
     }
 
@@ -150,7 +150,7 @@
     /// Reads a job's record. `over`: it is known not to be alive, so only whether it is over is
     /// to be read.
     pub(super) fn look_up(&mut self, port: &mut Port, id: JobId, waiter: Waiter, over: bool) {
-        if let Some(view) = self.mirror.ended(&id) {
+        if let Some(view) = self.mirror.final_view(&id) {
             let response = api::answer(200, &id, view);
             return port.reply(waiter.conn(), response);
         }
@@ -180,10 +180,10 @@
 
     /// A query waits for the next read of what has changed, which answers all that wait then.
     pub(super) fn query(&mut self, port: &mut Port, conn: u64, id: JobId) {
-        if self.mirror.at().is_none() {
+        if self.mirror.version().is_none() {
             return self.look(port, id, Waiter::Poll(conn));
         }
-        if let Some(view) = self.mirror.ended(&id) {
+        if let Some(view) = self.mirror.final_view(&id) {
             let response = api::answer(200, &id, view);
             return port.reply(conn, response);
         }
@@ -210,7 +210,7 @@
             REFRESH_AT_LEAST
         };
         let due = now >= self.refresh_at + at_least;
-        match self.mirror.at() {
+        match self.mirror.version() {
             Some(at) if !self.asking.is_empty() || port.configuring.behind() || due => {
                 self.refreshing = true;
                 self.refresh_sent = now;
@@ -234,10 +234,11 @@
         let listing = read::<Listing>(answer);
         let Some(listing) = listing else {
             self.refreshing = false;
-            return self.mirror.lost();
+            return self.mirror.reset();
         };
-        port.configuring.listed(&listing, self.mirror.begins());
-        match self.mirror.listed(&listing) {
+        port.configuring
+            .listed(&listing, self.mirror.is_at_first_page());
+        match self.mirror.apply_listing_page(&listing) {
             Some(after) => {
                 let request = StoreRequest::list(store::LIVE, &after);
                 port.send(Urgency::User, request, Purpose::Copy);
@@ -265,7 +266,7 @@
         let Some(followed) = followed else {
             if matches!(answer, Some((status, _)) if status != 429 && status != 503) {
                 // Too far behind: the changes are not kept any more.
-                self.mirror.lost();
+                self.mirror.reset();
             }
             waiting
                 .into_iter()
@@ -274,7 +275,7 @@
         };
         port.configuring.changed(&followed.log);
         port.configuring.knew(self.refresh_sent);
-        self.mirror.followed(&followed);
+        self.mirror.apply_changes(&followed);
         for asker in waiting {
             let (conn, id) = match asker {
                 Asker::Query(conn, id) => (conn, id),
@@ -283,18 +284,18 @@
                     continue;
                 }
             };
-            match self.mirror.find(&id) {
+            match self.mirror.lookup(&id) {
                 // It is asked again once that end has been read.
-                Found::Unsure if port.deadlines.contains_key(&conn) => {
+                JobLookup::DependencyUnknown if port.deadlines.contains_key(&conn) => {
                     self.asking.push(Asker::Query(conn, id));
                 }
-                Found::Unsure => {}
-                Found::Job(mut view) => {
+                JobLookup::DependencyUnknown => {}
+                JobLookup::Job(mut view) => {
                     show_progress(&id, &mut view, progress);
                     port.reply(conn, api::answer(200, &id, &view));
                 }
-                Found::Absent => port.reply(conn, Response::error(404, "no such job")),
-                Found::NotLive => self.look_up(port, id, Waiter::Poll(conn), true),
+                JobLookup::NeverSubmitted => port.reply(conn, Response::error(404, "no such job")),
+                JobLookup::NotLive => self.look_up(port, id, Waiter::Poll(conn), true),
             }
         }
         self.refresh(port);
@@ -329,7 +330,7 @@
             Some((404, _)) if !over => self.start_look(port, job, true),
             Some((404, body)) => {
                 if let Ok(missing) = serde_json::from_slice::<Committed>(&body) {
-                    self.mirror.miss(job.clone(), missing.ledger_no);
+                    self.mirror.record_absent(job.clone(), missing.ledger_no);
                 }
                 let waiters = self.take_waiters(port, &job);
                 for w in waiters {
@@ -379,12 +380,12 @@
         live: Option<(LiveRecord, u64)>,
     ) {
         if matches!(view.status, Status::Done | Status::Cancelled) {
-            self.mirror.end(job.clone(), view.clone());
+            self.mirror.record_end(job.clone(), view.clone());
         }
         if let Some((record, stamp)) = &live
             && record.cancelled()
         {
-            self.mirror.cancelled(job.clone(), *stamp);
+            self.mirror.record_cancellation(job.clone(), *stamp);
         }
         let mut cancels = Vec::new();
         for w in self.take_waiters(port, &job) {
@@ -392,7 +393,7 @@
                 (Waiter::Cancel(c), Some((r, _))) if !r.cancelled() => cancels.push(c),
                 // Whether it is cancelled with one that it needs, its own record does not tell.
                 (w, Some((LiveRecord::Waiting(r), _))) if !r.cancelled => {
-                    if self.mirror.at().is_some() {
+                    if self.mirror.version().is_some() {
                         self.asking.push(Asker::Query(w.conn(), job.clone()));
                     } else {
                         port.unavailable(w.conn());
@@ -429,8 +430,8 @@
         let status = answer.as_ref().map(|a| a.0);
         if status == Some(200) {
             let stamp = committed(answer.as_ref());
-            self.mirror.end(job.clone(), view.clone());
-            self.mirror.cancelled(job.clone(), stamp);
+            self.mirror.record_end(job.clone(), view.clone());
+            self.mirror.record_cancellation(job.clone(), stamp);
             for c in conns {
                 port.reply(c, api::answer(200, &job, &view));
             }
@@ -450,7 +451,7 @@
 
 /// A live job as its record and what is known of its progress show it.
 fn view_of(id: &JobId, record: &LiveRecord, progress: Progress<'_>) -> JobView {
-    let mut done = Ranges::default();
+    let mut done = TaskSet::default();
     if let LiveRecord::Job(record) = record {
         store::decode_done(&record.done, 0, &mut done);
     }
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -80,10 +80,10 @@
     /// Has the cluster keep to what its block may use.
     pub fn obey(&mut self, cluster: &mut Cluster) {
         if !self.records.is_empty() {
-            self.take_in(&cluster.whole);
+            self.take_in(&cluster.cluster_teams);
         }
-        let whole: Vec<Resources> = cluster.whole.iter().map(|t| t.limit).collect();
-        let own = cluster.block.id;
+        let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
+        let own = cluster.shard.id;
         let mut parts = self.parts();
         if let Some((pending, _)) = &self.pending {
             // What may be written already: the more for others, the less for this one.
@@ -101,7 +101,7 @@
         let now: Vec<Resources> = cluster.settings.teams.iter().map(|t| t.limit).collect();
         let same = |(a, b): (&Resources, &Resources)| (a.cpu, a.gpu) == (b.cpu, b.gpu);
         if !now.iter().zip(&limits).all(same) {
-            cluster.allow(&limits);
+            cluster.apply_team_limits(&limits);
         }
     }
 
@@ -149,15 +149,15 @@
         };
         self.damaged_before = std::mem::replace(&mut self.damaged, false);
         listing.items.iter().for_each(|item| self.read(item));
-        self.take_in(&cluster.whole);
+        self.take_in(&cluster.cluster_teams);
         self.obey(cluster);
         let load = cluster.shard_load();
         let raised = match lease.block {
             0 if self.damaged => ShardQuotas::new(),
             0 => {
-                let whole: Vec<Resources> = cluster.whole.iter().map(|t| t.limit).collect();
-                let others = port.loads.iter().filter(|l| l.block > 0);
-                let told = others.map(|l| (l.block, l.teams.clone())).collect();
+                let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
+                let others = port.loads.iter().filter(|l| l.shard > 0);
+                let told = others.map(|l| (l.shard, l.teams.clone())).collect();
                 quota_partition::raised_quotas(&whole, &self.parts(), &load.teams, &told)
             }
             b => {
@@ -179,9 +179,9 @@
         }
         self.idle_since = None;
         let mut commit = Commit::default();
-        commit.guard(&cluster.keys.0, lease.stamp);
+        commit.guard(&cluster.assignment_keys.0, lease.stamp);
         let mut raised = raised;
-        while raised.len() > cluster.most_changes() {
+        while raised.len() > cluster.max_transaction_changes() {
             raised.pop_last();
         }
         // What is given out depends on all that has been; what is given back on this one alone.
@@ -196,7 +196,7 @@
             );
         }
         for (b, part) in &raised {
-            let names = cluster.whole.iter().map(|t| t.name.clone());
+            let names = cluster.cluster_teams.iter().map(|t| t.name.clone());
             let teams = names.zip(part.iter().copied()).collect();
             commit.put(
                 &format!("{ALLOT}{b}"),
--- a/crates/gannethub-core/src/controller/recovery.rs
+++ b/crates/gannethub-core/src/controller/recovery.rs
@@ -8,7 +8,7 @@
 use super::shard_owner::Holder;
 use crate::model::{Micros, SECOND};
 use crate::state::shard::ChunkRecord;
-use crate::state::usage_replica::Shadow;
+use crate::state::usage_replica::UsageReplica;
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT;
 use crate::wire::store::{self, Item, Listing, MoveRecord, PartRecord, StoreRequest};
@@ -45,7 +45,9 @@
                 self.cluster.incoming(machine, &record, now);
             }
         } else if self.lease.block == 0 {
-            self.cluster.elsewhere.insert(machine.into(), block);
+            self.cluster
+                .machines_in_other_shards
+                .insert(machine.into(), block);
         }
     }
 
@@ -123,7 +125,7 @@
     pub(super) fn ledger_head(
         &mut self,
         port: &mut Port,
-        shadow: &mut Shadow,
+        shadow: &mut UsageReplica,
         answer: Option<(u16, Bytes)>,
     ) {
         let now = port.clock.now;
@@ -142,7 +144,7 @@
                 self.load(port, "");
             }
             Some((404, _)) => {
-                self.cluster.open_ledger(None, &[], shadow, now);
+                self.cluster.open_usage_ledger(None, &[], shadow, now);
                 self.stage = LOADED;
                 self.load(port, "");
             }
@@ -153,7 +155,7 @@
     pub(super) fn load_answer(
         &mut self,
         port: &mut Port,
-        shadow: &mut Shadow,
+        shadow: &mut UsageReplica,
         stage: usize,
         answer: Option<(u16, Bytes)>,
     ) {
@@ -209,7 +211,7 @@
                 let pages = std::mem::take(&mut self.ledger_pages);
                 let head = self.ledger_head.take();
                 self.cluster
-                    .open_ledger(head, &pages, shadow, port.clock.now);
+                    .open_usage_ledger(head, &pages, shadow, port.clock.now);
             }
         }
         self.load(port, last.as_deref().unwrap_or(""));
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -16,7 +16,7 @@
 use crate::reconcile::kill_delivery::Directly;
 use crate::state::cluster::Cluster;
 use crate::state::fleet::CloudCall;
-use crate::state::writes::Batch;
+use crate::state::writes::WriteBatch;
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT;
 use crate::wire::peer::Running;
@@ -137,11 +137,11 @@
             .cluster
             .jobs
             .values()
-            .filter(|j| j.running() > 0)
+            .filter(|j| j.live_count() > 0)
             .take(MOST_RUNNING);
         let told = running.map(|job| Running {
             job: job.id.to_string(),
-            tasks: job.running(),
+            tasks: job.live_count(),
             done: job.done.len(),
         });
         told.collect()
@@ -152,7 +152,7 @@
         self.cluster
             .jobs
             .get(id)
-            .map(|job| (job.running(), job.done.len()))
+            .map(|job| (job.live_count(), job.done.len()))
     }
 
     /// How a job ended that was no longer alive when it was read.
@@ -181,12 +181,12 @@
     /// Asks the cloud for what the plan wants.
     fn plan(&mut self, port: &mut Port) {
         let now = port.clock.now;
-        if now < self.fleet_at.max(self.cluster.next_plan) {
+        if now < self.fleet_at.max(self.cluster.next_plan_at) {
             return;
         }
         self.fleet_at = now + 500_000;
         for call in self.cluster.plan_cloud_calls(now) {
-            let request = call.request(&self.cluster.flavors);
+            let request = call.to_request(&self.cluster.machine_types);
             port.call(self.lease.term, call, request);
         }
     }
@@ -195,18 +195,18 @@
     pub fn cloud_answer(&mut self, port: &Port, call: CloudCall, answer: Option<(u16, Bytes)>) {
         let now = port.clock.now;
         let answer = answer.as_ref().map(|a| (a.0, &a.1[..]));
-        if matches!(call, CloudCall::Rent { .. }) {
+        if matches!(call, CloudCall::Provision { .. }) {
             // A refusal leads to the next best offer without delay.
             self.fleet_at = now;
         }
         self.cluster.cloud_answer(call, answer, now);
-        self.cluster.stirred = true;
+        self.cluster.pass_needed = true;
     }
 
     /// Reads whose jobs were that were over before an attempt's end was found.
     pub(super) fn read_owners(&mut self, port: &mut Port) {
         let now = port.clock.now;
-        let (term, wanted) = (self.lease.term, self.cluster.owners_wanted(now));
+        let (term, wanted) = (self.lease.term, self.cluster.owners_to_read(now));
         for job in wanted {
             let key = format!("{}{job}", store::OVER);
             port.send(
@@ -224,9 +224,9 @@
                 let over = serde_json::from_slice::<Item>(&body).ok();
                 let over = over.and_then(|i| i.record::<OverRecord>());
                 self.cluster
-                    .owner_read(job, over.and_then(|o| o.owner), now);
+                    .usage_owner_read(job, over.and_then(|o| o.owner), now);
             }
-            Some((404, _)) => self.cluster.owner_read(job, None, now),
+            Some((404, _)) => self.cluster.usage_owner_read(job, None, now),
             // It is asked for again.
             _ => {}
         }
@@ -352,7 +352,7 @@
 
     /// Starts nothing while there may be a newer configuration than is known here.
     pub(super) fn heed_configuration(&mut self, port: &Port) {
-        self.cluster.holds_starts = port.configuring.holds_starts(port.clock.now);
+        self.cluster.starts_paused = port.configuring.holds_starts(port.clock.now);
     }
 
     /// The leader's answer to a report.
@@ -360,7 +360,7 @@
         let now = port.clock.now;
         let error = |status: u16, why: &str| Answer::Now(status, Response::error(status, why).body);
         self.heard_at = Some(now);
-        self.cluster.wall = port.clock.wall;
+        self.cluster.unix_time = port.clock.wall;
         self.heed_configuration(port);
         let report: Report<'_> = match serde_json::from_slice(body) {
             Ok(report) => report,
@@ -446,7 +446,7 @@
             };
             if self
                 .cluster
-                .stamp_of(id)
+                .record_version(id)
                 .is_some_and(|known| known >= change.stamp)
             {
                 continue;
@@ -459,27 +459,27 @@
                 }
                 Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
             }
-            self.cluster.stirred = true;
+            self.cluster.pass_needed = true;
         }
         self.watched = self.watched.max(followed.ledger_no);
-        self.cluster.watched(self.watched);
+        self.cluster.prune_tombstones(self.watched);
         self.lease.knew(sent);
     }
 
-    pub(super) fn written(&mut self, port: &Port, batch: Batch, answer: Option<(u16, Bytes)>) {
+    pub(super) fn written(&mut self, port: &Port, batch: WriteBatch, answer: Option<(u16, Bytes)>) {
         let now = port.clock.now;
         self.writing = false;
         match answer {
             Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
                 Ok(done) => {
-                    self.cluster.stirred = true;
+                    self.cluster.pass_needed = true;
                     self.cluster.committed(batch, done.ledger_no);
                 }
                 Err(_) => self.unwritten(port, batch),
             },
             Some((409, body)) => {
                 let conflict = serde_json::from_slice::<Conflict>(&body);
-                if conflict.is_ok_and(|c| c.failed.contains(&self.cluster.keys.0)) {
+                if conflict.is_ok_and(|c| c.failed.contains(&self.cluster.assignment_keys.0)) {
                     self.ended = Some("its key is gone");
                     return;
                 }
@@ -493,15 +493,15 @@
                 let reason = String::from_utf8_lossy(&body).into_owned();
                 tracing::error!(status, reason, "the state service refuses a transaction");
                 // Smaller ones are tried, and more and more rarely: it may allow less than we know.
-                self.cluster.refusals += 1;
-                self.write_at = now + (SECOND << self.cluster.refusals.min(6)) / 2;
+                self.cluster.transaction_rejections += 1;
+                self.write_at = now + (SECOND << self.cluster.transaction_rejections.min(6)) / 2;
                 self.unwritten(port, batch);
             }
             None => self.unwritten(port, batch),
         }
     }
 
-    pub(super) fn unwritten(&mut self, port: &Port, batch: Batch) {
+    pub(super) fn unwritten(&mut self, port: &Port, batch: WriteBatch) {
         let now = port.clock.now;
         self.cluster.uncommitted(&batch, true, now);
         self.readbacks.extend(batch.keys().iter().cloned());
@@ -515,15 +515,15 @@
         answer: Option<(u16, Bytes)>,
     ) {
         self.reading = self.reading.saturating_sub(1);
-        self.cluster.stirred = true;
+        self.cluster.pass_needed = true;
         let item = match &answer {
             Some((200, body)) => serde_json::from_slice::<Item>(body).ok(),
             _ => None,
         };
-        if let Some(chunk) = self.cluster.block.chunk_of_key(&key) {
+        if let Some(chunk) = self.cluster.shard.parse_chunk_key(&key) {
             match (item, answer) {
-                (Some(item), _) => self.cluster.block.rewrite(chunk, item.stamp),
-                (None, Some((404, _))) => self.cluster.block.rewrite(chunk, 0),
+                (Some(item), _) => self.cluster.shard.mark_write_unknown(chunk, item.stamp),
+                (None, Some((404, _))) => self.cluster.shard.mark_write_unknown(chunk, 0),
                 _ => {
                     self.readbacks.insert(key);
                 }
@@ -584,9 +584,9 @@
         self.cluster.tick(now, wall);
         self.look_for_moves(port);
         self.allotter.tick(port, &self.lease);
-        let due = self.cluster.stirred || now >= self.cluster.last_pass + SECOND;
+        let due = self.cluster.pass_needed || now >= self.cluster.last_pass_at + SECOND;
         // Passes and plans are spaced by what they cost: reports, renewals and users come first.
-        if now >= self.schedule_at.max(self.cluster.next_pass) && due {
+        if now >= self.schedule_at.max(self.cluster.next_pass_at) && due {
             self.schedule_at = now + 100_000;
             self.cluster.run_scheduling_pass(now);
         }
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -9,8 +9,8 @@
 use super::queries::end_of;
 use crate::http::Response;
 use crate::model::{JobId, Micros, SECOND};
-use crate::state::job_replica::Mirror;
-use crate::state::pipeline::Fate;
+use crate::state::job_replica::JobReplica;
+use crate::state::pipeline::DependencyOutcome;
 use crate::wire::api::{self, JobView, Refusal, Status, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT;
@@ -76,7 +76,7 @@
 
 #[derive(Default)]
 pub(super) struct Intake {
-    pub mirror: Mirror,
+    pub mirror: JobReplica,
     pub lookups: HashMap<JobId, Lookup>,
     accepting: VecDeque<(u64, JobId, Box<Submission>)>,
     accept_specs: HashMap<u64, Box<Submission>>,
@@ -117,7 +117,7 @@
         }
         match (id, checked) {
             (Some(id), Ok(submission))
-                if self.mirror.ended(&id).is_none() && !self.mirror.is_live(&id) =>
+                if self.mirror.final_view(&id).is_none() && !self.mirror.is_live(&id) =>
             {
                 self.accept(port, conn, id, submission);
             }
@@ -140,7 +140,7 @@
         if submission
             .waits_on
             .iter()
-            .all(|u| self.mirror.fate(u) != Fate::Unknown)
+            .all(|u| self.mirror.dependency_outcome(u) != DependencyOutcome::Unknown)
         {
             self.accepting.push_back((conn, id, submission));
         } else if self.asking.len() >= MAX_ASKING {
@@ -166,7 +166,7 @@
         if self.mirror.is_live(&job) {
             return self.look(port, job, Waiter::Submit(conn, Ok(submission)));
         }
-        let unknown = |u: &&JobId| self.mirror.fate(u) == Fate::Unknown;
+        let unknown = |u: &&JobId| self.mirror.dependency_outcome(u) == DependencyOutcome::Unknown;
         let unread: Vec<JobId> = submission
             .waits_on
             .iter()
@@ -203,7 +203,7 @@
     ) {
         let end = answer.as_ref().and_then(end_of);
         if let Some(view) = &end {
-            self.mirror.end(job.clone(), view.clone());
+            self.mirror.record_end(job.clone(), view.clone());
         }
         let Some(naming) = self.naming.get_mut(&conn) else {
             return;
@@ -238,11 +238,14 @@
     ) -> (Box<serde_json::value::RawValue>, usize) {
         let at = port.clock.wall;
         let spec = submission.spec.clone();
-        let fates = submission.waits_on.iter().map(|u| (u, self.mirror.fate(u)));
+        let fates = submission
+            .waits_on
+            .iter()
+            .map(|u| (u, self.mirror.dependency_outcome(u)));
         let (mut open, mut cancelled) = (Vec::new(), false);
-        for (u, fate) in fates.filter(|f| f.1 != Fate::Done) {
+        for (u, fate) in fates.filter(|f| f.1 != DependencyOutcome::Done) {
             open.push(u.clone());
-            cancelled |= fate == Fate::Cancelled;
+            cancelled |= fate == DependencyOutcome::Cancelled;
         }
         if open.is_empty() {
             let block = port.home(&spec);
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -13,7 +13,7 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// Seconds from the wire as microseconds; nonsense becomes zero, huge values saturate.
-pub fn micros(seconds: f64) -> Micros {
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     if seconds.is_finite() && seconds > 0.0 {
         (seconds * SECOND as f64).round() as Micros
     } else {
@@ -22,7 +22,7 @@
 }
 
 /// Microseconds as seconds, for a wire or a policy.
-pub fn seconds(t: Micros) -> f64 {
+pub fn seconds_from_micros(t: Micros) -> f64 {
     t as f64 / SECOND as f64
 }
 
@@ -30,7 +30,7 @@
 pub type JobId = Arc<str>;
 
 /// Whether `id` has the one form that job ids take.
-pub fn valid_job_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
         .is_some_and(|n| (1..=18).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
@@ -46,7 +46,7 @@
     /// Reads `j-000412/3`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
-        if !valid_job_id(job) {
+        if !is_valid_job_id(job) {
             return None;
         }
         Some(TaskId {
@@ -85,7 +85,7 @@
     }
 
     /// How many of `self` fit into `room`.
-    pub fn times_in(&self, room: &Resources) -> i64 {
+    pub fn count_in(&self, room: &Resources) -> i64 {
         let part = |need: i64, have: i64| {
             if need > 0 {
                 have.max(0) / need
@@ -98,7 +98,7 @@
             .min(part(self.mem, room.mem))
     }
 
-    pub fn times(&self, n: i64) -> Resources {
+    pub fn scaled_by(&self, n: i64) -> Resources {
         let m = |x: i64| x.saturating_mul(n);
         Resources {
             cpu: m(self.cpu),
@@ -134,17 +134,17 @@
 
 /// A machine type the cloud rents out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Flavor {
+pub struct MachineType {
     pub name: Arc<str>,
     pub size: Resources,
     pub price: f64,
     pub spot_price: f64,
-    pub boot: Micros,
+    pub boot_time: Micros,
     pub fetch_gb_per_s: f64,
     pub zones: Vec<String>,
 }
 
-impl Flavor {
+impl MachineType {
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
@@ -220,12 +220,12 @@
     }
 
     /// Whether where its tasks are matters to where its others may go.
-    pub fn zoned(&self) -> bool {
+    pub fn is_zone_constrained(&self) -> bool {
         self.one_zone || self.spread
     }
 
     /// The most tasks that may share a zone.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -236,15 +236,15 @@
 
 /// A set of task numbers kept as sorted, disjoint, inclusive ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranges(Vec<(u32, u32)>);
+pub struct TaskSet(Vec<(u32, u32)>);
 
-impl Ranges {
+impl TaskSet {
     /// The numbers `0..n`.
-    pub fn up_to(n: u32) -> Ranges {
+    pub fn up_to(n: u32) -> TaskSet {
         if n == 0 {
-            Ranges::default()
+            TaskSet::default()
         } else {
-            Ranges(vec![(0, n - 1)])
+            TaskSet(vec![(0, n - 1)])
         }
     }
 
@@ -310,13 +310,13 @@
     }
 
     /// The part of the set within `lo..hi`.
-    pub fn slice(&self, lo: u32, hi: u32) -> Ranges {
+    pub fn slice(&self, lo: u32, hi: u32) -> TaskSet {
         let clip = self.0.iter().filter(|&&(a, b)| b >= lo && a < hi);
-        Ranges(clip.map(|&(a, b)| (a.max(lo), b.min(hi - 1))).collect())
+        TaskSet(clip.map(|&(a, b)| (a.max(lo), b.min(hi - 1))).collect())
     }
 
     /// The ranges themselves, in order.
-    pub fn as_slice(&self) -> &[(u32, u32)] {
+    pub fn as_ranges(&self) -> &[(u32, u32)] {
         &self.0
     }
 }
--- a/crates/gannethub-core/src/model/tests.rs
+++ b/crates/gannethub-core/src/model/tests.rs
@@ -5,7 +5,7 @@
     use rand::{Rng, SeedableRng};
     let mut rng = rand::rngs::StdRng::seed_from_u64(7);
     let mut plain = std::collections::BTreeSet::new();
-    let mut ranges = Ranges::default();
+    let mut ranges = TaskSet::default();
     for _ in 0..4000 {
         let x = rng.random_range(0..60);
         if rng.random_bool(0.5) {
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -7,36 +7,38 @@
 use crate::policy::Setting;
 use crate::settings::Settings;
 use crate::state::cluster::Cluster;
-use crate::state::kill_orders::Halts;
+use crate::state::kill_orders::KillOrders;
 
 impl Cluster {
     /// Goes by these settings from here on. Teams keep their numbers, new ones come behind them.
     pub fn configure(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
         let mut own = (**settings).clone();
-        if self.settings.teams.len() == settings.teams.len() && self.whole == settings.teams {
+        if self.settings.teams.len() == settings.teams.len() && self.cluster_teams == settings.teams
+        {
             // A block keeps to its part of limits that have not changed.
             own.teams.clone_from(&self.settings.teams);
         }
-        self.used.resize(own.teams.len(), Resources::default());
-        self.doubt
-            .held
+        self.team_usage
             .resize(own.teams.len(), Resources::default());
-        self.whole.clone_from(&settings.teams);
+        self.unconfirmed
+            .possible_usage
+            .resize(own.teams.len(), Resources::default());
+        self.cluster_teams.clone_from(&settings.teams);
         let halts = |s: &Settings| s.policy.number(Setting::Halts, &[]);
         if halts(&own) != halts(&self.settings) {
-            let due = std::mem::take(&mut self.halts.due);
-            self.halts = Halts {
-                due,
-                ..Halts::new(halts(&own))
+            let due = std::mem::take(&mut self.kill_orders.pending);
+            self.kill_orders = KillOrders {
+                pending: due,
+                ..KillOrders::new(halts(&own))
             };
         }
         self.settings = Arc::new(own);
         self.over_limit = over_limit;
         self.find_teams();
         self.enforce_limits(now);
-        self.stirred = true;
-        self.next_pass = now;
-        self.next_plan = now;
+        self.pass_needed = true;
+        self.next_pass_at = now;
+        self.next_plan_at = now;
     }
 
     /// Jobs whose team was not known get theirs, and what they have on machines counts against it.
@@ -44,15 +46,15 @@
         for job in self.jobs.values_mut().filter(|j| j.team.is_none()) {
             job.team = self.settings.team(&job.spec.team);
         }
-        let (jobs, used) = (&self.jobs, &mut self.used);
+        let (jobs, used) = (&self.jobs, &mut self.team_usage);
         for machine in self.machines.values_mut() {
             for ((task, _), attempt) in &mut machine.attempts {
                 if attempt.team.is_some() {
                     continue;
                 }
                 attempt.team = jobs.get(&task.job).and_then(|j| j.team);
-                if let Some(team) = attempt.team.filter(|_| attempt.holds) {
-                    used[team] += attempt.need;
+                if let Some(team) = attempt.team.filter(|_| attempt.holds_capacity) {
+                    used[team] += attempt.resources;
                 }
             }
         }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -4,11 +4,11 @@
 
 use gannethub_ledger::line::Reason;
 
-use crate::model::{Micros, Resources, SECOND, Shape, TaskId, seconds};
-use crate::saga::{Action, Saga, State};
+use crate::model::{Micros, Resources, SECOND, Shape, TaskId, seconds_from_micros};
+use crate::saga::{AbortAction, Saga, SagaState};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Attempt, Gang, Job, Machine, MachineId, Phase};
-use crate::state::shard::Member;
+use crate::state::records::{Attempt, AttemptPhase, GangAttempt, Job, Machine, MachineId};
+use crate::state::shard::ShardMember;
 use crate::state::usage;
 use crate::wire::store::PART_TASKS;
 use crate::wire::worker::{ExitReason, Order, Report, TaskState};
@@ -52,23 +52,23 @@
     pub fn report(&mut self, now: Micros, report: &Report<'_>) -> Outcome {
         self.now = now;
         let known = self.machines.contains_key(&*report.machine);
-        if !known && self.block.id != 0 {
+        if !known && self.shard.id != 0 {
             return Outcome::Elsewhere(None);
         }
-        if let Some(block) = self.elsewhere.get(&*report.machine) {
+        if let Some(block) = self.machines_in_other_shards.get(&*report.machine) {
             return Outcome::Elsewhere(Some(*block));
         }
         if report.token > self.term {
             return Outcome::Deposed;
         }
-        if !known && self.fleet.removed.contains_key(&*report.machine) {
+        if !known && self.fleet.deleted_machines.contains_key(&*report.machine) {
             // The machine is known to be gone: its tasks, shown by a report that was held back,
             // must not hold up their successors for another lease.
             return Outcome::Stale;
         }
         let every = self.settings.report + self.settings.report / 4 + SECOND / 20;
         let lease = self.settings.lease;
-        let machine = self.machine(
+        let machine = self.machine_or_adopt(
             &report.machine,
             &report.flavor,
             &report.zone,
@@ -77,48 +77,49 @@
         );
         let id = machine.id.clone();
         let zone = machine.zone.clone();
-        if (report.session, report.seq) <= (machine.session, machine.seq)
-            || report.session <= machine.lost_session
+        if (report.session, report.seq) <= (machine.incarnation, machine.sequence)
+            || report.session <= machine.lost_incarnation
         {
             return Outcome::Stale;
         }
         let mut booted = None;
-        if !machine.up {
-            let took = now.saturating_sub(machine.rented_at);
-            tracing::info!(machine = %id, known, boot_s = seconds(took) as u32, "machine is up");
-            machine.up = true;
+        if !machine.is_up {
+            let took = now.saturating_sub(machine.provisioned_at);
+            tracing::info!(machine = %id, known, boot_s = seconds_from_micros(took) as u32, "machine is up");
+            machine.is_up = true;
             machine.idle_since = now;
             // Of a machine that nobody knew of, nobody knows when it was rented.
-            booted = machine.flavor.filter(|_| known).map(|f| (f, took));
+            booted = machine.machine_type.filter(|_| known).map(|f| (f, took));
         }
-        let new_session = report.session > machine.session;
+        let new_session = report.session > machine.incarnation;
         let news = new_session || !machine.confirmed;
         // Others were sent in between, or this one was held up while it was tried elsewhere.
-        let late = machine.heard_at.is_some_and(|t| now > t + every);
-        let missed = new_session || report.seq > machine.seq + 1 || late;
-        if new_session && machine.ended_unheard(now, lease) {
+        let late = machine.last_heartbeat_at.is_some_and(|t| now > t + every);
+        let missed = new_session || report.seq > machine.sequence + 1 || late;
+        if new_session && machine.ended_unanswered(now, lease) {
             // Reports arrive and answers do not. Whatever is placed there is lost with each session, and with the
             // cheapest room of all it would be placed there again and again.
-            machine.unheard += 1;
-            machine.refused_until = now + (lease << machine.unheard.min(MOST_UNHEARD));
-            machine.bad |= machine.unheard >= MOST_UNHEARD;
-            tracing::info!(machine = %id, sessions = machine.unheard, "its worker gets no answers");
-        }
-        machine.session = report.session;
-        machine.seq = report.seq;
-        machine.heard_before = machine.heard_at.replace(now);
-        machine.missed = missed;
-        machine.answered_at = now;
-        if news || machine.addr.is_none() {
-            machine.addr = report.addr.parse().ok();
-        }
-        let notice = report.notice_s.is_some() && !machine.notice;
-        machine.notice |= notice;
-        if !machine.recorded && !machine.deleting && !self.block.contains(&id) {
+            machine.unanswered_incarnations += 1;
+            machine.unschedulable_until =
+                now + (lease << machine.unanswered_incarnations.min(MOST_UNHEARD));
+            machine.quarantined |= machine.unanswered_incarnations >= MOST_UNHEARD;
+            tracing::info!(machine = %id, sessions = machine.unanswered_incarnations, "its worker gets no answers");
+        }
+        machine.incarnation = report.session;
+        machine.sequence = report.seq;
+        machine.previous_heartbeat_at = machine.last_heartbeat_at.replace(now);
+        machine.missed_heartbeats = missed;
+        machine.last_answered_at = now;
+        if news || machine.address.is_none() {
+            machine.address = report.addr.parse().ok();
+        }
+        let notice = report.notice_s.is_some() && !machine.preemption_notice;
+        machine.preemption_notice |= notice;
+        if !machine.recorded && !machine.deleting && !self.shard.contains(&id) {
             let (flavor, zone) = (report.flavor.to_string(), report.zone.to_string());
-            self.block.add(
+            self.shard.add(
                 &id,
-                Member {
+                ShardMember {
                     flavor,
                     zone,
                     spot: report.spot,
@@ -127,11 +128,15 @@
             );
         }
         if let Some((f, took)) = booted {
-            self.fleet
-                .boots
-                .up(f, &zone, self.flavors[f].boot, took, now);
+            self.fleet.provisioning_times.record_boot(
+                f,
+                &zone,
+                self.machine_types[f].boot_time,
+                took,
+                now,
+            );
         }
-        self.stirred |= news;
+        self.pass_needed |= news;
         if new_session {
             // The worker killed and forgot all it had when its lease ended.
             self.lose(&id, now, Reason::Lease, "its session ended");
@@ -146,27 +151,27 @@
         }
         if notice {
             tracing::info!(machine = %id, "spot notice");
-            self.stirred = true;
+            self.pass_needed = true;
         }
-        if self.dark.remove(&zone).is_some() {
+        if self.unreachable_zones.remove(&zone).is_some() {
             tracing::info!(%zone, "a zone is heard again");
         }
         let digest = digest(report);
         if self
             .machines
             .get(&id)
-            .is_some_and(|m| m.digest != Some(digest))
+            .is_some_and(|m| m.heartbeat_digest != Some(digest))
         {
             self.reconcile(&id, now, report);
             if let Some(m) = self.machines.get_mut(&id) {
-                m.digest = Some(digest);
+                m.heartbeat_digest = Some(digest);
             }
         }
-        if self.machines.get(&id).is_some_and(|m| m.notice) {
-            self.drain(&id);
+        if self.machines.get(&id).is_some_and(|m| m.preemption_notice) {
+            self.drain_machine(&id);
         }
-        self.reshelve(&id, now);
-        if std::mem::take(&mut self.freed) {
+        self.reindex_machine(&id, now);
+        if std::mem::take(&mut self.capacity_freed) {
             // What came free is used at once: the launches go out with this very answer.
             self.use_freed_capacity(&id, now);
         }
@@ -182,17 +187,17 @@
             let key = (task, t.attempt);
             reported.insert(key.clone());
             let phase = match t.state {
-                TaskState::Fetching => Phase::Fetching,
-                TaskState::Waiting => Phase::Waiting,
-                TaskState::Running => Phase::Running,
-                TaskState::Saving => Phase::Saving,
-                TaskState::Exited => Phase::Ended(t.why.unwrap_or(ExitReason::Other)),
+                TaskState::Fetching => AttemptPhase::Fetching,
+                TaskState::Waiting => AttemptPhase::Waiting,
+                TaskState::Running => AttemptPhase::Running,
+                TaskState::Saving => AttemptPhase::Saving,
+                TaskState::Exited => AttemptPhase::Ended(t.why.unwrap_or(ExitReason::Other)),
             };
             let Some(machine) = self.machines.get_mut(id) else {
                 return;
             };
             let known = machine.attempts.get_mut(&key).map(|a| {
-                if let Some(tab) = &mut a.tab {
+                if let Some(tab) = &mut a.usage_record {
                     tab.saved |= t.saved;
                 }
                 a.phase
@@ -203,7 +208,7 @@
                 Some(_) => {}
             }
         }
-        self.ghosts_shown(id, report.session, now);
+        self.charge_orphans_not_shown(id, report.session, now);
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -221,11 +226,11 @@
                 continue;
             };
             match a.phase {
-                Phase::Ended(_) => {
+                AttemptPhase::Ended(_) => {
                     machine.attempts.remove(&key);
                 }
                 // The answer with the launch was lost, and workers drop late answers: ask again.
-                Phase::Starting if a.stop.is_none() => {}
+                AttemptPhase::Starting if a.stop_grace.is_none() => {}
                 _ => {
                     self.release(id, &key, Reason::Missing, now);
                     self.gone(&key, id, None, now);
@@ -238,68 +243,69 @@
     }
 
     /// A worker shows an attempt that this leader did not start.
-    fn found(&mut self, id: &MachineId, key: (TaskId, u64), phase: Phase, now: Micros) {
+    fn found(&mut self, id: &MachineId, key: (TaskId, u64), phase: AttemptPhase, now: Micros) {
         let (task, attempt) = key.clone();
-        let ended = matches!(phase, Phase::Ended(_));
+        let ended = matches!(phase, AttemptPhase::Ended(_));
         let mut entry = Attempt {
             phase,
-            since: now,
-            seen: true,
-            stop: None,
-            need: Resources::default(),
+            phase_since: now,
+            reported: true,
+            stop_grace: None,
+            resources: Resources::default(),
             team: None,
-            holds: !ended,
-            tab: self.tab_found(id, &key, phase),
+            holds_capacity: !ended,
+            usage_record: self.adopt_usage_record(id, &key, phase),
         };
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            entry.need = job.spec.need;
+            entry.resources = job.spec.need;
             entry.team = job.team;
-            let free = !job.live.contains_key(&task.index) && !job.done.contains(task.index);
-            if phase == Phase::Ended(ExitReason::Done) {
+            let free =
+                !job.live_attempts.contains_key(&task.index) && !job.done.contains(task.index);
+            if phase == AttemptPhase::Ended(ExitReason::Done) {
                 self.complete(&task, now);
             } else if !ended && free && task.index < job.spec.tasks {
-                job.live.insert(task.index, (id.clone(), attempt));
+                job.live_attempts.insert(task.index, (id.clone(), attempt));
                 job.pending.remove(task.index);
-                job.doubted.remove(task.index);
-                job.open_to(task.index + 1);
+                job.unconfirmed.remove(task.index);
+                job.request_watermark(task.index + 1);
                 if job.cancelled {
-                    entry.stop = Some(0);
+                    entry.stop_grace = Some(0);
                 } else if job.spec.shape == Shape::Gang {
                     let tasks = job.spec.tasks;
-                    let gang = job.gang.get_or_insert_with(|| Gang {
+                    let gang = job.gang_attempt.get_or_insert_with(|| GangAttempt {
                         attempt,
-                        saga: Saga::flat(tasks),
+                        saga: Saga::independent(tasks),
                         running: false,
                         stopping: false,
                     });
-                    gang.running |= matches!(phase, Phase::Running | Phase::Saving);
+                    gang.running |= matches!(phase, AttemptPhase::Running | AttemptPhase::Saving);
                     if gang.attempt != attempt {
-                        entry.stop = Some(0);
+                        entry.stop_grace = Some(0);
                     }
                 }
             } else if !ended {
-                entry.stop = Some(0);
+                entry.stop_grace = Some(0);
             }
         } else if !ended {
             // No such pipeline any more: it is over, so this must end.
-            entry.stop = Some(0);
+            entry.stop_grace = Some(0);
         }
-        let holds = entry.holds;
-        let (need, team) = (entry.need, entry.team);
+        let holds = entry.holds_capacity;
+        let (need, team) = (entry.resources, entry.team);
         if let Some(m) = self.machines.get_mut(id) {
             m.attempts.insert(key.clone(), entry);
         }
-        if let Phase::Ended(why) = phase {
-            self.charge(id, &key, usage::reason(why), now);
+        if let AttemptPhase::Ended(why) = phase {
+            self.charge_attempt(id, &key, usage::end_reason(why), now);
         }
         if holds {
-            self.occupy(id, team, need, now);
+            self.adjust_usage(id, team, need, now);
         }
     }
 
     /// An attempt changed its phase.
-    fn moved(&mut self, id: &MachineId, key: &(TaskId, u64), phase: Phase, now: Micros) {
-        self.tab_moved(id, key, phase, now);
+    fn moved(&mut self, id: &MachineId, key: &(TaskId, u64), phase: AttemptPhase, now: Micros) {
+        self.usage_phase_changed(id, key, phase, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -307,64 +313,67 @@
             return;
         };
         let old = std::mem::replace(&mut a.phase, phase);
-        let ran = if old == Phase::Running {
-            now.saturating_sub(a.since)
+        let ran = if old == AttemptPhase::Running {
+            now.saturating_sub(a.phase_since)
         } else {
             0
         };
-        a.since = now;
-        a.seen = true;
+        a.phase_since = now;
+        a.reported = true;
         // It shows what it was told to launch.
-        machine.unheard = 0;
+        machine.unanswered_incarnations = 0;
         let Some(job) = self.jobs.get_mut(&key.0.job) else {
-            if let Phase::Ended(why) = phase {
-                self.release(id, key, usage::reason(why), now);
+            if let AttemptPhase::Ended(why) = phase {
+                self.release(id, key, usage::end_reason(why), now);
             }
             return;
         };
         match phase {
-            Phase::Running | Phase::Waiting => {
-                machine.images.insert(job.spec.image.clone());
-                if let Some(g) = job.gang.as_mut().filter(|g| g.attempt == key.1) {
-                    g.running |= phase == Phase::Running;
+            AttemptPhase::Running | AttemptPhase::Waiting => {
+                machine.cached_images.insert(job.spec.image.clone());
+                if let Some(g) = job.gang_attempt.as_mut().filter(|g| g.attempt == key.1) {
+                    g.running |= phase == AttemptPhase::Running;
                 }
             }
-            Phase::Ended(why) => {
+            AttemptPhase::Ended(why) => {
                 if why == ExitReason::Done {
-                    machine.images.insert(job.spec.image.clone());
-                    machine.failures.clear();
+                    machine.cached_images.insert(job.spec.image.clone());
+                    machine.failures_by_job.clear();
                     if ran > 0 && job.spec.estimate > 0 {
-                        let ran = ran + job.progress.remove(&key.0.index).unwrap_or(0);
+                        let ran = ran + job.saved_progress.remove(&key.0.index).unwrap_or(0);
                         let ratio = (ran as f64 / job.spec.estimate as f64).clamp(0.1, 10.0);
-                        let pace = self.pace.entry(job.spec.class.clone()).or_insert(1.0);
+                        let pace = self
+                            .runtime_ratios
+                            .entry(job.spec.class.clone())
+                            .or_insert(1.0);
                         *pace += 0.05 * (ratio - *pace);
                     }
                 }
-                self.release(id, key, usage::reason(why), now);
+                self.release(id, key, usage::end_reason(why), now);
                 self.gone(key, id, Some(why), now);
             }
-            Phase::Saving => *job.progress.entry(key.0.index).or_default() += ran,
+            AttemptPhase::Saving => *job.saved_progress.entry(key.0.index).or_default() += ran,
             _ => {}
         }
     }
 
     /// Gives back what an attempt held.
     fn release(&mut self, id: &MachineId, key: &(TaskId, u64), reason: Reason, now: Micros) {
-        self.charge(id, key, reason, now);
+        self.charge_attempt(id, key, reason, now);
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(a) = m.attempts.get_mut(key).filter(|a| a.holds) else {
+        let Some(a) = m.attempts.get_mut(key).filter(|a| a.holds_capacity) else {
             return;
         };
-        a.holds = false;
-        self.freed = true;
-        self.stirred = true;
-        let (need, team) = (a.need, a.team);
-        if !m.holds_any() {
+        a.holds_capacity = false;
+        self.capacity_freed = true;
+        self.pass_needed = true;
+        let (need, team) = (a.resources, a.team);
+        if !m.holds_capacity() {
             m.idle_since = now;
         }
-        self.occupy(id, team, need.times(-1), now);
+        self.adjust_usage(id, team, need.scaled_by(-1), now);
     }
 
     /// A task is done: its saga commits, and with the last one its job's does.
@@ -384,17 +393,17 @@
         for x in range {
             job.done.insert(x);
             job.pending.remove(x);
-            job.doubted.remove(x);
+            job.unconfirmed.remove(x);
             job.backoff.remove(&x);
             job.dirty_parts.insert(x / PART_TASKS);
-            if let Some(g) = &mut job.gang {
+            if let Some(g) = &mut job.gang_attempt {
                 g.saga.commit(&x);
             }
         }
         job.dirty_since.get_or_insert(now);
-        if job.finished() {
+        if job.is_finished() {
             job.saga.commit(&0);
-            debug_assert_eq!(job.saga.state(), State::Committed);
+            debug_assert_eq!(job.saga.state(), SagaState::Committed);
         }
         if first {
             self.clear_failures(&task.job, now);
@@ -411,13 +420,13 @@
             return;
         };
         if job
-            .live
+            .live_attempts
             .get(&task.index)
             .is_none_or(|p| p.1 != *attempt || p.0 != *id)
         {
             return;
         }
-        job.live.remove(&task.index);
+        job.live_attempts.remove(&task.index);
         if job.cancelled || job.done.contains(task.index) {
             return;
         }
@@ -434,7 +443,7 @@
                 let n = job.backoff.get(&task.index).map_or(0, |b| b.1);
                 job.backoff.insert(task.index, (now + wait, n));
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.refused_until = now + 3 * SECOND;
+                    m.unschedulable_until = now + 3 * SECOND;
                 }
             }
             _ => {}
@@ -447,7 +456,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(gang) = job.gang.as_mut().filter(|g| g.attempt == attempt) else {
+        let Some(gang) = job.gang_attempt.as_mut().filter(|g| g.attempt == attempt) else {
             return;
         };
         // Before the start a replacement with the same attempt number completes the gang.
@@ -459,15 +468,20 @@
             cancels = gang.saga.abort_element(&task.index);
             gang.stopping = true;
         }
-        if job.live.is_empty() {
-            job.gang = None;
+        if job.live_attempts.is_empty() {
+            job.gang_attempt = None;
         }
         let id = task.job.clone();
         for action in cancels {
-            let Action::Cancel(i) = action else { continue };
-            let live = self.jobs.get(&id).and_then(|j| j.live.get(&i).cloned());
+            let AbortAction::Cancel(i) = action else {
+                continue;
+            };
+            let live = self
+                .jobs
+                .get(&id)
+                .and_then(|j| j.live_attempts.get(&i).cloned());
             if let Some((machine, attempt)) = live {
-                self.stop(&id, i, &machine, attempt, 0);
+                self.stop_attempt(&id, i, &machine, attempt, 0);
             }
         }
     }
@@ -477,20 +491,20 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        m.digest = None;
+        m.heartbeat_digest = None;
         let keys: Vec<_> = m.attempts.keys().cloned().collect();
-        let held = m.attempts.values().filter(|a| a.holds).count();
+        let held = m.attempts.values().filter(|a| a.holds_capacity).count();
         if held > 0 {
             tracing::info!(machine = %id, tasks = held, why, "tasks lost");
         }
-        self.gap(id, now);
+        self.record_unmetered_interval(id, now);
         for key in keys {
             self.release(id, &key, reason, now);
             let ended = self
                 .machines
                 .get_mut(id)
                 .and_then(|m| m.attempts.remove(&key));
-            if ended.is_some_and(|a| !matches!(a.phase, Phase::Ended(_))) {
+            if ended.is_some_and(|a| !matches!(a.phase, AttemptPhase::Ended(_))) {
                 self.gone(&key, id, None, now);
             }
         }
@@ -499,12 +513,12 @@
     /// The cloud has confirmed that the machine is gone, or it can no longer exist.
     pub fn remove_machine(&mut self, id: &MachineId, now: Micros, why: &str) {
         self.lose(id, now, Reason::Machine, why);
-        self.ghosts_gone(id, Reason::Machine, now);
-        self.block.remove(id);
+        self.charge_orphans(id, Reason::Machine, now);
+        self.shard.remove(id);
         if let Some(m) = self.machines.remove(id)
-            && let Some(number) = m.shelf
+            && let Some(number) = m.capacity_bucket
         {
-            self.rooms.leave(number, id, m.open);
+            self.capacity_index.remove(number, id, m.indexed_free_cpu);
         }
     }
 
@@ -520,25 +534,25 @@
             let name = || task.to_string();
             // What belongs to no live pipeline has to end.
             let job = self.jobs.get(&task.job);
-            let stop = if job.is_some() { a.stop } else { Some(0) };
+            let stop = if job.is_some() { a.stop_grace } else { Some(0) };
             match (a.phase, stop) {
-                (Phase::Ended(why), _) => {
+                (AttemptPhase::Ended(why), _) => {
                     // A completion must be in the state service before the worker forgets it.
                     let durable = why != ExitReason::Done
                         || self.jobs.get(&task.job).is_none_or(|j| {
                             j.cancelled
-                                || j.flushed.contains(task.index)
+                                || j.durable_done.contains(task.index)
                                 || j.spec.shape == Shape::Service
                         });
-                    if durable && self.settled_tab(machine, key) {
+                    if durable && self.is_usage_settled(machine, key) {
                         orders.push(Order::Forget {
                             task: name(),
                             attempt,
                         });
                     }
                 }
-                (Phase::Saving, Some(grace)) if grace > 0 => {}
-                (_, Some(grace)) if a.seen => {
+                (AttemptPhase::Saving, Some(grace)) if grace > 0 => {}
+                (_, Some(grace)) if a.reported => {
                     let grace_s = grace as f64 / SECOND as f64;
                     orders.push(Order::Stop {
                         task: name(),
@@ -547,7 +561,9 @@
                     });
                 }
                 // Until the mark that covers it is written, its place is only kept for it.
-                (Phase::Starting, None) if job.is_some_and(|j| self.may_launch(j, task.index)) => {
+                (AttemptPhase::Starting, None)
+                    if job.is_some_and(|j| self.may_launch(j, task.index)) =>
+                {
                     starts.push(Order::Start {
                         task: name(),
                         attempt,
@@ -558,7 +574,7 @@
         }
         orders.append(&mut starts);
         orders.truncate(MAX_ORDERS);
-        if self.ledger.is_some() {
+        if self.usage_ledger.is_some() {
             self.launches_sent(id, now);
         }
         orders
@@ -566,32 +582,34 @@
 
     /// Runs out leases of silent machines, and finds out whether placing may begin.
     pub fn tick(&mut self, now: Micros, wall: u64) {
-        self.wall = wall;
+        self.unix_time = wall;
         self.now = now;
         // What time alone changes is looked for less often in a large cluster, but at once while
         // placing waits for it.
         let every = (SCAN_EVERY * self.machines.len() as Micros).min(SCAN_AT_LEAST);
-        if self.settled && now < self.scanned_at + every {
+        if self.settled && now < self.machines_scanned_at + every {
             return;
         }
-        self.scanned_at = now;
-        let limit = self.lease_limit();
-        self.size = Resources::default();
+        self.machines_scanned_at = now;
+        let limit = self.lease_expiry_bound();
+        self.total_capacity = Resources::default();
         self.machines
             .values()
-            .filter(|m| m.up)
-            .for_each(|m| self.size += m.size);
+            .filter(|m| m.is_up)
+            .for_each(|m| self.total_capacity += m.capacity);
         let silent: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| now > m.answered_at + limit && (!m.confirmed || !m.attempts.is_empty()))
+            .filter(|m| {
+                now > m.last_answered_at + limit && (!m.confirmed || !m.attempts.is_empty())
+            })
             .map(|m| m.id.clone())
             .collect();
         for id in silent {
             self.lose(&id, now, Reason::Lease, "its lease ran out");
-            self.ghosts_gone(&id, Reason::Lease, now);
+            self.charge_orphans(&id, Reason::Lease, now);
             if let Some(m) = self.machines.get_mut(&id) {
-                m.lost_session = m.lost_session.max(m.session);
+                m.lost_incarnation = m.lost_incarnation.max(m.incarnation);
             }
         }
         if !self.settled {
@@ -600,8 +618,8 @@
             // have most likely died, and deleting them is sooner known than their leases' ends. Of
             // a zone that is cut off more are silent, and their work goes on: they are waited for.
             let few = (self.machines.len() / FEW_SILENT).max(1);
-            if now > self.taken_at + 2 * self.settings.report + 2 * SECOND && waiting <= few {
-                let waits = |m: &&mut Machine| m.doubtful(now, limit) && !m.deleting;
+            if now > self.took_over_at + 2 * self.settings.report + 2 * SECOND && waiting <= few {
+                let waits = |m: &&mut Machine| m.is_unconfirmed(now, limit) && !m.deleting;
                 for m in self.machines.values_mut().filter(waits) {
                     tracing::info!(machine = %m.id, why = "it holds up a takeover", "returning");
                     m.deleting = true;
@@ -616,12 +634,12 @@
                 self.settled = true;
             }
         }
-        self.reshelve_all(now);
-        self.sweep_ghosts(now);
-        let empty = |j: &&mut Job| j.live.is_empty() && j.gang.is_some();
+        self.reindex_changed_machines(now);
+        self.charge_orphans_of_lost_machines(now);
+        let empty = |j: &&mut Job| j.live_attempts.is_empty() && j.gang_attempt.is_some();
         self.jobs
             .values_mut()
             .filter(empty)
-            .for_each(|j| j.gang = None);
+            .for_each(|j| j.gang_attempt = None);
     }
 }
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -13,7 +13,7 @@
 use crate::model::{Micros, TaskId};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
-use crate::state::records::{MachineId, Phase};
+use crate::state::records::{AttemptPhase, MachineId};
 use crate::wire::worker::Order;
 
 /// What is to be sent to a worker.
@@ -27,17 +27,20 @@
 impl Cluster {
     /// An attempt of a cancelled job is to end.
     pub(crate) fn halt_soon(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
-        let Some(m) = self.machines.get(machine).filter(|m| m.addr.is_some()) else {
+        let Some(m) = self.machines.get(machine).filter(|m| m.address.is_some()) else {
             return;
         };
         let key = (task, attempt);
         let Some(a) = m.attempts.get(&key) else {
             return;
         };
-        let starts = matches!(a.phase, Phase::Starting | Phase::Fetching | Phase::Waiting);
-        let halt = self.halts.due.entry(machine.clone()).or_default();
+        let starts = matches!(
+            a.phase,
+            AttemptPhase::Starting | AttemptPhase::Fetching | AttemptPhase::Waiting
+        );
+        let halt = self.kill_orders.pending.entry(machine.clone()).or_default();
         halt.since = self.now;
-        halt.starting |= starts;
+        halt.has_unstarted |= starts;
         if halt.attempts.len() < MAX_ORDERS {
             halt.attempts.push(key);
         }
@@ -46,16 +49,16 @@
     /// What is to be sent now: first to machines where something would start. Who has been answered since, or has been lost,
     /// needs nothing; and more than may be sent within a report's time is left to the answers.
     pub fn next_halts(&mut self, now: Micros) -> Vec<Directly> {
-        if self.halts.due.is_empty() {
+        if self.kill_orders.pending.is_empty() {
             return Vec::new();
         }
-        let halts = &mut self.halts;
+        let halts = &mut self.kill_orders;
         if self.settings.policy.number(Setting::Halts, &[]) <= 0.0 {
-            halts.due.clear();
+            halts.pending.clear();
             return Vec::new();
         }
-        halts.may.refill(now);
-        if halts.may.level < 1.0 {
+        halts.rate_limit.refill(now);
+        if halts.rate_limit.level < 1.0 {
             // Nothing is gone through at each step for what may not be sent yet.
             return Vec::new();
         }
@@ -63,27 +66,27 @@
             &self.machines,
             self.settings.report + self.settings.report / 4,
         );
-        halts.due.retain(|id, halt| {
+        halts.pending.retain(|id, halt| {
             let machine = machines.get(id);
             now < halt.since + late
-                && machine.is_some_and(|m| m.heard_at.is_none_or(|t| t <= halt.since))
+                && machine.is_some_and(|m| m.last_heartbeat_at.is_none_or(|t| t <= halt.since))
         });
         let mut due: Vec<(bool, MachineId)> = halts
-            .due
+            .pending
             .iter()
-            .map(|(id, halt)| (!halt.starting, id.clone()))
+            .map(|(id, halt)| (!halt.has_unstarted, id.clone()))
             .collect();
         due.sort();
-        due.truncate(halts.may.level as usize);
+        due.truncate(halts.rate_limit.level as usize);
         let mut sent = Vec::new();
         for (_, id) in due {
-            let (Some(halt), Some(m)) = (halts.due.remove(&id), machines.get(&id)) else {
+            let (Some(halt), Some(m)) = (halts.pending.remove(&id), machines.get(&id)) else {
                 continue;
             };
             let alive = |key: &(TaskId, u64)| {
                 m.attempts
                     .get(key)
-                    .is_some_and(|a| !matches!(a.phase, Phase::Ended(_)))
+                    .is_some_and(|a| !matches!(a.phase, AttemptPhase::Ended(_)))
             };
             let attempts = halt.attempts.into_iter().filter(alive);
             let stop = |(task, attempt): (TaskId, u64)| Order::Stop {
@@ -92,11 +95,11 @@
                 grace_s: 0.0,
             };
             let orders: Vec<Order> = attempts.map(stop).collect();
-            if let (Some(addr), false) = (m.addr, orders.is_empty()) {
-                halts.may.level -= 1.0;
+            if let (Some(addr), false) = (m.address, orders.is_empty()) {
+                halts.rate_limit.level -= 1.0;
                 sent.push(Directly {
                     addr,
-                    session: m.session,
+                    session: m.incarnation,
                     orders,
                 });
             }
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -6,14 +6,14 @@
 use gannethub_ledger::audit::Page;
 use serde_json::value::RawValue;
 
-use crate::model::{JobId, JobSpec, Micros, Ranges, SECOND, TaskId, seconds};
+use crate::model::{JobId, JobSpec, Micros, SECOND, TaskId, TaskSet, seconds_from_micros};
 use crate::policy::Setting;
-use crate::saga::{Action, Saga};
+use crate::saga::{AbortAction, Saga};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Failing, Job};
+use crate::state::records::{FailureTracking, Job};
 use crate::state::shard::ChunkRecord;
-use crate::state::usage::{owner_of, tell_damage};
-use crate::state::writes::{Batch, Item};
+use crate::state::usage::{job_owner, log_damaged_page};
+use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{
     self, Commit, JobRecord, LeadRecord, LiveRecord, OverRecord, PART_TASKS, PartRecord,
 };
@@ -42,37 +42,37 @@
 
     /// Takes in a job's record: a new job, a cancellation, or what was read back.
     pub fn job_record(&mut self, id: &str, record: JobRecord, stamp: u64) {
-        if record.block != self.block.id {
+        if record.block != self.shard.id {
             return self.foreign_record(id, &record, stamp);
         }
-        self.foreign.remove(id);
+        self.jobs_in_other_shards.remove(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            if stamp > job.stamp {
-                job.stamp = stamp;
+            if stamp > job.version {
+                job.version = stamp;
             }
-            job.unsure = false;
-            job.opened = job.opened.max(record.mark());
-            store::decode_done(&record.done, 0, &mut job.flushed);
+            job.version_unknown = false;
+            job.durable_watermark = job.durable_watermark.max(record.mark());
+            store::decode_done(&record.done, 0, &mut job.durable_done);
             if record.cancelled && !job.cancelled {
                 self.cancel(id);
             }
             return;
         }
-        if self.buried(id, stamp) {
+        if self.has_tombstone(id, stamp) {
             return;
         }
         self.upstream_released(&id.into());
         let opened = record.mark();
         let spec = Arc::new(record.spec);
-        let mut done = Ranges::default();
+        let mut done = TaskSet::default();
         store::decode_done(&record.done, 0, &mut done);
-        let mut pending = Ranges::up_to(spec.tasks);
+        let mut pending = TaskSet::up_to(spec.tasks);
         done.iter().for_each(|x| {
             pending.remove(x);
         });
         // What was there before this term may be on machines of which nothing is known yet.
-        let doubtful = match self.doubt.loading {
-            true if self.trusted => opened,
+        let doubtful = match self.unconfirmed.loading {
+            true if self.watermarks_reliable => opened,
             true => spec.tasks,
             false => 0,
         };
@@ -80,37 +80,37 @@
         let submitted = spec.clone();
         let mut job = Job {
             id: id.into(),
-            submitted,
+            submitted_spec: submitted,
             team: self.settings.team(&spec.team),
-            at: record.at,
-            ready: record.ready.unwrap_or(record.at),
-            pull: None,
-            stamp,
-            flushed: done.clone(),
+            accepted_at: record.at,
+            ready_at: record.ready.unwrap_or(record.at),
+            downstream_demand: None,
+            version: stamp,
+            durable_done: done.clone(),
             done,
             cancelled: false,
-            saga: Saga::flat(1),
+            saga: Saga::independent(1),
             pending,
-            doubted,
-            opened,
-            opening: opened,
-            live: HashMap::new(),
-            gang: None,
-            progress: HashMap::new(),
+            unconfirmed: doubted,
+            durable_watermark: opened,
+            requested_watermark: opened,
+            live_attempts: HashMap::new(),
+            gang_attempt: None,
+            saved_progress: HashMap::new(),
             backoff: HashMap::new(),
-            blame: Failing::new(record.failing),
+            failure_tracking: FailureTracking::new(record.failing),
             dirty_parts: BTreeSet::new(),
             dirty_since: None,
-            outgrown: false,
-            writing: false,
-            unsure: false,
-            placed: false,
-            home: None,
-            within: false,
-            gathered: false,
-            made_at: None,
-            kept_until: 0,
-            queued: 0,
+            overflow: false,
+            write_in_flight: false,
+            version_unknown: false,
+            fully_placed: false,
+            home_shard: None,
+            within_guarantee: false,
+            gang_placement_tried: false,
+            preempted_for_at: None,
+            reservable_until: 0,
+            last_queued_pass: 0,
             spec,
         };
         if job.spec.spot {
@@ -120,13 +120,13 @@
             if !spot {
                 job.spec = Arc::new(JobSpec {
                     spot,
-                    ..(*job.submitted).clone()
+                    ..(*job.submitted_spec).clone()
                 });
             }
         }
-        self.queue.arrived(job.id.clone());
+        self.queue.add_arrival(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
-        self.stirred = true;
+        self.pass_needed = true;
         if record.cancelled {
             self.cancel(id);
         }
@@ -137,10 +137,10 @@
         if self.jobs.remove(id).is_some() {
             tracing::info!(job = id, block = record.block, "goes to another block");
         }
-        if self.block.id != 0 || self.buried(id, stamp) {
+        if self.shard.id != 0 || self.has_tombstone(id, stamp) {
             return;
         }
-        let known = self.foreign.insert(id.into(), stamp).is_some();
+        let known = self.jobs_in_other_shards.insert(id.into(), stamp).is_some();
         if !known {
             self.upstream_released(&id.into());
         }
@@ -159,19 +159,19 @@
         };
         match self.jobs.get_mut(id) {
             Some(job) if part < 100 => {
-                job.outgrown |= part == 0;
-                let mut done = Ranges::default();
+                job.overflow |= part == 0;
+                let mut done = TaskSet::default();
                 store::decode_done(&record.done, part, &mut done);
                 for x in done.iter().filter(|x| *x < job.spec.tasks) {
                     job.done.insert(x);
-                    job.flushed.insert(x);
+                    job.durable_done.insert(x);
                     job.pending.remove(x);
-                    job.doubted.remove(x);
+                    job.unconfirmed.remove(x);
                 }
             }
             // What belongs to no job is left over from one that is over.
-            _ if self.block.id == 0 && !self.foreign.contains_key(id) => {
-                self.drops.push(key.to_string());
+            _ if self.shard.id == 0 && !self.jobs_in_other_shards.contains_key(id) => {
+                self.stale_keys.push(key.to_string());
             }
             _ => {}
         }
@@ -179,36 +179,39 @@
 
     /// Takes in a part of the block's record. Its machines may hold tasks of an earlier term.
     pub fn chunk_record(&mut self, key: &str, record: ChunkRecord, stamp: u64) {
-        let Some(index) = self.block.chunk_of_key(key) else {
+        let Some(index) = self.shard.parse_chunk_key(key) else {
             let block = key
                 .strip_prefix(store::BLOCK)
                 .and_then(|k| k.split_once('/'));
             if let Some(block) = block.and_then(|(b, _)| b.parse().ok()) {
-                self.elsewhere
+                self.machines_in_other_shards
                     .extend(record.machines.into_keys().map(|m| (m, block)));
             }
             return;
         };
         for (name, member) in &record.machines {
-            let taken = self.taken_at;
-            let machine = self.machine(name, &member.flavor, &member.zone, member.spot, taken);
+            let taken = self.took_over_at;
+            let machine =
+                self.machine_or_adopt(name, &member.flavor, &member.zone, member.spot, taken);
             machine.recorded = true;
-            machine.answered_at = taken;
-            machine.up = true;
+            machine.last_answered_at = taken;
+            machine.is_up = true;
         }
-        self.block.load(index, record, stamp);
+        self.shard.load_chunk(index, record, stamp);
     }
 
     /// Another controller has told its users that the job is cancelled. What is stored of it is read all the same.
     pub fn cancelled_elsewhere(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|j| !j.cancelled) {
             self.cancel(id);
-        } else if self.pipelines.waiting.contains_key(id) || self.foreign.contains_key(id) {
+        } else if self.pipelines.waiting.contains_key(id)
+            || self.jobs_in_other_shards.contains_key(id)
+        {
             self.upstream_cancelled(id);
         } else {
             return;
         }
-        self.stirred = true;
+        self.pass_needed = true;
     }
 
     /// The user cancelled: the pipeline's saga aborts. Nothing of it starts from here on.
@@ -217,15 +220,19 @@
             return;
         };
         job.cancelled = true;
-        job.pending = Ranges::default();
+        job.pending = TaskSet::default();
         job.dirty_since = Some(0);
         let actions = job.saga.abort();
-        let live: Vec<_> = job.live.iter().map(|(i, p)| (*i, p.clone())).collect();
+        let live: Vec<_> = job
+            .live_attempts
+            .iter()
+            .map(|(i, p)| (*i, p.clone()))
+            .collect();
         tracing::info!(job = id, tasks = live.len(), "cancelled");
         self.upstream_cancelled(id);
-        if actions.contains(&Action::Cancel(0)) {
+        if actions.contains(&AbortAction::Cancel(0)) {
             for (index, (machine, attempt)) in live {
-                self.stop(id, index, &machine, attempt, 0);
+                self.stop_attempt(id, index, &machine, attempt, 0);
                 self.halt_soon(
                     &machine,
                     TaskId {
@@ -241,40 +248,42 @@
     /// A live key is gone: the job is over, whoever wrote that. `cancelled`: what its end says,
     /// where that was read or written here. Else it is read if another job waits for it.
     pub fn job_gone(&mut self, id: &str, stamp: u64, cancelled: Option<bool>) {
-        if self.stamp_of(id).is_some_and(|known| known >= stamp) {
+        if self.record_version(id).is_some_and(|known| known >= stamp) {
             return;
         }
-        self.buried.insert(id.into(), stamp);
-        self.foreign.remove(id);
+        self.tombstones.insert(id.into(), stamp);
+        self.jobs_in_other_shards.remove(id);
         if self.waiting_gone(id) {
             return;
         }
         self.upstream_over(id, cancelled);
         if let Some(job) = self.jobs.remove(id) {
-            let first = u32::from(!job.outgrown);
+            let first = u32::from(!job.overflow);
             for part in first..job.spec.tasks.div_ceil(PART_TASKS) {
-                self.drops.push(format!("{}{id}/{part}", store::PART));
+                self.stale_keys.push(format!("{}{id}/{part}", store::PART));
             }
         }
     }
 
     /// Everything has been read; leases of recorded machines are counted from here.
     pub fn loaded(&mut self, now: Micros) {
-        self.taken_at = now;
-        self.doubt.loading = false;
-        self.block.loaded();
-        self.machines.values_mut().for_each(|m| m.answered_at = now);
+        self.took_over_at = now;
+        self.unconfirmed.loading = false;
+        self.shard.finish_loading();
+        self.machines
+            .values_mut()
+            .for_each(|m| m.last_answered_at = now);
         // A report may come before the next tick: limits count what is in doubt from here on.
         self.review_unconfirmed(now);
     }
 
     /// The next transaction, if anything needs to be written. `holder` is the leader key's version.
-    pub fn next_commit(&mut self, now: Micros, holder: u64) -> Option<(Commit, Batch)> {
-        let (ops, limit) = (self.most_changes(), self.settings.value_bytes);
+    pub fn next_commit(&mut self, now: Micros, holder: u64) -> Option<(Commit, WriteBatch)> {
+        let (ops, limit) = (self.max_transaction_changes(), self.settings.value_bytes);
         let mut commit = Commit::default();
-        let mut batch = Batch::default();
+        let mut batch = WriteBatch::default();
         let mut bytes = 512;
-        commit.guard(&self.keys.0, holder);
+        commit.guard(&self.assignment_keys.0, holder);
         // A transaction must be able to carry the end of a job beside machines.
         let most = (ops / 2).max(1);
         self.write_block(&mut commit, &mut batch, &mut bytes, most, false);
@@ -282,21 +291,28 @@
         self.write_moves(&mut commit, &mut batch, &mut bytes, most);
         self.write_pipelines(&mut commit, &mut batch, &mut bytes);
         let mut due: Vec<(Due, Micros, JobId)> = Vec::new();
-        for job in self.jobs.values_mut().filter(|j| !j.writing && !j.unsure) {
-            if job.home.is_some_and(|home| home != self.block.id) && job.untouched() {
+        for job in self
+            .jobs
+            .values_mut()
+            .filter(|j| !j.write_in_flight && !j.version_unknown)
+        {
+            if job.home_shard.is_some_and(|home| home != self.shard.id) && job.has_no_launches() {
                 due.push((Due::Home, 0, job.id.clone()));
                 continue;
             }
-            let over = job.finished() || (job.cancelled && job.live.is_empty() && self.settled);
+            let over = job.is_finished()
+                || (job.cancelled && job.live_attempts.is_empty() && self.settled);
             match job.dirty_since {
                 // In the order in which they ended: in that of their names one of a high number would wait for as long as
                 // more end than may be written.
-                since if job.finished() => {
+                since if job.is_finished() => {
                     due.push((Due::Over, since.unwrap_or(0), job.id.clone()));
                 }
                 _ if over => due.push((Due::Tidy, 0, job.id.clone())),
                 // Launches wait for it.
-                _ if job.opening > job.opened && !self.unmarked => {
+                _ if job.requested_watermark > job.durable_watermark
+                    && !self.launches_without_watermark =>
+                {
                     due.push((Due::Mark, 0, job.id.clone()));
                 }
                 // Progress can wait: until it is written, the worker keeps the result.
@@ -313,19 +329,19 @@
             };
             let live = format!("{}{id}", store::LIVE);
             let room = ops - commit.changes();
-            if let (Due::Home, Some(home)) = (what, job.home) {
+            if let (Due::Home, Some(home)) = (what, job.home_shard) {
                 if room == 0 || bytes > 40_000 {
                     break;
                 }
-                let mut r = JobRecord::new((*job.submitted).clone(), job.at);
-                r.ready = (job.ready != job.at).then_some(job.ready);
-                (r.cancelled, r.failing, r.block) = (job.cancelled, job.suspect(), home);
-                commit.guard(&live, job.stamp);
+                let mut r = JobRecord::new((*job.submitted_spec).clone(), job.accepted_at);
+                r.ready = (job.ready_at != job.accepted_at).then_some(job.ready_at);
+                (r.cancelled, r.failing, r.block) = (job.cancelled, job.is_crash_looping(), home);
+                commit.guard(&live, job.version);
                 commit.put(&live, r.value(), None);
                 bytes += 1500;
-                job.writing = true;
+                job.write_in_flight = true;
                 batch.push(
-                    Item::Home {
+                    BatchedWrite::JobTransfer {
                         id,
                         record: Box::new(r),
                     },
@@ -338,8 +354,8 @@
                     break;
                 }
                 let cancelled = job.cancelled;
-                commit.guard(&live, job.stamp);
-                let owner = self.ledger.as_ref().map(|_| owner_of(job));
+                commit.guard(&live, job.version);
+                let owner = self.usage_ledger.as_ref().map(|_| job_owner(job));
                 commit.end(
                     &id,
                     &OverRecord {
@@ -349,19 +365,19 @@
                     },
                 );
                 bytes += 400;
-                job.writing = true;
+                job.write_in_flight = true;
                 let due = job
-                    .submitted
+                    .submitted_spec
                     .deadline
                     .filter(|_| !cancelled)
-                    .map(|d| job.at + d);
-                let late = due.and_then(|due| self.wall.checked_sub(due));
-                let late_s = late.map(|t| seconds(t) as u32);
+                    .map(|d| job.accepted_at + d);
+                let late = due.and_then(|due| self.unix_time.checked_sub(due));
+                let late_s = late.map(|t| seconds_from_micros(t) as u32);
                 batch.push(
-                    Item::Over {
+                    BatchedWrite::JobEnd {
                         id,
                         cancelled,
-                        late_s,
+                        deadline_missed_by_s: late_s,
                     },
                     live,
                 );
@@ -369,33 +385,33 @@
             }
             // Every write of a job's ends changes its live value and is guarded by that one's version: a transaction of
             // parts alone, carried out late, would take back ends that were written since.
-            let spec = (*job.submitted).clone();
-            let mut r = JobRecord::new(spec, job.at);
-            r.ready = (job.ready != job.at).then_some(job.ready);
-            (r.cancelled, r.failing) = (job.cancelled, job.suspect());
-            (r.open, r.block) = (Some(job.opening), self.block.id);
+            let spec = (*job.submitted_spec).clone();
+            let mut r = JobRecord::new(spec, job.accepted_at);
+            r.ready = (job.ready_at != job.accepted_at).then_some(job.ready_at);
+            (r.cancelled, r.failing) = (job.cancelled, job.is_crash_looping());
+            (r.open, r.block) = (Some(job.requested_watermark), self.shard.id);
             r.done = store::encode_done(&job.done, 0);
             let mut value = r.value();
-            let outgrew = !job.outgrown && value.get().len() + store::SLACK > limit;
+            let outgrew = !job.overflow && value.get().len() + store::SLACK > limit;
             if outgrew {
-                job.outgrown = true;
+                job.overflow = true;
                 job.dirty_parts.insert(0);
             }
-            if job.outgrown {
+            if job.overflow {
                 // Both change in one transaction. Whoever reads the parts, the version before as well, takes part 0 for
                 // what it is.
                 r.done.clear();
                 value = r.value();
             }
-            let in_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.outgrown);
+            let in_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.overflow);
             if room < 1 + usize::from(in_parts) || bytes > 40_000 {
                 break;
             }
-            commit.guard(&live, job.stamp);
+            commit.guard(&live, job.version);
             commit.put(&live, value, None);
             bytes += 1500;
             let mut parts = BTreeMap::new();
-            if !job.outgrown {
+            if !job.overflow {
                 job.dirty_parts.remove(&0);
                 parts.insert(0, job.done.slice(0, PART_TASKS));
             }
@@ -417,17 +433,17 @@
             if job.dirty_parts.is_empty() {
                 job.dirty_since = None;
             }
-            job.writing = true;
+            job.write_in_flight = true;
             batch.push(
-                Item::Job {
+                BatchedWrite::JobProgress {
                     id,
-                    parts,
-                    open: job.opening,
+                    done_parts: parts,
+                    watermark: job.requested_watermark,
                 },
                 live,
             );
         }
-        if self.marked == Some(false)
+        if self.watermarks_recorded == Some(false)
             && commit.changes() < ops
             && self.watermarks_cover_all_launches()
         {
@@ -437,15 +453,17 @@
                 term: self.term,
                 marked: true,
             };
-            commit.put(&self.keys.1, store::raw(&record), None);
-            batch.items.push(Item::Marked);
-            self.marked = None;
+            commit.put(&self.assignment_keys.1, store::raw(&record), None);
+            batch.writes.push(BatchedWrite::WatermarksReliable);
+            self.watermarks_recorded = None;
         }
         while commit.changes() < ops && bytes < 40_000 {
-            let Some(key) = self.drops.pop() else { break };
+            let Some(key) = self.stale_keys.pop() else {
+                break;
+            };
             commit.delete(&key);
             bytes += key.len() + 20;
-            batch.items.push(Item::Drop);
+            batch.writes.push(BatchedWrite::StaleKeyDeletion);
         }
         if commit.changes() == 0 {
             self.write_block(&mut commit, &mut batch, &mut bytes, ops, true);
@@ -457,23 +475,23 @@
     fn write_block(
         &mut self,
         commit: &mut Commit,
-        batch: &mut Batch,
+        batch: &mut WriteBatch,
         bytes: &mut usize,
         most: usize,
         idle: bool,
     ) {
         while commit.changes() < most && *bytes < 40_000 {
-            let Some((index, stamp, record)) = self.block.dirty(idle) else {
+            let Some((index, stamp, record)) = self.shard.next_dirty_chunk(idle) else {
                 break;
             };
-            let key = self.block.key(index);
+            let key = self.shard.chunk_key(index);
             let value = store::raw(&record);
             *bytes += value.get().len() + 200;
             commit.guard(&key, stamp);
             commit.put(&key, value, None);
-            self.block.writing(index);
+            self.shard.mark_write_in_flight(index);
             let members = record.machines.into_keys().collect();
-            batch.push(Item::Chunk { index, members }, key);
+            batch.push(BatchedWrite::ShardChunk { index, members }, key);
         }
     }
 
@@ -481,15 +499,16 @@
     fn write_ledger(
         &mut self,
         commit: &mut Commit,
-        batch: &mut Batch,
+        batch: &mut WriteBatch,
         bytes: &mut usize,
         now: Micros,
     ) {
-        let room = self.most_changes() - commit.changes().min(self.most_changes());
-        let Some(ledger) = &mut self.ledger else {
+        let room =
+            self.max_transaction_changes() - commit.changes().min(self.max_transaction_changes());
+        let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
-        let Some(write) = ledger.book.write(now, self.wall, room) else {
+        let Some(write) = ledger.book.write(now, self.unix_time, room) else {
             return;
         };
         let key = store::ledger_page(write.page);
@@ -507,12 +526,12 @@
         for page in write.deletes {
             commit.delete(&store::ledger_page(page));
         }
-        batch.push(Item::Ledger, key);
+        batch.push(BatchedWrite::LedgerPage, key);
     }
 
     /// A page of the ledger has been read again, as its write had no answer.
     pub fn ledger_reread(&mut self, item: Option<&store::Item>) {
-        let Some(ledger) = &mut self.ledger else {
+        let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
         let page = item.and_then(|i| Some((i.record::<Page>()?, i.stamp)));
@@ -523,31 +542,35 @@
             false => ledger.book.reread(found),
         };
         match result {
-            Ok(tickets) => self.ledger_written(tickets),
-            Err(damaged) => tell_damage(damaged),
+            Ok(tickets) => self.usage_page_written(tickets),
+            Err(damaged) => log_damaged_page(damaged),
         }
     }
 
     /// A transaction was carried out.
-    pub fn committed(&mut self, batch: Batch, stamp: u64) {
-        self.refusals = 0;
-        for item in batch.items {
+    pub fn committed(&mut self, batch: WriteBatch, stamp: u64) {
+        self.transaction_rejections = 0;
+        for item in batch.writes {
             match item {
-                Item::Job { id, parts, open } => {
+                BatchedWrite::JobProgress {
+                    id,
+                    done_parts: parts,
+                    watermark: open,
+                } => {
                     let Some(job) = self.jobs.get_mut(&id) else {
                         continue;
                     };
-                    job.writing = false;
-                    job.stamp = job.stamp.max(stamp);
-                    job.opened = job.opened.max(open);
-                    for x in parts.values().flat_map(Ranges::iter) {
-                        job.flushed.insert(x);
+                    job.write_in_flight = false;
+                    job.version = job.version.max(stamp);
+                    job.durable_watermark = job.durable_watermark.max(open);
+                    for x in parts.values().flat_map(TaskSet::iter) {
+                        job.durable_done.insert(x);
                     }
                 }
-                Item::Over {
+                BatchedWrite::JobEnd {
                     id,
                     cancelled,
-                    late_s,
+                    deadline_missed_by_s: late_s,
                 } => {
                     match late_s {
                         Some(late_s) => tracing::info!(job = %id, late_s, "over"),
@@ -555,74 +578,87 @@
                     }
                     self.job_gone(&id, stamp, Some(cancelled));
                 }
-                Item::Release { .. } | Item::Mark { .. } => self.pipeline_written(&item, stamp),
-                Item::Chunk { index, members } => {
-                    self.block.written(index, stamp);
+                BatchedWrite::JobRelease { .. } | BatchedWrite::WaitingJobCancellation { .. } => {
+                    self.pipeline_written(&item, stamp)
+                }
+                BatchedWrite::ShardChunk { index, members } => {
+                    self.shard.mark_written(index, stamp);
                     for name in members {
-                        if self.taking.remove(&name) {
+                        if self.accepting_transfers.remove(&name) {
                             // Only now that it is on this block's record may that of its way here go.
-                            self.drops
-                                .push(format!("{}{}/{name}", store::MOVE, self.block.id));
+                            self.stale_keys.push(format!(
+                                "{}{}/{name}",
+                                store::MOVE,
+                                self.shard.id
+                            ));
                         }
                         if let Some(m) = self.machines.get_mut(name.as_str()) {
                             m.recorded = true;
                             let id = m.id.clone();
-                            self.reshelve(&id, self.now);
+                            self.reindex_machine(&id, self.now);
                         }
                     }
                 }
-                Item::Ledger => {
-                    let book = self.ledger.as_mut().map(|l| &mut l.book);
+                BatchedWrite::LedgerPage => {
+                    let book = self.usage_ledger.as_mut().map(|l| &mut l.book);
                     let tickets = book.map_or_else(Vec::new, |b| b.written(stamp));
-                    self.ledger_written(tickets);
+                    self.usage_page_written(tickets);
                 }
-                Item::Home { id, record } => self.job_record(&id, *record, stamp),
-                Item::Gave { machine } => self.gave(&machine),
-                Item::Marked => {
+                BatchedWrite::JobTransfer { id, record } => self.job_record(&id, *record, stamp),
+                BatchedWrite::MachineTransfer { machine } => self.gave(&machine),
+                BatchedWrite::WatermarksReliable => {
                     tracing::info!(term = self.term, "a successor can go by the jobs' marks");
-                    self.marked = Some(true);
+                    self.watermarks_recorded = Some(true);
                 }
-                Item::Drop => {}
+                BatchedWrite::StaleKeyDeletion => {}
             }
         }
     }
 
     /// A transaction was not carried out. `unsure`: perhaps it was, or its versions were wrong; its
     /// keys are then to be read back, never assumed.
-    pub fn uncommitted(&mut self, batch: &Batch, unsure: bool, now: Micros) {
-        for item in &batch.items {
+    pub fn uncommitted(&mut self, batch: &WriteBatch, unsure: bool, now: Micros) {
+        for item in &batch.writes {
             match item {
-                Item::Home { id, .. } => {
+                BatchedWrite::JobTransfer { id, .. } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        (job.writing, job.unsure) = (false, unsure);
+                        (job.write_in_flight, job.version_unknown) = (false, unsure);
                     }
                 }
-                Item::Gave { machine } => self.not_given(machine),
-                Item::Job { id, parts, .. } => {
+                BatchedWrite::MachineTransfer { machine } => self.not_given(machine),
+                BatchedWrite::JobProgress {
+                    id,
+                    done_parts: parts,
+                    ..
+                } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.writing = false;
-                        job.unsure = unsure;
+                        job.write_in_flight = false;
+                        job.version_unknown = unsure;
                         job.dirty_parts.extend(parts.keys());
                         job.dirty_since.get_or_insert(now);
                     }
                 }
-                Item::Over { id, .. } | Item::Release { id, .. } | Item::Mark { id } => {
+                BatchedWrite::JobEnd { id, .. }
+                | BatchedWrite::JobRelease { id, .. }
+                | BatchedWrite::WaitingJobCancellation { id } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.writing = false;
-                        job.unsure = unsure;
+                        job.write_in_flight = false;
+                        job.version_unknown = unsure;
                     }
                     self.pipeline_unwritten(id, unsure);
                 }
-                Item::Ledger => {
-                    if let Some(ledger) = &mut self.ledger {
+                BatchedWrite::LedgerPage => {
+                    if let Some(ledger) = &mut self.usage_ledger {
                         ledger.book.not_written(unsure);
                     }
                 }
                 // That it may say so, though it was not told, is true all the same.
-                Item::Marked => self.marked = Some(false),
-                Item::Chunk { index, .. } if !unsure => self.block.unwritten(*index),
+                BatchedWrite::WatermarksReliable => self.watermarks_recorded = Some(false),
+                BatchedWrite::ShardChunk { index, .. } if !unsure => {
+                    self.shard.mark_write_failed(*index)
+                }
                 // A dropped key that stays is found and dropped again at the next takeover.
-                Item::Chunk { .. } | Item::Drop => {}
+                BatchedWrite::ShardChunk { .. } | BatchedWrite::StaleKeyDeletion => {}
             }
         }
     }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use crate::model::{JobId, seconds};
+use crate::model::{JobId, seconds_from_micros};
 use crate::state::cluster::Cluster;
-use crate::state::pipeline::{Consequences, Fate, Waiting};
+use crate::state::pipeline::{DependencyOutcome, PipelineEffects, WaitingJob};
 use crate::state::shard_load;
-use crate::state::writes::{Batch, Item};
+use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, Commit, JobRecord, OverRecord, WaitingRecord};
 
 /// So many tasks of a released job may be launched without another write.
@@ -16,50 +16,55 @@
     /// Takes in the record of a waiting job.
     pub fn waiting_record(&mut self, id: &str, record: WaitingRecord, stamp: u64) {
         let id: JobId = id.into();
-        if self.block.id != 0 {
+        if self.shard.id != 0 {
             return;
         }
-        if self.jobs.contains_key(&id) || self.buried(&id, stamp) {
+        if self.jobs.contains_key(&id) || self.has_tombstone(&id, stamp) {
             return;
         }
         let upstream = store::decode_ids(&record.waiting.on);
         let lines = &mut self.pipelines;
         let known = lines.waiting.contains_key(&id);
-        let w = lines.waiting.entry(id.clone()).or_insert_with(|| Waiting {
-            spec: Arc::new(record.waiting.job),
-            at: record.at,
-            stamp,
-            on: record.waiting.on,
-            pull: None,
-            marked: false,
-            writing: false,
-            unsure: false,
-        });
-        w.stamp = w.stamp.max(stamp);
-        w.marked |= record.cancelled;
-        w.unsure = false;
-        let (jobs, waiting, foreign) = (&self.jobs, &lines.waiting, &self.foreign);
+        let w = lines
+            .waiting
+            .entry(id.clone())
+            .or_insert_with(|| WaitingJob {
+                spec: Arc::new(record.waiting.job),
+                accepted_at: record.at,
+                version: stamp,
+                upstream_ids: record.waiting.on,
+                downstream_demand: None,
+                cancellation_recorded: false,
+                write_in_flight: false,
+                version_unknown: false,
+            });
+        w.version = w.version.max(stamp);
+        w.cancellation_recorded |= record.cancelled;
+        w.version_unknown = false;
+        let (jobs, waiting, foreign) = (&self.jobs, &lines.waiting, &self.jobs_in_other_shards);
         let fate = |u: &JobId| match jobs.get(u) {
-            None if foreign.contains_key(u) => Fate::Alive,
-            Some(j) if j.cancelled => Fate::Cancelled,
-            Some(_) => Fate::Alive,
-            None if waiting.contains_key(u) => Fate::Alive,
-            None => Fate::Unknown,
+            None if foreign.contains_key(u) => DependencyOutcome::Live,
+            Some(j) if j.cancelled => DependencyOutcome::Cancelled,
+            Some(_) => DependencyOutcome::Live,
+            None if waiting.contains_key(u) => DependencyOutcome::Live,
+            None => DependencyOutcome::Unknown,
         };
-        let consequences = lines.links.add(&id, &upstream, record.cancelled, fate);
-        lines.todo.insert(id.clone());
-        lines.changed = true;
+        let consequences = lines
+            .dependencies
+            .add_waiting(&id, &upstream, record.cancelled, fate);
+        lines.pending_writes.insert(id.clone());
+        lines.dependencies_changed = true;
         if !known {
             let class = &lines.waiting[&id].spec.class;
-            let on = lines.links.open(&id).join(" ");
+            let on = lines.dependencies.open_dependencies(&id).join(" ");
             tracing::info!(job = %id, %class, %on, "waits for others");
         }
         self.follow_up(&id, consequences);
     }
 
     /// What a change upstream leads to is written down with the next transactions.
-    fn follow_up(&mut self, cause: &str, consequences: Consequences) {
-        let Consequences {
+    fn follow_up(&mut self, cause: &str, consequences: PipelineEffects) {
+        let PipelineEffects {
             released,
             cancelled,
         } = consequences;
@@ -68,15 +73,15 @@
         }
         let lines = &mut self.pipelines;
         if !(released.is_empty() && cancelled.is_empty()) {
-            lines.changed = true;
+            lines.dependencies_changed = true;
         }
-        lines.todo.extend(released);
-        lines.todo.extend(cancelled);
+        lines.pending_writes.extend(released);
+        lines.pending_writes.extend(cancelled);
     }
 
     /// A job that others may wait for has been cancelled by its user.
     pub fn upstream_cancelled(&mut self, id: &str) {
-        let consequences = self.pipelines.links.cancel(&id.into());
+        let consequences = self.pipelines.dependencies.cancel(&id.into());
         self.follow_up(id, consequences);
     }
 
@@ -85,36 +90,44 @@
         let id: JobId = id.into();
         match cancelled {
             Some(cancelled) => {
-                let consequences = self.pipelines.links.ended(&id, cancelled);
+                let consequences = self.pipelines.dependencies.mark_ended(&id, cancelled);
                 self.follow_up(&id, consequences);
             }
-            None => self.pipelines.links.lost_sight(&id),
+            None => self.pipelines.dependencies.mark_outcome_unknown(&id),
         }
     }
 
     /// A job's record shows that it waits no more.
     pub fn upstream_released(&mut self, id: &JobId) {
         let lines = &mut self.pipelines;
-        lines.links.alive(id);
+        lines.dependencies.mark_live(id);
         if lines.waiting.remove(id).is_some() {
-            lines.todo.remove(id);
-            lines.links.released(id);
-            lines.changed = true;
+            lines.pending_writes.remove(id);
+            lines.dependencies.mark_released(id);
+            lines.dependencies_changed = true;
         }
     }
 
     /// Adds releases and cancellations to a transaction, as far as its limits go: first what lets
     /// work begin, then what users were told, then what only tidies up.
-    pub fn write_pipelines(&mut self, commit: &mut Commit, batch: &mut Batch, bytes: &mut usize) {
-        let most = self.most_changes();
+    pub fn write_pipelines(
+        &mut self,
+        commit: &mut Commit,
+        batch: &mut WriteBatch,
+        bytes: &mut usize,
+    ) {
+        let most = self.max_transaction_changes();
         let lines = &mut self.pipelines;
         let mut due: Vec<(u8, JobId)> = Vec::new();
-        for id in std::mem::take(&mut lines.todo) {
+        for id in std::mem::take(&mut lines.pending_writes) {
             let Some(w) = lines.waiting.get(&id) else {
                 continue;
             };
-            let step = match (lines.links.is_cancelled(&id), w.marked) {
-                (false, _) if lines.links.is_ready(&id) => 0,
+            let step = match (
+                lines.dependencies.is_cancelled(&id),
+                w.cancellation_recorded,
+            ) {
+                (false, _) if lines.dependencies.is_ready(&id) => 0,
                 // It goes on waiting. What happens upstream brings it here again.
                 (false, _) => continue,
                 (true, false) => 1,
@@ -124,11 +137,11 @@
         }
         due.sort();
         for (step, id) in due {
-            lines.todo.insert(id.clone());
+            lines.pending_writes.insert(id.clone());
             let Some(w) = lines
                 .waiting
                 .get_mut(&id)
-                .filter(|w| !w.writing && !w.unsure)
+                .filter(|w| !w.write_in_flight && !w.version_unknown)
             else {
                 continue;
             };
@@ -137,21 +150,22 @@
                 continue;
             }
             let live = format!("{}{id}", store::LIVE);
-            commit.guard(&live, w.stamp);
+            commit.guard(&live, w.version);
             match step {
                 0 => {
-                    let mut record = JobRecord::new((*w.spec).clone(), w.at);
-                    record.ready = Some(self.wall.max(w.at));
+                    let mut record = JobRecord::new((*w.spec).clone(), w.accepted_at);
+                    record.ready = Some(self.unix_time.max(w.accepted_at));
                     // It is most likely to start at once.
                     record.open = Some(w.spec.tasks.min(RELEASED_OPEN));
-                    record.block = shard_load::home(&mut self.loads, u32::MAX, &w.spec);
+                    record.block =
+                        shard_load::choose_home_shard(&mut self.shard_loads, u32::MAX, &w.spec);
                     if record.block != 0 {
                         // Whoever holds that block may know of others to go first.
                         record.open = Some(0);
                     }
                     commit.put(&live, record.value(), None);
                     batch.push(
-                        Item::Release {
+                        BatchedWrite::JobRelease {
                             id: id.clone(),
                             record: Box::new(record),
                         },
@@ -161,11 +175,14 @@
                 1 => {
                     // It is marked before it ends: whoever follows only its own record then sees it
                     // end as cancelled, the version before pipelines too.
-                    let upstream = store::decode_ids(&w.on);
+                    let upstream = store::decode_ids(&w.upstream_ids);
                     let spec = (*w.spec).clone();
-                    let record = WaitingRecord::new(spec, w.at, true, &upstream);
+                    let record = WaitingRecord::new(spec, w.accepted_at, true, &upstream);
                     commit.put(&live, store::raw(&record), None);
-                    batch.push(Item::Mark { id: id.clone() }, live);
+                    batch.push(
+                        BatchedWrite::WaitingJobCancellation { id: id.clone() },
+                        live,
+                    );
                 }
                 _ => {
                     let over = OverRecord {
@@ -175,33 +192,33 @@
                     };
                     commit.end(&id, &over);
                     batch.push(
-                        Item::Over {
+                        BatchedWrite::JobEnd {
                             id: id.clone(),
                             cancelled: true,
-                            late_s: None,
+                            deadline_missed_by_s: None,
                         },
                         live,
                     );
                 }
             }
             *bytes += 1500;
-            w.writing = true;
+            w.write_in_flight = true;
         }
     }
 
     /// What was written about a waiting job is in the state service.
-    pub fn pipeline_written(&mut self, item: &Item, stamp: u64) {
+    pub fn pipeline_written(&mut self, item: &BatchedWrite, stamp: u64) {
         match item {
-            Item::Release { id, record } => {
-                let waited_s = seconds(self.wall.saturating_sub(record.at)) as u32;
+            BatchedWrite::JobRelease { id, record } => {
+                let waited_s = seconds_from_micros(self.unix_time.saturating_sub(record.at)) as u32;
                 tracing::info!(job = %id, class = %record.spec.class, waited_s, "released");
                 self.job_record(id, (**record).clone(), stamp);
             }
-            Item::Mark { id } => {
+            BatchedWrite::WaitingJobCancellation { id } => {
                 if let Some(w) = self.pipelines.waiting.get_mut(id) {
-                    w.stamp = w.stamp.max(stamp);
-                    w.marked = true;
-                    w.writing = false;
+                    w.version = w.version.max(stamp);
+                    w.cancellation_recorded = true;
+                    w.write_in_flight = false;
                 }
             }
             _ => {}
@@ -211,8 +228,8 @@
     /// Whether it was written is not known, or it was not.
     pub fn pipeline_unwritten(&mut self, id: &JobId, unsure: bool) {
         if let Some(w) = self.pipelines.waiting.get_mut(id) {
-            w.writing = false;
-            w.unsure = unsure;
+            w.write_in_flight = false;
+            w.version_unknown = unsure;
         }
     }
 
@@ -220,7 +237,7 @@
     pub fn waiting_gone(&mut self, id: &str) -> bool {
         let gone = self.pipelines.waiting.remove(id).is_some();
         if gone {
-            self.pipelines.todo.remove(id);
+            self.pipelines.pending_writes.remove(id);
             self.upstream_over(id, Some(true));
         }
         gone
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -3,9 +3,9 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use crate::model::{Micros, SECOND, micros};
+use crate::model::{Micros, SECOND, micros_from_seconds};
 use crate::state::cluster::Cluster;
-use crate::state::fleet::{CloudCall, Offer, Refusal};
+use crate::state::fleet::{CloudCall, Offer, OfferRefusal};
 use crate::state::records::MachineId;
 use crate::wire::store::MoveRecord;
 
@@ -19,28 +19,30 @@
             self.fleet.paused_until = now + SECOND;
         }
         match call {
-            CloudCall::Flavors => {
+            CloudCall::MachineTypes => {
                 let flavors = answer
                     .filter(|a| a.0 == 200)
                     .and_then(|a| crate::wire::cloud::parse_flavors(a.1));
                 match flavors {
                     // Indices into the list are kept, so its order and names must not change.
-                    Some(f) if same_names(&f, &self.flavors) => self.flavors = Arc::new(f),
+                    Some(f) if same_names(&f, &self.machine_types) => {
+                        self.machine_types = Arc::new(f)
+                    }
                     Some(_) => tracing::info!("machine types changed: used after a takeover"),
-                    None => self.fleet.next_flavors = now + 5 * SECOND,
+                    None => self.fleet.next_machine_types_at = now + 5 * SECOND,
                 }
             }
             CloudCall::List { .. } => self.listed(answer, now),
             CloudCall::Delete { machines } => {
-                self.fleet.deleting = false;
+                self.fleet.delete_in_flight = false;
                 if answer.is_some_and(|a| a.0 == 200) {
                     for name in machines {
-                        self.fleet.removed.insert(name.clone(), now);
+                        self.fleet.deleted_machines.insert(name.clone(), now);
                         self.remove_machine(&name.as_str().into(), now, "it was returned");
                     }
                 }
             }
-            CloudCall::Rent {
+            CloudCall::Provision {
                 name,
                 offer,
                 count,
@@ -50,14 +52,14 @@
                     .filter(|a| a.0 == 200)
                     .and_then(|a| serde_json::from_slice::<crate::wire::cloud::Rented>(a.1).ok());
                 if let Some(rented) = rented {
-                    self.fleet.renting.remove(&name);
+                    self.fleet.pending_provisions.remove(&name);
                     if rented.machines.len() < count as usize {
                         self.refused(&offer, now);
                     } else {
                         self.fleet.refusals.remove(&offer);
                     }
-                    let flavor = self.flavors[offer.flavor].name.clone();
-                    let to = self.renting_for.remove(&name);
+                    let flavor = self.machine_types[offer.machine_type].name.clone();
+                    let to = self.provisioning_for_shard.remove(&name);
                     for m in rented.machines {
                         match to {
                             // It may have reported by now, and have been adopted.
@@ -70,27 +72,33 @@
                                 };
                                 self.give(&m, record, to);
                             }
-                            _ => drop(self.machine(&m, &flavor, &offer.zone, offer.spot, now)),
+                            _ => drop(self.machine_or_adopt(
+                                &m,
+                                &flavor,
+                                &offer.zone,
+                                offer.spot,
+                                now,
+                            )),
                         }
                     }
                 } else if no_capacity(answer) || tries >= 4 {
-                    self.fleet.renting.remove(&name);
-                    self.renting_for.remove(&name);
+                    self.fleet.pending_provisions.remove(&name);
+                    self.provisioning_for_shard.remove(&name);
                     self.refused(&offer, now);
                 } else if matches!(answer, Some((400, _))) {
                     tracing::error!(%name, "the cloud calls a rental request malformed");
-                    self.fleet.renting.remove(&name);
-                    self.renting_for.remove(&name);
+                    self.fleet.pending_provisions.remove(&name);
+                    self.provisioning_for_shard.remove(&name);
                     self.refused(&offer, now);
                 } else {
                     // The same name again: it rents once, however often it is carried out.
-                    let again = CloudCall::Rent {
+                    let again = CloudCall::Provision {
                         name,
                         offer,
                         count,
                         tries: tries + 1,
                     };
-                    self.fleet.retry.push(again);
+                    self.fleet.calls_to_retry.push(again);
                 }
             }
         }
@@ -100,54 +108,54 @@
     pub fn told_refused(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
         for (offer, left) in offers {
             let held = self.machines_of_offer(&offer);
-            let refusal = Refusal {
+            let refusal = OfferRefusal {
                 at: now,
                 until: now + left,
-                times: 1,
-                held,
+                consecutive: 1,
+                machines_held: held,
             };
             self.fleet.refusals.insert(offer, refusal);
         }
     }
 
     fn refused(&mut self, offer: &Offer, now: Micros) {
-        let times = self.fleet.refusals.get(offer).map_or(0, |r| r.times);
+        let times = self.fleet.refusals.get(offer).map_or(0, |r| r.consecutive);
         let until = now + ((8 * SECOND) << times.min(2));
-        let refusal = Refusal {
+        let refusal = OfferRefusal {
             at: now,
             until,
-            times: times + 1,
-            held: self.machines_of_offer(offer),
+            consecutive: times + 1,
+            machines_held: self.machines_of_offer(offer),
         };
         self.fleet.refusals.insert(offer.clone(), refusal);
     }
 
     fn listed(&mut self, answer: Option<(u16, &[u8])>, now: Micros) {
-        self.fleet.listing = false;
+        self.fleet.listing_in_flight = false;
         let list = answer
             .filter(|a| a.0 == 200)
             .and_then(|a| serde_json::from_slice::<crate::wire::cloud::MachineList>(a.1).ok());
         let Some(list) = list else {
-            self.fleet.list_after.clear();
-            self.fleet.list_seen.clear();
-            self.fleet.next_list = now + 2 * SECOND;
+            self.fleet.listing_cursor.clear();
+            self.fleet.listing_entries.clear();
+            self.fleet.next_listing_at = now + 2 * SECOND;
             return;
         };
         let last = list.machines.last().map(|m| m.id.clone());
-        self.fleet.list_seen.extend(list.machines);
+        self.fleet.listing_entries.extend(list.machines);
         if let (true, Some(last)) = (list.truncated, last) {
-            self.fleet.list_after = last;
+            self.fleet.listing_cursor = last;
             return;
         }
-        self.fleet.list_after.clear();
-        self.fleet.next_list = now + 4 * SECOND;
-        let seen = std::mem::take(&mut self.fleet.list_seen);
+        self.fleet.listing_cursor.clear();
+        self.fleet.next_listing_at = now + 4 * SECOND;
+        let seen = std::mem::take(&mut self.fleet.listing_entries);
         let lag = 2 * self.settings.list_lag;
         // What other blocks have and is on no list any more is gone, however old the list is.
-        let old = now > self.taken_at + lag + GHOSTS;
-        self.elsewhere
+        let old = now > self.took_over_at + lag + GHOSTS;
+        self.machines_in_other_shards
             .retain(|m, _| !old || seen.iter().any(|l| l.id == *m));
-        let limit = self.lease_limit();
+        let limit = self.lease_expiry_bound();
         let mut gone: Vec<MachineId> = Vec::new();
         let names: HashSet<&str> = seen.iter().map(|l| l.id.as_str()).collect();
         for m in self
@@ -155,11 +163,11 @@
             .values_mut()
             .filter(|m| !names.contains(&*m.id))
         {
-            m.missed_lists += 1;
+            m.missed_listings += 1;
             // Lists lag and may be older than the one before; a machine counts as gone only when
             // it has long been silent as well, so that nothing can be left on it.
             let old = now > m.known_since + lag + 2 * SECOND;
-            if old && m.missed_lists >= 3 && now > m.answered_at + limit {
+            if old && m.missed_listings >= 3 && now > m.last_answered_at + limit {
                 gone.push(m.id.clone());
             }
         }
@@ -167,25 +175,27 @@
             tracing::info!(machine = %id, "machine is gone from the list");
             self.remove_machine(&id, now, "it is gone");
         }
-        self.fleet.removed.retain(|_, at| now < *at + GHOSTS + lag);
+        self.fleet
+            .deleted_machines
+            .retain(|_, at| now < *at + GHOSTS + lag);
         let mut adopted = 0;
         for l in &seen {
-            if self.elsewhere.contains_key(&l.id) {
+            if self.machines_in_other_shards.contains_key(&l.id) {
                 continue;
             }
             if !self.machines.contains_key(l.id.as_str()) {
                 // A list may still show what was deleted a moment ago.
-                if self.fleet.removed.contains_key(&l.id) {
+                if self.fleet.deleted_machines.contains_key(&l.id) {
                     continue;
                 }
                 adopted += 1;
             }
-            let age = micros(l.age_s);
-            let m = self.machine(&l.id, &l.flavor, &l.zone, l.spot, now);
-            m.missed_lists = 0;
-            if !m.listed {
-                m.listed = true;
-                m.rented_at = m.rented_at.min(now.saturating_sub(age));
+            let age = micros_from_seconds(l.age_s);
+            let m = self.machine_or_adopt(&l.id, &l.flavor, &l.zone, l.spot, now);
+            m.missed_listings = 0;
+            if !m.in_listing {
+                m.in_listing = true;
+                m.provisioned_at = m.provisioned_at.min(now.saturating_sub(age));
             }
             if l.status == "failed" && !m.deleting {
                 tracing::info!(machine = %m.id, why = "it failed", "returning");
@@ -198,7 +208,7 @@
     }
 }
 
-fn same_names(a: &[crate::model::Flavor], b: &[crate::model::Flavor]) -> bool {
+fn same_names(a: &[crate::model::MachineType], b: &[crate::model::MachineType]) -> bool {
     a.len() == b.len() && a.iter().zip(b).all(|(x, y)| x.name == y.name)
 }
 
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -9,9 +9,9 @@
 
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
-use crate::state::shard::Member;
-use crate::state::shard_load::Giving;
-use crate::state::writes::{Batch, Item};
+use crate::state::shard::ShardMember;
+use crate::state::shard_load::OutgoingTransfer;
+use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, Commit, MoveRecord};
 
 /// What was asked for, for another block, counts as coming for so long after it was given.
@@ -20,13 +20,13 @@
 impl Cluster {
     /// A request for another block has brought a machine.
     pub fn give(&mut self, machine: &str, record: MoveRecord, to: u32) {
-        self.elsewhere.insert(machine.into(), to);
-        self.giving.insert(
+        self.machines_in_other_shards.insert(machine.into(), to);
+        self.outgoing_transfers.insert(
             machine.into(),
-            Giving {
-                to,
+            OutgoingTransfer {
+                to_shard: to,
                 record,
-                writing: false,
+                write_in_flight: false,
             },
         );
     }
@@ -35,29 +35,33 @@
     pub(crate) fn write_moves(
         &mut self,
         commit: &mut Commit,
-        batch: &mut Batch,
+        batch: &mut WriteBatch,
         bytes: &mut usize,
         most: usize,
     ) {
-        for (machine, giving) in self.giving.iter_mut().filter(|g| !g.1.writing) {
+        for (machine, giving) in self
+            .outgoing_transfers
+            .iter_mut()
+            .filter(|g| !g.1.write_in_flight)
+        {
             if commit.changes() >= most || *bytes > 40_000 {
                 break;
             }
-            let key = format!("{}{}/{machine}", store::MOVE, giving.to);
+            let key = format!("{}{}/{machine}", store::MOVE, giving.to_shard);
             commit.put(&key, store::raw(&giving.record), None);
             *bytes += 250;
-            giving.writing = true;
-            batch.items.push(Item::Gave {
+            giving.write_in_flight = true;
+            batch.writes.push(BatchedWrite::MachineTransfer {
                 machine: machine.clone(),
             });
         }
     }
 
     pub(crate) fn gave(&mut self, machine: &str) {
-        if let Some(giving) = self.giving.remove(machine) {
+        if let Some(giving) = self.outgoing_transfers.remove(machine) {
             let until = self.now + ARRIVES;
-            self.arriving
-                .entry(giving.to)
+            self.recent_transfers
+                .entry(giving.to_shard)
                 .or_default()
                 .push((until, giving.record));
         }
@@ -65,46 +69,52 @@
 
     /// Perhaps it was carried out: to say it again changes nothing, for whoever took it knows it already.
     pub(crate) fn not_given(&mut self, machine: &str) {
-        if let Some(giving) = self.giving.get_mut(machine) {
-            giving.writing = false;
+        if let Some(giving) = self.outgoing_transfers.get_mut(machine) {
+            giving.write_in_flight = false;
         }
     }
 
     /// A machine is on its way to this block.
     pub fn incoming(&mut self, machine: &str, record: &MoveRecord, now: Micros) {
-        if self.taking.contains(machine) {
+        if self.accepting_transfers.contains(machine) {
             return;
         }
         if self.machines.get(machine).is_some_and(|m| m.recorded)
-            || self.fleet.removed.contains_key(machine)
+            || self.fleet.deleted_machines.contains_key(machine)
         {
             // It is here already, or was: only what says that it is on its way is left over.
-            self.drops
-                .push(format!("{}{}/{machine}", store::MOVE, self.block.id));
+            self.stale_keys
+                .push(format!("{}{}/{machine}", store::MOVE, self.shard.id));
             return;
         }
-        self.machine(machine, &record.flavor, &record.zone, record.spot, now);
+        self.machine_or_adopt(machine, &record.flavor, &record.zone, record.spot, now);
         let MoveRecord { flavor, zone, spot } = record.clone();
-        self.block.add(machine, Member { flavor, zone, spot }, None);
-        self.taking.insert(machine.into());
+        self.shard
+            .add(machine, ShardMember { flavor, zone, spot }, None);
+        self.accepting_transfers.insert(machine.into());
     }
 
     /// How many machines of an offer are being rented for a block, or on their way to it.
     pub(crate) fn coming(&mut self, block: u32, flavor: &str, zone: &str, spot: bool) -> u32 {
         let now = self.now;
         let same = |r: &MoveRecord| r.flavor == flavor && r.zone == zone && r.spot == spot;
-        let arriving = self.arriving.entry(block).or_default();
+        let arriving = self.recent_transfers.entry(block).or_default();
         arriving.retain(|(until, _)| now < *until);
         let arriving = arriving.iter().filter(|(_, r)| same(r)).count() as u32;
         let giving = self
-            .giving
+            .outgoing_transfers
             .values()
-            .filter(|g| g.to == block && same(&g.record))
+            .filter(|g| g.to_shard == block && same(&g.record))
             .count();
-        let asked = self.renting_for.iter().filter(|(_, to)| **to == block);
-        let asked = asked.filter_map(|(name, _)| self.fleet.renting.get(name));
+        let asked = self
+            .provisioning_for_shard
+            .iter()
+            .filter(|(_, to)| **to == block);
+        let asked = asked.filter_map(|(name, _)| self.fleet.pending_provisions.get(name));
         let asked = asked.filter(|(offer, _)| {
-            *self.flavors[offer.flavor].name == *flavor && offer.zone == zone && offer.spot == spot
+            *self.machine_types[offer.machine_type].name == *flavor
+                && offer.zone == zone
+                && offer.spot == spot
         });
         arriving + giving as u32 + asked.map(|(_, n)| n).sum::<u32>()
     }
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum State {
+pub enum SagaState {
     /// Waits for upstream elements to commit.
     Waiting,
     Active,
@@ -18,7 +18,7 @@
 
 /// What the owner of a saga has to do after an abort.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Action<K> {
+pub enum AbortAction<K> {
     /// The element was active, or waited for one that has been aborted: stop it.
     Cancel(K),
     /// The element had committed: run its compensating step.
@@ -32,7 +32,7 @@
     open: BTreeSet<K>,
     /// Elements that wait for this one.
     downstream: BTreeSet<K>,
-    state: State,
+    state: SagaState,
 }
 
 /// A saga whose elements go by `K`. What a commit or an abort costs follows what it changes.
@@ -43,7 +43,7 @@
     unfinished: usize,
     /// It goes on when no element is left to run: others may come.
     standing: bool,
-    state: State,
+    state: SagaState,
 }
 
 impl<K> Default for Saga<K> {
@@ -53,14 +53,14 @@
             commit_order: Vec::new(),
             unfinished: 0,
             standing: false,
-            state: State::Active,
+            state: SagaState::Active,
         }
     }
 }
 
 impl Saga<u32> {
     /// A saga of `n` vital elements that wait for nothing: a gang attempt, or a job on its own.
-    pub fn flat(n: u32) -> Saga<u32> {
+    pub fn independent(n: u32) -> Saga<u32> {
         let mut saga = Saga::default();
         (0..n).for_each(|i| saga.add(i, true, &[]));
         saga
@@ -69,7 +69,7 @@
 
 impl<K: Ord + Clone> Saga<K> {
     /// A saga that elements keep joining and leaving.
-    pub fn standing() -> Saga<K> {
+    pub fn open_ended() -> Saga<K> {
         Saga {
             standing: true,
             ..Saga::default()
@@ -85,7 +85,7 @@
                 vital,
                 open,
                 downstream,
-                state: State::Active,
+                state: SagaState::Active,
             }
         })
     }
@@ -96,16 +96,18 @@
         let mut open = BTreeSet::new();
         for u in upstream {
             let element = self.enter(u, false);
-            if element.state != State::Committed {
+            if element.state != SagaState::Committed {
                 element.downstream.insert(key.clone());
                 open.insert(u.clone());
             }
         }
-        let lost = open.iter().any(|u| self.element(u) == Some(State::Aborted));
+        let lost = open
+            .iter()
+            .any(|u| self.element_state(u) == Some(SagaState::Aborted));
         let element = self.enter(&key, vital);
         element.vital = vital;
-        if !open.is_empty() && element.state == State::Active {
-            element.state = State::Waiting;
+        if !open.is_empty() && element.state == SagaState::Active {
+            element.state = SagaState::Waiting;
         }
         element.open = open;
         if lost {
@@ -113,16 +115,16 @@
         }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> SagaState {
         self.state
     }
 
-    pub fn element(&self, key: &K) -> Option<State> {
+    pub fn element_state(&self, key: &K) -> Option<SagaState> {
         self.elements.get(key).map(|e| e.state)
     }
 
     /// What an element still waits for.
-    pub fn open(&self, key: &K) -> impl Iterator<Item = &K> {
+    pub fn open_upstream(&self, key: &K) -> impl Iterator<Item = &K> {
         self.elements.get(key).into_iter().flat_map(|e| &e.open)
     }
 
@@ -143,10 +145,10 @@
         let Some(element) = self.elements.get_mut(key) else {
             return Vec::new();
         };
-        if self.state != State::Active || element.state != State::Active {
+        if self.state != SagaState::Active || element.state != SagaState::Active {
             return Vec::new();
         }
-        element.state = State::Committed;
+        element.state = SagaState::Committed;
         self.commit_order.push(key.clone());
         let mut released = Vec::new();
         for d in std::mem::take(&mut element.downstream) {
@@ -154,8 +156,8 @@
                 continue;
             };
             e.open.remove(key);
-            if e.state == State::Waiting && e.open.is_empty() {
-                e.state = State::Active;
+            if e.state == SagaState::Waiting && e.open.is_empty() {
+                e.state = SagaState::Active;
                 released.push(d);
             }
         }
@@ -166,20 +168,20 @@
     /// One element less is left to run. The saga commits with the last one.
     fn finished(&mut self) {
         self.unfinished -= 1;
-        if self.state == State::Active && self.unfinished == 0 && !self.standing {
-            self.state = State::Committed;
+        if self.state == SagaState::Active && self.unfinished == 0 && !self.standing {
+            self.state = SagaState::Committed;
         }
     }
 
     /// Aborts one element; a vital one takes the saga with it, any other what waits for it.
-    pub fn abort_element(&mut self, key: &K) -> Vec<Action<K>> {
-        let open = |s| matches!(s, Some(State::Active | State::Waiting));
-        if self.state != State::Active || !open(self.element(key)) {
+    pub fn abort_element(&mut self, key: &K) -> Vec<AbortAction<K>> {
+        let open = |s| matches!(s, Some(SagaState::Active | SagaState::Waiting));
+        if self.state != SagaState::Active || !open(self.element_state(key)) {
             return Vec::new();
         }
         if self.elements.get(key).is_some_and(|e| e.vital) {
             if let Some(e) = self.elements.get_mut(key) {
-                e.state = State::Aborted;
+                e.state = SagaState::Aborted;
             }
             return self.abort();
         }
@@ -190,10 +192,10 @@
             let Some(e) = self.elements.get_mut(&x).filter(|e| open(Some(e.state))) else {
                 continue;
             };
-            e.state = State::Aborted;
+            e.state = SagaState::Aborted;
             gone.extend(e.downstream.iter().cloned());
             if x != *key {
-                actions.push(Action::Cancel(x));
+                actions.push(AbortAction::Cancel(x));
             }
             self.finished();
         }
@@ -201,11 +203,11 @@
     }
 
     /// Takes an element that is over, or that nothing waits for, out of the saga.
-    pub fn forget(&mut self, key: &K) {
+    pub fn remove(&mut self, key: &K) {
         let Some(e) = self.elements.remove(key) else {
             return;
         };
-        if matches!(e.state, State::Active | State::Waiting) {
+        if matches!(e.state, SagaState::Active | SagaState::Waiting) {
             self.unfinished -= 1;
         }
         self.detach(key, e.open);
@@ -223,11 +225,11 @@
         let Some(e) = self
             .elements
             .get_mut(key)
-            .filter(|e| e.state == State::Waiting)
+            .filter(|e| e.state == SagaState::Waiting)
         else {
             return;
         };
-        e.state = State::Active;
+        e.state = SagaState::Active;
         let open = std::mem::take(&mut e.open);
         self.detach(key, open);
     }
@@ -242,26 +244,26 @@
     }
 
     /// Aborts the whole saga. Only an active saga can be aborted.
-    pub fn abort(&mut self) -> Vec<Action<K>> {
-        if self.state != State::Active {
+    pub fn abort(&mut self) -> Vec<AbortAction<K>> {
+        if self.state != SagaState::Active {
             return Vec::new();
         }
-        self.state = State::Aborted;
+        self.state = SagaState::Aborted;
         let mut actions = Vec::new();
         for (k, e) in self.elements.iter_mut() {
             match e.state {
-                State::Active => actions.push(Action::Cancel(k.clone())),
-                State::Committed => continue,
-                State::Waiting | State::Aborted => {}
+                SagaState::Active => actions.push(AbortAction::Cancel(k.clone())),
+                SagaState::Committed => continue,
+                SagaState::Waiting | SagaState::Aborted => {}
             }
-            e.state = State::Aborted;
+            e.state = SagaState::Aborted;
         }
         actions.extend(
             self.commit_order
                 .iter()
                 .rev()
                 .cloned()
-                .map(Action::Compensate),
+                .map(AbortAction::Compensate),
         );
         actions
     }
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -3,13 +3,15 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::model::{Micros, Resources, SECOND, Shape, TaskId, micros, seconds};
+use crate::model::{
+    Micros, Resources, SECOND, Shape, TaskId, micros_from_seconds, seconds_from_micros,
+};
 use crate::policy::{Setting, Value};
 use crate::scheduling::zones::ZoneTaskCounts;
-use crate::state::cluster::{Cluster, Spent};
+use crate::state::cluster::{Cluster, SchedulingCost};
 use crate::state::fleet::{CloudCall, Offer};
-use crate::state::provisioning_times::LATE_AFTER;
-use crate::state::records::{Attempt, Job, Machine, MachineId, Phase};
+use crate::state::provisioning_times::OVERDUE_FACTOR;
+use crate::state::records::{Attempt, AttemptPhase, Job, Machine, MachineId};
 
 /// What the cloud charges at least for a machine that is deleted.
 const MIN_BILLED_TIME: Micros = 60 * SECOND;
@@ -53,35 +55,35 @@
 impl Cluster {
     /// The calls to make to the cloud now.
     pub fn plan_cloud_calls(&mut self, now: Micros) -> Vec<CloudCall> {
-        let before = self.looks.get();
-        let earned = now.saturating_sub(self.fleet.refilled) as f64 / SECOND as f64;
-        self.fleet.tokens =
-            (self.fleet.tokens + earned * self.fleet.rate).min((self.fleet.rate * 2.0).max(1.0));
-        self.fleet.refilled = now;
+        let before = self.scheduling_steps.get();
+        let earned = now.saturating_sub(self.fleet.refilled_at) as f64 / SECOND as f64;
+        self.fleet.rate_tokens = (self.fleet.rate_tokens + earned * self.fleet.rate)
+            .min((self.fleet.rate * 2.0).max(1.0));
+        self.fleet.refilled_at = now;
         let mut calls = Vec::new();
         if now < self.fleet.paused_until {
             // Nothing can be asked for; what is there is still planned with.
-            self.fleet.tokens = 0.0;
+            self.fleet.rate_tokens = 0.0;
         }
-        while let Some(call) = self.fleet.retry.pop() {
-            if !self.fleet.may_call(0.0) {
-                self.fleet.retry.push(call);
+        while let Some(call) = self.fleet.calls_to_retry.pop() {
+            if !self.fleet.try_take_token(0.0) {
+                self.fleet.calls_to_retry.push(call);
                 break;
             }
             calls.push(call);
         }
-        if now >= self.fleet.next_summary {
-            self.fleet.next_summary = now + 10 * SECOND;
+        if now >= self.fleet.next_summary_at {
+            self.fleet.next_summary_at = now + 10 * SECOND;
             self.log_summary(now);
         }
-        self.watch_zones(now);
+        self.detect_unreachable_zones(now);
         self.return_unhealthy(now);
-        let leads = self.block.id == 0;
+        let leads = self.shard.id == 0;
         if self.settled || self.all_workers_had_time_to_report(now) {
             match leads {
                 true => self.scale_out(now, &mut calls),
                 // Block 0's holder rents for all.
-                false => self.wants = self.machines_wanted(now),
+                false => self.machine_demand = self.machines_wanted(now),
             }
         }
         if leads {
@@ -97,26 +99,30 @@
             .filter(|m| m.deleting)
             .map(|m| m.id.to_string())
             .collect();
-        if !doomed.is_empty() && !self.fleet.deleting && self.fleet.may_call(0.0) {
-            self.fleet.deleting = true;
+        if !doomed.is_empty() && !self.fleet.delete_in_flight && self.fleet.try_take_token(0.0) {
+            self.fleet.delete_in_flight = true;
             let machines = doomed.into_iter().take(MAX_MACHINES_PER_DELETION).collect();
             calls.push(CloudCall::Delete { machines });
         }
-        if leads && !self.fleet.listing && now >= self.fleet.next_list && self.fleet.may_call(1.0) {
-            self.fleet.listing = true;
+        if leads
+            && !self.fleet.listing_in_flight
+            && now >= self.fleet.next_listing_at
+            && self.fleet.try_take_token(1.0)
+        {
+            self.fleet.listing_in_flight = true;
             calls.push(CloudCall::List {
-                after: self.fleet.list_after.clone(),
+                after: self.fleet.listing_cursor.clone(),
             });
         }
-        if leads && now >= self.fleet.next_flavors && self.fleet.may_call(1.0) {
-            self.fleet.next_flavors = now + 30 * SECOND;
-            calls.push(CloudCall::Flavors);
+        if leads && now >= self.fleet.next_machine_types_at && self.fleet.try_take_token(1.0) {
+            self.fleet.next_machine_types_at = now + 30 * SECOND;
+            calls.push(CloudCall::MachineTypes);
         }
-        let steps = self.looks.get() - before;
-        self.next_plan = now + self.pacing_delay(steps);
-        self.spent.plans += 1;
-        self.spent.plan_steps += steps;
-        self.spent.most = self.spent.most.max(steps);
+        let steps = self.scheduling_steps.get() - before;
+        self.next_plan_at = now + self.pacing_delay(steps);
+        self.scheduling_cost.plans += 1;
+        self.scheduling_cost.plan_steps += steps;
+        self.scheduling_cost.max_steps = self.scheduling_cost.max_steps.max(steps);
         calls
     }
 
@@ -127,11 +133,11 @@
         while !wanted.is_empty() {
             let mut rest = BTreeMap::new();
             for (offer, count) in wanted {
-                if !self.fleet.may_call(0.0) {
+                if !self.fleet.try_take_token(0.0) {
                     return;
                 }
                 // One machine is enough to try a zone that was cut off.
-                let dark = self.dark.contains_key(&*offer.zone);
+                let dark = self.unreachable_zones.contains_key(&*offer.zone);
                 let now = count.min(if dark { 1 } else { MAX_MACHINES_PER_RENTAL });
                 if count > now && !dark {
                     rest.insert(offer.clone(), count - now);
@@ -144,15 +150,15 @@
 
     /// A request for machines of an offer.
     pub(crate) fn rent(&mut self, offer: Offer, count: u32) -> CloudCall {
-        self.fleet.requests += 1;
+        self.fleet.request_count += 1;
         // The term in the name keeps it from ever being used by another leader.
-        let name = format!("r-{}-{}", self.fleet.term, self.fleet.requests);
-        tracing::info!(%name, flavor = %self.flavors[offer.flavor].name, zone = %offer.zone,
+        let name = format!("r-{}-{}", self.fleet.term, self.fleet.request_count);
+        tracing::info!(%name, flavor = %self.machine_types[offer.machine_type].name, zone = %offer.zone,
             spot = offer.spot, count, "renting");
         self.fleet
-            .renting
+            .pending_provisions
             .insert(name.clone(), (offer.clone(), count));
-        CloudCall::Rent {
+        CloudCall::Provision {
             name,
             offer,
             count,
@@ -162,13 +168,13 @@
 
     /// Logs what the machines of each offer are used for, and what deciding has cost.
     fn log_summary(&mut self, now: Micros) {
-        let Spent {
+        let SchedulingCost {
             passes,
             pass_steps,
             plans,
             plan_steps,
-            most,
-        } = std::mem::take(&mut self.spent);
+            max_steps: most,
+        } = std::mem::take(&mut self.scheduling_cost);
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -188,20 +194,24 @@
         }
         let mut by_kind: BTreeMap<(usize, bool), MachineGroupUse> = BTreeMap::new();
         for m in self.machines.values() {
-            let Some(flavor) = m.flavor else { continue };
+            let Some(flavor) = m.machine_type else {
+                continue;
+            };
             let used = by_kind.entry((flavor, m.spot)).or_default();
-            if !m.up {
+            if !m.is_up {
                 used.booting += 1;
                 continue;
             }
             used.up += 1;
             used.idle += u32::from(m.attempts.is_empty());
-            used.kept += u32::from(m.kept(now).is_some());
-            used.cpus += m.size.cpu / 1000;
-            for a in m.attempts.values().filter(|a| a.holds) {
+            used.kept += u32::from(m.active_reservation(now).is_some());
+            used.cpus += m.capacity.cpu / 1000;
+            for a in m.attempts.values().filter(|a| a.holds_capacity) {
                 match a.phase {
-                    Phase::Running | Phase::Saving => used.running += a.need.cpu / 1000,
-                    _ => used.fetching += a.need.cpu / 1000,
+                    AttemptPhase::Running | AttemptPhase::Saving => {
+                        used.running += a.resources.cpu / 1000
+                    }
+                    _ => used.fetching += a.resources.cpu / 1000,
                 }
             }
         }
@@ -215,49 +225,53 @@
                 running,
                 fetching,
             } = u;
-            let flavor = &self.flavors[flavor].name;
+            let flavor = &self.machine_types[flavor].name;
             tracing::debug!(%flavor, spot, booting, up, idle, kept, cpus, running, fetching, "fleet");
         }
     }
 
     /// Machines that stay silent, never boot or have been judged faulty are given back.
     fn return_unhealthy(&mut self, now: Micros) {
-        let limit = self.lease_limit();
-        let boots = &mut self.fleet.boots;
+        let limit = self.lease_expiry_bound();
+        let boots = &mut self.fleet.provisioning_times;
         for m in self.machines.values_mut().filter(|m| !m.deleting) {
-            let usual = m.flavor.map_or(60 * SECOND, |f| self.flavors[f].boot);
-            let expected = m.flavor.map(|f| boots.expected(f, &m.zone, usual, now));
+            let usual = m
+                .machine_type
+                .map_or(60 * SECOND, |f| self.machine_types[f].boot_time);
+            let expected = m
+                .machine_type
+                .map(|f| boots.expected_boot_time(f, &m.zone, usual, now));
             let boot = usual.max(expected.unwrap_or(0));
             // What boots in a zone that is cut off is of no use, but its first minute is paid.
-            let dark = self.dark.contains_key(&m.zone);
+            let dark = self.unreachable_zones.contains_key(&m.zone);
             let most = if dark {
                 MIN_BILLED_TIME.max(2 * boot)
             } else {
                 max_boot_time(boot)
             };
-            let age = now.saturating_sub(m.rented_at.max(m.known_since));
-            let stuck = !m.up && age > most;
-            if let Some(f) = m.flavor.filter(|_| !m.up && !dark) {
+            let age = now.saturating_sub(m.provisioned_at.max(m.known_since));
+            let stuck = !m.is_up && age > most;
+            if let Some(f) = m.machine_type.filter(|_| !m.is_up && !dark) {
                 if stuck {
-                    boots.lost(f, &m.zone, now);
-                } else if !m.late && age as f64 > LATE_AFTER * boot as f64 {
-                    m.late = true;
-                    boots.late(f, &m.zone, now);
-                    tracing::debug!(machine = %m.id, age_s = seconds(age) as u32, "late to boot");
+                    boots.record_lost(f, &m.zone, now);
+                } else if !m.boot_overdue && age as f64 > OVERDUE_FACTOR * boot as f64 {
+                    m.boot_overdue = true;
+                    boots.record_overdue(f, &m.zone, now);
+                    tracing::debug!(machine = %m.id, age_s = seconds_from_micros(age) as u32, "late to boot");
                 }
             }
             // The lease has run out, so nothing is lost with a machine that stays silent.
-            let silent = m.up && now > m.answered_at + limit;
-            let idle = m.attempts.values().all(|a| !a.holds);
-            let useless = (m.bad || m.notice || m.leaving) && idle && m.up;
+            let silent = m.is_up && now > m.last_answered_at + limit;
+            let idle = m.attempts.values().all(|a| !a.holds_capacity);
+            let useless = (m.quarantined || m.preemption_notice || m.draining) && idle && m.is_up;
             if stuck || silent || useless {
                 let why = if stuck {
                     "it does not boot"
                 } else if silent {
                     "it is silent"
-                } else if m.bad {
+                } else if m.quarantined {
                     "it is faulty"
-                } else if m.leaving {
+                } else if m.draining {
                     "its work has been moved"
                 } else {
                     "the cloud takes it back"
@@ -271,8 +285,12 @@
     /// Gives back machines that have been idle for as long as policy keeps them.
     fn scale_in(&mut self, now: Micros) {
         let empty = |m: &&Machine| {
-            let awaited = now < m.awaited_until;
-            m.up && !m.deleting && m.attempts.is_empty() && m.kept(now).is_none() && !awaited
+            let awaited = now < m.planned_work_until;
+            m.is_up
+                && !m.deleting
+                && m.attempts.is_empty()
+                && m.active_reservation(now).is_none()
+                && !awaited
         };
         // The shortest idle first: the others have that many spares beside them.
         let mut idle: Vec<(Micros, MachineId)> = self
@@ -287,31 +305,33 @@
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            let Some(f) = m.flavor else { continue };
+            let Some(f) = m.machine_type else { continue };
             let others = spares.entry((f, m.spot)).or_default();
             *others += 1;
             // The first minute is charged anyway.
-            if now + SECOND <= m.rented_at + MIN_BILLED_TIME {
+            if now + SECOND <= m.provisioned_at + MIN_BILLED_TIME {
                 continue;
             }
-            let flavor = &self.flavors[f];
+            let flavor = &self.machine_types[f];
             let boot = self
                 .fleet
-                .boots
-                .expected(f, &m.zone, flavor.boot, now)
-                .max(flavor.boot);
-            let urgent = m.urgent_at.map_or(1e9, |t| seconds(now.saturating_sub(t)));
+                .provisioning_times
+                .expected_boot_time(f, &m.zone, flavor.boot_time, now)
+                .max(flavor.boot_time);
+            let urgent = m
+                .high_priority_placed_at
+                .map_or(1e9, |t| seconds_from_micros(now.saturating_sub(t)));
             let facts = [
                 Value::Text(&flavor.name),
                 Value::Text(&m.zone),
                 Value::Bool(m.spot),
                 Value::Number(flavor.size.cpu as f64 / 1000.0),
                 Value::Number(flavor.price_of(m.spot)),
-                Value::Number(seconds(boot)),
+                Value::Number(seconds_from_micros(boot)),
                 Value::Number(urgent),
                 Value::Number(f64::from(*others - 1)),
             ];
-            let keep = micros(self.settings.policy.number(Setting::Idle, &facts));
+            let keep = micros_from_seconds(self.settings.policy.number(Setting::Idle, &facts));
             if now > m.idle_since + keep {
                 tracing::info!(machine = %m.id, why = "it is idle", "returning");
                 m.deleting = true;
@@ -322,13 +342,13 @@
     /// Long tasks that can save are moved together when nothing waits for room: a machine that would
     /// be held by a few of them for long is emptied and returned.
     fn consolidate(&mut self, now: Micros) {
-        if now < self.fleet.next_move {
+        if now < self.fleet.next_move_at {
             return;
         }
-        self.fleet.next_move = now + CONSOLIDATION_INTERVAL;
+        self.fleet.next_move_at = now + CONSOLIDATION_INTERVAL;
         let waits =
             |j: &Job| !j.cancelled && !j.pending.is_empty() && self.tasks_within_quota(j) > 0;
-        let moving = self.machines.values().any(|m| m.leaving && !m.deleting);
+        let moving = self.machines.values().any(|m| m.draining && !m.deleting);
         if moving || self.jobs.values().any(waits) {
             return;
         }
@@ -336,19 +356,19 @@
         let mut room = SpareCapacity::default();
         let mut sources: Vec<(f64, MachineId, Vec<TaskId>)> = Vec::new();
         for m in self.machines.values() {
-            if !m.usable(now, self.settings.report) || m.attempts.is_empty() {
+            if !m.is_schedulable(now, self.settings.report) || m.attempts.is_empty() {
                 continue;
             }
-            self.looks.set(self.looks.get() + 1);
-            if m.free().cpu > 0 && m.kept(now).is_none() {
+            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            if m.free().cpu > 0 && m.active_reservation(now).is_none() {
                 room.insert(m.id.clone(), m.free());
             }
             let task = |((t, _), a): (&(TaskId, u64), &Attempt)| {
                 self.is_worth_moving(m, t, a, now).then(|| t.clone())
             };
             let tasks: Option<Vec<_>> = m.attempts.iter().map(task).collect();
-            if let (Some(tasks), Some(f)) = (tasks, m.flavor) {
-                let price = self.flavors[f].price_of(m.spot);
+            if let (Some(tasks), Some(f)) = (tasks, m.machine_type) {
+                let price = self.machine_types[f].price_of(m.spot);
                 sources.push((price / m.used.cpu.max(1) as f64, m.id.clone(), tasks));
             }
         }
@@ -377,7 +397,7 @@
             }
             for (to, need) in taken {
                 let free = room.remove(&to).unwrap_or_default();
-                room.insert(to, free - need.times(-1));
+                room.insert(to, free - need.scaled_by(-1));
             }
             if let Some(free) = own {
                 room.insert(id, free);
@@ -386,9 +406,9 @@
         for (id, tasks) in leaving {
             tracing::info!(machine = %id, tasks = tasks.len(), "moving its work elsewhere");
             if let Some(m) = self.machines.get_mut(&id) {
-                m.leaving = true;
+                m.draining = true;
             }
-            tasks.iter().for_each(|t| self.evict(&t.job, t.index));
+            tasks.iter().for_each(|t| self.preempt(&t.job, t.index));
         }
     }
 
@@ -401,7 +421,7 @@
     ) -> Option<(MachineId, Resources)> {
         let spec = &self.jobs.get(&task.job)?.spec;
         let may = |to: &MachineId| {
-            self.looks.set(self.looks.get() + 1);
+            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
             let free = room.free.get(to).is_some_and(|free| spec.need.fits(free));
             let m = self.machines.get(to).filter(|_| free);
             m.is_some_and(|m| self.can_host(m, &task.job, spec, &ZoneTaskCounts::new(), now))
@@ -420,42 +440,49 @@
     /// Whether stopping a task here and going on with it elsewhere costs little against the time
     /// that it still holds its machine.
     fn is_worth_moving(&self, m: &Machine, task: &TaskId, attempt: &Attempt, now: Micros) -> bool {
-        let (Some(job), Some(f)) = (self.jobs.get(&task.job), m.flavor) else {
+        let (Some(job), Some(f)) = (self.jobs.get(&task.job), m.machine_type) else {
             return false;
         };
         let spec = &job.spec;
         let cost = spec.save + self.fetch_time(spec) + MOVE_OVERHEAD;
         spec.shape == Shape::Array
-            && !spec.zoned()
+            && !spec.is_zone_constrained()
             && spec.checkpoint_every > 0
-            && attempt.phase == Phase::Running
-            && attempt.stop.is_none()
-            && now > attempt.since + MIN_RUN_TIME_BEFORE_MOVE
-            && self.expected_end(task, attempt, now) > now + 4 * cost + self.flavors[f].boot
+            && attempt.phase == AttemptPhase::Running
+            && attempt.stop_grace.is_none()
+            && now > attempt.phase_since + MIN_RUN_TIME_BEFORE_MOVE
+            && self.expected_end(task, attempt, now)
+                > now + 4 * cost + self.machine_types[f].boot_time
     }
 
     /// Machines of an offer that are rented now.
     pub(crate) fn machines_of_offer(&self, offer: &Offer) -> usize {
-        self.rooms.held(offer.flavor, &offer.zone, offer.spot)
+        self.capacity_index
+            .machine_count(offer.machine_type, &offer.zone, offer.spot)
     }
 
     /// Whether an offer was refused lately. As long as no machine of it has been given back or
     /// taken since, the cloud most likely still has none.
     pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
-        if let Some(at) = self.dark.get(&*offer.zone) {
+        if let Some(at) = self.unreachable_zones.get(&*offer.zone) {
             // Tried with one machine now and then.
             let tried = self
                 .machines
                 .values()
-                .any(|m| !m.up && *m.zone == *offer.zone)
-                || self.fleet.renting.values().any(|r| r.0.zone == offer.zone);
+                .any(|m| !m.is_up && *m.zone == *offer.zone)
+                || self
+                    .fleet
+                    .pending_provisions
+                    .values()
+                    .any(|r| r.0.zone == offer.zone);
             if tried || now < at + UNREACHABLE_ZONE_RETRY {
                 return true;
             }
         }
         self.fleet.refusals.get(offer).is_some_and(|r| {
             now < r.until
-                || (now < r.at + REFUSAL_MEMORY && self.machines_of_offer(offer) >= r.held.max(1))
+                || (now < r.at + REFUSAL_MEMORY
+                    && self.machines_of_offer(offer) >= r.machines_held.max(1))
         })
     }
 }
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::model::{JobSpec, Micros, Resources, SECOND, Shape};
-use crate::state::capacity_index::Kind;
+use crate::state::capacity_index::MachineKind;
 use crate::state::cluster::Cluster;
 
 /// Marks are at least so many tasks ahead of what is launched, and one for so many machines, which may all
@@ -22,14 +22,16 @@
 impl Cluster {
     /// What is in doubt may only be on a machine that its job allows and that has room for it.
     fn max_unconfirmed_tasks(&self, spec: &JobSpec) -> i64 {
-        let fits = |kind: &Option<Kind>| match kind {
+        let fits = |kind: &Option<MachineKind>| match kind {
             Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
-            Some(kind) => spec.need.times_in(&self.flavors[kind.flavor].size),
+            Some(kind) => spec
+                .need
+                .count_in(&self.machine_types[kind.machine_type].size),
             None => i64::MAX,
         };
         let each = self
-            .doubt
-            .silent
+            .unconfirmed
+            .silent_machines
             .iter()
             .map(|(kind, n)| fits(kind).saturating_mul(*n));
         each.fold(0, i64::saturating_add)
@@ -38,37 +40,43 @@
     /// Goes over what is in doubt, as machines have been heard or are known to hold nothing. Returns how many
     /// may still hold something.
     pub fn review_unconfirmed(&mut self, now: Micros) -> usize {
-        let limit = self.lease_limit();
-        let mut silent: BTreeMap<Option<Kind>, i64> = BTreeMap::new();
+        let limit = self.lease_expiry_bound();
+        let mut silent: BTreeMap<Option<MachineKind>, i64> = BTreeMap::new();
         let mut most = Resources::default();
-        for m in self.machines.values().filter(|m| m.doubtful(now, limit)) {
-            let kind = m.shelf.map(|n| self.rooms.shelves[n].kind.clone());
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.is_unconfirmed(now, limit))
+        {
+            let kind = m
+                .capacity_bucket
+                .map(|n| self.capacity_index.buckets[n].kind.clone());
             *silent.entry(kind).or_default() += 1;
-            most += m.size;
+            most += m.capacity;
         }
         let unknown = silent.contains_key(&None);
         let machines = silent.values().sum::<i64>() as usize;
-        self.doubt.silent = silent.into_iter().collect();
-        let mut held = vec![Resources::default(); self.used.len()];
+        self.unconfirmed.silent_machines = silent.into_iter().collect();
+        let mut held = vec![Resources::default(); self.team_usage.len()];
         let mut clear = Vec::new();
-        for job in self.jobs.values().filter(|j| !j.doubted.is_empty()) {
-            self.looks.set(self.looks.get() + 1);
+        for job in self.jobs.values().filter(|j| !j.unconfirmed.is_empty()) {
+            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
             // As it was submitted: what policy forbids now, another leader may have allowed.
-            let most = self.max_unconfirmed_tasks(&job.submitted);
+            let most = self.max_unconfirmed_tasks(&job.submitted_spec);
             if most == 0 {
                 clear.push(job.id.clone());
             }
             if let Some(t) = job.team {
                 held[t] += job
-                    .submitted
+                    .submitted_spec
                     .need
-                    .times(most.min(i64::from(job.doubted.len())));
+                    .scaled_by(most.min(i64::from(job.unconfirmed.len())));
             }
         }
         for id in clear {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.doubted = Default::default();
-                self.stirred = true;
+                job.unconfirmed = Default::default();
+                self.pass_needed = true;
             }
         }
         if !unknown {
@@ -77,24 +85,24 @@
                 h.gpu = h.gpu.min(most.gpu);
             }
         }
-        self.doubt.held = held;
+        self.unconfirmed.possible_usage = held;
         machines
     }
 
     /// Raises marks ahead of what is to be launched next, in the order of the last pass.
     pub fn raise_watermarks_ahead(&mut self, now: Micros) {
-        self.launching.measure(now);
+        self.launch_rate.measure(now);
         let large = self.machines.len() / MACHINES_PER_WATERMARK_STEP;
         let mut left = MIN_WATERMARK_LEAD
             .max(large)
-            .max(self.launching.ahead as usize);
-        for i in 0..self.order.len() {
-            let id = self.order[i].clone();
+            .max(self.launch_rate.tasks_per_second as usize);
+        for i in 0..self.placement_order.len() {
+            let id = self.placement_order[i].clone();
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            self.looks.set(self.looks.get() + 1);
-            let waiting = job.placeable();
+            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            let waiting = job.placeable_count();
             if waiting == 0 || job.cancelled || self.tasks_within_quota(job) <= 0 {
                 continue;
             }
@@ -103,12 +111,12 @@
             } else {
                 waiting.min(left)
             };
-            let covered = job.pending.slice(0, job.opening).len() as usize;
+            let covered = job.pending.slice(0, job.requested_watermark).len() as usize;
             // A mark that has half of what it should have is raised by all of it.
             if covered < wanted && covered <= wanted / 2 {
                 let last = job.pending.iter().nth(wanted - 1);
                 if let (Some(last), Some(job)) = (last, self.jobs.get_mut(&id)) {
-                    job.open_to(last + 1);
+                    job.request_watermark(last + 1);
                 }
             }
             left = left.saturating_sub(wanted);
@@ -121,12 +129,17 @@
     /// Every worker that reaches a controller has had the time to report to this leader: what is silent now may
     /// stay so for a lease, and gives no room that can be planned with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
-        now > self.taken_at + self.settings.report * 5 / 4 + 2 * SECOND
+        now > self.took_over_at + self.settings.report * 5 / 4 + 2 * SECOND
     }
 
     /// Whether all that may be on a machine is below its mark, as the state service holds it: then a successor
     /// can go by them.
     pub fn watermarks_cover_all_launches(&self) -> bool {
-        self.settled && !self.unmarked && self.jobs.values().all(|j| j.opening <= j.opened)
+        self.settled
+            && !self.launches_without_watermark
+            && self
+                .jobs
+                .values()
+                .all(|j| j.requested_watermark <= j.durable_watermark)
     }
 }
--- a/crates/gannethub-core/src/scheduling/failure_tracking.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -10,7 +10,7 @@
 
 use crate::model::{JobId, Micros, SECOND, Shape, TaskId};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Failing, Job, MachineId, Phase};
+use crate::state::records::{AttemptPhase, FailureTracking, Job, MachineId};
 
 /// Replicas never end; one that has run for this long has done well.
 const HEALTHY_AFTER: Micros = 10 * SECOND;
@@ -33,10 +33,13 @@
                 .machines
                 .get(machine)
                 .and_then(|m| m.attempts.get(&key));
-            a.is_some_and(|a| a.phase == Phase::Running && now >= a.since + HEALTHY_AFTER)
+            a.is_some_and(|a| {
+                a.phase == AttemptPhase::Running && now >= a.phase_since + HEALTHY_AFTER
+            })
         };
         !job.done.is_empty()
-            || (job.spec.shape == Shape::Service && job.live.iter().any(|(i, p)| lasting(p, *i)))
+            || (job.spec.shape == Shape::Service
+                && job.live_attempts.iter().any(|(i, p)| lasting(p, *i)))
     }
 
     /// A task ended with an error on a machine.
@@ -44,9 +47,9 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let first = job.blame.machines.is_empty();
-        let was = job.suspect();
-        job.blame.machines.insert(id.clone());
+        let first = job.failure_tracking.failed_machines.is_empty();
+        let was = job.is_crash_looping();
+        job.failure_tracking.failed_machines.insert(id.clone());
         let (_, n) = job.backoff.get(&task.index).copied().unwrap_or((0, 0));
         job.backoff
             .insert(task.index, (now + ((2 * SECOND) << n.min(5)), n + 1));
@@ -57,32 +60,36 @@
         {
             // A service that runs elsewhere: what it failed on says nothing against it.
             if let Some(j) = self.jobs.get_mut(&task.job).filter(|j| j.done.is_empty()) {
-                j.blame = Failing::default();
+                j.failure_tracking = FailureTracking::default();
             }
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.suspect() {
+        if job.is_crash_looping() {
             // Tasks that were on machines already fail together: they are one trial.
-            if now >= job.blame.retry_at {
-                job.blame.retry_at =
-                    now + (FIRST_PROBE_DELAY << job.blame.trials.min(MAX_BACKOFF_DOUBLINGS));
-                job.blame.trials += 1;
+            if now >= job.failure_tracking.next_probe_at {
+                job.failure_tracking.next_probe_at = now
+                    + (FIRST_PROBE_DELAY
+                        << job
+                            .failure_tracking
+                            .failed_probes
+                            .min(MAX_BACKOFF_DOUBLINGS));
+                job.failure_tracking.failed_probes += 1;
             }
             if !was {
-                let machines = job.blame.machines.len();
+                let machines = job.failure_tracking.failed_machines.len();
                 tracing::info!(job = %task.job, machines, "the job fails wherever it runs");
                 // A successor need not find out again.
-                job.blame.known = true;
-                job.note(now);
+                job.failure_tracking.known_crash_looping = true;
+                job.mark_dirty(now);
             }
         } else if first {
             tracing::info!(%task, machine = %id, "task failed");
         }
         tracing::debug!(%task, machine = %id, "task failed");
         if let Some(m) = self.machines.get_mut(id) {
-            *m.failures.entry(task.job.clone()).or_default() += 1;
+            *m.failures_by_job.entry(task.job.clone()).or_default() += 1;
         }
         self.quarantine_if_faulty(id, now);
     }
@@ -92,34 +99,34 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.blame.known {
+        if job.failure_tracking.known_crash_looping {
             tracing::info!(job = %id, "the job does well after all");
         }
-        for machine in std::mem::take(&mut job.blame).machines {
+        for machine in std::mem::take(&mut job.failure_tracking).failed_machines {
             self.quarantine_if_faulty(&machine, now);
         }
     }
 
     /// Decides whether a machine is to blame for what failed on it since a task last did well.
     fn quarantine_if_faulty(&mut self, id: &MachineId, now: Micros) {
-        let Some(m) = self.machines.get(id).filter(|m| !m.bad) else {
+        let Some(m) = self.machines.get(id).filter(|m| !m.quarantined) else {
             return;
         };
         let credible = || {
             let jobs = m
-                .failures
+                .failures_by_job
                 .iter()
                 .filter_map(|(j, n)| Some((self.jobs.get(j)?, *n)));
-            jobs.filter(|(j, _)| !j.suspect())
+            jobs.filter(|(j, _)| !j.is_crash_looping())
         };
         let faulty = credible().count() >= 2
             || credible().any(|(j, n)| n >= 2 && self.has_succeeded(j, now));
         if faulty {
-            tracing::info!(machine = %id, jobs = m.failures.len(), "machine judged faulty");
+            tracing::info!(machine = %id, jobs = m.failures_by_job.len(), "machine judged faulty");
             if let Some(m) = self.machines.get_mut(id) {
-                m.bad = true;
+                m.quarantined = true;
             }
-            self.drain(id);
+            self.drain_machine(id);
         }
     }
 }
