--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::model::{JobSpec, Micros, Resources, SECOND, Shape, UNLIMITED, micros};
+use crate::model::{JobSpec, Micros, Resources, SECOND, Shape, UNLIMITED, micros_from_seconds};
 use crate::policy::Setting;
 use crate::scheduling::autoscaler::max_boot_time;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed};
@@ -94,13 +94,13 @@
             self.free += room;
         }
         self.available_at = self.available_at.max(start);
-        let mut most = w.spec.need.times_in(&self.free).min(w.tasks);
+        let mut most = w.spec.need.count_in(&self.free).min(w.tasks);
         if w.spec.spread {
             let here = w.zones.get(&self.zone).copied().unwrap_or(0);
-            most = most.min(i64::from(w.spec.zone_cap().saturating_sub(here)));
+            most = most.min(i64::from(w.spec.max_tasks_per_zone().saturating_sub(here)));
         }
         let most = most.max(1);
-        let all = w.spec.need.times(most);
+        let all = w.spec.need.scaled_by(most);
         self.free -= all;
         // Replicas do not end, and the tasks of a gang need all their room at the same time: one
         // must not be planned to follow another.
@@ -114,7 +114,7 @@
             let place = self.releases.partition_point(|r| r.0 > end);
             self.releases.insert(place, (end, most as u32, all));
         }
-        if w.spec.zoned() {
+        if w.spec.is_zone_constrained() {
             *w.zones.entry(self.zone.clone()).or_default() += most as u32;
         }
         w.tasks -= most;
@@ -327,17 +327,17 @@
 impl Cluster {
     /// Work that has no room now and may run under its team's limit, in queue order.
     fn pending_work(&self, now: Micros) -> Vec<PendingWork> {
-        let mut spare: Vec<Resources> = (0..self.used.len())
+        let mut spare: Vec<Resources> = (0..self.team_usage.len())
             .map(|t| self.remaining_quota(t))
             .collect();
         let mut out = Vec::new();
         for (id, within) in self.queue.jobs() {
-            self.looks.set(self.looks.get() + 1);
+            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
             let Some(t) = job.team else { continue };
-            let pending = job.placeable() as i64;
+            let pending = job.placeable_count() as i64;
             if pending == 0 {
                 continue;
             }
@@ -351,8 +351,11 @@
                 .values()
                 .filter(|b| b.0 > now + 10 * SECOND)
                 .count() as i64;
-            let mut tasks = (pending - backing).min(need.times_in(&spare[t]));
-            tasks = tasks.min(job.worth_renting(now).saturating_sub(job.live.len() as i64));
+            let mut tasks = (pending - backing).min(need.count_in(&spare[t]));
+            tasks = tasks.min(
+                job.tasks_worth_provisioning(now)
+                    .saturating_sub(job.live_attempts.len() as i64),
+            );
             if job.spec.shape == Shape::Gang && tasks < i64::from(job.pending.len()) {
                 // Of one that is in doubt, or has no room under its team's limit, nothing is planned.
                 tasks = 0;
@@ -360,7 +363,7 @@
             if tasks <= 0 {
                 continue;
             }
-            spare[t] -= need.times(tasks);
+            spare[t] -= need.scaled_by(tasks);
             let zones = self.zones_in_use(job);
             let run = self.expected_run(&job.spec);
             // Estimates are rough: only a part of the time left is counted on.
@@ -370,11 +373,11 @@
             let slack = match latest {
                 Some(t) => {
                     let part = policy.number(Setting::PlanSlack, &facts);
-                    (t.saturating_sub(self.wall) as f64 * part) as Micros
+                    (t.saturating_sub(self.unix_time) as f64 * part) as Micros
                 }
                 None => {
                     let patience = policy.number(Setting::Patience, &facts);
-                    (job.ready + micros(patience)).saturating_sub(self.wall)
+                    (job.ready_at + micros_from_seconds(patience)).saturating_sub(self.unix_time)
                 }
             };
             let limit = now + slack;
@@ -396,18 +399,27 @@
     fn add_upcoming_work(&self, out: &mut Vec<PendingWork>, spare: &mut [Resources], now: Micros) {
         // The boot of the cheapest room that a task fits into: most likely it is what will be rented.
         let boot = |spec: &JobSpec| {
-            let fits = |f: &usize| spec.need.fits(&self.flavors[*f].size);
+            let fits = |f: &usize| spec.need.fits(&self.machine_types[*f].size);
             let price = |f: &usize| self.price_per_millicpu(*f, spec.spot);
-            let f = (0..self.flavors.len())
+            let f = (0..self.machine_types.len())
                 .filter(fits)
                 .min_by(|a, b| price(a).total_cmp(&price(b)))?;
-            let flavor = &self.flavors[f];
+            let flavor = &self.machine_types[f];
             let zones = flavor.zones.iter();
             zones
-                .map(|z| self.fleet.boots.expected(f, z, flavor.boot, now))
+                .map(|z| {
+                    self.fleet
+                        .provisioning_times
+                        .expected_boot_time(f, z, flavor.boot_time, now)
+                })
                 .min()
         };
-        let longest = self.flavors.iter().map(|f| 2 * f.boot).max().unwrap_or(0);
+        let longest = self
+            .machine_types
+            .iter()
+            .map(|f| 2 * f.boot_time)
+            .max()
+            .unwrap_or(0);
         for (from, _, w) in self.upcoming_releases(now, now + longest) {
             if boot(&w.spec).is_none_or(|boot| from > now + boot) {
                 continue;
@@ -421,16 +433,22 @@
                 ..w.spec.need
             };
             let all = i64::from(w.spec.tasks);
-            let mut tasks = all.min(need.times_in(&spare[t]));
+            let mut tasks = all.min(need.count_in(&spare[t]));
             if w.spec.shape == Shape::Gang && tasks < all {
                 tasks = 0;
             }
             if tasks <= 0 {
                 continue;
             }
-            spare[t] -= need.times(tasks);
-            let ready = self.wall + (from - now);
-            let latest = self.latest_start_for(&w.spec, w.at, ready, w.pull.as_ref(), false);
+            spare[t] -= need.scaled_by(tasks);
+            let ready = self.unix_time + (from - now);
+            let latest = self.latest_start_for(
+                &w.spec,
+                w.accepted_at,
+                ready,
+                w.downstream_demand.as_ref(),
+                false,
+            );
             let slack = latest.map_or(0, |t| t.saturating_sub(ready));
             out.push(PendingWork {
                 spec: w.spec.clone(),
@@ -481,7 +499,7 @@
                 coarse_shape(&w.spec.need)
             };
             let allows = |line: &MachineGroup| {
-                let flavor = &self.flavors[line.flavor];
+                let flavor = &self.machine_types[line.flavor];
                 w.spec.need.fits(&flavor.size) && w.spec.allows(&flavor.name, &line.zone, line.spot)
             };
             let mut allowed: Vec<usize> = (0..future.groups.len())
@@ -517,7 +535,11 @@
                     .take()
                     .unwrap_or_else(|| self.best_offer(w, rest, &least, &offers));
                 let Some(found) = found else { break };
-                let Offer { flavor, zone, spot } = &found.offer;
+                let Offer {
+                    machine_type: flavor,
+                    zone,
+                    spot,
+                } = &found.offer;
                 let ready = self
                     .expected_boot_end(&found.offer, now)
                     .max(w.earliest_start);
@@ -533,16 +555,19 @@
                 future.add_machine(lane);
                 *wanted.entry(found.offer.clone()).or_default() += 1;
                 // As long as its own tasks fill a whole machine, another one is as good.
-                if !w.spec.zoned() && w.tasks >= w.spec.need.times_in(&self.flavors[*flavor].size) {
+                if !w.spec.is_zone_constrained()
+                    && w.tasks >= w.spec.need.count_in(&self.machine_types[*flavor].size)
+                {
                     offer = Some(Some(found));
                 }
             }
             future.return_candidates(&key, read);
         }
-        self.looks.set(self.looks.get() + future.steps);
+        self.scheduling_steps
+            .set(self.scheduling_steps.get() + future.steps);
         for id in awaited {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.awaited_until = now + 2 * SECOND;
+                m.planned_work_until = now + 2 * SECOND;
             }
         }
         wanted
@@ -551,17 +576,22 @@
     /// What can be rented now.
     fn available_offers(&self, now: Micros) -> Vec<PricedOffer> {
         let mut offers = Vec::new();
-        for (i, flavor) in self.flavors.iter().enumerate() {
+        for (i, flavor) in self.machine_types.iter().enumerate() {
             for (zone, spot) in flavor.zones.iter().flat_map(|z| [(z, false), (z, true)]) {
                 let offer = Offer {
-                    flavor: i,
+                    machine_type: i,
                     zone: zone.clone(),
                     spot,
                 };
                 if !self.is_offer_blocked(&offer, now) {
-                    let boots = &self.fleet.boots;
-                    let dearer =
-                        boots.dearer(i, zone, flavor.boot, max_boot_time(flavor.boot), now);
+                    let boots = &self.fleet.provisioning_times;
+                    let dearer = boots.price_factor(
+                        i,
+                        zone,
+                        flavor.boot_time,
+                        max_boot_time(flavor.boot_time),
+                        now,
+                    );
                     offers.push(PricedOffer {
                         offer,
                         price: flavor.price_of(spot) * dearer,
@@ -583,8 +613,12 @@
     ) -> Option<&'a PricedOffer> {
         let mut best: Option<(f64, &PricedOffer)> = None;
         for priced in offers {
-            let Offer { flavor, zone, spot } = &priced.offer;
-            let flavor = &self.flavors[*flavor];
+            let Offer {
+                machine_type: flavor,
+                zone,
+                spot,
+            } = &priced.offer;
+            let flavor = &self.machine_types[*flavor];
             if !first.spec.need.fits(&flavor.size)
                 || !first.spec.allows(&flavor.name, zone, *spot)
                 || !is_zone_allowed(&first.spec, &first.zones, zone)
@@ -597,10 +631,10 @@
                 if !least.fits(&free) {
                     break;
                 }
-                self.looks.set(self.looks.get() + 1);
+                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
                 if w.spec.allows(&flavor.name, zone, *spot) {
-                    let n = w.spec.need.times_in(&free).min(w.tasks);
-                    free -= w.spec.need.times(n);
+                    let n = w.spec.need.count_in(&free).min(w.tasks);
+                    free -= w.spec.need.scaled_by(n);
                     used += w.spec.need.cpu.max(1) * n;
                 }
             }
@@ -622,7 +656,7 @@
         MachineForecast {
             group: line,
             zone,
-            free: self.flavors[flavor].size,
+            free: self.machine_types[flavor].size,
             available_at: ready,
             releases: Vec::new(),
             machine: None,
@@ -637,14 +671,21 @@
             ..Forecast::default()
         };
         for m in self.machines.values() {
-            let Some(flavor) = m.flavor else { continue };
-            if m.deleting || m.leaving || m.bad || m.notice || m.deaf(now) {
+            let Some(flavor) = m.machine_type else {
+                continue;
+            };
+            if m.deleting
+                || m.draining
+                || m.quarantined
+                || m.preemption_notice
+                || m.is_unanswered(now)
+            {
                 continue;
             }
             future.steps += 1 + m.attempts.len() as u64 / 2;
             let price = self.price_per_millicpu(flavor, m.spot);
             let line = future.group_for(flavor, &m.zone, m.spot, price);
-            if !m.up {
+            if !m.is_up {
                 if let Some(ready) = self.expected_up_at(m, now) {
                     future.add_machine(self.empty_machine_forecast(
                         line,
@@ -658,21 +699,22 @@
             let mut lane = self.empty_machine_forecast(line, flavor, m.zone.clone(), now);
             lane.free = m.free();
             lane.machine = Some(m.id.clone());
-            let held = m.attempts.iter().filter(|(_, a)| a.holds);
-            lane.releases
-                .extend(held.map(|((task, _), a)| (self.expected_end(task, a, now), 1, a.need)));
+            let held = m.attempts.iter().filter(|(_, a)| a.holds_capacity);
+            lane.releases.extend(
+                held.map(|((task, _), a)| (self.expected_end(task, a, now), 1, a.resources)),
+            );
             lane.releases.sort_by_key(|r| Reverse(r.0));
             future.add_machine(lane);
         }
-        for (offer, count) in self.fleet.renting.values() {
+        for (offer, count) in self.fleet.pending_provisions.values() {
             let ready = self.expected_boot_end(offer, now);
             let zone: Arc<str> = offer.zone.as_str().into();
-            let price = self.price_per_millicpu(offer.flavor, offer.spot);
-            let line = future.group_for(offer.flavor, &zone, offer.spot, price);
+            let price = self.price_per_millicpu(offer.machine_type, offer.spot);
+            let line = future.group_for(offer.machine_type, &zone, offer.spot, price);
             for _ in 0..*count {
                 future.add_machine(self.empty_machine_forecast(
                     line,
-                    offer.flavor,
+                    offer.machine_type,
                     zone.clone(),
                     ready,
                 ));
@@ -683,11 +725,13 @@
 
     /// When a machine rented now is expected to be up.
     fn expected_boot_end(&self, offer: &Offer, now: Micros) -> Micros {
-        let usual = self.flavors[offer.flavor].boot;
-        now + self
-            .fleet
-            .boots
-            .expected(offer.flavor, &offer.zone, usual, now)
+        let usual = self.machine_types[offer.machine_type].boot_time;
+        now + self.fleet.provisioning_times.expected_boot_time(
+            offer.machine_type,
+            &offer.zone,
+            usual,
+            now,
+        )
     }
 }
 
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -10,7 +10,7 @@
 use crate::model::{JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Job, Kept, Machine, MachineId, Phase};
+use crate::state::records::{AttemptPhase, Job, Machine, MachineId, Reservation};
 
 /// Room kept for gangs is looked over this often, for each machine, and always again before the
 /// room lapses.
@@ -121,13 +121,13 @@
     pub fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
         let every =
             (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
-        let round = now >= self.gathered_at + every;
+        let round = now >= self.gang_round_at + every;
         if round {
-            self.gathered_at = now;
+            self.gang_round_at = now;
         }
         let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
-        let until = self.looks.get() + steps as u64;
-        let behind = round && std::mem::take(&mut self.behind);
+        let until = self.scheduling_steps.get() + steps as u64;
+        let behind = round && std::mem::take(&mut self.gang_requests_deferred);
         GangPass {
             regather_all: round,
             step_limit: until,
@@ -138,7 +138,9 @@
 
     /// The last pass has found work to place of this job, before any that it has yet to look at.
     fn is_still_queued(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|j| j.queued == self.passes)
+        self.jobs
+            .get(id)
+            .is_some_and(|j| j.last_queued_pass == self.pass_count)
     }
 
     /// Gathers room for a gang that found none, and makes it where waiting would be too late.
@@ -149,19 +151,19 @@
         gathering: &mut GangPass,
         now: Micros,
     ) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.suspect()) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_crash_looping()) else {
             return;
         };
-        if !gathering.regather_all && job.gathered {
+        if !gathering.regather_all && job.gang_placement_tried {
             return;
         }
-        job.gathered = true;
+        job.gang_placement_tried = true;
         // Work is stopped only where waiting for it to end would be too late.
         let soon = self.gather_capacity(id, tasks, gathering, now);
         let Some(job) = self.jobs.get(id) else { return };
         let slack = self
-            .latest_start(job, job.within)
-            .map_or(0, |t| t.saturating_sub(self.wall));
+            .latest_start(job, job.within_guarantee)
+            .map_or(0, |t| t.saturating_sub(self.unix_time));
         if soon.is_none_or(|at| at > now + slack.max(2 * self.settings.report)) {
             self.preempt_for(id, tasks, gathering, now);
         }
@@ -192,16 +194,16 @@
                 continue;
             };
             let until = m
-                .kept
+                .reservation
                 .as_ref()
-                .map_or(0, |k| k.until)
+                .map_or(0, |k| k.expires_at)
                 .max(now + GATHERED_RESERVATION);
             self.reserve(
                 &machine,
-                Kept {
+                Reservation {
                     job: id.clone(),
                     tasks,
-                    until,
+                    expires_at: until,
                 },
             );
         }
@@ -212,15 +214,15 @@
     fn capacity_timeline(&self, spec: &JobSpec, now: Micros) -> CapacityTimeline {
         let mut book = CapacityTimeline::new();
         for shelf in self
-            .rooms
-            .shelves
+            .capacity_index
+            .buckets
             .iter()
             .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
             let list = book.entry(shelf.kind.zone.clone()).or_default();
-            for m in shelf.all.iter().filter_map(|m| self.machines.get(m)) {
-                self.looks
-                    .set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
+            for m in shelf.machines.iter().filter_map(|m| self.machines.get(m)) {
+                self.scheduling_steps
+                    .set(self.scheduling_steps.get() + 1 + m.attempts.len() as u64 / 4);
                 let times = self.capacity_times(m, spec, now);
                 list.extend(times.into_iter().map(|at| (at, m.id.clone())));
             }
@@ -251,16 +253,18 @@
             let mut i = 0;
             while i < list.len() && mine.len() < tasks {
                 let (at, machine) = &list[i];
-                self.looks.set(self.looks.get() + 1);
+                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
                 let m = self.machines.get(machine);
                 // What is kept for a gang further down the queue can be had: else each of two gangs
                 // may long hold a machine that is ready beside one that is not.
-                let kept = m.and_then(|m| m.kept(now)).filter(|k| k.job != *id);
+                let kept = m
+                    .and_then(|m| m.active_reservation(now))
+                    .filter(|k| k.job != *id);
                 if kept.is_some_and(|k| self.is_still_queued(&k.job)) {
                     list.remove(i);
                     continue;
                 }
-                if m.is_some_and(|m| !m.failures.contains_key(id)) {
+                if m.is_some_and(|m| !m.failures_by_job.contains_key(id)) {
                     mine.push_back((*at, machine.clone(), i));
                 }
                 i += 1;
@@ -304,21 +308,21 @@
 
     /// When a machine will have room for the first, the second, ... of a job's tasks.
     fn capacity_times(&self, m: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
-        let most = spec.need.times_in(&m.size).min(MAX_TASKS_PER_MACHINE) as usize;
-        if !m.up {
+        let most = spec.need.count_in(&m.capacity).min(MAX_TASKS_PER_MACHINE) as usize;
+        if !m.is_up {
             let at = self
                 .expected_up_at(m, now)
-                .filter(|_| !m.deleting && !m.bad);
+                .filter(|_| !m.deleting && !m.quarantined);
             return at.map_or_else(Vec::new, |at| vec![at; most]);
         }
-        if !m.usable(now, self.settings.report) {
+        if !m.is_schedulable(now, self.settings.report) {
             return Vec::new();
         }
         let mut ends: Vec<(Micros, Resources)> = m
             .attempts
             .iter()
-            .filter(|(_, a)| a.holds)
-            .map(|((t, _), a)| (self.expected_end(t, a, now), a.need))
+            .filter(|(_, a)| a.holds_capacity)
+            .map(|((t, _), a)| (self.expected_end(t, a, now), a.resources))
             .collect();
         ends.sort_by_key(|e| e.0);
         let mut ends = ends.into_iter();
@@ -346,13 +350,13 @@
 
     /// What each team runs above its guarantee, less what has been told to stop.
     fn borrowed_quota(&self) -> BorrowedQuota {
-        let mut out: BorrowedQuota = Vec::with_capacity(self.used.len());
-        for (used, team) in self.used.iter().zip(&self.settings.teams) {
+        let mut out: BorrowedQuota = Vec::with_capacity(self.team_usage.len());
+        for (used, team) in self.team_usage.iter().zip(&self.settings.teams) {
             out.push(*used - team.guarantee);
         }
         for a in self.machines.values().flat_map(|m| m.attempts.values()) {
-            if let (Some(t), true, true) = (a.team, a.holds, a.stop.is_some()) {
-                out[t] -= a.need;
+            if let (Some(t), true, true) = (a.team, a.holds_capacity, a.stop_grace.is_some()) {
+                out[t] -= a.resources;
             }
         }
         out
@@ -370,14 +374,18 @@
         let gang = spec.shape == Shape::Gang;
         // An array's tasks find room as others end; stopping as many others only moves the work.
         // Only guests, whose teams have no guarantee at all, make way for them, where they save.
-        if !(urgent || job.within) {
+        if !(urgent || job.within_guarantee) {
             return;
         }
-        if gathering.catching_up && job.made_at.is_some_and(|t| now < t + PREEMPTION_RETRY) {
+        if gathering.catching_up
+            && job
+                .preempted_for_at
+                .is_some_and(|t| now < t + PREEMPTION_RETRY)
+        {
             return;
         }
-        if self.looks.get() > gathering.step_limit {
-            self.behind = true;
+        if self.scheduling_steps.get() > gathering.step_limit {
+            self.gang_requests_deferred = true;
             return;
         }
         let guests_only = !urgent && !gang;
@@ -387,9 +395,12 @@
         }
         let most = self.tasks_within_quota(job).clamp(0, 1000) as usize;
         // Enough room may be being made already.
-        let kept = job.kept_until > now;
+        let kept = job.reservable_until > now;
         let making: i64 = if kept && !gang {
-            let kept = self.machines.values().filter_map(|m| m.kept(now));
+            let kept = self
+                .machines
+                .values()
+                .filter_map(|m| m.active_reservation(now));
             kept.filter(|k| k.job == *id).map(|k| k.tasks).sum()
         } else {
             0
@@ -406,10 +417,10 @@
         let asks = PreemptionRequest {
             spec: spec.clone(),
             team: job.team,
-            within: job.within,
+            within: job.within_guarantee,
             tasks: if gang { tasks } else { 1 },
         };
-        let fresh = zones.is_empty() && !kept && job.blame.machines.is_empty();
+        let fresh = zones.is_empty() && !kept && job.failure_tracking.failed_machines.is_empty();
         if fresh
             && gathering
                 .infeasible
@@ -426,7 +437,7 @@
             shape: spec.shape,
             priority: spec.priority,
             team: job.team,
-            within: job.within,
+            within: job.within_guarantee,
         };
         // Jobs that may stop the same work look for it in one book.
         let mut made = match gathering.preemption_plans.remove(&who) {
@@ -452,7 +463,7 @@
             };
             let mut free = m.free_after_stops();
             for v in made.victims.remove(machine).into_iter().flatten() {
-                if spec.need.times(*n).fits(&free) {
+                if spec.need.scaled_by(*n).fits(&free) {
                     break;
                 }
                 if let Some(t) = v.team {
@@ -466,22 +477,22 @@
                 stops.push(v.task);
             }
             // Half of a gang's room is of no use to it: then nothing is stopped.
-            if gang && !spec.need.times(*n).fits(&free) {
+            if gang && !spec.need.scaled_by(*n).fits(&free) {
                 return;
             }
         }
         *borrowed = left;
         gathering.preemption_plans.insert(who, made);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.made_at = Some(now);
+            job.preempted_for_at = Some(now);
         }
         for (machine, tasks) in keep {
             self.reserve(
                 &machine,
-                Kept {
+                Reservation {
                     job: id.clone(),
                     tasks,
-                    until: now + PREEMPTED_RESERVATION,
+                    expires_at: now + PREEMPTED_RESERVATION,
                 },
             );
         }
@@ -489,7 +500,7 @@
             tracing::info!(job = %id, stopped = stops.len(), tasks, urgent, "making room");
         }
         for task in stops {
-            self.evict(&task.job, task.index);
+            self.preempt(&task.job, task.index);
         }
     }
 
@@ -506,16 +517,18 @@
         let gang = spec.shape == Shape::Gang;
         let mut made = PreemptionPlan::default();
         for shelf in self
-            .rooms
-            .shelves
+            .capacity_index
+            .buckets
             .iter()
             .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
             let list = made.timeline.entry(shelf.kind.zone.clone()).or_default();
-            for m in shelf.all.iter().filter_map(|m| self.machines.get(m)) {
-                self.looks
-                    .set(self.looks.get() + 1 + m.attempts.len() as u64 / 4);
-                if !m.usable(now, self.settings.report) || (!gang && m.kept(now).is_some()) {
+            for m in shelf.machines.iter().filter_map(|m| self.machines.get(m)) {
+                self.scheduling_steps
+                    .set(self.scheduling_steps.get() + 1 + m.attempts.len() as u64 / 4);
+                if !m.is_schedulable(now, self.settings.report)
+                    || (!gang && m.active_reservation(now).is_some())
+                {
                     continue;
                 }
                 let mut victims = Vec::new();
@@ -523,27 +536,27 @@
                 for ((task, _), a) in m
                     .attempts
                     .iter()
-                    .filter(|(_, a)| a.holds && a.stop.is_none())
+                    .filter(|(_, a)| a.holds_capacity && a.stop_grace.is_none())
                 {
                     let victim = self
                         .jobs
                         .get(&task.job)
                         .filter(|j| j.spec.shape != Shape::Gang);
                     let Some(j) = victim else { continue };
-                    let lower = urgent && j.priority() < spec.priority;
-                    let above = job.within
-                        && !j.within
+                    let lower = urgent && j.effective_priority() < spec.priority;
+                    let above = job.within_guarantee
+                        && !j.within_guarantee
                         && j.team != job.team
                         && (!guests_only
                             || self.has_no_guarantee(j) && j.spec.checkpoint_every > 0)
                         && a.team.is_some_and(|t| {
-                            Team::within(&borrowed[t], &Resources::default(), &a.need)
+                            Team::within(&borrowed[t], &Resources::default(), &a.resources)
                         });
                     if lower || above {
                         // A task that can save loses only its saving time.
-                        let running = a.phase == Phase::Running;
+                        let running = a.phase == AttemptPhase::Running;
                         let ran = if running {
-                            now.saturating_sub(a.since)
+                            now.saturating_sub(a.phase_since)
                         } else {
                             0
                         };
@@ -556,7 +569,7 @@
                         victims.push(Victim {
                             loss,
                             task: task.clone(),
-                            need: a.need,
+                            need: a.resources,
                             team,
                         });
                     }
@@ -564,7 +577,7 @@
                 victims.sort_by_key(|v| (v.loss, v.task.index));
                 let mut loss = 0;
                 let mut used = victims.iter();
-                for _ in 0..spec.need.times_in(&m.size).min(MAX_TASKS_PER_MACHINE) {
+                for _ in 0..spec.need.count_in(&m.capacity).min(MAX_TASKS_PER_MACHINE) {
                     let before = loss;
                     let mut enough = true;
                     while !spec.need.fits(&free) {
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -3,7 +3,7 @@
 use crate::configuration::OverLimit;
 use crate::model::{Micros, Resources, TaskId, Team};
 use crate::state::cluster::Cluster;
-use crate::state::records::{MachineId, Phase};
+use crate::state::records::{AttemptPhase, MachineId};
 
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
-            if !Team::within(&limit, &Resources::default(), &self.used[team]) {
+            if !Team::within(&limit, &Resources::default(), &self.team_usage[team]) {
                 self.enforce_team_limit(team, limit, now);
             }
         }
@@ -30,21 +30,21 @@
         let (mut held, mut excess) = (Resources::default(), Vec::new());
         for machine in self.machines.values() {
             for ((task, _), a) in &machine.attempts {
-                if a.team != Some(team) || !a.holds || a.stop.is_some() {
+                if a.team != Some(team) || !a.holds_capacity || a.stop_grace.is_some() {
                     continue;
                 }
-                held += a.need;
-                let starting = a.phase == Phase::Starting && !a.seen;
+                held += a.resources;
+                let starting = a.phase == AttemptPhase::Starting && !a.reported;
                 let ran = if starting {
                     0
                 } else {
-                    1 + now.saturating_sub(a.since)
+                    1 + now.saturating_sub(a.phase_since)
                 };
                 if starting || self.over_limit == OverLimit::Stop {
                     excess.push(ExcessAttempt {
                         ran,
                         task: task.clone(),
-                        need: a.need,
+                        need: a.resources,
                     });
                 }
             }
@@ -62,7 +62,7 @@
                 held -= need;
                 continue;
             }
-            self.evict(&task.job, task.index);
+            self.preempt(&task.job, task.index);
             held -= need;
             stopped += 1;
         }
@@ -76,14 +76,14 @@
         let live = self
             .jobs
             .get(&task.job)
-            .and_then(|j| j.live.get(&task.index));
+            .and_then(|j| j.live_attempts.get(&task.index));
         live.is_some_and(|(machine, attempt): &(MachineId, u64)| {
             let key = (task.clone(), *attempt);
             let attempt = self
                 .machines
                 .get(machine)
                 .and_then(|m| m.attempts.get(&key));
-            attempt.is_some_and(|a| a.stop.is_some())
+            attempt.is_some_and(|a| a.stop_grace.is_some())
         })
     }
 }
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -10,7 +10,7 @@
 use crate::model::{Micros, Resources, Team};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
-use crate::state::queue::Key;
+use crate::state::queue::QueueKey;
 use crate::state::records::Job;
 
 /// The order is worked out anew this often, for each job in it.
@@ -18,13 +18,13 @@
 
 /// Counts a job against what is left of its team's guarantee; whether it fits there.
 fn charge_guarantee(left: &mut [Resources], job: &Job) -> bool {
-    let Some(t) = job.team.filter(|_| !job.suspect()) else {
+    let Some(t) = job.team.filter(|_| !job.is_crash_looping()) else {
         return false;
     };
     let all = job
         .spec
         .need
-        .times(i64::from(job.spec.tasks - job.done.len()));
+        .scaled_by(i64::from(job.spec.tasks - job.done.len()));
     let within = Team::within(&left[t], &Resources::default(), &all);
     left[t] -= all;
     within
@@ -39,29 +39,29 @@
 
     /// Brings the order up to date.
     pub fn order_queue(&mut self, now: Micros) {
-        self.share_out(now);
+        self.update_usage_shares(now);
         let mut queue = std::mem::take(&mut self.queue);
         let every = REORDER_INTERVAL_PER_JOB * queue.entries.len() as Micros;
         if queue.ordered_at.is_none_or(|t| now >= t + every) {
             queue.ordered_at = Some(now);
             queue.arrivals.clear();
-            queue.left = self.settings.teams.iter().map(|t| t.guarantee).collect();
+            queue.remaining_guarantees = self.settings.teams.iter().map(|t| t.guarantee).collect();
             let mut ready: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled).collect();
-            ready.sort_by(|a, b| (a.ready, &a.id).cmp(&(b.ready, &b.id)));
-            let left = &mut queue.left;
+            ready.sort_by(|a, b| (a.ready_at, &a.id).cmp(&(b.ready_at, &b.id)));
+            let left = &mut queue.remaining_guarantees;
             let keys = ready
                 .into_iter()
                 .map(|j| self.queue_key(j, charge_guarantee(left, j)));
             queue.entries = keys.collect();
             queue.entries.sort_unstable();
-            self.looks
-                .set(self.looks.get() + queue.entries.len() as u64);
+            self.scheduling_steps
+                .set(self.scheduling_steps.get() + queue.entries.len() as u64);
         }
         for id in std::mem::take(&mut queue.arrivals) {
             let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else {
                 continue;
             };
-            let within = charge_guarantee(&mut queue.left, job);
+            let within = charge_guarantee(&mut queue.remaining_guarantees, job);
             let key = self.queue_key(job, within);
             if let Err(place) = queue.entries.binary_search(&key) {
                 queue.entries.insert(place, key);
@@ -70,14 +70,14 @@
         self.queue = queue;
     }
 
-    fn queue_key(&self, job: &Job, within: bool) -> Key {
+    fn queue_key(&self, job: &Job, within: bool) -> QueueKey {
         let latest = self.latest_start(job, within);
         let facts = self.policy_inputs(job, within, latest);
         let weight = self.settings.policy.number(Setting::QueueWeight, &facts);
         let served = self.settings.policy.number(Setting::QueueShare, &facts);
         // As whole thousandths, so that the order is total.
         let (weight, served) = ((weight * 1000.0) as i64, (served * 1000.0) as i64);
-        let standing = (Reverse(job.priority()), !within, latest.is_none());
-        (standing, served, weight, job.ready, job.id.clone())
+        let standing = (Reverse(job.effective_priority()), !within, latest.is_none());
+        (standing, served, weight, job.ready_at, job.id.clone())
     }
 }
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -12,7 +12,7 @@
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer};
 use crate::state::records::Job;
-use crate::state::shard_load::Load;
+use crate::state::shard_load::ShardLoad;
 
 /// What a block keeps beyond what it uses and waits for, as a part of that.
 const HEADROOM_FRACTION: f64 = 0.1;
@@ -124,13 +124,13 @@
 
 impl Cluster {
     /// How this block stands.
-    pub fn shard_load(&self) -> Load {
-        let mut load = Load {
-            block: self.block.id,
+    pub fn shard_load(&self) -> ShardLoad {
+        let mut load = ShardLoad {
+            shard: self.shard.id,
             term: self.term,
-            ..Load::default()
+            ..ShardLoad::default()
         };
-        let held = self.used.iter().zip(&self.doubt.held);
+        let held = self.team_usage.iter().zip(&self.unconfirmed.possible_usage);
         load.teams = held
             .map(|(used, doubted)| {
                 let mut all = *used;
@@ -139,18 +139,18 @@
             })
             .collect();
         for job in self.jobs.values().filter(|j| !j.cancelled) {
-            let waiting = job.placeable() as i64;
-            load.backlog += job.spec.need.cpu * i64::from(job.spec.tasks - job.done.len());
-            load.waiting += job.spec.need.cpu * waiting;
+            let waiting = job.placeable_count() as i64;
+            load.backlog_cpu += job.spec.need.cpu * i64::from(job.spec.tasks - job.done.len());
+            load.waiting_cpu += job.spec.need.cpu * waiting;
             if let Some(t) = job.team.filter(|_| waiting > 0) {
                 // No more than it could start soon, however long its queue.
                 load.teams[t].1 += Resources {
                     mem: 0,
-                    ..job.spec.need.times(waiting)
+                    ..job.spec.need.scaled_by(waiting)
                 };
             }
         }
-        for (t, team) in self.whole.iter().enumerate() {
+        for (t, team) in self.cluster_teams.iter().enumerate() {
             let (used, waiting) = &mut load.teams[t];
             waiting.cpu = waiting.cpu.min((team.limit.cpu - used.cpu).max(0));
             waiting.gpu = waiting.gpu.min((team.limit.gpu - used.gpu).max(0));
@@ -158,10 +158,10 @@
         let usable = self
             .machines
             .values()
-            .filter(|m| m.usable(self.now, self.settings.report));
-        load.free = usable.map(|m| m.free().cpu.max(0)).sum();
-        load.wants = self
-            .wants
+            .filter(|m| m.is_schedulable(self.now, self.settings.report));
+        load.free_cpu = usable.map(|m| m.free().cpu.max(0)).sum();
+        load.machine_demand = self
+            .machine_demand
             .iter()
             .map(|(offer, n)| (offer.clone(), *n))
             .collect();
@@ -175,20 +175,20 @@
         calls: &mut Vec<CloudCall>,
         most: u32,
     ) {
-        for (block, wants) in std::mem::take(&mut self.orders) {
+        for (block, wants) in std::mem::take(&mut self.other_shards_demand) {
             for (offer, wanted) in wants {
-                let flavor = self.flavors[offer.flavor].name.clone();
+                let flavor = self.machine_types[offer.machine_type].name.clone();
                 let coming = self.coming(block, &flavor, &offer.zone, offer.spot);
                 let count = wanted.saturating_sub(coming).min(most);
                 if count == 0 || self.is_offer_blocked(&offer, now) {
                     continue;
                 }
-                if !self.fleet.may_call(0.0) {
+                if !self.fleet.try_take_token(0.0) {
                     return;
                 }
                 let call = self.rent(offer, count);
-                if let CloudCall::Rent { name, .. } = &call {
-                    self.renting_for.insert(name.clone(), block);
+                if let CloudCall::Provision { name, .. } = &call {
+                    self.provisioning_for_shard.insert(name.clone(), block);
                 }
                 calls.push(call);
             }
@@ -210,43 +210,46 @@
     /// Sends jobs that nothing was launched of, and that have no room here, to a block that has; all that can go, if
     /// this block is to be given up.
     pub fn transfer_waiting_jobs(&mut self, give_up: bool) {
-        if !self.settled || self.loads.len() < 2 {
+        if !self.settled || self.shard_loads.len() < 2 {
             return;
         }
-        let own = self.block.id;
+        let own = self.shard.id;
         let best = |need: i64| {
-            let others = self.loads.iter().filter(|l| l.block != own);
-            let roomy = others.filter(|l| give_up || l.free - l.waiting >= need);
+            let others = self.shard_loads.iter().filter(|l| l.shard != own);
+            let roomy = others.filter(|l| give_up || l.free_cpu - l.waiting_cpu >= need);
             roomy
-                .max_by_key(|l| (l.free - l.waiting, l.block))
-                .map(|l| l.block)
+                .max_by_key(|l| (l.free_cpu - l.waiting_cpu, l.shard))
+                .map(|l| l.shard)
         };
         let waits = |j: &&Job| {
-            let waited =
-                self.wall.saturating_sub(j.ready) > MIN_WAIT_BEFORE_MOVE + self.settings.report;
+            let waited = self.unix_time.saturating_sub(j.ready_at)
+                > MIN_WAIT_BEFORE_MOVE + self.settings.report;
             let moves = give_up || (waited && j.spec.shape != Shape::Gang);
-            j.untouched() && !j.cancelled && !j.writing && !j.unsure && moves
+            j.has_no_launches() && !j.cancelled && !j.write_in_flight && !j.version_unknown && moves
         };
         let mut leave: Vec<(JobId, u32)> = Vec::new();
-        let queue = self.order.iter().filter_map(|id| self.jobs.get(id));
+        let queue = self
+            .placement_order
+            .iter()
+            .filter_map(|id| self.jobs.get(id));
         let all = self.jobs.values().filter(|_| give_up);
         for job in queue.chain(all).filter(waits) {
             if leave.len() >= MAX_JOBS_MOVED_AT_ONCE {
                 break;
             }
-            let need = job.spec.need.cpu * job.placeable() as i64;
+            let need = job.spec.need.cpu * job.placeable_count() as i64;
             leave.extend(best(need).map(|to| (job.id.clone(), to)));
         }
         if !leave.is_empty() {
-            self.stirred = true;
+            self.pass_needed = true;
         }
         for (id, to) in leave {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.home = Some(to);
+                job.home_shard = Some(to);
             }
             // Until the other holder says how it stands now.
-            if let Some(load) = self.loads.iter_mut().find(|l| l.block == to) {
-                load.free = 0;
+            if let Some(load) = self.shard_loads.iter_mut().find(|l| l.shard == to) {
+                load.free_cpu = 0;
             }
         }
     }
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -11,15 +11,18 @@
 
 use crate::configuration::OverLimit;
 use crate::model::{
-    JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED, micros, seconds,
+    JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
+    micros_from_seconds, seconds_from_micros,
 };
 use crate::policy::Value;
 use crate::saga::Saga;
 use crate::scheduling::gang::GangPass;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
-use crate::state::capacity_index::Kind;
+use crate::state::capacity_index::MachineKind;
 use crate::state::cluster::Cluster;
-use crate::state::records::{Attempt, Gang, Job, Kept, Machine, MachineId, Phase, Pull};
+use crate::state::records::{
+    Attempt, AttemptPhase, DownstreamDemand, GangAttempt, Job, Machine, MachineId, Reservation,
+};
 
 /// Room up to this many times as dear as the cheapest of its rank counts as costing the same.
 const SIMILAR_PRICE: f64 = 1.5;
@@ -81,14 +84,14 @@
         latest: Option<u64>,
     ) -> [Value<'a>; 14] {
         let spec = &job.spec;
-        let (share, over_share) = self.share_of(job.team);
-        let priority = match job.priority() {
+        let (share, over_share) = self.team_usage_share(job.team);
+        let priority = match job.effective_priority() {
             Priority::Low => "low",
             Priority::Normal => "normal",
             Priority::High => "high",
             Priority::Production => "production",
         };
-        let number = |t: Micros| Value::Number(seconds(t));
+        let number = |t: Micros| Value::Number(seconds_from_micros(t));
         [
             Value::Text(&spec.class),
             Value::Text(&spec.team),
@@ -96,8 +99,8 @@
             Value::Number(f64::from(spec.tasks)),
             Value::Number(f64::from(job.done.len())),
             Value::Number(spec.need.cpu as f64 / 1000.0),
-            number(self.wall.saturating_sub(job.ready)),
-            number(latest.unwrap_or(0).saturating_sub(self.wall)),
+            number(self.unix_time.saturating_sub(job.ready_at)),
+            number(latest.unwrap_or(0).saturating_sub(self.unix_time)),
             number(self.remaining_work_at_quota(job)),
             number(self.expected_run(spec)),
             Value::Bool(latest.is_none()),
@@ -110,21 +113,30 @@
     /// How long one of the job's tasks is expected to run: its owner's estimate, corrected by what
     /// tasks of its class have shown.
     pub fn expected_run(&self, spec: &JobSpec) -> Micros {
-        let pace = self.pace.get(&spec.class).copied().unwrap_or(1.0);
+        let pace = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
         (spec.estimate as f64 * pace) as Micros
     }
 
     /// How long a machine without the job's image takes to fetch it.
     pub fn fetch_time(&self, spec: &JobSpec) -> Micros {
-        let fits = self.flavors.iter().filter(|f| spec.need.fits(&f.size));
+        let fits = self
+            .machine_types
+            .iter()
+            .filter(|f| spec.need.fits(&f.size));
         let rate = fits.map(|f| f.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
-        micros(spec.image_gb / rate)
+        micros_from_seconds(spec.image_gb / rate)
     }
 
     /// The time of day by which the job's tasks have to start to meet the next objective that can
     /// still be met; `None` if none can.
     pub fn latest_start(&self, job: &Job, within: bool) -> Option<u64> {
-        self.latest_start_for(&job.spec, job.at, job.ready, job.pull.as_ref(), within)
+        self.latest_start_for(
+            &job.spec,
+            job.accepted_at,
+            job.ready_at,
+            job.downstream_demand.as_ref(),
+            within,
+        )
     }
 
     /// The same for a job that was accepted and is released at these times of day.
@@ -133,7 +145,7 @@
         spec: &JobSpec,
         at: u64,
         ready: u64,
-        pull: Option<&Pull>,
+        pull: Option<&DownstreamDemand>,
         within: bool,
     ) -> Option<u64> {
         let run = self.expected_run(spec) * 5 / 4;
@@ -155,11 +167,11 @@
         });
         // What waits for it has to be in time as well.
         let stage = self.run_time(spec);
-        let pulled = pull.iter().flat_map(|p| &p.due).flatten();
-        let pulled = pulled.filter_map(|due| due.start(stage, self.wall));
+        let pulled = pull.iter().flat_map(|p| &p.deadlines).flatten();
+        let pulled = pulled.filter_map(|due| due.start_by(stage, self.unix_time));
         let own = starts
             .map(|t| t.saturating_sub(fetch))
-            .filter(|t| *t >= self.wall);
+            .filter(|t| *t >= self.unix_time);
         own.chain(pulled).min()
     }
 
@@ -171,15 +183,18 @@
         let part =
             |need: i64, limit: i64, all: i64| need as f64 / limit.min(all.max(need)).max(1) as f64;
         let need = &job.spec.need;
-        let each =
-            part(need.cpu, limit.cpu, self.size.cpu).max(part(need.gpu, limit.gpu, self.size.gpu));
+        let each = part(need.cpu, limit.cpu, self.total_capacity.cpu).max(part(
+            need.gpu,
+            limit.gpu,
+            self.total_capacity.gpu,
+        ));
         let left = f64::from(job.spec.tasks - job.done.len());
         (left * each * self.expected_run(&job.spec) as f64) as Micros
     }
 
     /// What a thousandth of a CPU of such a machine costs an hour.
     pub fn price_per_millicpu(&self, flavor: usize, spot: bool) -> f64 {
-        let f = &self.flavors[flavor];
+        let f = &self.machine_types[flavor];
         f.price_of(spot) / f.size.cpu.max(1) as f64
     }
 
@@ -187,10 +202,10 @@
     /// without zone rules.
     pub fn zones_in_use(&self, job: &Job) -> ZoneTaskCounts {
         let mut zones = ZoneTaskCounts::new();
-        if !job.spec.zoned() {
+        if !job.spec.is_zone_constrained() {
             return zones;
         }
-        for (machine, _) in job.live.values() {
+        for (machine, _) in job.live_attempts.values() {
             if let Some(m) = self.machines.get(machine) {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
@@ -200,12 +215,14 @@
 
     /// What a team may still use, counting all that it may have on machines.
     pub fn remaining_quota(&self, team: usize) -> Resources {
-        self.settings.teams[team].limit - self.used[team] - self.doubt.held[team]
+        self.settings.teams[team].limit
+            - self.team_usage[team]
+            - self.unconfirmed.possible_usage[team]
     }
 
     /// How many more of the job's tasks its team's limit allows.
     pub fn tasks_within_quota(&self, job: &Job) -> i64 {
-        let Some(t) = job.team.filter(|_| !self.holds_starts) else {
+        let Some(t) = job.team.filter(|_| !self.starts_paused) else {
             return 0;
         };
         let mut free = self.remaining_quota(t);
@@ -214,7 +231,7 @@
             mem: 0,
             ..job.spec.need
         };
-        need.times_in(&free)
+        need.count_in(&free)
     }
 
     /// Kinds in first-fit order: the cheapest room first, so that the dear ones empty; among room of
@@ -222,15 +239,15 @@
     /// are as good as one another share a tier.
     fn rank_buckets(&mut self) {
         let shelves = self
-            .rooms
-            .shelves
+            .capacity_index
+            .buckets
             .iter()
             .enumerate()
-            .filter(|(_, s)| s.any_open());
+            .filter(|(_, s)| s.has_schedulable());
         let mut priced: Vec<(f64, i64, usize)> = shelves
             .map(|(i, s)| {
-                let price = self.price_per_millicpu(s.kind.flavor, s.kind.spot);
-                (price, self.flavors[s.kind.flavor].size.cpu, i)
+                let price = self.price_per_millicpu(s.kind.machine_type, s.kind.spot);
+                (price, self.machine_types[s.kind.machine_type].size.cpu, i)
             })
             .collect();
         priced.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -248,13 +265,13 @@
         let tiers = ranked
             .chunk_by(same)
             .map(|tier| tier.iter().map(|r| r.2).collect());
-        self.tiers = tiers.collect();
+        self.bucket_tiers = tiers.collect();
     }
 
     /// Places what can be placed now, and makes room for what must not wait. At a takeover it places on what
     /// has been heard, and stops nothing: there may be room enough.
     pub fn run_scheduling_pass(&mut self, now: Micros) {
-        let before = self.looks.get();
+        let before = self.scheduling_steps.get();
         if self.over_limit == OverLimit::Stop {
             // A new leader learns of what runs as it is reported.
             self.enforce_limits(now);
@@ -269,14 +286,15 @@
             .collect();
         for (id, within) in &queue {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.within = *within;
+                job.within_guarantee = *within;
             }
         }
-        self.looks.set(self.looks.get() + queue.len() as u64);
-        self.stirred = false;
-        self.last_pass = now;
-        self.passes += 1;
-        self.order.clear();
+        self.scheduling_steps
+            .set(self.scheduling_steps.get() + queue.len() as u64);
+        self.pass_needed = false;
+        self.last_pass_at = now;
+        self.pass_count += 1;
+        self.placement_order.clear();
         let mut pass = SchedulingPass {
             gangs: self.begin_gang_pass(now),
             ..SchedulingPass::default()
@@ -288,8 +306,8 @@
             if job.pending.is_empty() {
                 continue;
             }
-            job.queued = self.passes;
-            self.order.push(id.clone());
+            job.last_queued_pass = self.pass_count;
+            self.placement_order.push(id.clone());
             let Some(job) = self
                 .jobs
                 .get(&id)
@@ -300,7 +318,7 @@
             match job.spec.shape {
                 Shape::Gang => self.place_gang(&id, &mut pass, now),
                 Shape::Array | Shape::Service => {
-                    let suspect = job.suspect();
+                    let suspect = job.is_crash_looping();
                     let short = self.place_tasks(&id, &mut pass, None, now);
                     if short > 0 && !suspect {
                         self.preempt_for(&id, short, &mut pass.gangs, now);
@@ -312,24 +330,26 @@
                 continue;
             };
             let limited = self.settled && self.tasks_within_quota(job) <= 0;
-            if !job.placed && (job.pending.is_empty() || limited) {
-                let waited_s = seconds(self.wall.saturating_sub(job.ready)) as u32;
+            if !job.fully_placed && (job.pending.is_empty() || limited) {
+                let waited_s =
+                    seconds_from_micros(self.unix_time.saturating_sub(job.ready_at)) as u32;
                 let (class, team, tasks) = (&job.spec.class, &job.spec.team, job.spec.tasks);
                 // The time it could still have waited, for its own sake and for what waits for it.
                 let latest = self.latest_start(job, within);
-                let slack_s = latest.map(|t| seconds(t.saturating_sub(self.wall)) as u32);
+                let slack_s =
+                    latest.map(|t| seconds_from_micros(t.saturating_sub(self.unix_time)) as u32);
                 tracing::info!(job = %id, %class, %team, tasks, within, waited_s, slack_s, "placed");
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.placed = true;
+                    job.fully_placed = true;
                 }
             }
         }
         self.raise_watermarks_ahead(now);
-        let steps = self.looks.get() - before;
-        self.next_pass = now + self.pacing_delay(steps);
-        self.spent.passes += 1;
-        self.spent.pass_steps += steps;
-        self.spent.most = self.spent.most.max(steps);
+        let steps = self.scheduling_steps.get() - before;
+        self.next_pass_at = now + self.pacing_delay(steps);
+        self.scheduling_cost.passes += 1;
+        self.scheduling_cost.pass_steps += steps;
+        self.scheduling_cost.max_steps = self.scheduling_cost.max_steps.max(steps);
     }
 
     /// How long so many steps are to be the only ones: a step is a look at a machine or a job, and
@@ -342,24 +362,30 @@
     /// else in the order of the last one. A gang that may want it needs room elsewhere too, and is
     /// left to the next pass.
     pub fn use_freed_capacity(&mut self, id: &MachineId, now: Micros) {
-        let paced = self.last_pass + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
-        if now >= paced.max(self.next_pass) {
+        let paced = self.last_pass_at + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
+        if now >= paced.max(self.next_pass_at) {
             return self.run_scheduling_pass(now);
         }
         let report = self.settings.report;
-        let Some(machine) = self.machines.get(id).filter(|m| m.usable(now, report)) else {
+        let Some(machine) = self
+            .machines
+            .get(id)
+            .filter(|m| m.is_schedulable(now, report))
+        else {
+            return;
+        };
+        let Some(flavor) = machine.machine_type else {
             return;
         };
-        let Some(flavor) = machine.flavor else { return };
         let free = machine.free();
         let candidates = || {
             let offered = self
-                .order
+                .placement_order
                 .iter()
                 .take(MAX_JOBS_OFFERED)
                 .filter_map(|j| self.jobs.get(j));
             offered.filter(|job| {
-                job.placeable() > 0
+                job.placeable_count() > 0
                     && !job.cancelled
                     && job.spec.need.fits(&free)
                     && self.is_eligible_machine(machine, &job.spec)
@@ -368,7 +394,7 @@
         let Some(first) = candidates().find(|job| self.tasks_within_quota(job) > 0) else {
             return;
         };
-        if let Some(kept) = machine.kept(now) {
+        if let Some(kept) = machine.active_reservation(now) {
             let array = self
                 .jobs
                 .get(&kept.job)
@@ -379,7 +405,7 @@
                 }
                 // What came free is held until there is enough of it.
                 Some((_, false)) => {}
-                None if now >= self.next_pass => self.run_scheduling_pass(now),
+                None if now >= self.next_pass_at => self.run_scheduling_pass(now),
                 None => {}
             };
         }
@@ -390,22 +416,25 @@
         }
         let gang = |job: &Job| {
             job.spec.shape == Shape::Gang
-                && !job.gang.as_ref().is_some_and(|g| g.running || g.stopping)
+                && !job
+                    .gang_attempt
+                    .as_ref()
+                    .is_some_and(|g| g.running || g.stopping)
         };
         if candidates().any(gang) {
             return;
         }
-        for i in 0..self.order.len().min(MAX_JOBS_OFFERED) {
-            let Some(j) = self.jobs.get(&self.order[i]) else {
+        for i in 0..self.placement_order.len().min(MAX_JOBS_OFFERED) {
+            let Some(j) = self.jobs.get(&self.placement_order[i]) else {
                 continue;
             };
             let Some(m) = self.machines.get(id) else {
                 return;
             };
-            if j.placeable() > 0
+            if j.placeable_count() > 0
                 && !j.cancelled
                 && j.spec.shape != Shape::Gang
-                && !j.spec.zoned()
+                && !j.spec.is_zone_constrained()
                 && j.spec.need.fits(&m.free())
                 && self.tasks_within_quota(j) > 0
             {
@@ -419,30 +448,30 @@
     fn has_cheaper_capacity(&self, flavor: usize, spot: bool, spec: &JobSpec, now: Micros) -> bool {
         let (price, size) = (
             self.price_per_millicpu(flavor, spot),
-            self.flavors[flavor].size.cpu,
+            self.machine_types[flavor].size.cpu,
         );
-        self.rooms.shelves.iter().any(|shelf| {
-            let theirs = self.price_per_millicpu(shelf.kind.flavor, shelf.kind.spot);
+        self.capacity_index.buckets.iter().any(|shelf| {
+            let theirs = self.price_per_millicpu(shelf.kind.machine_type, shelf.kind.spot);
             let better = theirs * SIMILAR_PRICE < price
-                || (self.flavors[shelf.kind.flavor].size.cpu < size
+                || (self.machine_types[shelf.kind.machine_type].size.cpu < size
                     && theirs <= price * SIMILAR_PRICE);
             let mut open = shelf.with_cpu(spec.need.cpu);
             better
                 && self.is_eligible_bucket(spec, &shelf.kind)
                 && open.any(|id| {
-                    self.looks.set(self.looks.get() + 1);
+                    self.scheduling_steps.set(self.scheduling_steps.get() + 1);
                     self.machines.get(id).is_some_and(|m| {
                         spec.need.fits(&m.free())
-                            && m.kept(now).is_none()
-                            && m.usable(now, self.settings.report)
+                            && m.active_reservation(now).is_none()
+                            && m.is_schedulable(now, self.settings.report)
                     })
                 })
         })
     }
 
     /// Whether machines of a kind may run the job's tasks at all.
-    pub fn is_eligible_bucket(&self, spec: &JobSpec, kind: &Kind) -> bool {
-        let flavor = &self.flavors[kind.flavor];
+    pub fn is_eligible_bucket(&self, spec: &JobSpec, kind: &MachineKind) -> bool {
+        let flavor = &self.machine_types[kind.machine_type];
         spec.need.fits(&flavor.size) && spec.allows(&flavor.name, &kind.zone, kind.spot)
     }
 
@@ -455,19 +484,21 @@
         suspect: bool,
         now: Micros,
     ) -> i64 {
-        self.looks.set(self.looks.get() + 1);
+        self.scheduling_steps.set(self.scheduling_steps.get() + 1);
         // A suspect job is tried anywhere: it may have met faulty machines only.
-        if !m.usable(now, self.settings.report) || (!suspect && m.failures.contains_key(id)) {
+        if !m.is_schedulable(now, self.settings.report)
+            || (!suspect && m.failures_by_job.contains_key(id))
+        {
             return 0;
         }
         let mut free = m.free();
-        if let Some(kept) = m.kept(now).filter(|k| k.job != *id)
+        if let Some(kept) = m.active_reservation(now).filter(|k| k.job != *id)
             && let Some(holder) = self.jobs.get(&kept.job)
         {
-            free -= holder.spec.need.times(kept.tasks);
+            free -= holder.spec.need.scaled_by(kept.tasks);
         }
         if spec.need.fits(&free) {
-            spec.need.times_in(&free)
+            spec.need.count_in(&free)
         } else {
             0
         }
@@ -485,20 +516,21 @@
             return 0;
         };
         let spec = job.spec.clone();
-        let limit = self
-            .tasks_within_quota(job)
-            .min(job.trials(now).saturating_sub(job.live.len() as i64));
+        let limit = self.tasks_within_quota(job).min(
+            job.allowed_probes(now)
+                .saturating_sub(job.live_attempts.len() as i64),
+        );
         // A huge array must cost no more than the room there is for it.
         let waiting = job.backoff.values().filter(|b| b.0 > now).count();
-        if spec.zoned() && !job.doubted.is_empty() {
+        if spec.is_zone_constrained() && !job.unconfirmed.is_empty() {
             // Where those are decides where the others may go.
             return 0;
         }
         let wanted = job
-            .placeable()
+            .placeable_count()
             .saturating_sub(waiting)
             .min(limit.max(0) as usize);
-        let simple = !spec.zoned() && job.blame.machines.is_empty();
+        let simple = !spec.is_zone_constrained() && job.failure_tracking.failed_machines.is_empty();
         if wanted == 0
             || (simple && !self.has_reservation(id) && pass.is_known_unplaceable(&spec, 1))
         {
@@ -520,20 +552,23 @@
         if only.is_none() && simple && found == 0 {
             pass.record_unplaceable(&spec, 1);
         }
-        let ready =
-            |x: &u32| job.backoff.get(x).is_none_or(|b| b.0 <= now) && !job.doubted.contains(*x);
+        let ready = |x: &u32| {
+            job.backoff.get(x).is_none_or(|b| b.0 <= now) && !job.unconfirmed.contains(*x)
+        };
         let tasks: Vec<u32> = job.pending.iter().filter(ready).take(found).collect();
         let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
         for (index, machine) in tasks.into_iter().zip(places) {
-            let attempt = self.next_attempt();
-            self.place(id, index, machine, attempt, now);
+            let attempt = self.next_attempt_number();
+            self.place_task(id, index, machine, attempt, now);
         }
         wanted - found
     }
 
     /// Whether room is kept for a job somewhere, as far as is known.
     fn has_reservation(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|j| j.kept_until > self.now)
+        self.jobs
+            .get(id)
+            .is_some_and(|j| j.reservable_until > self.now)
     }
 
     /// The zone with the most room for a job.
@@ -546,8 +581,8 @@
     ) -> Option<Arc<str>> {
         let mut room: HashMap<&Arc<str>, i64> = HashMap::new();
         for shelf in self
-            .rooms
-            .shelves
+            .capacity_index
+            .buckets
             .iter()
             .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
@@ -579,7 +614,7 @@
         let Some(m) = self.machines.get(machine) else {
             return Placements::new();
         };
-        let suspect = self.jobs.get(id).is_some_and(Job::suspect);
+        let suspect = self.jobs.get(id).is_some_and(Job::is_crash_looping);
         let most = if self.is_eligible_machine(m, spec) {
             self.tasks_that_fit(m, id, spec, suspect, now)
         } else {
@@ -591,7 +626,7 @@
         if most == 0 {
             return Placements::new();
         }
-        if spec.zoned() {
+        if spec.is_zone_constrained() {
             *zones.entry(m.zone.clone()).or_default() += most as u32;
         }
         vec![(machine.clone(), most)]
@@ -607,16 +642,16 @@
         n: usize,
         now: Micros,
     ) -> Placements {
-        let suspect = self.jobs.get(id).is_some_and(Job::suspect);
+        let suspect = self.jobs.get(id).is_some_and(Job::is_crash_looping);
         let mut seats = Placements::new();
         let mut left = n;
         let mut found: Vec<(bool, &Machine, i64)> = Vec::new();
-        for tier in &self.tiers {
+        for tier in &self.bucket_tiers {
             if left == 0 {
                 break;
             }
             found.clear();
-            for shelf in tier.iter().map(|i| &self.rooms.shelves[*i]) {
+            for shelf in tier.iter().map(|i| &self.capacity_index.buckets[*i]) {
                 if !self.is_eligible_bucket(spec, &shelf.kind)
                     || !is_zone_allowed(spec, zones, &shelf.kind.zone)
                 {
@@ -629,7 +664,7 @@
                 for m in open {
                     let most = self.tasks_that_fit(m, id, spec, suspect, now);
                     if most > 0 {
-                        found.push((!m.images.contains(&spec.image), m, most));
+                        found.push((!m.cached_images.contains(&spec.image), m, most));
                         if found.len() >= seen {
                             break;
                         }
@@ -643,7 +678,7 @@
                 if most == 0 {
                     continue;
                 }
-                if spec.zoned() {
+                if spec.is_zone_constrained() {
                     *zones.entry(m.zone.clone()).or_default() += most as u32;
                 }
                 seats.push((m.id.clone(), most));
@@ -663,22 +698,22 @@
         let Some(job) = self
             .jobs
             .get(id)
-            .filter(|j| j.pull.is_some() && !j.spec.zoned())
+            .filter(|j| j.downstream_demand.is_some() && !j.spec.is_zone_constrained())
         else {
             return;
         };
         let spec = job.spec.clone();
         let mut choices: Vec<(Reverse<usize>, &MachineId)> = Vec::new();
         for shelf in self
-            .rooms
-            .shelves
+            .capacity_index
+            .buckets
             .iter()
             .filter(|s| self.is_eligible_bucket(&spec, &s.kind))
         {
             for m in shelf.with_cpu(1).filter_map(|m| self.machines.get(m)) {
-                self.looks.set(self.looks.get() + 1);
+                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
                 if !spec.need.fits(&m.free())
-                    && m.kept(now).is_none()
+                    && m.active_reservation(now).is_none()
                     && self.can_host(m, id, &spec, &ZoneTaskCounts::new(), now)
                 {
                     choices.push((Reverse(m.attempts.len()), &m.id));
@@ -694,24 +729,24 @@
         for machine in held {
             self.reserve(
                 &machine,
-                Kept {
+                Reservation {
                     job: id.clone(),
                     tasks: 1,
-                    until: now + STAGE_RESERVATION,
+                    expires_at: now + STAGE_RESERVATION,
                 },
             );
         }
     }
 
     /// Keeps a machine's room for a job.
-    pub fn reserve(&mut self, machine: &MachineId, kept: Kept) {
+    pub fn reserve(&mut self, machine: &MachineId, kept: Reservation) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(&kept.job) {
-            job.kept_until = job.kept_until.max(kept.until);
+            job.reservable_until = job.reservable_until.max(kept.expires_at);
         }
-        m.kept = Some(kept);
+        m.reservation = Some(kept);
     }
 
     /// Places all missing tasks of a gang's attempt, or none.
@@ -719,13 +754,13 @@
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         // The next attempt begins only when nothing of the last one is on a machine any more.
-        let fresh = job.gang.is_none();
-        if (fresh && !job.live.is_empty())
-            || job.gang.as_ref().is_some_and(|g| g.stopping || g.running)
+        let fresh = job.gang_attempt.is_none();
+        if (fresh && !job.live_attempts.is_empty())
+            || job.gang_attempt.as_ref().is_some_and(|g| g.stopping || g.running)
             || job.backoff.values().any(|b| b.0 > now)
-            || job.trials(now) == 0
+            || job.allowed_probes(now) == 0
             // Its attempt may go on, on machines that have not been heard yet.
-            || !job.doubted.is_empty()
+            || !job.unconfirmed.is_empty()
         {
             return;
         }
@@ -734,18 +769,18 @@
             return;
         }
         let zones = self.zones_in_use(job);
-        let simple = fresh && job.blame.machines.is_empty();
+        let simple = fresh && job.failure_tracking.failed_machines.is_empty();
         let searched =
             !simple || self.has_reservation(id) || !pass.is_known_unplaceable(&spec, missing.len());
         if searched && let Some(seats) = self.fit_whole_gang(id, &spec, &zones, missing.len(), now)
         {
-            let attempt = match self.jobs.get(id).and_then(|j| j.gang.as_ref()) {
+            let attempt = match self.jobs.get(id).and_then(|j| j.gang_attempt.as_ref()) {
                 Some(g) => g.attempt,
-                None => self.next_attempt(),
+                None => self.next_attempt_number(),
             };
-            if let Some(j) = self.jobs.get_mut(id).filter(|j| j.gang.is_none()) {
-                let saga = Saga::flat(spec.tasks);
-                j.gang = Some(Gang {
+            if let Some(j) = self.jobs.get_mut(id).filter(|j| j.gang_attempt.is_none()) {
+                let saga = Saga::independent(spec.tasks);
+                j.gang_attempt = Some(GangAttempt {
                     attempt,
                     saga,
                     running: false,
@@ -754,7 +789,7 @@
             }
             let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
             for (index, machine) in missing.iter().copied().zip(places) {
-                self.place(id, index, machine, attempt, now);
+                self.place_task(id, index, machine, attempt, now);
             }
             return;
         }
@@ -779,21 +814,21 @@
     ) {
         let mut zones: BTreeMap<&Arc<str>, Vec<(bool, &MachineId, i64)>> = BTreeMap::new();
         for shelf in self
-            .rooms
-            .shelves
+            .capacity_index
+            .buckets
             .iter()
             .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
             let open = shelf.with_cpu(spec.need.cpu).take(CANDIDATES_PER_BUCKET);
             for m in open.filter_map(|m| self.machines.get(m)) {
-                let other = m.kept(now).is_some_and(|k| k.job != *id);
+                let other = m.active_reservation(now).is_some_and(|k| k.job != *id);
                 let most = if other {
                     0
                 } else {
                     self.tasks_that_fit(m, id, spec, false, now)
                 };
                 if most > 0 {
-                    let entry = (m.kept(now).is_none(), &m.id, most);
+                    let entry = (m.active_reservation(now).is_none(), &m.id, most);
                     zones.entry(&m.zone).or_default().push(entry);
                 }
             }
@@ -815,10 +850,10 @@
         for (machine, tasks) in keep {
             self.reserve(
                 &machine,
-                Kept {
+                Reservation {
                     job: id.clone(),
                     tasks,
-                    until: now + STAGE_RESERVATION,
+                    expires_at: now + STAGE_RESERVATION,
                 },
             );
         }
@@ -835,7 +870,11 @@
     ) -> Option<Placements> {
         let mut choices: Vec<Option<Arc<str>>> = vec![None];
         if spec.one_zone && zones.is_empty() {
-            let open = self.rooms.shelves.iter().filter(|s| s.any_open());
+            let open = self
+                .capacity_index
+                .buckets
+                .iter()
+                .filter(|s| s.has_schedulable());
             let mut all: Vec<Arc<str>> = open.map(|s| s.kind.zone.clone()).collect();
             all.sort();
             all.dedup();
@@ -852,21 +891,24 @@
     /// When a booting machine is expected to be up. One that is overdue is expected to take as long
     /// again as it is late; after twice the expected time it is no longer counted on.
     pub fn expected_up_at(&self, m: &Machine, now: Micros) -> Option<Micros> {
-        if self.dark.contains_key(&m.zone) {
+        if self.unreachable_zones.contains_key(&m.zone) {
             return None;
         }
-        let f = m.flavor?;
-        let usual = self.flavors[f].boot;
-        let boot = self.fleet.boots.expected(f, &m.zone, usual, now);
-        let expected = m.rented_at + boot;
+        let f = m.machine_type?;
+        let usual = self.machine_types[f].boot_time;
+        let boot = self
+            .fleet
+            .provisioning_times
+            .expected_boot_time(f, &m.zone, usual, now);
+        let expected = m.provisioned_at + boot;
         let late = now.saturating_sub(expected);
         (late <= boot.max(usual)).then(|| expected.max(now + late.max(2 * SECOND)))
     }
 
     /// Whether the job's own rules let its tasks go to a machine, wherever its others are.
     pub fn is_eligible_machine(&self, m: &Machine, spec: &JobSpec) -> bool {
-        m.flavor
-            .is_some_and(|f| spec.allows(&self.flavors[f].name, &m.zone, m.spot))
+        m.machine_type
+            .is_some_and(|f| spec.allows(&self.machine_types[f].name, &m.zone, m.spot))
     }
 
     /// Whether the job's tasks may go to a machine once it has room.
@@ -878,8 +920,8 @@
         zones: &ZoneTaskCounts,
         now: Micros,
     ) -> bool {
-        m.usable(now, self.settings.report)
-            && !m.failures.contains_key(id)
+        m.is_schedulable(now, self.settings.report)
+            && !m.failures_by_job.contains_key(id)
             && self.is_eligible_machine(m, spec)
             && is_zone_allowed(spec, zones, &m.zone)
     }
@@ -892,13 +934,13 @@
         if job.spec.shape == Shape::Service {
             return Micros::MAX;
         }
-        let running = attempt.phase == Phase::Running;
+        let running = attempt.phase == AttemptPhase::Running;
         let ran = if running {
-            now.saturating_sub(attempt.since)
+            now.saturating_sub(attempt.phase_since)
         } else {
             0
         };
-        let ran = ran + job.progress.get(&task.index).copied().unwrap_or(0);
+        let ran = ran + job.saved_progress.get(&task.index).copied().unwrap_or(0);
         // What runs longer than expected is expected to run for a while yet.
         now + self
             .expected_run(&job.spec)
--- a/crates/gannethub-core/src/scheduling/zones.rs
+++ b/crates/gannethub-core/src/scheduling/zones.rs
@@ -18,6 +18,6 @@
     if spec.one_zone && zones.keys().any(|z| **z != *zone) {
         return 0;
     }
-    spec.zone_cap()
+    spec.max_tasks_per_zone()
         .saturating_sub(zones.get(zone).copied().unwrap_or(0))
 }
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use crate::model::{Micros, Resources, Team, UNLIMITED, micros};
+use crate::model::{Micros, Resources, Team, UNLIMITED, micros_from_seconds};
 use crate::policy::{Policy, Setting};
 
 /// What a controller may have of a processor: with less than a thousandth it would answer nobody in time.
@@ -411,7 +411,7 @@
             objectives.push(Objective {
                 kind: o.kind.clone(),
                 class: o.class.clone(),
-                within: micros(self.amount(&at("within_s"), o.within_s)?),
+                within: micros_from_seconds(self.amount(&at("within_s"), o.within_s)?),
                 share: self.amount(&at("share"), o.share)?,
                 times: self.amount(&at("times"), o.times)?,
             });
@@ -425,7 +425,8 @@
         };
         let (state, next) = (&c.state, &c.state.next);
         let w = &c.workers;
-        let duration = |check: &Self, f: &str, x: f64| check.positive(f, x).map(micros);
+        let duration =
+            |check: &Self, f: &str, x: f64| check.positive(f, x).map(micros_from_seconds);
         let settings = Settings {
             name,
             zone: raw.area,
@@ -454,7 +455,9 @@
                 as usize,
             txn_ops: both(&self, "txn_ops", state.txn_ops, next.txn_ops)? as usize,
             cloud_rps: self.positive("cluster.cloud.rps", c.cloud.rps)?,
-            list_lag: micros(self.amount("cluster.cloud.list_lag_s", c.cloud.list_lag_s)?),
+            list_lag: micros_from_seconds(
+                self.amount("cluster.cloud.list_lag_s", c.cloud.list_lag_s)?,
+            ),
             max_connections: self
                 .positive("cluster.quota.max_connections", c.quota.max_connections)?
                 as usize,
--- a/crates/gannethub-core/src/state/capacity_index.rs
+++ b/crates/gannethub-core/src/state/capacity_index.rs
@@ -12,69 +12,69 @@
 
 /// What machines that cost the same and lie in one zone have in common.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub struct Kind {
+pub struct MachineKind {
     /// Number in the list of machine types.
-    pub flavor: usize,
+    pub machine_type: usize,
     pub zone: Arc<str>,
     pub spot: bool,
 }
 
 /// The machines of a kind.
 #[derive(Debug)]
-pub struct Shelf {
-    pub kind: Kind,
+pub struct CapacityBucket {
+    pub kind: MachineKind,
     /// Every machine known, whatever its state.
-    pub all: BTreeSet<MachineId>,
+    pub machines: BTreeSet<MachineId>,
     /// Those that tasks may be placed on, by free CPU in thousandths.
-    pub(crate) open: BTreeSet<(i64, MachineId)>,
+    pub(crate) schedulable: BTreeSet<(i64, MachineId)>,
 }
 
-impl Shelf {
+impl CapacityBucket {
     /// Machines that may be placed on and have at least so much CPU free, the fullest first.
     pub fn with_cpu(&self, cpu: i64) -> impl DoubleEndedIterator<Item = &MachineId> {
         let none: MachineId = Arc::from("");
-        self.open.range((cpu, none)..).map(|(_, id)| id)
+        self.schedulable.range((cpu, none)..).map(|(_, id)| id)
     }
 
-    pub fn any_open(&self) -> bool {
-        !self.open.is_empty()
+    pub fn has_schedulable(&self) -> bool {
+        !self.schedulable.is_empty()
     }
 }
 
 /// All kinds there are or have been. A machine keeps the number of its shelf.
 #[derive(Debug, Default)]
-pub struct Rooms {
-    pub shelves: Vec<Shelf>,
-    numbers: BTreeMap<Kind, usize>,
+pub struct CapacityIndex {
+    pub buckets: Vec<CapacityBucket>,
+    bucket_numbers: BTreeMap<MachineKind, usize>,
 }
 
-impl Rooms {
+impl CapacityIndex {
     /// A machine is known from now on. Returns the number of its shelf.
-    pub fn enter(&mut self, kind: Kind, id: MachineId) -> usize {
+    pub fn insert(&mut self, kind: MachineKind, id: MachineId) -> usize {
         let number = *self
-            .numbers
+            .bucket_numbers
             .entry(kind.clone())
-            .or_insert(self.shelves.len());
-        if number == self.shelves.len() {
-            self.shelves.push(Shelf {
+            .or_insert(self.buckets.len());
+        if number == self.buckets.len() {
+            self.buckets.push(CapacityBucket {
                 kind,
-                all: BTreeSet::new(),
-                open: BTreeSet::new(),
+                machines: BTreeSet::new(),
+                schedulable: BTreeSet::new(),
             });
         }
-        self.shelves[number].all.insert(id);
+        self.buckets[number].machines.insert(id);
         number
     }
 
     /// A machine is gone, which stood open with so much free CPU.
-    pub fn leave(&mut self, number: usize, id: &MachineId, open: Option<i64>) {
-        self.shift(number, id, open, None);
-        self.shelves[number].all.remove(id);
+    pub fn remove(&mut self, number: usize, id: &MachineId, open: Option<i64>) {
+        self.update(number, id, open, None);
+        self.buckets[number].machines.remove(id);
     }
 
     /// What is free on a machine has changed, or whether it may be placed on.
-    pub fn shift(&mut self, number: usize, id: &MachineId, old: Option<i64>, new: Option<i64>) {
-        let open = &mut self.shelves[number].open;
+    pub fn update(&mut self, number: usize, id: &MachineId, old: Option<i64>, new: Option<i64>) {
+        let open = &mut self.buckets[number].schedulable;
         if let Some(cpu) = old {
             open.remove(&(cpu, id.clone()));
         }
@@ -84,14 +84,14 @@
     }
 
     /// How many machines of a kind are known.
-    pub fn held(&self, flavor: usize, zone: &str, spot: bool) -> usize {
-        let kind = Kind {
-            flavor,
+    pub fn machine_count(&self, flavor: usize, zone: &str, spot: bool) -> usize {
+        let kind = MachineKind {
+            machine_type: flavor,
             zone: zone.into(),
             spot,
         };
-        self.numbers
+        self.bucket_numbers
             .get(&kind)
-            .map_or(0, |n| self.shelves[*n].all.len())
+            .map_or(0, |n| self.buckets[*n].machines.len())
     }
 }
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -2,24 +2,24 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::provisioning_times::Boots;
-use crate::model::{Flavor, Micros};
+use super::provisioning_times::ProvisioningTimes;
+use crate::model::{MachineType, Micros};
 use crate::wire::cloud::{CloudRequest, Listed};
 
 /// When the cloud last had no machine for an offer.
 #[derive(Clone, Copy, Debug)]
-pub struct Refusal {
+pub struct OfferRefusal {
     pub(crate) at: Micros,
     pub(crate) until: Micros,
-    pub(crate) times: u32,
+    pub(crate) consecutive: u32,
     /// How many machines of the offer were rented then.
-    pub(crate) held: usize,
+    pub(crate) machines_held: usize,
 }
 
 /// A kind of machine that can be asked for.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct Offer {
-    pub flavor: usize,
+    pub machine_type: usize,
     pub zone: String,
     pub spot: bool,
 }
@@ -27,11 +27,11 @@
 /// A call to the cloud and what it is for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
-    Flavors,
+    MachineTypes,
     List {
         after: String,
     },
-    Rent {
+    Provision {
         name: String,
         offer: Offer,
         count: u32,
@@ -45,58 +45,58 @@
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) term: u64,
-    pub(crate) requests: u64,
-    pub(crate) tokens: f64,
+    pub(crate) request_count: u64,
+    pub(crate) rate_tokens: f64,
     pub(crate) rate: f64,
-    pub(crate) refilled: Micros,
-    pub renting: BTreeMap<String, (Offer, u32)>,
-    pub(crate) refusals: HashMap<Offer, Refusal>,
+    pub(crate) refilled_at: Micros,
+    pub pending_provisions: BTreeMap<String, (Offer, u32)>,
+    pub(crate) refusals: HashMap<Offer, OfferRefusal>,
     pub(crate) paused_until: Micros,
-    pub(crate) listing: bool,
-    pub(crate) next_list: Micros,
-    pub(crate) next_flavors: Micros,
-    pub(crate) next_summary: Micros,
-    pub(crate) list_after: String,
-    pub(crate) list_seen: Vec<Listed>,
-    pub(crate) retry: Vec<CloudCall>,
-    pub(crate) deleting: bool,
-    pub(crate) next_move: Micros,
-    pub boots: Boots,
+    pub(crate) listing_in_flight: bool,
+    pub(crate) next_listing_at: Micros,
+    pub(crate) next_machine_types_at: Micros,
+    pub(crate) next_summary_at: Micros,
+    pub(crate) listing_cursor: String,
+    pub(crate) listing_entries: Vec<Listed>,
+    pub(crate) calls_to_retry: Vec<CloudCall>,
+    pub(crate) delete_in_flight: bool,
+    pub(crate) next_move_at: Micros,
+    pub provisioning_times: ProvisioningTimes,
     /// Machines confirmed as deleted, and when: a lagging list may still show them, and reports
     /// that were held back in the network may come minutes later.
-    pub removed: HashMap<String, Micros>,
+    pub deleted_machines: HashMap<String, Micros>,
 }
 
 impl Fleet {
     pub fn new(term: u64, rps: f64) -> Fleet {
         Fleet {
             term,
-            requests: 0,
-            tokens: rps,
+            request_count: 0,
+            rate_tokens: rps,
             // Siblings may ask for the machine types now and then.
             rate: rps * 0.85,
-            refilled: 0,
-            renting: BTreeMap::new(),
+            refilled_at: 0,
+            pending_provisions: BTreeMap::new(),
             refusals: HashMap::new(),
             paused_until: 0,
-            listing: false,
-            next_list: 0,
-            next_flavors: 0,
-            next_summary: 0,
-            list_after: String::new(),
-            list_seen: Vec::new(),
-            retry: Vec::new(),
-            deleting: false,
-            next_move: 0,
-            boots: Boots::default(),
-            removed: HashMap::new(),
+            listing_in_flight: false,
+            next_listing_at: 0,
+            next_machine_types_at: 0,
+            next_summary_at: 0,
+            listing_cursor: String::new(),
+            listing_entries: Vec::new(),
+            calls_to_retry: Vec::new(),
+            delete_in_flight: false,
+            next_move_at: 0,
+            provisioning_times: ProvisioningTimes::default(),
+            deleted_machines: HashMap::new(),
         }
     }
 
     /// Takes a request's worth of the rate, leaving `keep` for more urgent calls.
-    pub(crate) fn may_call(&mut self, keep: f64) -> bool {
-        if self.tokens >= 1.0 + keep {
-            self.tokens -= 1.0;
+    pub(crate) fn try_take_token(&mut self, keep: f64) -> bool {
+        if self.rate_tokens >= 1.0 + keep {
+            self.rate_tokens -= 1.0;
             return true;
         }
         false
@@ -104,15 +104,15 @@
 }
 
 impl CloudCall {
-    pub fn request(&self, flavors: &[Flavor]) -> CloudRequest {
+    pub fn to_request(&self, flavors: &[MachineType]) -> CloudRequest {
         match self {
-            CloudCall::Flavors => CloudRequest::flavors(),
+            CloudCall::MachineTypes => CloudRequest::flavors(),
             CloudCall::List { after } => CloudRequest::list(after),
             CloudCall::Delete { machines } => CloudRequest::delete(machines),
-            CloudCall::Rent {
+            CloudCall::Provision {
                 name, offer, count, ..
             } => {
-                let flavor = &flavors[offer.flavor].name;
+                let flavor = &flavors[offer.machine_type].name;
                 CloudRequest::rent(name, flavor, &offer.zone, offer.spot, *count)
             }
         }
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -11,8 +11,8 @@
 
 use serde::Deserialize;
 
-use crate::model::{JobId, Ranges};
-use crate::state::pipeline::{Fate, Links};
+use crate::model::{JobId, TaskSet};
+use crate::state::pipeline::{DependencyGraph, DependencyOutcome};
 use crate::wire::api::{JobView, Status};
 use crate::wire::configuration::CURRENT;
 use crate::wire::store::{Change, Followed, Item, LIVE, Listing, decode_done, decode_ids};
@@ -22,7 +22,7 @@
 
 /// What a query needs of a job's record.
 #[derive(Deserialize)]
-struct Brief {
+struct JobSummary {
     spec: BriefSpec,
     #[serde(default)]
     done: String,
@@ -54,26 +54,26 @@
 
 /// What the copy says of a job.
 #[derive(Debug, PartialEq)]
-pub enum Found {
+pub enum JobLookup {
     /// Alive, or over for good.
     Job(JobView),
     /// Not alive; nobody has asked yet whether it is over.
     NotLive,
     /// It waits for others, and the end of one that somebody waits for has not been read yet.
-    Unsure,
+    DependencyUnknown,
     /// It was never submitted.
-    Absent,
+    NeverSubmitted,
 }
 
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct JobReplica {
     /// The version the copy is true to; `None` until everything has been read.
     at: Option<u64>,
     /// The version at which reading everything began.
     reading: Option<u64>,
     live: HashMap<JobId, Live>,
     /// Who waits for whom: a waiting job is cancelled with any that it needs.
-    pub links: Links,
+    pub dependencies: DependencyGraph,
     over: HashMap<JobId, JobView>,
     absent: HashSet<JobId>,
     /// Cancellations that were stored or read here and that the copy does not show yet, with their versions.
@@ -82,14 +82,14 @@
     fresh: Vec<JobId>,
 }
 
-impl Mirror {
+impl JobReplica {
     /// The version from which changes are to be read; `None` if everything has to be.
-    pub fn at(&self) -> Option<u64> {
+    pub fn version(&self) -> Option<u64> {
         self.at
     }
 
     /// The final state of a job, if it is known to be over. It holds at any time.
-    pub fn ended(&self, id: &str) -> Option<&JobView> {
+    pub fn final_view(&self, id: &str) -> Option<&JobView> {
         self.over.get(id)
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// A job's final state has been read or written.
-    pub fn end(&mut self, id: JobId, view: JobView) {
+    pub fn record_end(&mut self, id: JobId, view: JobView) {
         if self.over.len() >= REMEMBERED {
             self.over.clear();
         }
@@ -106,7 +106,7 @@
     }
 
     /// The cancellation of a live job was stored or read here, at this version, and its user is told.
-    pub fn cancelled(&mut self, id: JobId, stamp: u64) {
+    pub fn record_cancellation(&mut self, id: JobId, stamp: u64) {
         self.fresh.push(id.clone());
         if self.at.is_none_or(|at| at < stamp) {
             self.told.insert(id, stamp);
@@ -115,7 +115,7 @@
 
     /// What has become known to be cancelled since this was last asked for. Users are told that from here on, so whoever
     /// holds machines in this process must not be the last to know.
-    pub fn fresh(&mut self) -> Vec<JobId> {
+    pub fn take_new_cancellations(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.fresh)
     }
 
@@ -134,7 +134,7 @@
 
     /// The job was neither alive nor over at this version. That holds until a change shows it, if
     /// all later changes are still to come.
-    pub fn miss(&mut self, id: JobId, stamp: u64) {
+    pub fn record_absent(&mut self, id: JobId, stamp: u64) {
         if self.at.is_none_or(|at| at > stamp) {
             return;
         }
@@ -145,60 +145,63 @@
     }
 
     /// What the copy says, as of the version it is true to.
-    pub fn find(&self, id: &str) -> Found {
+    pub fn lookup(&self, id: &str) -> JobLookup {
         if let Some(view) = self.over.get(id) {
-            return Found::Job(view.clone());
+            return JobLookup::Job(view.clone());
         }
         match self.live.get_key_value(id) {
             Some((id, l)) if l.waiting && !l.cancelled => {
-                if self.links.is_cancelled(id) {
-                    return Found::Job(JobView::new(Status::Cancelled, 0));
+                if self.dependencies.is_cancelled(id) {
+                    return JobLookup::Job(JobView::new(Status::Cancelled, 0));
                 }
-                if !self.links.complete_for(id) {
-                    return Found::Unsure;
+                if !self.dependencies.is_complete_for(id) {
+                    return JobLookup::DependencyUnknown;
                 }
-                Found::Job(JobView {
-                    waits_on: self.links.open(id),
+                JobLookup::Job(JobView {
+                    waits_on: self.dependencies.open_dependencies(id),
                     ..l.view()
                 })
             }
-            Some((_, l)) => Found::Job(l.view()),
-            None if self.absent.contains(id) => Found::Absent,
-            None => Found::NotLive,
+            Some((_, l)) => JobLookup::Job(l.view()),
+            None if self.absent.contains(id) => JobLookup::NeverSubmitted,
+            None => JobLookup::NotLive,
         }
     }
 
     /// What is known of a job that another one names. All but [`Fate::Unknown`] shows that it was
     /// accepted, and an end never changes.
-    pub fn fate(&self, id: &JobId) -> Fate {
+    pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
         match recorded(&self.over, &self.live, id) {
-            Fate::Alive if self.links.is_cancelled(id) => Fate::Cancelled,
+            DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
+                DependencyOutcome::Cancelled
+            }
             fate => fate,
         }
     }
 
     /// The end of a job that others wait for has been read.
-    pub fn upstream_over(&mut self, id: JobId, view: JobView) {
-        self.links.ended(&id, view.status == Status::Cancelled);
-        self.end(id, view);
+    pub fn record_upstream_end(&mut self, id: JobId, view: JobView) {
+        self.dependencies
+            .mark_ended(&id, view.status == Status::Cancelled);
+        self.record_end(id, view);
     }
 
     /// Changes were missed: everything has to be read again.
-    pub fn lost(&mut self) {
+    pub fn reset(&mut self) {
         self.at = None;
         self.reading = None;
         self.live.clear();
-        self.links = Links::default();
+        self.dependencies = DependencyGraph::default();
         self.absent.clear();
     }
 
     /// The next page is the first one.
-    pub fn begins(&self) -> bool {
+    pub fn is_at_first_page(&self) -> bool {
         self.reading.is_none()
     }
 
     /// Takes in a page of all live jobs. Returns the key after which the next page begins.
-    pub fn listed(&mut self, listing: &Listing) -> Option<String> {
+    pub fn apply_listing_page(&mut self, listing: &Listing) -> Option<String> {
         let began = *self.reading.get_or_insert(listing.ledger_no);
         listing.items.iter().for_each(|item| self.read(item));
         let last = listing.items.last().filter(|_| listing.truncated);
@@ -214,33 +217,33 @@
         if item.k == CURRENT {
             return;
         }
-        if let (Some(id), Some(brief)) = (item.k.strip_prefix(LIVE), item.record::<Brief>()) {
+        if let (Some(id), Some(brief)) = (item.k.strip_prefix(LIVE), item.record::<JobSummary>()) {
             self.alive(id.into(), &brief, item.stamp);
         }
     }
 
     /// Takes in what a live job's record says.
-    fn alive(&mut self, id: JobId, brief: &Brief, stamp: u64) {
-        self.links.alive(&id);
+    fn alive(&mut self, id: JobId, brief: &JobSummary, stamp: u64) {
+        self.dependencies.mark_live(&id);
         if brief.cancelled && self.live.get(&id).is_none_or(|l| !l.cancelled) {
             self.fresh.push(id.clone());
         }
         if let Some(w) = &brief.waiting {
             let upstream = decode_ids(&w.on);
             let (over, live) = (&self.over, &self.live);
-            self.links
-                .add(&id, &upstream, brief.cancelled, |u| recorded(over, live, u));
+            self.dependencies
+                .add_waiting(&id, &upstream, brief.cancelled, |u| recorded(over, live, u));
         } else {
-            self.links.released(&id);
+            self.dependencies.mark_released(&id);
             if brief.cancelled {
-                self.links.cancel(&id);
+                self.dependencies.cancel(&id);
             }
         }
         self.live.insert(id, Live::new(brief, stamp));
     }
 
     /// Takes in all changes since [`Mirror::at`].
-    pub fn followed(&mut self, followed: &Followed) {
+    pub fn apply_changes(&mut self, followed: &Followed) {
         for change in &followed.log {
             self.change(change);
         }
@@ -255,7 +258,7 @@
         }
         if let Some(id) = change.write.as_deref().and_then(|k| k.strip_prefix(LIVE)) {
             let text = change.v.as_deref().map_or("null", |v| v.get());
-            match serde_json::from_str::<Brief>(text) {
+            match serde_json::from_str::<JobSummary>(text) {
                 Ok(brief) => {
                     self.absent.remove(id);
                     self.alive(id.into(), &brief, change.stamp);
@@ -268,27 +271,31 @@
         if let Some(id) = change.delete.as_deref().and_then(|k| k.strip_prefix(LIVE)) {
             self.absent.remove(id);
             match self.live.remove_entry(id) {
-                Some((id, live)) => self.upstream_over(id, live.over()),
-                None => self.links.lost_sight(&id.into()),
+                Some((id, live)) => self.record_upstream_end(id, live.over()),
+                None => self.dependencies.mark_outcome_unknown(&id.into()),
             }
         }
     }
 }
 
 /// What a job's own record says, live or over.
-fn recorded(over: &HashMap<JobId, JobView>, live: &HashMap<JobId, Live>, id: &JobId) -> Fate {
+fn recorded(
+    over: &HashMap<JobId, JobView>,
+    live: &HashMap<JobId, Live>,
+    id: &JobId,
+) -> DependencyOutcome {
     match (over.get(id), live.get(id)) {
-        (Some(v), _) if v.status == Status::Cancelled => Fate::Cancelled,
-        (Some(_), _) => Fate::Done,
-        (None, Some(l)) if l.cancelled => Fate::Cancelled,
-        (None, Some(_)) => Fate::Alive,
-        (None, None) => Fate::Unknown,
+        (Some(v), _) if v.status == Status::Cancelled => DependencyOutcome::Cancelled,
+        (Some(_), _) => DependencyOutcome::Done,
+        (None, Some(l)) if l.cancelled => DependencyOutcome::Cancelled,
+        (None, Some(_)) => DependencyOutcome::Live,
+        (None, None) => DependencyOutcome::Unknown,
     }
 }
 
 impl Live {
-    fn new(brief: &Brief, stamp: u64) -> Live {
-        let mut done = Ranges::default();
+    fn new(brief: &JobSummary, stamp: u64) -> Live {
+        let mut done = TaskSet::default();
         decode_done(&brief.done, 0, &mut done);
         let (tasks, waiting) = (brief.spec.tasks, brief.waiting.is_some());
         Live {
--- a/crates/gannethub-core/src/state/kill_orders.rs
+++ b/crates/gannethub-core/src/state/kill_orders.rs
@@ -8,27 +8,27 @@
 
 /// Attempts to be halted on one machine.
 #[derive(Debug, Default)]
-pub struct Halt {
+pub struct KillOrder {
     /// When the last of them was called off.
     pub since: Micros,
     pub attempts: Vec<(TaskId, u64)>,
     /// One of them does not run yet, and would start after its user was told.
-    pub starting: bool,
+    pub has_unstarted: bool,
 }
 
 /// All that is to be told, and how many machines may be told.
 #[derive(Debug)]
-pub(crate) struct Halts {
-    pub due: BTreeMap<MachineId, Halt>,
-    pub may: Bucket,
+pub(crate) struct KillOrders {
+    pub pending: BTreeMap<MachineId, KillOrder>,
+    pub rate_limit: Bucket,
 }
 
-impl Halts {
+impl KillOrders {
     /// So many machines may be told a second.
-    pub fn new(rate: f64) -> Halts {
-        Halts {
-            due: BTreeMap::new(),
-            may: Bucket::new(rate),
+    pub fn new(rate: f64) -> KillOrders {
+        KillOrders {
+            pending: BTreeMap::new(),
+            rate_limit: Bucket::new(rate),
         }
     }
 }
--- a/crates/gannethub-core/src/state/pipeline.rs
+++ b/crates/gannethub-core/src/state/pipeline.rs
@@ -17,14 +17,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use super::records::Pull;
+use super::records::DownstreamDemand;
 use crate::model::{JobId, JobSpec, Micros};
-use crate::saga::{Action, Saga, State};
+use crate::saga::{AbortAction, Saga, SagaState};
 
 /// What is known of a job that another one names.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Fate {
-    Alive,
+pub enum DependencyOutcome {
+    Live,
     Done,
     Cancelled,
     /// Not alive as far as is known; its end has not been read.
@@ -33,49 +33,52 @@
 
 /// What a cancellation or an end leads to.
 #[derive(Debug, Default, PartialEq)]
-pub struct Consequences {
+pub struct PipelineEffects {
     pub released: Vec<JobId>,
     pub cancelled: Vec<JobId>,
 }
 
 /// Who waits for whom.
 #[derive(Debug)]
-pub struct Links {
+pub struct DependencyGraph {
     pub(crate) saga: Saga<JobId>,
     /// Jobs that others wait for, whose ends have to be read.
-    pub(crate) unknown: BTreeSet<JobId>,
+    pub(crate) unknown_outcomes: BTreeSet<JobId>,
 }
 
-impl Default for Links {
-    fn default() -> Links {
-        Links {
-            saga: Saga::standing(),
-            unknown: BTreeSet::new(),
+impl Default for DependencyGraph {
+    fn default() -> DependencyGraph {
+        DependencyGraph {
+            saga: Saga::open_ended(),
+            unknown_outcomes: BTreeSet::new(),
         }
     }
 }
 
-impl Links {
+impl DependencyGraph {
     /// A job that waits. Its list never changes, so only the first time counts.
-    pub fn add(
+    pub fn add_waiting(
         &mut self,
         id: &JobId,
         upstream: &[JobId],
         cancelled: bool,
-        fate: impl Fn(&JobId) -> Fate,
-    ) -> Consequences {
-        self.unknown.remove(id);
+        fate: impl Fn(&JobId) -> DependencyOutcome,
+    ) -> PipelineEffects {
+        self.unknown_outcomes.remove(id);
         let mut lost = cancelled;
-        if !matches!(self.saga.element(id), Some(State::Waiting | State::Aborted)) {
+        if !matches!(
+            self.saga.element_state(id),
+            Some(SagaState::Waiting | SagaState::Aborted)
+        ) {
             let mut open = Vec::new();
             for u in upstream {
                 match fate(u) {
-                    Fate::Done => continue,
-                    Fate::Cancelled => lost = true,
-                    Fate::Unknown => {
-                        self.unknown.insert(u.clone());
+                    DependencyOutcome::Done => continue,
+                    DependencyOutcome::Cancelled => lost = true,
+                    DependencyOutcome::Unknown => {
+                        self.unknown_outcomes.insert(u.clone());
                     }
-                    Fate::Alive => {}
+                    DependencyOutcome::Live => {}
                 }
                 open.push(u.clone());
             }
@@ -84,103 +87,103 @@
         if lost {
             self.cancel(id)
         } else {
-            Consequences::default()
+            PipelineEffects::default()
         }
     }
 
     /// A job that others wait for is alive after all.
-    pub fn alive(&mut self, id: &JobId) {
-        self.unknown.remove(id);
+    pub fn mark_live(&mut self, id: &JobId) {
+        self.unknown_outcomes.remove(id);
     }
 
     /// A live job that others wait for is gone, and nothing tells how it ended.
-    pub fn lost_sight(&mut self, id: &JobId) {
-        if self.saga.element(id).is_some() {
-            self.unknown.insert(id.clone());
+    pub fn mark_outcome_unknown(&mut self, id: &JobId) {
+        if self.saga.element_state(id).is_some() {
+            self.unknown_outcomes.insert(id.clone());
         }
     }
 
     /// A job has been cancelled, and with it all that wait for it.
-    pub fn cancel(&mut self, id: &JobId) -> Consequences {
+    pub fn cancel(&mut self, id: &JobId) -> PipelineEffects {
         let cancelled = self.saga.abort_element(id).into_iter().map(|a| match a {
-            Action::Cancel(id) | Action::Compensate(id) => id,
+            AbortAction::Cancel(id) | AbortAction::Compensate(id) => id,
         });
-        Consequences {
+        PipelineEffects {
             cancelled: cancelled.collect(),
             released: Vec::new(),
         }
     }
 
     /// A job that waited has been released: its record says that all it waited for is done.
-    pub fn released(&mut self, id: &JobId) {
+    pub fn mark_released(&mut self, id: &JobId) {
         self.saga.release(id);
         if self.saga.downstream(id).next().is_none() {
-            self.saga.forget(id);
+            self.saga.remove(id);
         }
     }
 
     /// A job is over, as the state service has it.
-    pub fn ended(&mut self, id: &JobId, cancelled: bool) -> Consequences {
-        self.unknown.remove(id);
-        if self.saga.element(id).is_none() {
-            return Consequences::default();
+    pub fn mark_ended(&mut self, id: &JobId, cancelled: bool) -> PipelineEffects {
+        self.unknown_outcomes.remove(id);
+        if self.saga.element_state(id).is_none() {
+            return PipelineEffects::default();
         }
         let consequences = if cancelled {
             self.cancel(id)
         } else {
-            self.released(id);
-            Consequences {
+            self.mark_released(id);
+            PipelineEffects {
                 released: self.saga.commit(id),
                 cancelled: Vec::new(),
             }
         };
-        self.saga.forget(id);
+        self.saga.remove(id);
         consequences
     }
 
     /// A waiting job is cancelled, itself or with one that it needs.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
-        self.saga.element(id) == Some(State::Aborted)
+        self.saga.element_state(id) == Some(SagaState::Aborted)
     }
 
     /// All jobs that it waited for are done.
     pub(crate) fn is_ready(&self, id: &JobId) -> bool {
-        self.saga.element(id) == Some(State::Active)
+        self.saga.element_state(id) == Some(SagaState::Active)
     }
 
     /// What a job waits for still.
-    pub fn open(&self, id: &JobId) -> Vec<JobId> {
-        self.saga.open(id).cloned().collect()
+    pub fn open_dependencies(&self, id: &JobId) -> Vec<JobId> {
+        self.saga.open_upstream(id).cloned().collect()
     }
 
     /// Jobs whose ends have to be read.
-    pub fn unknown(&self) -> impl Iterator<Item = &JobId> {
-        self.unknown.iter()
+    pub fn unknown_outcomes(&self) -> impl Iterator<Item = &JobId> {
+        self.unknown_outcomes.iter()
     }
 
     /// Every job that is named is alive, or it is known how it ended.
-    pub fn complete(&self) -> bool {
-        self.unknown.is_empty()
+    pub fn is_complete(&self) -> bool {
+        self.unknown_outcomes.is_empty()
     }
 
     /// The same of all jobs that this one needs, directly or through others.
-    pub fn complete_for(&self, id: &JobId) -> bool {
-        if self.complete() {
+    pub fn is_complete_for(&self, id: &JobId) -> bool {
+        if self.is_complete() {
             return true;
         }
         let mut seen = BTreeSet::from([id]);
         let mut left = vec![id];
         while let Some(id) = left.pop() {
-            if self.unknown.contains(id) {
+            if self.unknown_outcomes.contains(id) {
                 return false;
             }
-            left.extend(self.saga.open(id).filter(|u| seen.insert(u)));
+            left.extend(self.saga.open_upstream(id).filter(|u| seen.insert(u)));
         }
         true
     }
 
     /// Jobs that wait for others or are waited for, those downstream before those upstream.
-    pub(crate) fn ends_first(&self) -> Vec<&JobId> {
+    pub(crate) fn downstream_first(&self) -> Vec<&JobId> {
         let mut left: HashMap<&JobId, usize> = self
             .saga
             .keys()
@@ -191,7 +194,7 @@
         let mut next = 0;
         while let Some(id) = order.get(next).copied() {
             next += 1;
-            for u in self.saga.open(id) {
+            for u in self.saga.open_upstream(id) {
                 if let Some(n) = left.get_mut(u) {
                     *n -= 1;
                     if *n == 0 {
@@ -206,28 +209,28 @@
 
 /// A job that waits for others, as the leader keeps it.
 #[derive(Debug)]
-pub struct Waiting {
+pub struct WaitingJob {
     pub spec: Arc<JobSpec>,
-    pub at: u64,
-    pub(crate) stamp: u64,
-    pub(crate) on: String,
+    pub accepted_at: u64,
+    pub(crate) version: u64,
+    pub(crate) upstream_ids: String,
     /// What jobs that wait for it ask of it.
-    pub pull: Option<Pull>,
+    pub downstream_demand: Option<DownstreamDemand>,
     /// Its own record says that it is cancelled.
-    pub(crate) marked: bool,
-    pub(crate) writing: bool,
-    pub(crate) unsure: bool,
+    pub(crate) cancellation_recorded: bool,
+    pub(crate) write_in_flight: bool,
+    pub(crate) version_unknown: bool,
 }
 
 /// All jobs that wait, as the leader sees them.
 #[derive(Debug, Default)]
 pub struct Pipelines {
-    pub waiting: BTreeMap<JobId, Waiting>,
-    pub links: Links,
+    pub waiting: BTreeMap<JobId, WaitingJob>,
+    pub dependencies: DependencyGraph,
     /// Waiting jobs about which something is to be written.
-    pub(crate) todo: BTreeSet<JobId>,
+    pub(crate) pending_writes: BTreeSet<JobId>,
     /// Who waits for whom has changed since the pulls were worked out.
-    pub(crate) changed: bool,
-    pub(crate) pulled_at: Micros,
-    pub(crate) pulled: Vec<JobId>,
+    pub(crate) dependencies_changed: bool,
+    pub(crate) demand_computed_at: Micros,
+    pub(crate) jobs_with_demand: Vec<JobId>,
 }
--- a/crates/gannethub-core/src/state/provisioning_times.rs
+++ b/crates/gannethub-core/src/state/provisioning_times.rs
@@ -19,7 +19,7 @@
 const STEP: f64 = 0.4;
 /// A machine is late when it has taken so much longer than expected, and then taken to need so
 /// much more.
-pub const LATE_AFTER: f64 = 1.6;
+pub const OVERDUE_FACTOR: f64 = 1.6;
 const LATE_MEANS: f64 = 2.0;
 const ORDINARY: f64 = 0.3;
 const ORDINARY_LOST: f64 = 0.1;
@@ -36,14 +36,14 @@
 }
 
 /// A machine's type, by number, and its zone.
-pub type Place = (usize, String);
+pub type Location = (usize, String);
 
 #[derive(Debug, Default)]
-pub struct Boots {
-    seen: HashMap<Place, Seen>,
+pub struct ProvisioningTimes {
+    seen: HashMap<Location, Seen>,
 }
 
-impl Boots {
+impl ProvisioningTimes {
     fn now(&self, flavor: usize, zone: &str, now: Micros) -> Seen {
         // A look-up without copying the name would need a second map; there are few places.
         let Some(s) = self.seen.get(&(flavor, zone.to_string())) else {
@@ -84,12 +84,25 @@
     }
 
     /// How long a machine is expected to take whose type usually takes `usual`.
-    pub fn expected(&self, flavor: usize, zone: &str, usual: Micros, now: Micros) -> Micros {
+    pub fn expected_boot_time(
+        &self,
+        flavor: usize,
+        zone: &str,
+        usual: Micros,
+        now: Micros,
+    ) -> Micros {
         (usual as f64 * self.news(flavor, zone, now).factor) as Micros
     }
 
     /// A machine came up after `took`.
-    pub fn up(&mut self, flavor: usize, zone: &str, usual: Micros, took: Micros, now: Micros) {
+    pub fn record_boot(
+        &mut self,
+        flavor: usize,
+        zone: &str,
+        usual: Micros,
+        took: Micros,
+        now: Micros,
+    ) {
         let factor = took as f64 / usual.max(1) as f64;
         self.learn((flavor, zone), now, |s| {
             s.factor += UP * (factor - s.factor).clamp(-STEP, STEP);
@@ -98,20 +111,20 @@
     }
 
     /// A machine is late.
-    pub fn late(&mut self, flavor: usize, zone: &str, now: Micros) {
+    pub fn record_overdue(&mut self, flavor: usize, zone: &str, now: Micros) {
         self.learn((flavor, zone), now, |s| {
             s.factor += LATE * (LATE_MEANS - 1.0) * s.factor;
         });
     }
 
     /// A machine is given up: it never came up.
-    pub fn lost(&mut self, flavor: usize, zone: &str, now: Micros) {
+    pub fn record_lost(&mut self, flavor: usize, zone: &str, now: Micros) {
         self.learn((flavor, zone), now, |s| s.lost += LOST * (1.0 - s.lost));
     }
 
     /// By how much boots make a machine dearer than its price: what is paid for longer boots, and
     /// for machines that are given up after `patience`.
-    pub fn dearer(
+    pub fn price_factor(
         &self,
         flavor: usize,
         zone: &str,
--- a/crates/gannethub-core/src/state/shard.rs
+++ b/crates/gannethub-core/src/state/shard.rs
@@ -12,7 +12,7 @@
 
 /// A machine as its block records it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ShardMember {
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
@@ -25,13 +25,13 @@
     pub term: u64,
     /// The controller that holds the lease.
     pub holder: String,
-    pub machines: BTreeMap<String, Member>,
+    pub machines: BTreeMap<String, ShardMember>,
 }
 
 /// Removals that a chunk gathers before they are written beside other work.
 const REMOVALS: usize = 8;
 
-impl Member {
+impl ShardMember {
     /// What it takes of a chunk's value, at most.
     fn bytes(&self, name: &str) -> usize {
         name.len() + self.flavor.len() + self.zone.len() + 50
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 struct Chunk {
     stamp: u64,
-    machines: BTreeMap<String, Member>,
+    machines: BTreeMap<String, ShardMember>,
     bytes: usize,
     /// Machines were added: nothing can be placed on them before that is written.
     added: bool,
@@ -53,12 +53,12 @@
 }
 
 impl Chunk {
-    fn insert(&mut self, name: &str, member: Member) {
+    fn insert(&mut self, name: &str, member: ShardMember) {
         self.bytes += member.bytes(name);
         self.machines.insert(name.into(), member);
     }
 
-    fn remove(&mut self, name: &str) -> Option<Member> {
+    fn remove(&mut self, name: &str) -> Option<ShardMember> {
         let member = self.machines.remove(name)?;
         self.bytes -= member.bytes(name);
         Some(member)
@@ -67,7 +67,7 @@
 
 /// A block as its holder sees it.
 #[derive(Debug)]
-pub struct Block {
+pub struct Shard {
     pub id: u32,
     pub term: u64,
     pub holder: String,
@@ -78,11 +78,11 @@
     place: HashMap<String, usize>,
 }
 
-impl Block {
-    pub fn new(id: u32, term: u64, holder: &str, value_bytes: usize, chunk: usize) -> Block {
+impl Shard {
+    pub fn new(id: u32, term: u64, holder: &str, value_bytes: usize, chunk: usize) -> Shard {
         let room = value_bytes.saturating_sub(150 + holder.len());
         let place = HashMap::new();
-        Block {
+        Shard {
             id,
             term,
             holder: holder.into(),
@@ -93,12 +93,12 @@
         }
     }
 
-    pub fn key(&self, chunk: usize) -> String {
+    pub fn chunk_key(&self, chunk: usize) -> String {
         format!("{BLOCK}{}/{chunk}", self.id)
     }
 
     /// The chunk that `key` names, if it is one of this block's.
-    pub fn chunk_of_key(&self, key: &str) -> Option<usize> {
+    pub fn parse_chunk_key(&self, key: &str) -> Option<usize> {
         let rest = key
             .strip_prefix(BLOCK)?
             .strip_prefix(&self.id.to_string())?;
@@ -110,7 +110,7 @@
 
     /// Takes over what a chunk holds. A machine that another chunk holds as well was on its way from
     /// one to the other; it stays where it was seen first, and is taken out here.
-    pub fn load(&mut self, chunk: usize, record: ChunkRecord, stamp: u64) {
+    pub fn load_chunk(&mut self, chunk: usize, record: ChunkRecord, stamp: u64) {
         while self.chunks.len() <= chunk {
             self.chunks.push(Chunk::default());
         }
@@ -128,7 +128,7 @@
 
     /// Everything has been loaded. Chunks that a holder wrote under larger limits could not be
     /// written again: what is too much for them moves to others, which are written first.
-    pub fn loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         for i in 0..self.chunks.len() {
             let mut moving = Vec::new();
             let c = &mut self.chunks[i];
@@ -152,7 +152,7 @@
     }
 
     /// Adds a machine, but not to chunk `except`; it counts only once its chunk is written.
-    pub fn add(&mut self, name: &str, member: Member, except: Option<usize>) -> usize {
+    pub fn add(&mut self, name: &str, member: ShardMember, except: Option<usize>) -> usize {
         if let Some(chunk) = self.place.get(name) {
             return *chunk;
         }
@@ -189,7 +189,7 @@
 
     /// The next chunk to write: its number, its version and its new value. `idle`: there is nothing
     /// else to write.
-    pub fn dirty(&self, idle: bool) -> Option<(usize, u64, ChunkRecord)> {
+    pub fn next_dirty_chunk(&self, idle: bool) -> Option<(usize, u64, ChunkRecord)> {
         let least = if idle { 1 } else { REMOVALS };
         let due = |c: &Chunk| c.held.is_empty() && (c.added || c.removed >= least);
         let (i, c) = self.chunks.iter().enumerate().find(|(_, c)| due(c))?;
@@ -206,12 +206,12 @@
     }
 
     /// A chunk is on its way to the store: what changes from here on makes it dirty again.
-    pub fn writing(&mut self, chunk: usize) {
+    pub fn mark_write_in_flight(&mut self, chunk: usize) {
         self.chunks[chunk].added = false;
         self.chunks[chunk].removed = 0;
     }
 
-    pub fn written(&mut self, chunk: usize, stamp: u64) {
+    pub fn mark_written(&mut self, chunk: usize, stamp: u64) {
         self.chunks[chunk].stamp = stamp;
         for c in &mut self.chunks {
             c.held.remove(&chunk);
@@ -219,12 +219,12 @@
     }
 
     /// A write was not carried out.
-    pub fn unwritten(&mut self, chunk: usize) {
+    pub fn mark_write_failed(&mut self, chunk: usize) {
         self.chunks[chunk].added = true;
     }
 
     /// A write's fate is unknown: write again on top of what the store holds now.
-    pub fn rewrite(&mut self, chunk: usize, stamp: u64) {
+    pub fn mark_write_unknown(&mut self, chunk: usize, stamp: u64) {
         self.chunks[chunk].stamp = stamp;
         self.chunks[chunk].added = true;
     }
--- a/crates/gannethub-core/src/state/shard/tests.rs
+++ b/crates/gannethub-core/src/state/shard/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn member() -> Member {
-    Member {
+fn member() -> ShardMember {
+    ShardMember {
         flavor: "g8".into(),
         zone: "a".into(),
         spot: false,
@@ -9,27 +9,27 @@
 }
 
 /// Writes all there is to write, in any number of steps, and returns what the store then holds.
-fn write_all(block: &mut Block, store: &mut BTreeMap<usize, ChunkRecord>, limit: usize) {
-    while let Some((chunk, _, record)) = block.dirty(true) {
+fn write_all(block: &mut Shard, store: &mut BTreeMap<usize, ChunkRecord>, limit: usize) {
+    while let Some((chunk, _, record)) = block.next_dirty_chunk(true) {
         assert!(serde_json::to_string(&record).unwrap().len() <= limit);
         store.insert(chunk, record);
-        block.writing(chunk);
-        block.written(chunk, 9);
+        block.mark_write_in_flight(chunk);
+        block.mark_written(chunk, 9);
     }
 }
 
-fn load(store: &BTreeMap<usize, ChunkRecord>, limit: usize) -> Block {
-    let mut block = Block::new(0, 2, "n1", limit, 100);
+fn load(store: &BTreeMap<usize, ChunkRecord>, limit: usize) -> Shard {
+    let mut block = Shard::new(0, 2, "n1", limit, 100);
     store
         .iter()
-        .for_each(|(chunk, record)| block.load(*chunk, record.clone(), 9));
-    block.loaded();
+        .for_each(|(chunk, record)| block.load_chunk(*chunk, record.clone(), 9));
+    block.finish_loading();
     block
 }
 
 #[test]
 fn machines_spread_over_chunks_and_a_successor_reads_them_all() {
-    let mut block = Block::new(0, 1, "n0", 1024, 100);
+    let mut block = Shard::new(0, 1, "n0", 1024, 100);
     for i in 0..30 {
         block.add(&format!("host-{i}"), member(), None);
     }
@@ -38,12 +38,12 @@
     write_all(&mut block, &mut store, 1024);
     assert!(store.len() > 1);
     let mut next = load(&store, 1024);
-    assert_eq!(next.chunk_of_key(&block.key(1)), Some(1));
+    assert_eq!(next.parse_chunk_key(&block.chunk_key(1)), Some(1));
     assert!(next.contains("host-13") && !next.contains("host-3"));
-    assert!(next.dirty(true).is_none());
+    assert!(next.next_dirty_chunk(true).is_none());
     next.add("host-99", member(), None);
     assert_eq!(
-        next.dirty(false).unwrap().0,
+        next.next_dirty_chunk(false).unwrap().0,
         0,
         "the room that host-3 left is used again"
     );
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_chunk_too_large_is_split_and_at_no_moment_is_a_machine_without_a_record() {
-    let mut big = Block::new(0, 1, "n0", 16 * 1024, 100);
+    let mut big = Shard::new(0, 1, "n0", 16 * 1024, 100);
     for i in 0..100 {
         big.add(&format!("host-{i:06}"), member(), None);
     }
@@ -63,13 +63,13 @@
         let mut store = store.clone();
         let mut block = load(&store, 2048);
         for _ in 0..most {
-            let Some((chunk, _, record)) = block.dirty(true) else {
+            let Some((chunk, _, record)) = block.next_dirty_chunk(true) else {
                 break;
             };
             assert!(serde_json::to_string(&record).unwrap().len() <= 2048);
             store.insert(chunk, record);
-            block.writing(chunk);
-            block.written(chunk, 9);
+            block.mark_write_in_flight(chunk);
+            block.mark_written(chunk, 9);
             let next = load(&store, 2048);
             assert!((0..100).all(|i| next.contains(&format!("host-{i:06}"))));
         }
@@ -86,20 +86,20 @@
 
 #[test]
 fn removals_wait_for_a_quiet_moment_and_additions_do_not() {
-    let mut block = Block::new(0, 1, "n0", 4096, 100);
+    let mut block = Shard::new(0, 1, "n0", 4096, 100);
     for i in 0..9 {
         block.add(&format!("host-{i}"), member(), None);
     }
     write_all(&mut block, &mut BTreeMap::new(), 4096);
     block.remove("host-1");
-    assert!(block.dirty(false).is_none() && block.dirty(true).is_some());
+    assert!(block.next_dirty_chunk(false).is_none() && block.next_dirty_chunk(true).is_some());
     block.add("host-10", member(), None);
-    assert!(block.dirty(false).is_some());
+    assert!(block.next_dirty_chunk(false).is_some());
     write_all(&mut block, &mut BTreeMap::new(), 4096);
     (2..9).for_each(|i| block.remove(&format!("host-{i}")));
     block.remove("host-10");
     assert!(
-        block.dirty(false).is_some(),
+        block.next_dirty_chunk(false).is_some(),
         "many removals do not wait for ever"
     );
 }
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -1,26 +1,26 @@
 //! What a leader does not know yet of the machines that it took over.
 
-use super::capacity_index::Kind;
+use super::capacity_index::MachineKind;
 use super::records::Machine;
 use crate::model::{Micros, Resources, SECOND};
 
 /// Machines that may hold tasks of an earlier term and have not been heard in this one, by kind. A kind that
 /// is not known may hold anything.
 #[derive(Debug, Default)]
-pub struct Doubt {
+pub struct Unconfirmed {
     /// How many machines of each kind may still hold something.
-    pub silent: Vec<(Option<Kind>, i64)>,
+    pub silent_machines: Vec<(Option<MachineKind>, i64)>,
     /// The most that each team's tasks may hold on them: it counts against the team's limit.
-    pub held: Vec<Resources>,
+    pub possible_usage: Vec<Resources>,
     /// Records are being read: what they show was there before this term.
     pub loading: bool,
 }
 
-impl Doubt {
-    pub fn new(teams: usize) -> Doubt {
-        Doubt {
-            silent: Vec::new(),
-            held: vec![Resources::default(); teams],
+impl Unconfirmed {
+    pub fn new(teams: usize) -> Unconfirmed {
+        Unconfirmed {
+            silent_machines: Vec::new(),
+            possible_usage: vec![Resources::default(); teams],
             loading: true,
         }
     }
@@ -29,8 +29,8 @@
 impl Machine {
     /// It may hold tasks of an earlier term that nobody has told this leader of: it is on its block's record, has
     /// not reported with this term's token, and its lease may not be over. `limit`: how long that takes.
-    pub fn doubtful(&self, now: Micros, limit: Micros) -> bool {
-        self.recorded && !self.confirmed && now <= self.answered_at + limit
+    pub fn is_unconfirmed(&self, now: Micros, limit: Micros) -> bool {
+        self.recorded && !self.confirmed && now <= self.last_answered_at + limit
     }
 }
 
@@ -41,15 +41,15 @@
 
 /// How many tasks have been placed, and how many of them a second.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct LaunchRate {
     since: Micros,
     placed: u32,
     /// Tasks placed in a second, as of late.
-    pub ahead: u32,
+    pub tasks_per_second: u32,
 }
 
-impl Pace {
-    pub fn placed(&mut self) {
+impl LaunchRate {
+    pub fn record_placed(&mut self) {
         self.placed += 1;
     }
 
@@ -58,7 +58,7 @@
         if passed >= PACE_EVERY {
             let ahead = u64::from(self.placed) * AHEAD / passed;
             // It falls slowly: launches come in bursts.
-            self.ahead = (ahead as u32).max(self.ahead / 2);
+            self.tasks_per_second = (ahead as u32).max(self.tasks_per_second / 2);
             (self.placed, self.since) = (0, now);
         }
     }
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -11,8 +11,8 @@
 use gannethub_ledger::meter::{Meter, News, Reading, Spent, Stage};
 
 use super::cluster::Cluster;
-use super::records::{Job, Machine, MachineId, Phase};
-use super::usage_replica::{Shadow, Told};
+use super::records::{AttemptPhase, Job, Machine, MachineId};
+use super::usage_replica::{ReplicatedRecord, UsageReplica};
 use crate::model::{JobId, Micros, Resources, SECOND, Shape, TaskId};
 use crate::wire::peer::{OpenTab, OpenTabs, TabKey, TabOwner};
 use crate::wire::store::{Owner, SLACK, ledger_page};
@@ -54,7 +54,7 @@
 
 /// What is charged of one attempt.
 #[derive(Debug, Clone)]
-pub struct Tab {
+pub struct UsageRecord {
     pub meter: Meter,
     /// Not known of an attempt whose job is over and that this leader did not start.
     owner: Option<Arc<Owner>>,
@@ -94,7 +94,7 @@
 /// An attempt that an earlier leader told of, and that no worker has shown since.
 #[derive(Debug)]
 struct Ghost {
-    tab: Tab,
+    tab: UsageRecord,
     kind: Kind,
     session: u64,
     /// When it was last told of, and how long that had been on its way.
@@ -104,7 +104,7 @@
 
 /// A leader's ledger.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct UsageLedger {
     pub book: Book,
     /// Attempts that earlier leaders charged, as far as they may be met again.
     before: HashSet<Key>,
@@ -133,7 +133,7 @@
 }
 
 /// Whom a job's attempts are charged to.
-pub(crate) fn owner_of(job: &Job) -> Owner {
+pub(crate) fn job_owner(job: &Job) -> Owner {
     Owner {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
@@ -150,24 +150,24 @@
     all: bool,
 }
 
-fn stage(phase: Phase) -> Stage {
+fn stage(phase: AttemptPhase) -> Stage {
     match phase {
-        Phase::Starting => Stage::Starting,
-        Phase::Fetching => Stage::Fetching,
-        Phase::Waiting => Stage::Waiting,
-        Phase::Running => Stage::Running,
-        Phase::Saving => Stage::Saving,
+        AttemptPhase::Starting => Stage::Starting,
+        AttemptPhase::Fetching => Stage::Fetching,
+        AttemptPhase::Waiting => Stage::Waiting,
+        AttemptPhase::Running => Stage::Running,
+        AttemptPhase::Saving => Stage::Saving,
         // What it did before it was found is put down to what it most likely did last.
-        Phase::Ended(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
+        AttemptPhase::Ended(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
             Stage::Starting
         }
-        Phase::Ended(ExitReason::Alone) => Stage::Waiting,
-        Phase::Ended(_) => Stage::Running,
+        AttemptPhase::Ended(ExitReason::Alone) => Stage::Waiting,
+        AttemptPhase::Ended(_) => Stage::Running,
     }
 }
 
 /// Why an attempt that its worker reports as ended did so.
-pub fn reason(why: ExitReason) -> Reason {
+pub fn end_reason(why: ExitReason) -> Reason {
     match why {
         ExitReason::Done => Reason::Done,
         ExitReason::Stopped => Reason::Stopped,
@@ -182,7 +182,7 @@
 }
 
 /// A page that is not as it was written is left as it is, and the service goes on.
-pub(crate) fn tell_damage(page: Damaged) {
+pub(crate) fn log_damaged_page(page: Damaged) {
     let key = ledger_page(page.0);
     tracing::error!(
         key,
@@ -192,11 +192,11 @@
 
 impl Cluster {
     /// Begins to keep the ledger, after what the state service holds of it.
-    pub fn open_ledger(
+    pub fn open_usage_ledger(
         &mut self,
         head: Option<Head>,
         pages: &[(gannethub_ledger::audit::Page, u64)],
-        shadow: &mut Shadow,
+        shadow: &mut UsageReplica,
         now: Micros,
     ) {
         let Some(setup) = self.settings.ledger.clone() else {
@@ -205,8 +205,8 @@
         let limit = self.settings.value_bytes - SLACK;
         let window = Book::window(self.settings.lease, &setup.settings);
         let opened = Book::open(setup.settings, setup.keys, limit, window, head, pages);
-        opened.damaged.into_iter().for_each(tell_damage);
-        self.ledger = Some(Box::new(Ledger {
+        opened.damaged.into_iter().for_each(log_damaged_page);
+        self.usage_ledger = Some(Box::new(UsageLedger {
             book: opened.book,
             before: opened.charged,
             unowned: BTreeMap::new(),
@@ -225,34 +225,34 @@
             shares: Vec::new(),
             shares_at: None,
         }));
-        let (tabs, complete) = shadow.inherit(self.term - 1);
+        let (tabs, complete) = shadow.take_records(self.term - 1);
         self.inherit(tabs, now);
         let (term, holder) = (self.term, self.settings.name.clone());
         let took = Took {
             term,
             holder,
-            at: self.wall,
+            at: self.unix_time,
             complete,
         };
-        if let Some(ledger) = &mut self.ledger {
+        if let Some(ledger) = &mut self.usage_ledger {
             ledger.complete = complete;
             ledger.book.note(Body::Took(took), now);
         }
     }
 
     /// Goes on with what the leader before this one had not in writing, as far as it told.
-    fn inherit(&mut self, tabs: Vec<Told>, now: Micros) {
-        for Told {
-            tab: t,
-            at: told_at,
-            late,
-            until,
+    fn inherit(&mut self, tabs: Vec<ReplicatedRecord>, now: Micros) {
+        for ReplicatedRecord {
+            record: t,
+            received_at: told_at,
+            transit_time: late,
+            current_until: until,
         } in tabs
         {
             let Some(k) = &t.key else { continue };
             let name = (k.job.clone(), k.task, k.attempt, k.machine.clone());
             let known = self
-                .ledger
+                .usage_ledger
                 .as_ref()
                 .is_none_or(|l| l.before.contains(&name));
             let Some(reading) = reading_of(&t).filter(|_| !known) else {
@@ -288,7 +288,7 @@
                     saved,
                 };
                 if let Some(ticket) = self.charge_end(owner, end, now)
-                    && let Some(ledger) = &mut self.ledger
+                    && let Some(ledger) = &mut self.usage_ledger
                 {
                     ledger.inherited.insert(name, ticket);
                 }
@@ -309,7 +309,7 @@
                 unsure: t.unsure + until - told_at,
                 guessed: t.guessed,
             };
-            let tab = Tab {
+            let tab = UsageRecord {
                 meter,
                 owner,
                 charged: Charged::Open,
@@ -322,7 +322,7 @@
                 told_at: until,
                 late,
             };
-            let Some(ledger) = &mut self.ledger else {
+            let Some(ledger) = &mut self.usage_ledger else {
                 return;
             };
             ledger.changed.insert((machine.clone(), key.clone()));
@@ -332,9 +332,13 @@
 
     /// Charges an end to its owner, or keeps it until that is known.
     fn charge_end(&mut self, owner: Option<Arc<Owner>>, end: End, now: Micros) -> Option<u64> {
-        let job = || self.jobs.get(&end.key.0.job).map(|j| Arc::new(owner_of(j)));
+        let job = || {
+            self.jobs
+                .get(&end.key.0.job)
+                .map(|j| Arc::new(job_owner(j)))
+        };
         let owner = owner.or_else(job);
-        let ledger = self.ledger.as_mut()?;
+        let ledger = self.usage_ledger.as_mut()?;
         let Some(owner) = owner else {
             ledger
                 .changed
@@ -361,7 +365,7 @@
         likely: Micros,
         gone: impl Fn(&(TaskId, u64), &Ghost) -> bool,
     ) {
-        let Some(ledger) = &mut self.ledger else {
+        let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
         let Some(ghosts) = ledger.ghosts.remove(id) else {
@@ -397,9 +401,9 @@
     }
 
     /// A worker has shown all that it holds to this leader for the first time.
-    pub(crate) fn ghosts_shown(&mut self, id: &MachineId, session: u64, now: Micros) {
+    pub(crate) fn charge_orphans_not_shown(&mut self, id: &MachineId, session: u64, now: Micros) {
         let known = self
-            .ledger
+            .usage_ledger
             .as_ref()
             .is_some_and(|l| l.ghosts.contains_key(id));
         if !known {
@@ -412,29 +416,31 @@
     }
 
     /// A machine is gone, or its worker's lease is over.
-    pub(crate) fn ghosts_gone(&mut self, id: &MachineId, reason: Reason, now: Micros) {
+    pub(crate) fn charge_orphans(&mut self, id: &MachineId, reason: Reason, now: Micros) {
         let likely = self.settings.report / 2;
         self.settle_ghosts(id, reason, now, likely, |_, _| true);
     }
 
     /// Ghosts of machines that are not there any more, once nothing of an earlier term can be left.
-    pub(crate) fn sweep_ghosts(&mut self, now: Micros) {
-        if now <= self.taken_at + self.lease_limit() {
+    pub(crate) fn charge_orphans_of_lost_machines(&mut self, now: Micros) {
+        if now <= self.took_over_at + self.lease_expiry_bound() {
             return;
         }
-        let Some(ledger) = &self.ledger else { return };
+        let Some(ledger) = &self.usage_ledger else {
+            return;
+        };
         let lost = ledger
             .ghosts
             .keys()
             .filter(|id| !self.machines.contains_key(*id));
         let lost: Vec<MachineId> = lost.cloned().collect();
         lost.iter()
-            .for_each(|id| self.ghosts_gone(id, Reason::Machine, now));
+            .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
     }
 
     /// The transaction with the ledger's page was carried out.
-    pub(crate) fn ledger_written(&mut self, tickets: Vec<u64>) {
-        let Some(ledger) = &mut self.ledger else {
+    pub(crate) fn usage_page_written(&mut self, tickets: Vec<u64>) {
+        let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
         for (_, end) in tickets.iter().filter_map(|t| ledger.ends.remove(t)) {
@@ -443,14 +449,14 @@
     }
 
     /// All that is not charged yet, or not in writing.
-    pub fn all_tabs(&self, now: Micros) -> Vec<OpenTab> {
-        let Some(ledger) = &self.ledger else {
+    pub fn all_usage_records(&self, now: Micros) -> Vec<OpenTab> {
+        let Some(ledger) = &self.usage_ledger else {
             return Vec::new();
         };
         let placed = self.machines.iter().flat_map(|(id, m)| {
             m.attempts
                 .iter()
-                .filter_map(|(k, a)| self.open_tab(id, k, a.tab.as_deref()?, now))
+                .filter_map(|(k, a)| self.open_tab(id, k, a.usage_record.as_deref()?, now))
         });
         let ghosts = ledger
             .ghosts
@@ -470,7 +476,7 @@
 
     /// What has changed since siblings were last told.
     fn new_tabs(&self, now: Micros) -> Vec<OpenTab> {
-        let Some(ledger) = &self.ledger else {
+        let Some(ledger) = &self.usage_ledger else {
             return Vec::new();
         };
         let changed = ledger
@@ -487,19 +493,19 @@
     }
 
     /// What to tell each sibling of the ledger now.
-    pub fn tabs_to_tell(&mut self, now: Micros) -> Vec<(usize, OpenTabs)> {
-        let (term, at) = (self.term, self.wall);
+    pub fn usage_messages(&mut self, now: Micros) -> Vec<(usize, OpenTabs)> {
+        let (term, at) = (self.term, self.unix_time);
         let lagging = self
-            .ledger
+            .usage_ledger
             .as_ref()
             .is_some_and(|l| l.told.iter().any(|t| t.all));
         let all = if lagging {
-            self.all_tabs(now)
+            self.all_usage_records(now)
         } else {
             Vec::new()
         };
         let news = self.new_tabs(now);
-        let Some(ledger) = &mut self.ledger else {
+        let Some(ledger) = &mut self.usage_ledger else {
             return Vec::new();
         };
         ledger.changed.clear();
@@ -541,20 +547,24 @@
 
     /// Launches go out that no sibling has been told of: one that is lost with its machine just after this leader
     /// would else be known to nobody, and a successor would take its copy for complete.
-    pub fn urgent_tabs(&self) -> bool {
-        self.ledger.as_ref().is_some_and(|l| l.urgent)
+    pub fn has_urgent_usage(&self) -> bool {
+        self.usage_ledger.as_ref().is_some_and(|l| l.urgent)
     }
 
     /// A sibling has missed something.
-    pub fn tell_all(&mut self, sibling: usize) {
-        if let Some(told) = self.ledger.as_mut().and_then(|l| l.told.get_mut(sibling)) {
+    pub fn resend_all_usage(&mut self, sibling: usize) {
+        if let Some(told) = self
+            .usage_ledger
+            .as_mut()
+            .and_then(|l| l.told.get_mut(sibling))
+        {
             told.all = true;
         }
     }
 
     /// An attempt as siblings are told of it, unless it is charged: then its ticket tells.
     fn told_tab(&self, id: &MachineId, key: &(TaskId, u64), now: Micros) -> Option<OpenTab> {
-        let ledger = self.ledger.as_ref()?;
+        let ledger = self.usage_ledger.as_ref()?;
         let ended = |e: &&End| e.key == *key && e.machine == *id;
         if let Some(end) = ledger
             .unowned
@@ -569,25 +579,25 @@
             return Some(tab_of(id, key, &tab, &g.kind, g.session, now));
         }
         let attempt = self.machines.get(id).and_then(|m| m.attempts.get(key));
-        self.open_tab(id, key, attempt?.tab.as_deref()?, now)
+        self.open_tab(id, key, attempt?.usage_record.as_deref()?, now)
     }
 
     fn open_tab(
         &self,
         id: &MachineId,
         key: &(TaskId, u64),
-        tab: &Tab,
+        tab: &UsageRecord,
         now: Micros,
     ) -> Option<OpenTab> {
         let m = self
             .machines
             .get(id)
             .filter(|_| tab.charged == Charged::Open)?;
-        Some(tab_of(id, key, tab, &self.kind(m), m.session, now))
+        Some(tab_of(id, key, tab, &self.kind(m), m.incarnation, now))
     }
 
     fn kind(&self, m: &Machine) -> Kind {
-        let flavor = m.flavor.and_then(|f| self.flavors.get(f));
+        let flavor = m.machine_type.and_then(|f| self.machine_types.get(f));
         let name = flavor.map_or(String::new(), |f| f.name.to_string());
         let hourly = flavor.map_or(0.0, |f| f.price_of(m.spot));
         (name, m.zone.to_string(), m.spot, (hourly * 1e6) as u64)
@@ -595,16 +605,16 @@
 
     /// The time of day at a time of the steady clock.
     fn time_of_day(&self, at: Micros) -> Micros {
-        self.wall.saturating_sub(self.now.saturating_sub(at))
+        self.unix_time.saturating_sub(self.now.saturating_sub(at))
     }
 
     /// The number of a start now, if numbers tell the time of theirs.
-    pub(crate) fn number_now(&mut self) -> Option<u64> {
-        let ms = (self.wall / 1000)
+    pub(crate) fn timestamped_attempt_number(&mut self) -> Option<u64> {
+        let ms = (self.unix_time / 1000)
             .checked_sub(EPOCH)
             .filter(|ms| *ms < 1 << TIME_BITS)?;
         let term = self.term;
-        let ledger = self.ledger.as_mut().filter(|_| term < MOST_TERMS)?;
+        let ledger = self.usage_ledger.as_mut().filter(|_| term < MOST_TERMS)?;
         // The clock may step back; a start must never get the number of an earlier one of its task.
         ledger.last_number = ledger.last_number.max((term << TIME_BITS) + ms);
         Some(ledger.last_number)
@@ -620,31 +630,31 @@
         let ms = attempt & ((1 << TIME_BITS) - 1);
         let at = (attempt >> TIME_BITS > 0).then_some((EPOCH + ms) * 1000);
         // A number of another make gives a time that cannot be.
-        let at = at.filter(|at| *at <= self.wall + off && *at + off >= ready);
+        let at = at.filter(|at| *at <= self.unix_time + off && *at + off >= ready);
         match at {
-            Some(at) => (self.wall.saturating_sub(at), off),
-            None => (0, self.wall.saturating_sub(ready)),
+            Some(at) => (self.unix_time.saturating_sub(at), off),
+            None => (0, self.unix_time.saturating_sub(ready)),
         }
     }
 
     /// The tab of an attempt that is placed now.
-    pub(crate) fn tab(
+    pub(crate) fn open_usage_record(
         &mut self,
         job: &JobId,
         index: u32,
         machine: &MachineId,
         attempt: u64,
         now: Micros,
-    ) -> Option<Box<Tab>> {
-        let ledger = self.ledger.as_mut()?;
+    ) -> Option<Box<UsageRecord>> {
+        let ledger = self.usage_ledger.as_mut()?;
         let job = self.jobs.get(job)?;
         let task = TaskId {
             job: job.id.clone(),
             index,
         };
         ledger.changed.insert((machine.clone(), (task, attempt)));
-        let (owner, charged) = (Some(Arc::new(owner_of(job))), Charged::Open);
-        Some(Box::new(Tab {
+        let (owner, charged) = (Some(Arc::new(job_owner(job))), Charged::Open);
+        Some(Box::new(UsageRecord {
             meter: Meter::placed(now),
             owner,
             charged,
@@ -653,23 +663,23 @@
     }
 
     /// The tab of an attempt that another leader started, and that is found on a machine.
-    pub(crate) fn tab_found(
+    pub(crate) fn adopt_usage_record(
         &mut self,
         id: &MachineId,
         key: &(TaskId, u64),
-        phase: Phase,
-    ) -> Option<Box<Tab>> {
+        phase: AttemptPhase,
+    ) -> Option<Box<UsageRecord>> {
         let now = self.now;
         let job = self.jobs.get(&key.0.job);
         let (owner, ready) = (
-            job.map(|j| Arc::new(owner_of(j))),
-            job.map_or(0, |j| j.ready),
+            job.map(|j| Arc::new(job_owner(j))),
+            job.map_or(0, |j| j.ready_at),
         );
         // Of a job that is over nobody knows here when it was released.
         let (age, unsure) = self.age(key.1, ready);
-        let ended = matches!(phase, Phase::Ended(_));
-        let session = self.machines.get(id).map_or(0, |m| m.session);
-        let ledger = self.ledger.as_mut()?;
+        let ended = matches!(phase, AttemptPhase::Ended(_));
+        let session = self.machines.get(id).map_or(0, |m| m.incarnation);
+        let ledger = self.usage_ledger.as_mut()?;
         ledger.changed.insert((id.clone(), key.clone()));
         let name = (key.0.job.to_string(), key.0.index, key.1, id.to_string());
         let ghost = ledger.ghosts.get_mut(id).and_then(|g| g.remove(key));
@@ -702,7 +712,7 @@
             (age, unsure)
         };
         let meter = Meter::found(age, unsure, stage(phase), now);
-        Some(Box::new(Tab {
+        Some(Box::new(UsageRecord {
             meter,
             owner,
             charged,
@@ -711,17 +721,17 @@
     }
 
     /// An attempt is in another phase than before.
-    pub(crate) fn tab_moved(
+    pub(crate) fn usage_phase_changed(
         &mut self,
         id: &MachineId,
         key: &(TaskId, u64),
-        phase: Phase,
+        phase: AttemptPhase,
         now: Micros,
     ) {
         let Some(ledger) = self
-            .ledger
+            .usage_ledger
             .as_mut()
-            .filter(|_| !matches!(phase, Phase::Ended(_)))
+            .filter(|_| !matches!(phase, AttemptPhase::Ended(_)))
         else {
             return;
         };
@@ -730,7 +740,7 @@
             .machines
             .get_mut(id)
             .and_then(|m| m.attempts.get_mut(key));
-        if let Some(tab) = attempt.and_then(|a| a.tab.as_mut()) {
+        if let Some(tab) = attempt.and_then(|a| a.usage_record.as_mut()) {
             tab.meter.enter(stage(phase), now);
         }
     }
@@ -748,9 +758,9 @@
         let starting = m
             .attempts
             .iter()
-            .filter(|(_, a)| a.phase == Phase::Starting);
+            .filter(|(_, a)| a.phase == AttemptPhase::Starting);
         let sent: Vec<_> = starting.map(|(key, _)| key).filter(goes).cloned().collect();
-        if let Some(ledger) = &mut self.ledger {
+        if let Some(ledger) = &mut self.usage_ledger {
             let untold = |key: &(TaskId, u64)| ledger.changed.contains(&(id.clone(), key.clone()));
             ledger.urgent |= sent.iter().any(untold);
         }
@@ -758,27 +768,34 @@
             return;
         };
         for key in sent {
-            if let Some(tab) = m.attempts.get_mut(&key).and_then(|a| a.tab.as_mut()) {
+            if let Some(tab) = m
+                .attempts
+                .get_mut(&key)
+                .and_then(|a| a.usage_record.as_mut())
+            {
                 tab.meter.sent(now);
             }
         }
     }
 
     /// An attempt's place has come free: it is charged, unless it was.
-    pub(crate) fn charge(
+    pub(crate) fn charge_attempt(
         &mut self,
         id: &MachineId,
         key: &(TaskId, u64),
         reason: Reason,
         now: Micros,
     ) {
-        if self.ledger.is_none() {
+        if self.usage_ledger.is_none() {
             return;
         }
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let tab = machine.attempts.get(key).and_then(|a| a.tab.as_ref());
+        let tab = machine
+            .attempts
+            .get(key)
+            .and_then(|a| a.usage_record.as_ref());
         let Some(tab) = tab.filter(|t| t.charged == Charged::Open) else {
             return;
         };
@@ -786,9 +803,9 @@
         let news = match reason {
             // A report that shows a new session shows that the lease of the one before ran out, after the last answer
             // in it; of a machine that is silent nobody knows.
-            Reason::Lease | Reason::Machine => match machine.heard_at {
+            Reason::Lease | Reason::Machine => match machine.last_heartbeat_at {
                 Some(t) if t == now => News::Silence {
-                    heard: machine.heard_before,
+                    heard: machine.previous_heartbeat_at,
                     likely: self.settings.lease,
                 },
                 heard => News::Silence {
@@ -797,8 +814,8 @@
                 },
             },
             _ => News::Reported {
-                before: machine.heard_before,
-                missed: machine.missed,
+                before: machine.previous_heartbeat_at,
+                missed: machine.missed_heartbeats,
             },
         };
         let reading = tab.meter.end(now, news);
@@ -822,14 +839,14 @@
             .machines
             .get_mut(id)
             .and_then(|m| m.attempts.get_mut(key));
-        if let Some(tab) = attempt.and_then(|a| a.tab.as_mut()) {
+        if let Some(tab) = attempt.and_then(|a| a.usage_record.as_mut()) {
             tab.charged = charged;
         }
     }
 
     /// Jobs whose owners are to be read from what is kept of their ends.
-    pub fn owners_wanted(&mut self, now: Micros) -> Vec<JobId> {
-        let Some(ledger) = &mut self.ledger else {
+    pub fn owners_to_read(&mut self, now: Micros) -> Vec<JobId> {
+        let Some(ledger) = &mut self.usage_ledger else {
             return Vec::new();
         };
         let asked = &mut ledger.asked;
@@ -843,8 +860,8 @@
     }
 
     /// Whose a job was, as far as is kept; what nobody owns is charged to nobody.
-    pub fn owner_read(&mut self, job: &JobId, owner: Option<Owner>, now: Micros) {
-        let Some(ledger) = &mut self.ledger else {
+    pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<Owner>, now: Micros) {
+        let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
         let owner = Arc::new(owner.unwrap_or_default());
@@ -857,24 +874,24 @@
                 .machines
                 .get_mut(&machine)
                 .and_then(|m| m.attempts.get_mut(&key));
-            if let Some(tab) = attempt.and_then(|a| a.tab.as_mut()) {
+            if let Some(tab) = attempt.and_then(|a| a.usage_record.as_mut()) {
                 tab.charged = Charged::Ticket(ticket);
             }
         }
     }
 
     /// A recorded machine that never reported to this leader is given up.
-    pub(crate) fn gap(&mut self, id: &MachineId, now: Micros) {
+    pub(crate) fn record_unmetered_interval(&mut self, id: &MachineId, now: Micros) {
         let blind = self
-            .ledger
+            .usage_ledger
             .as_ref()
             .is_some_and(|l| !l.complete && !l.gaps.contains(id));
-        let unheard = |m: &&Machine| blind && m.recorded && m.heard_at.is_none();
+        let unheard = |m: &&Machine| blind && m.recorded && m.last_heartbeat_at.is_none();
         let Some(m) = self.machines.get(id).filter(unheard) else {
             return;
         };
         let (flavor, zone, spot, _) = self.kind(m);
-        let (from, to) = (self.time_of_day(self.taken_at), self.time_of_day(now));
+        let (from, to) = (self.time_of_day(self.took_over_at), self.time_of_day(now));
         let gap = Gap {
             machine: id.to_string(),
             flavor,
@@ -883,18 +900,21 @@
             from,
             to,
         };
-        if let Some(ledger) = &mut self.ledger {
+        if let Some(ledger) = &mut self.usage_ledger {
             ledger.gaps.insert(id.clone());
             ledger.book.note(Body::Gap(gap), now);
         }
     }
 
     /// Whether a worker may forget an ended attempt, as far as the ledger goes.
-    pub(crate) fn settled_tab(&self, machine: &Machine, key: &(TaskId, u64)) -> bool {
-        let Some(ledger) = &self.ledger else {
+    pub(crate) fn is_usage_settled(&self, machine: &Machine, key: &(TaskId, u64)) -> bool {
+        let Some(ledger) = &self.usage_ledger else {
             return true;
         };
-        let tab = machine.attempts.get(key).and_then(|a| a.tab.as_ref());
+        let tab = machine
+            .attempts
+            .get(key)
+            .and_then(|a| a.usage_record.as_ref());
         let written = match tab.map(|t| t.charged) {
             None | Some(Charged::Before) => true,
             Some(Charged::Ticket(t)) => ledger.book.is_written(t),
@@ -904,7 +924,7 @@
         // not outgrow its limit. Then this leader's memory has to do.
         let again = || {
             let other = |(k, a): (&(TaskId, u64), &crate::state::records::Attempt)| {
-                k.0 == key.0 && k.1 != key.1 && a.phase == Phase::Starting
+                k.0 == key.0 && k.1 != key.1 && a.phase == AttemptPhase::Starting
             };
             machine.attempts.iter().any(other)
         };
@@ -912,15 +932,17 @@
             let ended = machine
                 .attempts
                 .values()
-                .filter(|a| matches!(a.phase, Phase::Ended(_)));
+                .filter(|a| matches!(a.phase, AttemptPhase::Ended(_)));
             ended.count() > MOST_ENDED
         };
         written || again() || crowd()
     }
 
     /// Brings each team's share of all usage up to date, work under way included.
-    pub fn share_out(&mut self, now: Micros) {
-        let Some(ledger) = &self.ledger else { return };
+    pub fn update_usage_shares(&mut self, now: Micros) {
+        let Some(ledger) = &self.usage_ledger else {
+            return;
+        };
         if ledger.shares_at.is_some_and(|t| now < t + SHARES_EVERY) {
             return;
         }
@@ -930,22 +952,25 @@
             .machines
             .values()
             .flat_map(|m| m.attempts.values())
-            .filter(|a| a.holds)
+            .filter(|a| a.holds_capacity)
         {
             let Some(team) = a.team.and_then(|t| self.settings.teams.get(t)) else {
                 continue;
             };
-            let age = |t: &Tab| t.meter.age(now);
-            let age = a.tab.as_ref().map_or(0, |t| age(t)) as f64;
+            let age = |t: &UsageRecord| t.meter.age(now);
+            let age = a.usage_record.as_ref().map_or(0, |t| age(t)) as f64;
             let half = settings.half_life(&team.name).time() as f64;
             let decayed = half / std::f64::consts::LN_2 * (1.0 - (-age / half).exp2());
-            let rate = settings.rate(need(a.need)) as f64;
+            let rate = settings.rate(need(a.resources)) as f64;
             *open.entry(team.name.clone()).or_default() += rate * decayed / 1e9;
         }
-        let Some(ledger) = &mut self.ledger else {
+        let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
-        let shares = ledger.book.accounts().shares(&settings, self.wall, &open);
+        let shares = ledger
+            .book
+            .accounts()
+            .shares(&settings, self.unix_time, &open);
         let of = |t: &crate::model::Team| shares.get(&t.name).copied().unwrap_or((0.0, 1.0));
         ledger.shares = self.settings.teams.iter().map(of).collect();
         ledger.shares_at = Some(now);
@@ -953,8 +978,8 @@
 
     /// A team's part of all usage, and that part over what it is due; without a ledger all have what they
     /// are due.
-    pub fn share_of(&self, team: Option<usize>) -> (f64, f64) {
-        let ledger = self.ledger.as_ref();
+    pub fn team_usage_share(&self, team: Option<usize>) -> (f64, f64) {
+        let ledger = self.usage_ledger.as_ref();
         let share = ledger.zip(team).and_then(|(l, t)| l.shares.get(t));
         share.copied().unwrap_or((0.0, 1.0))
     }
@@ -1002,7 +1027,7 @@
 fn tab_of(
     id: &MachineId,
     key: &(TaskId, u64),
-    tab: &Tab,
+    tab: &UsageRecord,
     kind: &Kind,
     session: u64,
     now: Micros,
--- a/crates/gannethub-core/src/state/usage_replica.rs
+++ b/crates/gannethub-core/src/state/usage_replica.rs
@@ -15,31 +15,31 @@
 
 /// A tab as a leader told of it.
 #[derive(Debug, Clone)]
-pub struct Told {
-    pub tab: OpenTab,
+pub struct ReplicatedRecord {
+    pub record: OpenTab,
     /// When that came, and how long it had been on its way.
-    pub at: Micros,
-    pub late: Micros,
+    pub received_at: Micros,
+    pub transit_time: Micros,
     /// When the leader was last heard, and had nothing else to tell of it.
-    pub until: Micros,
+    pub current_until: Micros,
 }
 
 /// What is known of a leader's open tabs.
 #[derive(Debug, Default)]
-pub struct Shadow {
+pub struct UsageReplica {
     pub term: u64,
     next: u64,
     complete: bool,
     filling: bool,
     asked_at: Option<Micros>,
     heard_at: Micros,
-    tabs: BTreeMap<TabKey, Told>,
+    tabs: BTreeMap<TabKey, ReplicatedRecord>,
 }
 
-impl Shadow {
+impl UsageReplica {
     /// What a leader that steps down knows itself.
-    pub fn own(term: u64, tabs: Vec<OpenTab>, now: Micros) -> Shadow {
-        let mut shadow = Shadow::default();
+    pub fn from_own_records(term: u64, tabs: Vec<OpenTab>, now: Micros) -> UsageReplica {
+        let mut shadow = UsageReplica::default();
         let (seq, closed) = (0, Vec::new());
         let (first, last, at) = (true, true, 0);
         let all = OpenTabs {
@@ -51,19 +51,19 @@
             closed,
             at,
         };
-        shadow.take(all, now, 0);
+        shadow.apply(all, now, 0);
         shadow
     }
 
     /// Takes in a leader's message that has been on its way so long. True: all of it should be asked for.
-    pub fn take(&mut self, message: OpenTabs, now: Micros, late: Micros) -> bool {
+    pub fn apply(&mut self, message: OpenTabs, now: Micros, late: Micros) -> bool {
         if message.term < self.term {
             return false;
         }
         if message.term > self.term {
-            *self = Shadow {
+            *self = UsageReplica {
                 term: message.term,
-                ..Shadow::default()
+                ..UsageReplica::default()
             };
         }
         if message.first {
@@ -83,11 +83,11 @@
             if let Some(key) = tab.key.clone() {
                 self.tabs.insert(
                     key,
-                    Told {
-                        tab,
-                        at: now,
-                        late,
-                        until: now,
+                    ReplicatedRecord {
+                        record: tab,
+                        received_at: now,
+                        transit_time: late,
+                        current_until: now,
                     },
                 );
             }
@@ -104,7 +104,7 @@
     }
 
     /// The leader of `term` is alive.
-    pub fn heard(&mut self, term: u64, now: Micros) {
+    pub fn leader_heard(&mut self, term: u64, now: Micros) {
         if term == self.term {
             self.heard_at = now;
         }
@@ -112,11 +112,11 @@
 
     /// What the leader of `term` left open, and whether that is all. Of what it had no news of, nothing had
     /// changed while it was heard.
-    pub fn inherit(&mut self, term: u64) -> (Vec<Told>, bool) {
+    pub fn take_records(&mut self, term: u64) -> (Vec<ReplicatedRecord>, bool) {
         let complete = self.complete && self.term == term;
-        let Shadow { tabs, heard_at, .. } = std::mem::take(self);
-        let until = |told: Told| Told {
-            until: told.until.max(heard_at),
+        let UsageReplica { tabs, heard_at, .. } = std::mem::take(self);
+        let until = |told: ReplicatedRecord| ReplicatedRecord {
+            current_until: told.current_until.max(heard_at),
             ..told
         };
         (tabs.into_values().map(until).collect(), complete)
--- a/crates/gannethub-core/src/state/usage_replica/tests.rs
+++ b/crates/gannethub-core/src/state/usage_replica/tests.rs
@@ -27,11 +27,11 @@
     }
 }
 
-fn left(s: &mut Shadow) -> (Vec<u32>, bool) {
-    let (tabs, complete) = s.inherit(3);
+fn left(s: &mut UsageReplica) -> (Vec<u32>, bool) {
+    let (tabs, complete) = s.take_records(3);
     (
         tabs.into_iter()
-            .filter_map(|t| Some(t.tab.key?.task))
+            .filter_map(|t| Some(t.record.key?.task))
             .collect(),
         complete,
     )
@@ -39,35 +39,35 @@
 
 #[test]
 fn a_copy_is_complete_from_a_whole_list_on_until_something_is_missing() {
-    let mut s = Shadow::default();
+    let mut s = UsageReplica::default();
     assert!(
-        s.take(message(7, false, false, &[9], &[]), 0, 0),
+        s.apply(message(7, false, false, &[9], &[]), 0, 0),
         "it missed the start and asks"
     );
-    assert!(!s.take(message(8, true, false, &[1, 2], &[]), SECOND, 0));
-    assert!(!s.take(message(9, false, true, &[3], &[]), SECOND, 0));
-    assert!(!s.take(message(10, false, false, &[4], &[1]), SECOND, 0));
+    assert!(!s.apply(message(8, true, false, &[1, 2], &[]), SECOND, 0));
+    assert!(!s.apply(message(9, false, true, &[3], &[]), SECOND, 0));
+    assert!(!s.apply(message(10, false, false, &[4], &[1]), SECOND, 0));
     let old = OpenTabs {
         term: 2,
         ..message(11, true, true, &[], &[])
     };
     assert!(
-        !s.take(old, SECOND, 0),
+        !s.apply(old, SECOND, 0),
         "a deposed leader is not listened to"
     );
     assert_eq!(left(&mut s), (vec![2, 3, 4], true));
-    let mut s = Shadow::default();
-    s.take(message(0, true, true, &[1, 2], &[]), 0, 0);
+    let mut s = UsageReplica::default();
+    s.apply(message(0, true, true, &[1, 2], &[]), 0, 0);
     assert!(
-        s.take(message(2, false, false, &[3], &[2]), SECOND, 0),
+        s.apply(message(2, false, false, &[3], &[2]), SECOND, 0),
         "one was lost"
     );
     assert!(
-        !s.take(message(3, false, false, &[], &[]), SECOND, 0),
+        !s.apply(message(3, false, false, &[], &[]), SECOND, 0),
         "it does not ask all the time"
     );
-    assert!(s.take(message(4, false, false, &[], &[]), 4 * SECOND, 0));
+    assert!(s.apply(message(4, false, false, &[], &[]), 4 * SECOND, 0));
     assert_eq!(left(&mut s), (vec![1, 3], false));
-    s.take(message(5, true, true, &[1], &[]), 0, 0);
-    assert!(!s.inherit(4).1, "another leader came between");
+    s.apply(message(5, true, true, &[1], &[]), 0, 0);
+    assert!(!s.take_records(4).1, "another leader came between");
 }
--- a/crates/gannethub-core/src/state/writes.rs
+++ b/crates/gannethub-core/src/state/writes.rs
@@ -2,62 +2,62 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{JobId, Ranges};
+use crate::model::{JobId, TaskSet};
 use crate::wire::store::JobRecord;
 
 /// Part of a transaction in flight.
 #[derive(Debug, Clone)]
-pub enum Item {
-    Job {
+pub enum BatchedWrite {
+    JobProgress {
         id: JobId,
-        parts: BTreeMap<u32, Ranges>,
+        done_parts: BTreeMap<u32, TaskSet>,
         /// The mark in its own value.
-        open: u32,
+        watermark: u32,
     },
     /// `late_s`: by how much it missed its deadline.
-    Over {
+    JobEnd {
         id: JobId,
         cancelled: bool,
-        late_s: Option<u32>,
+        deadline_missed_by_s: Option<u32>,
     },
     /// A job that waited for others is released.
-    Release {
+    JobRelease {
         id: JobId,
         record: Box<JobRecord>,
     },
     /// A waiting job is cancelled with one that it needs.
-    Mark {
+    WaitingJobCancellation {
         id: JobId,
     },
-    Chunk {
+    ShardChunk {
         index: usize,
         members: Vec<String>,
     },
     /// A page of the ledger.
-    Ledger,
+    LedgerPage,
     /// That marks cover all launches.
-    Marked,
+    WatermarksReliable,
     /// A job goes to another block.
-    Home {
+    JobTransfer {
         id: JobId,
         record: Box<JobRecord>,
     },
     /// A machine was given to another block.
-    Gave {
+    MachineTransfer {
         machine: String,
     },
-    Drop,
+    StaleKeyDeletion,
 }
 
 #[derive(Debug, Default)]
-pub struct Batch {
-    pub(crate) items: Vec<Item>,
+pub struct WriteBatch {
+    pub(crate) writes: Vec<BatchedWrite>,
     keys: Vec<String>,
 }
 
-impl Batch {
-    pub fn push(&mut self, item: Item, key: String) {
-        self.items.push(item);
+impl WriteBatch {
+    pub fn push(&mut self, item: BatchedWrite, key: String) {
+        self.writes.push(item);
         self.keys.push(key);
     }
 
--- a/crates/gannethub-core/src/wire/api.rs
+++ b/crates/gannethub-core/src/wire/api.rs
@@ -7,7 +7,8 @@
 
 use crate::http::Response;
 use crate::model::{
-    Flavor, JobId, JobSpec, Micros, Priority, Resources, Shape, Team, micros, valid_job_id,
+    JobId, JobSpec, MachineType, Micros, Priority, Resources, Shape, Team, is_valid_job_id,
+    micros_from_seconds,
 };
 
 /// The most tasks a job may have.
@@ -140,7 +141,7 @@
     let id = map
         .get("id")
         .and_then(Value::as_str)
-        .filter(|id| valid_job_id(id))
+        .filter(|id| is_valid_job_id(id))
         .map(JobId::from);
     Ok((map, id))
 }
@@ -153,7 +154,7 @@
         None => {}
         Some(Value::Array(list)) => {
             for id in list {
-                match id.as_str().filter(|id| valid_job_id(id)) {
+                match id.as_str().filter(|id| is_valid_job_id(id)) {
                     Some(id) if own == Some(id) => {
                         return bad("waits_on", "a job cannot wait for itself");
                     }
@@ -173,7 +174,7 @@
     if !f
         .get("id")
         .and_then(Value::as_str)
-        .is_some_and(valid_job_id)
+        .is_some_and(is_valid_job_id)
     {
         return bad("id", "a job id like j-000412 is needed");
     }
@@ -220,10 +221,11 @@
         None
     };
     let deadline = match f.get("due_s") {
-        Some(_) => Some(micros(f.amount("due_s")?)),
+        Some(_) => Some(micros_from_seconds(f.amount("due_s")?)),
         None => None,
     };
-    let duration = |field: &str| -> Result<Micros, Refusal> { f.amount(field).map(micros) };
+    let duration =
+        |field: &str| -> Result<Micros, Refusal> { f.amount(field).map(micros_from_seconds) };
     Ok(JobSpec {
         class: f.text("jobclass")?,
         team: f.text("crew")?,
@@ -260,7 +262,7 @@
 }
 
 /// Whether a job can ever run here. Narrows its list of types to those that exist.
-pub fn admit(spec: &mut JobSpec, teams: &[Team], flavors: &[Flavor]) -> Result<(), Refusal> {
+pub fn admit(spec: &mut JobSpec, teams: &[Team], flavors: &[MachineType]) -> Result<(), Refusal> {
     if flavors.is_empty() {
         return Err(Refusal::NotYet);
     }
@@ -268,21 +270,21 @@
     let Some(team) = teams.iter().find(|t| t.name == spec.team && !t.closed) else {
         return never("crew: no such team");
     };
-    let typed = |f: &&Flavor| {
+    let typed = |f: &&MachineType| {
         spec.types
             .as_ref()
             .is_none_or(|t| t.iter().any(|t| **t == *f.name))
     };
-    let placed = |f: &&Flavor| spec.zone.as_ref().is_none_or(|z| f.zones.contains(z));
-    let allowed: Vec<&Flavor> = flavors.iter().filter(typed).collect();
+    let placed = |f: &&MachineType| spec.zone.as_ref().is_none_or(|z| f.zones.contains(z));
+    let allowed: Vec<&MachineType> = flavors.iter().filter(typed).collect();
     if allowed.is_empty() {
         return never("rigs: there is no such machine type");
     }
-    let allowed: Vec<&Flavor> = allowed.into_iter().filter(placed).collect();
+    let allowed: Vec<&MachineType> = allowed.into_iter().filter(placed).collect();
     if allowed.is_empty() {
         return never("yard: no allowed machine type is in that zone");
     }
-    let fitting: Vec<&Flavor> = allowed
+    let fitting: Vec<&MachineType> = allowed
         .iter()
         .copied()
         .filter(|f| spec.need.fits(&f.size))
@@ -304,7 +306,7 @@
     if !Team::within(
         &team.limit,
         &Resources::default(),
-        &spec.need.times(at_once),
+        &spec.need.scaled_by(at_once),
     ) {
         return never("pieces: the job needs more than its team's limit");
     }
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -5,13 +5,13 @@
     "size_gb":6.2,"rigs":["g8","gone"],"yard":null,"together":true,"scatter":false,
     "loaners":true,"guess_s":240.0,"stamp_every_s":30.0,"stamp_s":4.0,"due_s":900.0,"x":1}"#;
 
-pub fn flavor(name: &str, cpus: f64, gpus: f64, mem: f64) -> Flavor {
-    Flavor {
+pub fn flavor(name: &str, cpus: f64, gpus: f64, mem: f64) -> MachineType {
+    MachineType {
         name: name.into(),
         size: Resources::new(cpus, gpus, mem),
         price: 0.05 * cpus,
         spot_price: 0.02 * cpus,
-        boot: 20_000_000,
+        boot_time: 20_000_000,
         fetch_gb_per_s: 1.0,
         zones: vec!["a".into(), "b".into()],
     }
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::http::Method;
-use crate::model::{Flavor, Resources, micros};
+use crate::model::{MachineType, Resources, micros_from_seconds};
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
@@ -97,10 +97,10 @@
 }
 
 /// Reads the machine types; `None` if the answer makes no sense.
-pub fn parse_flavors(body: &[u8]) -> Option<Vec<Flavor>> {
+pub fn parse_flavors(body: &[u8]) -> Option<Vec<MachineType>> {
     let raw: Flavors = serde_json::from_slice(body).ok()?;
     let sane = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
-    let flavors: Vec<Flavor> = raw
+    let flavors: Vec<MachineType> = raw
         .rigs
         .into_iter()
         .filter(|f| {
@@ -108,7 +108,7 @@
                 .into_iter()
                 .all(sane)
         })
-        .map(|f| Flavor {
+        .map(|f| MachineType {
             size: Resources::new(f.vcpus, f.cards, f.mem_gb),
             name: f.label.into(),
             price: f.price,
@@ -117,7 +117,7 @@
             } else {
                 f.price
             },
-            boot: micros(f.boot_s),
+            boot_time: micros_from_seconds(f.boot_s),
             fetch_gb_per_s: if f.fetch_gb_per_s > 0.0 {
                 f.fetch_gb_per_s
             } else {
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -22,7 +22,7 @@
 use serde_json::value::RawValue;
 
 use crate::http::Method;
-use crate::model::{JobId, JobSpec, Micros, Ranges, Resources, SECOND};
+use crate::model::{JobId, JobSpec, Micros, Resources, SECOND, TaskSet};
 
 pub const HOLDER: &str = "gh/lead/holder";
 pub const TERM: &str = "gh/lead/term";
@@ -382,12 +382,12 @@
 pub const PART_TASKS: u32 = 4096;
 
 /// Writes the members of `done` within part `part`: as ranges, or as a bitmap when that is shorter.
-pub fn encode_done(done: &Ranges, part: u32) -> String {
+pub fn encode_done(done: &TaskSet, part: u32) -> String {
     use std::fmt::Write;
     let lo = part * PART_TASKS;
     let slice = done.slice(lo, lo + PART_TASKS);
     let mut out = String::new();
-    for &(a, b) in slice.as_slice() {
+    for &(a, b) in slice.as_ranges() {
         let sep = if out.is_empty() { "" } else { "," };
         // Writing to a String cannot fail.
         let _ = if a == b {
@@ -411,7 +411,7 @@
 }
 
 /// Adds what [`encode_done`] wrote to `done`. Numbers outside the part are ignored.
-pub fn decode_done(text: &str, part: u32, done: &mut Ranges) {
+pub fn decode_done(text: &str, part: u32, done: &mut TaskSet) {
     let lo = part * PART_TASKS;
     if let Some(hex) = text.strip_prefix('x') {
         for (i, pair) in hex
--- a/crates/gannethub-core/src/wire/store/tests.rs
+++ b/crates/gannethub-core/src/wire/store/tests.rs
@@ -2,18 +2,18 @@
 
 #[test]
 fn finished_tasks_fold_into_ranges_or_a_bitmap_and_come_back() {
-    let mut sparse = Ranges::default();
+    let mut sparse = TaskSet::default();
     [0, 1, 2, 9, 5000, 5001].into_iter().for_each(|x| {
         sparse.insert(x);
     });
     assert_eq!(encode_done(&sparse, 0), "0-2,9");
     assert_eq!(encode_done(&sparse, 1), "5000-5001");
-    let mut dense = Ranges::default();
+    let mut dense = TaskSet::default();
     (0..10_000).filter(|x| x % 2 == 0).for_each(|x| {
         dense.insert(x);
     });
     for set in [sparse, dense] {
-        let mut back = Ranges::default();
+        let mut back = TaskSet::default();
         for part in 0..3 {
             let text = encode_done(&set, part);
             assert!(text.len() <= 1100, "{}", text.len());
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -10,11 +10,11 @@
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
 use gannethub_core::http::{Method, Request, Response};
 use gannethub_core::model::{
-    Flavor, JobId, JobSpec, Priority, Ranges, Resources, SECOND, Shape, Team, UNLIMITED,
+    JobId, JobSpec, MachineType, Priority, Resources, SECOND, Shape, TaskSet, Team, UNLIMITED,
 };
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
-use gannethub_core::state::shard::{Block, ChunkRecord, Member};
+use gannethub_core::state::shard::{ChunkRecord, Shard, ShardMember};
 use gannethub_core::wire::api::{self, JobView, Refusal, Route, Status};
 use gannethub_core::wire::cloud::{self, CloudRequest, MachineList, Rented};
 use gannethub_core::wire::configuration::{self as stored, HistoryRecord, VersionRecord};
@@ -130,7 +130,10 @@
         &json(&store::seat_keys(3)),
         r#"["gh/seat/3/holder","gh/seat/3/term"]"#,
     );
-    pin(&Block::new(3, 7, "n0", 4096, 20).key(2), "gh/block/3/2");
+    pin(
+        &Shard::new(3, 7, "n0", 4096, 20).chunk_key(2),
+        "gh/block/3/2",
+    );
     let version = VersionRecord {
         id: "3-a".into(),
         ..VersionRecord::default()
@@ -198,7 +201,7 @@
 #[test]
 fn store_record_finished_tasks() {
     let write_again = |text: &str, part: u32| {
-        let mut read = Ranges::default();
+        let mut read = TaskSet::default();
         store::decode_done(text, part, &mut read);
         store::encode_done(&read, part)
     };
@@ -249,7 +252,7 @@
 
 #[test]
 fn store_record_shard_chunk() {
-    let member = Member {
+    let member = ShardMember {
         flavor: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -922,21 +925,21 @@
 fn cloud_answer_machine_types() {
     let text = br#"{"rigs":[{"label":"g8","vcpus":96.0,"cards":8.0,"mem_gb":768.0,"fetch_gb_per_s":2.0,"price":30.0,
         "spot_price":9.0,"boot_s":45.0,"yards":["a","b"]},{"label":"s","vcpus":4.0,"mem_gb":16.0,"price":0.2}]}"#;
-    let large = Flavor {
+    let large = MachineType {
         name: "g8".into(),
         size: Resources::new(96.0, 8.0, 768.0),
         price: 30.0,
         spot_price: 9.0,
-        boot: 45 * SECOND,
+        boot_time: 45 * SECOND,
         fetch_gb_per_s: 2.0,
         zones: vec!["a".into(), "b".into()],
     };
-    let small = Flavor {
+    let small = MachineType {
         name: "s".into(),
         size: Resources::new(4.0, 0.0, 16.0),
         price: 0.2,
         spot_price: 0.2,
-        boot: 0,
+        boot_time: 0,
         fetch_gb_per_s: 1.0,
         zones: Vec::new(),
     };
@@ -1041,7 +1044,7 @@
         ..team.clone()
     };
     let types = cloud::parse_flavors(MACHINE_TYPES).unwrap();
-    let admit = |teams: &[Team], types: &[Flavor]| api::admit(&mut spec(), teams, types);
+    let admit = |teams: &[Team], types: &[MachineType]| api::admit(&mut spec(), teams, types);
     pin(
         &admit(&[team], &types).unwrap_err().to_string(),
         "vcpus: a task needs more than its team's limit",
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -2,7 +2,7 @@
 
 use gannethub_core::model::Shape;
 use gannethub_core::state::cluster::Cluster;
-use gannethub_core::state::shard::{ChunkRecord, Member};
+use gannethub_core::state::shard::{ChunkRecord, ShardMember};
 use gannethub_core::wire::store::JobRecord;
 use rand::Rng;
 use serde_json::{Value, json};
@@ -75,7 +75,7 @@
     let before = w.starts;
     w.submit(job(2, 2, json!({"rigs": ["small"]})));
     w.run_until(6, "it starts", |w| w.starts >= before + 2);
-    assert!(!settled(&w) && cluster(&w).is_some_and(|c| c.trusted));
+    assert!(!settled(&w) && cluster(&w).is_some_and(|c| c.watermarks_reliable));
     w.run_until(120, "it is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
     });
@@ -126,7 +126,9 @@
         lose_leader(&mut w);
         w.submit(job(2, 12, json!({"crew": "red", "rigs": ["small"]})));
         w.run_until(6, "as many start as may", |w| w.starts >= 40);
-        let held = cluster(&w).map_or(0, |c| c.used[0].cpu + c.doubt.held[0].cpu);
+        let held = cluster(&w).map_or(0, |c| {
+            c.team_usage[0].cpu + c.unconfirmed.possible_usage[0].cpu
+        });
         assert!(!settled(&w));
         w.run(3);
         let over = w.broken.iter().any(|b| b.starts_with("quota"));
@@ -169,7 +171,7 @@
             .for_each(|m| m.hung_until = until);
         w.state.down = false;
         lose_leader(&mut w);
-        assert!(cluster(&w).is_some_and(|c| !c.trusted));
+        assert!(cluster(&w).is_some_and(|c| !c.watermarks_reliable));
         w.run_until(60, "every machine is known", settled);
         w.cloud.capacity = 40;
         w.cloud.no_deletes = false;
@@ -198,7 +200,7 @@
         w.run(10);
         w.cut.clear();
         lose_leader(&mut w);
-        assert_eq!(cluster(&w).map(|c| c.trusted), Some(told));
+        assert_eq!(cluster(&w).map(|c| c.watermarks_reliable), Some(told));
         w.run(20);
         w.finish();
     }
@@ -225,11 +227,11 @@
     w.run_until(12, "another leads", |w| {
         cluster(w).is_some_and(|c| c.term > 1)
     });
-    assert!(cluster(&w).is_some_and(|c| !c.trusted));
+    assert!(cluster(&w).is_some_and(|c| !c.watermarks_reliable));
     assert_eq!(marked(&w), Some(false));
     w.run_until(30, "it says that marks hold", |w| marked(w) == Some(true));
     lose_leader(&mut w);
-    assert!(cluster(&w).is_some_and(|c| c.trusted));
+    assert!(cluster(&w).is_some_and(|c| c.watermarks_reliable));
     w.run(20);
     w.finish();
 }
@@ -237,8 +239,8 @@
 #[test]
 fn limits_count_what_is_in_doubt_from_the_moment_that_everything_is_read() {
     let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
-    f.c.trust(true);
-    let member = |_| Member {
+    f.c.set_watermarks_reliable(true);
+    let member = |_| ShardMember {
         flavor: "small".into(),
         zone: "a".into(),
         spot: false,
@@ -254,7 +256,10 @@
     f.c.job_record("j-1", record, 5);
     f.c.chunk_record("gh/block/0/0", chunk, 6);
     f.c.loaded(f.now);
-    assert_eq!(f.c.doubt.held[0].cpu, 6_000, "six tasks may be on them");
+    assert_eq!(
+        f.c.unconfirmed.possible_usage[0].cpu, 6_000,
+        "six tasks may be on them"
+    );
     // The first machine shows two of them, before any tick: two more CPUs are left, and tasks from the mark on.
     f.report(
         "up-1",
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -239,7 +239,8 @@
             .nodes
             .iter()
             .filter_map(|n| n.controller.as_ref()?.cluster());
-        self.broken.extend(leading.flat_map(|c| c.misplaced()));
+        self.broken
+            .extend(leading.flat_map(|c| c.index_inconsistencies()));
         self.check_blocks();
     }
 
@@ -288,7 +289,7 @@
         ];
         values.iter().any(|(key, part)| {
             let text = self.state.value(key).and_then(|v| v["done"].as_str());
-            let mut done = Ranges::default();
+            let mut done = TaskSet::default();
             decode_done(text.unwrap_or(""), *part, &mut done);
             done.contains(index)
         })
@@ -303,7 +304,7 @@
                 .next()
                 .and_then(|n| n.parse().ok())
                 .unwrap_or(0);
-            let mut done = Ranges::default();
+            let mut done = TaskSet::default();
             let text = self
                 .state
                 .value(&key)
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -12,7 +12,7 @@
 use gannethub_core::configuration::Document;
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
 use gannethub_core::http::{Method, Request, Response};
-use gannethub_core::model::Ranges;
+use gannethub_core::model::TaskSet;
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
 use gannethub_core::state::cluster::Cluster;
@@ -459,7 +459,7 @@
     pub fn block(&self, block: u32) -> Option<&Cluster> {
         let all = self.nodes.iter().filter_map(|n| n.controller.as_ref());
         all.flat_map(|c| c.clusters())
-            .filter(|c| c.block.id == block)
+            .filter(|c| c.shard.id == block)
             .max_by_key(|c| c.term)
     }
 
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -10,7 +10,7 @@
 fn two_gangs_never_count_on_the_same_booting_machine() {
     let mut f = LeaderView::new();
     for (i, zone) in ["a", "a", "a", "b", "b"].iter().enumerate() {
-        f.c.machine(&format!("host-{i}"), "large", zone, false, f.now);
+        f.c.machine_or_adopt(&format!("host-{i}"), "large", zone, false, f.now);
     }
     for id in ["j-1", "j-2", "j-3"] {
         f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
@@ -22,9 +22,14 @@
         [f.kept_for("j-1"), f.kept_for("j-2"), f.kept_for("j-3")],
         [2, 2, 0]
     );
-    for m in f.c.machines.values().filter(|m| m.kept(f.now).is_some()) {
+    for m in
+        f.c.machines
+            .values()
+            .filter(|m| m.active_reservation(f.now).is_some())
+    {
         let same = |o: &&gannethub_core::state::records::Machine| {
-            o.kept(f.now).map(|k| &k.job) == m.kept(f.now).map(|k| &k.job)
+            o.active_reservation(f.now).map(|k| &k.job)
+                == m.active_reservation(f.now).map(|k| &k.job)
         };
         assert!(f.c.machines.values().filter(same).all(|o| o.zone == m.zone));
     }
@@ -34,7 +39,7 @@
 fn a_gang_takes_the_room_kept_for_one_further_down_the_queue() {
     let mut f = LeaderView::new();
     for i in 0..2 {
-        f.c.machine(&format!("host-{i}"), "large", "a", false, f.now);
+        f.c.machine_or_adopt(&format!("host-{i}"), "large", "a", false, f.now);
     }
     f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
     f.c.run_scheduling_pass(f.now);
@@ -56,7 +61,7 @@
     f.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
     f.c.run_scheduling_pass(f.now);
     f.run_all();
-    f.c.machine("late-0", "large", "a", false, f.now);
+    f.c.machine_or_adopt("late-0", "large", "a", false, f.now);
     for _ in 0..8 {
         f.pass(7);
         f.run_all();
@@ -64,7 +69,7 @@
     f.submit("j-2", spec(Shape::Gang, "red", 1, 30.0));
     f.c.run_scheduling_pass(f.now);
     let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
-    let stopped = attempts.filter(|a| a.stop.is_some()).count();
+    let stopped = attempts.filter(|a| a.stop_grace.is_some()).count();
     assert_eq!(stopped, 30, "room is made on a machine that is up");
 }
 
@@ -77,12 +82,12 @@
         f.submit("j-1", spec(Shape::Array, "blue", 200, 1.0));
         f.c.run_scheduling_pass(f.now);
         f.run_all();
-        assert_eq!(f.c.used[1].cpu, 96_000);
+        assert_eq!(f.c.team_usage[1].cpu, 96_000);
         f.submit("j-2", spec(Shape::Gang, "red", tasks, 30.0));
         f.c.run_scheduling_pass(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
         assert_eq!(
-            attempts.filter(|a| a.stop.is_some()).count(),
+            attempts.filter(|a| a.stop_grace.is_some()).count(),
             expected,
             "{tasks} tasks"
         );
@@ -90,7 +95,10 @@
         f.pass(1);
         f.c.run_scheduling_pass(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
-        assert_eq!(attempts.filter(|a| a.stop.is_some()).count(), expected);
+        assert_eq!(
+            attempts.filter(|a| a.stop_grace.is_some()).count(),
+            expected
+        );
     }
 }
 
@@ -108,7 +116,7 @@
     f.submit("j-2", urgent);
     f.c.run_scheduling_pass(f.now);
     let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
-    assert_eq!(attempts.filter(|a| a.stop.is_some()).count(), 4);
+    assert_eq!(attempts.filter(|a| a.stop_grace.is_some()).count(), 4);
 }
 
 #[test]
@@ -148,7 +156,7 @@
             .for_each(|n| drop(f.report(n, "small", "b", &[])));
     }
     f.c.plan_cloud_calls(f.now);
-    assert!(f.c.dark.contains_key("a") && !f.c.dark.contains_key("b"));
+    assert!(f.c.unreachable_zones.contains_key("a") && !f.c.unreachable_zones.contains_key("b"));
     f.pass(52);
     heard
         .iter()
@@ -162,7 +170,7 @@
         .sum();
     assert!(tried <= 1, "{rented:?}");
     f.report("new-0000", "small", "a", &[]);
-    assert!(!f.c.dark.contains_key("a"), "heard again");
+    assert!(!f.c.unreachable_zones.contains_key("a"), "heard again");
 }
 
 #[test]
@@ -187,9 +195,9 @@
         .collect();
     assert!(running.iter().all(|r| r.len() == 4));
     // Reports without news look at no other machine.
-    let before = f.c.looks.get();
+    let before = f.c.scheduling_steps.get();
     f.run_all();
-    assert_eq!(f.c.looks.get(), before);
+    assert_eq!(f.c.scheduling_steps.get(), before);
     // A hundred machines with a task done each, at one moment: one look over the machines for
     // each of them, and not one for each job that waits.
     for (name, tasks) in names.iter().zip(&running).take(100) {
@@ -205,7 +213,7 @@
             .count();
         assert_eq!(starts, 1, "the room is used with the same answer");
     }
-    let looks = f.c.looks.get() - before;
+    let looks = f.c.scheduling_steps.get() - before;
     assert!(looks < 100 * 2 * 400, "{looks} looks for 100 reports");
     // And a hundred completions of a few jobs are few changes.
     f.pass(3);
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gannethub_core::model::{Flavor, JobSpec, Priority, Resources, SECOND, Shape};
+use gannethub_core::model::{JobSpec, MachineType, Priority, Resources, SECOND, Shape};
 use gannethub_core::reconcile::heartbeat::Outcome;
 use gannethub_core::settings::Settings;
 use gannethub_core::state::cluster::Cluster;
@@ -50,13 +50,13 @@
     )
 }
 
-fn flavors() -> Arc<Vec<Flavor>> {
-    let flavor = |name: &str, cpus: f64, price: f64| Flavor {
+fn flavors() -> Arc<Vec<MachineType>> {
+    let flavor = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
         size: Resources::new(cpus, 0.0, cpus * 4.0),
         price,
         spot_price: price / 3.0,
-        boot: 30 * SECOND,
+        boot_time: 30 * SECOND,
         fetch_gb_per_s: 1.0,
         zones: vec!["a".into(), "b".into()],
     };
@@ -228,7 +228,7 @@
             .values()
             .map(|m| {
                 let flavor = m
-                    .flavor
+                    .machine_type
                     .map_or("", |f| if f == 0 { "small" } else { "large" });
                 let tasks: Vec<(String, u64)> = m
                     .attempts
@@ -245,7 +245,11 @@
     }
 
     pub fn kept_for(&self, job: &str) -> i64 {
-        let kept = self.c.machines.values().filter_map(|m| m.kept(self.now));
+        let kept = self
+            .c
+            .machines
+            .values()
+            .filter_map(|m| m.active_reservation(self.now));
         kept.filter(|k| &*k.job == job).map(|k| k.tasks).sum()
     }
 
@@ -256,11 +260,11 @@
             self.now += SECOND / 2;
             for call in self.c.plan_cloud_calls(self.now) {
                 let body = match &call {
-                    CloudCall::Rent {
+                    CloudCall::Provision {
                         name, offer, count, ..
                     } => {
                         assert!(*count <= 50);
-                        let flavor = self.c.flavors[offer.flavor].name.to_string();
+                        let flavor = self.c.machine_types[offer.machine_type].name.to_string();
                         *rented.entry((flavor, offer.zone.clone())).or_default() += count;
                         let hosts: Vec<_> = (0..*count)
                             .map(|i| format!("host-{round}-{name}-{i}"))
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -74,7 +74,7 @@
     let cluster = w
         .leader()
         .and_then(|l| w.nodes[l].controller.as_ref()?.cluster());
-    let blamed = cluster.map_or(0, |c| c.machines.values().filter(|m| m.bad).count());
+    let blamed = cluster.map_or(0, |c| c.machines.values().filter(|m| m.quarantined).count());
     assert_eq!(blamed, 0);
     assert!(
         machines
@@ -130,7 +130,7 @@
     assert!(!f.c.machines.contains_key("host-0000"));
     assert!(
         f.c.jobs["j-1"]
-            .live
+            .live_attempts
             .values()
             .all(|(m, _)| &**m != "host-0000")
     );
@@ -175,7 +175,7 @@
         f.c.plan_cloud_calls(f.now);
         f.c.machines
             .values()
-            .filter(|m| m.leaving)
+            .filter(|m| m.draining)
             .map(|m| m.id.to_string())
             .collect::<Vec<_>>()
     };
@@ -188,9 +188,9 @@
     assert!(
         m.attempts
             .values()
-            .all(|a| a.stop.is_some_and(|grace| grace > save))
+            .all(|a| a.stop_grace.is_some_and(|grace| grace > save))
     );
-    assert!(!m.usable(f.now, SECOND));
+    assert!(!m.is_schedulable(f.now, SECOND));
     // Its task has saved: the machine goes, and the task goes on beside another.
     f.report(&leaving[0], "small", "a", &[]);
     f.c.run_scheduling_pass(f.now);
@@ -198,11 +198,11 @@
     assert!(f.c.machines[leaving[0].as_str()].deleting);
     assert!(
         f.c.jobs["j-2"]
-            .live
+            .live_attempts
             .values()
             .all(|(m, _)| **m != *leaving[0])
     );
-    assert_eq!(f.c.jobs["j-2"].live.len(), 3);
+    assert_eq!(f.c.jobs["j-2"].live_attempts.len(), 3);
 }
 
 #[test]
@@ -260,7 +260,7 @@
     };
     let stopped = |f: &LeaderView| {
         let all = f.c.machines.values().flat_map(|m| m.attempts.values());
-        all.filter(|a| a.stop.is_some()).count()
+        all.filter(|a| a.stop_grace.is_some()).count()
     };
     for (team, expected) in [("guest", 20), ("blue", 0)] {
         let mut f = LeaderView::new();
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -248,7 +248,7 @@
         let calls = f.c.plan_cloud_calls(f.now);
         calls
             .iter()
-            .filter(|c| matches!(c, CloudCall::Rent { .. }))
+            .filter(|c| matches!(c, CloudCall::Provision { .. }))
             .count()
     };
     f.pass(1);
@@ -260,8 +260,12 @@
     }
     assert!(rents(&mut f) > 0);
     f.c.run_scheduling_pass(f.now);
-    assert!(f.c.machines.values().all(|m| m.kept(f.now).is_none()));
-    assert!(f.c.order.is_empty(), "it is not in the queue");
+    assert!(
+        f.c.machines
+            .values()
+            .all(|m| m.active_reservation(f.now).is_none())
+    );
+    assert!(f.c.placement_order.is_empty(), "it is not in the queue");
 }
 
 #[test]
@@ -283,7 +287,7 @@
     f.pass(1);
     f.c.run_scheduling_pass(f.now);
     assert_eq!(
-        f.c.jobs["j-2"].priority(),
+        f.c.jobs["j-2"].effective_priority(),
         Priority::High,
         "what needs it is urgent"
     );
@@ -300,11 +304,11 @@
         f.report("up-0000", "small", "a", &tasks);
         f.c.run_scheduling_pass(f.now);
         assert_eq!(
-            f.c.jobs["j-1"].live.len(),
+            f.c.jobs["j-1"].live_attempts.len(),
             4 - ended,
             "nothing else has started"
         );
-        assert_eq!(f.c.jobs["j-2"].live.len(), usize::from(ended == 2));
+        assert_eq!(f.c.jobs["j-2"].live_attempts.len(), usize::from(ended == 2));
     }
 }
 
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -43,15 +43,15 @@
             spec(Shape::Gang, team, 1 + (i % 3) as u32, 30.0),
         );
     }
-    assert_eq!(f.c.misplaced(), Vec::<String>::new());
+    assert_eq!(f.c.index_inconsistencies(), Vec::<String>::new());
     (f, names)
 }
 
 /// Looks that a piece of work takes.
 fn looks(f: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
-    let before = f.c.looks.get();
+    let before = f.c.scheduling_steps.get();
     work(f);
-    (f.c.looks.get() - before) as f64
+    (f.c.scheduling_steps.get() - before) as f64
 }
 
 #[test]
@@ -138,7 +138,7 @@
         [4, 0],
         "heard again, it gets work"
     );
-    assert_eq!(f.c.misplaced(), Vec::<String>::new());
+    assert_eq!(f.c.index_inconsistencies(), Vec::<String>::new());
 }
 
 proptest! {
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -46,7 +46,7 @@
 /// Tasks that are on machines of a block, as its holder sees them.
 fn placed(w: &World, block: u32) -> usize {
     w.block(block)
-        .map_or(0, |c| c.jobs.values().map(|j| j.live.len()).sum())
+        .map_or(0, |c| c.jobs.values().map(|j| j.live_attempts.len()).sum())
 }
 
 #[test]
@@ -130,7 +130,7 @@
         w.block(1).is_some_and(|c| c.settled)
     });
     assert!(
-        w.block(1).is_some_and(|c| c.trusted),
+        w.block(1).is_some_and(|c| c.watermarks_reliable),
         "it was told that marks hold"
     );
     w.run(5);
@@ -273,7 +273,7 @@
         w.run(12);
         let claims = w.nodes[old].controller.iter().flat_map(|c| c.clusters());
         assert!(
-            claims.filter(|c| c.block.id == block).all(|c| c.term > 3),
+            claims.filter(|c| c.shard.id == block).all(|c| c.term > 3),
             "its old term is over"
         );
         w.run_until(200, "the arrays are over", |w| {
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -227,7 +227,7 @@
     let mut w = World::with_settings(1, 81, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     let ranges: Vec<String> = (0..2000).step_by(2).map(|i| i.to_string()).collect();
     let mut record: Value = serde_json::from_str(&old_record(2000, "")).expect("JSON");
-    let mut done = gannethub_core::model::Ranges::default();
+    let mut done = gannethub_core::model::TaskSet::default();
     for r in &ranges {
         done.insert(r.parse().expect("a number"));
     }
@@ -248,7 +248,7 @@
     let part = w.state.value("gh/part/j-000077/0").expect("its part");
     let old: OldJob = serde_json::from_value(live.clone()).expect("the version before reads it");
     assert_eq!(old.done, "");
-    let mut back = gannethub_core::model::Ranges::default();
+    let mut back = gannethub_core::model::TaskSet::default();
     store::decode_done(part["done"].as_str().expect("text"), 0, &mut back);
     assert!(
         ranges
