--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -5,13 +5,13 @@
 
 use super::Controller;
 use super::config_watch::{ConfigurationRead, NewSettings};
-use super::outbox::Purpose;
+use super::outbox::PendingRequest;
 use crate::http::Response;
 use crate::wire::budget::Urgency;
 
 /// The answer to `GET /api/config`.
 #[derive(Serialize)]
-struct Told<'a> {
+struct ConfigurationStatus<'a> {
     /// The version in force here; 0: the platform's settings alone.
     version: u64,
     /// The newest version that was seen, and why it is not in force if it cannot be used.
@@ -20,12 +20,12 @@
     /// It may be acted on now, and when it was last known to be the newest.
     fresh: bool,
     known_ms_ago: Option<u64>,
-    nodes: Vec<NodeTold<'a>>,
+    nodes: Vec<NodeStatus<'a>>,
 }
 
 /// What a controller knows of another one.
 #[derive(Serialize)]
-struct NodeTold<'a> {
+struct NodeStatus<'a> {
     name: &'a str,
     /// It was heard within the last seconds.
     heard: bool,
@@ -35,46 +35,53 @@
 
 impl Controller {
     /// Asks for what is to be read of the configuration, if anything.
-    pub(super) fn read_configuration(&mut self) {
-        let port = &mut self.port;
-        if let Some((what, request)) = port.configuring.next_read(port.clock.now) {
-            port.send(Urgency::Renewal, request, Purpose::Configuration(what));
+    pub(super) fn send_configuration_read(&mut self) {
+        let port = &mut self.outbox;
+        if let Some((what, request)) = port.configuration.next_read(port.clock.now) {
+            port.send_to_store(
+                Urgency::Renewal,
+                request,
+                PendingRequest::Configuration(what),
+            );
         }
     }
 
-    pub(super) fn configuration_read(
+    pub(super) fn handle_configuration_answer(
         &mut self,
         what: ConfigurationRead,
         answer: Option<(u16, Bytes)>,
     ) {
-        let port = &mut self.port;
+        let port = &mut self.outbox;
         let (running, now) = (port.settings.clone(), port.clock.now);
-        if let Some(new) = port.configuring.answered(what, answer, &running, now) {
-            self.configure(new);
+        if let Some(new) = port
+            .configuration
+            .handle_answer(what, answer, &running, now)
+        {
+            self.activate_settings(new);
         }
-        self.read_configuration();
+        self.send_configuration_read();
     }
 
     /// Puts settings in force in this process, in all of its roles at once.
-    fn configure(&mut self, new: NewSettings) {
+    fn activate_settings(&mut self, new: NewSettings) {
         let NewSettings {
             settings,
             over_limit,
         } = new;
-        let now = self.port.clock.now;
-        self.port.settings = settings.clone();
-        for holder in self.holders.values_mut() {
+        let now = self.outbox.clock.now;
+        self.outbox.settings = settings.clone();
+        for holder in self.shard_owners.values_mut() {
             holder.cluster.configure(&settings, over_limit, now);
-            holder.heed_configuration(&self.port);
+            holder.update_start_hold(&self.outbox);
         }
-        self.intake.configured();
-        self.standing.beat_soon(now);
+        self.job_api.handle_new_configuration();
+        self.membership.send_heartbeats_soon(now);
     }
 
     pub(super) fn show_configuration(&mut self, conn: u64) {
-        let (port, standing) = (&self.port, &self.standing);
-        let (configuring, now) = (&port.configuring, port.clock.now);
-        let own = NodeTold {
+        let (port, standing) = (&self.outbox, &self.membership);
+        let (configuring, now) = (&port.configuration, port.clock.now);
+        let own = NodeStatus {
             name: &port.settings.name,
             heard: true,
             version: Some(configuring.version()),
@@ -84,20 +91,20 @@
             .siblings
             .iter()
             .enumerate()
-            .map(|(i, s)| NodeTold {
+            .map(|(i, s)| NodeStatus {
                 name: &s.name,
-                heard: standing.heard(port, i),
-                version: standing.siblings[i].configuration,
+                heard: standing.is_heard(port, i),
+                version: standing.peers[i].configuration_version,
             });
-        let told = Told {
+        let told = ConfigurationStatus {
             version: configuring.version(),
-            newest: configuring.newest(),
-            refused: configuring.refused(),
-            fresh: configuring.fresh(now),
+            newest: configuring.newest_version(),
+            refused: configuring.rejection(),
+            fresh: configuring.is_fresh(now),
             known_ms_ago: configuring.age(now).map(|age| age / 1000),
             nodes: std::iter::once(own).chain(siblings).collect(),
         };
         let response = Response::json(200, &told);
-        self.port.reply(conn, response);
+        self.outbox.reply(conn, response);
     }
 }
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -15,7 +15,7 @@
 
 use bytes::Bytes;
 
-use super::outbox::read;
+use super::outbox::decode_ok;
 use crate::configuration::{Document, OverLimit};
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
@@ -23,11 +23,11 @@
 use crate::wire::store::{Change, Item, Listing, StoreRequest};
 
 /// How long after a version was last known to be the newest it may be acted on.
-pub(super) const FRESH: Micros = 6_500_000;
+pub(super) const MAX_VERSION_AGE: Micros = 6_500_000;
 /// Once a version was stored, what has changed is read at least this often.
-pub(super) const LOOK_EVERY: Micros = 2 * SECOND;
+pub(super) const CHANGE_READ_INTERVAL: Micros = 2 * SECOND;
 /// A read that failed is tried again after this time.
-const READ_AGAIN: Micros = 300_000;
+const READ_RETRY_INTERVAL: Micros = 300_000;
 
 /// What is asked of the state service for the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,10 +40,10 @@
 
 /// A version as the state service has it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct SeenVersion {
     /// The version of the key's last change in the state service, and of the key itself: 0 where it was deleted.
-    stamp: u64,
-    guard: u64,
+    change_version: u64,
+    key_version: u64,
     version: u64,
 }
 
@@ -54,52 +54,52 @@
     pub over_limit: OverLimit,
 }
 
-pub(super) struct Configuring {
+pub(super) struct ConfigWatch {
     /// The platform's settings.
-    base: Arc<Settings>,
+    platform_settings: Arc<Settings>,
     /// The newest version that this process has heard of.
-    seen: Option<Seen>,
+    newest_seen: Option<SeenVersion>,
     /// The version of the key's last change that was dealt with; 0: none was ever seen.
-    settled: u64,
+    settled_change: u64,
     /// The version of the key then.
-    guard: u64,
+    guard_version: u64,
     /// The version in force here; 0: the platform's settings alone.
     version: u64,
     /// A version of its own process was put in force: it stays where a newer one cannot be used.
     any_in_force: bool,
     /// When the newest version was last known to be the newest.
-    known_at: Option<Micros>,
+    confirmed_newest_at: Option<Micros>,
     /// A transaction has failed on the version's key at this time: there is a newer one.
-    doubted_at: Option<Micros>,
+    unconfirmed_at: Option<Micros>,
     /// The newest version that a sibling has told of.
-    told: u64,
+    newest_peer_version: u64,
     /// Versions to be tried, the newest first.
     candidates: VecDeque<VersionRecord>,
     /// The versions before are to be read: none of the candidates can be used.
     needs_history: bool,
-    reading: bool,
+    read_in_flight: bool,
     read_at: Micros,
     /// Why the newest version is not in force.
-    refused: Option<String>,
+    rejection: Option<String>,
 }
 
-impl Configuring {
-    pub fn new(base: Arc<Settings>) -> Configuring {
-        Configuring {
-            base,
-            seen: None,
-            settled: 0,
-            guard: 0,
+impl ConfigWatch {
+    pub fn new(platform_settings: Arc<Settings>) -> ConfigWatch {
+        ConfigWatch {
+            platform_settings,
+            newest_seen: None,
+            settled_change: 0,
+            guard_version: 0,
             version: 0,
             any_in_force: false,
-            known_at: None,
-            doubted_at: None,
-            told: 0,
+            confirmed_newest_at: None,
+            unconfirmed_at: None,
+            newest_peer_version: 0,
             candidates: VecDeque::new(),
             needs_history: false,
-            reading: false,
+            read_in_flight: false,
             read_at: 0,
-            refused: None,
+            rejection: None,
         }
     }
 
@@ -109,106 +109,116 @@
     }
 
     /// The newest version that this process has seen in the state service.
-    pub fn newest(&self) -> u64 {
-        self.seen.as_ref().map_or(0, |s| s.version)
+    pub fn newest_version(&self) -> u64 {
+        self.newest_seen.as_ref().map_or(0, |s| s.version)
     }
 
     /// Why the newest version is not in force.
-    pub fn refused(&self) -> Option<&str> {
-        self.refused.as_deref()
+    pub fn rejection(&self) -> Option<&str> {
+        self.rejection.as_deref()
     }
 
     /// A version was stored at some time.
-    pub fn ever(&self) -> bool {
-        self.seen.is_some()
+    pub fn has_stored_version(&self) -> bool {
+        self.newest_seen.is_some()
     }
 
     /// What a transaction that accepts jobs has as its condition on [`CURRENT`].
-    pub fn guard(&self) -> u64 {
-        self.guard
+    pub fn guard_version(&self) -> u64 {
+        self.guard_version
     }
 
     /// All that is known of versions has been dealt with.
-    pub fn settled(&self) -> bool {
-        self.doubted_at.is_none() && self.seen.as_ref().is_none_or(|s| s.stamp == self.settled)
+    pub fn is_settled(&self) -> bool {
+        self.unconfirmed_at.is_none()
+            && self
+                .newest_seen
+                .as_ref()
+                .is_none_or(|s| s.change_version == self.settled_change)
     }
 
     /// The version in force here may be acted on.
-    pub fn fresh(&self, now: Micros) -> bool {
-        self.settled()
-            && self.told <= self.newest()
-            && self.known_at.is_some_and(|at| now < at + FRESH)
+    pub fn is_fresh(&self, now: Micros) -> bool {
+        self.is_settled()
+            && self.newest_peer_version <= self.newest_version()
+            && self
+                .confirmed_newest_at
+                .is_some_and(|at| now < at + MAX_VERSION_AGE)
     }
 
     /// How long ago the newest version was last known to be the newest.
     pub fn age(&self, now: Micros) -> Option<Micros> {
-        self.known_at.map(|at| now.saturating_sub(at))
+        self.confirmed_newest_at.map(|at| now.saturating_sub(at))
     }
 
     /// Nothing is to be started by the version in force here. Where none was ever stored, nothing is held up.
-    pub fn holds_starts(&self, now: Micros) -> bool {
-        (self.ever() || self.told > 0) && !self.fresh(now)
+    pub fn must_hold_starts(&self, now: Micros) -> bool {
+        (self.has_stored_version() || self.newest_peer_version > 0) && !self.is_fresh(now)
     }
 
     /// There is a newer version than this process knows of: what has changed is to be read without delay.
-    pub fn behind(&self) -> bool {
-        self.doubted_at.is_some() || self.told > self.newest()
+    pub fn is_behind(&self) -> bool {
+        self.unconfirmed_at.is_some() || self.newest_peer_version > self.newest_version()
     }
 
     /// A sibling has seen this version.
-    pub fn told(&mut self, version: u64) {
-        self.told = self.told.max(version);
+    pub fn record_peer_version(&mut self, version: u64) {
+        self.newest_peer_version = self.newest_peer_version.max(version);
     }
 
     /// A transaction failed on the version's key.
-    pub fn doubt(&mut self, now: Micros) {
-        self.doubted_at = Some(now);
+    pub fn mark_unconfirmed(&mut self, now: Micros) {
+        self.unconfirmed_at = Some(now);
     }
 
     /// All changes up to a request that was sent at this time have been taken in.
-    pub fn knew(&mut self, sent: Micros) {
-        self.known_at = self.known_at.max(Some(sent));
-        self.doubted_at = self.doubted_at.filter(|doubted| *doubted > sent);
+    pub fn confirm_newest(&mut self, sent: Micros) {
+        self.confirmed_newest_at = self.confirmed_newest_at.max(Some(sent));
+        self.unconfirmed_at = self.unconfirmed_at.filter(|doubted| *doubted > sent);
     }
 
     /// Takes in a page of a listing of live jobs. On the first page the key is there, or it is nowhere: it may have been
     /// deleted while changes were missed, and a transaction on the condition of what was there would fail for ever.
-    pub fn listed(&mut self, listing: &Listing, first: bool) {
+    pub fn apply_listing(&mut self, listing: &Listing, first: bool) {
         let current = listing.items.iter().find(|i| i.k == CURRENT);
         match current {
-            Some(item) => self.see(Some(item.v.get()), item.stamp),
-            None if first && self.seen.as_ref().is_some_and(|s| s.guard > 0) => {
-                self.see(None, listing.ledger_no);
+            Some(item) => self.observe(Some(item.v.get()), item.stamp),
+            None if first && self.newest_seen.as_ref().is_some_and(|s| s.key_version > 0) => {
+                self.observe(None, listing.ledger_no);
             }
             None => {}
         }
     }
 
     /// Takes in changes of live jobs.
-    pub fn changed(&mut self, log: &[Change]) {
+    pub fn apply_changes(&mut self, log: &[Change]) {
         for change in log {
             if change.write.as_deref() == Some(CURRENT) {
-                self.see(change.v.as_deref().map(|v| v.get()), change.stamp);
+                self.observe(change.v.as_deref().map(|v| v.get()), change.stamp);
             } else if change.delete.as_deref() == Some(CURRENT) {
-                self.see(None, change.stamp);
+                self.observe(None, change.stamp);
             }
         }
     }
 
     /// The key was found to be so. Changes may come twice, and in any order.
-    fn see(&mut self, value: Option<&str>, stamp: u64) {
-        if self.seen.as_ref().is_some_and(|s| s.stamp >= stamp) {
+    fn observe(&mut self, value: Option<&str>, stamp: u64) {
+        if self
+            .newest_seen
+            .as_ref()
+            .is_some_and(|s| s.change_version >= stamp)
+        {
             return;
         }
-        self.refused = None;
+        self.rejection = None;
         self.candidates.clear();
         self.needs_history = false;
         match value.map(serde_json::from_str::<VersionRecord>) {
             Some(Ok(record)) => {
                 tracing::info!(version = record.version, by = %record.by, why = %record.why, "a new configuration");
-                self.seen = Some(Seen {
-                    stamp,
-                    guard: stamp,
+                self.newest_seen = Some(SeenVersion {
+                    change_version: stamp,
+                    key_version: stamp,
                     version: record.version,
                 });
                 self.candidates.push_back(record);
@@ -220,21 +230,21 @@
                     _ => "it was deleted".to_string(),
                 };
                 let guard = if value.is_some() { stamp } else { 0 };
-                self.seen = Some(Seen {
-                    stamp,
-                    guard,
-                    version: self.newest(),
+                self.newest_seen = Some(SeenVersion {
+                    change_version: stamp,
+                    key_version: guard,
+                    version: self.newest_version(),
                 });
-                self.refuse(CURRENT, &reason);
+                self.reject(CURRENT, &reason);
             }
         }
     }
 
     /// A version cannot be used: the last good one stays in force. A process that has put none in force looks for it.
-    fn refuse(&mut self, key: &str, reason: &str) {
+    fn reject(&mut self, key: &str, reason: &str) {
         let in_force = self.version;
         tracing::error!(key, reason, in_force, "the configuration cannot be used");
-        self.refused
+        self.rejection
             .get_or_insert_with(|| format!("{key}: {reason}"));
         if !self.candidates.is_empty() {
             return;
@@ -248,14 +258,17 @@
     }
 
     fn settle(&mut self) {
-        (self.settled, self.guard) = self.seen.as_ref().map_or((0, 0), |s| (s.stamp, s.guard));
+        (self.settled_change, self.guard_version) = self
+            .newest_seen
+            .as_ref()
+            .map_or((0, 0), |s| (s.change_version, s.key_version));
         self.candidates.clear();
         self.needs_history = false;
     }
 
     /// What is to be read next, if anything.
     pub fn next_read(&mut self, now: Micros) -> Option<(ConfigurationRead, StoreRequest)> {
-        if self.reading || now < self.read_at {
+        if self.read_in_flight || now < self.read_at {
             return None;
         }
         let next = match self.candidates.front() {
@@ -266,56 +279,56 @@
             None if self.needs_history => (ConfigurationRead::History, StoreRequest::get(HISTORY)),
             None => return None,
         };
-        self.reading = true;
+        self.read_in_flight = true;
         Some(next)
     }
 
     /// Takes in the answer to what was read; settings that come of it are to be put in force.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         what: ConfigurationRead,
         answer: Option<(u16, Bytes)>,
         running: &Settings,
         now: Micros,
     ) -> Option<NewSettings> {
-        self.reading = false;
+        self.read_in_flight = false;
         match what {
-            ConfigurationRead::Document => match read::<Listing>(answer) {
-                Some(listing) => self.document_read(&listing, running),
+            ConfigurationRead::Document => match decode_ok::<Listing>(answer) {
+                Some(listing) => self.handle_document(&listing, running),
                 None => {
-                    self.read_at = now + READ_AGAIN;
+                    self.read_at = now + READ_RETRY_INTERVAL;
                     None
                 }
             },
             ConfigurationRead::History => {
-                self.history_read(answer, now);
+                self.handle_history(answer, now);
                 None
             }
         }
     }
 
-    fn document_read(&mut self, listing: &Listing, running: &Settings) -> Option<NewSettings> {
+    fn handle_document(&mut self, listing: &Listing, running: &Settings) -> Option<NewSettings> {
         // A newer version may have been seen meanwhile: then these parts are not its own.
         let own = |r: &VersionRecord| listing.items.iter().all(|i| i.k.starts_with(&r.prefix()));
         let record = self.candidates.front().filter(|r| own(r))?.clone();
         let document = record.assemble(listing).map_err(|e| e.to_string());
         let checked = document.and_then(|d| {
             let settings = d
-                .effective(&self.base, running)
+                .effective(&self.platform_settings, running)
                 .map_err(|e| e.to_string())?;
             Ok((settings, d))
         });
         match checked {
-            Ok((settings, document)) => Some(self.put_in_force(&record, settings, &document)),
+            Ok((settings, document)) => Some(self.activate(&record, settings, &document)),
             Err(reason) => {
                 self.candidates.pop_front();
-                self.refuse(&record.prefix(), &reason);
+                self.reject(&record.prefix(), &reason);
                 None
             }
         }
     }
 
-    fn put_in_force(
+    fn activate(
         &mut self,
         record: &VersionRecord,
         settings: Settings,
@@ -332,8 +345,8 @@
         }
     }
 
-    fn history_read(&mut self, answer: Option<(u16, Bytes)>, now: Micros) {
-        let newest = self.newest();
+    fn handle_history(&mut self, answer: Option<(u16, Bytes)>, now: Micros) {
+        let newest = self.newest_version();
         match answer {
             Some((200, body)) => {
                 let item = serde_json::from_slice::<Item>(&body).ok();
@@ -345,16 +358,16 @@
                 self.candidates = before.collect();
                 self.needs_history = false;
                 if self.candidates.is_empty() {
-                    self.nothing_usable();
+                    self.fall_back_to_platform_settings();
                 }
             }
-            Some((404, _)) => self.nothing_usable(),
-            _ => self.read_at = now + READ_AGAIN,
+            Some((404, _)) => self.fall_back_to_platform_settings(),
+            _ => self.read_at = now + READ_RETRY_INTERVAL,
         }
     }
 
     /// No version can be used: the platform's settings hold.
-    fn nothing_usable(&mut self) {
+    fn fall_back_to_platform_settings(&mut self) {
         self.any_in_force = true;
         self.settle();
     }
--- a/crates/gannethub-core/src/controller/election/tests.rs
+++ b/crates/gannethub-core/src/controller/election/tests.rs
@@ -15,45 +15,49 @@
 
 #[test]
 fn a_grant_counts_from_when_its_renewal_was_sent() {
-    let mut a = Authority::new(0, TTL);
-    assert!(a.valid(TTL - 200_000) && !a.valid(TTL - 100_000));
-    a.renewed(SECOND);
-    assert!(a.valid(TTL));
-    assert!(!a.valid(SECOND + TTL - 100_000));
+    let mut a = LeaseValidity::new(0, TTL);
+    assert!(a.is_valid(TTL - 200_000) && !a.is_valid(TTL - 100_000));
+    a.store_lease_renewed(SECOND);
+    assert!(a.is_valid(TTL));
+    assert!(!a.is_valid(SECOND + TTL - 100_000));
 }
 
 #[test]
 fn only_the_promises_of_all_siblings_in_one_round_extend_authority() {
-    let mut a = Authority::new(0, TTL);
-    let first = a.ask(SECOND, 2);
-    a.promised(first, 0, SECOND);
-    let second = a.ask(2 * SECOND, 2);
-    a.promised(first, 1, 2 * SECOND);
-    a.promised(second, 1, 2 * SECOND);
-    a.promised(second, 1, 2 * SECOND);
-    assert!(!a.valid(TTL));
-    a.promised(second, 0, 2 * SECOND);
-    assert!(a.valid(2 * SECOND + PROMISE - 200_000));
-    assert!(!a.valid(2 * SECOND + PROMISE));
+    let mut a = LeaseValidity::new(0, TTL);
+    let first = a.start_vote_round(SECOND, 2);
+    a.record_vote(first, 0, SECOND);
+    let second = a.start_vote_round(2 * SECOND, 2);
+    a.record_vote(first, 1, 2 * SECOND);
+    a.record_vote(second, 1, 2 * SECOND);
+    a.record_vote(second, 1, 2 * SECOND);
+    assert!(!a.is_valid(TTL));
+    a.record_vote(second, 0, 2 * SECOND);
+    assert!(a.is_valid(2 * SECOND + VOTE_DURATION - 200_000));
+    assert!(!a.is_valid(2 * SECOND + VOTE_DURATION));
 }
 
 #[test]
 fn only_what_all_siblings_tell_in_one_round_counts_and_from_its_beginning() {
-    let mut a = Authority::new(0, TTL);
-    let first = a.ask(SECOND, 2);
-    assert_eq!(a.informed(first, 0), None);
-    let second = a.ask(2 * SECOND, 2);
-    assert_eq!(a.informed(first, 1), None, "an earlier round");
-    assert_eq!(a.informed(second, 1), None);
-    assert_eq!(a.informed(second, 1), None, "the same once more");
+    let mut a = LeaseValidity::new(0, TTL);
+    let first = a.start_vote_round(SECOND, 2);
+    assert_eq!(a.record_informed_voter(first, 0), None);
+    let second = a.start_vote_round(2 * SECOND, 2);
+    assert_eq!(a.record_informed_voter(first, 1), None, "an earlier round");
+    assert_eq!(a.record_informed_voter(second, 1), None);
     assert_eq!(
-        a.informed(second + 1, 0),
+        a.record_informed_voter(second, 1),
+        None,
+        "the same once more"
+    );
+    assert_eq!(
+        a.record_informed_voter(second + 1, 0),
         None,
         "a round that was not asked for"
     );
-    assert_eq!(a.informed(second, 0), Some(2 * SECOND));
+    assert_eq!(a.record_informed_voter(second, 0), Some(2 * SECOND));
     assert_eq!(
-        Authority::new(0, TTL).informed(0, 0),
+        LeaseValidity::new(0, TTL).record_informed_voter(0, 0),
         None,
         "nobody was asked"
     );
@@ -61,39 +65,52 @@
 
 #[test]
 fn a_takeover_needs_the_key_gone_and_no_promise_alive() {
-    let mut c = Candidacy::new("n1", 0);
+    let mut c = Election::new("n1", 0);
     let late = 100 * SECOND;
-    assert!(!c.may_try(late), "nothing is known yet");
-    c.saw(rec("n0", 3), rec("n0", 3));
-    assert!(!c.may_try(late));
-    c.saw(None, rec("n0", 3));
-    assert!(c.may_try(late));
-    assert!(c.promise(3, late, PROMISE));
-    assert!(!c.may_try(late + PROMISE) && c.may_try(late + PROMISE + SECOND));
-    c.trying = true;
-    assert!(!c.promise(3, late, PROMISE), "a takeover is under way");
-    c.trying = false;
-    c.not_taken(7, None, late);
+    assert!(!c.may_campaign(late), "nothing is known yet");
+    c.observe(rec("n0", 3), rec("n0", 3));
+    assert!(!c.may_campaign(late));
+    c.observe(None, rec("n0", 3));
+    assert!(c.may_campaign(late));
+    assert!(c.vote(3, late, VOTE_DURATION));
+    assert!(!c.may_campaign(late + VOTE_DURATION) && c.may_campaign(late + VOTE_DURATION + SECOND));
+    c.attempt_in_progress = true;
+    assert!(!c.vote(3, late, VOTE_DURATION), "a takeover is under way");
+    c.attempt_in_progress = false;
+    c.takeover_failed(7, None, late);
     assert!(
-        !c.promise(3, late, PROMISE),
+        !c.vote(3, late, VOTE_DURATION),
         "a takeover may still be carried out"
     );
-    c.grant_dropped(6);
-    assert!(!c.promise(3, late, PROMISE), "that was another grant");
-    assert_eq!(c.drop_again(late + DROP_AGAIN - 1), None);
-    assert_eq!(c.drop_again(late + DROP_AGAIN), Some(7));
-    assert_eq!(c.drop_again(late + DROP_AGAIN), None, "it is under way");
-    c.grant_dropped(7);
-    assert!(c.promise(3, late, PROMISE));
+    c.store_lease_revoked(6);
+    assert!(!c.vote(3, late, VOTE_DURATION), "that was another grant");
+    assert_eq!(
+        c.store_lease_to_revoke(late + REVOKE_RETRY_INTERVAL - 1),
+        None
+    );
+    assert_eq!(
+        c.store_lease_to_revoke(late + REVOKE_RETRY_INTERVAL),
+        Some(7)
+    );
+    assert_eq!(
+        c.store_lease_to_revoke(late + REVOKE_RETRY_INTERVAL),
+        None,
+        "it is under way"
+    );
+    c.store_lease_revoked(7);
+    assert!(c.vote(3, late, VOTE_DURATION));
 }
 
 #[test]
 fn a_restarted_process_keeps_quiet_unless_it_was_the_leader_itself() {
-    let mut c = Candidacy::new("n1", 0);
-    c.saw(None, rec("n0", 3));
-    assert!(!c.may_try(SECOND) && c.may_try(PROMISE + SECOND));
-    c.saw(rec("n1", 4), rec("n1", 4));
-    assert!(c.may_try(SECOND), "its own name: its other life is over");
-    c.saw(None, None);
-    assert!(c.may_try(SECOND), "nobody ever led");
+    let mut c = Election::new("n1", 0);
+    c.observe(None, rec("n0", 3));
+    assert!(!c.may_campaign(SECOND) && c.may_campaign(VOTE_DURATION + SECOND));
+    c.observe(rec("n1", 4), rec("n1", 4));
+    assert!(
+        c.may_campaign(SECOND),
+        "its own name: its other life is over"
+    );
+    c.observe(None, None);
+    assert!(c.may_campaign(SECOND), "nobody ever led");
 }
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 
-use super::election::{Candidacy, PROMISE};
-use super::outbox::{PROBE_EVERY, Port, Purpose, read};
-use super::shard_owner::{Holder, Holders};
+use super::election::{Election, VOTE_DURATION};
+use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest, decode_ok};
+use super::shard_owner::{ShardOwner, ShardOwners};
 use crate::model::{JobId, MachineType, Micros, Resources, SECOND};
 use crate::state::fleet::Offer;
 use crate::state::job_replica::JobReplica;
@@ -19,84 +19,85 @@
     self, COUNT, Commit, Granted, HOLDER, LEAD, LeadRecord, Listing, StoreRequest, TERM,
 };
 
-const BEAT_EVERY: Micros = 500_000;
+const HEARTBEAT_INTERVAL: Micros = 500_000;
 /// A sibling that was not heard for this long does not count as reachable.
-const HEARD: Micros = 1_800_000;
+const PEER_TIMEOUT: Micros = 1_800_000;
 /// One that heard nobody does not lead for this long.
-const ABSTAIN: Micros = 12 * SECOND;
+const ABSTAIN_AFTER_ISOLATION: Micros = 12 * SECOND;
 /// Cancellations that one promise tells of: so many fit into a message. With more, it does not claim to tell all.
-const MOST_TOLD: usize = 10_000;
+const MAX_CANCELLATIONS_PER_VOTE: usize = 10_000;
 
 #[derive(Debug, Default, Clone)]
-pub(super) struct SiblingView {
-    pub heard_at: Option<Micros>,
-    pub leading: u64,
-    pub state_ok: bool,
-    pub takes_reports: bool,
+pub(super) struct PeerStatus {
+    pub last_heard_at: Option<Micros>,
+    pub leading_term: u64,
+    pub store_reachable: bool,
+    pub accepts_heartbeats: bool,
     /// Tasks on machines and done, by job, as it last told.
-    running: HashMap<String, (u32, u32)>,
+    running_jobs: HashMap<String, (u32, u32)>,
     /// How the blocks stand that it holds.
-    pub loads: Vec<ShardLoad>,
+    pub shard_loads: Vec<ShardLoad>,
     /// The version of the configuration in force there; `None`: it is of a release that knows of none.
-    pub configuration: Option<u64>,
+    pub configuration_version: Option<u64>,
     /// It has promised something that makes no sense, and that was logged.
-    pub odd: bool,
+    pub malformed_vote_logged: bool,
 }
 
-pub(super) struct Standing {
-    pub candidacy: Candidacy,
+pub(super) struct Membership {
+    pub election: Election,
     /// Tells this process from an earlier one of the same name.
-    pub life: u64,
-    pub siblings: Vec<SiblingView>,
+    pub incarnation: u64,
+    pub peers: Vec<PeerStatus>,
     /// How its own blocks stood when it last told.
-    own: Vec<ShardLoad>,
+    own_loads: Vec<ShardLoad>,
     /// The highest term of any block, where there are several.
-    count: Option<(LeadRecord, u64)>,
-    probing: bool,
+    term_counter: Option<(LeadRecord, u64)>,
+    probe_in_flight: bool,
     probe_at: Micros,
-    beat_at: Micros,
+    heartbeat_at: Micros,
 }
 
-impl Standing {
-    pub fn new(port: &Port) -> Standing {
-        Standing {
-            candidacy: Candidacy::new(&port.settings.name, port.clock.now),
-            life: port.clock.wall,
-            siblings: vec![SiblingView::default(); port.settings.siblings.len()],
-            own: Vec::new(),
-            count: None,
-            probing: false,
+impl Membership {
+    pub fn new(port: &Outbox) -> Membership {
+        Membership {
+            election: Election::new(&port.settings.name, port.clock.now),
+            incarnation: port.clock.unix_time,
+            peers: vec![PeerStatus::default(); port.settings.siblings.len()],
+            own_loads: Vec::new(),
+            term_counter: None,
+            probe_in_flight: false,
             probe_at: 0,
-            beat_at: 0,
+            heartbeat_at: 0,
         }
     }
 
-    pub(super) fn heard(&self, port: &Port, i: usize) -> bool {
-        self.siblings[i]
-            .heard_at
-            .is_some_and(|t| port.clock.now < t + HEARD)
+    pub(super) fn is_heard(&self, port: &Outbox, i: usize) -> bool {
+        self.peers[i]
+            .last_heard_at
+            .is_some_and(|t| port.clock.now < t + PEER_TIMEOUT)
     }
 
     /// The sibling that says it leads, and can be heard.
-    pub(super) fn leader(&self, port: &Port) -> Option<usize> {
-        (0..self.siblings.len())
-            .filter(|&i| self.heard(port, i) && self.siblings[i].leading > 0)
-            .max_by_key(|&i| self.siblings[i].leading)
+    pub(super) fn leading_peer(&self, port: &Outbox) -> Option<usize> {
+        (0..self.peers.len())
+            .filter(|&i| self.is_heard(port, i) && self.peers[i].leading_term > 0)
+            .max_by_key(|&i| self.peers[i].leading_term)
     }
 
-    pub(super) fn healthy(&self, port: &Port) -> bool {
-        if port.flavors.is_empty() {
+    pub(super) fn is_ready(&self, port: &Outbox) -> bool {
+        if port.machine_types.is_empty() {
             return false;
         }
         // In an outage that everybody sees, users are better told so than turned away; a
         // controller that alone is cut off from the state service must not take requests.
-        let others = || (0..self.siblings.len()).filter(|&i| self.heard(port, i));
-        port.state_ok() || (others().count() > 0 && others().all(|i| !self.siblings[i].state_ok))
+        let others = || (0..self.peers.len()).filter(|&i| self.is_heard(port, i));
+        port.is_store_reachable()
+            || (others().count() > 0 && others().all(|i| !self.peers[i].store_reachable))
     }
 
-    pub(super) fn probed(&mut self, port: &mut Port, answer: Option<(u16, Bytes)>) {
-        self.probing = false;
-        let listing = read::<Listing>(answer);
+    pub(super) fn handle_probe_answer(&mut self, port: &mut Outbox, answer: Option<(u16, Bytes)>) {
+        self.probe_in_flight = false;
+        let listing = decode_ok::<Listing>(answer);
         let Some(listing) = listing else { return };
         let mut holder = None;
         let (mut term, mut count) = (None, None);
@@ -111,26 +112,31 @@
                 _ => {}
             }
         }
-        self.candidacy.saw(holder, term);
-        port.several |= count.is_some();
-        self.count = count;
+        self.election.observe(holder, term);
+        port.is_sharded |= count.is_some();
+        self.term_counter = count;
     }
 
-    pub(super) fn granted(&mut self, port: &mut Port, sent: Micros, answer: Option<(u16, Bytes)>) {
-        let granted = read::<Granted>(answer);
+    pub(super) fn handle_store_lease_answer(
+        &mut self,
+        port: &mut Outbox,
+        sent: Micros,
+        answer: Option<(u16, Bytes)>,
+    ) {
+        let granted = decode_ok::<Granted>(answer);
         let Some(granted) = granted else {
-            self.candidacy.trying = false;
+            self.election.attempt_in_progress = false;
             return;
         };
-        if !self.candidacy.still_may(port.clock.now) {
-            self.candidacy.trying = false;
-            return port.drop_grant(0, granted.permit);
+        if !self.election.is_eligible(port.clock.now) {
+            self.election.attempt_in_progress = false;
+            return port.revoke_store_lease(0, granted.permit);
         }
-        let (holder, term, last) = self.candidacy.versions();
+        let (holder, term, last) = self.election.versions();
         // What this leader knows of marks, its own successor will: if it does not go by them, nobody is to until
         // it has covered all that it finds.
-        let marked = self.candidacy.trusts();
-        let counted = self.count.as_ref().map_or(0, |c| c.0.term);
+        let marked = self.election.watermarks_reliable();
+        let counted = self.term_counter.as_ref().map_or(0, |c| c.0.term);
         let next = last.max(counted) + 1;
         let record = LeadRecord {
             holder: port.settings.name.clone(),
@@ -140,29 +146,29 @@
         let mut commit = Commit::default();
         commit.guard(HOLDER, holder);
         commit.guard(TERM, term);
-        commit.guard(COUNT, self.count.as_ref().map_or(0, |c| c.1));
-        if self.count.is_some() {
+        commit.guard(COUNT, self.term_counter.as_ref().map_or(0, |c| c.1));
+        if self.term_counter.is_some() {
             commit.put(COUNT, store::raw(&record), None);
         }
         commit.put(HOLDER, store::raw(&record), Some(granted.permit));
         commit.put(TERM, store::raw(&record), None);
-        let purpose = Purpose::Takeover {
+        let purpose = PendingRequest::TakeOver {
             record,
-            grant: granted.permit,
-            sent,
+            store_lease: granted.permit,
+            sent_at: sent,
         };
-        port.send(Urgency::Renewal, commit.request(), purpose);
+        port.send_to_store(Urgency::Renewal, commit.request(), purpose);
     }
 
     /// Tells all siblings how it stands, every so often. True: it was time to.
-    pub fn beat(&mut self, port: &mut Port, holders: &Holders) -> bool {
+    pub fn send_heartbeats(&mut self, port: &mut Outbox, holders: &ShardOwners) -> bool {
         let now = port.clock.now;
-        if now < self.beat_at {
+        if now < self.heartbeat_at {
             return false;
         }
-        self.beat_at = now + BEAT_EVERY;
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         let leader = holders.get(&0);
-        let several = port.several;
+        let several = port.is_sharded;
         let own: Vec<ShardLoad> = holders
             .values()
             .filter(|_| several)
@@ -171,53 +177,55 @@
         let refused = leader
             .filter(|_| several)
             .map(|h| h.cluster.refused_offers());
-        let flavors = &port.flavors;
+        let flavors = &port.machine_types;
         let refused = refused
             .into_iter()
             .flatten()
-            .map(|(o, left)| told(flavors, &o, left / 1000));
+            .map(|(o, left)| encode_offer(flavors, &o, left / 1000));
         let beat = Heartbeat {
             leading: leader.map_or(0, |h| h.lease.term),
-            state_ok: port.state_ok(),
-            takes_reports: leader.is_some() || self.leader(port).is_some(),
-            running: holders.values().flat_map(|h| h.running()).collect(),
-            blocks: own.iter().map(|l| tell(flavors, l)).collect(),
+            state_ok: port.is_store_reachable(),
+            takes_reports: leader.is_some() || self.leading_peer(port).is_some(),
+            running: holders.values().flat_map(|h| h.running_jobs()).collect(),
+            blocks: own.iter().map(|l| encode_shard_load(flavors, l)).collect(),
             refused: refused.collect(),
             configurable: true,
-            configuration: port.configuring.version(),
-            newest_configuration: port.configuring.newest(),
+            configuration: port.configuration.version(),
+            newest_configuration: port.configuration.newest_version(),
         };
-        self.own = own;
-        for i in 0..self.siblings.len() {
-            port.say(i, Body::Heartbeat(beat.clone()));
+        self.own_loads = own;
+        for i in 0..self.peers.len() {
+            port.send_to_peer(i, Body::Heartbeat(beat.clone()));
         }
         true
     }
 
     /// When it has something to say or to ask next.
-    pub fn due(&self) -> Micros {
-        if self.probing {
-            self.beat_at
+    pub fn next_due_at(&self) -> Micros {
+        if self.probe_in_flight {
+            self.heartbeat_at
         } else {
-            self.beat_at.min(self.probe_at)
+            self.heartbeat_at.min(self.probe_at)
         }
     }
 
     /// All siblings are to be told without delay.
-    pub fn beat_soon(&mut self, now: Micros) {
-        self.beat_at = now;
+    pub fn send_heartbeats_soon(&mut self, now: Micros) {
+        self.heartbeat_at = now;
     }
 
     /// Tasks on machines and done, by job, as each holder that is heard told.
-    pub fn running<'a>(&'a self, port: &Port) -> Vec<&'a HashMap<String, (u32, u32)>> {
-        let heard = (0..self.siblings.len()).filter(|i| self.heard(port, *i));
-        heard.map(|i| &self.siblings[i].running).collect()
+    pub fn running_jobs<'a>(&'a self, port: &Outbox) -> Vec<&'a HashMap<String, (u32, u32)>> {
+        let heard = (0..self.peers.len()).filter(|i| self.is_heard(port, *i));
+        heard.map(|i| &self.peers[i].running_jobs).collect()
     }
 
     /// How all blocks stand whose holders are heard; of one that two say they hold, as the newer says.
-    pub fn loads(&self, port: &Port) -> Vec<ShardLoad> {
-        let heard = (0..self.siblings.len()).filter(|i| self.heard(port, *i));
-        let all = heard.flat_map(|i| &self.siblings[i].loads).chain(&self.own);
+    pub fn shard_loads(&self, port: &Outbox) -> Vec<ShardLoad> {
+        let heard = (0..self.peers.len()).filter(|i| self.is_heard(port, *i));
+        let all = heard
+            .flat_map(|i| &self.peers[i].shard_loads)
+            .chain(&self.own_loads);
         let mut loads: BTreeMap<u32, ShardLoad> = BTreeMap::new();
         for load in all {
             let newer = loads.get(&load.shard).is_none_or(|l| l.term < load.term);
@@ -229,101 +237,109 @@
     }
 
     /// A sibling to send a worker to that this controller cannot help.
-    pub fn helper(&self, port: &Port) -> Option<usize> {
-        let helps = |i: &usize| self.heard(port, *i) && self.siblings[*i].takes_reports;
-        (0..self.siblings.len()).find(helps)
+    pub fn peer_accepting_heartbeats(&self, port: &Outbox) -> Option<usize> {
+        let helps = |i: &usize| self.is_heard(port, *i) && self.peers[*i].accepts_heartbeats;
+        (0..self.peers.len()).find(helps)
     }
 
     /// Looks who leads, and tries to, if nobody does.
-    pub fn tick(&mut self, port: &mut Port) {
+    pub fn tick(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if let Some(term) = self.candidacy.asks_marks(now) {
+        if let Some(term) = self.election.watermark_query_due(now) {
             let ask = Marks {
                 term,
-                life: self.life,
+                life: self.incarnation,
                 block: 0,
             };
-            (0..self.siblings.len()).for_each(|i| port.say(i, Body::MarksAsk(ask.clone())));
+            (0..self.peers.len()).for_each(|i| port.send_to_peer(i, Body::MarksAsk(ask.clone())));
         }
-        if !self.probing && now >= self.probe_at {
-            self.probing = true;
-            self.probe_at = now + PROBE_EVERY;
-            port.send(
+        if !self.probe_in_flight && now >= self.probe_at {
+            self.probe_in_flight = true;
+            self.probe_at = now + PROBE_INTERVAL;
+            port.send_to_store(
                 Urgency::Renewal,
                 StoreRequest::list(LEAD, ""),
-                Purpose::Probe,
+                PendingRequest::ProbeLeader,
             );
         }
-        if let Some(grant) = self.candidacy.drop_again(now) {
-            port.drop_grant(0, grant);
+        if let Some(grant) = self.election.store_lease_to_revoke(now) {
+            port.revoke_store_lease(0, grant);
         }
-        if !port.flavors.is_empty() && self.candidacy.may_try(now) {
-            self.candidacy.trying = true;
-            let request = StoreRequest::grant(port.ttl());
-            port.send(Urgency::Renewal, request, Purpose::Grant { sent: now });
+        if !port.machine_types.is_empty() && self.election.may_campaign(now) {
+            self.election.attempt_in_progress = true;
+            let request = StoreRequest::grant(port.store_lease_ttl());
+            port.send_to_store(
+                Urgency::Renewal,
+                request,
+                PendingRequest::AcquireStoreLease { sent_at: now },
+            );
         }
     }
 
     /// A takeover was not carried out, or nothing is known of it.
-    pub fn not_taken(&mut self, port: &mut Port, grant: u64, answer: Option<u16>) {
-        self.candidacy.not_taken(grant, answer, port.clock.now);
+    pub fn takeover_failed(&mut self, port: &mut Outbox, grant: u64, answer: Option<u16>) {
+        self.election.takeover_failed(grant, answer, port.clock.now);
         self.probe_at = port.clock.now;
-        port.drop_grant(0, grant);
+        port.revoke_store_lease(0, grant);
     }
 
     /// It led, and gives its grant back. `deaf`: since it heard nobody.
-    pub fn stepped_down(&mut self, port: &mut Port, grant: u64, deaf: bool) {
+    pub fn handle_step_down(&mut self, port: &mut Outbox, grant: u64, deaf: bool) {
         let now = port.clock.now;
         if deaf {
-            self.candidacy.abstain(now + ABSTAIN);
+            self.election.abstain(now + ABSTAIN_AFTER_ISOLATION);
         }
-        port.drop_grant(0, grant);
+        port.revoke_store_lease(0, grant);
         self.probe_at = now;
     }
 
-    pub fn beaten(&mut self, port: &mut Port, i: usize, beat: Heartbeat) {
-        port.several |= !beat.blocks.is_empty();
-        let sibling = &mut self.siblings[i];
-        sibling.loads = beat
+    pub fn handle_heartbeat(&mut self, port: &mut Outbox, i: usize, beat: Heartbeat) {
+        port.is_sharded |= !beat.blocks.is_empty();
+        let sibling = &mut self.peers[i];
+        sibling.shard_loads = beat
             .blocks
             .iter()
-            .map(|b| load_of(&port.flavors, b, i))
+            .map(|b| decode_shard_load(&port.machine_types, b, i))
             .collect();
-        sibling.leading = beat.leading;
-        sibling.configuration = beat.configurable.then_some(beat.configuration);
-        port.configuring.told(beat.newest_configuration);
-        sibling.state_ok = beat.state_ok;
-        sibling.takes_reports = beat.takes_reports;
+        sibling.leading_term = beat.leading;
+        sibling.configuration_version = beat.configurable.then_some(beat.configuration);
+        port.configuration
+            .record_peer_version(beat.newest_configuration);
+        sibling.store_reachable = beat.state_ok;
+        sibling.accepts_heartbeats = beat.takes_reports;
         let running = beat.running.into_iter();
-        sibling.running = running.map(|r| (r.job, (r.tasks, r.done))).collect();
+        sibling.running_jobs = running.map(|r| (r.job, (r.tasks, r.done))).collect();
     }
 
     /// A sibling asks not to be replaced for a while. Only an outage that this controller sees too is a reason.
     /// With the promise goes every cancellation that this controller knows of and the sibling may not: whom it carries
     /// through an outage has to act on them.
-    pub fn promise_asked(
-        port: &mut Port,
-        candidacy: &mut Candidacy,
+    pub fn handle_vote_request(
+        port: &mut Outbox,
+        candidacy: &mut Election,
         copy: &JobReplica,
         i: usize,
         ask: &PromiseAsk,
     ) {
-        let micros = ask.micros.min(PROMISE);
-        if port.state_fails() && candidacy.promise(ask.term, port.clock.now, micros) {
+        let micros = ask.micros.min(VOTE_DURATION);
+        if port.is_store_failing() && candidacy.vote(ask.term, port.clock.now, micros) {
             let (round, term, block) = (ask.round, ask.term, ask.block);
             let asked = Some(ask.known).filter(|known| *known > 0);
             let since = asked
                 .into_iter()
                 .flat_map(|known| copy.cancelled_since(known));
-            let mut ids: Vec<JobId> = since.take(MOST_TOLD + 1).cloned().collect();
-            let all = ids.len() <= MOST_TOLD;
-            ids.truncate(MOST_TOLD);
+            let mut ids: Vec<JobId> = since
+                .take(MAX_CANCELLATIONS_PER_VOTE + 1)
+                .cloned()
+                .collect();
+            let all = ids.len() <= MAX_CANCELLATIONS_PER_VOTE;
+            ids.truncate(MAX_CANCELLATIONS_PER_VOTE);
             ids.sort_unstable();
             ids.dedup();
             // A process that has not read the state does not know what an earlier one of its name has confirmed.
             let knows = asked.is_some() && copy.version().is_some() && all;
             let (count, cancelled) = (ids.len() as u32, store::encode_ids(&ids));
-            let configuration = port.configuring.newest();
+            let configuration = port.configuration.newest_version();
             let promise = Promise {
                 round,
                 term,
@@ -333,30 +349,30 @@
                 count,
                 configuration,
             };
-            port.say(i, Body::Promise(promise));
+            port.send_to_peer(i, Body::Promise(promise));
         }
     }
 
     /// A sibling that began within a term asks whether its marks hold.
-    pub fn marks_asked(
-        port: &mut Port,
-        candidacy: &Candidacy,
+    pub fn handle_watermark_query(
+        port: &mut Outbox,
+        candidacy: &Election,
         i: usize,
         ask: Marks,
-        holder: Option<&Holder>,
+        holder: Option<&ShardOwner>,
     ) {
         let leads = holder.filter(|h| h.lease.term == ask.term);
         let holds = match leads {
             Some(holder) => !holder.cluster.launches_without_watermark,
-            None => candidacy.knows_marks(ask.term),
+            None => candidacy.knows_watermarks_hold(ask.term),
         };
         if holds {
-            port.say(i, Body::MarksHold(ask));
+            port.send_to_peer(i, Body::MarksHold(ask));
         }
     }
 }
 
-fn told(flavors: &[MachineType], offer: &Offer, number: u64) -> OfferTold {
+fn encode_offer(flavors: &[MachineType], offer: &Offer, number: u64) -> OfferTold {
     let flavor = flavors
         .get(offer.machine_type)
         .map_or(String::new(), |f| f.name.to_string());
@@ -369,7 +385,7 @@
 }
 
 /// The offer that a sibling means, if its type of machine is known here.
-pub(super) fn offer_of(flavors: &[MachineType], told: &OfferTold) -> Option<Offer> {
+pub(super) fn decode_offer(flavors: &[MachineType], told: &OfferTold) -> Option<Offer> {
     let flavor = flavors.iter().position(|f| *f.name == *told.flavor)?;
     Some(Offer {
         machine_type: flavor,
@@ -378,7 +394,7 @@
     })
 }
 
-fn tell(flavors: &[MachineType], load: &ShardLoad) -> BlockTold {
+fn encode_shard_load(flavors: &[MachineType], load: &ShardLoad) -> BlockTold {
     let teams = load.teams.iter().map(|(used, waits)| TeamTold {
         used_cpu: used.cpu,
         used_gpu: used.gpu,
@@ -388,7 +404,7 @@
     let wants = load
         .machine_demand
         .iter()
-        .map(|(offer, n)| told(flavors, offer, u64::from(*n)));
+        .map(|(offer, n)| encode_offer(flavors, offer, u64::from(*n)));
     BlockTold {
         block: load.shard,
         term: load.term,
@@ -400,7 +416,7 @@
     }
 }
 
-fn load_of(flavors: &[MachineType], b: &BlockTold, i: usize) -> ShardLoad {
+fn decode_shard_load(flavors: &[MachineType], b: &BlockTold, i: usize) -> ShardLoad {
     let amount = |cpu: i64, gpu: i64| Resources {
         cpu: cpu.max(0),
         gpu: gpu.max(0),
@@ -415,7 +431,7 @@
             )
         })
         .collect();
-    let want = |o: &OfferTold| Some((offer_of(flavors, o)?, u32::try_from(o.number).ok()?));
+    let want = |o: &OfferTold| Some((decode_offer(flavors, o)?, u32::try_from(o.number).ok()?));
     ShardLoad {
         shard: b.block,
         term: b.term,
--- a/crates/gannethub-core/src/controller/membership/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -36,19 +36,19 @@
     let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
     let clock = Clock {
         now: 100 * SECOND,
-        wall: 0,
+        unix_time: 0,
     };
-    let mut port = Port::new(Arc::new(settings), clock);
-    let mut candidacy = Candidacy::new("n0", 0);
+    let mut port = Outbox::new(Arc::new(settings), clock);
+    let mut candidacy = Election::new("n0", 0);
     let ask = PromiseAsk {
         round: 3,
         term: 2,
-        micros: PROMISE,
+        micros: VOTE_DURATION,
         block: 0,
         known,
     };
-    Standing::promise_asked(&mut port, &mut candidacy, copy, 0, &ask);
-    let Some(Effect::Peer { message, .. }) = port.effects.pop() else {
+    Membership::handle_vote_request(&mut port, &mut candidacy, copy, 0, &ask);
+    let Some(Effect::PeerMessage { message, .. }) = port.effects.pop() else {
         panic!("it says nothing")
     };
     let mut frame = BytesMut::new();
@@ -83,11 +83,11 @@
 
 #[test]
 fn a_promise_does_not_claim_more_than_it_knows_or_can_say() {
-    let (p, size) = promise(&copy(MOST_TOLD), 5);
+    let (p, size) = promise(&copy(MAX_CANCELLATIONS_PER_VOTE), 5);
     assert!(p.knows && size < MAX_FRAME, "{size} bytes");
-    let (p, size) = promise(&copy(MOST_TOLD + 1), 5);
+    let (p, size) = promise(&copy(MAX_CANCELLATIONS_PER_VOTE + 1), 5);
     assert!(
-        !p.knows && p.count == MOST_TOLD as u32 && size < MAX_FRAME,
+        !p.knows && p.count == MAX_CANCELLATIONS_PER_VOTE as u32 && size < MAX_FRAME,
         "{size} bytes"
     );
     // Nothing has been read in this life: an earlier one may have confirmed anything.
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -29,15 +29,15 @@
 
 use bytes::Bytes;
 
-use self::election::Candidacy;
-use self::heartbeat_routing::Early;
-use self::lease::Lease;
-use self::membership::{Standing, offer_of};
+use self::election::Election;
+use self::heartbeat_routing::DeferredHeartbeat;
+use self::lease::ShardLease;
+use self::membership::{Membership, decode_offer};
 pub use self::outbox::{Clock, Command, Effect};
-use self::outbox::{News, Port, Purpose};
-use self::shard_assignment::Seats;
-use self::shard_owner::{Holder, Holders};
-use self::submissions::{Intake, POLL_PATIENCE, SUBMIT_PATIENCE, Waiter};
+use self::outbox::{Event, Outbox, PendingRequest};
+use self::shard_assignment::ShardAssignments;
+use self::shard_owner::{ShardOwner, ShardOwners};
+use self::submissions::{JobApi, LookupWaiter, QUERY_TIMEOUT, SUBMIT_TIMEOUT};
 use crate::http::{Request, Response};
 use crate::model::{JobId, Micros, SECOND, is_valid_job_id};
 use crate::settings::Settings;
@@ -49,15 +49,15 @@
 use crate::wire::peer::{Body, Changed, Envelope, OfferTold, OpenTabs, Promise, TabsAsk};
 use crate::wire::store::{self, Committed, LeadRecord};
 
-const TICK: Micros = 50_000;
+const TICK_INTERVAL: Micros = 50_000;
 /// A controller that waits for nothing but the next heartbeat looks at its clock at least this often.
-const QUIET: Micros = 4 * TICK;
+const MAX_IDLE_TIME: Micros = 4 * TICK_INTERVAL;
 
 /// Why a block is given up that a sibling is to take.
-const HANDED_ON: &str = "it is handed on";
+const TRANSFERRED: &str = "it is handed on";
 
 /// Who holds a block in that term. Answers to an earlier term of this controller's own are nobody's any more.
-fn of_term(holders: &mut Holders, term: u64) -> Option<&mut Holder> {
+fn owner_of_term(holders: &mut ShardOwners, term: u64) -> Option<&mut ShardOwner> {
     holders
         .values_mut()
         .find(|h| h.lease.term == term)
@@ -65,42 +65,42 @@
 }
 
 pub struct Controller {
-    port: Port,
-    standing: Standing,
-    intake: Intake,
-    seats: Seats,
+    outbox: Outbox,
+    membership: Membership,
+    job_api: JobApi,
+    shard_assignments: ShardAssignments,
     /// The blocks that it holds. Whoever holds block 0 is the leader.
-    holders: Holders,
+    shard_owners: ShardOwners,
     /// Siblings that hold the blocks of machines that have reported here.
-    routes: HashMap<String, usize>,
+    peer_by_machine: HashMap<String, usize>,
     /// What the leader has not charged yet.
-    shadow: UsageReplica,
+    usage_replica: UsageReplica,
     /// Reports passed on to a holder: whose they are, until when it may answer, and what to ask another if it is not its.
-    relays: HashMap<u64, (u64, Micros, Bytes)>,
+    relayed_heartbeats: HashMap<u64, (u64, Micros, Bytes)>,
     /// Reports that came while the state was being read.
-    early: Vec<Early>,
-    flavors_at: Micros,
-    next_tick: Micros,
+    deferred_heartbeats: Vec<DeferredHeartbeat>,
+    machine_types_request_at: Micros,
+    next_tick_at: Micros,
     /// The state service has answered since the last tick, and what follows from that has not been done.
-    told: bool,
+    store_answered: bool,
 }
 
 impl Controller {
     pub fn new(settings: Arc<Settings>, clock: Clock) -> Controller {
-        let port = Port::new(settings, clock);
+        let outbox = Outbox::new(settings, clock);
         Controller {
-            standing: Standing::new(&port),
-            port,
-            intake: Intake::default(),
-            seats: Seats::default(),
-            holders: Holders::new(),
-            routes: HashMap::new(),
-            shadow: UsageReplica::default(),
-            relays: HashMap::new(),
-            early: Vec::new(),
-            flavors_at: 0,
-            next_tick: 0,
-            told: false,
+            membership: Membership::new(&outbox),
+            outbox,
+            job_api: JobApi::default(),
+            shard_assignments: ShardAssignments::default(),
+            shard_owners: ShardOwners::new(),
+            peer_by_machine: HashMap::new(),
+            usage_replica: UsageReplica::default(),
+            relayed_heartbeats: HashMap::new(),
+            deferred_heartbeats: Vec::new(),
+            machine_types_request_at: 0,
+            next_tick_at: 0,
+            store_answered: false,
         }
     }
 
@@ -110,261 +110,278 @@
         clock: Clock,
         commands: impl IntoIterator<Item = Command>,
     ) -> Vec<Effect> {
-        self.port.clock = clock;
-        self.check_authority();
+        self.outbox.clock = clock;
+        self.check_leases();
         for command in commands {
             match command {
-                Command::Request { conn, request } => self.request(conn, request),
-                Command::Store { id, answer } => {
-                    self.told = true;
-                    self.store_answer(id, answer);
+                Command::HttpRequest {
+                    connection: conn,
+                    request,
+                } => self.handle_request(conn, request),
+                Command::StoreAnswer { id, answer } => {
+                    self.store_answered = true;
+                    self.handle_store_answer(id, answer);
                 }
-                Command::Cloud { id, answer } => self.cloud_answer(id, answer),
-                Command::Peer(message) => self.peer(message),
+                Command::CloudAnswer { id, answer } => self.handle_cloud_answer(id, answer),
+                Command::PeerMessage(message) => self.handle_peer_message(message),
                 Command::Tick => {}
             }
-            self.spread_news();
-            self.check_ended();
-            if !self.early.is_empty() {
-                self.answer_early();
+            self.dispatch_events();
+            self.step_down_ended();
+            if !self.deferred_heartbeats.is_empty() {
+                self.answer_deferred_heartbeats();
             }
         }
-        if clock.now >= self.next_tick {
-            self.next_tick = clock.now + TICK;
-            self.told = false;
+        if clock.now >= self.next_tick_at {
+            self.next_tick_at = clock.now + TICK_INTERVAL;
+            self.store_answered = false;
             self.tick();
-            self.check_ended();
+            self.step_down_ended();
         }
-        let port = &mut self.port;
-        self.holders
+        let port = &mut self.outbox;
+        self.shard_owners
             .values_mut()
-            .filter(|h| h.loaded())
-            .for_each(|h| h.halt(port));
+            .filter(|h| h.is_loaded())
+            .for_each(|h| h.send_kill_orders(port));
         if self
-            .holders
+            .shard_owners
             .get(&0)
             .is_some_and(|h| h.cluster.has_urgent_usage())
         {
-            self.tell_tabs();
+            self.send_usage_records();
         }
-        self.intake.flush_accepts(&mut self.port);
-        while let Some((id, request)) = self.port.budget.pop(clock.now) {
-            self.port.effects.push(Effect::Store { id, request });
+        self.job_api.send_accepts(&mut self.outbox);
+        while let Some((id, request)) = self.outbox.budget.pop(clock.now) {
+            self.outbox
+                .effects
+                .push(Effect::StoreRequest { id, request });
         }
-        std::mem::take(&mut self.port.effects)
+        std::mem::take(&mut self.outbox.effects)
     }
 
     /// How long it may be left alone if nothing comes for it. Each look at the clock is a wake-up of the process, and most
     /// controllers stand by: one that hears a leader, has nobody waiting and has asked for nothing has nothing to do
     /// until its next heartbeat or probe.
-    pub fn pause(&self) -> Micros {
-        let port = &self.port;
-        let stands_by = self.holders.is_empty()
-            && !port.several
-            && !self.told
-            && port.deadlines.is_empty()
+    pub fn max_idle_time(&self) -> Micros {
+        let port = &self.outbox;
+        let stands_by = self.shard_owners.is_empty()
+            && !port.is_sharded
+            && !self.store_answered
+            && port.reply_deadlines.is_empty()
             && port.budget.queued() == 0
-            && self.standing.leader(port).is_some();
+            && self.membership.leading_peer(port).is_some();
         if !stands_by {
-            return TICK;
+            return TICK_INTERVAL;
         }
-        self.standing
-            .due()
+        self.membership
+            .next_due_at()
             .saturating_sub(port.clock.now)
-            .clamp(TICK, QUIET)
+            .clamp(TICK_INTERVAL, MAX_IDLE_TIME)
     }
 
     /// The cluster as the leader sees it; `None` on every other controller.
     pub fn cluster(&self) -> Option<&Cluster> {
-        self.holders.get(&0).map(|h| &h.cluster)
+        self.shard_owners.get(&0).map(|h| &h.cluster)
     }
 
     /// The version of the configuration in force here, and whether it may be acted on now.
     pub fn configuration(&self) -> (u64, bool) {
-        let configuring = &self.port.configuring;
+        let configuring = &self.outbox.configuration;
         (
             configuring.version(),
-            configuring.fresh(self.port.clock.now),
+            configuring.is_fresh(self.outbox.clock.now),
         )
     }
 
     /// All blocks that this controller holds.
     pub fn clusters(&self) -> impl Iterator<Item = &Cluster> {
-        self.holders.values().map(|h| &h.cluster)
+        self.shard_owners.values().map(|h| &h.cluster)
     }
 
-    fn check_authority(&mut self) {
-        let now = self.port.clock.now;
-        for holder in self.holders.values_mut() {
-            holder.ended = holder.ended.or(holder.lease.ended(now));
+    fn check_leases(&mut self) {
+        let now = self.outbox.clock.now;
+        for holder in self.shard_owners.values_mut() {
+            holder.end_reason = holder.end_reason.or(holder.lease.end_reason(now));
         }
-        self.check_ended();
+        self.step_down_ended();
     }
 
-    fn check_ended(&mut self) {
+    fn step_down_ended(&mut self) {
         let ended = self
-            .holders
+            .shard_owners
             .iter()
-            .find_map(|(b, h)| h.ended.map(|why| (*b, why)));
+            .find_map(|(b, h)| h.end_reason.map(|why| (*b, why)));
         if let Some((block, why)) = ended {
             self.step_down(block, why);
-            self.check_ended();
+            self.step_down_ended();
         }
     }
 
     fn step_down(&mut self, block: u32, why: &str) {
-        let Some(holder) = self.holders.remove(&block) else {
+        let Some(holder) = self.shard_owners.remove(&block) else {
             return;
         };
-        let (term, grant) = (holder.lease.term, holder.lease.grant);
+        let (term, grant) = (holder.lease.term, holder.lease.store_lease);
         if block > 0 {
             tracing::info!(block, term, why, "gives up a block");
-            let handed = why == HANDED_ON;
-            return self
-                .seats
-                .left(&mut self.port, block, grant, handed, holder.deaf);
+            let handed = why == TRANSFERRED;
+            return self.shard_assignments.handle_step_down(
+                &mut self.outbox,
+                block,
+                grant,
+                handed,
+                holder.is_isolated,
+            );
         }
         tracing::info!(term, why, "no longer leading");
         if holder.cluster.usage_ledger.is_some() {
-            let now = self.port.clock.now;
-            self.shadow =
+            let now = self.outbox.clock.now;
+            self.usage_replica =
                 UsageReplica::from_own_records(term, holder.cluster.all_usage_records(now), now);
         }
-        self.port.lead(false);
-        self.standing
-            .stepped_down(&mut self.port, grant, holder.deaf);
+        self.outbox.set_leader(false);
+        self.membership
+            .handle_step_down(&mut self.outbox, grant, holder.is_isolated);
     }
 
     /// What one role has told is for others.
-    fn spread_news(&mut self) {
-        for news in std::mem::take(&mut self.port.news) {
+    fn dispatch_events(&mut self) {
+        for news in std::mem::take(&mut self.outbox.events) {
             match news {
-                News::Changed(id, stamp) => self.changed(&id, stamp),
+                Event::JobChanged(id, stamp) => self.announce_job_change(&id, stamp),
             }
         }
         // Its users are told by its copy, which may be ahead of a holder's watch: what they are told is cancelled is not
         // launched here from then on.
-        for id in self.intake.mirror.take_new_cancellations() {
-            for holder in self.holders.values_mut() {
+        for id in self.job_api.job_replica.take_new_cancellations() {
+            for holder in self.shard_owners.values_mut() {
                 holder.cluster.cancelled_elsewhere(&id);
             }
         }
     }
 
     /// Lets the leader know, in case its watch does not: that may hang in a cut.
-    fn changed(&mut self, id: &JobId, stamp: u64) {
-        for holder in self.holders.values_mut() {
-            holder.expect(&self.port, id, stamp);
+    fn announce_job_change(&mut self, id: &JobId, stamp: u64) {
+        for holder in self.shard_owners.values_mut() {
+            holder.expect_change(&self.outbox, id, stamp);
         }
         let told = Changed {
             job: id.to_string(),
             stamp,
         };
-        if self.port.several {
-            let all = 0..self.standing.siblings.len();
-            all.for_each(|i| self.port.say(i, Body::Changed(told.clone())));
+        if self.outbox.is_sharded {
+            let all = 0..self.membership.peers.len();
+            all.for_each(|i| self.outbox.send_to_peer(i, Body::Changed(told.clone())));
         } else if let Some(i) = self
-            .standing
-            .leader(&self.port)
-            .filter(|_| self.holders.is_empty())
+            .membership
+            .leading_peer(&self.outbox)
+            .filter(|_| self.shard_owners.is_empty())
         {
-            self.port.say(i, Body::Changed(told));
+            self.outbox.send_to_peer(i, Body::Changed(told));
         }
     }
 
     fn tick(&mut self) {
-        let now = self.port.clock.now;
-        let late = self.port.deadlines.iter().filter(|(_, t)| **t <= now);
+        let now = self.outbox.clock.now;
+        let late = self
+            .outbox
+            .reply_deadlines
+            .iter()
+            .filter(|(_, t)| **t <= now);
         for conn in late.map(|(c, _)| *c).collect::<BTreeSet<_>>() {
-            self.intake.give_up(conn);
-            self.port.unavailable(conn);
-        }
-        self.relays.retain(|_, r| r.1 > now);
-        self.port.forgive();
-        self.intake.refresh(&mut self.port);
-        self.read_configuration();
-        self.intake
-            .read_ends(&mut self.port, self.holders.get(&0).map(|h| &**h));
-        if self.standing.beat(&mut self.port, &self.holders) {
-            self.tell_tabs();
-            self.share_out();
-        }
-        if self.port.flavors.is_empty() && now >= self.flavors_at {
-            self.flavors_at = now + 2 * SECOND;
-            self.port
-                .call(0, CloudCall::MachineTypes, CloudRequest::flavors());
-        }
-        if !self.holders.contains_key(&0) {
-            self.standing.tick(&mut self.port);
-        }
-        self.holders
-            .values_mut()
-            .for_each(|h| h.tick(&mut self.port));
-        self.seats
-            .tick(&mut self.port, &self.standing, &self.holders);
-        if let Some(block) = self
-            .seats
-            .hands_over(&self.port, &self.standing, &self.holders)
+            self.job_api.abandon(conn);
+            self.outbox.reply_unavailable(conn);
+        }
+        self.relayed_heartbeats.retain(|_, r| r.1 > now);
+        self.outbox.recover_rate();
+        self.job_api.refresh(&mut self.outbox);
+        self.send_configuration_read();
+        self.job_api
+            .read_dependency_outcomes(&mut self.outbox, self.shard_owners.get(&0).map(|h| &**h));
+        if self
+            .membership
+            .send_heartbeats(&mut self.outbox, &self.shard_owners)
         {
-            self.step_down(block, HANDED_ON);
+            self.send_usage_records();
+            self.share_shard_loads();
+        }
+        if self.outbox.machine_types.is_empty() && now >= self.machine_types_request_at {
+            self.machine_types_request_at = now + 2 * SECOND;
+            self.outbox
+                .call_cloud(0, CloudCall::MachineTypes, CloudRequest::flavors());
+        }
+        if !self.shard_owners.contains_key(&0) {
+            self.membership.tick(&mut self.outbox);
+        }
+        self.shard_owners
+            .values_mut()
+            .for_each(|h| h.tick(&mut self.outbox));
+        self.shard_assignments
+            .tick(&mut self.outbox, &self.membership, &self.shard_owners);
+        if let Some(block) = self.shard_assignments.shard_to_transfer(
+            &self.outbox,
+            &self.membership,
+            &self.shard_owners,
+        ) {
+            self.step_down(block, TRANSFERRED);
         }
     }
 
     /// What is known of all blocks goes to those who go by it: intake for homes of new jobs, holders for those that
     /// have no room, and block 0's for machines that others ask for.
-    fn share_out(&mut self) {
-        if !self.port.several {
+    fn share_shard_loads(&mut self) {
+        if !self.outbox.is_sharded {
             return;
         }
-        let most = self.port.blocks();
-        let mut loads = self.standing.loads(&self.port);
+        let most = self.outbox.shard_count();
+        let mut loads = self.membership.shard_loads(&self.outbox);
         let orders: BTreeMap<u32, BTreeMap<Offer, u32>> = loads
             .iter()
             .filter(|l| l.shard > 0 && !l.machine_demand.is_empty())
             .map(|l| (l.shard, l.machine_demand.iter().cloned().collect()))
             .collect();
-        self.port.loads.clone_from(&loads);
+        self.outbox.shard_loads.clone_from(&loads);
         let mut refused = Vec::new();
-        if let Some(holder) = self.holders.get_mut(&0) {
+        if let Some(holder) = self.shard_owners.get_mut(&0) {
             holder.cluster.other_shards_demand = orders;
             refused = holder.cluster.refused_offers();
         }
-        let now = self.port.clock.now;
-        for holder in self.holders.values_mut().filter(|h| h.lease.block > 0) {
+        let now = self.outbox.clock.now;
+        for holder in self.shard_owners.values_mut().filter(|h| h.lease.shard > 0) {
             holder.cluster.told_refused(refused.clone(), now);
         }
         // A block that is one too many gets no more work.
         loads.retain(|l| l.shard < most);
-        for (block, holder) in &mut self.holders {
+        for (block, holder) in &mut self.shard_owners {
             holder.cluster.shard_loads.clone_from(&loads);
             holder.cluster.transfer_waiting_jobs(*block >= most);
         }
     }
 
-    fn tell_tabs(&mut self) {
-        let now = self.port.clock.now;
+    fn send_usage_records(&mut self) {
+        let now = self.outbox.clock.now;
         let tabs = self
-            .holders
+            .shard_owners
             .get_mut(&0)
             .map(|h| h.cluster.usage_messages(now));
         for (i, tabs) in tabs.into_iter().flatten() {
-            self.port.say(i, Body::OpenTabs(tabs));
+            self.outbox.send_to_peer(i, Body::OpenTabs(tabs));
         }
     }
 
     // ---- Users and workers ----
 
-    fn request(&mut self, conn: u64, request: Request) {
-        let (port, intake) = (&mut self.port, &mut self.intake);
+    fn handle_request(&mut self, conn: u64, request: Request) {
+        let (port, intake) = (&mut self.outbox, &mut self.job_api);
         let now = port.clock.now;
-        port.deadlines.insert(conn, now + POLL_PATIENCE);
+        port.reply_deadlines.insert(conn, now + QUERY_TIMEOUT);
         let route = match api::route(request.method, &request.path) {
             Ok(route) => route,
             Err(response) => return port.reply(conn, response),
         };
         match route {
             Route::Health => {
-                let response = if self.standing.healthy(port) {
+                let response = if self.membership.is_ready(port) {
                     Response {
                         status: 200,
                         body: Bytes::from_static(b"{}"),
@@ -376,28 +393,28 @@
                 port.reply(conn, response);
             }
             Route::Configuration => self.show_configuration(conn),
-            Route::Report => self.report(conn, request.body),
-            Route::Ledger { page, team } => intake.show_ledger(port, conn, page, team),
+            Route::Report => self.handle_heartbeat(conn, request.body),
+            Route::Ledger { page, team } => intake.read_ledger(port, conn, page, team),
             Route::Submit => intake.submit(port, conn, &request.body),
             Route::Query(id) | Route::Cancel(id) if !is_valid_job_id(id) => {
                 port.reply(conn, Response::error(404, "no such job"));
             }
             Route::Query(id) => intake.query(port, conn, id.into()),
             Route::Cancel(id) => {
-                port.deadlines.insert(conn, now + SUBMIT_PATIENCE);
+                port.reply_deadlines.insert(conn, now + SUBMIT_TIMEOUT);
                 let wait = port.budget.wait();
-                if wait > POLL_PATIENCE {
-                    return port.too_much(conn, wait);
+                if wait > QUERY_TIMEOUT {
+                    return port.reply_overloaded(conn, wait);
                 }
-                intake.look(port, id.into(), Waiter::Cancel(conn));
+                intake.look_up_live_job(port, id.into(), LookupWaiter::Cancel(conn));
             }
         }
     }
 
     // ---- Siblings ----
 
-    fn peer(&mut self, message: Envelope) {
-        let port = &mut self.port;
+    fn handle_peer_message(&mut self, message: Envelope) {
+        let port = &mut self.outbox;
         let now = port.clock.now;
         let Some(i) = port
             .settings
@@ -408,66 +425,74 @@
             tracing::info!(from = %message.from, "a message from a stranger is dropped");
             return;
         };
-        self.standing.siblings[i].heard_at = Some(now);
-        self.holders
+        self.membership.peers[i].last_heard_at = Some(now);
+        self.shard_owners
             .values_mut()
-            .for_each(|h| h.heard_at = Some(now));
+            .for_each(|h| h.last_heard_at = Some(now));
         match message.body {
             Some(Body::Heartbeat(beat)) => {
-                self.shadow.leader_heard(beat.leading, now);
+                self.usage_replica.leader_heard(beat.leading, now);
                 if beat.leading > 0 {
-                    let offer =
-                        |o: &OfferTold| Some((offer_of(&port.flavors, o)?, o.number * 1000));
+                    let offer = |o: &OfferTold| {
+                        Some((decode_offer(&port.machine_types, o)?, o.number * 1000))
+                    };
                     let refused: Vec<(Offer, Micros)> =
                         beat.refused.iter().filter_map(offer).collect();
-                    for holder in self.holders.values_mut().filter(|h| h.lease.block > 0) {
+                    for holder in self.shard_owners.values_mut().filter(|h| h.lease.shard > 0) {
                         holder.cluster.told_refused(refused.clone(), now);
                     }
                 }
-                self.standing.beaten(port, i, beat);
+                self.membership.handle_heartbeat(port, i, beat);
             }
-            Some(Body::Relay(relay)) => self.relayed_here(i, relay),
-            Some(Body::Relayed(reply)) => self.relay_answered(i, reply),
+            Some(Body::Relay(relay)) => self.handle_relay(i, relay),
+            Some(Body::Relayed(reply)) => self.handle_relay_answer(i, reply),
             Some(Body::PromiseAsk(ask)) => {
-                let seats = &mut self.seats.seats;
+                let seats = &mut self.shard_assignments.assignments;
                 let candidacy = match ask.block {
-                    0 => Some(&mut self.standing.candidacy),
-                    b => seats.get_mut(&b).map(|s| &mut s.candidacy),
+                    0 => Some(&mut self.membership.election),
+                    b => seats.get_mut(&b).map(|s| &mut s.election),
                 };
-                let free = !self.holders.contains_key(&ask.block);
+                let free = !self.shard_owners.contains_key(&ask.block);
                 if let Some(candidacy) = candidacy.filter(|_| free) {
-                    let copy = &self.intake.mirror;
-                    Standing::promise_asked(port, candidacy, copy, i, &ask);
+                    let copy = &self.job_api.job_replica;
+                    Membership::handle_vote_request(port, candidacy, copy, i, &ask);
                 }
             }
-            Some(Body::Promise(promise)) => self.promised(i, &promise),
+            Some(Body::Promise(promise)) => self.handle_vote(i, &promise),
             Some(Body::Changed(changed)) if is_valid_job_id(&changed.job) => {
-                for holder in self.holders.values_mut() {
-                    holder.expect(port, &changed.job, changed.stamp);
+                for holder in self.shard_owners.values_mut() {
+                    holder.expect_change(port, &changed.job, changed.stamp);
                 }
             }
             Some(Body::OpenTabs(tabs)) if port.settings.ledger.is_some() => {
-                self.tabs_told(i, tabs);
+                self.handle_usage_records(i, tabs);
             }
             Some(Body::TabsAsk(ask)) => {
-                let asked = self.holders.values_mut().find(|h| h.lease.term == ask.term);
+                let asked = self
+                    .shard_owners
+                    .values_mut()
+                    .find(|h| h.lease.term == ask.term);
                 if let Some(holder) = asked {
                     holder.cluster.resend_all_usage(i);
                 }
             }
             Some(Body::MarksAsk(ask)) => {
-                let holder = self.holders.get(&ask.block).map(|h| &**h);
+                let holder = self.shard_owners.get(&ask.block).map(|h| &**h);
                 let candidacy = match ask.block {
-                    0 => Some(&self.standing.candidacy),
-                    b => self.seats.seats.get(&b).map(|s| &s.candidacy),
+                    0 => Some(&self.membership.election),
+                    b => self
+                        .shard_assignments
+                        .assignments
+                        .get(&b)
+                        .map(|s| &s.election),
                 };
                 if let Some(candidacy) = candidacy {
-                    Standing::marks_asked(port, candidacy, i, ask, holder);
+                    Membership::handle_watermark_query(port, candidacy, i, ask, holder);
                 }
             }
-            Some(Body::MarksHold(told)) if told.life == self.standing.life => {
-                if let Some(candidacy) = self.candidacy(told.block) {
-                    candidacy.marks_hold(told.term);
+            Some(Body::MarksHold(told)) if told.life == self.membership.incarnation => {
+                if let Some(candidacy) = self.election(told.block) {
+                    candidacy.confirm_watermarks(told.term);
                 }
             }
             Some(Body::Changed(_) | Body::OpenTabs(_) | Body::MarksHold(_)) | None => {}
@@ -475,17 +500,21 @@
     }
 
     /// This controller's own chances of holding a block.
-    fn candidacy(&mut self, block: u32) -> Option<&mut Candidacy> {
+    fn election(&mut self, block: u32) -> Option<&mut Election> {
         match block {
-            0 => Some(&mut self.standing.candidacy),
-            b => self.seats.seats.get_mut(&b).map(|s| &mut s.candidacy),
+            0 => Some(&mut self.membership.election),
+            b => self
+                .shard_assignments
+                .assignments
+                .get_mut(&b)
+                .map(|s| &mut s.election),
         }
     }
 
-    fn promised(&mut self, i: usize, promise: &Promise) {
+    fn handle_vote(&mut self, i: usize, promise: &Promise) {
         let block = promise.block;
         let asked = self
-            .holders
+            .shard_owners
             .get_mut(&block)
             .filter(|h| h.lease.term == promise.term);
         let Some(holder) = asked else { return };
@@ -495,234 +524,289 @@
         }
         // What cannot be read in full tells nothing for certain.
         let whole = ids.len() == promise.count as usize;
-        let sibling = &mut self.standing.siblings[i];
-        if !whole && !std::mem::replace(&mut sibling.odd, true) {
-            let (from, told) = (&self.port.settings.siblings[i].name, promise.count);
+        let sibling = &mut self.membership.peers[i];
+        if !whole && !std::mem::replace(&mut sibling.malformed_vote_logged, true) {
+            let (from, told) = (&self.outbox.settings.siblings[i].name, promise.count);
             tracing::warn!(%from, told, read = ids.len(), "a promise makes no sense in part");
         }
         // A newer version than is known here cannot be read now: nothing is started until it can.
-        self.port.configuring.told(promise.configuration);
+        self.outbox
+            .configuration
+            .record_peer_version(promise.configuration);
         let knows = promise.knows && whole;
-        if knows && let Some(at) = holder.lease.authority.informed(promise.round, i) {
+        if knows
+            && let Some(at) = holder
+                .lease
+                .validity
+                .record_informed_voter(promise.round, i)
+        {
             // Its own users' cancellations are among those that its copy knows of.
-            for id in self.intake.mirror.cancelled_since(holder.watched) {
+            for id in self
+                .job_api
+                .job_replica
+                .cancelled_since(holder.watched_version)
+            {
                 holder.cluster.cancelled_elsewhere(id);
             }
-            holder.lease.knew(at);
-            self.port.configuring.knew(at);
+            holder.lease.cancellations_known(at);
+            self.outbox.configuration.confirm_newest(at);
         }
         holder
             .lease
-            .authority
-            .promised(promise.round, i, self.port.clock.now);
-        if holder.lease.authority.bridged() {
+            .validity
+            .record_vote(promise.round, i, self.outbox.clock.now);
+        if holder.lease.validity.was_extended_by_votes() {
             holder.cluster.launches_without_watermark = true;
-            if let Some(candidacy) = self.candidacy(block) {
-                candidacy.bridged(promise.term);
+            if let Some(candidacy) = self.election(block) {
+                candidacy.launched_without_watermarks(promise.term);
             }
         }
     }
 
-    fn tabs_told(&mut self, i: usize, tabs: OpenTabs) {
-        let port = &mut self.port;
+    fn handle_usage_records(&mut self, i: usize, tabs: OpenTabs) {
+        let port = &mut self.outbox;
         let off = port
             .settings
             .ledger
             .as_ref()
             .map_or(0, |l| l.settings.clock_off);
-        let late = port.clock.wall.saturating_sub(tabs.at);
+        let late = port.clock.unix_time.saturating_sub(tabs.at);
         // What two clocks may be apart does not count.
         let late = if late > off + SECOND { late } else { 0 };
         let term = tabs.term;
-        if !self.holders.contains_key(&0) && self.shadow.apply(tabs, port.clock.now, late) {
-            port.say(i, Body::TabsAsk(TabsAsk { term }));
+        if !self.shard_owners.contains_key(&0)
+            && self.usage_replica.apply(tabs, port.clock.now, late)
+        {
+            port.send_to_peer(i, Body::TabsAsk(TabsAsk { term }));
         }
     }
 
     // ---- Answers of the state service and the cloud ----
 
-    fn store_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
-        let port = &mut self.port;
-        let Some(purpose) = port.purposes.remove(&id) else {
+    fn handle_store_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
+        let port = &mut self.outbox;
+        let Some(purpose) = port.pending_requests.remove(&id) else {
             return;
         };
         let now = port.clock.now;
         let status = answer.as_ref().map(|a| a.0);
-        if status.is_some_and(|s| s < 500 && s != 429) && !matches!(purpose, Purpose::Follow { .. })
+        if status.is_some_and(|s| s < 500 && s != 429)
+            && !matches!(purpose, PendingRequest::Watch { .. })
         {
-            port.state_ok_at = Some(now);
+            port.store_answered_at = Some(now);
         }
         if status == Some(503) {
-            port.refused_at = Some(now);
+            port.store_refused_at = Some(now);
         }
         if status == Some(429) {
-            port.slow_down();
+            port.reduce_rate();
         }
-        let (intake, standing) = (&mut self.intake, &mut self.standing);
-        let holders = &mut self.holders;
+        let (intake, standing) = (&mut self.job_api, &mut self.membership);
+        let holders = &mut self.shard_owners;
         match purpose {
-            Purpose::Probe => standing.probed(port, answer),
-            Purpose::Grant { sent } => standing.granted(port, sent, answer),
-            Purpose::Takeover {
+            PendingRequest::ProbeLeader => standing.handle_probe_answer(port, answer),
+            PendingRequest::AcquireStoreLease { sent_at: sent } => {
+                standing.handle_store_lease_answer(port, sent, answer)
+            }
+            PendingRequest::TakeOver {
                 record,
-                grant,
-                sent,
+                store_lease: grant,
+                sent_at: sent,
             } => {
-                self.taken_over(record, grant, sent, answer);
+                self.handle_takeover_answer(record, grant, sent, answer);
             }
-            Purpose::DropGrant { block, grant } => {
+            PendingRequest::RevokeStoreLease {
+                shard: block,
+                store_lease: grant,
+            } => {
                 if matches!(status, Some(200 | 204 | 404))
-                    && let Some(candidacy) = self.candidacy(block)
+                    && let Some(candidacy) = self.election(block)
                 {
-                    candidacy.grant_dropped(grant);
+                    candidacy.store_lease_revoked(grant);
                 }
             }
-            Purpose::Renew { sent, term } => {
-                let Some(holder) = of_term(holders, term) else {
+            PendingRequest::RenewStoreLease {
+                sent_at: sent,
+                term,
+            } => {
+                let Some(holder) = owner_of_term(holders, term) else {
                     return;
                 };
-                if !holder.lease.renewed(sent, status, now) {
-                    holder.ended = Some("its grant ended");
+                if !holder.lease.handle_renewal(sent, status, now) {
+                    holder.end_reason = Some("its grant ended");
                 }
             }
-            Purpose::Moves { term } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.moves_read(port, answer);
+            PendingRequest::ReadTransfers { term } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_transfers_answer(port, answer);
                 }
             }
-            Purpose::Allots { term } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.allotter.read_all(port, &h.lease, &mut h.cluster, answer);
+            PendingRequest::ReadQuotaPartitions { term } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.quota_partitioner
+                        .handle_read_answer(port, &h.lease, &mut h.cluster, answer);
                 }
             }
-            Purpose::Allot { term } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.allotter.written(now, status);
+            PendingRequest::WriteQuotaPartitions { term } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.quota_partitioner.handle_write_answer(now, status);
                 }
             }
-            Purpose::Seats => self.seats.probed(port, answer),
-            Purpose::SeatGrant { block, sent } => self.seats.granted(port, block, sent, answer),
-            Purpose::SeatTerms { block, grant, sent } => {
-                self.seats.terms_read(port, block, grant, sent, answer);
+            PendingRequest::ProbeShards => self.shard_assignments.handle_probe_answer(port, answer),
+            PendingRequest::AcquireShardLease {
+                shard: block,
+                sent_at: sent,
+            } => self
+                .shard_assignments
+                .handle_store_lease_answer(port, block, sent, answer),
+            PendingRequest::ReadTerms {
+                shard: block,
+                store_lease: grant,
+                sent_at: sent,
+            } => {
+                self.shard_assignments
+                    .handle_terms_answer(port, block, grant, sent, answer);
             }
-            Purpose::SeatTake {
-                block,
+            PendingRequest::TakeOverShard {
+                shard: block,
                 record,
-                grant,
-                sent,
+                store_lease: grant,
+                sent_at: sent,
             } => {
-                self.seat_taken(block, record, grant, sent, answer);
+                self.handle_shard_takeover_answer(block, record, grant, sent, answer);
             }
-            Purpose::Load { term, stage } => {
-                let shadow = &mut self.shadow;
-                if let Some(h) = of_term(holders, term) {
-                    h.load_answer(port, shadow, stage, answer);
+            PendingRequest::Load { term, stage } => {
+                let shadow = &mut self.usage_replica;
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_load_answer(port, shadow, stage, answer);
                 }
             }
-            Purpose::LoadLedger { term } => {
-                let shadow = &mut self.shadow;
-                if let Some(h) = of_term(holders, term) {
-                    h.ledger_head(port, shadow, answer);
+            PendingRequest::LoadLedger { term } => {
+                let shadow = &mut self.usage_replica;
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_ledger_head_answer(port, shadow, answer);
                 }
             }
-            Purpose::Follow { term } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.followed(port, answer);
+            PendingRequest::Watch { term } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_watch_answer(port, answer);
                 }
             }
-            Purpose::CatchUp { term, sent } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.caught_up(port, sent, answer);
+            PendingRequest::CatchUp {
+                term,
+                sent_at: sent,
+            } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_catch_up_answer(port, sent, answer);
                 }
             }
-            Purpose::Write { term, batch } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.written(port, batch, answer);
+            PendingRequest::Write { term, batch } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_write_answer(port, batch, answer);
                 }
             }
-            Purpose::ReadBack { term, key } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.read_again(port, key, answer);
+            PendingRequest::Reread { term, key } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_reread_answer(port, key, answer);
                 }
             }
-            Purpose::ReadOver { term, key } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.over_read(&key, answer);
+            PendingRequest::ReadFinishedJob { term, key } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_finished_job_answer(&key, answer);
                 }
             }
-            Purpose::ReadOwner { term, job } => {
-                if let Some(h) = of_term(holders, term) {
-                    h.owner_read(port, &job, answer);
+            PendingRequest::ReadJobOwner { term, job } => {
+                if let Some(h) = owner_of_term(holders, term) {
+                    h.handle_job_owner_answer(port, &job, answer);
                 }
             }
-            Purpose::ShowLedger { conn, team } => intake.ledger_shown(port, conn, team, answer),
-            Purpose::Upstream { job } => {
-                let holder = self.holders.get_mut(&0).map(|h| &mut **h);
-                intake.upstream_read(port, job, answer, holder);
+            PendingRequest::ShowLedger {
+                connection: conn,
+                team,
+            } => intake.handle_ledger_answer(port, conn, team, answer),
+            PendingRequest::ReadDependency { job } => {
+                let holder = self.shard_owners.get_mut(&0).map(|h| &mut **h);
+                intake.handle_dependency_answer(port, job, answer, holder);
+            }
+            PendingRequest::ReadNamedJob {
+                connection: conn,
+                job,
+            } => intake.handle_named_job_answer(port, conn, job, answer),
+            PendingRequest::ListLiveJobs => intake.handle_listing_answer(port, answer),
+            PendingRequest::Configuration(what) => self.handle_configuration_answer(what, answer),
+            PendingRequest::AcceptJobs { jobs } => intake.handle_accept_answer(port, jobs, answer),
+            PendingRequest::CancelJob {
+                job,
+                connections: conns,
+                view,
+            } => {
+                intake.handle_cancel_answer(port, job, conns, view, answer);
             }
-            Purpose::Named { conn, job } => intake.named(port, conn, job, answer),
-            Purpose::Copy => intake.copied(port, answer),
-            Purpose::Configuration(what) => self.configuration_read(what, answer),
-            Purpose::Accept { jobs } => intake.accepted(port, jobs, answer),
-            Purpose::Cancel { job, conns, view } => {
-                intake.cancelled(port, job, conns, view, answer);
+            PendingRequest::LookUpJob { .. } | PendingRequest::ReadChanges => {
+                self.answer_queries(purpose, answer)
             }
-            Purpose::Look { .. } | Purpose::Refresh => self.asked(purpose, answer),
         }
     }
 
     /// Queries are answered, with what the leader knows beside what is stored.
-    fn asked(&mut self, purpose: Purpose, answer: Option<(u16, Bytes)>) {
-        let (port, standing) = (&mut self.port, &self.standing);
-        let holders = &self.holders;
-        let siblings = standing.running(port);
+    fn answer_queries(&mut self, purpose: PendingRequest, answer: Option<(u16, Bytes)>) {
+        let (port, standing) = (&mut self.outbox, &self.membership);
+        let holders = &self.shard_owners;
+        let siblings = standing.running_jobs(port);
         let told = |id: &JobId| siblings.iter().find_map(|s| s.get(&**id).copied());
         let own = |id: &JobId| holders.values().find_map(|h| h.progress(id));
         let progress = |id: &JobId| own(id).or_else(|| told(id));
         match purpose {
-            Purpose::Look { job, over } => {
-                self.intake.looked(port, job, over, answer, &progress);
+            PendingRequest::LookUpJob {
+                job,
+                finished: over,
+            } => {
+                self.job_api
+                    .handle_lookup_answer(port, job, over, answer, &progress);
             }
             _ => {
-                self.intake.refreshed(port, answer, &progress);
-                self.intake.read_ends(port, holders.get(&0).map(|h| &**h));
+                self.job_api.handle_refresh_answer(port, answer, &progress);
+                self.job_api
+                    .read_dependency_outcomes(port, holders.get(&0).map(|h| &**h));
             }
         }
     }
 
-    fn taken_over(
+    fn handle_takeover_answer(
         &mut self,
         record: LeadRecord,
         grant: u64,
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        let (port, standing) = (&mut self.port, &mut self.standing);
+        let (port, standing) = (&mut self.outbox, &mut self.membership);
         let now = port.clock.now;
-        standing.candidacy.trying = false;
+        standing.election.attempt_in_progress = false;
         let stamp = match &answer {
             Some((200, body)) => serde_json::from_slice::<Committed>(body).ok(),
             _ => None,
         };
         let Some(stamp) = stamp else {
-            return standing.not_taken(port, grant, answer.map(|a| a.0));
+            return standing.takeover_failed(port, grant, answer.map(|a| a.0));
         };
         let (term, trusted) = (record.term, record.marked);
         tracing::info!(term, trusted, "leading");
-        let lease = Lease::new(0, term, grant, stamp.ledger_no, sent, port);
-        standing.candidacy.took(record, stamp.ledger_no);
-        let (settings, flavors) = (port.settings.clone(), port.flavors.clone());
-        let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.wall);
+        let lease = ShardLease::new(0, term, grant, stamp.ledger_no, sent, port);
+        standing
+            .election
+            .takeover_succeeded(record, stamp.ledger_no);
+        let (settings, flavors) = (port.settings.clone(), port.machine_types.clone());
+        let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.unix_time);
         cluster.set_watermarks_reliable(trusted);
-        let mut holder = Holder::new(lease, cluster);
-        port.lead(true);
-        standing.beat_soon(now);
-        holder.load(port, "");
-        self.holders.insert(0, Box::new(holder));
+        let mut holder = ShardOwner::new(lease, cluster);
+        port.set_leader(true);
+        standing.send_heartbeats_soon(now);
+        holder.load_next(port, "");
+        self.shard_owners.insert(0, Box::new(holder));
         self.tick();
     }
 
-    fn seat_taken(
+    fn handle_shard_takeover_answer(
         &mut self,
         block: u32,
         record: LeadRecord,
@@ -730,36 +814,38 @@
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        let port = &mut self.port;
+        let port = &mut self.outbox;
         let status = answer.as_ref().map(|a| a.0);
         let stamp = match &answer {
             Some((200, body)) => serde_json::from_slice::<Committed>(body).ok(),
             _ => None,
         };
-        let Some(seat) = self.seats.seats.get_mut(&block) else {
+        let Some(seat) = self.shard_assignments.assignments.get_mut(&block) else {
             return;
         };
-        seat.candidacy.trying = false;
+        seat.election.attempt_in_progress = false;
         let Some(stamp) = stamp else {
-            return self.seats.not_taken(port, block, grant, status);
+            return self
+                .shard_assignments
+                .takeover_failed(port, block, grant, status);
         };
         let (term, trusted) = (record.term, record.marked);
         tracing::info!(block, term, trusted, "holds a block");
-        seat.candidacy.took(record, stamp.ledger_no);
-        let lease = Lease::new(block, term, grant, stamp.ledger_no, sent, port);
-        let (settings, flavors) = (port.settings.clone(), port.flavors.clone());
+        seat.election.takeover_succeeded(record, stamp.ledger_no);
+        let lease = ShardLease::new(block, term, grant, stamp.ledger_no, sent, port);
+        let (settings, flavors) = (port.settings.clone(), port.machine_types.clone());
         let now = port.clock.now;
-        let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.wall);
+        let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.unix_time);
         cluster.assign_shard(block);
         cluster.set_watermarks_reliable(trusted);
-        let mut holder = Holder::new(lease, cluster);
-        holder.load(port, "");
-        self.standing.beat_soon(now);
-        self.holders.insert(block, Box::new(holder));
+        let mut holder = ShardOwner::new(lease, cluster);
+        holder.load_next(port, "");
+        self.membership.send_heartbeats_soon(now);
+        self.shard_owners.insert(block, Box::new(holder));
     }
 
-    fn cloud_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
-        let Some((term, call)) = self.port.calls.remove(&id) else {
+    fn handle_cloud_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
+        let Some((term, call)) = self.outbox.pending_cloud_calls.remove(&id) else {
             return;
         };
         if term == 0 {
@@ -767,12 +853,16 @@
                 .filter(|a| a.0 == 200)
                 .and_then(|a| cloud::parse_flavors(&a.1));
             if let Some(flavors) = flavors {
-                self.port.flavors = Arc::new(flavors);
+                self.outbox.machine_types = Arc::new(flavors);
             }
             return;
         }
-        if let Some(holder) = self.holders.values_mut().find(|h| h.lease.term == term) {
-            holder.cloud_answer(&self.port, call, answer);
+        if let Some(holder) = self
+            .shard_owners
+            .values_mut()
+            .find(|h| h.lease.term == term)
+        {
+            holder.handle_cloud_answer(&self.outbox, call, answer);
         }
     }
 }
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 
-use super::config_watch::{ConfigurationRead, Configuring};
+use super::config_watch::{ConfigWatch, ConfigurationRead};
 use crate::http::{Request, Response};
 use crate::model::{JobId, JobSpec, MachineType, Micros, SECOND, micros_from_seconds};
 use crate::policy::Setting;
@@ -23,9 +23,9 @@
 use crate::wire::store::{LeadRecord, StoreRequest};
 
 /// The state service is asked at least this often, and counts as gone after three times as long without an answer.
-pub(super) const PROBE_EVERY: Micros = 500_000;
+pub(super) const PROBE_INTERVAL: Micros = 500_000;
 /// After this long without a refusal a little more is asked of the state service again.
-const FORGIVEN: Micros = 5 * SECOND;
+const RATE_RECOVERY_INTERVAL: Micros = 5 * SECOND;
 
 /// The time, as a step sees it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,25 +33,25 @@
     /// This process's steady clock.
     pub now: Micros,
     /// Time of day, since 1970.
-    pub wall: u64,
+    pub unix_time: u64,
 }
 
 /// What the owner of all state is told.
 #[derive(Debug)]
 pub enum Command {
-    Request {
-        conn: u64,
+    HttpRequest {
+        connection: u64,
         request: Request,
     },
-    Store {
+    StoreAnswer {
         id: u64,
         answer: Option<(u16, Bytes)>,
     },
-    Cloud {
+    CloudAnswer {
         id: u64,
         answer: Option<(u16, Bytes)>,
     },
-    Peer(Envelope),
+    PeerMessage(Envelope),
     Tick,
 }
 
@@ -59,23 +59,23 @@
 #[derive(Debug)]
 pub enum Effect {
     Reply {
-        conn: u64,
+        connection: u64,
         response: Response,
     },
-    Store {
+    StoreRequest {
         id: u64,
         request: StoreRequest,
     },
-    Cloud {
+    CloudRequest {
         id: u64,
         request: CloudRequest,
     },
-    Peer {
+    PeerMessage {
         to: usize,
         message: Envelope,
     },
     /// Commands for a worker, by `POST /commands`. Nobody waits for the answer.
-    Worker {
+    WorkerCommands {
         addr: SocketAddrV4,
         body: Bytes,
     },
@@ -83,223 +83,225 @@
 
 /// What a request to the state service was for.
 #[derive(Debug)]
-pub(super) enum Purpose {
-    Probe,
-    Grant {
-        sent: Micros,
+pub(super) enum PendingRequest {
+    ProbeLeader,
+    AcquireStoreLease {
+        sent_at: Micros,
     },
-    Takeover {
+    TakeOver {
         record: LeadRecord,
-        grant: u64,
-        sent: Micros,
+        store_lease: u64,
+        sent_at: Micros,
     },
-    DropGrant {
-        block: u32,
-        grant: u64,
+    RevokeStoreLease {
+        shard: u32,
+        store_lease: u64,
     },
-    Renew {
-        sent: Micros,
+    RenewStoreLease {
+        sent_at: Micros,
         term: u64,
     },
     Load {
         term: u64,
         stage: usize,
     },
-    Follow {
+    Watch {
         term: u64,
     },
     /// What has changed, beside the watch.
     CatchUp {
         term: u64,
-        sent: Micros,
+        sent_at: Micros,
     },
     Write {
         term: u64,
         batch: WriteBatch,
     },
-    ReadBack {
+    Reread {
         term: u64,
         key: String,
     },
-    ReadOver {
+    ReadFinishedJob {
         term: u64,
         key: String,
     },
     /// Machines on their way to a block.
-    Moves {
+    ReadTransfers {
         term: u64,
     },
     /// What blocks may use.
-    Allots {
+    ReadQuotaPartitions {
         term: u64,
     },
     /// That a block may use less or more.
-    Allot {
+    WriteQuotaPartitions {
         term: u64,
     },
     /// Who holds the blocks other than 0.
-    Seats,
-    SeatGrant {
-        block: u32,
-        sent: Micros,
+    ProbeShards,
+    AcquireShardLease {
+        shard: u32,
+        sent_at: Micros,
     },
     /// The terms there are, for a seat that is to be taken.
-    SeatTerms {
-        block: u32,
-        grant: u64,
-        sent: Micros,
+    ReadTerms {
+        shard: u32,
+        store_lease: u64,
+        sent_at: Micros,
     },
-    SeatTake {
-        block: u32,
+    TakeOverShard {
+        shard: u32,
         record: LeadRecord,
-        grant: u64,
-        sent: Micros,
+        store_lease: u64,
+        sent_at: Micros,
     },
     /// Where the ledger stands, for a new leader.
     LoadLedger {
         term: u64,
     },
     /// Whose a job was that is over, for the ledger.
-    ReadOwner {
+    ReadJobOwner {
         term: u64,
         job: JobId,
     },
     /// The ledger's head or one of its pages, for a user; of a page, one team's lines if it names one.
     ShowLedger {
-        conn: u64,
+        connection: u64,
         team: Option<String>,
     },
-    Look {
+    LookUpJob {
         job: JobId,
-        over: bool,
+        finished: bool,
     },
     /// How a job that others wait for ended.
-    Upstream {
+    ReadDependency {
         job: JobId,
     },
     /// Whether a job that a submission names was ever accepted.
-    Named {
-        conn: u64,
+    ReadNamedJob {
+        connection: u64,
         job: JobId,
     },
     /// A page of all live jobs, for the copy that queries are answered from.
-    Copy,
+    ListLiveJobs,
     /// What has changed since.
-    Refresh,
+    ReadChanges,
     /// A version of the configuration, or those before it.
     Configuration(ConfigurationRead),
-    Accept {
+    AcceptJobs {
         jobs: Vec<(u64, JobId)>,
     },
-    Cancel {
+    CancelJob {
         job: JobId,
-        conns: Vec<u64>,
+        connections: Vec<u64>,
         view: JobView,
     },
 }
 
 /// What one role tells the others, through the owner of all.
 #[derive(Debug)]
-pub(super) enum News {
+pub(super) enum Event {
     /// A job was accepted or cancelled here, at this version.
-    Changed(JobId, u64),
+    JobChanged(JobId, u64),
 }
 
 /// What an answer holds, if it is there and is one.
-pub(super) fn read<T: DeserializeOwned>(answer: Option<(u16, Bytes)>) -> Option<T> {
+pub(super) fn decode_ok<T: DeserializeOwned>(answer: Option<(u16, Bytes)>) -> Option<T> {
     let (_, body) = answer.filter(|a| a.0 == 200)?;
     serde_json::from_slice(&body).ok()
 }
 
-pub(super) struct Port {
+pub(super) struct Outbox {
     pub settings: Arc<Settings>,
     pub clock: Clock,
-    pub flavors: Arc<Vec<MachineType>>,
+    pub machine_types: Arc<Vec<MachineType>>,
     pub budget: Budget<(u64, StoreRequest)>,
     /// This controller leads, and needs more of what the state service allows.
-    leads: bool,
+    is_leader: bool,
     /// What the state service is believed to allow, and the part of it that is used after refusals.
-    rates: Rates,
-    restraint: f64,
-    slowed_at: Micros,
-    pub state_ok_at: Option<Micros>,
+    store_rates: Rates,
+    rate_factor: f64,
+    rate_changed_at: Micros,
+    pub store_answered_at: Option<Micros>,
     /// When it last refused this controller.
-    pub refused_at: Option<Micros>,
-    pub purposes: HashMap<u64, Purpose>,
-    pub calls: HashMap<u64, (u64, CloudCall)>,
-    pub next_id: u64,
+    pub store_refused_at: Option<Micros>,
+    pub pending_requests: HashMap<u64, PendingRequest>,
+    pub pending_cloud_calls: HashMap<u64, (u64, CloudCall)>,
+    pub next_request_id: u64,
     /// Until when each connection's request is answered.
-    pub deadlines: HashMap<u64, Micros>,
+    pub reply_deadlines: HashMap<u64, Micros>,
     pub effects: Vec<Effect>,
-    pub news: Vec<News>,
+    pub events: Vec<Event>,
     /// How the blocks stand, as their holders last told.
-    pub loads: Vec<ShardLoad>,
+    pub shard_loads: Vec<ShardLoad>,
     /// Which version of the configuration is in force.
-    pub configuring: Configuring,
+    pub configuration: ConfigWatch,
     /// There are several blocks, or have been, or are to be. Where not, nothing is asked or told of them.
-    pub several: bool,
+    pub is_sharded: bool,
 }
 
-impl Port {
-    pub fn new(settings: Arc<Settings>, clock: Clock) -> Port {
-        let mut port = Port {
+impl Outbox {
+    pub fn new(settings: Arc<Settings>, clock: Clock) -> Outbox {
+        let mut port = Outbox {
             budget: Budget::new(1.0, 1.0),
-            leads: false,
-            rates: settings.state_rates,
-            restraint: 1.0,
-            slowed_at: 0,
-            configuring: Configuring::new(settings.clone()),
+            is_leader: false,
+            store_rates: settings.state_rates,
+            rate_factor: 1.0,
+            rate_changed_at: 0,
+            configuration: ConfigWatch::new(settings.clone()),
             settings,
             clock,
-            flavors: Arc::default(),
-            state_ok_at: None,
-            refused_at: None,
-            purposes: HashMap::new(),
-            calls: HashMap::new(),
-            next_id: 1,
-            deadlines: HashMap::new(),
+            machine_types: Arc::default(),
+            store_answered_at: None,
+            store_refused_at: None,
+            pending_requests: HashMap::new(),
+            pending_cloud_calls: HashMap::new(),
+            next_request_id: 1,
+            reply_deadlines: HashMap::new(),
             effects: Vec::new(),
-            news: Vec::new(),
-            loads: Vec::new(),
-            several: false,
+            events: Vec::new(),
+            shard_loads: Vec::new(),
+            is_sharded: false,
         };
-        port.several = port.blocks() > 1;
-        port.share();
+        port.is_sharded = port.shard_count() > 1;
+        port.update_budget_share();
         port
     }
 
     /// This controller leads from now on, or no longer.
-    pub fn lead(&mut self, leads: bool) {
-        self.leads = leads;
-        self.share();
+    pub fn set_leader(&mut self, leads: bool) {
+        self.is_leader = leads;
+        self.update_budget_share();
     }
 
-    fn share(&mut self) {
+    fn update_budget_share(&mut self) {
         let n = self.settings.siblings.len() as f64;
         // Where all hold blocks, all need the same.
-        let share = match (self.leads, n > 0.0) {
-            (_, true) if self.blocks() > 1 => 0.95 / (n + 1.0),
+        let share = match (self.is_leader, n > 0.0) {
+            (_, true) if self.shard_count() > 1 => 0.95 / (n + 1.0),
             (_, false) => 0.95,
             (true, true) => 0.5,
             (false, true) => 0.6 / n,
         };
-        let share = share * self.restraint;
-        self.budget
-            .set_share(self.rates.requests * share, self.rates.changes * share);
+        let share = share * self.rate_factor;
+        self.budget.set_share(
+            self.store_rates.requests * share,
+            self.store_rates.changes * share,
+        );
     }
 
     /// Asks for a little more again, some time after the last refusal.
-    pub fn forgive(&mut self) {
+    pub fn recover_rate(&mut self) {
         let now = self.clock.now;
-        if self.restraint < 1.0 && now >= self.slowed_at + FORGIVEN {
-            self.restraint = (self.restraint + 0.05).min(1.0);
-            self.slowed_at = now;
-            self.share();
+        if self.rate_factor < 1.0 && now >= self.rate_changed_at + RATE_RECOVERY_INTERVAL {
+            self.rate_factor = (self.rate_factor + 0.05).min(1.0);
+            self.rate_changed_at = now;
+            self.update_budget_share();
         }
     }
 
     /// Into how many blocks the machines are divided.
-    pub fn blocks(&self) -> u32 {
+    pub fn shard_count(&self) -> u32 {
         let blocks = self.settings.policy.number(Setting::Blocks, &[]) as u32;
         if self.settings.ledger.is_some() {
             1
@@ -309,91 +311,102 @@
     }
 
     /// The block that a job accepted now goes to.
-    pub fn home(&mut self, spec: &JobSpec) -> u32 {
-        let most = self.blocks();
-        shard_load::choose_home_shard(&mut self.loads, most, spec)
+    pub fn choose_home_shard(&mut self, spec: &JobSpec) -> u32 {
+        let most = self.shard_count();
+        shard_load::choose_home_shard(&mut self.shard_loads, most, spec)
     }
 
     /// How long this controller's grants last without renewal.
-    pub fn ttl(&self) -> Micros {
+    pub fn store_lease_ttl(&self) -> Micros {
         micros_from_seconds(self.settings.policy.number(Setting::Grant, &[]))
     }
 
-    pub fn state_ok(&self) -> bool {
-        self.state_ok_at
-            .is_some_and(|t| self.clock.now < t + 3 * PROBE_EVERY)
+    pub fn is_store_reachable(&self) -> bool {
+        self.store_answered_at
+            .is_some_and(|t| self.clock.now < t + 3 * PROBE_INTERVAL)
     }
 
     /// It has not answered for a while, or has refused what was asked last. That is enough for a promise, which binds nobody
     /// but this controller, and cannot wait: a leader that was refused shortly before an outage has a second left.
-    pub fn state_fails(&self) -> bool {
-        !self.state_ok() || self.refused_at > self.state_ok_at
+    pub fn is_store_failing(&self) -> bool {
+        !self.is_store_reachable() || self.store_refused_at > self.store_answered_at
     }
 
     /// The state service has had too much: it has gone over to its next rates, or all controllers
     /// together ask for more than it allows.
-    pub(super) fn slow_down(&mut self) {
-        if self.clock.now < self.slowed_at + SECOND {
+    pub(super) fn reduce_rate(&mut self) {
+        if self.clock.now < self.rate_changed_at + SECOND {
             return;
         }
-        self.slowed_at = self.clock.now;
-        if self.rates != self.settings.state_rates_next {
-            self.rates = self.settings.state_rates_next;
-            let Rates { requests, changes } = self.rates;
+        self.rate_changed_at = self.clock.now;
+        if self.store_rates != self.settings.state_rates_next {
+            self.store_rates = self.settings.state_rates_next;
+            let Rates { requests, changes } = self.store_rates;
             tracing::info!(
                 requests,
                 changes,
                 "the state service allows less from now on"
             );
         } else {
-            self.restraint = (self.restraint * 0.9).max(0.5);
+            self.rate_factor = (self.rate_factor * 0.9).max(0.5);
         }
-        self.share();
+        self.update_budget_share();
     }
 
-    pub(super) fn send(&mut self, urgency: Urgency, request: StoreRequest, purpose: Purpose) {
-        let id = self.next_id;
-        self.next_id += 1;
-        self.purposes.insert(id, purpose);
+    pub(super) fn send_to_store(
+        &mut self,
+        urgency: Urgency,
+        request: StoreRequest,
+        purpose: PendingRequest,
+    ) {
+        let id = self.next_request_id;
+        self.next_request_id += 1;
+        self.pending_requests.insert(id, purpose);
         self.budget.push(urgency, request.changes, (id, request));
     }
 
     /// A grant to hold a block with is not needed any more.
-    pub(super) fn drop_grant(&mut self, block: u32, grant: u64) {
-        let purpose = Purpose::DropGrant { block, grant };
-        self.send(Urgency::Renewal, StoreRequest::drop_grant(grant), purpose);
+    pub(super) fn revoke_store_lease(&mut self, block: u32, grant: u64) {
+        let purpose = PendingRequest::RevokeStoreLease {
+            shard: block,
+            store_lease: grant,
+        };
+        self.send_to_store(Urgency::Renewal, StoreRequest::drop_grant(grant), purpose);
     }
 
     pub(super) fn reply(&mut self, conn: u64, response: Response) {
-        if self.deadlines.remove(&conn).is_some() {
-            self.effects.push(Effect::Reply { conn, response });
+        if self.reply_deadlines.remove(&conn).is_some() {
+            self.effects.push(Effect::Reply {
+                connection: conn,
+                response,
+            });
         }
     }
 
-    pub(super) fn say(&mut self, to: usize, body: Body) {
+    pub(super) fn send_to_peer(&mut self, to: usize, body: Body) {
         let message = Envelope {
             from: self.settings.name.clone(),
             body: Some(body),
         };
-        self.effects.push(Effect::Peer { to, message });
+        self.effects.push(Effect::PeerMessage { to, message });
     }
 
-    pub(super) fn call(&mut self, term: u64, call: CloudCall, request: CloudRequest) {
-        let id = self.next_id;
-        self.next_id += 1;
-        self.calls.insert(id, (term, call));
-        self.effects.push(Effect::Cloud { id, request });
+    pub(super) fn call_cloud(&mut self, term: u64, call: CloudCall, request: CloudRequest) {
+        let id = self.next_request_id;
+        self.next_request_id += 1;
+        self.pending_cloud_calls.insert(id, (term, call));
+        self.effects.push(Effect::CloudRequest { id, request });
     }
 
-    pub(super) fn too_much(&mut self, conn: u64, wait: Micros) {
+    pub(super) fn reply_overloaded(&mut self, conn: u64, wait: Micros) {
         let seconds = (wait / SECOND).clamp(1, 30) as u32;
         let why = "too many requests are waiting for the state service";
-        self.reply(conn, Response::error(503, why).retry(seconds));
+        self.reply(conn, Response::error(503, why).with_retry_after(seconds));
     }
 
-    pub(super) fn refuse(&mut self, conn: u64, refusal: &Refusal) {
+    pub(super) fn reply_refusal(&mut self, conn: u64, refusal: &Refusal) {
         // What can never run by an older configuration may run by a newer one, and its user would not ask again.
-        let old = !self.configuring.fresh(self.clock.now);
+        let old = !self.configuration.is_fresh(self.clock.now);
         let refusal = match refusal {
             Refusal::Impossible(_) if old => &Refusal::Changing,
             refusal => refusal,
@@ -401,18 +414,18 @@
         let response = match refusal {
             Refusal::Malformed(_) => Response::error(400, refusal),
             Refusal::Impossible(_) => Response::error(422, refusal),
-            Refusal::NotYet => Response::error(503, refusal).retry(2),
-            Refusal::Changing => Response::error(503, refusal).retry(1),
+            Refusal::NotYet => Response::error(503, refusal).with_retry_after(2),
+            Refusal::Changing => Response::error(503, refusal).with_retry_after(1),
         };
         self.reply(conn, response);
     }
 
     /// What cannot be answered is refused at once, with the time to come back: another controller
     /// may be able to.
-    pub(super) fn unavailable(&mut self, conn: u64) {
+    pub(super) fn reply_unavailable(&mut self, conn: u64) {
         self.reply(
             conn,
-            Response::error(503, "the state service does not answer").retry(1),
+            Response::error(503, "the state service does not answer").with_retry_after(1),
         );
     }
 }
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -5,10 +5,12 @@
 use bytes::Bytes;
 use gannethub_ledger::audit::Page;
 
-use super::config_watch::LOOK_EVERY;
-use super::outbox::{News, Port, Purpose, read};
-use super::shard_owner::Holder;
-use super::submissions::{Asker, Intake, MAX_ASKING, POLL_PATIENCE, Waiter, committed};
+use super::config_watch::CHANGE_READ_INTERVAL;
+use super::outbox::{Event, Outbox, PendingRequest, decode_ok};
+use super::shard_owner::ShardOwner;
+use super::submissions::{
+    JobApi, LookupWaiter, MAX_WAITING_QUERIES, QUERY_TIMEOUT, RefreshWaiter, commit_version,
+};
 use crate::http::Response;
 use crate::model::{JobId, Micros, SECOND, TaskSet};
 use crate::state::job_replica::JobLookup;
@@ -19,19 +21,19 @@
 };
 
 /// Ends of jobs that others wait for that are asked for at once.
-const MOST_ENDS: usize = 20;
+const MAX_OUTCOME_READS: usize = 20;
 /// Queries share one read of what has changed, made at most this often ...
-const REFRESH_EVERY: Micros = 100_000;
+const MIN_REFRESH_INTERVAL: Micros = 100_000;
 /// ... and at least this often, so that few changes pile up.
-const REFRESH_AT_LEAST: Micros = 5 * SECOND;
+const MAX_REFRESH_INTERVAL: Micros = 5 * SECOND;
 
 /// What is known of how far live jobs are: tasks on machines and done.
-pub(super) type Progress<'a> = &'a dyn Fn(&JobId) -> Option<(u32, u32)>;
+pub(super) type ProgressLookup<'a> = &'a dyn Fn(&JobId) -> Option<(u32, u32)>;
 
-impl Intake {
-    pub(super) fn show_ledger(
+impl JobApi {
+    pub(super) fn read_ledger(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         conn: u64,
         page: Option<u64>,
         team: Option<&str>,
@@ -44,22 +46,25 @@
             return port.reply(conn, Response::error(400, why));
         }
         let wait = port.budget.wait_to_ask();
-        if wait > POLL_PATIENCE {
-            return port.too_much(conn, wait);
+        if wait > QUERY_TIMEOUT {
+            return port.reply_overloaded(conn, wait);
         }
         let key = page.map_or(store::LEDGER_HEAD.into(), store::ledger_page);
         let team = team.map(str::to_string);
-        port.send(
+        port.send_to_store(
             Urgency::User,
             StoreRequest::get(&key),
-            Purpose::ShowLedger { conn, team },
+            PendingRequest::ShowLedger {
+                connection: conn,
+                team,
+            },
         );
     }
 
     /// What is written is shown as it is written; so what was shown once never changes.
-    pub(super) fn ledger_shown(
+    pub(super) fn handle_ledger_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         conn: u64,
         team: Option<String>,
         answer: Option<(u16, Bytes)>,
@@ -73,7 +78,7 @@
             _ => None,
         };
         let Some(item) = item else {
-            return port.unavailable(conn);
+            return port.reply_unavailable(conn);
         };
         let response = match (team, item.record::<Page>()) {
             (Some(team), Some(mut page)) => {
@@ -86,179 +91,197 @@
     }
 
     /// Reads how jobs ended that others wait for and that are not alive.
-    pub fn read_ends(&mut self, port: &mut Port, holder: Option<&Holder>) {
+    pub fn read_dependency_outcomes(&mut self, port: &mut Outbox, holder: Option<&ShardOwner>) {
         let now = port.clock.now;
-        if self.mirror.dependencies.is_complete()
+        if self.job_replica.dependencies.is_complete()
             && holder.is_none_or(|h| h.cluster.pipelines.dependencies.is_complete())
         {
             return;
         }
-        self.ends_asked.retain(|_, until| now < *until);
+        self.outcome_reads.retain(|_, until| now < *until);
         // While the copy or the state is being read, what is not known yet may still turn up.
-        let holder = holder.filter(|h| h.loaded());
+        let holder = holder.filter(|h| h.is_loaded());
         let theirs = holder
             .into_iter()
             .flat_map(|h| h.cluster.pipelines.dependencies.unknown_outcomes());
         let ours = self
-            .mirror
+            .job_replica
             .version()
             .into_iter()
-            .flat_map(|_| self.mirror.dependencies.unknown_outcomes());
+            .flat_map(|_| self.job_replica.dependencies.unknown_outcomes());
         let wanted: BTreeSet<JobId> = theirs
             .chain(ours)
-            .filter(|j| !self.ends_asked.contains_key(*j))
+            .filter(|j| !self.outcome_reads.contains_key(*j))
             .cloned()
             .collect();
-        for job in wanted.into_iter().take(MOST_ENDS) {
-            self.ends_asked.insert(job.clone(), now + 3 * SECOND);
+        for job in wanted.into_iter().take(MAX_OUTCOME_READS) {
+            self.outcome_reads.insert(job.clone(), now + 3 * SECOND);
             let key = format!("{}{job}", store::OVER);
-            port.send(
+            port.send_to_store(
                 Urgency::Commit,
                 StoreRequest::get(&key),
-                Purpose::Upstream { job },
+                PendingRequest::ReadDependency { job },
             );
         }
     }
 
-    pub(super) fn upstream_read(
+    pub(super) fn handle_dependency_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         job: JobId,
         answer: Option<(u16, Bytes)>,
-        holder: Option<&mut Holder>,
+        holder: Option<&mut ShardOwner>,
     ) {
         let now = port.clock.now;
-        let Some(view) = answer.as_ref().and_then(end_of) else {
+        let Some(view) = answer.as_ref().and_then(finished_view_of_answer) else {
             // Not over, or not to be known now.
-            self.ends_asked.insert(job, now + SECOND / 2);
+            self.outcome_reads.insert(job, now + SECOND / 2);
             return;
         };
-        self.ends_asked.remove(&job);
-        if let Some(holder) = holder.filter(|h| h.loaded()) {
+        self.outcome_reads.remove(&job);
+        if let Some(holder) = holder.filter(|h| h.is_loaded()) {
             holder
                 .cluster
                 .upstream_over(&job, Some(view.status == Status::Cancelled));
         }
-        self.mirror.record_upstream_end(job, view);
+        self.job_replica.record_upstream_end(job, view);
         self.refresh(port);
     }
 
-    pub(super) fn look(&mut self, port: &mut Port, id: JobId, waiter: Waiter) {
-        self.look_up(port, id, waiter, false);
+    pub(super) fn look_up_live_job(&mut self, port: &mut Outbox, id: JobId, waiter: LookupWaiter) {
+        self.look_up_job(port, id, waiter, false);
     }
 
     /// Reads a job's record. `over`: it is known not to be alive, so only whether it is over is
     /// to be read.
-    pub(super) fn look_up(&mut self, port: &mut Port, id: JobId, waiter: Waiter, over: bool) {
-        if let Some(view) = self.mirror.final_view(&id) {
+    pub(super) fn look_up_job(
+        &mut self,
+        port: &mut Outbox,
+        id: JobId,
+        waiter: LookupWaiter,
+        over: bool,
+    ) {
+        if let Some(view) = self.job_replica.final_view(&id) {
             let response = api::answer(200, &id, view);
-            return port.reply(waiter.conn(), response);
+            return port.reply(waiter.connection(), response);
         }
         let wait = port.budget.wait_to_ask();
-        if wait > POLL_PATIENCE && !self.lookups.contains_key(&id) {
+        if wait > QUERY_TIMEOUT && !self.lookups.contains_key(&id) {
             // The answer would come too late, and reads that nobody waits for any more would keep
             // submissions out.
-            return port.too_much(waiter.conn(), wait);
+            return port.reply_overloaded(waiter.connection(), wait);
         }
         let lookup = self.lookups.entry(id.clone()).or_default();
-        if !lookup.now.is_empty() {
+        if !lookup.current.is_empty() {
             lookup.next.push(waiter);
             return;
         }
-        lookup.now.push(waiter);
-        self.start_look(port, id, over);
+        lookup.current.push(waiter);
+        self.send_lookup(port, id, over);
     }
 
-    pub(super) fn start_look(&mut self, port: &mut Port, job: JobId, over: bool) {
+    pub(super) fn send_lookup(&mut self, port: &mut Outbox, job: JobId, over: bool) {
         let key = format!("{}{job}", if over { store::OVER } else { store::LIVE });
-        port.send(
+        port.send_to_store(
             Urgency::User,
             StoreRequest::get(&key),
-            Purpose::Look { job, over },
+            PendingRequest::LookUpJob {
+                job,
+                finished: over,
+            },
         );
     }
 
     /// A query waits for the next read of what has changed, which answers all that wait then.
-    pub(super) fn query(&mut self, port: &mut Port, conn: u64, id: JobId) {
-        if self.mirror.version().is_none() {
-            return self.look(port, id, Waiter::Poll(conn));
+    pub(super) fn query(&mut self, port: &mut Outbox, conn: u64, id: JobId) {
+        if self.job_replica.version().is_none() {
+            return self.look_up_live_job(port, id, LookupWaiter::Query(conn));
         }
-        if let Some(view) = self.mirror.final_view(&id) {
+        if let Some(view) = self.job_replica.final_view(&id) {
             let response = api::answer(200, &id, view);
             return port.reply(conn, response);
         }
         let wait = port.budget.wait_to_ask();
-        if wait > POLL_PATIENCE || self.asking.len() >= MAX_ASKING {
-            return port.too_much(conn, wait);
+        if wait > QUERY_TIMEOUT || self.next_refresh_waiters.len() >= MAX_WAITING_QUERIES {
+            return port.reply_overloaded(conn, wait);
         }
-        self.asking.push(Asker::Query(conn, id));
+        self.next_refresh_waiters
+            .push(RefreshWaiter::Query(conn, id));
         self.refresh(port);
     }
 
     /// Reads what the mirror lacks, if there is a reason to.
-    pub(super) fn refresh(&mut self, port: &mut Port) {
+    pub(super) fn refresh(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if self.refreshing || now < self.refresh_at {
+        if self.refresh_in_flight || now < self.refresh_at {
             return;
         }
         // At most half of this controller's requests, however many queries come.
         let pause = (2.0 * SECOND as f64 / port.budget.rate().max(0.1)) as Micros;
-        let pause = pause.max(REFRESH_EVERY);
-        let at_least = if port.configuring.ever() {
-            LOOK_EVERY.min(REFRESH_AT_LEAST)
+        let pause = pause.max(MIN_REFRESH_INTERVAL);
+        let at_least = if port.configuration.has_stored_version() {
+            CHANGE_READ_INTERVAL.min(MAX_REFRESH_INTERVAL)
         } else {
-            REFRESH_AT_LEAST
+            MAX_REFRESH_INTERVAL
         };
         let due = now >= self.refresh_at + at_least;
-        match self.mirror.version() {
-            Some(at) if !self.asking.is_empty() || port.configuring.behind() || due => {
-                self.refreshing = true;
-                self.refresh_sent = now;
+        match self.job_replica.version() {
+            Some(at)
+                if !self.next_refresh_waiters.is_empty()
+                    || port.configuration.is_behind()
+                    || due =>
+            {
+                self.refresh_in_flight = true;
+                self.refresh_sent_at = now;
                 self.refresh_at = now + pause;
-                self.answering = std::mem::take(&mut self.asking);
+                self.current_refresh_waiters = std::mem::take(&mut self.next_refresh_waiters);
                 let request = StoreRequest::changes(store::LIVE, at);
-                port.send(Urgency::User, request, Purpose::Refresh);
+                port.send_to_store(Urgency::User, request, PendingRequest::ReadChanges);
             }
-            None if port.state_ok() => {
-                self.refreshing = true;
-                self.refresh_sent = now;
+            None if port.is_store_reachable() => {
+                self.refresh_in_flight = true;
+                self.refresh_sent_at = now;
                 self.refresh_at = now + SECOND;
                 let request = StoreRequest::list(store::LIVE, "");
-                port.send(Urgency::User, request, Purpose::Copy);
+                port.send_to_store(Urgency::User, request, PendingRequest::ListLiveJobs);
             }
             _ => {}
         }
     }
 
-    pub(super) fn copied(&mut self, port: &mut Port, answer: Option<(u16, Bytes)>) {
-        let listing = read::<Listing>(answer);
+    pub(super) fn handle_listing_answer(
+        &mut self,
+        port: &mut Outbox,
+        answer: Option<(u16, Bytes)>,
+    ) {
+        let listing = decode_ok::<Listing>(answer);
         let Some(listing) = listing else {
-            self.refreshing = false;
-            return self.mirror.reset();
+            self.refresh_in_flight = false;
+            return self.job_replica.reset();
         };
-        port.configuring
-            .listed(&listing, self.mirror.is_at_first_page());
-        match self.mirror.apply_listing_page(&listing) {
+        port.configuration
+            .apply_listing(&listing, self.job_replica.is_at_first_page());
+        match self.job_replica.apply_listing_page(&listing) {
             Some(after) => {
                 let request = StoreRequest::list(store::LIVE, &after);
-                port.send(Urgency::User, request, Purpose::Copy);
+                port.send_to_store(Urgency::User, request, PendingRequest::ListLiveJobs);
             }
             None => {
-                self.refreshing = false;
+                self.refresh_in_flight = false;
                 self.refresh_at = port.clock.now;
-                port.configuring.knew(self.refresh_sent);
+                port.configuration.confirm_newest(self.refresh_sent_at);
             }
         }
     }
 
-    pub(super) fn refreshed(
+    pub(super) fn handle_refresh_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         answer: Option<(u16, Bytes)>,
-        progress: Progress<'_>,
+        progress: ProgressLookup<'_>,
     ) {
-        self.refreshing = false;
-        let waiting = std::mem::take(&mut self.answering);
+        self.refresh_in_flight = false;
+        let waiting = std::mem::take(&mut self.current_refresh_waiters);
         let followed = match &answer {
             Some((200, body)) => serde_json::from_slice::<Followed>(body).ok(),
             _ => None,
@@ -266,140 +289,145 @@
         let Some(followed) = followed else {
             if matches!(answer, Some((status, _)) if status != 429 && status != 503) {
                 // Too far behind: the changes are not kept any more.
-                self.mirror.reset();
+                self.job_replica.reset();
             }
             waiting
                 .into_iter()
-                .for_each(|asker| port.unavailable(asker.conn()));
+                .for_each(|asker| port.reply_unavailable(asker.connection()));
             return self.refresh(port);
         };
-        port.configuring.changed(&followed.log);
-        port.configuring.knew(self.refresh_sent);
-        self.mirror.apply_changes(&followed);
+        port.configuration.apply_changes(&followed.log);
+        port.configuration.confirm_newest(self.refresh_sent_at);
+        self.job_replica.apply_changes(&followed);
         for asker in waiting {
             let (conn, id) = match asker {
-                Asker::Query(conn, id) => (conn, id),
-                Asker::Submit(conn, id, submission) => {
-                    self.check_named(port, conn, id, submission);
+                RefreshWaiter::Query(conn, id) => (conn, id),
+                RefreshWaiter::Submit(conn, id, submission) => {
+                    self.check_dependencies(port, conn, id, submission);
                     continue;
                 }
             };
-            match self.mirror.lookup(&id) {
+            match self.job_replica.lookup(&id) {
                 // It is asked again once that end has been read.
-                JobLookup::DependencyUnknown if port.deadlines.contains_key(&conn) => {
-                    self.asking.push(Asker::Query(conn, id));
+                JobLookup::DependencyUnknown if port.reply_deadlines.contains_key(&conn) => {
+                    self.next_refresh_waiters
+                        .push(RefreshWaiter::Query(conn, id));
                 }
                 JobLookup::DependencyUnknown => {}
                 JobLookup::Job(mut view) => {
-                    show_progress(&id, &mut view, progress);
+                    add_progress(&id, &mut view, progress);
                     port.reply(conn, api::answer(200, &id, &view));
                 }
                 JobLookup::NeverSubmitted => port.reply(conn, Response::error(404, "no such job")),
-                JobLookup::NotLive => self.look_up(port, id, Waiter::Poll(conn), true),
+                JobLookup::NotLive => self.look_up_job(port, id, LookupWaiter::Query(conn), true),
             }
         }
         self.refresh(port);
     }
 
-    pub(super) fn looked(
+    pub(super) fn handle_lookup_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         job: JobId,
         over: bool,
         answer: Option<(u16, Bytes)>,
-        progress: Progress<'_>,
+        progress: ProgressLookup<'_>,
     ) {
         match answer {
             Some((200, body)) => {
                 let Ok(item) = serde_json::from_slice::<Item>(&body) else {
-                    return self.look_failed(port, job);
+                    return self.lookup_failed(port, job);
                 };
                 if over {
-                    let Some(view) = view_of_end(&item) else {
-                        return self.look_failed(port, job);
+                    let Some(view) = finished_job_view(&item) else {
+                        return self.lookup_failed(port, job);
                     };
-                    self.found(port, job, view, None);
+                    self.job_found(port, job, view, None);
                 } else {
                     let Some(r) = item.live() else {
-                        return self.look_failed(port, job);
+                        return self.lookup_failed(port, job);
                     };
-                    let view = view_of(&job, &r, progress);
-                    self.found(port, job, view, Some((r, item.stamp)));
+                    let view = live_job_view(&job, &r, progress);
+                    self.job_found(port, job, view, Some((r, item.stamp)));
                 }
             }
-            Some((404, _)) if !over => self.start_look(port, job, true),
+            Some((404, _)) if !over => self.send_lookup(port, job, true),
             Some((404, body)) => {
                 if let Ok(missing) = serde_json::from_slice::<Committed>(&body) {
-                    self.mirror.record_absent(job.clone(), missing.ledger_no);
+                    self.job_replica
+                        .record_absent(job.clone(), missing.ledger_no);
                 }
                 let waiters = self.take_waiters(port, &job);
                 for w in waiters {
                     match w {
-                        Waiter::Poll(c) | Waiter::Cancel(c) => {
+                        LookupWaiter::Query(c) | LookupWaiter::Cancel(c) => {
                             port.reply(c, Response::error(404, "no such job"));
                         }
-                        Waiter::Submit(c, Ok(spec)) => self.accept(port, c, job.clone(), spec),
-                        Waiter::Submit(c, Err(refusal)) => port.refuse(c, &refusal),
-                        Waiter::Confirm(c) => {
+                        LookupWaiter::Submit(c, Ok(spec)) => {
+                            self.accept(port, c, job.clone(), spec)
+                        }
+                        LookupWaiter::Submit(c, Err(refusal)) => port.reply_refusal(c, &refusal),
+                        LookupWaiter::Confirm(c) => {
                             let why = "it is not certain yet that the job was accepted";
-                            port.reply(c, Response::error(503, why).retry(1));
+                            port.reply(c, Response::error(503, why).with_retry_after(1));
                         }
                     }
                 }
             }
-            _ => self.look_failed(port, job),
+            _ => self.lookup_failed(port, job),
         }
     }
 
-    pub(super) fn look_failed(&mut self, port: &mut Port, job: JobId) {
+    pub(super) fn lookup_failed(&mut self, port: &mut Outbox, job: JobId) {
         for w in self.take_waiters(port, &job) {
-            port.unavailable(w.conn());
+            port.reply_unavailable(w.connection());
         }
     }
 
     /// Those whom the finished read may answer; starts the next read for the rest.
-    pub(super) fn take_waiters(&mut self, port: &mut Port, job: &JobId) -> Vec<Waiter> {
+    pub(super) fn take_waiters(&mut self, port: &mut Outbox, job: &JobId) -> Vec<LookupWaiter> {
         let Some(lookup) = self.lookups.get_mut(job) else {
             return Vec::new();
         };
-        let waiters = std::mem::take(&mut lookup.now);
-        lookup.now = std::mem::take(&mut lookup.next);
-        if lookup.now.is_empty() {
+        let waiters = std::mem::take(&mut lookup.current);
+        lookup.current = std::mem::take(&mut lookup.next);
+        if lookup.current.is_empty() {
             self.lookups.remove(job);
         } else {
-            self.start_look(port, job.clone(), false);
+            self.send_lookup(port, job.clone(), false);
         }
         waiters
     }
 
-    pub(super) fn found(
+    pub(super) fn job_found(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         job: JobId,
         view: JobView,
         live: Option<(LiveRecord, u64)>,
     ) {
         if matches!(view.status, Status::Done | Status::Cancelled) {
-            self.mirror.record_end(job.clone(), view.clone());
+            self.job_replica.record_end(job.clone(), view.clone());
         }
         if let Some((record, stamp)) = &live
             && record.cancelled()
         {
-            self.mirror.record_cancellation(job.clone(), *stamp);
+            self.job_replica.record_cancellation(job.clone(), *stamp);
         }
         let mut cancels = Vec::new();
         for w in self.take_waiters(port, &job) {
             match (w, &live) {
-                (Waiter::Cancel(c), Some((r, _))) if !r.cancelled() => cancels.push(c),
+                (LookupWaiter::Cancel(c), Some((r, _))) if !r.cancelled() => cancels.push(c),
                 // Whether it is cancelled with one that it needs, its own record does not tell.
                 (w, Some((LiveRecord::Waiting(r), _))) if !r.cancelled => {
-                    if self.mirror.version().is_some() {
-                        self.asking.push(Asker::Query(w.conn(), job.clone()));
+                    if self.job_replica.version().is_some() {
+                        self.next_refresh_waiters
+                            .push(RefreshWaiter::Query(w.connection(), job.clone()));
                     } else {
-                        port.unavailable(w.conn());
+                        port.reply_unavailable(w.connection());
                     }
                 }
-                (w, _) => port.reply(w.conn(), api::answer(200, &job, &view)),
+                (w, _) => port.reply(w.connection(), api::answer(200, &job, &view)),
             }
         }
         self.refresh(port);
@@ -411,17 +439,17 @@
         commit.guard(&key, stamp);
         commit.put(&key, record.cancel(port.settings.value_bytes), None);
         let view = JobView::new(Status::Cancelled, view.done);
-        let purpose = Purpose::Cancel {
+        let purpose = PendingRequest::CancelJob {
             job,
-            conns: cancels,
+            connections: cancels,
             view,
         };
-        port.send(Urgency::User, commit.request(), purpose);
+        port.send_to_store(Urgency::User, commit.request(), purpose);
     }
 
-    pub(super) fn cancelled(
+    pub(super) fn handle_cancel_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         job: JobId,
         conns: Vec<u64>,
         view: JobView,
@@ -429,28 +457,28 @@
     ) {
         let status = answer.as_ref().map(|a| a.0);
         if status == Some(200) {
-            let stamp = committed(answer.as_ref());
-            self.mirror.record_end(job.clone(), view.clone());
-            self.mirror.record_cancellation(job.clone(), stamp);
+            let stamp = commit_version(answer.as_ref());
+            self.job_replica.record_end(job.clone(), view.clone());
+            self.job_replica.record_cancellation(job.clone(), stamp);
             for c in conns {
                 port.reply(c, api::answer(200, &job, &view));
             }
-            return port.news.push(News::Changed(job, stamp));
+            return port.events.push(Event::JobChanged(job, stamp));
         }
         for c in conns {
             match status {
                 // The job changed meanwhile, or nothing is certain: only looking again tells.
-                Some(409) | None if port.deadlines.contains_key(&c) => {
-                    self.look(port, job.clone(), Waiter::Cancel(c));
+                Some(409) | None if port.reply_deadlines.contains_key(&c) => {
+                    self.look_up_live_job(port, job.clone(), LookupWaiter::Cancel(c));
                 }
-                _ => port.unavailable(c),
+                _ => port.reply_unavailable(c),
             }
         }
     }
 }
 
 /// A live job as its record and what is known of its progress show it.
-fn view_of(id: &JobId, record: &LiveRecord, progress: Progress<'_>) -> JobView {
+fn live_job_view(id: &JobId, record: &LiveRecord, progress: ProgressLookup<'_>) -> JobView {
     let mut done = TaskSet::default();
     if let LiveRecord::Job(record) = record {
         store::decode_done(&record.done, 0, &mut done);
@@ -461,12 +489,12 @@
         Status::Pending
     };
     let mut view = JobView::new(status, done.len());
-    show_progress(id, &mut view, progress);
+    add_progress(id, &mut view, progress);
     view
 }
 
 /// Adds what is known of a live job beside its record: for display only.
-fn show_progress(id: &JobId, view: &mut JobView, progress: Progress<'_>) {
+fn add_progress(id: &JobId, view: &mut JobView, progress: ProgressLookup<'_>) {
     if view.status != Status::Pending {
         return;
     }
@@ -479,7 +507,7 @@
 }
 
 /// How a job ended, as its record in the state service has it.
-pub(super) fn view_of_end(item: &Item) -> Option<JobView> {
+pub(super) fn finished_job_view(item: &Item) -> Option<JobView> {
     let r = item.record::<OverRecord>()?;
     Some(match r.cancelled {
         true => JobView::new(Status::Cancelled, 0),
@@ -488,7 +516,7 @@
 }
 
 /// The same from the answer to a read of that record, if there was one.
-pub(super) fn end_of(answer: &(u16, Bytes)) -> Option<JobView> {
+pub(super) fn finished_view_of_answer(answer: &(u16, Bytes)) -> Option<JobView> {
     let item = (answer.0 == 200).then(|| serde_json::from_slice::<Item>(&answer.1).ok());
-    view_of_end(&item.flatten()?)
+    finished_job_view(&item.flatten()?)
 }
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -10,8 +10,8 @@
 
 use bytes::Bytes;
 
-use super::lease::Lease;
-use super::outbox::{Port, Purpose, read};
+use super::lease::ShardLease;
+use super::outbox::{Outbox, PendingRequest, decode_ok};
 use crate::model::{Micros, Resources, SECOND, Team};
 use crate::scheduling::quota_partition::{self, ShardQuotas};
 use crate::state::cluster::Cluster;
@@ -19,35 +19,35 @@
 use crate::wire::store::{self, ALLOT, AllotRecord, Commit, Item, Listing, StoreRequest};
 
 /// Parts are read this often, and this often while nothing asks for it.
-const READ_EVERY: Micros = SECOND / 2;
-const READ_AT_LEAST: Micros = 2 * SECOND;
+const READ_INTERVAL: Micros = SECOND / 2;
+const IDLE_READ_INTERVAL: Micros = 2 * SECOND;
 /// What lies idle for so long is given back.
-const IDLE: Micros = 2 * SECOND;
+const RETURN_DELAY: Micros = 2 * SECOND;
 /// A write without an answer is sent again after this time.
-const AGAIN: Micros = SECOND / 2;
+const WRITE_RETRY_INTERVAL: Micros = SECOND / 2;
 
 #[derive(Debug, Default)]
-pub(super) struct Allotter {
+pub(super) struct QuotaPartitioner {
     /// Each block's part and its version, as last read.
-    parts: BTreeMap<u32, (Vec<Resources>, u64)>,
-    reading: bool,
+    partitions: BTreeMap<u32, (Vec<Resources>, u64)>,
+    read_in_flight: bool,
     read_at: Micros,
     /// A write whose fate is not certain: its parts, and its transaction.
-    pending: Option<(ShardQuotas, Commit)>,
-    sent: bool,
-    again_at: Micros,
+    pending_write: Option<(ShardQuotas, Commit)>,
+    write_in_flight: bool,
+    retry_at: Micros,
     /// Since when more lies idle than is to be kept.
     idle_since: Option<Micros>,
     /// Values that made no sense: nothing is raised while there are any.
-    damaged: bool,
-    damaged_before: bool,
+    has_damaged_records: bool,
+    had_damaged_records: bool,
     /// What it has read, before teams are known.
     records: Vec<(u32, AllotRecord, u64)>,
 }
 
-impl Allotter {
+impl QuotaPartitioner {
     /// A part, as the state service holds it.
-    pub fn read(&mut self, item: &Item) {
+    pub fn add_record(&mut self, item: &Item) {
         let block = item
             .k
             .strip_prefix(ALLOT)
@@ -55,16 +55,16 @@
         match (block.filter(|b| *b > 0), item.record::<AllotRecord>()) {
             (Some(block), Some(record)) => self.records.push((block, record, item.stamp)),
             _ => {
-                if !self.damaged_before {
+                if !self.had_damaged_records {
                     tracing::error!(key = %item.k, "what a block may use cannot be read; nothing is given out");
                 }
-                self.damaged = true;
+                self.has_damaged_records = true;
             }
         }
     }
 
-    fn take_in(&mut self, teams: &[Team]) {
-        self.parts = std::mem::take(&mut self.records)
+    fn decode_records(&mut self, teams: &[Team]) {
+        self.partitions = std::mem::take(&mut self.records)
             .into_iter()
             .map(|(block, record, stamp)| {
                 let part = |t: &Team| record.teams.get(&t.name).copied().unwrap_or_default();
@@ -73,24 +73,27 @@
             .collect();
     }
 
-    fn parts(&self) -> ShardQuotas {
-        self.parts.iter().map(|(b, p)| (*b, p.0.clone())).collect()
+    fn partitions(&self) -> ShardQuotas {
+        self.partitions
+            .iter()
+            .map(|(b, p)| (*b, p.0.clone()))
+            .collect()
     }
 
     /// Has the cluster keep to what its block may use.
-    pub fn obey(&mut self, cluster: &mut Cluster) {
+    pub fn apply_limits(&mut self, cluster: &mut Cluster) {
         if !self.records.is_empty() {
-            self.take_in(&cluster.cluster_teams);
+            self.decode_records(&cluster.cluster_teams);
         }
         let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
         let own = cluster.shard.id;
-        let mut parts = self.parts();
-        if let Some((pending, _)) = &self.pending {
+        let mut parts = self.partitions();
+        if let Some((pending, _)) = &self.pending_write {
             // What may be written already: the more for others, the less for this one.
             parts.extend(pending.iter().map(|(b, p)| (*b, p.clone())));
         }
         let limits = match own {
-            0 if self.damaged => whole.iter().map(|_| Resources::default()).collect(),
+            0 if self.has_damaged_records => whole.iter().map(|_| Resources::default()).collect(),
             0 if parts.is_empty() => return,
             0 => quota_partition::remaining_quota(&whole, &parts),
             b => parts
@@ -106,71 +109,75 @@
     }
 
     /// Reads parts now and then, and gives back or gives out.
-    pub fn tick(&mut self, port: &mut Port, lease: &Lease) {
+    pub fn tick(&mut self, port: &mut Outbox, lease: &ShardLease) {
         let now = port.clock.now;
-        if !port.several {
+        if !port.is_sharded {
             return;
         }
         if let Some((_, commit)) = self
-            .pending
+            .pending_write
             .as_ref()
-            .filter(|_| !self.sent && now >= self.again_at)
+            .filter(|_| !self.write_in_flight && now >= self.retry_at)
         {
-            self.sent = true;
-            let purpose = Purpose::Allot { term: lease.term };
-            port.send(Urgency::Commit, commit.request(), purpose);
+            self.write_in_flight = true;
+            let purpose = PendingRequest::WriteQuotaPartitions { term: lease.term };
+            port.send_to_store(Urgency::Commit, commit.request(), purpose);
             return;
         }
-        if self.reading || self.pending.is_some() || now < self.read_at {
+        if self.read_in_flight || self.pending_write.is_some() || now < self.read_at {
             return;
         }
-        self.reading = true;
+        self.read_in_flight = true;
         // Versions of all are needed to give out, and one's own to give back.
-        port.send(
+        port.send_to_store(
             Urgency::Commit,
             StoreRequest::list(ALLOT, ""),
-            Purpose::Allots { term: lease.term },
+            PendingRequest::ReadQuotaPartitions { term: lease.term },
         );
     }
 
     /// Parts have been read.
-    pub fn read_all(
+    pub fn handle_read_answer(
         &mut self,
-        port: &mut Port,
-        lease: &Lease,
+        port: &mut Outbox,
+        lease: &ShardLease,
         cluster: &mut Cluster,
         answer: Option<(u16, Bytes)>,
     ) {
         let now = port.clock.now;
-        self.reading = false;
-        self.read_at = now + READ_EVERY;
-        let Some(listing) = read::<Listing>(answer) else {
+        self.read_in_flight = false;
+        self.read_at = now + READ_INTERVAL;
+        let Some(listing) = decode_ok::<Listing>(answer) else {
             return;
         };
-        self.damaged_before = std::mem::replace(&mut self.damaged, false);
-        listing.items.iter().for_each(|item| self.read(item));
-        self.take_in(&cluster.cluster_teams);
-        self.obey(cluster);
+        self.had_damaged_records = std::mem::replace(&mut self.has_damaged_records, false);
+        listing.items.iter().for_each(|item| self.add_record(item));
+        self.decode_records(&cluster.cluster_teams);
+        self.apply_limits(cluster);
         let load = cluster.shard_load();
-        let raised = match lease.block {
-            0 if self.damaged => ShardQuotas::new(),
+        let raised = match lease.shard {
+            0 if self.has_damaged_records => ShardQuotas::new(),
             0 => {
                 let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
-                let others = port.loads.iter().filter(|l| l.shard > 0);
+                let others = port.shard_loads.iter().filter(|l| l.shard > 0);
                 let told = others.map(|l| (l.shard, l.teams.clone())).collect();
-                quota_partition::raised_quotas(&whole, &self.parts(), &load.teams, &told)
+                quota_partition::raised_quotas(&whole, &self.partitions(), &load.teams, &told)
             }
             b => {
-                let part = self.parts.get(&b).map(|p| p.0.clone()).unwrap_or_default();
+                let part = self
+                    .partitions
+                    .get(&b)
+                    .map(|p| p.0.clone())
+                    .unwrap_or_default();
                 let lowered = quota_partition::lowered_quota(&part, &load.teams);
                 let since = *self.idle_since.get_or_insert(now);
                 if lowered.is_none() {
                     self.idle_since = None;
                     if load.teams.iter().all(|t| t.1 == Resources::default()) {
-                        self.read_at = now + READ_AT_LEAST;
+                        self.read_at = now + IDLE_READ_INTERVAL;
                     }
                 }
-                let lowered = lowered.filter(|_| now >= since + IDLE);
+                let lowered = lowered.filter(|_| now >= since + RETURN_DELAY);
                 lowered.into_iter().map(|l| (b, l)).collect()
             }
         };
@@ -179,20 +186,25 @@
         }
         self.idle_since = None;
         let mut commit = Commit::default();
-        commit.guard(&cluster.assignment_keys.0, lease.stamp);
+        commit.guard(&cluster.assignment_keys.0, lease.key_version);
         let mut raised = raised;
         while raised.len() > cluster.max_transaction_changes() {
             raised.pop_last();
         }
         // What is given out depends on all that has been; what is given back on this one alone.
-        let guarded: Vec<u32> = match lease.block {
-            0 => self.parts.keys().chain(raised.keys()).copied().collect(),
+        let guarded: Vec<u32> = match lease.shard {
+            0 => self
+                .partitions
+                .keys()
+                .chain(raised.keys())
+                .copied()
+                .collect(),
             b => vec![b],
         };
         for b in BTreeSet::from_iter(guarded) {
             commit.guard(
                 &format!("{ALLOT}{b}"),
-                self.parts.get(&b).map_or(0, |p| p.1),
+                self.partitions.get(&b).map_or(0, |p| p.1),
             );
         }
         for (b, part) in &raised {
@@ -204,23 +216,23 @@
                 None,
             );
         }
-        self.pending = Some((raised, commit));
-        (self.sent, self.again_at) = (false, now);
+        self.pending_write = Some((raised, commit));
+        (self.write_in_flight, self.retry_at) = (false, now);
         // Obeyed from before it is sent.
-        self.obey(cluster);
+        self.apply_limits(cluster);
         self.tick(port, lease);
     }
 
     /// A write of parts was answered, or not.
-    pub fn written(&mut self, now: Micros, status: Option<u16>) {
-        self.sent = false;
+    pub fn handle_write_answer(&mut self, now: Micros, status: Option<u16>) {
+        self.write_in_flight = false;
         match status {
             // Carried out now, or never: whichever of its like came first has changed a version.
             Some(200 | 409 | 400) => {
-                self.pending = None;
+                self.pending_write = None;
                 self.read_at = now;
             }
-            _ => self.again_at = now + AGAIN,
+            _ => self.retry_at = now + WRITE_RETRY_INTERVAL,
         }
     }
 }
--- a/crates/gannethub-core/src/controller/recovery.rs
+++ b/crates/gannethub-core/src/controller/recovery.rs
@@ -4,8 +4,8 @@
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
 
-use super::outbox::{Port, Purpose, read};
-use super::shard_owner::Holder;
+use super::outbox::{Outbox, PendingRequest, decode_ok};
+use super::shard_owner::ShardOwner;
 use crate::model::{Micros, SECOND};
 use crate::state::shard::ChunkRecord;
 use crate::state::usage_replica::UsageReplica;
@@ -14,24 +14,24 @@
 use crate::wire::store::{self, Item, Listing, MoveRecord, PartRecord, StoreRequest};
 
 /// Machines on their way here are looked for this often.
-const MOVES_EVERY: Micros = SECOND;
-const STAGES: [&str; 5] = [
+const TRANSFERS_READ_INTERVAL: Micros = SECOND;
+const LISTED_PREFIXES: [&str; 5] = [
     store::LIVE,
     store::PART,
     store::BLOCK,
     store::MOVE,
     store::ALLOT,
 ];
-const MOVE_STAGE: usize = 3;
-const ALLOT_STAGE: usize = 4;
+const TRANSFER_STAGE: usize = 3;
+const QUOTA_STAGE: usize = 4;
 /// What follows where a ledger is kept: its head, and its last pages.
-const HEAD_STAGE: usize = STAGES.len();
-const PAGE_STAGE: usize = HEAD_STAGE + 1;
-pub(super) const LOADED: usize = PAGE_STAGE + 1;
+const LEDGER_HEAD_STAGE: usize = LISTED_PREFIXES.len();
+const LEDGER_PAGE_STAGE: usize = LEDGER_HEAD_STAGE + 1;
+pub(super) const ALL_LOADED: usize = LEDGER_PAGE_STAGE + 1;
 
-impl Holder {
+impl ShardOwner {
     /// A machine that was given to a block and is on no record yet.
-    pub(super) fn on_the_way(&mut self, item: &Item, now: Micros) {
+    pub(super) fn apply_transfer_record(&mut self, item: &Item, now: Micros) {
         let key = item
             .k
             .strip_prefix(store::MOVE)
@@ -40,11 +40,11 @@
         else {
             return;
         };
-        if block == self.lease.block {
+        if block == self.lease.shard {
             if let Some(record) = item.record::<MoveRecord>() {
                 self.cluster.incoming(machine, &record, now);
             }
-        } else if self.lease.block == 0 {
+        } else if self.lease.shard == 0 {
             self.cluster
                 .machines_in_other_shards
                 .insert(machine.into(), block);
@@ -52,54 +52,62 @@
     }
 
     /// Machines on their way here have been looked for.
-    pub fn moves_read(&mut self, port: &Port, answer: Option<(u16, Bytes)>) {
-        let listing = read::<Listing>(answer);
+    pub fn handle_transfers_answer(&mut self, port: &Outbox, answer: Option<(u16, Bytes)>) {
+        let listing = decode_ok::<Listing>(answer);
         for item in listing.iter().flat_map(|l| &l.items) {
-            self.on_the_way(item, port.clock.now);
+            self.apply_transfer_record(item, port.clock.now);
         }
     }
 
-    pub(super) fn look_for_moves(&mut self, port: &mut Port) {
+    pub(super) fn read_transfers(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if self.lease.block == 0 || now < self.moves_at {
+        if self.lease.shard == 0 || now < self.transfers_read_at {
             return;
         }
-        self.moves_at = now + MOVES_EVERY;
-        let request = StoreRequest::list(&format!("{}{}/", store::MOVE, self.lease.block), "");
-        port.send(
+        self.transfers_read_at = now + TRANSFERS_READ_INTERVAL;
+        let request = StoreRequest::list(&format!("{}{}/", store::MOVE, self.lease.shard), "");
+        port.send_to_store(
             Urgency::Commit,
             request,
-            Purpose::Moves {
+            PendingRequest::ReadTransfers {
                 term: self.lease.term,
             },
         );
     }
 
-    pub(super) fn load(&mut self, port: &mut Port, after: &str) {
+    pub(super) fn load_next(&mut self, port: &mut Outbox, after: &str) {
         let now = port.clock.now;
-        let (term, stage) = (self.lease.term, self.stage);
-        match STAGES.get(stage) {
-            Some(_) if stage >= MOVE_STAGE && !port.several => {
-                self.stage = HEAD_STAGE;
-                self.load(port, "");
+        let (term, stage) = (self.lease.term, self.load_stage);
+        match LISTED_PREFIXES.get(stage) {
+            Some(_) if stage >= TRANSFER_STAGE && !port.is_sharded => {
+                self.load_stage = LEDGER_HEAD_STAGE;
+                self.load_next(port, "");
             }
             Some(prefix) => {
                 if stage == 0 && after.is_empty() {
-                    self.read_from = now;
+                    self.load_started_at = now;
                 }
                 let request = StoreRequest::list(prefix, after);
-                port.send(Urgency::Renewal, request, Purpose::Load { term, stage });
+                port.send_to_store(
+                    Urgency::Renewal,
+                    request,
+                    PendingRequest::Load { term, stage },
+                );
             }
             // Later reads find the ledger kept already, and whoever keeps none has nothing to read.
-            None if stage < LOADED && (self.loaded_once || port.settings.ledger.is_none()) => {
-                self.stage = LOADED;
-                self.load(port, "");
+            None if stage < ALL_LOADED && (self.loaded_once || port.settings.ledger.is_none()) => {
+                self.load_stage = ALL_LOADED;
+                self.load_next(port, "");
             }
-            None if stage == HEAD_STAGE => {
+            None if stage == LEDGER_HEAD_STAGE => {
                 let request = StoreRequest::get(store::LEDGER_HEAD);
-                port.send(Urgency::Renewal, request, Purpose::LoadLedger { term });
+                port.send_to_store(
+                    Urgency::Renewal,
+                    request,
+                    PendingRequest::LoadLedger { term },
+                );
             }
-            None if stage == PAGE_STAGE => {
+            None if stage == LEDGER_PAGE_STAGE => {
                 let from = self.ledger_head.as_ref().map_or(0, |h| h.from);
                 let first = from
                     .checked_sub(1)
@@ -107,24 +115,28 @@
                     .unwrap_or_default();
                 let after = if after.is_empty() { &first } else { after };
                 let request = StoreRequest::list(store::LEDGER_PAGE, after);
-                port.send(Urgency::Renewal, request, Purpose::Load { term, stage });
+                port.send_to_store(
+                    Urgency::Renewal,
+                    request,
+                    PendingRequest::Load { term, stage },
+                );
             }
             None => {
-                if !self.loaded_once && port.several {
-                    self.allotter.obey(&mut self.cluster);
+                if !self.loaded_once && port.is_sharded {
+                    self.quota_partitioner.apply_limits(&mut self.cluster);
                 }
                 self.loaded_once = true;
-                self.lease.read_from(self.read_from);
-                port.configuring.knew(self.read_from);
-                self.heed_configuration(port);
+                self.lease.reset_cancellations_known(self.load_started_at);
+                port.configuration.confirm_newest(self.load_started_at);
+                self.update_start_hold(port);
                 self.cluster.loaded(now);
             }
         }
     }
 
-    pub(super) fn ledger_head(
+    pub(super) fn handle_ledger_head_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         shadow: &mut UsageReplica,
         answer: Option<(u16, Bytes)>,
     ) {
@@ -133,43 +145,43 @@
             Some((200, body)) => {
                 let item = serde_json::from_slice::<Item>(&body).ok();
                 self.ledger_head = item.and_then(|i| i.record::<Head>());
-                self.stage = match self.ledger_head {
-                    Some(_) => PAGE_STAGE,
+                self.load_stage = match self.ledger_head {
+                    Some(_) => LEDGER_PAGE_STAGE,
                     // Where it stands is not known: nothing is charged in this term, and nothing overwritten.
                     None => {
                         tracing::error!(key = store::LEDGER_HEAD, "the ledger cannot be kept");
-                        LOADED
+                        ALL_LOADED
                     }
                 };
-                self.load(port, "");
+                self.load_next(port, "");
             }
             Some((404, _)) => {
                 self.cluster.open_usage_ledger(None, &[], shadow, now);
-                self.stage = LOADED;
-                self.load(port, "");
+                self.load_stage = ALL_LOADED;
+                self.load_next(port, "");
             }
-            _ => self.load_at = Some(now + 300_000),
+            _ => self.reload_at = Some(now + 300_000),
         }
     }
 
-    pub(super) fn load_answer(
+    pub(super) fn handle_load_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         shadow: &mut UsageReplica,
         stage: usize,
         answer: Option<(u16, Bytes)>,
     ) {
-        let listing = read::<Listing>(answer);
+        let listing = decode_ok::<Listing>(answer);
         let Some(listing) = listing else {
             // Reading a stage again is harmless.
-            self.load_at = Some(port.clock.now + 300_000);
+            self.reload_at = Some(port.clock.now + 300_000);
             return;
         };
-        if stage == 0 && self.watched == 0 {
-            self.watched = listing.ledger_no;
+        if stage == 0 && self.watched_version == 0 {
+            self.watched_version = listing.ledger_no;
         }
         if stage == 0 {
-            port.configuring.listed(&listing, false);
+            port.configuration.apply_listing(&listing, false);
         }
         for item in &listing.items {
             match stage {
@@ -185,14 +197,14 @@
                         self.cluster.part_record(&item.k, &record);
                     }
                 }
-                PAGE_STAGE => match item.record::<Page>() {
+                LEDGER_PAGE_STAGE => match item.record::<Page>() {
                     Some(page) => self.ledger_pages.push((page, item.stamp)),
                     None => tracing::error!(key = %item.k, "kept as it is"),
                 },
                 // After the first time this leader knows better: nobody else writes the block.
                 _ if self.loaded_once => {}
-                MOVE_STAGE => self.on_the_way(item, port.clock.now),
-                ALLOT_STAGE => self.allotter.read(item),
+                TRANSFER_STAGE => self.apply_transfer_record(item, port.clock.now),
+                QUOTA_STAGE => self.quota_partitioner.add_record(item),
                 _ => {
                     if let Some(record) = item.record::<ChunkRecord>() {
                         self.cluster.chunk_record(&item.k, record, item.stamp);
@@ -206,14 +218,14 @@
             .map(|i| i.k.clone())
             .filter(|_| listing.truncated);
         if last.is_none() {
-            self.stage += 1;
-            if stage == PAGE_STAGE {
+            self.load_stage += 1;
+            if stage == LEDGER_PAGE_STAGE {
                 let pages = std::mem::take(&mut self.ledger_pages);
                 let head = self.ledger_head.take();
                 self.cluster
                     .open_usage_ledger(head, &pages, shadow, port.clock.now);
             }
         }
-        self.load(port, last.as_deref().unwrap_or(""));
+        self.load_next(port, last.as_deref().unwrap_or(""));
     }
 }
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 
-use super::election::Candidacy;
-use super::membership::Standing;
-use super::outbox::{PROBE_EVERY, Port, Purpose, read};
-use super::shard_owner::{Holder, Holders};
+use super::election::Election;
+use super::membership::Membership;
+use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest, decode_ok};
+use super::shard_owner::{ShardOwner, ShardOwners};
 use crate::model::{Micros, SECOND};
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, Marks};
@@ -17,51 +17,56 @@
 };
 
 /// Where one block is enough, others that are left over are looked for this often.
-const LEFT_OVER: Micros = 5 * SECOND;
+const SURPLUS_PROBE_INTERVAL: Micros = 5 * SECOND;
 /// A block that nobody holds is left to those before this controller for so long, each.
-const TURN: Micros = 700_000;
+const TAKEOVER_STAGGER: Micros = 700_000;
 /// A block is handed to the sibling whose turn is first once that has been heard for so long.
-const SETTLED_IN: Micros = 8 * SECOND;
+const PEER_STABLE_TIME: Micros = 8 * SECOND;
 /// Not more than one block is handed on in this time: a sibling may not be able to take it.
-const HAND_EVERY: Micros = 30 * SECOND;
+const TRANSFER_INTERVAL: Micros = 30 * SECOND;
 /// Who handed a block on does not take it back for so long.
-const ABSTAIN: Micros = 6 * SECOND;
+const ABSTAIN_AFTER_TRANSFER: Micros = 6 * SECOND;
 
 #[derive(Debug)]
-pub(super) struct Seat {
-    pub candidacy: Candidacy,
-    free_since: Option<Micros>,
+pub(super) struct ShardAssignment {
+    pub election: Election,
+    unowned_since: Option<Micros>,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Seats {
-    pub seats: BTreeMap<u32, Seat>,
-    probing: bool,
+pub(super) struct ShardAssignments {
+    pub assignments: BTreeMap<u32, ShardAssignment>,
+    probe_in_flight: bool,
     probe_at: Micros,
     /// Since when each sibling has been heard without a pause.
-    steady: Vec<Option<Micros>>,
+    heard_since: Vec<Option<Micros>>,
     /// When a block was last handed on.
-    handed_at: Option<Micros>,
+    last_transfer_at: Option<Micros>,
     /// Keys that make no sense, told of once.
-    odd: BTreeSet<String>,
+    malformed_keys: BTreeSet<String>,
 }
 
-impl Seats {
-    fn seat(&mut self, port: &Port, block: u32) -> &mut Seat {
-        let new = || Seat {
-            candidacy: Candidacy::new(&port.settings.name, port.clock.now),
-            free_since: None,
+impl ShardAssignments {
+    fn assignment(&mut self, port: &Outbox, block: u32) -> &mut ShardAssignment {
+        let new = || ShardAssignment {
+            election: Election::new(&port.settings.name, port.clock.now),
+            unowned_since: None,
         };
-        self.seats.entry(block).or_insert_with(new)
+        self.assignments.entry(block).or_insert_with(new)
     }
 
     /// This controller's place among those that are heard, in the order in which they take a block: those that hold
     /// the fewest first, and among them each block begins with another.
-    fn place(port: &Port, standing: &Standing, holders: &Holders, block: u32) -> usize {
+    fn takeover_rank(
+        port: &Outbox,
+        standing: &Membership,
+        holders: &ShardOwners,
+        block: u32,
+    ) -> usize {
         let siblings = port.settings.siblings.iter().enumerate();
-        let heard = siblings.filter(|(i, _)| standing.heard(port, *i));
+        let heard = siblings.filter(|(i, _)| standing.is_heard(port, *i));
         let mut all: Vec<(usize, &str)> = heard
-            .map(|(i, s)| (standing.siblings[i].loads.len(), &*s.name))
+            .map(|(i, s)| (standing.peers[i].shard_loads.len(), &*s.name))
             .collect();
         let own = (holders.len(), &*port.settings.name);
         all.push(own);
@@ -73,83 +78,95 @@
     }
 
     /// Looks for blocks that nobody holds, and takes those whose turn it is.
-    pub fn tick(&mut self, port: &mut Port, standing: &Standing, holders: &Holders) {
-        if !port.several {
+    pub fn tick(&mut self, port: &mut Outbox, standing: &Membership, holders: &ShardOwners) {
+        if !port.is_sharded {
             return;
         }
         let now = port.clock.now;
-        self.steady.resize(standing.siblings.len(), None);
-        for i in 0..self.steady.len() {
-            let heard = standing.heard(port, i);
-            self.steady[i] = self.steady[i].or(Some(now)).filter(|_| heard);
+        self.heard_since.resize(standing.peers.len(), None);
+        for i in 0..self.heard_since.len() {
+            let heard = standing.is_heard(port, i);
+            self.heard_since[i] = self.heard_since[i].or(Some(now)).filter(|_| heard);
         }
-        if !self.probing && now >= self.probe_at {
-            self.probing = true;
+        if !self.probe_in_flight && now >= self.probe_at {
+            self.probe_in_flight = true;
             self.probe_at = now
-                + if self.seats.is_empty() {
-                    LEFT_OVER
+                + if self.assignments.is_empty() {
+                    SURPLUS_PROBE_INTERVAL
                 } else {
-                    PROBE_EVERY
+                    PROBE_INTERVAL
                 };
-            port.send(
+            port.send_to_store(
                 Urgency::Renewal,
                 StoreRequest::list(SEAT, ""),
-                Purpose::Seats,
+                PendingRequest::ProbeShards,
             );
         }
-        for block in 1..port.blocks() {
-            self.seat(port, block);
+        for block in 1..port.shard_count() {
+            self.assignment(port, block);
         }
-        let led = holders.contains_key(&0) || standing.leader(port).is_some();
-        for (block, seat) in &mut self.seats {
-            if let Some(term) = seat.candidacy.asks_marks(now) {
+        let led = holders.contains_key(&0) || standing.leading_peer(port).is_some();
+        for (block, seat) in &mut self.assignments {
+            if let Some(term) = seat.election.watermark_query_due(now) {
                 let ask = Marks {
                     term,
-                    life: standing.life,
+                    life: standing.incarnation,
                     block: *block,
                 };
-                let all = 0..standing.siblings.len();
-                all.for_each(|i| port.say(i, Body::MarksAsk(ask.clone())));
+                let all = 0..standing.peers.len();
+                all.for_each(|i| port.send_to_peer(i, Body::MarksAsk(ask.clone())));
             }
-            if let Some(grant) = seat.candidacy.drop_again(now) {
-                port.drop_grant(*block, grant);
+            if let Some(grant) = seat.election.store_lease_to_revoke(now) {
+                port.revoke_store_lease(*block, grant);
             }
             // Only what its settings or its record speak of is taken, and only where somebody gives out machines.
-            let exists = *block < port.blocks() || seat.candidacy.known();
+            let exists = *block < port.shard_count() || seat.election.has_known_term();
             let free = exists && led && !holders.contains_key(block);
-            if !free || port.flavors.is_empty() || !seat.candidacy.may_try(now) {
-                seat.free_since = None;
+            if !free || port.machine_types.is_empty() || !seat.election.may_campaign(now) {
+                seat.unowned_since = None;
                 continue;
             }
-            let since = *seat.free_since.get_or_insert(now);
-            let place = Seats::place(port, standing, holders, *block);
-            if now >= since + TURN * place as Micros {
-                seat.candidacy.trying = true;
-                let purpose = Purpose::SeatGrant {
-                    block: *block,
-                    sent: now,
+            let since = *seat.unowned_since.get_or_insert(now);
+            let place = ShardAssignments::takeover_rank(port, standing, holders, *block);
+            if now >= since + TAKEOVER_STAGGER * place as Micros {
+                seat.election.attempt_in_progress = true;
+                let purpose = PendingRequest::AcquireShardLease {
+                    shard: *block,
+                    sent_at: now,
                 };
-                port.send(Urgency::Renewal, StoreRequest::grant(port.ttl()), purpose);
+                port.send_to_store(
+                    Urgency::Renewal,
+                    StoreRequest::grant(port.store_lease_ttl()),
+                    purpose,
+                );
             }
         }
     }
 
     /// A block to hand on: while this controller holds several, and one that is up for a while and reaches the state
     /// service holds none. That one takes it, since its turn is first.
-    pub fn hands_over(&self, port: &Port, standing: &Standing, holders: &Holders) -> Option<u32> {
+    pub fn shard_to_transfer(
+        &self,
+        port: &Outbox,
+        standing: &Membership,
+        holders: &ShardOwners,
+    ) -> Option<u32> {
         let now = port.clock.now;
-        if self.handed_at.is_some_and(|t| now < t + HAND_EVERY) {
+        if self
+            .last_transfer_at
+            .is_some_and(|t| now < t + TRANSFER_INTERVAL)
+        {
             return None;
         }
-        let idle = (0..standing.siblings.len()).any(|i| {
-            let steady = self.steady.get(i).copied().flatten();
-            let sibling = &standing.siblings[i];
-            steady.is_some_and(|t| now > t + SETTLED_IN)
-                && sibling.state_ok
-                && sibling.leading == 0
-                && sibling.loads.is_empty()
+        let idle = (0..standing.peers.len()).any(|i| {
+            let steady = self.heard_since.get(i).copied().flatten();
+            let sibling = &standing.peers[i];
+            steady.is_some_and(|t| now > t + PEER_STABLE_TIME)
+                && sibling.store_reachable
+                && sibling.leading_term == 0
+                && sibling.shard_loads.is_empty()
         });
-        let ready = |h: &Holder| h.loaded() && h.cluster.settled;
+        let ready = |h: &ShardOwner| h.is_loaded() && h.cluster.settled;
         let mut held = holders
             .iter()
             .filter(|(b, h)| **b > 0 && ready(h))
@@ -158,22 +175,29 @@
     }
 
     /// This controller does not hold the block any more. `handed`: a sibling is to take it; `deaf`: it heard nobody.
-    pub fn left(&mut self, port: &mut Port, block: u32, grant: u64, handed: bool, deaf: bool) {
+    pub fn handle_step_down(
+        &mut self,
+        port: &mut Outbox,
+        block: u32,
+        grant: u64,
+        handed: bool,
+        deaf: bool,
+    ) {
         let now = port.clock.now;
         if handed {
-            self.handed_at = Some(now);
+            self.last_transfer_at = Some(now);
         }
-        let seat = self.seat(port, block);
+        let seat = self.assignment(port, block);
         if handed || deaf {
-            seat.candidacy.abstain(now + ABSTAIN);
+            seat.election.abstain(now + ABSTAIN_AFTER_TRANSFER);
         }
         self.probe_at = now;
-        port.drop_grant(block, grant);
+        port.revoke_store_lease(block, grant);
     }
 
-    pub fn probed(&mut self, port: &Port, answer: Option<(u16, Bytes)>) {
-        self.probing = false;
-        let Some(listing) = read::<Listing>(answer) else {
+    pub fn handle_probe_answer(&mut self, port: &Outbox, answer: Option<(u16, Bytes)>) {
+        self.probe_in_flight = false;
+        let Some(listing) = decode_ok::<Listing>(answer) else {
             return;
         };
         type Seen = Option<(LeadRecord, u64)>;
@@ -182,7 +206,7 @@
             let key = item.k.strip_prefix(SEAT).and_then(|k| k.split_once('/'));
             let Some((block, what)) = key.and_then(|(b, w)| Some((b.parse::<u32>().ok()?, w)))
             else {
-                if self.odd.insert(item.k.clone()) {
+                if self.malformed_keys.insert(item.k.clone()) {
                     tracing::error!(key = %item.k, "no block's");
                 }
                 continue;
@@ -198,54 +222,54 @@
             }
         }
         for block in self
-            .seats
+            .assignments
             .keys()
             .chain(seen.keys())
             .copied()
             .collect::<Vec<_>>()
         {
             let (holder, term) = seen.get(&block).cloned().unwrap_or_default();
-            self.seat(port, block).candidacy.saw(holder, term);
+            self.assignment(port, block).election.observe(holder, term);
         }
     }
 
     /// A grant to take a block with. The terms there are, are read once more: one counter serves all blocks.
-    pub fn granted(
+    pub fn handle_store_lease_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         block: u32,
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        let granted = read::<Granted>(answer);
-        let seat = self.seat(port, block);
+        let granted = decode_ok::<Granted>(answer);
+        let seat = self.assignment(port, block);
         let Some(granted) = granted else {
-            seat.candidacy.trying = false;
+            seat.election.attempt_in_progress = false;
             return;
         };
-        let purpose = Purpose::SeatTerms {
-            block,
-            grant: granted.permit,
-            sent,
+        let purpose = PendingRequest::ReadTerms {
+            shard: block,
+            store_lease: granted.permit,
+            sent_at: sent,
         };
-        port.send(Urgency::Renewal, StoreRequest::list(LEAD, ""), purpose);
+        port.send_to_store(Urgency::Renewal, StoreRequest::list(LEAD, ""), purpose);
     }
 
-    pub fn terms_read(
+    pub fn handle_terms_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         block: u32,
         grant: u64,
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        let listing = read::<Listing>(answer);
+        let listing = decode_ok::<Listing>(answer);
         let now = port.clock.now;
         let name = port.settings.name.clone();
-        let candidacy = &mut self.seat(port, block).candidacy;
-        let Some(listing) = listing.filter(|_| candidacy.still_may(now)) else {
-            candidacy.trying = false;
-            return port.drop_grant(block, grant);
+        let candidacy = &mut self.assignment(port, block).election;
+        let Some(listing) = listing.filter(|_| candidacy.is_eligible(now)) else {
+            candidacy.attempt_in_progress = false;
+            return port.revoke_store_lease(block, grant);
         };
         let find = |key: &str| {
             let item = listing.items.iter().find(|i| i.k == key);
@@ -254,7 +278,7 @@
         };
         let (lead, count) = (find(TERM), find(COUNT));
         let (holder, term, last) = candidacy.versions();
-        let marked = candidacy.trusts();
+        let marked = candidacy.watermarks_reliable();
         let next = lead.0.max(count.0).max(last) + 1;
         let record = LeadRecord {
             holder: name,
@@ -270,22 +294,28 @@
         commit.put(&keys.0, store::raw(&record), Some(grant));
         commit.put(&keys.1, store::raw(&record), None);
         commit.put(COUNT, store::raw(&record), None);
-        let purpose = Purpose::SeatTake {
-            block,
+        let purpose = PendingRequest::TakeOverShard {
+            shard: block,
             record,
-            grant,
-            sent,
+            store_lease: grant,
+            sent_at: sent,
         };
-        port.send(Urgency::Renewal, commit.request(), purpose);
+        port.send_to_store(Urgency::Renewal, commit.request(), purpose);
     }
 
     /// A block was not taken, or nothing is known of it.
-    pub fn not_taken(&mut self, port: &mut Port, block: u32, grant: u64, answer: Option<u16>) {
+    pub fn takeover_failed(
+        &mut self,
+        port: &mut Outbox,
+        block: u32,
+        grant: u64,
+        answer: Option<u16>,
+    ) {
         let now = port.clock.now;
-        self.seat(port, block)
-            .candidacy
-            .not_taken(grant, answer, now);
+        self.assignment(port, block)
+            .election
+            .takeover_failed(grant, answer, now);
         self.probe_at = now;
-        port.drop_grant(block, grant);
+        port.revoke_store_lease(block, grant);
     }
 }
