--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -6,10 +6,10 @@
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
 
-use super::lease::Lease;
-use super::outbox::{Effect, Port, Purpose, read};
-use super::quota_partitioner::Allotter;
-use super::recovery::LOADED;
+use super::lease::ShardLease;
+use super::outbox::{Effect, Outbox, PendingRequest, decode_ok};
+use super::quota_partitioner::QuotaPartitioner;
+use super::recovery::ALL_LOADED;
 use crate::http::Response;
 use crate::model::{JobId, Micros, SECOND};
 use crate::reconcile::heartbeat::Outcome;
@@ -26,119 +26,119 @@
 use crate::wire::worker::{Commands, Report, ReportAnswer};
 
 /// A leader that hears neither workers nor siblings for this long makes way.
-const DEAF: Micros = 3 * SECOND;
+const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
 /// The watch should have brought a change by this time after it was told of.
-const WATCH_PATIENCE: Micros = 400_000;
+const WATCH_TIMEOUT: Micros = 400_000;
 /// Jobs that a heartbeat tells the progress of.
-const MOST_RUNNING: usize = 2000;
+const MAX_RUNNING_JOBS_TOLD: usize = 2000;
 
 #[derive(Debug)]
-pub(super) struct Holder {
+pub(super) struct ShardOwner {
     /// The answer to a report that asks for nothing to be done: most are.
-    nothing: Bytes,
-    pub lease: Lease,
+    empty_answer: Bytes,
+    pub lease: ShardLease,
     pub cluster: Cluster,
     /// Why it has to give its lease back, if it has to.
-    pub ended: Option<&'static str>,
+    pub end_reason: Option<&'static str>,
     /// That is because it hears nobody.
-    pub deaf: bool,
+    pub is_isolated: bool,
     /// When it last heard a worker or a sibling.
-    pub heard_at: Option<Micros>,
+    pub last_heard_at: Option<Micros>,
     /// The stage of reading the state; past the last one everything is loaded.
-    pub(super) stage: usize,
+    pub(super) load_stage: usize,
     pub(super) loaded_once: bool,
     /// What has been read of the ledger.
     pub(super) ledger_head: Option<Head>,
     pub(super) ledger_pages: Vec<(Page, u64)>,
-    pub(super) load_at: Option<Micros>,
-    pub(super) watched: u64,
+    pub(super) reload_at: Option<Micros>,
+    pub(super) watched_version: u64,
     /// When reading everything began.
-    pub(super) read_from: Micros,
-    following: bool,
-    follow_sent: Micros,
+    pub(super) load_started_at: Micros,
+    watch_in_flight: bool,
+    watch_sent_at: Micros,
     /// Looking what has changed beside the watch.
-    catching: bool,
-    catch_at: Micros,
-    follow_at: Micros,
-    writing: bool,
+    catch_up_in_flight: bool,
+    catch_up_at: Micros,
+    watch_at: Micros,
+    write_in_flight: bool,
     write_at: Micros,
-    readbacks: BTreeSet<String>,
-    readback_at: Micros,
-    reading: usize,
+    keys_to_reread: BTreeSet<String>,
+    reread_at: Micros,
+    rereads_in_flight: usize,
     /// Changes that siblings told of: when the watch should have brought them, their versions and
     /// keys. They come in order of time.
-    expected: VecDeque<(Micros, u64, String)>,
-    schedule_at: Micros,
-    fleet_at: Micros,
+    expected_changes: VecDeque<(Micros, u64, String)>,
+    next_pass_at: Micros,
+    next_plan_at: Micros,
     /// Its block's part of the teams' limits.
-    pub allotter: Allotter,
+    pub quota_partitioner: QuotaPartitioner,
     /// When it was last looked for machines on their way here.
-    pub(super) moves_at: Micros,
+    pub(super) transfers_read_at: Micros,
 }
 
 /// What this controller holds, by block.
-pub(super) type Holders = BTreeMap<u32, Box<Holder>>;
+pub(super) type ShardOwners = BTreeMap<u32, Box<ShardOwner>>;
 
 /// What a report is answered with.
-pub(super) enum Answer {
-    Now(u16, Bytes),
+pub(super) enum HeartbeatAnswer {
+    Immediate(u16, Bytes),
     /// The machine is another block's; which one, block 0's holder knows.
-    Elsewhere(Option<u32>),
+    OtherShard(Option<u32>),
     /// Not before the state has been read.
-    Later,
+    AfterLoad,
 }
 
-impl Holder {
-    pub fn new(lease: Lease, cluster: Cluster) -> Holder {
+impl ShardOwner {
+    pub fn new(lease: ShardLease, cluster: Cluster) -> ShardOwner {
         let nothing = ReportAnswer {
             token: lease.term,
             orders: &[],
         };
-        Holder {
-            nothing: Response::json(200, &nothing).body,
+        ShardOwner {
+            empty_answer: Response::json(200, &nothing).body,
             lease,
             cluster,
-            ended: None,
-            deaf: false,
-            heard_at: None,
-            stage: 0,
+            end_reason: None,
+            is_isolated: false,
+            last_heard_at: None,
+            load_stage: 0,
             loaded_once: false,
             ledger_head: None,
             ledger_pages: Vec::new(),
-            load_at: None,
-            watched: 0,
-            read_from: 0,
-            following: false,
-            follow_sent: 0,
-            catching: false,
-            catch_at: 0,
-            follow_at: 0,
-            writing: false,
+            reload_at: None,
+            watched_version: 0,
+            load_started_at: 0,
+            watch_in_flight: false,
+            watch_sent_at: 0,
+            catch_up_in_flight: false,
+            catch_up_at: 0,
+            watch_at: 0,
+            write_in_flight: false,
             write_at: 0,
-            readbacks: BTreeSet::new(),
-            readback_at: 0,
-            reading: 0,
-            expected: VecDeque::new(),
-            schedule_at: 0,
-            fleet_at: 0,
-            allotter: Allotter::default(),
-            moves_at: 0,
+            keys_to_reread: BTreeSet::new(),
+            reread_at: 0,
+            rereads_in_flight: 0,
+            expected_changes: VecDeque::new(),
+            next_pass_at: 0,
+            next_plan_at: 0,
+            quota_partitioner: QuotaPartitioner::default(),
+            transfers_read_at: 0,
         }
     }
 
     /// All that was there when it took over has been read.
-    pub fn loaded(&self) -> bool {
-        self.stage >= LOADED
+    pub fn is_loaded(&self) -> bool {
+        self.load_stage >= ALL_LOADED
     }
 
     /// Jobs with tasks on machines, for siblings to tell users of.
-    pub fn running(&self) -> Vec<Running> {
+    pub fn running_jobs(&self) -> Vec<Running> {
         let running = self
             .cluster
             .jobs
             .values()
             .filter(|j| j.live_count() > 0)
-            .take(MOST_RUNNING);
+            .take(MAX_RUNNING_JOBS_TOLD);
         let told = running.map(|job| Running {
             job: job.id.to_string(),
             tasks: job.live_count(),
@@ -156,8 +156,8 @@
     }
 
     /// How a job ended that was no longer alive when it was read.
-    pub fn over_read(&mut self, key: &str, answer: Option<(u16, Bytes)>) {
-        self.reading = self.reading.saturating_sub(1);
+    pub fn handle_finished_job_answer(&mut self, key: &str, answer: Option<(u16, Bytes)>) {
+        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
         let id = key.trim_start_matches(store::OVER);
         match answer {
             Some((200, body)) => {
@@ -168,56 +168,66 @@
             }
             Some((404, _)) => {}
             _ => {
-                self.readbacks.insert(format!("{}{id}", store::LIVE));
+                self.keys_to_reread.insert(format!("{}{id}", store::LIVE));
             }
         }
     }
 
     /// It is its block's.
-    pub fn has(&self, machine: &str) -> bool {
+    pub fn owns_machine(&self, machine: &str) -> bool {
         self.cluster.machines.contains_key(machine)
     }
 
     /// Asks the cloud for what the plan wants.
-    fn plan(&mut self, port: &mut Port) {
+    fn plan_fleet(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if now < self.fleet_at.max(self.cluster.next_plan_at) {
+        if now < self.next_plan_at.max(self.cluster.next_plan_at) {
             return;
         }
-        self.fleet_at = now + 500_000;
+        self.next_plan_at = now + 500_000;
         for call in self.cluster.plan_cloud_calls(now) {
             let request = call.to_request(&self.cluster.machine_types);
-            port.call(self.lease.term, call, request);
+            port.call_cloud(self.lease.term, call, request);
         }
     }
 
     /// Takes in an answer of the cloud.
-    pub fn cloud_answer(&mut self, port: &Port, call: CloudCall, answer: Option<(u16, Bytes)>) {
+    pub fn handle_cloud_answer(
+        &mut self,
+        port: &Outbox,
+        call: CloudCall,
+        answer: Option<(u16, Bytes)>,
+    ) {
         let now = port.clock.now;
         let answer = answer.as_ref().map(|a| (a.0, &a.1[..]));
         if matches!(call, CloudCall::Provision { .. }) {
             // A refusal leads to the next best offer without delay.
-            self.fleet_at = now;
+            self.next_plan_at = now;
         }
         self.cluster.cloud_answer(call, answer, now);
         self.cluster.pass_needed = true;
     }
 
     /// Reads whose jobs were that were over before an attempt's end was found.
-    pub(super) fn read_owners(&mut self, port: &mut Port) {
+    pub(super) fn read_job_owners(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
         let (term, wanted) = (self.lease.term, self.cluster.owners_to_read(now));
         for job in wanted {
             let key = format!("{}{job}", store::OVER);
-            port.send(
+            port.send_to_store(
                 Urgency::Rest,
                 StoreRequest::get(&key),
-                Purpose::ReadOwner { term, job },
+                PendingRequest::ReadJobOwner { term, job },
             );
         }
     }
 
-    pub(super) fn owner_read(&mut self, port: &Port, job: &JobId, answer: Option<(u16, Bytes)>) {
+    pub(super) fn handle_job_owner_answer(
+        &mut self,
+        port: &Outbox,
+        job: &JobId,
+        answer: Option<(u16, Bytes)>,
+    ) {
         let now = port.clock.now;
         match answer {
             Some((200, body)) => {
@@ -232,108 +242,112 @@
         }
     }
 
-    pub(super) fn follow(&mut self, port: &mut Port) {
+    pub(super) fn watch(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if self.following || now < self.follow_at {
+        if self.watch_in_flight || now < self.watch_at {
             return;
         }
-        self.following = true;
-        self.follow_sent = now;
+        self.watch_in_flight = true;
+        self.watch_sent_at = now;
         // Bounds how often the watch is opened when much is written.
-        self.follow_at = now + 100_000;
-        let (term, from) = (self.lease.term, self.watched);
-        port.send(
+        self.watch_at = now + 100_000;
+        let (term, from) = (self.lease.term, self.watched_version);
+        port.send_to_store(
             Urgency::Commit,
             StoreRequest::follow(store::LIVE, from),
-            Purpose::Follow { term },
+            PendingRequest::Watch { term },
         );
     }
 
-    pub(super) fn write(&mut self, port: &mut Port) {
+    pub(super) fn write_batch(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if self.writing || now < self.write_at {
+        if self.write_in_flight || now < self.write_at {
             return;
         }
-        if let Some((commit, batch)) = self.cluster.next_commit(now, self.lease.stamp) {
-            self.writing = true;
+        if let Some((commit, batch)) = self.cluster.next_commit(now, self.lease.key_version) {
+            self.write_in_flight = true;
             self.write_at = now + 100_000;
             let term = self.lease.term;
-            port.send(
+            port.send_to_store(
                 Urgency::Commit,
                 commit.request(),
-                Purpose::Write { term, batch },
+                PendingRequest::Write { term, batch },
             );
         }
     }
 
-    pub(super) fn read_back(&mut self, port: &mut Port) {
+    pub(super) fn reread_keys(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        while let Some((due, stamp, _)) = self.expected.front() {
-            let come = self.watched >= *stamp;
+        while let Some((due, stamp, _)) = self.expected_changes.front() {
+            let come = self.watched_version >= *stamp;
             if !come && now < *due {
                 break;
             }
-            self.readbacks
-                .extend(self.expected.pop_front().filter(|_| !come).map(|e| e.2));
+            self.keys_to_reread.extend(
+                self.expected_changes
+                    .pop_front()
+                    .filter(|_| !come)
+                    .map(|e| e.2),
+            );
         }
-        if self.reading > 0 || now < self.readback_at || self.readbacks.is_empty() {
+        if self.rereads_in_flight > 0 || now < self.reread_at || self.keys_to_reread.is_empty() {
             return;
         }
-        self.readback_at = now + 300_000;
-        let keys = std::mem::take(&mut self.readbacks);
-        self.reading = keys.len();
+        self.reread_at = now + 300_000;
+        let keys = std::mem::take(&mut self.keys_to_reread);
+        self.rereads_in_flight = keys.len();
         let term = self.lease.term;
         for key in keys {
-            port.send(
+            port.send_to_store(
                 Urgency::Commit,
                 StoreRequest::get(&key),
-                Purpose::ReadBack { term, key },
+                PendingRequest::Reread { term, key },
             );
         }
     }
 
-    pub(super) fn expect(&mut self, port: &Port, id: &str, stamp: u64) {
-        let due = port.clock.now + WATCH_PATIENCE;
-        if self.watched < stamp {
-            self.expected
+    pub(super) fn expect_change(&mut self, port: &Outbox, id: &str, stamp: u64) {
+        let due = port.clock.now + WATCH_TIMEOUT;
+        if self.watched_version < stamp {
+            self.expected_changes
                 .push_back((due, stamp, format!("{}{id}", store::LIVE)));
         }
     }
 
     /// Looks what has changed, when that has not been known for a while: a watch may hang, and where nothing changes its
     /// answer is as old as its question.
-    fn catch_up(&mut self, port: &mut Port) {
+    fn catch_up(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if self.catching || now < self.catch_at || !self.lease.looks(now) {
+        if self.catch_up_in_flight || now < self.catch_up_at || !self.lease.is_catch_up_due(now) {
             return;
         }
-        self.catching = true;
-        self.catch_at = now + SECOND;
-        let request = StoreRequest::changes(store::LIVE, self.watched);
-        let purpose = Purpose::CatchUp {
+        self.catch_up_in_flight = true;
+        self.catch_up_at = now + SECOND;
+        let request = StoreRequest::changes(store::LIVE, self.watched_version);
+        let purpose = PendingRequest::CatchUp {
             term: self.lease.term,
-            sent: now,
+            sent_at: now,
         };
-        port.send(Urgency::Renewal, request, purpose);
+        port.send_to_store(Urgency::Renewal, request, purpose);
     }
 
-    pub(super) fn caught_up(
+    pub(super) fn handle_catch_up_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        self.catching = false;
+        self.catch_up_in_flight = false;
         // The watch finds out if it is too far behind.
-        if self.loaded()
-            && let Some(followed) = read::<Followed>(answer)
+        if self.is_loaded()
+            && let Some(followed) = decode_ok::<Followed>(answer)
         {
-            self.take_changes(port, followed, sent);
+            self.apply_changes(port, followed, sent);
         }
     }
 
     /// Tells workers of cancelled tasks at once.
-    pub fn halt(&mut self, port: &mut Port) {
+    pub fn send_kill_orders(&mut self, port: &mut Outbox) {
         for Directly {
             addr,
             session,
@@ -346,22 +360,24 @@
                 orders: &orders,
             };
             let body = Response::json(200, &commands).body;
-            port.effects.push(Effect::Worker { addr, body });
+            port.effects.push(Effect::WorkerCommands { addr, body });
         }
     }
 
     /// Starts nothing while there may be a newer configuration than is known here.
-    pub(super) fn heed_configuration(&mut self, port: &Port) {
-        self.cluster.starts_paused = port.configuring.holds_starts(port.clock.now);
+    pub(super) fn update_start_hold(&mut self, port: &Outbox) {
+        self.cluster.starts_paused = port.configuration.must_hold_starts(port.clock.now);
     }
 
     /// The leader's answer to a report.
-    pub(super) fn report(&mut self, port: &Port, body: &Bytes) -> Answer {
+    pub(super) fn handle_heartbeat(&mut self, port: &Outbox, body: &Bytes) -> HeartbeatAnswer {
         let now = port.clock.now;
-        let error = |status: u16, why: &str| Answer::Now(status, Response::error(status, why).body);
-        self.heard_at = Some(now);
-        self.cluster.unix_time = port.clock.wall;
-        self.heed_configuration(port);
+        let error = |status: u16, why: &str| {
+            HeartbeatAnswer::Immediate(status, Response::error(status, why).body)
+        };
+        self.last_heard_at = Some(now);
+        self.cluster.unix_time = port.clock.unix_time;
+        self.update_start_hold(port);
         let report: Report<'_> = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(e) => {
@@ -369,35 +385,37 @@
                 return error(400, "not a report");
             }
         };
-        if !self.loaded() && self.lease.block != 0 {
+        if !self.is_loaded() && self.lease.shard != 0 {
             // Whether the machine is this block's is not known yet.
             return error(503, "the state is being read");
         }
-        if !self.loaded() && report.token <= self.lease.term {
+        if !self.is_loaded() && report.token <= self.lease.term {
             // What it runs may be cancelled, and an answer would renew its lease all the same.
-            return Answer::Later;
+            return HeartbeatAnswer::AfterLoad;
         }
         match self.cluster.report(now, &report) {
-            Outcome::Orders(orders) if orders.is_empty() => Answer::Now(200, self.nothing.clone()),
+            Outcome::Orders(orders) if orders.is_empty() => {
+                HeartbeatAnswer::Immediate(200, self.empty_answer.clone())
+            }
             Outcome::Orders(orders) => {
                 let body = ReportAnswer {
                     token: self.lease.term,
                     orders: &orders,
                 };
-                Answer::Now(200, Response::json(200, &body).body)
+                HeartbeatAnswer::Immediate(200, Response::json(200, &body).body)
             }
-            Outcome::Elsewhere(block) => Answer::Elsewhere(block),
+            Outcome::Elsewhere(block) => HeartbeatAnswer::OtherShard(block),
             Outcome::Stale => error(503, "an old report"),
             Outcome::Deposed => {
-                self.ended = Some("a worker has seen a higher token");
+                self.end_reason = Some("a worker has seen a higher token");
                 error(503, "not leading")
             }
         }
     }
 
-    pub(super) fn followed(&mut self, port: &mut Port, answer: Option<(u16, Bytes)>) {
+    pub(super) fn handle_watch_answer(&mut self, port: &mut Outbox, answer: Option<(u16, Bytes)>) {
         let now = port.clock.now;
-        self.following = false;
+        self.watch_in_flight = false;
         let followed = match answer {
             Some((200, body)) => serde_json::from_slice::<Followed>(&body).ok(),
             Some((410, _)) => {
@@ -405,31 +423,31 @@
                 tracing::info!("the watch fell behind; reading all jobs again");
                 let waiting = self.cluster.pipelines.waiting.keys();
                 let known = self.cluster.jobs.keys().chain(waiting);
-                self.readbacks
+                self.keys_to_reread
                     .extend(known.map(|id| format!("{}{id}", store::LIVE)));
-                self.watched = 0;
-                self.stage = 0;
-                return self.load(port, "");
+                self.watched_version = 0;
+                self.load_stage = 0;
+                return self.load_next(port, "");
             }
             _ => None,
         };
         let Some(followed) = followed else {
-            self.follow_at = now + 500_000;
+            self.watch_at = now + 500_000;
             return;
         };
-        self.take_changes(port, followed, self.follow_sent);
+        self.apply_changes(port, followed, self.watch_sent_at);
     }
 
     /// Takes in what has changed, as was asked for then. The watch and what is read beside it may overtake each other.
-    fn take_changes(&mut self, port: &mut Port, followed: Followed, sent: Micros) {
+    fn apply_changes(&mut self, port: &mut Outbox, followed: Followed, sent: Micros) {
         let now = port.clock.now;
-        port.configuring.changed(&followed.log);
-        port.configuring.knew(sent);
+        port.configuration.apply_changes(&followed.log);
+        port.configuration.confirm_newest(sent);
         let jobs = followed
             .log
             .into_iter()
             .filter(|c| c.key() != Some(CURRENT));
-        for change in jobs.filter(|c| c.stamp > self.watched) {
+        for change in jobs.filter(|c| c.stamp > self.watched_version) {
             if let Some(id) = change
                 .delete
                 .as_deref()
@@ -454,36 +472,41 @@
             match LiveRecord::parse(v.get()) {
                 Ok(record) => {
                     // New work is planned for at once: a machine takes long enough to boot.
-                    self.fleet_at = now;
+                    self.next_plan_at = now;
                     self.cluster.live_record(id, record, change.stamp);
                 }
                 Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
             }
             self.cluster.pass_needed = true;
         }
-        self.watched = self.watched.max(followed.ledger_no);
-        self.cluster.prune_tombstones(self.watched);
-        self.lease.knew(sent);
+        self.watched_version = self.watched_version.max(followed.ledger_no);
+        self.cluster.prune_tombstones(self.watched_version);
+        self.lease.cancellations_known(sent);
     }
 
-    pub(super) fn written(&mut self, port: &Port, batch: WriteBatch, answer: Option<(u16, Bytes)>) {
+    pub(super) fn handle_write_answer(
+        &mut self,
+        port: &Outbox,
+        batch: WriteBatch,
+        answer: Option<(u16, Bytes)>,
+    ) {
         let now = port.clock.now;
-        self.writing = false;
+        self.write_in_flight = false;
         match answer {
             Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
                 Ok(done) => {
                     self.cluster.pass_needed = true;
                     self.cluster.committed(batch, done.ledger_no);
                 }
-                Err(_) => self.unwritten(port, batch),
+                Err(_) => self.write_failed(port, batch),
             },
             Some((409, body)) => {
                 let conflict = serde_json::from_slice::<Conflict>(&body);
                 if conflict.is_ok_and(|c| c.failed.contains(&self.cluster.assignment_keys.0)) {
-                    self.ended = Some("its key is gone");
+                    self.end_reason = Some("its key is gone");
                     return;
                 }
-                self.unwritten(port, batch);
+                self.write_failed(port, batch);
             }
             Some((429 | 503, _)) => {
                 self.cluster.uncommitted(&batch, false, now);
@@ -495,26 +518,26 @@
                 // Smaller ones are tried, and more and more rarely: it may allow less than we know.
                 self.cluster.transaction_rejections += 1;
                 self.write_at = now + (SECOND << self.cluster.transaction_rejections.min(6)) / 2;
-                self.unwritten(port, batch);
+                self.write_failed(port, batch);
             }
-            None => self.unwritten(port, batch),
+            None => self.write_failed(port, batch),
         }
     }
 
-    pub(super) fn unwritten(&mut self, port: &Port, batch: WriteBatch) {
+    pub(super) fn write_failed(&mut self, port: &Outbox, batch: WriteBatch) {
         let now = port.clock.now;
         self.cluster.uncommitted(&batch, true, now);
-        self.readbacks.extend(batch.keys().iter().cloned());
-        self.readback_at = now;
+        self.keys_to_reread.extend(batch.keys().iter().cloned());
+        self.reread_at = now;
     }
 
-    pub(super) fn read_again(
+    pub(super) fn handle_reread_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         key: String,
         answer: Option<(u16, Bytes)>,
     ) {
-        self.reading = self.reading.saturating_sub(1);
+        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
         self.cluster.pass_needed = true;
         let item = match &answer {
             Some((200, body)) => serde_json::from_slice::<Item>(body).ok(),
@@ -525,7 +548,7 @@
                 (Some(item), _) => self.cluster.shard.mark_write_unknown(chunk, item.stamp),
                 (None, Some((404, _))) => self.cluster.shard.mark_write_unknown(chunk, 0),
                 _ => {
-                    self.readbacks.insert(key);
+                    self.keys_to_reread.insert(key);
                 }
             }
             return;
@@ -535,7 +558,7 @@
                 (Some(item), _) => self.cluster.ledger_reread(Some(&item)),
                 (None, Some((404, _))) => self.cluster.ledger_reread(None),
                 _ => {
-                    self.readbacks.insert(key);
+                    self.keys_to_reread.insert(key);
                 }
             }
             return;
@@ -548,53 +571,63 @@
                 }
             }
             (None, Some((404, _))) => {
-                self.reading += 1;
+                self.rereads_in_flight += 1;
                 let key = format!("{}{id}", store::OVER);
-                let purpose = Purpose::ReadOver {
+                let purpose = PendingRequest::ReadFinishedJob {
                     term: self.lease.term,
                     key: key.clone(),
                 };
-                port.send(Urgency::Commit, StoreRequest::get(&key), purpose);
+                port.send_to_store(Urgency::Commit, StoreRequest::get(&key), purpose);
             }
             _ => {
-                self.readbacks.insert(key);
+                self.keys_to_reread.insert(key);
             }
         }
     }
 
-    pub(super) fn tick(&mut self, port: &mut Port) {
+    pub(super) fn tick(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        self.heed_configuration(port);
-        let wall = port.clock.wall;
+        self.update_start_hold(port);
+        let wall = port.clock.unix_time;
         let siblings = port.settings.siblings.len();
-        if siblings > 0 && self.heard_at.is_some_and(|t| now > t + DEAF) {
-            self.deaf = true;
-            self.ended = Some("it hears neither workers nor siblings");
+        if siblings > 0
+            && self
+                .last_heard_at
+                .is_some_and(|t| now > t + ISOLATION_TIMEOUT)
+        {
+            self.is_isolated = true;
+            self.end_reason = Some("it hears neither workers nor siblings");
             return;
         }
-        self.lease
-            .keep(port, if self.loaded() { self.watched } else { 0 });
-        if !self.loaded() {
-            if self.load_at.is_some_and(|t| t <= now) {
-                self.load_at = None;
-                self.load(port, "");
+        self.lease.maintain(
+            port,
+            if self.is_loaded() {
+                self.watched_version
+            } else {
+                0
+            },
+        );
+        if !self.is_loaded() {
+            if self.reload_at.is_some_and(|t| t <= now) {
+                self.reload_at = None;
+                self.load_next(port, "");
             }
             return;
         }
         self.cluster.tick(now, wall);
-        self.look_for_moves(port);
-        self.allotter.tick(port, &self.lease);
+        self.read_transfers(port);
+        self.quota_partitioner.tick(port, &self.lease);
         let due = self.cluster.pass_needed || now >= self.cluster.last_pass_at + SECOND;
         // Passes and plans are spaced by what they cost: reports, renewals and users come first.
-        if now >= self.schedule_at.max(self.cluster.next_pass_at) && due {
-            self.schedule_at = now + 100_000;
+        if now >= self.next_pass_at.max(self.cluster.next_pass_at) && due {
+            self.next_pass_at = now + 100_000;
             self.cluster.run_scheduling_pass(now);
         }
-        self.plan(port);
-        self.follow(port);
+        self.plan_fleet(port);
+        self.watch(port);
         self.catch_up(port);
-        self.write(port);
-        self.read_back(port);
-        self.read_owners(port);
+        self.write_batch(port);
+        self.reread_keys(port);
+        self.read_job_owners(port);
     }
 }
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 
-use super::outbox::{News, Port, Purpose};
-use super::queries::end_of;
+use super::outbox::{Event, Outbox, PendingRequest};
+use super::queries::finished_view_of_answer;
 use crate::http::Response;
 use crate::model::{JobId, Micros, SECOND};
 use crate::state::job_replica::JobReplica;
@@ -18,15 +18,15 @@
     self, Commit, Committed, Conflict, JobRecord, StoreRequest, WaitingRecord,
 };
 
-pub(super) const POLL_PATIENCE: Micros = 1_700_000;
-pub(super) const SUBMIT_PATIENCE: Micros = 2_500_000;
+pub(super) const QUERY_TIMEOUT: Micros = 1_700_000;
+pub(super) const SUBMIT_TIMEOUT: Micros = 2_500_000;
 /// Queries that may wait for one read; more are told to come back.
-pub(super) const MAX_ASKING: usize = 4000;
+pub(super) const MAX_WAITING_QUERIES: usize = 4000;
 
 /// Why a job is being looked up.
 #[derive(Debug)]
-pub(super) enum Waiter {
-    Poll(u64),
+pub(super) enum LookupWaiter {
+    Query(u64),
     Cancel(u64),
     /// A submission, with what to answer if the job is not known.
     Submit(u64, Result<Box<Submission>, Refusal>),
@@ -34,97 +34,102 @@
     Confirm(u64),
 }
 
-impl Waiter {
-    pub fn conn(&self) -> u64 {
+impl LookupWaiter {
+    pub fn connection(&self) -> u64 {
         match self {
-            Waiter::Poll(c) | Waiter::Cancel(c) | Waiter::Submit(c, _) | Waiter::Confirm(c) => *c,
+            LookupWaiter::Query(c)
+            | LookupWaiter::Cancel(c)
+            | LookupWaiter::Submit(c, _)
+            | LookupWaiter::Confirm(c) => *c,
         }
     }
 }
 
 /// Who waits for the next read of what has changed.
 #[derive(Debug)]
-pub(super) enum Asker {
+pub(super) enum RefreshWaiter {
     Query(u64, JobId),
     /// A submission that names jobs which are not known here yet.
     Submit(u64, JobId, Box<Submission>),
 }
 
-impl Asker {
-    pub fn conn(&self) -> u64 {
+impl RefreshWaiter {
+    pub fn connection(&self) -> u64 {
         match self {
-            Asker::Query(c, _) | Asker::Submit(c, ..) => *c,
+            RefreshWaiter::Query(c, _) | RefreshWaiter::Submit(c, ..) => *c,
         }
     }
 }
 
 /// A submission that waits for reads of jobs that it names.
 #[derive(Debug)]
-pub(super) struct Naming {
+pub(super) struct DependencyCheck {
     job: JobId,
     submission: Box<Submission>,
-    unread: usize,
+    unread_dependencies: usize,
 }
 
 /// A read that answers those who asked before it began; later askers wait for the next one, so
 /// that nobody is told something older than what another controller has said already.
 #[derive(Debug, Default)]
 pub(super) struct Lookup {
-    pub now: Vec<Waiter>,
-    pub next: Vec<Waiter>,
+    pub current: Vec<LookupWaiter>,
+    pub next: Vec<LookupWaiter>,
 }
 
 #[derive(Default)]
-pub(super) struct Intake {
-    pub mirror: JobReplica,
+pub(super) struct JobApi {
+    pub job_replica: JobReplica,
     pub lookups: HashMap<JobId, Lookup>,
-    accepting: VecDeque<(u64, JobId, Box<Submission>)>,
-    accept_specs: HashMap<u64, Box<Submission>>,
-    naming: HashMap<u64, Naming>,
+    accept_queue: VecDeque<(u64, JobId, Box<Submission>)>,
+    accepts_in_flight: HashMap<u64, Box<Submission>>,
+    dependency_checks: HashMap<u64, DependencyCheck>,
     /// Jobs whose ends are being read, or are to be read again after this time.
-    pub ends_asked: HashMap<JobId, Micros>,
+    pub outcome_reads: HashMap<JobId, Micros>,
     /// Reading what the mirror lacks is under way, asked for at this time.
-    pub refreshing: bool,
-    pub refresh_sent: Micros,
+    pub refresh_in_flight: bool,
+    pub refresh_sent_at: Micros,
     pub refresh_at: Micros,
     /// Queries that the read under way answers, and those that the next one will.
-    pub answering: Vec<Asker>,
-    pub asking: Vec<Asker>,
+    pub current_refresh_waiters: Vec<RefreshWaiter>,
+    pub next_refresh_waiters: Vec<RefreshWaiter>,
 }
 
-impl Intake {
+impl JobApi {
     /// The request of a connection is not answered in time.
-    pub fn give_up(&mut self, conn: u64) {
-        self.accept_specs.remove(&conn);
-        self.naming.remove(&conn);
+    pub fn abandon(&mut self, conn: u64) {
+        self.accepts_in_flight.remove(&conn);
+        self.dependency_checks.remove(&conn);
     }
 
-    pub(super) fn submit(&mut self, port: &mut Port, conn: u64, body: &[u8]) {
-        port.deadlines
-            .insert(conn, port.clock.now + SUBMIT_PATIENCE);
+    pub(super) fn submit(&mut self, port: &mut Outbox, conn: u64, body: &[u8]) {
+        port.reply_deadlines
+            .insert(conn, port.clock.now + SUBMIT_TIMEOUT);
         let (map, id) = match api::parse_object(body) {
             Ok(parsed) => parsed,
-            Err(refusal) => return port.refuse(conn, &refusal),
+            Err(refusal) => return port.reply_refusal(conn, &refusal),
         };
         let checked = api::parse_submission(&map).and_then(|mut submission| {
-            check(port, &mut submission)?;
+            check_submission(port, &mut submission)?;
             Ok(Box::new(submission))
         });
         let wait = port.budget.wait();
-        if wait > SUBMIT_PATIENCE && (id.is_some() || checked.is_ok()) {
+        if wait > SUBMIT_TIMEOUT && (id.is_some() || checked.is_ok()) {
             // More than can be written in time is queued already: better said now than later.
-            return port.too_much(conn, wait);
+            return port.reply_overloaded(conn, wait);
         }
         match (id, checked) {
             (Some(id), Ok(submission))
-                if self.mirror.final_view(&id).is_none() && !self.mirror.is_live(&id) =>
+                if self.job_replica.final_view(&id).is_none() && !self.job_replica.is_live(&id) =>
             {
                 self.accept(port, conn, id, submission);
             }
             // A known job gets its state, whatever this body would be answered with.
-            (Some(id), checked) => self.look(port, id, Waiter::Submit(conn, checked)),
-            (None, Err(refusal)) => port.refuse(conn, &refusal),
-            (None, Ok(_)) => port.refuse(conn, &Refusal::Malformed("id: missing".into())),
+            (Some(id), checked) => {
+                self.look_up_live_job(port, id, LookupWaiter::Submit(conn, checked))
+            }
+            (None, Err(refusal)) => port.reply_refusal(conn, &refusal),
+            (None, Ok(_)) => port.reply_refusal(conn, &Refusal::Malformed("id: missing".into())),
         }
     }
 
@@ -132,7 +137,7 @@
     /// job here shows that, however old; what is not known is read.
     pub(super) fn accept(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         conn: u64,
         id: JobId,
         submission: Box<Submission>,
@@ -140,33 +145,35 @@
         if submission
             .waits_on
             .iter()
-            .all(|u| self.mirror.dependency_outcome(u) != DependencyOutcome::Unknown)
+            .all(|u| self.job_replica.dependency_outcome(u) != DependencyOutcome::Unknown)
         {
-            self.accepting.push_back((conn, id, submission));
-        } else if self.asking.len() >= MAX_ASKING {
-            port.too_much(conn, SECOND);
+            self.accept_queue.push_back((conn, id, submission));
+        } else if self.next_refresh_waiters.len() >= MAX_WAITING_QUERIES {
+            port.reply_overloaded(conn, SECOND);
         } else {
-            self.asking.push(Asker::Submit(conn, id, submission));
+            self.next_refresh_waiters
+                .push(RefreshWaiter::Submit(conn, id, submission));
             self.refresh(port);
         }
     }
 
     /// The copy of what is alive has been brought up to the present. A job that a submission names
     /// and that is not alive now is over, or was never accepted before the submission came.
-    pub(super) fn check_named(
+    pub(super) fn check_dependencies(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         conn: u64,
         job: JobId,
         submission: Box<Submission>,
     ) {
-        if !port.deadlines.contains_key(&conn) {
+        if !port.reply_deadlines.contains_key(&conn) {
             return;
         }
-        if self.mirror.is_live(&job) {
-            return self.look(port, job, Waiter::Submit(conn, Ok(submission)));
+        if self.job_replica.is_live(&job) {
+            return self.look_up_live_job(port, job, LookupWaiter::Submit(conn, Ok(submission)));
         }
-        let unknown = |u: &&JobId| self.mirror.dependency_outcome(u) == DependencyOutcome::Unknown;
+        let unknown =
+            |u: &&JobId| self.job_replica.dependency_outcome(u) == DependencyOutcome::Unknown;
         let unread: Vec<JobId> = submission
             .waits_on
             .iter()
@@ -174,81 +181,84 @@
             .cloned()
             .collect();
         if unread.is_empty() {
-            return self.accepting.push_back((conn, job, submission));
+            return self.accept_queue.push_back((conn, job, submission));
         }
-        self.naming.insert(
+        self.dependency_checks.insert(
             conn,
-            Naming {
+            DependencyCheck {
                 job,
                 submission,
-                unread: unread.len(),
+                unread_dependencies: unread.len(),
             },
         );
         for job in unread {
             let key = format!("{}{job}", store::OVER);
-            port.send(
+            port.send_to_store(
                 Urgency::User,
                 StoreRequest::get(&key),
-                Purpose::Named { conn, job },
+                PendingRequest::ReadNamedJob {
+                    connection: conn,
+                    job,
+                },
             );
         }
     }
 
-    pub(super) fn named(
+    pub(super) fn handle_named_job_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         conn: u64,
         job: JobId,
         answer: Option<(u16, Bytes)>,
     ) {
-        let end = answer.as_ref().and_then(end_of);
+        let end = answer.as_ref().and_then(finished_view_of_answer);
         if let Some(view) = &end {
-            self.mirror.record_end(job.clone(), view.clone());
+            self.job_replica.record_end(job.clone(), view.clone());
         }
-        let Some(naming) = self.naming.get_mut(&conn) else {
+        let Some(naming) = self.dependency_checks.get_mut(&conn) else {
             return;
         };
         match (end, answer) {
             (Some(_), _) => {
-                naming.unread -= 1;
-                if naming.unread == 0 {
-                    let Some(n) = self.naming.remove(&conn) else {
+                naming.unread_dependencies -= 1;
+                if naming.unread_dependencies == 0 {
+                    let Some(n) = self.dependency_checks.remove(&conn) else {
                         return;
                     };
-                    self.accepting.push_back((conn, n.job, n.submission));
+                    self.accept_queue.push_back((conn, n.job, n.submission));
                 }
             }
             (None, Some((404, _))) => {
-                self.naming.remove(&conn);
+                self.dependency_checks.remove(&conn);
                 let why = format!("waits_on: no such job as {job}");
-                port.refuse(conn, &Refusal::Impossible(why));
+                port.reply_refusal(conn, &Refusal::Impossible(why));
             }
             _ => {
-                self.naming.remove(&conn);
-                port.unavailable(conn);
+                self.dependency_checks.remove(&conn);
+                port.reply_unavailable(conn);
             }
         }
     }
 
     /// The record of a job that is accepted now. What it waits for and is done already is left out.
-    pub(super) fn record(
+    pub(super) fn job_record(
         &self,
-        port: &mut Port,
+        port: &mut Outbox,
         submission: &Submission,
     ) -> (Box<serde_json::value::RawValue>, usize) {
-        let at = port.clock.wall;
+        let at = port.clock.unix_time;
         let spec = submission.spec.clone();
         let fates = submission
             .waits_on
             .iter()
-            .map(|u| (u, self.mirror.dependency_outcome(u)));
+            .map(|u| (u, self.job_replica.dependency_outcome(u)));
         let (mut open, mut cancelled) = (Vec::new(), false);
         for (u, fate) in fates.filter(|f| f.1 != DependencyOutcome::Done) {
             open.push(u.clone());
             cancelled |= fate == DependencyOutcome::Cancelled;
         }
         if open.is_empty() {
-            let block = port.home(&spec);
+            let block = port.choose_home_shard(&spec);
             (
                 JobRecord {
                     block,
@@ -266,58 +276,61 @@
     }
 
     /// A new configuration is in force: what was refused by the one before is to be asked again.
-    pub(super) fn configured(&mut self) {
+    pub(super) fn handle_new_configuration(&mut self) {
         let waiters = self
             .lookups
             .values_mut()
-            .flat_map(|l| l.now.iter_mut().chain(&mut l.next));
+            .flat_map(|l| l.current.iter_mut().chain(&mut l.next));
         for waiter in waiters {
-            if let Waiter::Submit(_, checked @ Err(Refusal::Impossible(_))) = waiter {
+            if let LookupWaiter::Submit(_, checked @ Err(Refusal::Impossible(_))) = waiter {
                 *checked = Err(Refusal::Changing);
             }
         }
     }
 
     /// Checks those again that were checked by an older configuration.
-    fn check_again(&mut self, port: &mut Port) {
-        let version = port.configuring.version();
-        for (conn, id, mut submission) in std::mem::take(&mut self.accepting) {
+    fn recheck_queued(&mut self, port: &mut Outbox) {
+        let version = port.configuration.version();
+        for (conn, id, mut submission) in std::mem::take(&mut self.accept_queue) {
             if submission.checked_under == version {
-                self.accepting.push_back((conn, id, submission));
+                self.accept_queue.push_back((conn, id, submission));
                 continue;
             }
-            match check(port, &mut submission) {
-                Ok(()) => self.accepting.push_back((conn, id, submission)),
-                Err(refusal) => self.look(port, id, Waiter::Submit(conn, Err(refusal))),
+            match check_submission(port, &mut submission) {
+                Ok(()) => self.accept_queue.push_back((conn, id, submission)),
+                Err(refusal) => {
+                    self.look_up_live_job(port, id, LookupWaiter::Submit(conn, Err(refusal)))
+                }
             }
         }
     }
 
     /// Submissions that came together are accepted in one transaction.
-    pub(super) fn flush_accepts(&mut self, port: &mut Port) {
-        if self.accepting.is_empty() {
+    pub(super) fn send_accepts(&mut self, port: &mut Outbox) {
+        if self.accept_queue.is_empty() {
             return;
         }
-        if !port.configuring.settled() {
+        if !port.configuration.is_settled() {
             // There is a newer configuration to check them by, which is being read.
-            self.accepting.retain(|a| port.deadlines.contains_key(&a.0));
+            self.accept_queue
+                .retain(|a| port.reply_deadlines.contains_key(&a.0));
             return;
         }
-        self.check_again(port);
+        self.recheck_queued(port);
         let max = port.settings.txn_ops.min(8);
-        while !self.accepting.is_empty() {
+        while !self.accept_queue.is_empty() {
             let mut commit = Commit::default();
             // None is accepted by an older configuration: where there is a newer one, all of this fails.
-            commit.guard(CURRENT, port.configuring.guard());
+            commit.guard(CURRENT, port.configuration.guard_version());
             let mut jobs: Vec<(u64, JobId)> = Vec::new();
             let mut left = VecDeque::new();
-            while let Some((conn, id, spec)) = self.accepting.pop_front() {
+            while let Some((conn, id, spec)) = self.accept_queue.pop_front() {
                 if jobs.len() >= max || jobs.iter().any(|j| j.1 == id) {
                     left.push_back((conn, id, spec));
                     continue;
                 }
                 let live = format!("{}{id}", store::LIVE);
-                let (value, waits) = self.record(port, &spec);
+                let (value, waits) = self.job_record(port, &spec);
                 if value.get().len() + store::SLACK > port.settings.value_bytes {
                     let field = if waits > 0 { "waits_on: " } else { "" };
                     let why = format!("{field}the description is too long to be kept");
@@ -327,33 +340,37 @@
                 commit.guard(&live, 0);
                 commit.guard(&format!("{}{id}", store::OVER), 0);
                 commit.put(&live, value, None);
-                self.accept_specs.insert(conn, spec);
+                self.accepts_in_flight.insert(conn, spec);
                 jobs.push((conn, id));
             }
-            self.accepting = left;
+            self.accept_queue = left;
             if !jobs.is_empty() {
-                port.send(Urgency::User, commit.request(), Purpose::Accept { jobs });
+                port.send_to_store(
+                    Urgency::User,
+                    commit.request(),
+                    PendingRequest::AcceptJobs { jobs },
+                );
             }
         }
     }
 
-    pub(super) fn accepted(
+    pub(super) fn handle_accept_answer(
         &mut self,
-        port: &mut Port,
+        port: &mut Outbox,
         jobs: Vec<(u64, JobId)>,
         answer: Option<(u16, Bytes)>,
     ) {
         let status = answer.as_ref().map(|a| a.0);
-        let stamp = committed(answer.as_ref());
+        let stamp = commit_version(answer.as_ref());
         let failed = answer
             .filter(|a| a.0 == 409)
             .and_then(|a| serde_json::from_slice::<Conflict>(&a.1).ok())
             .map_or_else(Vec::new, |c| c.failed);
         if failed.iter().any(|k| k == CURRENT) {
-            port.configuring.doubt(port.clock.now);
+            port.configuration.mark_unconfirmed(port.clock.now);
         }
         for (conn, id) in jobs {
-            let Some(spec) = self.accept_specs.remove(&conn) else {
+            let Some(spec) = self.accepts_in_flight.remove(&conn) else {
                 continue;
             };
             match status {
@@ -363,30 +380,34 @@
                     tracing::info!(job = %id, %class, tasks, waits_on, "accepted");
                     let view = JobView::new(Status::Pending, 0);
                     port.reply(conn, api::answer(201, &id, &view));
-                    port.news.push(News::Changed(id.clone(), stamp));
+                    port.events.push(Event::JobChanged(id.clone(), stamp));
                 }
                 // One of them was known already: the others are tried again without it.
                 Some(409) if !failed.is_empty() && !failed.iter().any(|k| k.ends_with(&*id)) => {
-                    self.accepting.push_back((conn, id, spec));
+                    self.accept_queue.push_back((conn, id, spec));
                 }
-                Some(409) => self.look(port, id, Waiter::Submit(conn, Ok(spec))),
+                Some(409) => self.look_up_live_job(port, id, LookupWaiter::Submit(conn, Ok(spec))),
                 // Perhaps carried out, perhaps later: only reading tells.
-                None => self.look(port, id, Waiter::Confirm(conn)),
-                Some(_) => port.unavailable(conn),
+                None => self.look_up_live_job(port, id, LookupWaiter::Confirm(conn)),
+                Some(_) => port.reply_unavailable(conn),
             }
         }
     }
 }
 
 /// Whether a job can ever run, by the configuration in force here.
-fn check(port: &Port, submission: &mut Submission) -> Result<(), Refusal> {
-    submission.checked_under = port.configuring.version();
-    api::admit(&mut submission.spec, &port.settings.teams, &port.flavors)
+fn check_submission(port: &Outbox, submission: &mut Submission) -> Result<(), Refusal> {
+    submission.checked_under = port.configuration.version();
+    api::admit(
+        &mut submission.spec,
+        &port.settings.teams,
+        &port.machine_types,
+    )
 }
 
 /// The version a transaction was carried out at, as its answer has it. An answer that cannot be
 /// read is taken for the newest: the job is then looked at.
-pub(super) fn committed(answer: Option<&(u16, Bytes)>) -> u64 {
+pub(super) fn commit_version(answer: Option<&(u16, Bytes)>) -> u64 {
     let done = answer.and_then(|a| serde_json::from_slice::<Committed>(&a.1).ok());
     done.map_or(u64::MAX, |c| c.ledger_no)
 }
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Method::Get => "GET",
             Method::Post => "POST",
@@ -37,7 +37,7 @@
     pub path: String,
     pub body: Bytes,
     /// The client wants the connection closed after the answer.
-    pub close: bool,
+    pub closes_connection: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -72,7 +72,7 @@
         )
     }
 
-    pub fn retry(mut self, seconds: u32) -> Response {
+    pub fn with_retry_after(mut self, seconds: u32) -> Response {
         self.retry_after = Some(seconds);
         self
     }
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -381,7 +381,7 @@
         changes,
     } = request;
     let body = std::str::from_utf8(body).unwrap();
-    format!("{} {path} {body} {patience} {changes}", method.name())
+    format!("{} {path} {body} {patience} {changes}", method.as_str())
 }
 
 #[test]
@@ -895,7 +895,7 @@
 fn cloud_request(request: &CloudRequest) -> String {
     let CloudRequest { method, path, body } = request;
     let body = std::str::from_utf8(body).unwrap();
-    format!("{} {path} {body}", method.name())
+    format!("{} {path} {body}", method.as_str())
 }
 
 #[test]
@@ -1064,7 +1064,7 @@
     );
     assert_eq!(admit(&[unlimited], &types), Ok(()));
     pin(
-        &response(&Response::error(422, "why").retry(2)),
+        &response(&Response::error(422, "why").with_retry_after(2)),
         r#"422 {"error":"why"} Some(2)"#,
     );
 }
@@ -1129,7 +1129,7 @@
     let route = api::route(Get, "/api/ledger?page=7&team=blue");
     assert_eq!(route, Ok(Route::Ledger { page, team }));
     let methods = ["GET", "POST", "DELETE", "OPTIONS"];
-    assert_eq!(methods.map(|name| Method::parse(name).name()), methods);
+    assert_eq!(methods.map(|name| Method::parse(name).as_str()), methods);
 }
 
 const SETTINGS: &str = r#"
@@ -1199,18 +1199,18 @@
 
 const CLOCK: Clock = Clock {
     now: SECOND,
-    wall: 1_700_000_000_000_000,
+    unix_time: 1_700_000_000_000_000,
 };
 
 /// What a controller answers to a request, once the state service has given the answer to every request of its own.
 fn asked(controller: &mut Controller, method: Method, path: &str, stored: (u16, &str)) -> String {
-    let ask = Command::Request {
-        conn: 5,
+    let ask = Command::HttpRequest {
+        connection: 5,
         request: Request {
             method,
             path: path.into(),
             body: Bytes::from_static(b"{\"host\":\"m\"}"),
-            close: false,
+            closes_connection: false,
         },
     };
     let mut commands = vec![ask];
@@ -1219,12 +1219,12 @@
         for effect in effects {
             match effect {
                 Effect::Reply {
-                    conn: 5,
+                    connection: 5,
                     response: answer,
                 } => return response(&answer),
-                Effect::Store { id, .. } => {
+                Effect::StoreRequest { id, .. } => {
                     let answer = Some((stored.0, Bytes::copy_from_slice(stored.1.as_bytes())));
-                    commands.push(Command::Store { id, answer });
+                    commands.push(Command::StoreAnswer { id, answer });
                 }
                 _ => {}
             }
@@ -1263,15 +1263,15 @@
         from: "n1".into(),
         body: Some(Body::Heartbeat(heartbeat)),
     };
-    let effects = controller.step(CLOCK, [Command::Peer(message)]);
+    let effects = controller.step(CLOCK, [Command::PeerMessage(message)]);
     let stored = Bytes::from_static(br#"{"items":[],"ledger_no":1}"#);
     let types = Bytes::from_static(MACHINE_TYPES);
     let answers = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Store { id, .. } => Some(Command::Store {
+        Effect::StoreRequest { id, .. } => Some(Command::StoreAnswer {
             id,
             answer: Some((200, stored.clone())),
         }),
-        Effect::Cloud { id, .. } => Some(Command::Cloud {
+        Effect::CloudRequest { id, .. } => Some(Command::CloudAnswer {
             id,
             answer: Some((200, types.clone())),
         }),
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -73,7 +73,7 @@
         commit.put(HISTORY, raw(&history), None);
         let request = commit.request();
         let stored = self.state.handle(
-            request.method.name(),
+            request.method.as_str(),
             &request.path,
             &request.body,
             self.now,
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -493,7 +493,7 @@
         let drift = (t / 2000) * (node as u64 % 2);
         Clock {
             now: t + drift,
-            wall: 1_700_000_000 * SECOND + self.now,
+            unix_time: 1_700_000_000 * SECOND + self.now,
         }
     }
 
@@ -605,7 +605,7 @@
         if self.now.is_multiple_of(50_000) {
             for node in 0..self.nodes.len() {
                 let n = &self.nodes[node];
-                let pause = n.controller.as_ref().map_or(0, Controller::pause);
+                let pause = n.controller.as_ref().map_or(0, Controller::max_idle_time);
                 // Left alone for as long as it said, if the story is about that.
                 if self.patient && pause > 50_000 && self.now < n.stepped_at + pause {
                     continue;
@@ -650,7 +650,7 @@
                     return self.store_answer(node, life, id, Some((503, json!({}))));
                 }
                 match self.state.handle(
-                    request.method.name(),
+                    request.method.as_str(),
                     &request.path,
                     &request.body,
                     self.now,
@@ -694,7 +694,7 @@
                     Event::Command {
                         node,
                         life,
-                        command: Command::Cloud { id, answer },
+                        command: Command::CloudAnswer { id, answer },
                     },
                 );
             }
@@ -706,7 +706,7 @@
                     self.held.push((from, to, message));
                 } else {
                     let life = self.nodes[to].life;
-                    self.command(to, life, Command::Peer(message));
+                    self.command(to, life, Command::PeerMessage(message));
                 }
             }
             Event::Answer {
@@ -793,7 +793,7 @@
             Event::Command {
                 node,
                 life,
-                command: Command::Store { id, answer },
+                command: Command::StoreAnswer { id, answer },
             },
         );
     }
@@ -877,7 +877,10 @@
         for effect in effects {
             let delay = self.jitter();
             match effect {
-                Effect::Reply { conn, response } => {
+                Effect::Reply {
+                    connection: conn,
+                    response,
+                } => {
                     // Whoever leads answers workers only while nobody can have replaced it.
                     let last = self.state.value(TERM).and_then(|v| v["term"].as_u64());
                     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
@@ -913,7 +916,7 @@
                         );
                     }
                 }
-                Effect::Store { id, request } => {
+                Effect::StoreRequest { id, request } => {
                     let late = request.path == "/commit" && self.rng.random_bool(self.late_commits);
                     let lost = !late
                         && request.path == "/commit"
@@ -935,7 +938,7 @@
                                 asked,
                             },
                         );
-                        let command = Command::Store { id, answer: None };
+                        let command = Command::StoreAnswer { id, answer: None };
                         self.at(
                             patience,
                             Event::Command {
@@ -958,7 +961,7 @@
                         );
                     }
                 }
-                Effect::Cloud { id, request } => {
+                Effect::CloudRequest { id, request } => {
                     let (path, body) = (request.path, request.body);
                     self.at(
                         delay,
@@ -971,7 +974,7 @@
                         },
                     );
                 }
-                Effect::Worker { addr, body } => {
+                Effect::WorkerCommands { addr, body } => {
                     self.direct += 1;
                     self.at(
                         delay,
@@ -982,7 +985,7 @@
                         },
                     );
                 }
-                Effect::Peer { to, mut message } => {
+                Effect::PeerMessage { to, mut message } => {
                     if self.silent.contains(&node) {
                         forget_cancellations(&mut message);
                     }
@@ -1020,10 +1023,13 @@
             method,
             path: path.into(),
             body,
-            close: false,
+            closes_connection: false,
         };
         let delay = self.jitter();
-        let command = Command::Request { conn, request };
+        let command = Command::HttpRequest {
+            connection: conn,
+            request,
+        };
         self.at(
             delay,
             Event::Command {
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -17,7 +17,7 @@
 mod upgrade;
 mod usage_ledger;
 
-use gannethub_core::controller::election::PROMISE;
+use gannethub_core::controller::election::VOTE_DURATION;
 use harness::{LEASE, SECOND, World, job};
 use rand::Rng;
 use serde_json::json;
@@ -142,7 +142,7 @@
     w.crash((leader + 1) % 3, 60 * SECOND);
     w.run(1);
     w.state.down = true;
-    w.run((TTL + PROMISE) / SECOND + 2);
+    w.run((TTL + VOTE_DURATION) / SECOND + 2);
     assert_eq!(w.leader(), None);
     w.state.down = false;
     w.run_until(150, "all are done", World::all_over);
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -228,9 +228,15 @@
             method,
             path,
             body,
-            close: false,
+            closes_connection: false,
         };
-        let effects = c.step(Clock::default(), [Command::Request { conn: 1, request }]);
+        let effects = c.step(
+            Clock::default(),
+            [Command::HttpRequest {
+                connection: 1,
+                request,
+            }],
+        );
         let mut answers = effects.into_iter().filter_map(|e| match e {
             Effect::Reply { response, .. } => Some((
                 response.status,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -47,7 +47,7 @@
     let start = Instant::now();
     let clock = move || Clock {
         now: start.elapsed().as_micros() as u64,
-        wall: SystemTime::now()
+        unix_time: SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as u64),
     };
@@ -79,34 +79,37 @@
     let mut batch = Vec::with_capacity(BATCH);
     loop {
         // The controller keeps its own times, and says when it has to look at them if nothing comes.
-        let pause = Duration::from_micros(controller.pause());
+        let pause = Duration::from_micros(controller.max_idle_time());
         let _ = timeout(pause, commands.recv_many(&mut batch, BATCH)).await;
         for effect in controller.step(clock(), batch.drain(..)) {
             match effect {
-                Effect::Reply { conn, response } => {
+                Effect::Reply {
+                    connection: conn,
+                    response,
+                } => {
                     if let Some(reply) = replies.borrow_mut().remove(&conn) {
                         // The client may have gone away; then nobody waits for this.
                         let _ = reply.send(response);
                     }
                 }
-                Effect::Store { id, request: r } => {
+                Effect::StoreRequest { id, request: r } => {
                     let (client, queue) = (state.clone(), queue.clone());
                     spawn_local(async move {
                         let patience = Duration::from_micros(r.patience);
                         let answer = client.call(r.method, &r.path, &r.body, patience).await;
-                        let _ = queue.send(Command::Store { id, answer }).await;
+                        let _ = queue.send(Command::StoreAnswer { id, answer }).await;
                     });
                 }
-                Effect::Cloud { id, request: r } => {
+                Effect::CloudRequest { id, request: r } => {
                     let (client, queue) = (cloud.clone(), queue.clone());
                     spawn_local(async move {
                         let answer = client
                             .call(r.method, &r.path, &r.body, CLOUD_PATIENCE)
                             .await;
-                        let _ = queue.send(Command::Cloud { id, answer }).await;
+                        let _ = queue.send(Command::CloudAnswer { id, answer }).await;
                     });
                 }
-                Effect::Worker { addr, body } => {
+                Effect::WorkerCommands { addr, body } => {
                     // More at once than there are sockets for are left to the next answers.
                     let Ok(slot) = direct.clone().try_acquire_owned() else {
                         continue;
@@ -120,7 +123,7 @@
                         drop(slot);
                     });
                 }
-                Effect::Peer { to, message } => {
+                Effect::PeerMessage { to, message } => {
                     if let Some(sibling) = siblings.get(to) {
                         // A full queue means a dead link: messages between siblings may be lost.
                         let _ = sibling.try_send(message);
@@ -170,13 +173,16 @@
     ids: Rc<Cell<u64>>,
 ) {
     while let Some(request) = connection.next().await {
-        let close = request.close;
+        let close = request.closes_connection;
         let conn = ids.get();
         ids.set(conn + 1);
         let (reply, answer) = oneshot::channel();
         replies.borrow_mut().insert(conn, reply);
         if queue
-            .send(Command::Request { conn, request })
+            .send(Command::HttpRequest {
+                connection: conn,
+                request,
+            })
             .await
             .is_err()
         {
@@ -186,7 +192,7 @@
             Ok(Ok(response)) => response,
             _ => {
                 replies.borrow_mut().remove(&conn);
-                Response::error(503, "no answer in time").retry(2)
+                Response::error(503, "no answer in time").with_retry_after(2)
             }
         };
         if connection.write(&response, close).await.is_err() || close {
--- a/src/emulators.rs
+++ b/src/emulators.rs
@@ -73,7 +73,12 @@
             return;
         };
         let response = Response::json(status, &body);
-        if connection.write(&response, request.close).await.is_err() || request.close {
+        if connection
+            .write(&response, request.closes_connection)
+            .await
+            .is_err()
+            || request.closes_connection
+        {
             return;
         }
     }
@@ -105,7 +110,7 @@
     pub fn handle(&mut self, asked: Asked, now: u64) {
         match self
             .state
-            .handle(asked.method.name(), &asked.path, &asked.body, now)
+            .handle(asked.method.as_str(), &asked.path, &asked.body, now)
         {
             Outcome::Answer(status, body) => asked.answer(status, body),
             Outcome::Wait {
--- a/src/http.rs
+++ b/src/http.rs
@@ -132,7 +132,7 @@
         method: Method::parse(parsed.method.unwrap_or("")),
         path: parsed.path.unwrap_or("").to_string(),
         body: Bytes::new(),
-        close: h.close || parsed.version == Some(0),
+        closes_connection: h.close || parsed.version == Some(0),
     };
     Ok(Some((head, request, h.length.unwrap_or(0))))
 }
@@ -253,7 +253,7 @@
     async fn refuse(&mut self, status: u16, why: &str) {
         let response = Response::error(status, why);
         let response = if status == 503 {
-            response.retry(1)
+            response.with_retry_after(1)
         } else {
             response
         };
@@ -308,7 +308,7 @@
     ) -> std::io::Result<(u16, Bytes)> {
         let mut out = format!(
             "{} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: {}\r\n\r\n",
-            method.name(),
+            method.as_str(),
             self.addr,
             body.len()
         )
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -9,8 +9,10 @@
         let mut c = Connection::new(stream, Bodies::new(0));
         while let Some(r) = c.next().await {
             let text = format!("{:?} {} {}", r.method, r.path, r.body.len());
-            c.write(&Response::json(200, &text), r.close).await.unwrap();
-            if r.close {
+            c.write(&Response::json(200, &text), r.closes_connection)
+                .await
+                .unwrap();
+            if r.closes_connection {
                 return;
             }
         }
@@ -173,7 +175,7 @@
     let answer = async {
         let (stream, _) = listener.accept().await.unwrap();
         let mut connection = Connection::new(stream, Bodies::new(0));
-        let response = Response::error(503, "why").retry(2);
+        let response = Response::error(503, "why").with_retry_after(2);
         connection.write(&response, true).await.unwrap();
     };
     let read = async {
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -43,7 +43,7 @@
         loop {
             match decode(&mut buf) {
                 Ok(Some(message)) => {
-                    if queue.send(Command::Peer(message)).await.is_err() {
+                    if queue.send(Command::PeerMessage(message)).await.is_err() {
                         return;
                     }
                 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -43,7 +43,10 @@
         if !used_up(&self.refused) {
             return Some((503, Bytes::new()));
         }
-        let outcome = self.state.borrow_mut().handle(method.name(), path, body, 0);
+        let outcome = self
+            .state
+            .borrow_mut()
+            .handle(method.as_str(), path, body, 0);
         let Outcome::Answer(status, body) = outcome else {
             return None;
         };
