--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -20,7 +20,7 @@
 
 use clap::Parser;
 use gannethub_core::model::{JobSpec, SECOND, Shape};
-use gannethub_core::reconcile::heartbeat::Outcome;
+use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
 use gannethub_core::state::fleet::CloudCall;
 use gannethub_core::wire::worker::{ExitReason, Order, ReportedTask, TaskState};
 use leader_view::{LeaderView, WALL, spec};
@@ -172,7 +172,7 @@
                     (true, false) => TaskState::Running,
                     _ => TaskState::Fetching,
                 },
-                why: (now >= *until).then_some(ExitReason::Done),
+                exit_reason: (now >= *until).then_some(ExitReason::Done),
                 saved: false,
             });
         let tasks: Vec<_> = tasks.collect();
@@ -186,7 +186,7 @@
         let outcome = timed(reports, longest, || {
             view.send(name, &w.flavor, &w.zone, w.spot, tasks)
         });
-        let Outcome::Orders(orders) = outcome else {
+        let HeartbeatOutcome::Orders(orders) = outcome else {
             return;
         };
         for order in orders {
@@ -259,7 +259,7 @@
             ..
         } = &mut self.spent;
         timed(rest, longest, || {
-            c.cloud_answer(call, Some((status, text.as_bytes())), now)
+            c.apply_cloud_answer(call, Some((status, text.as_bytes())), now)
         });
     }
 
@@ -310,10 +310,10 @@
                 write_at = now + 100_000;
                 let stamp = &mut self.view.stamp;
                 timed(&mut s.rest, &mut s.longest[3], || {
-                    if let Some((commit, batch)) = c.next_commit(now, 1) {
-                        s.changes += commit.changes() as u64;
+                    if let Some((commit, batch)) = c.next_transaction(now, 1) {
+                        s.changes += commit.change_count() as u64;
                         *stamp += 1;
-                        c.committed(batch, *stamp);
+                        c.transaction_committed(batch, *stamp);
                     }
                 });
             }
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -109,7 +109,7 @@
     let mut f = LeaderView::unread(&[("red", cpus * 0.5, cpus * 4.0)], Some(20.0));
     for i in 0..machines / 10 {
         let record = JobRecord::new(spec(Shape::Array, "red", 40, 1.0), WALL);
-        f.c.job_record(&format!("j-{i}"), record, 5);
+        f.c.apply_job_record(&format!("j-{i}"), record, 5);
     }
     let names: Vec<String> = (0..machines).map(|i| format!("host-{i:06}")).collect();
     for (chunk, names) in names.chunks(40).enumerate() {
@@ -124,9 +124,9 @@
             holder: "n1".into(),
             machines,
         };
-        f.c.chunk_record(&f.c.shard.chunk_key(chunk), record, 5);
+        f.c.apply_shard_chunk(&f.c.shard.chunk_key(chunk), record, 5);
     }
-    f.c.loaded(f.now);
+    f.c.finish_loading(f.now);
     names
         .iter()
         .for_each(|n| drop(f.report(n, "small", "a", &[])));
--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -71,7 +71,7 @@
         let now = self.outbox.clock.now;
         self.outbox.settings = settings.clone();
         for holder in self.shard_owners.values_mut() {
-            holder.cluster.configure(&settings, over_limit, now);
+            holder.cluster.apply_settings(&settings, over_limit, now);
             holder.update_start_hold(&self.outbox);
         }
         self.job_api.handle_new_configuration();
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -19,8 +19,8 @@
 use crate::configuration::{Document, OverLimit};
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
-use crate::wire::configuration::{CURRENT, HISTORY, HistoryRecord, VersionRecord};
-use crate::wire::store::{Change, Item, Listing, StoreRequest};
+use crate::wire::configuration::{CURRENT_VERSION_KEY, HISTORY_KEY, HistoryRecord, VersionRecord};
+use crate::wire::store::{Change, Listing, StoreRequest, StoredValue};
 
 /// How long after a version was last known to be the newest it may be acted on.
 pub(super) const MAX_VERSION_AGE: Micros = 6_500_000;
@@ -180,11 +180,11 @@
     /// Takes in a page of a listing of live jobs. On the first page the key is there, or it is nowhere: it may have been
     /// deleted while changes were missed, and a transaction on the condition of what was there would fail for ever.
     pub fn apply_listing(&mut self, listing: &Listing, first: bool) {
-        let current = listing.items.iter().find(|i| i.k == CURRENT);
+        let current = listing.items.iter().find(|i| i.key == CURRENT_VERSION_KEY);
         match current {
-            Some(item) => self.observe(Some(item.v.get()), item.stamp),
+            Some(item) => self.observe(Some(item.value.get()), item.version),
             None if first && self.newest_seen.as_ref().is_some_and(|s| s.key_version > 0) => {
-                self.observe(None, listing.ledger_no);
+                self.observe(None, listing.version);
             }
             None => {}
         }
@@ -193,10 +193,10 @@
     /// Takes in changes of live jobs.
     pub fn apply_changes(&mut self, log: &[Change]) {
         for change in log {
-            if change.write.as_deref() == Some(CURRENT) {
-                self.observe(change.v.as_deref().map(|v| v.get()), change.stamp);
-            } else if change.delete.as_deref() == Some(CURRENT) {
-                self.observe(None, change.stamp);
+            if change.written_key.as_deref() == Some(CURRENT_VERSION_KEY) {
+                self.observe(change.value.as_deref().map(|v| v.get()), change.version);
+            } else if change.deleted_key.as_deref() == Some(CURRENT_VERSION_KEY) {
+                self.observe(None, change.version);
             }
         }
     }
@@ -215,7 +215,7 @@
         self.needs_history = false;
         match value.map(serde_json::from_str::<VersionRecord>) {
             Some(Ok(record)) => {
-                tracing::info!(version = record.version, by = %record.by, why = %record.why, "a new configuration");
+                tracing::info!(version = record.version, by = %record.author, why = %record.reason, "a new configuration");
                 self.newest_seen = Some(SeenVersion {
                     change_version: stamp,
                     key_version: stamp,
@@ -235,7 +235,7 @@
                     key_version: guard,
                     version: self.newest_version(),
                 });
-                self.reject(CURRENT, &reason);
+                self.reject(CURRENT_VERSION_KEY, &reason);
             }
         }
     }
@@ -274,9 +274,11 @@
         let next = match self.candidates.front() {
             Some(record) => (
                 ConfigurationRead::Document,
-                StoreRequest::list(&record.prefix(), ""),
+                StoreRequest::list(&record.parts_prefix(), ""),
             ),
-            None if self.needs_history => (ConfigurationRead::History, StoreRequest::get(HISTORY)),
+            None if self.needs_history => {
+                (ConfigurationRead::History, StoreRequest::get(HISTORY_KEY))
+            }
             None => return None,
         };
         self.read_in_flight = true;
@@ -309,7 +311,12 @@
 
     fn handle_document(&mut self, listing: &Listing, running: &Settings) -> Option<NewSettings> {
         // A newer version may have been seen meanwhile: then these parts are not its own.
-        let own = |r: &VersionRecord| listing.items.iter().all(|i| i.k.starts_with(&r.prefix()));
+        let own = |r: &VersionRecord| {
+            listing
+                .items
+                .iter()
+                .all(|i| i.key.starts_with(&r.parts_prefix()))
+        };
         let record = self.candidates.front().filter(|r| own(r))?.clone();
         let document = record.assemble(listing).map_err(|e| e.to_string());
         let checked = document.and_then(|d| {
@@ -322,7 +329,7 @@
             Ok((settings, document)) => Some(self.activate(&record, settings, &document)),
             Err(reason) => {
                 self.candidates.pop_front();
-                self.reject(&record.prefix(), &reason);
+                self.reject(&record.parts_prefix(), &reason);
                 None
             }
         }
@@ -337,7 +344,7 @@
         self.version = record.version;
         self.any_in_force = true;
         self.settle();
-        let (teams, by, why) = (settings.teams.len(), &record.by, &record.why);
+        let (teams, by, why) = (settings.teams.len(), &record.author, &record.reason);
         tracing::info!(version = record.version, %by, %why, teams, "the configuration is in force");
         NewSettings {
             settings: Arc::new(settings),
@@ -349,9 +356,9 @@
         let newest = self.newest_version();
         match answer {
             Some((200, body)) => {
-                let item = serde_json::from_slice::<Item>(&body).ok();
+                let item = serde_json::from_slice::<StoredValue>(&body).ok();
                 let history = item
-                    .and_then(|i| i.record::<HistoryRecord>())
+                    .and_then(|i| i.decode::<HistoryRecord>())
                     .unwrap_or_default();
                 let before = history.versions.into_iter();
                 let before = before.filter(|v| newest == 0 || v.version < newest);
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -13,7 +13,7 @@
         parts: 1,
         ..Default::default()
     };
-    let text = serde_json::json!({"items": [{"k": CURRENT, "v": record, "stamp": stamp}],
+    let text = serde_json::json!({"items": [{"k": CURRENT_VERSION_KEY, "v": record, "stamp": stamp}],
         "truncated": false, "ledger_no": stamp});
     serde_json::from_str(&text.to_string()).unwrap()
 }
--- a/crates/gannethub-core/src/controller/election.rs
+++ b/crates/gannethub-core/src/controller/election.rs
@@ -9,7 +9,7 @@
 use std::collections::HashSet;
 
 use crate::model::{Micros, SECOND};
-use crate::wire::store::LeadRecord;
+use crate::wire::store::LeaseRecord;
 
 /// How long a promise lasts.
 pub const VOTE_DURATION: Micros = 8 * SECOND;
@@ -143,8 +143,8 @@
     pub attempt_in_progress: bool,
     /// What the last look at the state service showed.
     has_observed_store: bool,
-    leader_record: Option<(LeadRecord, u64)>,
-    term_record: Option<(LeadRecord, u64)>,
+    leader_record: Option<(LeaseRecord, u64)>,
+    term_record: Option<(LeaseRecord, u64)>,
 }
 
 impl Election {
@@ -169,7 +169,11 @@
     }
 
     /// Takes in what the state service says of the leader and of the last term.
-    pub fn observe(&mut self, holder: Option<(LeadRecord, u64)>, term: Option<(LeadRecord, u64)>) {
+    pub fn observe(
+        &mut self,
+        holder: Option<(LeaseRecord, u64)>,
+        term: Option<(LeaseRecord, u64)>,
+    ) {
         self.has_observed_store = true;
         self.term_at_start
             .get_or_insert(term.as_ref().map_or(0, |t| t.0.term));
@@ -189,9 +193,9 @@
     /// Whether a successor to the last term may go by the jobs' marks.
     pub fn watermarks_reliable(&self) -> bool {
         // If nobody ever led, nothing was launched.
-        self.term_record
-            .as_ref()
-            .is_none_or(|(last, _)| last.marked && self.knows_watermarks_hold(last.term))
+        self.term_record.as_ref().is_none_or(|(last, _)| {
+            last.watermarks_reliable && self.knows_watermarks_hold(last.term)
+        })
     }
 
     /// The term that siblings are to be asked about now: only once nothing that this process may have promised
@@ -200,7 +204,7 @@
         let term = self
             .term_record
             .as_ref()
-            .filter(|t| t.0.marked)
+            .filter(|t| t.0.watermarks_reliable)
             .map(|t| t.0.term)?;
         let due = now
             >= self
@@ -238,7 +242,7 @@
             return false;
         }
         let mine =
-            |r: &Option<(LeadRecord, u64)>| r.as_ref().is_some_and(|r| r.0.holder == self.name);
+            |r: &Option<(LeaseRecord, u64)>| r.as_ref().is_some_and(|r| r.0.owner == self.name);
         // Nobody ever led, or the last to lead was this controller itself, before it was
         // restarted: then no promise to another can be alive.
         let quiet =
@@ -248,7 +252,7 @@
 
     /// Versions of the leader's and the term's key, and the last term.
     pub fn versions(&self) -> (u64, u64, u64) {
-        let stamp = |r: &Option<(LeadRecord, u64)>| r.as_ref().map_or(0, |r| r.1);
+        let stamp = |r: &Option<(LeaseRecord, u64)>| r.as_ref().map_or(0, |r| r.1);
         (
             stamp(&self.leader_record),
             stamp(&self.term_record),
@@ -298,7 +302,7 @@
     }
 
     /// The takeover succeeded.
-    pub fn takeover_succeeded(&mut self, record: LeadRecord, stamp: u64) {
+    pub fn takeover_succeeded(&mut self, record: LeaseRecord, stamp: u64) {
         self.leader_record = Some((record.clone(), stamp));
         self.term_record = Some((record, stamp));
         // What is known now is out of date once leadership has been lost.
--- a/crates/gannethub-core/src/controller/election/tests.rs
+++ b/crates/gannethub-core/src/controller/election/tests.rs
@@ -2,12 +2,12 @@
 
 const TTL: Micros = 3 * SECOND;
 
-fn rec(name: &str, term: u64) -> Option<(LeadRecord, u64)> {
+fn rec(name: &str, term: u64) -> Option<(LeaseRecord, u64)> {
     Some((
-        LeadRecord {
-            holder: name.into(),
+        LeaseRecord {
+            owner: name.into(),
             term,
-            marked: true,
+            watermarks_reliable: true,
         },
         term + 10,
     ))
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -7,8 +7,8 @@
 use super::shard_owner::HeartbeatAnswer;
 use crate::http::Response;
 use crate::model::Micros;
-use crate::wire::peer::{Body, Relay, Relayed};
-use crate::wire::worker::ReportElsewhere;
+use crate::wire::peer::{Body, RelayAnswer, RelayHeartbeat};
+use crate::wire::worker::HeartbeatRedirect;
 
 const RELAY_TIMEOUT: Micros = 1_500_000;
 /// Machines whose holders are remembered.
@@ -87,7 +87,12 @@
         let port = &mut self.outbox;
         let other = self.membership.peer_accepting_heartbeats(port);
         let report_to = other.map(|i| port.settings.siblings[i].name.as_str());
-        let response = Response::json(421, &ReportElsewhere { report_to });
+        let response = Response::json(
+            421,
+            &HeartbeatRedirect {
+                controller: report_to,
+            },
+        );
         port.reply(conn, response);
     }
 
@@ -99,7 +104,13 @@
         port.reply_deadlines.insert(conn, until);
         self.relayed_heartbeats
             .insert(id, (conn, until, report.clone()));
-        port.send_to_peer(to, Body::Relay(Relay { id, report }));
+        port.send_to_peer(
+            to,
+            Body::RelayHeartbeat(RelayHeartbeat {
+                id,
+                heartbeat: report,
+            }),
+        );
     }
 
     /// Answers a report of a machine whose block is held here.
@@ -142,7 +153,7 @@
                     // Its holder is not known, or does not know of the machine yet.
                     _ => HeartbeatRoute::Immediate(
                         421,
-                        Response::json(421, &ReportElsewhere { report_to: None }).body,
+                        Response::json(421, &HeartbeatRedirect { controller: None }).body,
                     ),
                 }
             }
@@ -165,12 +176,12 @@
         match from {
             HeartbeatSender::Worker(conn) => self.outbox.reply(conn, busy),
             HeartbeatSender::Peer(i, id) => {
-                let reply = Relayed {
+                let reply = RelayAnswer {
                     id,
                     status: 503,
                     body: busy.body,
                 };
-                self.outbox.send_to_peer(i, Body::Relayed(reply));
+                self.outbox.send_to_peer(i, Body::RelayAnswer(reply));
             }
         }
     }
@@ -197,39 +208,52 @@
                     self.handle_heartbeat(conn, report);
                 }
                 HeartbeatSender::Worker(_) => {}
-                HeartbeatSender::Peer(i, id) => self.handle_relay(i, Relay { id, report }),
+                HeartbeatSender::Peer(i, id) => self.handle_relay(
+                    i,
+                    RelayHeartbeat {
+                        id,
+                        heartbeat: report,
+                    },
+                ),
             }
         }
     }
 
     /// A sibling passes on a report.
-    pub(super) fn handle_relay(&mut self, from: usize, relay: Relay) {
-        let (status, body) = match self.answer_locally(&relay.report) {
+    pub(super) fn handle_relay(&mut self, from: usize, relay: RelayHeartbeat) {
+        let (status, body) = match self.answer_locally(&relay.heartbeat) {
             HeartbeatRoute::Immediate(status, body) => (status, body),
             HeartbeatRoute::OtherOwner(Some(i), _) => {
                 let report_to = Some(self.outbox.settings.siblings[i].name.as_str());
                 (
                     421,
-                    Response::json(421, &ReportElsewhere { report_to }).body,
+                    Response::json(
+                        421,
+                        &HeartbeatRedirect {
+                            controller: report_to,
+                        },
+                    )
+                    .body,
                 )
             }
             HeartbeatRoute::OtherOwner(None, _) => {
                 (404, Response::error(404, "not held here").body)
             }
             HeartbeatRoute::AfterLoad => {
-                return self.defer_heartbeat(HeartbeatSender::Peer(from, relay.id), relay.report);
+                return self
+                    .defer_heartbeat(HeartbeatSender::Peer(from, relay.id), relay.heartbeat);
             }
         };
-        let reply = Relayed {
+        let reply = RelayAnswer {
             id: relay.id,
             status: u32::from(status),
             body,
         };
-        self.outbox.send_to_peer(from, Body::Relayed(reply));
+        self.outbox.send_to_peer(from, Body::RelayAnswer(reply));
     }
 
     /// A sibling has answered a report that was passed on to it.
-    pub(super) fn handle_relay_answer(&mut self, from: usize, reply: Relayed) {
+    pub(super) fn handle_relay_answer(&mut self, from: usize, reply: RelayAnswer) {
         let Some((conn, _, report)) = self.relayed_heartbeats.remove(&reply.id) else {
             return;
         };
--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -11,7 +11,7 @@
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
 use crate::wire::budget::Urgency;
-use crate::wire::peer::{Body, PromiseAsk};
+use crate::wire::peer::{Body, VoteRequest};
 use crate::wire::store::StoreRequest;
 
 /// Promises are asked for this often while the grant runs low.
@@ -114,7 +114,7 @@
             };
             port.send_to_store(
                 Urgency::Renewal,
-                StoreRequest::renew(self.store_lease),
+                StoreRequest::renew_lease(self.store_lease),
                 purpose,
             );
         }
@@ -122,14 +122,14 @@
         if self.validity.is_running_low(now) && now >= self.vote_request_at && siblings > 0 {
             self.vote_request_at = now + VOTE_REQUEST_INTERVAL;
             let (round, term) = (self.validity.start_vote_round(now, siblings), self.term);
-            let ask = PromiseAsk {
+            let ask = VoteRequest {
                 round,
                 term,
-                micros: VOTE_DURATION,
-                block: self.shard,
-                known,
+                duration: VOTE_DURATION,
+                shard: self.shard,
+                known_version: known,
             };
-            (0..siblings).for_each(|i| port.send_to_peer(i, Body::PromiseAsk(ask.clone())));
+            (0..siblings).for_each(|i| port.send_to_peer(i, Body::VoteRequest(ask.clone())));
         }
     }
 
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -13,10 +13,11 @@
 use crate::state::shard_load::ShardLoad;
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{
-    BlockTold, Body, Heartbeat, Marks, OfferTold, Promise, PromiseAsk, TeamTold,
+    Body, Heartbeat, OfferAmount, ShardStatus, TeamStatus, Vote, VoteRequest, WatermarkCheck,
 };
 use crate::wire::store::{
-    self, COUNT, Commit, Granted, HOLDER, LEAD, LeadRecord, Listing, StoreRequest, TERM,
+    self, LEADER_KEY, LEADER_PREFIX, LeaseGranted, LeaseRecord, Listing, StoreRequest,
+    TERM_COUNTER_KEY, TERM_KEY, Transaction,
 };
 
 const HEARTBEAT_INTERVAL: Micros = 500_000;
@@ -51,7 +52,7 @@
     /// How its own blocks stood when it last told.
     own_loads: Vec<ShardLoad>,
     /// The highest term of any block, where there are several.
-    term_counter: Option<(LeadRecord, u64)>,
+    term_counter: Option<(LeaseRecord, u64)>,
     probe_in_flight: bool,
     probe_at: Micros,
     heartbeat_at: Micros,
@@ -102,13 +103,13 @@
         let mut holder = None;
         let (mut term, mut count) = (None, None);
         for item in &listing.items {
-            let Some(record) = item.record::<LeadRecord>() else {
+            let Some(record) = item.decode::<LeaseRecord>() else {
                 return;
             };
-            match item.k.as_str() {
-                COUNT => count = Some((record, item.stamp)),
-                HOLDER => holder = Some((record, item.stamp)),
-                TERM => term = Some((record, item.stamp)),
+            match item.key.as_str() {
+                TERM_COUNTER_KEY => count = Some((record, item.version)),
+                LEADER_KEY => holder = Some((record, item.version)),
+                TERM_KEY => term = Some((record, item.version)),
                 _ => {}
             }
         }
@@ -123,14 +124,14 @@
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        let granted = decode_ok::<Granted>(answer);
+        let granted = decode_ok::<LeaseGranted>(answer);
         let Some(granted) = granted else {
             self.election.attempt_in_progress = false;
             return;
         };
         if !self.election.is_eligible(port.clock.now) {
             self.election.attempt_in_progress = false;
-            return port.revoke_store_lease(0, granted.permit);
+            return port.revoke_store_lease(0, granted.lease_id);
         }
         let (holder, term, last) = self.election.versions();
         // What this leader knows of marks, its own successor will: if it does not go by them, nobody is to until
@@ -138,26 +139,33 @@
         let marked = self.election.watermarks_reliable();
         let counted = self.term_counter.as_ref().map_or(0, |c| c.0.term);
         let next = last.max(counted) + 1;
-        let record = LeadRecord {
-            holder: port.settings.name.clone(),
+        let record = LeaseRecord {
+            owner: port.settings.name.clone(),
             term: next,
-            marked,
+            watermarks_reliable: marked,
         };
-        let mut commit = Commit::default();
-        commit.guard(HOLDER, holder);
-        commit.guard(TERM, term);
-        commit.guard(COUNT, self.term_counter.as_ref().map_or(0, |c| c.1));
+        let mut commit = Transaction::default();
+        commit.guard(LEADER_KEY, holder);
+        commit.guard(TERM_KEY, term);
+        commit.guard(
+            TERM_COUNTER_KEY,
+            self.term_counter.as_ref().map_or(0, |c| c.1),
+        );
         if self.term_counter.is_some() {
-            commit.put(COUNT, store::raw(&record), None);
+            commit.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
         }
-        commit.put(HOLDER, store::raw(&record), Some(granted.permit));
-        commit.put(TERM, store::raw(&record), None);
+        commit.put(
+            LEADER_KEY,
+            store::to_raw_value(&record),
+            Some(granted.lease_id),
+        );
+        commit.put(TERM_KEY, store::to_raw_value(&record), None);
         let purpose = PendingRequest::TakeOver {
             record,
-            store_lease: granted.permit,
+            store_lease: granted.lease_id,
             sent_at: sent,
         };
-        port.send_to_store(Urgency::Renewal, commit.request(), purpose);
+        port.send_to_store(Urgency::Renewal, commit.to_request(), purpose);
     }
 
     /// Tells all siblings how it stands, every so often. True: it was time to.
@@ -183,15 +191,15 @@
             .flatten()
             .map(|(o, left)| encode_offer(flavors, &o, left / 1000));
         let beat = Heartbeat {
-            leading: leader.map_or(0, |h| h.lease.term),
-            state_ok: port.is_store_reachable(),
-            takes_reports: leader.is_some() || self.leading_peer(port).is_some(),
-            running: holders.values().flat_map(|h| h.running_jobs()).collect(),
-            blocks: own.iter().map(|l| encode_shard_load(flavors, l)).collect(),
-            refused: refused.collect(),
-            configurable: true,
-            configuration: port.configuration.version(),
-            newest_configuration: port.configuration.newest_version(),
+            leading_term: leader.map_or(0, |h| h.lease.term),
+            store_reachable: port.is_store_reachable(),
+            accepts_heartbeats: leader.is_some() || self.leading_peer(port).is_some(),
+            running_jobs: holders.values().flat_map(|h| h.running_jobs()).collect(),
+            shards: own.iter().map(|l| encode_shard_load(flavors, l)).collect(),
+            refused_offers: refused.collect(),
+            supports_configuration: true,
+            configuration_version: port.configuration.version(),
+            newest_configuration_version: port.configuration.newest_version(),
         };
         self.own_loads = own;
         for i in 0..self.peers.len() {
@@ -246,19 +254,20 @@
     pub fn tick(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
         if let Some(term) = self.election.watermark_query_due(now) {
-            let ask = Marks {
+            let ask = WatermarkCheck {
                 term,
-                life: self.incarnation,
-                block: 0,
+                incarnation: self.incarnation,
+                shard: 0,
             };
-            (0..self.peers.len()).for_each(|i| port.send_to_peer(i, Body::MarksAsk(ask.clone())));
+            (0..self.peers.len())
+                .for_each(|i| port.send_to_peer(i, Body::WatermarkQuery(ask.clone())));
         }
         if !self.probe_in_flight && now >= self.probe_at {
             self.probe_in_flight = true;
             self.probe_at = now + PROBE_INTERVAL;
             port.send_to_store(
                 Urgency::Renewal,
-                StoreRequest::list(LEAD, ""),
+                StoreRequest::list(LEADER_PREFIX, ""),
                 PendingRequest::ProbeLeader,
             );
         }
@@ -267,7 +276,7 @@
         }
         if !port.machine_types.is_empty() && self.election.may_campaign(now) {
             self.election.attempt_in_progress = true;
-            let request = StoreRequest::grant(port.store_lease_ttl());
+            let request = StoreRequest::acquire_lease(port.store_lease_ttl());
             port.send_to_store(
                 Urgency::Renewal,
                 request,
@@ -294,20 +303,22 @@
     }
 
     pub fn handle_heartbeat(&mut self, port: &mut Outbox, i: usize, beat: Heartbeat) {
-        port.is_sharded |= !beat.blocks.is_empty();
+        port.is_sharded |= !beat.shards.is_empty();
         let sibling = &mut self.peers[i];
         sibling.shard_loads = beat
-            .blocks
+            .shards
             .iter()
             .map(|b| decode_shard_load(&port.machine_types, b, i))
             .collect();
-        sibling.leading_term = beat.leading;
-        sibling.configuration_version = beat.configurable.then_some(beat.configuration);
+        sibling.leading_term = beat.leading_term;
+        sibling.configuration_version = beat
+            .supports_configuration
+            .then_some(beat.configuration_version);
         port.configuration
-            .record_peer_version(beat.newest_configuration);
-        sibling.store_reachable = beat.state_ok;
-        sibling.accepts_heartbeats = beat.takes_reports;
-        let running = beat.running.into_iter();
+            .record_peer_version(beat.newest_configuration_version);
+        sibling.store_reachable = beat.store_reachable;
+        sibling.accepts_heartbeats = beat.accepts_heartbeats;
+        let running = beat.running_jobs.into_iter();
         sibling.running_jobs = running.map(|r| (r.job, (r.tasks, r.done))).collect();
     }
 
@@ -319,12 +330,12 @@
         candidacy: &mut Election,
         copy: &JobReplica,
         i: usize,
-        ask: &PromiseAsk,
+        ask: &VoteRequest,
     ) {
-        let micros = ask.micros.min(VOTE_DURATION);
+        let micros = ask.duration.min(VOTE_DURATION);
         if port.is_store_failing() && candidacy.vote(ask.term, port.clock.now, micros) {
-            let (round, term, block) = (ask.round, ask.term, ask.block);
-            let asked = Some(ask.known).filter(|known| *known > 0);
+            let (round, term, block) = (ask.round, ask.term, ask.shard);
+            let asked = Some(ask.known_version).filter(|known| *known > 0);
             let since = asked
                 .into_iter()
                 .flat_map(|known| copy.cancelled_since(known));
@@ -338,18 +349,18 @@
             ids.dedup();
             // A process that has not read the state does not know what an earlier one of its name has confirmed.
             let knows = asked.is_some() && copy.version().is_some() && all;
-            let (count, cancelled) = (ids.len() as u32, store::encode_ids(&ids));
+            let (count, cancelled) = (ids.len() as u32, store::encode_job_ids(&ids));
             let configuration = port.configuration.newest_version();
-            let promise = Promise {
+            let promise = Vote {
                 round,
                 term,
-                block,
-                knows,
-                cancelled,
-                count,
-                configuration,
+                shard: block,
+                knows_cancellations: knows,
+                cancelled_jobs: cancelled,
+                cancelled_count: count,
+                configuration_version: configuration,
             };
-            port.send_to_peer(i, Body::Promise(promise));
+            port.send_to_peer(i, Body::Vote(promise));
         }
     }
 
@@ -358,7 +369,7 @@
         port: &mut Outbox,
         candidacy: &Election,
         i: usize,
-        ask: Marks,
+        ask: WatermarkCheck,
         holder: Option<&ShardOwner>,
     ) {
         let leads = holder.filter(|h| h.lease.term == ask.term);
@@ -367,26 +378,26 @@
             None => candidacy.knows_watermarks_hold(ask.term),
         };
         if holds {
-            port.send_to_peer(i, Body::MarksHold(ask));
+            port.send_to_peer(i, Body::WatermarkConfirmation(ask));
         }
     }
 }
 
-fn encode_offer(flavors: &[MachineType], offer: &Offer, number: u64) -> OfferTold {
+fn encode_offer(flavors: &[MachineType], offer: &Offer, number: u64) -> OfferAmount {
     let flavor = flavors
         .get(offer.machine_type)
         .map_or(String::new(), |f| f.name.to_string());
-    OfferTold {
-        flavor,
+    OfferAmount {
+        machine_type: flavor,
         zone: offer.zone.clone(),
         spot: offer.spot,
-        number,
+        amount: number,
     }
 }
 
 /// The offer that a sibling means, if its type of machine is known here.
-pub(super) fn decode_offer(flavors: &[MachineType], told: &OfferTold) -> Option<Offer> {
-    let flavor = flavors.iter().position(|f| *f.name == *told.flavor)?;
+pub(super) fn decode_offer(flavors: &[MachineType], told: &OfferAmount) -> Option<Offer> {
+    let flavor = flavors.iter().position(|f| *f.name == *told.machine_type)?;
     Some(Offer {
         machine_type: flavor,
         zone: told.zone.clone(),
@@ -394,29 +405,29 @@
     })
 }
 
-fn encode_shard_load(flavors: &[MachineType], load: &ShardLoad) -> BlockTold {
-    let teams = load.teams.iter().map(|(used, waits)| TeamTold {
+fn encode_shard_load(flavors: &[MachineType], load: &ShardLoad) -> ShardStatus {
+    let teams = load.teams.iter().map(|(used, waits)| TeamStatus {
         used_cpu: used.cpu,
         used_gpu: used.gpu,
-        waits_cpu: waits.cpu,
-        waits_gpu: waits.gpu,
+        waiting_cpu: waits.cpu,
+        waiting_gpu: waits.gpu,
     });
     let wants = load
         .machine_demand
         .iter()
         .map(|(offer, n)| encode_offer(flavors, offer, u64::from(*n)));
-    BlockTold {
-        block: load.shard,
+    ShardStatus {
+        shard: load.shard,
         term: load.term,
-        backlog: load.backlog_cpu,
-        waiting: load.waiting_cpu,
-        free: load.free_cpu,
+        backlog_cpu: load.backlog_cpu,
+        waiting_cpu: load.waiting_cpu,
+        free_cpu: load.free_cpu,
         teams: teams.collect(),
-        wants: wants.collect(),
+        machine_demand: wants.collect(),
     }
 }
 
-fn decode_shard_load(flavors: &[MachineType], b: &BlockTold, i: usize) -> ShardLoad {
+fn decode_shard_load(flavors: &[MachineType], b: &ShardStatus, i: usize) -> ShardLoad {
     let amount = |cpu: i64, gpu: i64| Resources {
         cpu: cpu.max(0),
         gpu: gpu.max(0),
@@ -427,20 +438,20 @@
         .map(|t| {
             (
                 amount(t.used_cpu, t.used_gpu),
-                amount(t.waits_cpu, t.waits_gpu),
+                amount(t.waiting_cpu, t.waiting_gpu),
             )
         })
         .collect();
-    let want = |o: &OfferTold| Some((decode_offer(flavors, o)?, u32::try_from(o.number).ok()?));
+    let want = |o: &OfferAmount| Some((decode_offer(flavors, o)?, u32::try_from(o.amount).ok()?));
     ShardLoad {
-        shard: b.block,
+        shard: b.shard,
         term: b.term,
         owner: Some(i),
-        backlog_cpu: b.backlog,
-        waiting_cpu: b.waiting,
-        free_cpu: b.free,
+        backlog_cpu: b.backlog_cpu,
+        waiting_cpu: b.waiting_cpu,
+        free_cpu: b.free_cpu,
         teams,
-        machine_demand: b.wants.iter().filter_map(want).collect(),
+        machine_demand: b.machine_demand.iter().filter_map(want).collect(),
     }
 }
 
--- a/crates/gannethub-core/src/controller/membership/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -6,7 +6,7 @@
 use crate::controller::outbox::{Clock, Effect};
 use crate::settings::Settings;
 use crate::settings::tests::SAMPLE;
-use crate::wire::peer::{Envelope, MAX_FRAME, encode};
+use crate::wire::peer::{Envelope, MAX_FRAME_BYTES, encode_frame};
 
 /// A copy with so many jobs that are cancelled, from version 10 on.
 fn copy(cancelled: usize) -> JobReplica {
@@ -32,7 +32,7 @@
 }
 
 /// What a controller with this copy answers a sibling that has seen all changes up to `known`.
-fn promise(copy: &JobReplica, known: u64) -> (Promise, usize) {
+fn promise(copy: &JobReplica, known: u64) -> (Vote, usize) {
     let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
     let clock = Clock {
         now: 100 * SECOND,
@@ -40,21 +40,21 @@
     };
     let mut port = Outbox::new(Arc::new(settings), clock);
     let mut candidacy = Election::new("n0", 0);
-    let ask = PromiseAsk {
+    let ask = VoteRequest {
         round: 3,
         term: 2,
-        micros: VOTE_DURATION,
-        block: 0,
-        known,
+        duration: VOTE_DURATION,
+        shard: 0,
+        known_version: known,
     };
     Membership::handle_vote_request(&mut port, &mut candidacy, copy, 0, &ask);
     let Some(Effect::PeerMessage { message, .. }) = port.effects.pop() else {
         panic!("it says nothing")
     };
     let mut frame = BytesMut::new();
-    encode(&message, &mut frame);
+    encode_frame(&message, &mut frame);
     let Envelope {
-        body: Some(Body::Promise(promise)),
+        body: Some(Body::Vote(promise)),
         ..
     } = message
     else {
@@ -66,16 +66,16 @@
 #[test]
 fn a_promise_tells_what_the_asker_may_not_know() {
     let (p, _) = promise(&copy(20), 15);
-    assert!(p.knows && p.round == 3 && p.term == 2);
-    assert_eq!(p.count, 14);
-    assert_eq!(store::decode_ids(&p.cancelled).len(), 14);
+    assert!(p.knows_cancellations && p.round == 3 && p.term == 2);
+    assert_eq!(p.cancelled_count, 14);
+    assert_eq!(store::decode_job_ids(&p.cancelled_jobs).len(), 14);
     // A cancellation that was stored here since the copy was last brought up to the present.
     let mut copy = copy(2);
     copy.record_cancellation("j-000777".into(), 90_001);
     let (p, _) = promise(&copy, 90_000);
-    assert!(p.knows && p.cancelled == "6:777" && p.count == 1);
+    assert!(p.knows_cancellations && p.cancelled_jobs == "6:777" && p.cancelled_count == 1);
     assert_eq!(
-        promise(&copy, 90_001).0.count,
+        promise(&copy, 90_001).0.cancelled_count,
         0,
         "the asker has read that one"
     );
@@ -84,10 +84,15 @@
 #[test]
 fn a_promise_does_not_claim_more_than_it_knows_or_can_say() {
     let (p, size) = promise(&copy(MAX_CANCELLATIONS_PER_VOTE), 5);
-    assert!(p.knows && size < MAX_FRAME, "{size} bytes");
+    assert!(
+        p.knows_cancellations && size < MAX_FRAME_BYTES,
+        "{size} bytes"
+    );
     let (p, size) = promise(&copy(MAX_CANCELLATIONS_PER_VOTE + 1), 5);
     assert!(
-        !p.knows && p.count == MAX_CANCELLATIONS_PER_VOTE as u32 && size < MAX_FRAME,
+        !p.knows_cancellations
+            && p.cancelled_count == MAX_CANCELLATIONS_PER_VOTE as u32
+            && size < MAX_FRAME_BYTES,
         "{size} bytes"
     );
     // Nothing has been read in this life: an earlier one may have confirmed anything.
@@ -95,10 +100,10 @@
     unread.record_cancellation("j-000777".into(), 100);
     let (p, _) = promise(&unread, 5);
     assert!(
-        !p.knows && p.cancelled == "6:777",
+        !p.knows_cancellations && p.cancelled_jobs == "6:777",
         "what it knows it tells all the same"
     );
     // The version before does not say what it has seen.
     let (p, _) = promise(&copy(20), 0);
-    assert!(!p.knows && p.count == 0);
+    assert!(!p.knows_cancellations && p.cancelled_count == 0);
 }
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -46,8 +46,10 @@
 use crate::state::usage_replica::UsageReplica;
 use crate::wire::api::{self, Route};
 use crate::wire::cloud::{self, CloudRequest};
-use crate::wire::peer::{Body, Changed, Envelope, OfferTold, OpenTabs, Promise, TabsAsk};
-use crate::wire::store::{self, Committed, LeadRecord};
+use crate::wire::peer::{
+    Body, Envelope, JobChanged, OfferAmount, UsageRecords, UsageRecordsRequest, Vote,
+};
+use crate::wire::store::{self, Committed, LeaseRecord};
 
 const TICK_INTERVAL: Micros = 50_000;
 /// A controller that waits for nothing but the next heartbeat looks at its clock at least this often.
@@ -168,7 +170,7 @@
             && !port.is_sharded
             && !self.store_answered
             && port.reply_deadlines.is_empty()
-            && port.budget.queued() == 0
+            && port.budget.queued_requests() == 0
             && self.membership.leading_peer(port).is_some();
         if !stands_by {
             return TICK_INTERVAL;
@@ -255,7 +257,7 @@
         // launched here from then on.
         for id in self.job_api.job_replica.take_new_cancellations() {
             for holder in self.shard_owners.values_mut() {
-                holder.cluster.cancelled_elsewhere(&id);
+                holder.cluster.apply_remote_cancellation(&id);
             }
         }
     }
@@ -265,19 +267,19 @@
         for holder in self.shard_owners.values_mut() {
             holder.expect_change(&self.outbox, id, stamp);
         }
-        let told = Changed {
+        let told = JobChanged {
             job: id.to_string(),
-            stamp,
+            version: stamp,
         };
         if self.outbox.is_sharded {
             let all = 0..self.membership.peers.len();
-            all.for_each(|i| self.outbox.send_to_peer(i, Body::Changed(told.clone())));
+            all.for_each(|i| self.outbox.send_to_peer(i, Body::JobChanged(told.clone())));
         } else if let Some(i) = self
             .membership
             .leading_peer(&self.outbox)
             .filter(|_| self.shard_owners.is_empty())
         {
-            self.outbox.send_to_peer(i, Body::Changed(told));
+            self.outbox.send_to_peer(i, Body::JobChanged(told));
         }
     }
 
@@ -308,7 +310,7 @@
         if self.outbox.machine_types.is_empty() && now >= self.machine_types_request_at {
             self.machine_types_request_at = now + 2 * SECOND;
             self.outbox
-                .call_cloud(0, CloudCall::MachineTypes, CloudRequest::flavors());
+                .call_cloud(0, CloudCall::MachineTypes, CloudRequest::machine_types());
         }
         if !self.shard_owners.contains_key(&0) {
             self.membership.tick(&mut self.outbox);
@@ -348,7 +350,7 @@
         }
         let now = self.outbox.clock.now;
         for holder in self.shard_owners.values_mut().filter(|h| h.lease.shard > 0) {
-            holder.cluster.told_refused(refused.clone(), now);
+            holder.cluster.apply_refused_offers(refused.clone(), now);
         }
         // A block that is one too many gets no more work.
         loads.retain(|l| l.shard < most);
@@ -365,7 +367,7 @@
             .get_mut(&0)
             .map(|h| h.cluster.usage_messages(now));
         for (i, tabs) in tabs.into_iter().flatten() {
-            self.outbox.send_to_peer(i, Body::OpenTabs(tabs));
+            self.outbox.send_to_peer(i, Body::UsageRecords(tabs));
         }
     }
 
@@ -393,7 +395,7 @@
                 port.reply(conn, response);
             }
             Route::Configuration => self.show_configuration(conn),
-            Route::Report => self.handle_heartbeat(conn, request.body),
+            Route::Heartbeat => self.handle_heartbeat(conn, request.body),
             Route::Ledger { page, team } => intake.read_ledger(port, conn, page, team),
             Route::Submit => intake.submit(port, conn, &request.body),
             Route::Query(id) | Route::Cancel(id) if !is_valid_job_id(id) => {
@@ -402,7 +404,7 @@
             Route::Query(id) => intake.query(port, conn, id.into()),
             Route::Cancel(id) => {
                 port.reply_deadlines.insert(conn, now + SUBMIT_TIMEOUT);
-                let wait = port.budget.wait();
+                let wait = port.budget.change_wait();
                 if wait > QUERY_TIMEOUT {
                     return port.reply_overloaded(conn, wait);
                 }
@@ -431,43 +433,43 @@
             .for_each(|h| h.last_heard_at = Some(now));
         match message.body {
             Some(Body::Heartbeat(beat)) => {
-                self.usage_replica.leader_heard(beat.leading, now);
-                if beat.leading > 0 {
-                    let offer = |o: &OfferTold| {
-                        Some((decode_offer(&port.machine_types, o)?, o.number * 1000))
+                self.usage_replica.leader_heard(beat.leading_term, now);
+                if beat.leading_term > 0 {
+                    let offer = |o: &OfferAmount| {
+                        Some((decode_offer(&port.machine_types, o)?, o.amount * 1000))
                     };
                     let refused: Vec<(Offer, Micros)> =
-                        beat.refused.iter().filter_map(offer).collect();
+                        beat.refused_offers.iter().filter_map(offer).collect();
                     for holder in self.shard_owners.values_mut().filter(|h| h.lease.shard > 0) {
-                        holder.cluster.told_refused(refused.clone(), now);
+                        holder.cluster.apply_refused_offers(refused.clone(), now);
                     }
                 }
                 self.membership.handle_heartbeat(port, i, beat);
             }
-            Some(Body::Relay(relay)) => self.handle_relay(i, relay),
-            Some(Body::Relayed(reply)) => self.handle_relay_answer(i, reply),
-            Some(Body::PromiseAsk(ask)) => {
+            Some(Body::RelayHeartbeat(relay)) => self.handle_relay(i, relay),
+            Some(Body::RelayAnswer(reply)) => self.handle_relay_answer(i, reply),
+            Some(Body::VoteRequest(ask)) => {
                 let seats = &mut self.shard_assignments.assignments;
-                let candidacy = match ask.block {
+                let candidacy = match ask.shard {
                     0 => Some(&mut self.membership.election),
                     b => seats.get_mut(&b).map(|s| &mut s.election),
                 };
-                let free = !self.shard_owners.contains_key(&ask.block);
+                let free = !self.shard_owners.contains_key(&ask.shard);
                 if let Some(candidacy) = candidacy.filter(|_| free) {
                     let copy = &self.job_api.job_replica;
                     Membership::handle_vote_request(port, candidacy, copy, i, &ask);
                 }
             }
-            Some(Body::Promise(promise)) => self.handle_vote(i, &promise),
-            Some(Body::Changed(changed)) if is_valid_job_id(&changed.job) => {
+            Some(Body::Vote(promise)) => self.handle_vote(i, &promise),
+            Some(Body::JobChanged(changed)) if is_valid_job_id(&changed.job) => {
                 for holder in self.shard_owners.values_mut() {
-                    holder.expect_change(port, &changed.job, changed.stamp);
+                    holder.expect_change(port, &changed.job, changed.version);
                 }
             }
-            Some(Body::OpenTabs(tabs)) if port.settings.ledger.is_some() => {
+            Some(Body::UsageRecords(tabs)) if port.settings.ledger.is_some() => {
                 self.handle_usage_records(i, tabs);
             }
-            Some(Body::TabsAsk(ask)) => {
+            Some(Body::UsageRecordsRequest(ask)) => {
                 let asked = self
                     .shard_owners
                     .values_mut()
@@ -476,9 +478,9 @@
                     holder.cluster.resend_all_usage(i);
                 }
             }
-            Some(Body::MarksAsk(ask)) => {
-                let holder = self.shard_owners.get(&ask.block).map(|h| &**h);
-                let candidacy = match ask.block {
+            Some(Body::WatermarkQuery(ask)) => {
+                let holder = self.shard_owners.get(&ask.shard).map(|h| &**h);
+                let candidacy = match ask.shard {
                     0 => Some(&self.membership.election),
                     b => self
                         .shard_assignments
@@ -490,12 +492,15 @@
                     Membership::handle_watermark_query(port, candidacy, i, ask, holder);
                 }
             }
-            Some(Body::MarksHold(told)) if told.life == self.membership.incarnation => {
-                if let Some(candidacy) = self.election(told.block) {
+            Some(Body::WatermarkConfirmation(told))
+                if told.incarnation == self.membership.incarnation =>
+            {
+                if let Some(candidacy) = self.election(told.shard) {
                     candidacy.confirm_watermarks(told.term);
                 }
             }
-            Some(Body::Changed(_) | Body::OpenTabs(_) | Body::MarksHold(_)) | None => {}
+            Some(Body::JobChanged(_) | Body::UsageRecords(_) | Body::WatermarkConfirmation(_))
+            | None => {}
         }
     }
 
@@ -511,29 +516,32 @@
         }
     }
 
-    fn handle_vote(&mut self, i: usize, promise: &Promise) {
-        let block = promise.block;
+    fn handle_vote(&mut self, i: usize, promise: &Vote) {
+        let block = promise.shard;
         let asked = self
             .shard_owners
             .get_mut(&block)
             .filter(|h| h.lease.term == promise.term);
         let Some(holder) = asked else { return };
-        let ids = store::decode_ids(&promise.cancelled);
+        let ids = store::decode_job_ids(&promise.cancelled_jobs);
         for id in &ids {
-            holder.cluster.cancelled_elsewhere(id);
+            holder.cluster.apply_remote_cancellation(id);
         }
         // What cannot be read in full tells nothing for certain.
-        let whole = ids.len() == promise.count as usize;
+        let whole = ids.len() == promise.cancelled_count as usize;
         let sibling = &mut self.membership.peers[i];
         if !whole && !std::mem::replace(&mut sibling.malformed_vote_logged, true) {
-            let (from, told) = (&self.outbox.settings.siblings[i].name, promise.count);
+            let (from, told) = (
+                &self.outbox.settings.siblings[i].name,
+                promise.cancelled_count,
+            );
             tracing::warn!(%from, told, read = ids.len(), "a promise makes no sense in part");
         }
         // A newer version than is known here cannot be read now: nothing is started until it can.
         self.outbox
             .configuration
-            .record_peer_version(promise.configuration);
-        let knows = promise.knows && whole;
+            .record_peer_version(promise.configuration_version);
+        let knows = promise.knows_cancellations && whole;
         if knows
             && let Some(at) = holder
                 .lease
@@ -546,7 +554,7 @@
                 .job_replica
                 .cancelled_since(holder.watched_version)
             {
-                holder.cluster.cancelled_elsewhere(id);
+                holder.cluster.apply_remote_cancellation(id);
             }
             holder.lease.cancellations_known(at);
             self.outbox.configuration.confirm_newest(at);
@@ -563,21 +571,21 @@
         }
     }
 
-    fn handle_usage_records(&mut self, i: usize, tabs: OpenTabs) {
+    fn handle_usage_records(&mut self, i: usize, tabs: UsageRecords) {
         let port = &mut self.outbox;
         let off = port
             .settings
             .ledger
             .as_ref()
             .map_or(0, |l| l.settings.clock_off);
-        let late = port.clock.unix_time.saturating_sub(tabs.at);
+        let late = port.clock.unix_time.saturating_sub(tabs.sent_at);
         // What two clocks may be apart does not count.
         let late = if late > off + SECOND { late } else { 0 };
         let term = tabs.term;
         if !self.shard_owners.contains_key(&0)
             && self.usage_replica.apply(tabs, port.clock.now, late)
         {
-            port.send_to_peer(i, Body::TabsAsk(TabsAsk { term }));
+            port.send_to_peer(i, Body::UsageRecordsRequest(UsageRecordsRequest { term }));
         }
     }
 
@@ -774,7 +782,7 @@
 
     fn handle_takeover_answer(
         &mut self,
-        record: LeadRecord,
+        record: LeaseRecord,
         grant: u64,
         sent: Micros,
         answer: Option<(u16, Bytes)>,
@@ -789,12 +797,10 @@
         let Some(stamp) = stamp else {
             return standing.takeover_failed(port, grant, answer.map(|a| a.0));
         };
-        let (term, trusted) = (record.term, record.marked);
+        let (term, trusted) = (record.term, record.watermarks_reliable);
         tracing::info!(term, trusted, "leading");
-        let lease = ShardLease::new(0, term, grant, stamp.ledger_no, sent, port);
-        standing
-            .election
-            .takeover_succeeded(record, stamp.ledger_no);
+        let lease = ShardLease::new(0, term, grant, stamp.version, sent, port);
+        standing.election.takeover_succeeded(record, stamp.version);
         let (settings, flavors) = (port.settings.clone(), port.machine_types.clone());
         let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.unix_time);
         cluster.set_watermarks_reliable(trusted);
@@ -809,7 +815,7 @@
     fn handle_shard_takeover_answer(
         &mut self,
         block: u32,
-        record: LeadRecord,
+        record: LeaseRecord,
         grant: u64,
         sent: Micros,
         answer: Option<(u16, Bytes)>,
@@ -829,10 +835,10 @@
                 .shard_assignments
                 .takeover_failed(port, block, grant, status);
         };
-        let (term, trusted) = (record.term, record.marked);
+        let (term, trusted) = (record.term, record.watermarks_reliable);
         tracing::info!(block, term, trusted, "holds a block");
-        seat.election.takeover_succeeded(record, stamp.ledger_no);
-        let lease = ShardLease::new(block, term, grant, stamp.ledger_no, sent, port);
+        seat.election.takeover_succeeded(record, stamp.version);
+        let lease = ShardLease::new(block, term, grant, stamp.version, sent, port);
         let (settings, flavors) = (port.settings.clone(), port.machine_types.clone());
         let now = port.clock.now;
         let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.unix_time);
@@ -851,7 +857,7 @@
         if term == 0 {
             let flavors = answer
                 .filter(|a| a.0 == 200)
-                .and_then(|a| cloud::parse_flavors(&a.1));
+                .and_then(|a| cloud::parse_machine_types(&a.1));
             if let Some(flavors) = flavors {
                 self.outbox.machine_types = Arc::new(flavors);
             }
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -17,10 +17,10 @@
 use crate::state::shard_load::{self, ShardLoad};
 use crate::state::writes::WriteBatch;
 use crate::wire::api::{JobView, Refusal};
-use crate::wire::budget::{Budget, Urgency};
+use crate::wire::budget::{RequestBudget, Urgency};
 use crate::wire::cloud::CloudRequest;
 use crate::wire::peer::{Body, Envelope};
-use crate::wire::store::{LeadRecord, StoreRequest};
+use crate::wire::store::{LeaseRecord, StoreRequest};
 
 /// The state service is asked at least this often, and counts as gone after three times as long without an answer.
 pub(super) const PROBE_INTERVAL: Micros = 500_000;
@@ -89,7 +89,7 @@
         sent_at: Micros,
     },
     TakeOver {
-        record: LeadRecord,
+        record: LeaseRecord,
         store_lease: u64,
         sent_at: Micros,
     },
@@ -151,7 +151,7 @@
     },
     TakeOverShard {
         shard: u32,
-        record: LeadRecord,
+        record: LeaseRecord,
         store_lease: u64,
         sent_at: Micros,
     },
@@ -215,7 +215,7 @@
     pub settings: Arc<Settings>,
     pub clock: Clock,
     pub machine_types: Arc<Vec<MachineType>>,
-    pub budget: Budget<(u64, StoreRequest)>,
+    pub budget: RequestBudget<(u64, StoreRequest)>,
     /// This controller leads, and needs more of what the state service allows.
     is_leader: bool,
     /// What the state service is believed to allow, and the part of it that is used after refusals.
@@ -243,7 +243,7 @@
 impl Outbox {
     pub fn new(settings: Arc<Settings>, clock: Clock) -> Outbox {
         let mut port = Outbox {
-            budget: Budget::new(1.0, 1.0),
+            budget: RequestBudget::new(1.0, 1.0),
             is_leader: false,
             store_rates: settings.state_rates,
             rate_factor: 1.0,
@@ -284,7 +284,7 @@
             (false, true) => 0.6 / n,
         };
         let share = share * self.rate_factor;
-        self.budget.set_share(
+        self.budget.set_rates(
             self.store_rates.requests * share,
             self.store_rates.changes * share,
         );
@@ -362,7 +362,8 @@
         let id = self.next_request_id;
         self.next_request_id += 1;
         self.pending_requests.insert(id, purpose);
-        self.budget.push(urgency, request.changes, (id, request));
+        self.budget
+            .push(urgency, request.change_count, (id, request));
     }
 
     /// A grant to hold a block with is not needed any more.
@@ -371,7 +372,7 @@
             shard: block,
             store_lease: grant,
         };
-        self.send_to_store(Urgency::Renewal, StoreRequest::drop_grant(grant), purpose);
+        self.send_to_store(Urgency::Renewal, StoreRequest::revoke_lease(grant), purpose);
     }
 
     pub(super) fn reply(&mut self, conn: u64, response: Response) {
@@ -408,14 +409,14 @@
         // What can never run by an older configuration may run by a newer one, and its user would not ask again.
         let old = !self.configuration.is_fresh(self.clock.now);
         let refusal = match refusal {
-            Refusal::Impossible(_) if old => &Refusal::Changing,
+            Refusal::Impossible(_) if old => &Refusal::ConfigurationChanging,
             refusal => refusal,
         };
         let response = match refusal {
             Refusal::Malformed(_) => Response::error(400, refusal),
             Refusal::Impossible(_) => Response::error(422, refusal),
-            Refusal::NotYet => Response::error(503, refusal).with_retry_after(2),
-            Refusal::Changing => Response::error(503, refusal).with_retry_after(1),
+            Refusal::MachineTypesUnknown => Response::error(503, refusal).with_retry_after(2),
+            Refusal::ConfigurationChanging => Response::error(503, refusal).with_retry_after(1),
         };
         self.reply(conn, response);
     }
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -14,10 +14,11 @@
 use crate::http::Response;
 use crate::model::{JobId, Micros, SECOND, TaskSet};
 use crate::state::job_replica::JobLookup;
-use crate::wire::api::{self, JobView, Status};
+use crate::wire::api::{self, JobStatus, JobView};
 use crate::wire::budget::Urgency;
 use crate::wire::store::{
-    self, Commit, Committed, Followed, Item, Listing, LiveRecord, OverRecord, StoreRequest,
+    self, ChangeLog, Committed, FinishedJobRecord, Listing, LiveRecord, StoreRequest, StoredValue,
+    Transaction,
 };
 
 /// Ends of jobs that others wait for that are asked for at once.
@@ -45,11 +46,11 @@
             let why = format!("team: there is no team {team:?}");
             return port.reply(conn, Response::error(400, why));
         }
-        let wait = port.budget.wait_to_ask();
+        let wait = port.budget.query_wait();
         if wait > QUERY_TIMEOUT {
             return port.reply_overloaded(conn, wait);
         }
-        let key = page.map_or(store::LEDGER_HEAD.into(), store::ledger_page);
+        let key = page.map_or(store::LEDGER_HEAD_KEY.into(), store::ledger_page_key);
         let team = team.map(str::to_string);
         port.send_to_store(
             Urgency::User,
@@ -70,7 +71,7 @@
         answer: Option<(u16, Bytes)>,
     ) {
         let item = match answer {
-            Some((200, body)) => serde_json::from_slice::<Item>(&body).ok(),
+            Some((200, body)) => serde_json::from_slice::<StoredValue>(&body).ok(),
             Some((404, _)) => {
                 let why = "page: there is no such page";
                 return port.reply(conn, Response::error(404, why));
@@ -80,12 +81,12 @@
         let Some(item) = item else {
             return port.reply_unavailable(conn);
         };
-        let response = match (team, item.record::<Page>()) {
+        let response = match (team, item.decode::<Page>()) {
             (Some(team), Some(mut page)) => {
                 page.lines.retain(|l| l[1] == "charge" && l[2][0] == *team);
                 Response::json(200, &page)
             }
-            _ => Response::json(200, &item.v),
+            _ => Response::json(200, &item.value),
         };
         port.reply(conn, response);
     }
@@ -116,9 +117,9 @@
             .collect();
         for job in wanted.into_iter().take(MAX_OUTCOME_READS) {
             self.outcome_reads.insert(job.clone(), now + 3 * SECOND);
-            let key = format!("{}{job}", store::OVER);
+            let key = format!("{}{job}", store::FINISHED_JOB_PREFIX);
             port.send_to_store(
-                Urgency::Commit,
+                Urgency::Transaction,
                 StoreRequest::get(&key),
                 PendingRequest::ReadDependency { job },
             );
@@ -142,7 +143,7 @@
         if let Some(holder) = holder.filter(|h| h.is_loaded()) {
             holder
                 .cluster
-                .upstream_over(&job, Some(view.status == Status::Cancelled));
+                .mark_upstream_ended(&job, Some(view.status == JobStatus::Cancelled));
         }
         self.job_replica.record_upstream_end(job, view);
         self.refresh(port);
@@ -162,10 +163,10 @@
         over: bool,
     ) {
         if let Some(view) = self.job_replica.final_view(&id) {
-            let response = api::answer(200, &id, view);
+            let response = api::job_response(200, &id, view);
             return port.reply(waiter.connection(), response);
         }
-        let wait = port.budget.wait_to_ask();
+        let wait = port.budget.query_wait();
         if wait > QUERY_TIMEOUT && !self.lookups.contains_key(&id) {
             // The answer would come too late, and reads that nobody waits for any more would keep
             // submissions out.
@@ -181,7 +182,14 @@
     }
 
     pub(super) fn send_lookup(&mut self, port: &mut Outbox, job: JobId, over: bool) {
-        let key = format!("{}{job}", if over { store::OVER } else { store::LIVE });
+        let key = format!(
+            "{}{job}",
+            if over {
+                store::FINISHED_JOB_PREFIX
+            } else {
+                store::LIVE_JOB_PREFIX
+            }
+        );
         port.send_to_store(
             Urgency::User,
             StoreRequest::get(&key),
@@ -198,10 +206,10 @@
             return self.look_up_live_job(port, id, LookupWaiter::Query(conn));
         }
         if let Some(view) = self.job_replica.final_view(&id) {
-            let response = api::answer(200, &id, view);
+            let response = api::job_response(200, &id, view);
             return port.reply(conn, response);
         }
-        let wait = port.budget.wait_to_ask();
+        let wait = port.budget.query_wait();
         if wait > QUERY_TIMEOUT || self.next_refresh_waiters.len() >= MAX_WAITING_QUERIES {
             return port.reply_overloaded(conn, wait);
         }
@@ -217,7 +225,7 @@
             return;
         }
         // At most half of this controller's requests, however many queries come.
-        let pause = (2.0 * SECOND as f64 / port.budget.rate().max(0.1)) as Micros;
+        let pause = (2.0 * SECOND as f64 / port.budget.request_rate().max(0.1)) as Micros;
         let pause = pause.max(MIN_REFRESH_INTERVAL);
         let at_least = if port.configuration.has_stored_version() {
             CHANGE_READ_INTERVAL.min(MAX_REFRESH_INTERVAL)
@@ -235,14 +243,14 @@
                 self.refresh_sent_at = now;
                 self.refresh_at = now + pause;
                 self.current_refresh_waiters = std::mem::take(&mut self.next_refresh_waiters);
-                let request = StoreRequest::changes(store::LIVE, at);
+                let request = StoreRequest::changes_since(store::LIVE_JOB_PREFIX, at);
                 port.send_to_store(Urgency::User, request, PendingRequest::ReadChanges);
             }
             None if port.is_store_reachable() => {
                 self.refresh_in_flight = true;
                 self.refresh_sent_at = now;
                 self.refresh_at = now + SECOND;
-                let request = StoreRequest::list(store::LIVE, "");
+                let request = StoreRequest::list(store::LIVE_JOB_PREFIX, "");
                 port.send_to_store(Urgency::User, request, PendingRequest::ListLiveJobs);
             }
             _ => {}
@@ -263,7 +271,7 @@
             .apply_listing(&listing, self.job_replica.is_at_first_page());
         match self.job_replica.apply_listing_page(&listing) {
             Some(after) => {
-                let request = StoreRequest::list(store::LIVE, &after);
+                let request = StoreRequest::list(store::LIVE_JOB_PREFIX, &after);
                 port.send_to_store(Urgency::User, request, PendingRequest::ListLiveJobs);
             }
             None => {
@@ -283,7 +291,7 @@
         self.refresh_in_flight = false;
         let waiting = std::mem::take(&mut self.current_refresh_waiters);
         let followed = match &answer {
-            Some((200, body)) => serde_json::from_slice::<Followed>(body).ok(),
+            Some((200, body)) => serde_json::from_slice::<ChangeLog>(body).ok(),
             _ => None,
         };
         let Some(followed) = followed else {
@@ -296,7 +304,7 @@
                 .for_each(|asker| port.reply_unavailable(asker.connection()));
             return self.refresh(port);
         };
-        port.configuration.apply_changes(&followed.log);
+        port.configuration.apply_changes(&followed.changes);
         port.configuration.confirm_newest(self.refresh_sent_at);
         self.job_replica.apply_changes(&followed);
         for asker in waiting {
@@ -316,7 +324,7 @@
                 JobLookup::DependencyUnknown => {}
                 JobLookup::Job(mut view) => {
                     add_progress(&id, &mut view, progress);
-                    port.reply(conn, api::answer(200, &id, &view));
+                    port.reply(conn, api::job_response(200, &id, &view));
                 }
                 JobLookup::NeverSubmitted => port.reply(conn, Response::error(404, "no such job")),
                 JobLookup::NotLive => self.look_up_job(port, id, LookupWaiter::Query(conn), true),
@@ -335,7 +343,7 @@
     ) {
         match answer {
             Some((200, body)) => {
-                let Ok(item) = serde_json::from_slice::<Item>(&body) else {
+                let Ok(item) = serde_json::from_slice::<StoredValue>(&body) else {
                     return self.lookup_failed(port, job);
                 };
                 if over {
@@ -344,18 +352,17 @@
                     };
                     self.job_found(port, job, view, None);
                 } else {
-                    let Some(r) = item.live() else {
+                    let Some(r) = item.as_live_record() else {
                         return self.lookup_failed(port, job);
                     };
                     let view = live_job_view(&job, &r, progress);
-                    self.job_found(port, job, view, Some((r, item.stamp)));
+                    self.job_found(port, job, view, Some((r, item.version)));
                 }
             }
             Some((404, _)) if !over => self.send_lookup(port, job, true),
             Some((404, body)) => {
                 if let Ok(missing) = serde_json::from_slice::<Committed>(&body) {
-                    self.job_replica
-                        .record_absent(job.clone(), missing.ledger_no);
+                    self.job_replica.record_absent(job.clone(), missing.version);
                 }
                 let waiters = self.take_waiters(port, &job);
                 for w in waiters {
@@ -406,18 +413,18 @@
         view: JobView,
         live: Option<(LiveRecord, u64)>,
     ) {
-        if matches!(view.status, Status::Done | Status::Cancelled) {
+        if matches!(view.status, JobStatus::Done | JobStatus::Cancelled) {
             self.job_replica.record_end(job.clone(), view.clone());
         }
         if let Some((record, stamp)) = &live
-            && record.cancelled()
+            && record.is_cancelled()
         {
             self.job_replica.record_cancellation(job.clone(), *stamp);
         }
         let mut cancels = Vec::new();
         for w in self.take_waiters(port, &job) {
             match (w, &live) {
-                (LookupWaiter::Cancel(c), Some((r, _))) if !r.cancelled() => cancels.push(c),
+                (LookupWaiter::Cancel(c), Some((r, _))) if !r.is_cancelled() => cancels.push(c),
                 // Whether it is cancelled with one that it needs, its own record does not tell.
                 (w, Some((LiveRecord::Waiting(r), _))) if !r.cancelled => {
                     if self.job_replica.version().is_some() {
@@ -427,24 +434,28 @@
                         port.reply_unavailable(w.connection());
                     }
                 }
-                (w, _) => port.reply(w.connection(), api::answer(200, &job, &view)),
+                (w, _) => port.reply(w.connection(), api::job_response(200, &job, &view)),
             }
         }
         self.refresh(port);
         let Some((record, stamp)) = live.filter(|_| !cancels.is_empty()) else {
             return;
         };
-        let key = format!("{}{job}", store::LIVE);
-        let mut commit = Commit::default();
+        let key = format!("{}{job}", store::LIVE_JOB_PREFIX);
+        let mut commit = Transaction::default();
         commit.guard(&key, stamp);
-        commit.put(&key, record.cancel(port.settings.value_bytes), None);
-        let view = JobView::new(Status::Cancelled, view.done);
+        commit.put(
+            &key,
+            record.into_cancelled_value(port.settings.value_bytes),
+            None,
+        );
+        let view = JobView::new(JobStatus::Cancelled, view.done);
         let purpose = PendingRequest::CancelJob {
             job,
             connections: cancels,
             view,
         };
-        port.send_to_store(Urgency::User, commit.request(), purpose);
+        port.send_to_store(Urgency::User, commit.to_request(), purpose);
     }
 
     pub(super) fn handle_cancel_answer(
@@ -461,7 +472,7 @@
             self.job_replica.record_end(job.clone(), view.clone());
             self.job_replica.record_cancellation(job.clone(), stamp);
             for c in conns {
-                port.reply(c, api::answer(200, &job, &view));
+                port.reply(c, api::job_response(200, &job, &view));
             }
             return port.events.push(Event::JobChanged(job, stamp));
         }
@@ -481,12 +492,12 @@
 fn live_job_view(id: &JobId, record: &LiveRecord, progress: ProgressLookup<'_>) -> JobView {
     let mut done = TaskSet::default();
     if let LiveRecord::Job(record) = record {
-        store::decode_done(&record.done, 0, &mut done);
+        store::decode_done_part(&record.done, 0, &mut done);
     }
-    let status = if record.cancelled() {
-        Status::Cancelled
+    let status = if record.is_cancelled() {
+        JobStatus::Cancelled
     } else {
-        Status::Pending
+        JobStatus::Pending
     };
     let mut view = JobView::new(status, done.len());
     add_progress(id, &mut view, progress);
@@ -495,28 +506,28 @@
 
 /// Adds what is known of a live job beside its record: for display only.
 fn add_progress(id: &JobId, view: &mut JobView, progress: ProgressLookup<'_>) {
-    if view.status != Status::Pending {
+    if view.status != JobStatus::Pending {
         return;
     }
     if let Some((running, done)) = progress(id) {
         (view.running, view.done) = (running, done.max(view.done));
     }
     if view.running > 0 {
-        view.status = Status::Running;
+        view.status = JobStatus::Running;
     }
 }
 
 /// How a job ended, as its record in the state service has it.
-pub(super) fn finished_job_view(item: &Item) -> Option<JobView> {
-    let r = item.record::<OverRecord>()?;
+pub(super) fn finished_job_view(item: &StoredValue) -> Option<JobView> {
+    let r = item.decode::<FinishedJobRecord>()?;
     Some(match r.cancelled {
-        true => JobView::new(Status::Cancelled, 0),
-        false => JobView::new(Status::Done, r.tasks),
+        true => JobView::new(JobStatus::Cancelled, 0),
+        false => JobView::new(JobStatus::Done, r.tasks),
     })
 }
 
 /// The same from the answer to a read of that record, if there was one.
 pub(super) fn finished_view_of_answer(answer: &(u16, Bytes)) -> Option<JobView> {
-    let item = (answer.0 == 200).then(|| serde_json::from_slice::<Item>(&answer.1).ok());
+    let item = (answer.0 == 200).then(|| serde_json::from_slice::<StoredValue>(&answer.1).ok());
     finished_job_view(&item.flatten()?)
 }
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -16,7 +16,10 @@
 use crate::scheduling::quota_partition::{self, ShardQuotas};
 use crate::state::cluster::Cluster;
 use crate::wire::budget::Urgency;
-use crate::wire::store::{self, ALLOT, AllotRecord, Commit, Item, Listing, StoreRequest};
+use crate::wire::store::{
+    self, Listing, QUOTA_PARTITION_PREFIX, QuotaPartitionRecord, StoreRequest, StoredValue,
+    Transaction,
+};
 
 /// Parts are read this often, and this often while nothing asks for it.
 const READ_INTERVAL: Micros = SECOND / 2;
@@ -33,7 +36,7 @@
     read_in_flight: bool,
     read_at: Micros,
     /// A write whose fate is not certain: its parts, and its transaction.
-    pending_write: Option<(ShardQuotas, Commit)>,
+    pending_write: Option<(ShardQuotas, Transaction)>,
     write_in_flight: bool,
     retry_at: Micros,
     /// Since when more lies idle than is to be kept.
@@ -42,21 +45,24 @@
     has_damaged_records: bool,
     had_damaged_records: bool,
     /// What it has read, before teams are known.
-    records: Vec<(u32, AllotRecord, u64)>,
+    records: Vec<(u32, QuotaPartitionRecord, u64)>,
 }
 
 impl QuotaPartitioner {
     /// A part, as the state service holds it.
-    pub fn add_record(&mut self, item: &Item) {
+    pub fn add_record(&mut self, item: &StoredValue) {
         let block = item
-            .k
-            .strip_prefix(ALLOT)
+            .key
+            .strip_prefix(QUOTA_PARTITION_PREFIX)
             .and_then(|b| b.parse::<u32>().ok());
-        match (block.filter(|b| *b > 0), item.record::<AllotRecord>()) {
-            (Some(block), Some(record)) => self.records.push((block, record, item.stamp)),
+        match (
+            block.filter(|b| *b > 0),
+            item.decode::<QuotaPartitionRecord>(),
+        ) {
+            (Some(block), Some(record)) => self.records.push((block, record, item.version)),
             _ => {
                 if !self.had_damaged_records {
-                    tracing::error!(key = %item.k, "what a block may use cannot be read; nothing is given out");
+                    tracing::error!(key = %item.key, "what a block may use cannot be read; nothing is given out");
                 }
                 self.has_damaged_records = true;
             }
@@ -121,7 +127,7 @@
         {
             self.write_in_flight = true;
             let purpose = PendingRequest::WriteQuotaPartitions { term: lease.term };
-            port.send_to_store(Urgency::Commit, commit.request(), purpose);
+            port.send_to_store(Urgency::Transaction, commit.to_request(), purpose);
             return;
         }
         if self.read_in_flight || self.pending_write.is_some() || now < self.read_at {
@@ -130,8 +136,8 @@
         self.read_in_flight = true;
         // Versions of all are needed to give out, and one's own to give back.
         port.send_to_store(
-            Urgency::Commit,
-            StoreRequest::list(ALLOT, ""),
+            Urgency::Transaction,
+            StoreRequest::list(QUOTA_PARTITION_PREFIX, ""),
             PendingRequest::ReadQuotaPartitions { term: lease.term },
         );
     }
@@ -185,7 +191,7 @@
             return;
         }
         self.idle_since = None;
-        let mut commit = Commit::default();
+        let mut commit = Transaction::default();
         commit.guard(&cluster.assignment_keys.0, lease.key_version);
         let mut raised = raised;
         while raised.len() > cluster.max_transaction_changes() {
@@ -203,7 +209,7 @@
         };
         for b in BTreeSet::from_iter(guarded) {
             commit.guard(
-                &format!("{ALLOT}{b}"),
+                &format!("{QUOTA_PARTITION_PREFIX}{b}"),
                 self.partitions.get(&b).map_or(0, |p| p.1),
             );
         }
@@ -211,8 +217,8 @@
             let names = cluster.cluster_teams.iter().map(|t| t.name.clone());
             let teams = names.zip(part.iter().copied()).collect();
             commit.put(
-                &format!("{ALLOT}{b}"),
-                store::raw(&AllotRecord { teams }),
+                &format!("{QUOTA_PARTITION_PREFIX}{b}"),
+                store::to_raw_value(&QuotaPartitionRecord { teams }),
                 None,
             );
         }
--- a/crates/gannethub-core/src/controller/recovery.rs
+++ b/crates/gannethub-core/src/controller/recovery.rs
@@ -10,17 +10,19 @@
 use crate::state::shard::ChunkRecord;
 use crate::state::usage_replica::UsageReplica;
 use crate::wire::budget::Urgency;
-use crate::wire::configuration::CURRENT;
-use crate::wire::store::{self, Item, Listing, MoveRecord, PartRecord, StoreRequest};
+use crate::wire::configuration::CURRENT_VERSION_KEY;
+use crate::wire::store::{
+    self, DonePartRecord, Listing, MachineTransferRecord, StoreRequest, StoredValue,
+};
 
 /// Machines on their way here are looked for this often.
 const TRANSFERS_READ_INTERVAL: Micros = SECOND;
 const LISTED_PREFIXES: [&str; 5] = [
-    store::LIVE,
-    store::PART,
-    store::BLOCK,
-    store::MOVE,
-    store::ALLOT,
+    store::LIVE_JOB_PREFIX,
+    store::DONE_PART_PREFIX,
+    store::SHARD_PREFIX,
+    store::MACHINE_TRANSFER_PREFIX,
+    store::QUOTA_PARTITION_PREFIX,
 ];
 const TRANSFER_STAGE: usize = 3;
 const QUOTA_STAGE: usize = 4;
@@ -31,18 +33,18 @@
 
 impl ShardOwner {
     /// A machine that was given to a block and is on no record yet.
-    pub(super) fn apply_transfer_record(&mut self, item: &Item, now: Micros) {
+    pub(super) fn apply_transfer_record(&mut self, item: &StoredValue, now: Micros) {
         let key = item
-            .k
-            .strip_prefix(store::MOVE)
+            .key
+            .strip_prefix(store::MACHINE_TRANSFER_PREFIX)
             .and_then(|k| k.split_once('/'));
         let Some((block, machine)) = key.and_then(|(b, m)| Some((b.parse::<u32>().ok()?, m)))
         else {
             return;
         };
         if block == self.lease.shard {
-            if let Some(record) = item.record::<MoveRecord>() {
-                self.cluster.incoming(machine, &record, now);
+            if let Some(record) = item.decode::<MachineTransferRecord>() {
+                self.cluster.accept_machine_transfer(machine, &record, now);
             }
         } else if self.lease.shard == 0 {
             self.cluster
@@ -65,9 +67,12 @@
             return;
         }
         self.transfers_read_at = now + TRANSFERS_READ_INTERVAL;
-        let request = StoreRequest::list(&format!("{}{}/", store::MOVE, self.lease.shard), "");
+        let request = StoreRequest::list(
+            &format!("{}{}/", store::MACHINE_TRANSFER_PREFIX, self.lease.shard),
+            "",
+        );
         port.send_to_store(
-            Urgency::Commit,
+            Urgency::Transaction,
             request,
             PendingRequest::ReadTransfers {
                 term: self.lease.term,
@@ -100,7 +105,7 @@
                 self.load_next(port, "");
             }
             None if stage == LEDGER_HEAD_STAGE => {
-                let request = StoreRequest::get(store::LEDGER_HEAD);
+                let request = StoreRequest::get(store::LEDGER_HEAD_KEY);
                 port.send_to_store(
                     Urgency::Renewal,
                     request,
@@ -111,10 +116,10 @@
                 let from = self.ledger_head.as_ref().map_or(0, |h| h.from);
                 let first = from
                     .checked_sub(1)
-                    .map(store::ledger_page)
+                    .map(store::ledger_page_key)
                     .unwrap_or_default();
                 let after = if after.is_empty() { &first } else { after };
-                let request = StoreRequest::list(store::LEDGER_PAGE, after);
+                let request = StoreRequest::list(store::LEDGER_PAGE_PREFIX, after);
                 port.send_to_store(
                     Urgency::Renewal,
                     request,
@@ -129,7 +134,7 @@
                 self.lease.reset_cancellations_known(self.load_started_at);
                 port.configuration.confirm_newest(self.load_started_at);
                 self.update_start_hold(port);
-                self.cluster.loaded(now);
+                self.cluster.finish_loading(now);
             }
         }
     }
@@ -143,13 +148,13 @@
         let now = port.clock.now;
         match answer {
             Some((200, body)) => {
-                let item = serde_json::from_slice::<Item>(&body).ok();
-                self.ledger_head = item.and_then(|i| i.record::<Head>());
+                let item = serde_json::from_slice::<StoredValue>(&body).ok();
+                self.ledger_head = item.and_then(|i| i.decode::<Head>());
                 self.load_stage = match self.ledger_head {
                     Some(_) => LEDGER_PAGE_STAGE,
                     // Where it stands is not known: nothing is charged in this term, and nothing overwritten.
                     None => {
-                        tracing::error!(key = store::LEDGER_HEAD, "the ledger cannot be kept");
+                        tracing::error!(key = store::LEDGER_HEAD_KEY, "the ledger cannot be kept");
                         ALL_LOADED
                     }
                 };
@@ -178,36 +183,37 @@
             return;
         };
         if stage == 0 && self.watched_version == 0 {
-            self.watched_version = listing.ledger_no;
+            self.watched_version = listing.version;
         }
         if stage == 0 {
             port.configuration.apply_listing(&listing, false);
         }
         for item in &listing.items {
             match stage {
-                0 if item.k == CURRENT => {}
+                0 if item.key == CURRENT_VERSION_KEY => {}
                 0 => {
-                    if let Some(record) = item.live() {
-                        let id = item.k.trim_start_matches(store::LIVE);
-                        self.cluster.live_record(id, record, item.stamp);
+                    if let Some(record) = item.as_live_record() {
+                        let id = item.key.trim_start_matches(store::LIVE_JOB_PREFIX);
+                        self.cluster.apply_live_record(id, record, item.version);
                     }
                 }
                 1 => {
-                    if let Some(record) = item.record::<PartRecord>() {
-                        self.cluster.part_record(&item.k, &record);
+                    if let Some(record) = item.decode::<DonePartRecord>() {
+                        self.cluster.apply_done_part(&item.key, &record);
                     }
                 }
-                LEDGER_PAGE_STAGE => match item.record::<Page>() {
-                    Some(page) => self.ledger_pages.push((page, item.stamp)),
-                    None => tracing::error!(key = %item.k, "kept as it is"),
+                LEDGER_PAGE_STAGE => match item.decode::<Page>() {
+                    Some(page) => self.ledger_pages.push((page, item.version)),
+                    None => tracing::error!(key = %item.key, "kept as it is"),
                 },
                 // After the first time this leader knows better: nobody else writes the block.
                 _ if self.loaded_once => {}
                 TRANSFER_STAGE => self.apply_transfer_record(item, port.clock.now),
                 QUOTA_STAGE => self.quota_partitioner.add_record(item),
                 _ => {
-                    if let Some(record) = item.record::<ChunkRecord>() {
-                        self.cluster.chunk_record(&item.k, record, item.stamp);
+                    if let Some(record) = item.decode::<ChunkRecord>() {
+                        self.cluster
+                            .apply_shard_chunk(&item.key, record, item.version);
                     }
                 }
             }
@@ -215,7 +221,7 @@
         let last = listing
             .items
             .last()
-            .map(|i| i.k.clone())
+            .map(|i| i.key.clone())
             .filter(|_| listing.truncated);
         if last.is_none() {
             self.load_stage += 1;
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -11,9 +11,10 @@
 use super::shard_owner::{ShardOwner, ShardOwners};
 use crate::model::{Micros, SECOND};
 use crate::wire::budget::Urgency;
-use crate::wire::peer::{Body, Marks};
+use crate::wire::peer::{Body, WatermarkCheck};
 use crate::wire::store::{
-    self, COUNT, Commit, Granted, LEAD, LeadRecord, Listing, SEAT, StoreRequest, TERM, seat_keys,
+    self, LEADER_PREFIX, LeaseGranted, LeaseRecord, Listing, SHARD_ASSIGNMENT_PREFIX, StoreRequest,
+    TERM_COUNTER_KEY, TERM_KEY, Transaction, assignment_keys,
 };
 
 /// Where one block is enough, others that are left over are looked for this often.
@@ -98,7 +99,7 @@
                 };
             port.send_to_store(
                 Urgency::Renewal,
-                StoreRequest::list(SEAT, ""),
+                StoreRequest::list(SHARD_ASSIGNMENT_PREFIX, ""),
                 PendingRequest::ProbeShards,
             );
         }
@@ -108,13 +109,13 @@
         let led = holders.contains_key(&0) || standing.leading_peer(port).is_some();
         for (block, seat) in &mut self.assignments {
             if let Some(term) = seat.election.watermark_query_due(now) {
-                let ask = Marks {
+                let ask = WatermarkCheck {
                     term,
-                    life: standing.incarnation,
-                    block: *block,
+                    incarnation: standing.incarnation,
+                    shard: *block,
                 };
                 let all = 0..standing.peers.len();
-                all.for_each(|i| port.send_to_peer(i, Body::MarksAsk(ask.clone())));
+                all.for_each(|i| port.send_to_peer(i, Body::WatermarkQuery(ask.clone())));
             }
             if let Some(grant) = seat.election.store_lease_to_revoke(now) {
                 port.revoke_store_lease(*block, grant);
@@ -136,7 +137,7 @@
                 };
                 port.send_to_store(
                     Urgency::Renewal,
-                    StoreRequest::grant(port.store_lease_ttl()),
+                    StoreRequest::acquire_lease(port.store_lease_ttl()),
                     purpose,
                 );
             }
@@ -200,24 +201,27 @@
         let Some(listing) = decode_ok::<Listing>(answer) else {
             return;
         };
-        type Seen = Option<(LeadRecord, u64)>;
+        type Seen = Option<(LeaseRecord, u64)>;
         let mut seen: BTreeMap<u32, (Seen, Seen)> = BTreeMap::new();
         for item in &listing.items {
-            let key = item.k.strip_prefix(SEAT).and_then(|k| k.split_once('/'));
+            let key = item
+                .key
+                .strip_prefix(SHARD_ASSIGNMENT_PREFIX)
+                .and_then(|k| k.split_once('/'));
             let Some((block, what)) = key.and_then(|(b, w)| Some((b.parse::<u32>().ok()?, w)))
             else {
-                if self.malformed_keys.insert(item.k.clone()) {
-                    tracing::error!(key = %item.k, "no block's");
+                if self.malformed_keys.insert(item.key.clone()) {
+                    tracing::error!(key = %item.key, "no block's");
                 }
                 continue;
             };
-            let Some(record) = item.record::<LeadRecord>().filter(|_| block > 0) else {
+            let Some(record) = item.decode::<LeaseRecord>().filter(|_| block > 0) else {
                 continue;
             };
             let (holder, term) = seen.entry(block).or_default();
             match what {
-                "holder" => *holder = Some((record, item.stamp)),
-                "term" => *term = Some((record, item.stamp)),
+                "holder" => *holder = Some((record, item.version)),
+                "term" => *term = Some((record, item.version)),
                 _ => {}
             }
         }
@@ -241,7 +245,7 @@
         sent: Micros,
         answer: Option<(u16, Bytes)>,
     ) {
-        let granted = decode_ok::<Granted>(answer);
+        let granted = decode_ok::<LeaseGranted>(answer);
         let seat = self.assignment(port, block);
         let Some(granted) = granted else {
             seat.election.attempt_in_progress = false;
@@ -249,10 +253,14 @@
         };
         let purpose = PendingRequest::ReadTerms {
             shard: block,
-            store_lease: granted.permit,
+            store_lease: granted.lease_id,
             sent_at: sent,
         };
-        port.send_to_store(Urgency::Renewal, StoreRequest::list(LEAD, ""), purpose);
+        port.send_to_store(
+            Urgency::Renewal,
+            StoreRequest::list(LEADER_PREFIX, ""),
+            purpose,
+        );
     }
 
     pub fn handle_terms_answer(
@@ -272,35 +280,35 @@
             return port.revoke_store_lease(block, grant);
         };
         let find = |key: &str| {
-            let item = listing.items.iter().find(|i| i.k == key);
-            item.and_then(|i| Some((i.record::<LeadRecord>()?.term, i.stamp)))
+            let item = listing.items.iter().find(|i| i.key == key);
+            item.and_then(|i| Some((i.decode::<LeaseRecord>()?.term, i.version)))
                 .unwrap_or((0, 0))
         };
-        let (lead, count) = (find(TERM), find(COUNT));
+        let (lead, count) = (find(TERM_KEY), find(TERM_COUNTER_KEY));
         let (holder, term, last) = candidacy.versions();
         let marked = candidacy.watermarks_reliable();
         let next = lead.0.max(count.0).max(last) + 1;
-        let record = LeadRecord {
-            holder: name,
+        let record = LeaseRecord {
+            owner: name,
             term: next,
-            marked,
+            watermarks_reliable: marked,
         };
-        let keys = seat_keys(block);
-        let mut commit = Commit::default();
+        let keys = assignment_keys(block);
+        let mut commit = Transaction::default();
         commit.guard(&keys.0, holder);
         commit.guard(&keys.1, term);
-        commit.guard(TERM, lead.1);
-        commit.guard(COUNT, count.1);
-        commit.put(&keys.0, store::raw(&record), Some(grant));
-        commit.put(&keys.1, store::raw(&record), None);
-        commit.put(COUNT, store::raw(&record), None);
+        commit.guard(TERM_KEY, lead.1);
+        commit.guard(TERM_COUNTER_KEY, count.1);
+        commit.put(&keys.0, store::to_raw_value(&record), Some(grant));
+        commit.put(&keys.1, store::to_raw_value(&record), None);
+        commit.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
         let purpose = PendingRequest::TakeOverShard {
             shard: block,
             record,
             store_lease: grant,
             sent_at: sent,
         };
-        port.send_to_store(Urgency::Renewal, commit.request(), purpose);
+        port.send_to_store(Urgency::Renewal, commit.to_request(), purpose);
     }
 
     /// A block was not taken, or nothing is known of it.
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -12,18 +12,18 @@
 use super::recovery::ALL_LOADED;
 use crate::http::Response;
 use crate::model::{JobId, Micros, SECOND};
-use crate::reconcile::heartbeat::Outcome;
-use crate::reconcile::kill_delivery::Directly;
+use crate::reconcile::heartbeat::HeartbeatOutcome;
+use crate::reconcile::kill_delivery::KillOrderDelivery;
 use crate::state::cluster::Cluster;
 use crate::state::fleet::CloudCall;
 use crate::state::writes::WriteBatch;
 use crate::wire::budget::Urgency;
-use crate::wire::configuration::CURRENT;
-use crate::wire::peer::Running;
+use crate::wire::configuration::CURRENT_VERSION_KEY;
+use crate::wire::peer::RunningJob;
 use crate::wire::store::{
-    self, Committed, Conflict, Followed, Item, LiveRecord, OverRecord, StoreRequest,
+    self, ChangeLog, Committed, Conflict, FinishedJobRecord, LiveRecord, StoreRequest, StoredValue,
 };
-use crate::wire::worker::{Commands, Report, ReportAnswer};
+use crate::wire::worker::{CommandsRequest, HeartbeatResponse, WorkerHeartbeat};
 
 /// A leader that hears neither workers nor siblings for this long makes way.
 const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
@@ -90,7 +90,7 @@
 
 impl ShardOwner {
     pub fn new(lease: ShardLease, cluster: Cluster) -> ShardOwner {
-        let nothing = ReportAnswer {
+        let nothing = HeartbeatResponse {
             token: lease.term,
             orders: &[],
         };
@@ -132,14 +132,14 @@
     }
 
     /// Jobs with tasks on machines, for siblings to tell users of.
-    pub fn running_jobs(&self) -> Vec<Running> {
+    pub fn running_jobs(&self) -> Vec<RunningJob> {
         let running = self
             .cluster
             .jobs
             .values()
             .filter(|j| j.live_count() > 0)
             .take(MAX_RUNNING_JOBS_TOLD);
-        let told = running.map(|job| Running {
+        let told = running.map(|job| RunningJob {
             job: job.id.to_string(),
             tasks: job.live_count(),
             done: job.done.len(),
@@ -158,17 +158,19 @@
     /// How a job ended that was no longer alive when it was read.
     pub fn handle_finished_job_answer(&mut self, key: &str, answer: Option<(u16, Bytes)>) {
         self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
-        let id = key.trim_start_matches(store::OVER);
+        let id = key.trim_start_matches(store::FINISHED_JOB_PREFIX);
         match answer {
             Some((200, body)) => {
-                let item = serde_json::from_slice::<Item>(&body).ok();
-                let end = item.as_ref().and_then(|i| i.record::<OverRecord>());
-                let stamp = item.map_or(u64::MAX, |i| i.stamp);
-                self.cluster.job_gone(id, stamp, end.map(|e| e.cancelled));
+                let item = serde_json::from_slice::<StoredValue>(&body).ok();
+                let end = item.as_ref().and_then(|i| i.decode::<FinishedJobRecord>());
+                let stamp = item.map_or(u64::MAX, |i| i.version);
+                self.cluster
+                    .apply_job_end(id, stamp, end.map(|e| e.cancelled));
             }
             Some((404, _)) => {}
             _ => {
-                self.keys_to_reread.insert(format!("{}{id}", store::LIVE));
+                self.keys_to_reread
+                    .insert(format!("{}{id}", store::LIVE_JOB_PREFIX));
             }
         }
     }
@@ -204,7 +206,7 @@
             // A refusal leads to the next best offer without delay.
             self.next_plan_at = now;
         }
-        self.cluster.cloud_answer(call, answer, now);
+        self.cluster.apply_cloud_answer(call, answer, now);
         self.cluster.pass_needed = true;
     }
 
@@ -213,9 +215,9 @@
         let now = port.clock.now;
         let (term, wanted) = (self.lease.term, self.cluster.owners_to_read(now));
         for job in wanted {
-            let key = format!("{}{job}", store::OVER);
+            let key = format!("{}{job}", store::FINISHED_JOB_PREFIX);
             port.send_to_store(
-                Urgency::Rest,
+                Urgency::Background,
                 StoreRequest::get(&key),
                 PendingRequest::ReadJobOwner { term, job },
             );
@@ -231,8 +233,8 @@
         let now = port.clock.now;
         match answer {
             Some((200, body)) => {
-                let over = serde_json::from_slice::<Item>(&body).ok();
-                let over = over.and_then(|i| i.record::<OverRecord>());
+                let over = serde_json::from_slice::<StoredValue>(&body).ok();
+                let over = over.and_then(|i| i.decode::<FinishedJobRecord>());
                 self.cluster
                     .usage_owner_read(job, over.and_then(|o| o.owner), now);
             }
@@ -253,8 +255,8 @@
         self.watch_at = now + 100_000;
         let (term, from) = (self.lease.term, self.watched_version);
         port.send_to_store(
-            Urgency::Commit,
-            StoreRequest::follow(store::LIVE, from),
+            Urgency::Transaction,
+            StoreRequest::watch(store::LIVE_JOB_PREFIX, from),
             PendingRequest::Watch { term },
         );
     }
@@ -264,13 +266,13 @@
         if self.write_in_flight || now < self.write_at {
             return;
         }
-        if let Some((commit, batch)) = self.cluster.next_commit(now, self.lease.key_version) {
+        if let Some((commit, batch)) = self.cluster.next_transaction(now, self.lease.key_version) {
             self.write_in_flight = true;
             self.write_at = now + 100_000;
             let term = self.lease.term;
             port.send_to_store(
-                Urgency::Commit,
-                commit.request(),
+                Urgency::Transaction,
+                commit.to_request(),
                 PendingRequest::Write { term, batch },
             );
         }
@@ -299,7 +301,7 @@
         let term = self.lease.term;
         for key in keys {
             port.send_to_store(
-                Urgency::Commit,
+                Urgency::Transaction,
                 StoreRequest::get(&key),
                 PendingRequest::Reread { term, key },
             );
@@ -309,8 +311,11 @@
     pub(super) fn expect_change(&mut self, port: &Outbox, id: &str, stamp: u64) {
         let due = port.clock.now + WATCH_TIMEOUT;
         if self.watched_version < stamp {
-            self.expected_changes
-                .push_back((due, stamp, format!("{}{id}", store::LIVE)));
+            self.expected_changes.push_back((
+                due,
+                stamp,
+                format!("{}{id}", store::LIVE_JOB_PREFIX),
+            ));
         }
     }
 
@@ -323,7 +328,7 @@
         }
         self.catch_up_in_flight = true;
         self.catch_up_at = now + SECOND;
-        let request = StoreRequest::changes(store::LIVE, self.watched_version);
+        let request = StoreRequest::changes_since(store::LIVE_JOB_PREFIX, self.watched_version);
         let purpose = PendingRequest::CatchUp {
             term: self.lease.term,
             sent_at: now,
@@ -340,7 +345,7 @@
         self.catch_up_in_flight = false;
         // The watch finds out if it is too far behind.
         if self.is_loaded()
-            && let Some(followed) = decode_ok::<Followed>(answer)
+            && let Some(followed) = decode_ok::<ChangeLog>(answer)
         {
             self.apply_changes(port, followed, sent);
         }
@@ -348,15 +353,15 @@
 
     /// Tells workers of cancelled tasks at once.
     pub fn send_kill_orders(&mut self, port: &mut Outbox) {
-        for Directly {
-            addr,
-            session,
+        for KillOrderDelivery {
+            address: addr,
+            incarnation: session,
             orders,
-        } in self.cluster.next_halts(port.clock.now)
+        } in self.cluster.next_kill_orders(port.clock.now)
         {
-            let commands = Commands {
+            let commands = CommandsRequest {
                 token: self.lease.term,
-                session,
+                incarnation: session,
                 orders: &orders,
             };
             let body = Response::json(200, &commands).body;
@@ -378,7 +383,7 @@
         self.last_heard_at = Some(now);
         self.cluster.unix_time = port.clock.unix_time;
         self.update_start_hold(port);
-        let report: Report<'_> = match serde_json::from_slice(body) {
+        let report: WorkerHeartbeat<'_> = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(e) => {
                 tracing::debug!(error = %e, "a report makes no sense");
@@ -393,20 +398,20 @@
             // What it runs may be cancelled, and an answer would renew its lease all the same.
             return HeartbeatAnswer::AfterLoad;
         }
-        match self.cluster.report(now, &report) {
-            Outcome::Orders(orders) if orders.is_empty() => {
+        match self.cluster.apply_heartbeat(now, &report) {
+            HeartbeatOutcome::Orders(orders) if orders.is_empty() => {
                 HeartbeatAnswer::Immediate(200, self.empty_answer.clone())
             }
-            Outcome::Orders(orders) => {
-                let body = ReportAnswer {
+            HeartbeatOutcome::Orders(orders) => {
+                let body = HeartbeatResponse {
                     token: self.lease.term,
                     orders: &orders,
                 };
                 HeartbeatAnswer::Immediate(200, Response::json(200, &body).body)
             }
-            Outcome::Elsewhere(block) => HeartbeatAnswer::OtherShard(block),
-            Outcome::Stale => error(503, "an old report"),
-            Outcome::Deposed => {
+            HeartbeatOutcome::OtherShard(block) => HeartbeatAnswer::OtherShard(block),
+            HeartbeatOutcome::Stale => error(503, "an old report"),
+            HeartbeatOutcome::Deposed => {
                 self.end_reason = Some("a worker has seen a higher token");
                 error(503, "not leading")
             }
@@ -417,14 +422,14 @@
         let now = port.clock.now;
         self.watch_in_flight = false;
         let followed = match answer {
-            Some((200, body)) => serde_json::from_slice::<Followed>(&body).ok(),
+            Some((200, body)) => serde_json::from_slice::<ChangeLog>(&body).ok(),
             Some((410, _)) => {
                 // Too far behind: read everything live again. What ended is found by reading back.
                 tracing::info!("the watch fell behind; reading all jobs again");
                 let waiting = self.cluster.pipelines.waiting.keys();
                 let known = self.cluster.jobs.keys().chain(waiting);
                 self.keys_to_reread
-                    .extend(known.map(|id| format!("{}{id}", store::LIVE)));
+                    .extend(known.map(|id| format!("{}{id}", store::LIVE_JOB_PREFIX)));
                 self.watched_version = 0;
                 self.load_stage = 0;
                 return self.load_next(port, "");
@@ -439,33 +444,33 @@
     }
 
     /// Takes in what has changed, as was asked for then. The watch and what is read beside it may overtake each other.
-    fn apply_changes(&mut self, port: &mut Outbox, followed: Followed, sent: Micros) {
+    fn apply_changes(&mut self, port: &mut Outbox, followed: ChangeLog, sent: Micros) {
         let now = port.clock.now;
-        port.configuration.apply_changes(&followed.log);
+        port.configuration.apply_changes(&followed.changes);
         port.configuration.confirm_newest(sent);
         let jobs = followed
-            .log
+            .changes
             .into_iter()
-            .filter(|c| c.key() != Some(CURRENT));
-        for change in jobs.filter(|c| c.stamp > self.watched_version) {
+            .filter(|c| c.key() != Some(CURRENT_VERSION_KEY));
+        for change in jobs.filter(|c| c.version > self.watched_version) {
             if let Some(id) = change
-                .delete
+                .deleted_key
                 .as_deref()
-                .and_then(|k| k.strip_prefix(store::LIVE))
+                .and_then(|k| k.strip_prefix(store::LIVE_JOB_PREFIX))
             {
-                self.cluster.job_gone(id, change.stamp, None);
+                self.cluster.apply_job_end(id, change.version, None);
             }
             let key = change
-                .write
+                .written_key
                 .as_deref()
-                .and_then(|k| k.strip_prefix(store::LIVE));
-            let (Some(id), Some(v)) = (key, &change.v) else {
+                .and_then(|k| k.strip_prefix(store::LIVE_JOB_PREFIX));
+            let (Some(id), Some(v)) = (key, &change.value) else {
                 continue;
             };
             if self
                 .cluster
                 .record_version(id)
-                .is_some_and(|known| known >= change.stamp)
+                .is_some_and(|known| known >= change.version)
             {
                 continue;
             }
@@ -473,13 +478,13 @@
                 Ok(record) => {
                     // New work is planned for at once: a machine takes long enough to boot.
                     self.next_plan_at = now;
-                    self.cluster.live_record(id, record, change.stamp);
+                    self.cluster.apply_live_record(id, record, change.version);
                 }
                 Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
             }
             self.cluster.pass_needed = true;
         }
-        self.watched_version = self.watched_version.max(followed.ledger_no);
+        self.watched_version = self.watched_version.max(followed.version);
         self.cluster.prune_tombstones(self.watched_version);
         self.lease.cancellations_known(sent);
     }
@@ -496,20 +501,20 @@
             Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
                 Ok(done) => {
                     self.cluster.pass_needed = true;
-                    self.cluster.committed(batch, done.ledger_no);
+                    self.cluster.transaction_committed(batch, done.version);
                 }
                 Err(_) => self.write_failed(port, batch),
             },
             Some((409, body)) => {
                 let conflict = serde_json::from_slice::<Conflict>(&body);
-                if conflict.is_ok_and(|c| c.failed.contains(&self.cluster.assignment_keys.0)) {
+                if conflict.is_ok_and(|c| c.failed_keys.contains(&self.cluster.assignment_keys.0)) {
                     self.end_reason = Some("its key is gone");
                     return;
                 }
                 self.write_failed(port, batch);
             }
             Some((429 | 503, _)) => {
-                self.cluster.uncommitted(&batch, false, now);
+                self.cluster.transaction_failed(&batch, false, now);
                 self.write_at = now + 300_000;
             }
             Some((status, body)) => {
@@ -526,7 +531,7 @@
 
     pub(super) fn write_failed(&mut self, port: &Outbox, batch: WriteBatch) {
         let now = port.clock.now;
-        self.cluster.uncommitted(&batch, true, now);
+        self.cluster.transaction_failed(&batch, true, now);
         self.keys_to_reread.extend(batch.keys().iter().cloned());
         self.reread_at = now;
     }
@@ -540,12 +545,12 @@
         self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
         self.cluster.pass_needed = true;
         let item = match &answer {
-            Some((200, body)) => serde_json::from_slice::<Item>(body).ok(),
+            Some((200, body)) => serde_json::from_slice::<StoredValue>(body).ok(),
             _ => None,
         };
         if let Some(chunk) = self.cluster.shard.parse_chunk_key(&key) {
             match (item, answer) {
-                (Some(item), _) => self.cluster.shard.mark_write_unknown(chunk, item.stamp),
+                (Some(item), _) => self.cluster.shard.mark_write_unknown(chunk, item.version),
                 (None, Some((404, _))) => self.cluster.shard.mark_write_unknown(chunk, 0),
                 _ => {
                     self.keys_to_reread.insert(key);
@@ -553,31 +558,31 @@
             }
             return;
         }
-        if key.starts_with(store::LEDGER_PAGE) {
+        if key.starts_with(store::LEDGER_PAGE_PREFIX) {
             match (item, answer) {
-                (Some(item), _) => self.cluster.ledger_reread(Some(&item)),
-                (None, Some((404, _))) => self.cluster.ledger_reread(None),
+                (Some(item), _) => self.cluster.ledger_page_reread(Some(&item)),
+                (None, Some((404, _))) => self.cluster.ledger_page_reread(None),
                 _ => {
                     self.keys_to_reread.insert(key);
                 }
             }
             return;
         }
-        let id = key.trim_start_matches(store::LIVE).to_string();
+        let id = key.trim_start_matches(store::LIVE_JOB_PREFIX).to_string();
         match (item, answer) {
             (Some(item), _) => {
-                if let Some(record) = item.live() {
-                    self.cluster.live_record(&id, record, item.stamp);
+                if let Some(record) = item.as_live_record() {
+                    self.cluster.apply_live_record(&id, record, item.version);
                 }
             }
             (None, Some((404, _))) => {
                 self.rereads_in_flight += 1;
-                let key = format!("{}{id}", store::OVER);
+                let key = format!("{}{id}", store::FINISHED_JOB_PREFIX);
                 let purpose = PendingRequest::ReadFinishedJob {
                     term: self.lease.term,
                     key: key.clone(),
                 };
-                port.send_to_store(Urgency::Commit, StoreRequest::get(&key), purpose);
+                port.send_to_store(Urgency::Transaction, StoreRequest::get(&key), purpose);
             }
             _ => {
                 self.keys_to_reread.insert(key);
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -11,11 +11,11 @@
 use crate::model::{JobId, Micros, SECOND};
 use crate::state::job_replica::JobReplica;
 use crate::state::pipeline::DependencyOutcome;
-use crate::wire::api::{self, JobView, Refusal, Status, Submission};
+use crate::wire::api::{self, JobStatus, JobView, Refusal, Submission};
 use crate::wire::budget::Urgency;
-use crate::wire::configuration::CURRENT;
+use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::store::{
-    self, Commit, Committed, Conflict, JobRecord, StoreRequest, WaitingRecord,
+    self, Committed, Conflict, JobRecord, StoreRequest, Transaction, WaitingRecord,
 };
 
 pub(super) const QUERY_TIMEOUT: Micros = 1_700_000;
@@ -105,7 +105,7 @@
     pub(super) fn submit(&mut self, port: &mut Outbox, conn: u64, body: &[u8]) {
         port.reply_deadlines
             .insert(conn, port.clock.now + SUBMIT_TIMEOUT);
-        let (map, id) = match api::parse_object(body) {
+        let (map, id) = match api::parse_json_object(body) {
             Ok(parsed) => parsed,
             Err(refusal) => return port.reply_refusal(conn, &refusal),
         };
@@ -113,7 +113,7 @@
             check_submission(port, &mut submission)?;
             Ok(Box::new(submission))
         });
-        let wait = port.budget.wait();
+        let wait = port.budget.change_wait();
         if wait > SUBMIT_TIMEOUT && (id.is_some() || checked.is_ok()) {
             // More than can be written in time is queued already: better said now than later.
             return port.reply_overloaded(conn, wait);
@@ -192,7 +192,7 @@
             },
         );
         for job in unread {
-            let key = format!("{}{job}", store::OVER);
+            let key = format!("{}{job}", store::FINISHED_JOB_PREFIX);
             port.send_to_store(
                 Urgency::User,
                 StoreRequest::get(&key),
@@ -261,15 +261,15 @@
             let block = port.choose_home_shard(&spec);
             (
                 JobRecord {
-                    block,
+                    shard: block,
                     ..JobRecord::new(spec, at)
                 }
-                .value(),
+                .to_value(),
                 0,
             )
         } else {
             (
-                store::raw(&WaitingRecord::new(spec, at, cancelled, &open)),
+                store::to_raw_value(&WaitingRecord::new(spec, at, cancelled, &open)),
                 open.len(),
             )
         }
@@ -283,7 +283,7 @@
             .flat_map(|l| l.current.iter_mut().chain(&mut l.next));
         for waiter in waiters {
             if let LookupWaiter::Submit(_, checked @ Err(Refusal::Impossible(_))) = waiter {
-                *checked = Err(Refusal::Changing);
+                *checked = Err(Refusal::ConfigurationChanging);
             }
         }
     }
@@ -292,7 +292,7 @@
     fn recheck_queued(&mut self, port: &mut Outbox) {
         let version = port.configuration.version();
         for (conn, id, mut submission) in std::mem::take(&mut self.accept_queue) {
-            if submission.checked_under == version {
+            if submission.configuration_version == version {
                 self.accept_queue.push_back((conn, id, submission));
                 continue;
             }
@@ -319,9 +319,9 @@
         self.recheck_queued(port);
         let max = port.settings.txn_ops.min(8);
         while !self.accept_queue.is_empty() {
-            let mut commit = Commit::default();
+            let mut commit = Transaction::default();
             // None is accepted by an older configuration: where there is a newer one, all of this fails.
-            commit.guard(CURRENT, port.configuration.guard_version());
+            commit.guard(CURRENT_VERSION_KEY, port.configuration.guard_version());
             let mut jobs: Vec<(u64, JobId)> = Vec::new();
             let mut left = VecDeque::new();
             while let Some((conn, id, spec)) = self.accept_queue.pop_front() {
@@ -329,16 +329,16 @@
                     left.push_back((conn, id, spec));
                     continue;
                 }
-                let live = format!("{}{id}", store::LIVE);
+                let live = format!("{}{id}", store::LIVE_JOB_PREFIX);
                 let (value, waits) = self.job_record(port, &spec);
-                if value.get().len() + store::SLACK > port.settings.value_bytes {
+                if value.get().len() + store::VALUE_SLACK_BYTES > port.settings.value_bytes {
                     let field = if waits > 0 { "waits_on: " } else { "" };
                     let why = format!("{field}the description is too long to be kept");
                     port.reply(conn, Response::error(400, why));
                     continue;
                 }
                 commit.guard(&live, 0);
-                commit.guard(&format!("{}{id}", store::OVER), 0);
+                commit.guard(&format!("{}{id}", store::FINISHED_JOB_PREFIX), 0);
                 commit.put(&live, value, None);
                 self.accepts_in_flight.insert(conn, spec);
                 jobs.push((conn, id));
@@ -347,7 +347,7 @@
             if !jobs.is_empty() {
                 port.send_to_store(
                     Urgency::User,
-                    commit.request(),
+                    commit.to_request(),
                     PendingRequest::AcceptJobs { jobs },
                 );
             }
@@ -365,8 +365,8 @@
         let failed = answer
             .filter(|a| a.0 == 409)
             .and_then(|a| serde_json::from_slice::<Conflict>(&a.1).ok())
-            .map_or_else(Vec::new, |c| c.failed);
-        if failed.iter().any(|k| k == CURRENT) {
+            .map_or_else(Vec::new, |c| c.failed_keys);
+        if failed.iter().any(|k| k == CURRENT_VERSION_KEY) {
             port.configuration.mark_unconfirmed(port.clock.now);
         }
         for (conn, id) in jobs {
@@ -378,8 +378,8 @@
                     let (class, tasks) = (&spec.spec.class, spec.spec.tasks);
                     let waits_on = spec.waits_on.len();
                     tracing::info!(job = %id, %class, tasks, waits_on, "accepted");
-                    let view = JobView::new(Status::Pending, 0);
-                    port.reply(conn, api::answer(201, &id, &view));
+                    let view = JobView::new(JobStatus::Pending, 0);
+                    port.reply(conn, api::job_response(201, &id, &view));
                     port.events.push(Event::JobChanged(id.clone(), stamp));
                 }
                 // One of them was known already: the others are tried again without it.
@@ -397,7 +397,7 @@
 
 /// Whether a job can ever run, by the configuration in force here.
 fn check_submission(port: &Outbox, submission: &mut Submission) -> Result<(), Refusal> {
-    submission.checked_under = port.configuration.version();
+    submission.configuration_version = port.configuration.version();
     api::admit(
         &mut submission.spec,
         &port.settings.teams,
@@ -409,5 +409,5 @@
 /// read is taken for the newest: the job is then looked at.
 pub(super) fn commit_version(answer: Option<&(u16, Bytes)>) -> u64 {
     let done = answer.and_then(|a| serde_json::from_slice::<Committed>(&a.1).ok());
-    done.map_or(u64::MAX, |c| c.ledger_no)
+    done.map_or(u64::MAX, |c| c.version)
 }
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -11,7 +11,7 @@
 
 impl Cluster {
     /// Goes by these settings from here on. Teams keep their numbers, new ones come behind them.
-    pub fn configure(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
+    pub fn apply_settings(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
         let mut own = (**settings).clone();
         if self.settings.teams.len() == settings.teams.len() && self.cluster_teams == settings.teams
         {
@@ -34,7 +34,7 @@
         }
         self.settings = Arc::new(own);
         self.over_limit = over_limit;
-        self.find_teams();
+        self.resolve_teams();
         self.enforce_limits(now);
         self.pass_needed = true;
         self.next_pass_at = now;
@@ -42,7 +42,7 @@
     }
 
     /// Jobs whose team was not known get theirs, and what they have on machines counts against it.
-    fn find_teams(&mut self) {
+    fn resolve_teams(&mut self) {
         for job in self.jobs.values_mut().filter(|j| j.team.is_none()) {
             job.team = self.settings.team(&job.spec.team);
         }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -10,77 +10,87 @@
 use crate::state::records::{Attempt, AttemptPhase, GangAttempt, Job, Machine, MachineId};
 use crate::state::shard::ShardMember;
 use crate::state::usage;
-use crate::wire::store::PART_TASKS;
-use crate::wire::worker::{ExitReason, Order, Report, TaskState};
+use crate::wire::store::TASKS_PER_PART;
+use crate::wire::worker::{ExitReason, Order, TaskState, WorkerHeartbeat};
 
 /// Orders in one answer, or sent directly: keeps its line below 64 KiB.
-pub(super) const MAX_ORDERS: usize = 300;
+pub(super) const MAX_ORDERS_PER_ANSWER: usize = 300;
 /// A takeover does not wait for the silent when fewer than one in so many are.
-const FEW_SILENT: usize = 40;
+const MACHINES_PER_SILENT_ALLOWED: usize = 40;
 /// All machines are looked over this often, for each machine there is, and at least so often.
-const SCAN_EVERY: Micros = 50;
-const SCAN_AT_LEAST: Micros = SECOND / 2;
+const SCAN_INTERVAL_PER_MACHINE: Micros = 50;
+const MAX_SCAN_INTERVAL: Micros = SECOND / 2;
 
 /// A machine whose sessions ended so often in a row though its reports were answered is returned.
-const MOST_UNHEARD: u32 = 3;
+const MAX_UNANSWERED_INCARNATIONS: u32 = 3;
 
 /// What tells a report's tasks and their states from another's.
-fn digest(report: &Report<'_>) -> u64 {
+fn heartbeat_digest(report: &WorkerHeartbeat<'_>) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     report.tasks.len().hash(&mut hasher);
     for t in &report.tasks {
-        (&t.task, t.attempt, t.state as u8, t.why.map(|w| w as u8)).hash(&mut hasher);
+        (
+            &t.task,
+            t.attempt,
+            t.state as u8,
+            t.exit_reason.map(|w| w as u8),
+        )
+            .hash(&mut hasher);
     }
     hasher.finish()
 }
 
 /// What a report is answered with.
 #[derive(Debug, PartialEq)]
-pub enum Outcome {
+pub enum HeartbeatOutcome {
     Orders(Vec<Order>),
     /// An old message, or one that must not renew anything.
     Stale,
     /// The worker has seen a higher token: this controller has been replaced.
     Deposed,
     /// The machine is in another block, or not in this one.
-    Elsewhere(Option<u32>),
+    OtherShard(Option<u32>),
 }
 
 impl Cluster {
     /// Answers a worker's report. The caller has checked that this controller may act.
-    pub fn report(&mut self, now: Micros, report: &Report<'_>) -> Outcome {
+    pub fn apply_heartbeat(
+        &mut self,
+        now: Micros,
+        report: &WorkerHeartbeat<'_>,
+    ) -> HeartbeatOutcome {
         self.now = now;
         let known = self.machines.contains_key(&*report.machine);
         if !known && self.shard.id != 0 {
-            return Outcome::Elsewhere(None);
+            return HeartbeatOutcome::OtherShard(None);
         }
         if let Some(block) = self.machines_in_other_shards.get(&*report.machine) {
-            return Outcome::Elsewhere(Some(*block));
+            return HeartbeatOutcome::OtherShard(Some(*block));
         }
         if report.token > self.term {
-            return Outcome::Deposed;
+            return HeartbeatOutcome::Deposed;
         }
         if !known && self.fleet.deleted_machines.contains_key(&*report.machine) {
             // The machine is known to be gone: its tasks, shown by a report that was held back,
             // must not hold up their successors for another lease.
-            return Outcome::Stale;
+            return HeartbeatOutcome::Stale;
         }
         let every = self.settings.report + self.settings.report / 4 + SECOND / 20;
         let lease = self.settings.lease;
         let machine = self.machine_or_adopt(
             &report.machine,
-            &report.flavor,
+            &report.machine_type,
             &report.zone,
             report.spot,
             now,
         );
         let id = machine.id.clone();
         let zone = machine.zone.clone();
-        if (report.session, report.seq) <= (machine.incarnation, machine.sequence)
-            || report.session <= machine.lost_incarnation
+        if (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence)
+            || report.incarnation <= machine.lost_incarnation
         {
-            return Outcome::Stale;
+            return HeartbeatOutcome::Stale;
         }
         let mut booted = None;
         if !machine.is_up {
@@ -91,32 +101,35 @@
             // Of a machine that nobody knew of, nobody knows when it was rented.
             booted = machine.machine_type.filter(|_| known).map(|f| (f, took));
         }
-        let new_session = report.session > machine.incarnation;
+        let new_session = report.incarnation > machine.incarnation;
         let news = new_session || !machine.confirmed;
         // Others were sent in between, or this one was held up while it was tried elsewhere.
         let late = machine.last_heartbeat_at.is_some_and(|t| now > t + every);
-        let missed = new_session || report.seq > machine.sequence + 1 || late;
+        let missed = new_session || report.sequence > machine.sequence + 1 || late;
         if new_session && machine.ended_unanswered(now, lease) {
             // Reports arrive and answers do not. Whatever is placed there is lost with each session, and with the
             // cheapest room of all it would be placed there again and again.
             machine.unanswered_incarnations += 1;
-            machine.unschedulable_until =
-                now + (lease << machine.unanswered_incarnations.min(MOST_UNHEARD));
-            machine.quarantined |= machine.unanswered_incarnations >= MOST_UNHEARD;
+            machine.unschedulable_until = now
+                + (lease
+                    << machine
+                        .unanswered_incarnations
+                        .min(MAX_UNANSWERED_INCARNATIONS));
+            machine.quarantined |= machine.unanswered_incarnations >= MAX_UNANSWERED_INCARNATIONS;
             tracing::info!(machine = %id, sessions = machine.unanswered_incarnations, "its worker gets no answers");
         }
-        machine.incarnation = report.session;
-        machine.sequence = report.seq;
+        machine.incarnation = report.incarnation;
+        machine.sequence = report.sequence;
         machine.previous_heartbeat_at = machine.last_heartbeat_at.replace(now);
         machine.missed_heartbeats = missed;
         machine.last_answered_at = now;
         if news || machine.address.is_none() {
-            machine.address = report.addr.parse().ok();
+            machine.address = report.address.parse().ok();
         }
-        let notice = report.notice_s.is_some() && !machine.preemption_notice;
+        let notice = report.preemption_notice_s.is_some() && !machine.preemption_notice;
         machine.preemption_notice |= notice;
         if !machine.recorded && !machine.deleting && !self.shard.contains(&id) {
-            let (flavor, zone) = (report.flavor.to_string(), report.zone.to_string());
+            let (flavor, zone) = (report.machine_type.to_string(), report.zone.to_string());
             self.shard.add(
                 &id,
                 ShardMember {
@@ -139,12 +152,12 @@
         self.pass_needed |= news;
         if new_session {
             // The worker killed and forgot all it had when its lease ended.
-            self.lose(&id, now, Reason::Lease, "its session ended");
+            self.lose_attempts(&id, now, Reason::Lease, "its session ended");
         }
         if report.token < self.term {
             // A report held back in the network may be older than another leader's launches.
             // Only a worker that has seen this term's token tells us all that it holds.
-            return Outcome::Orders(Vec::new());
+            return HeartbeatOutcome::Orders(Vec::new());
         }
         if let Some(m) = self.machines.get_mut(&id) {
             m.confirmed = true;
@@ -156,13 +169,13 @@
         if self.unreachable_zones.remove(&zone).is_some() {
             tracing::info!(%zone, "a zone is heard again");
         }
-        let digest = digest(report);
+        let digest = heartbeat_digest(report);
         if self
             .machines
             .get(&id)
             .is_some_and(|m| m.heartbeat_digest != Some(digest))
         {
-            self.reconcile(&id, now, report);
+            self.reconcile_attempts(&id, now, report);
             if let Some(m) = self.machines.get_mut(&id) {
                 m.heartbeat_digest = Some(digest);
             }
@@ -175,10 +188,10 @@
             // What came free is used at once: the launches go out with this very answer.
             self.use_freed_capacity(&id, now);
         }
-        Outcome::Orders(self.orders(&id))
+        HeartbeatOutcome::Orders(self.orders_for(&id))
     }
 
-    fn reconcile(&mut self, id: &MachineId, now: Micros, report: &Report<'_>) {
+    fn reconcile_attempts(&mut self, id: &MachineId, now: Micros, report: &WorkerHeartbeat<'_>) {
         let mut reported: HashSet<(TaskId, u64)> = HashSet::with_capacity(report.tasks.len());
         for t in &report.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
@@ -191,7 +204,9 @@
                 TaskState::Waiting => AttemptPhase::Waiting,
                 TaskState::Running => AttemptPhase::Running,
                 TaskState::Saving => AttemptPhase::Saving,
-                TaskState::Exited => AttemptPhase::Ended(t.why.unwrap_or(ExitReason::Other)),
+                TaskState::Exited => {
+                    AttemptPhase::Ended(t.exit_reason.unwrap_or(ExitReason::Other))
+                }
             };
             let Some(machine) = self.machines.get_mut(id) else {
                 return;
@@ -203,12 +218,12 @@
                 a.phase
             });
             match known {
-                None => self.found(id, key, phase, now),
-                Some(old) if old != phase => self.moved(id, &key, phase, now),
+                None => self.adopt_attempt(id, key, phase, now),
+                Some(old) if old != phase => self.change_phase(id, &key, phase, now),
                 Some(_) => {}
             }
         }
-        self.charge_orphans_not_shown(id, report.session, now);
+        self.charge_orphans_not_shown(id, report.incarnation, now);
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -232,8 +247,8 @@
                 // The answer with the launch was lost, and workers drop late answers: ask again.
                 AttemptPhase::Starting if a.stop_grace.is_none() => {}
                 _ => {
-                    self.release(id, &key, Reason::Missing, now);
-                    self.gone(&key, id, None, now);
+                    self.release_attempt(id, &key, Reason::Missing, now);
+                    self.attempt_gone(&key, id, None, now);
                     if let Some(m) = self.machines.get_mut(id) {
                         m.attempts.remove(&key);
                     }
@@ -243,7 +258,13 @@
     }
 
     /// A worker shows an attempt that this leader did not start.
-    fn found(&mut self, id: &MachineId, key: (TaskId, u64), phase: AttemptPhase, now: Micros) {
+    fn adopt_attempt(
+        &mut self,
+        id: &MachineId,
+        key: (TaskId, u64),
+        phase: AttemptPhase,
+        now: Micros,
+    ) {
         let (task, attempt) = key.clone();
         let ended = matches!(phase, AttemptPhase::Ended(_));
         let mut entry = Attempt {
@@ -262,7 +283,7 @@
             let free =
                 !job.live_attempts.contains_key(&task.index) && !job.done.contains(task.index);
             if phase == AttemptPhase::Ended(ExitReason::Done) {
-                self.complete(&task, now);
+                self.complete_task(&task, now);
             } else if !ended && free && task.index < job.spec.tasks {
                 job.live_attempts.insert(task.index, (id.clone(), attempt));
                 job.pending.remove(task.index);
@@ -304,7 +325,13 @@
     }
 
     /// An attempt changed its phase.
-    fn moved(&mut self, id: &MachineId, key: &(TaskId, u64), phase: AttemptPhase, now: Micros) {
+    fn change_phase(
+        &mut self,
+        id: &MachineId,
+        key: &(TaskId, u64),
+        phase: AttemptPhase,
+        now: Micros,
+    ) {
         self.usage_phase_changed(id, key, phase, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -324,7 +351,7 @@
         machine.unanswered_incarnations = 0;
         let Some(job) = self.jobs.get_mut(&key.0.job) else {
             if let AttemptPhase::Ended(why) = phase {
-                self.release(id, key, usage::end_reason(why), now);
+                self.release_attempt(id, key, usage::end_reason(why), now);
             }
             return;
         };
@@ -349,8 +376,8 @@
                         *pace += 0.05 * (ratio - *pace);
                     }
                 }
-                self.release(id, key, usage::end_reason(why), now);
-                self.gone(key, id, Some(why), now);
+                self.release_attempt(id, key, usage::end_reason(why), now);
+                self.attempt_gone(key, id, Some(why), now);
             }
             AttemptPhase::Saving => *job.saved_progress.entry(key.0.index).or_default() += ran,
             _ => {}
@@ -358,7 +385,13 @@
     }
 
     /// Gives back what an attempt held.
-    fn release(&mut self, id: &MachineId, key: &(TaskId, u64), reason: Reason, now: Micros) {
+    fn release_attempt(
+        &mut self,
+        id: &MachineId,
+        key: &(TaskId, u64),
+        reason: Reason,
+        now: Micros,
+    ) {
         self.charge_attempt(id, key, reason, now);
         let Some(m) = self.machines.get_mut(id) else {
             return;
@@ -377,7 +410,7 @@
     }
 
     /// A task is done: its saga commits, and with the last one its job's does.
-    fn complete(&mut self, task: &TaskId, now: Micros) {
+    fn complete_task(&mut self, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -395,7 +428,7 @@
             job.pending.remove(x);
             job.unconfirmed.remove(x);
             job.backoff.remove(&x);
-            job.dirty_parts.insert(x / PART_TASKS);
+            job.dirty_parts.insert(x / TASKS_PER_PART);
             if let Some(g) = &mut job.gang_attempt {
                 g.saga.commit(&x);
             }
@@ -411,10 +444,16 @@
     }
 
     /// An attempt is known to be gone. `why` is `None` when it vanished with its machine.
-    fn gone(&mut self, key: &(TaskId, u64), id: &MachineId, why: Option<ExitReason>, now: Micros) {
+    fn attempt_gone(
+        &mut self,
+        key: &(TaskId, u64),
+        id: &MachineId,
+        why: Option<ExitReason>,
+        now: Micros,
+    ) {
         let (task, attempt) = key;
         if why == Some(ExitReason::Done) {
-            self.complete(task, now);
+            self.complete_task(task, now);
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -448,11 +487,11 @@
             }
             _ => {}
         }
-        self.gang_lost(task, *attempt, why);
+        self.gang_task_lost(task, *attempt, why);
     }
 
     /// A task of a gang is gone without being done.
-    fn gang_lost(&mut self, task: &TaskId, attempt: u64, why: Option<ExitReason>) {
+    fn gang_task_lost(&mut self, task: &TaskId, attempt: u64, why: Option<ExitReason>) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -487,7 +526,7 @@
     }
 
     /// Everything that was on the machine is gone.
-    fn lose(&mut self, id: &MachineId, now: Micros, reason: Reason, why: &str) {
+    fn lose_attempts(&mut self, id: &MachineId, now: Micros, reason: Reason, why: &str) {
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
@@ -499,20 +538,20 @@
         }
         self.record_unmetered_interval(id, now);
         for key in keys {
-            self.release(id, &key, reason, now);
+            self.release_attempt(id, &key, reason, now);
             let ended = self
                 .machines
                 .get_mut(id)
                 .and_then(|m| m.attempts.remove(&key));
             if ended.is_some_and(|a| !matches!(a.phase, AttemptPhase::Ended(_))) {
-                self.gone(&key, id, None, now);
+                self.attempt_gone(&key, id, None, now);
             }
         }
     }
 
     /// The cloud has confirmed that the machine is gone, or it can no longer exist.
     pub fn remove_machine(&mut self, id: &MachineId, now: Micros, why: &str) {
-        self.lose(id, now, Reason::Machine, why);
+        self.lose_attempts(id, now, Reason::Machine, why);
         self.charge_orphans(id, Reason::Machine, now);
         self.shard.remove(id);
         if let Some(m) = self.machines.remove(id)
@@ -522,7 +561,7 @@
         }
     }
 
-    fn orders(&mut self, id: &MachineId) -> Vec<Order> {
+    fn orders_for(&mut self, id: &MachineId) -> Vec<Order> {
         let now = self.now;
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
@@ -573,7 +612,7 @@
             }
         }
         orders.append(&mut starts);
-        orders.truncate(MAX_ORDERS);
+        orders.truncate(MAX_ORDERS_PER_ANSWER);
         if self.usage_ledger.is_some() {
             self.launches_sent(id, now);
         }
@@ -586,7 +625,8 @@
         self.now = now;
         // What time alone changes is looked for less often in a large cluster, but at once while
         // placing waits for it.
-        let every = (SCAN_EVERY * self.machines.len() as Micros).min(SCAN_AT_LEAST);
+        let every =
+            (SCAN_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_SCAN_INTERVAL);
         if self.settled && now < self.machines_scanned_at + every {
             return;
         }
@@ -606,7 +646,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in silent {
-            self.lose(&id, now, Reason::Lease, "its lease ran out");
+            self.lose_attempts(&id, now, Reason::Lease, "its lease ran out");
             self.charge_orphans(&id, Reason::Lease, now);
             if let Some(m) = self.machines.get_mut(&id) {
                 m.lost_incarnation = m.lost_incarnation.max(m.incarnation);
@@ -617,7 +657,7 @@
             // Every worker has had the time to find this leader. When only a few are silent they
             // have most likely died, and deleting them is sooner known than their leases' ends. Of
             // a zone that is cut off more are silent, and their work goes on: they are waited for.
-            let few = (self.machines.len() / FEW_SILENT).max(1);
+            let few = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
             if now > self.took_over_at + 2 * self.settings.report + 2 * SECOND && waiting <= few {
                 let waits = |m: &&mut Machine| m.is_unconfirmed(now, limit) && !m.deleting;
                 for m in self.machines.values_mut().filter(waits) {
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddrV4;
 
-use super::heartbeat::MAX_ORDERS;
+use super::heartbeat::MAX_ORDERS_PER_ANSWER;
 use crate::model::{Micros, TaskId};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
@@ -18,15 +18,15 @@
 
 /// What is to be sent to a worker.
 #[derive(Debug)]
-pub struct Directly {
-    pub addr: SocketAddrV4,
-    pub session: u64,
+pub struct KillOrderDelivery {
+    pub address: SocketAddrV4,
+    pub incarnation: u64,
     pub orders: Vec<Order>,
 }
 
 impl Cluster {
     /// An attempt of a cancelled job is to end.
-    pub(crate) fn halt_soon(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
+    pub(crate) fn queue_kill_order(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
         let Some(m) = self.machines.get(machine).filter(|m| m.address.is_some()) else {
             return;
         };
@@ -41,14 +41,14 @@
         let halt = self.kill_orders.pending.entry(machine.clone()).or_default();
         halt.since = self.now;
         halt.has_unstarted |= starts;
-        if halt.attempts.len() < MAX_ORDERS {
+        if halt.attempts.len() < MAX_ORDERS_PER_ANSWER {
             halt.attempts.push(key);
         }
     }
 
     /// What is to be sent now: first to machines where something would start. Who has been answered since, or has been lost,
     /// needs nothing; and more than may be sent within a report's time is left to the answers.
-    pub fn next_halts(&mut self, now: Micros) -> Vec<Directly> {
+    pub fn next_kill_orders(&mut self, now: Micros) -> Vec<KillOrderDelivery> {
         if self.kill_orders.pending.is_empty() {
             return Vec::new();
         }
@@ -58,7 +58,7 @@
             return Vec::new();
         }
         halts.rate_limit.refill(now);
-        if halts.rate_limit.level < 1.0 {
+        if halts.rate_limit.tokens < 1.0 {
             // Nothing is gone through at each step for what may not be sent yet.
             return Vec::new();
         }
@@ -77,7 +77,7 @@
             .map(|(id, halt)| (!halt.has_unstarted, id.clone()))
             .collect();
         due.sort();
-        due.truncate(halts.rate_limit.level as usize);
+        due.truncate(halts.rate_limit.tokens as usize);
         let mut sent = Vec::new();
         for (_, id) in due {
             let (Some(halt), Some(m)) = (halts.pending.remove(&id), machines.get(&id)) else {
@@ -96,10 +96,10 @@
             };
             let orders: Vec<Order> = attempts.map(stop).collect();
             if let (Some(addr), false) = (m.address, orders.is_empty()) {
-                halts.rate_limit.level -= 1.0;
-                sent.push(Directly {
-                    addr,
-                    session: m.incarnation,
+                halts.rate_limit.tokens -= 1.0;
+                sent.push(KillOrderDelivery {
+                    address: addr,
+                    incarnation: m.incarnation,
                     orders,
                 });
             }
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -15,35 +15,36 @@
 use crate::state::usage::{job_owner, log_damaged_page};
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{
-    self, Commit, JobRecord, LeadRecord, LiveRecord, OverRecord, PART_TASKS, PartRecord,
+    self, DonePartRecord, FinishedJobRecord, JobRecord, LeaseRecord, LiveRecord, TASKS_PER_PART,
+    Transaction,
 };
 
 /// Why a job's value is to be written, in the order in which that is done.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Mark,
+enum WriteReason {
+    Watermark,
     /// It goes to another block.
-    Home,
+    Transfer,
     /// It is done, and its users wait to be told.
-    Over,
+    Finished,
     /// It is cancelled, as its users know.
-    Tidy,
+    Cancelled,
     Progress,
 }
 
 impl Cluster {
     /// Takes in a live job's record.
-    pub fn live_record(&mut self, id: &str, record: LiveRecord, stamp: u64) {
+    pub fn apply_live_record(&mut self, id: &str, record: LiveRecord, stamp: u64) {
         match record {
-            LiveRecord::Job(record) => self.job_record(id, record, stamp),
-            LiveRecord::Waiting(record) => self.waiting_record(id, record, stamp),
+            LiveRecord::Job(record) => self.apply_job_record(id, record, stamp),
+            LiveRecord::Waiting(record) => self.apply_waiting_job(id, record, stamp),
         }
     }
 
     /// Takes in a job's record: a new job, a cancellation, or what was read back.
-    pub fn job_record(&mut self, id: &str, record: JobRecord, stamp: u64) {
-        if record.block != self.shard.id {
-            return self.foreign_record(id, &record, stamp);
+    pub fn apply_job_record(&mut self, id: &str, record: JobRecord, stamp: u64) {
+        if record.shard != self.shard.id {
+            return self.apply_foreign_job_record(id, &record, stamp);
         }
         self.jobs_in_other_shards.remove(id);
         if let Some(job) = self.jobs.get_mut(id) {
@@ -51,21 +52,21 @@
                 job.version = stamp;
             }
             job.version_unknown = false;
-            job.durable_watermark = job.durable_watermark.max(record.mark());
-            store::decode_done(&record.done, 0, &mut job.durable_done);
+            job.durable_watermark = job.durable_watermark.max(record.effective_watermark());
+            store::decode_done_part(&record.done, 0, &mut job.durable_done);
             if record.cancelled && !job.cancelled {
-                self.cancel(id);
+                self.cancel_job(id);
             }
             return;
         }
         if self.has_tombstone(id, stamp) {
             return;
         }
-        self.upstream_released(&id.into());
-        let opened = record.mark();
+        self.mark_upstream_released(&id.into());
+        let opened = record.effective_watermark();
         let spec = Arc::new(record.spec);
         let mut done = TaskSet::default();
-        store::decode_done(&record.done, 0, &mut done);
+        store::decode_done_part(&record.done, 0, &mut done);
         let mut pending = TaskSet::up_to(spec.tasks);
         done.iter().for_each(|x| {
             pending.remove(x);
@@ -82,8 +83,8 @@
             id: id.into(),
             submitted_spec: submitted,
             team: self.settings.team(&spec.team),
-            accepted_at: record.at,
-            ready_at: record.ready.unwrap_or(record.at),
+            accepted_at: record.accepted_at,
+            ready_at: record.ready_at.unwrap_or(record.accepted_at),
             downstream_demand: None,
             version: stamp,
             durable_done: done.clone(),
@@ -98,7 +99,7 @@
             gang_attempt: None,
             saved_progress: HashMap::new(),
             backoff: HashMap::new(),
-            failure_tracking: FailureTracking::new(record.failing),
+            failure_tracking: FailureTracking::new(record.crash_looping),
             dirty_parts: BTreeSet::new(),
             dirty_since: None,
             overflow: false,
@@ -128,31 +129,31 @@
         self.jobs.insert(job.id.clone(), job);
         self.pass_needed = true;
         if record.cancelled {
-            self.cancel(id);
+            self.cancel_job(id);
         }
     }
 
     /// A job whose tasks run in another block. Block 0's holder keeps track of it, for jobs that wait for it.
-    fn foreign_record(&mut self, id: &str, record: &JobRecord, stamp: u64) {
+    fn apply_foreign_job_record(&mut self, id: &str, record: &JobRecord, stamp: u64) {
         if self.jobs.remove(id).is_some() {
-            tracing::info!(job = id, block = record.block, "goes to another block");
+            tracing::info!(job = id, block = record.shard, "goes to another block");
         }
         if self.shard.id != 0 || self.has_tombstone(id, stamp) {
             return;
         }
         let known = self.jobs_in_other_shards.insert(id.into(), stamp).is_some();
         if !known {
-            self.upstream_released(&id.into());
+            self.mark_upstream_released(&id.into());
         }
         if record.cancelled {
-            self.upstream_cancelled(id);
+            self.mark_upstream_cancelled(id);
         }
     }
 
     /// Takes in finished tasks of a large array.
-    pub fn part_record(&mut self, key: &str, record: &PartRecord) {
+    pub fn apply_done_part(&mut self, key: &str, record: &DonePartRecord) {
         let parsed = key
-            .strip_prefix(store::PART)
+            .strip_prefix(store::DONE_PART_PREFIX)
             .and_then(|k| k.rsplit_once('/'));
         let Some((id, part)) = parsed.and_then(|(j, n)| Some((j, n.parse::<u32>().ok()?))) else {
             return;
@@ -161,7 +162,7 @@
             Some(job) if part < 100 => {
                 job.overflow |= part == 0;
                 let mut done = TaskSet::default();
-                store::decode_done(&record.done, part, &mut done);
+                store::decode_done_part(&record.done, part, &mut done);
                 for x in done.iter().filter(|x| *x < job.spec.tasks) {
                     job.done.insert(x);
                     job.durable_done.insert(x);
@@ -178,10 +179,10 @@
     }
 
     /// Takes in a part of the block's record. Its machines may hold tasks of an earlier term.
-    pub fn chunk_record(&mut self, key: &str, record: ChunkRecord, stamp: u64) {
+    pub fn apply_shard_chunk(&mut self, key: &str, record: ChunkRecord, stamp: u64) {
         let Some(index) = self.shard.parse_chunk_key(key) else {
             let block = key
-                .strip_prefix(store::BLOCK)
+                .strip_prefix(store::SHARD_PREFIX)
                 .and_then(|k| k.split_once('/'));
             if let Some(block) = block.and_then(|(b, _)| b.parse().ok()) {
                 self.machines_in_other_shards
@@ -201,13 +202,13 @@
     }
 
     /// Another controller has told its users that the job is cancelled. What is stored of it is read all the same.
-    pub fn cancelled_elsewhere(&mut self, id: &str) {
+    pub fn apply_remote_cancellation(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|j| !j.cancelled) {
-            self.cancel(id);
+            self.cancel_job(id);
         } else if self.pipelines.waiting.contains_key(id)
             || self.jobs_in_other_shards.contains_key(id)
         {
-            self.upstream_cancelled(id);
+            self.mark_upstream_cancelled(id);
         } else {
             return;
         }
@@ -215,7 +216,7 @@
     }
 
     /// The user cancelled: the pipeline's saga aborts. Nothing of it starts from here on.
-    fn cancel(&mut self, id: &str) {
+    fn cancel_job(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -229,11 +230,11 @@
             .map(|(i, p)| (*i, p.clone()))
             .collect();
         tracing::info!(job = id, tasks = live.len(), "cancelled");
-        self.upstream_cancelled(id);
+        self.mark_upstream_cancelled(id);
         if actions.contains(&AbortAction::Cancel(0)) {
             for (index, (machine, attempt)) in live {
                 self.stop_attempt(id, index, &machine, attempt, 0);
-                self.halt_soon(
+                self.queue_kill_order(
                     &machine,
                     TaskId {
                         job: id.into(),
@@ -247,26 +248,27 @@
 
     /// A live key is gone: the job is over, whoever wrote that. `cancelled`: what its end says,
     /// where that was read or written here. Else it is read if another job waits for it.
-    pub fn job_gone(&mut self, id: &str, stamp: u64, cancelled: Option<bool>) {
+    pub fn apply_job_end(&mut self, id: &str, stamp: u64, cancelled: Option<bool>) {
         if self.record_version(id).is_some_and(|known| known >= stamp) {
             return;
         }
         self.tombstones.insert(id.into(), stamp);
         self.jobs_in_other_shards.remove(id);
-        if self.waiting_gone(id) {
+        if self.remove_waiting_job(id) {
             return;
         }
-        self.upstream_over(id, cancelled);
+        self.mark_upstream_ended(id, cancelled);
         if let Some(job) = self.jobs.remove(id) {
             let first = u32::from(!job.overflow);
-            for part in first..job.spec.tasks.div_ceil(PART_TASKS) {
-                self.stale_keys.push(format!("{}{id}/{part}", store::PART));
+            for part in first..job.spec.tasks.div_ceil(TASKS_PER_PART) {
+                self.stale_keys
+                    .push(format!("{}{id}/{part}", store::DONE_PART_PREFIX));
             }
         }
     }
 
     /// Everything has been read; leases of recorded machines are counted from here.
-    pub fn loaded(&mut self, now: Micros) {
+    pub fn finish_loading(&mut self, now: Micros) {
         self.took_over_at = now;
         self.unconfirmed.loading = false;
         self.shard.finish_loading();
@@ -278,26 +280,30 @@
     }
 
     /// The next transaction, if anything needs to be written. `holder` is the leader key's version.
-    pub fn next_commit(&mut self, now: Micros, holder: u64) -> Option<(Commit, WriteBatch)> {
+    pub fn next_transaction(
+        &mut self,
+        now: Micros,
+        holder: u64,
+    ) -> Option<(Transaction, WriteBatch)> {
         let (ops, limit) = (self.max_transaction_changes(), self.settings.value_bytes);
-        let mut commit = Commit::default();
+        let mut commit = Transaction::default();
         let mut batch = WriteBatch::default();
         let mut bytes = 512;
         commit.guard(&self.assignment_keys.0, holder);
         // A transaction must be able to carry the end of a job beside machines.
         let most = (ops / 2).max(1);
-        self.write_block(&mut commit, &mut batch, &mut bytes, most, false);
-        self.write_ledger(&mut commit, &mut batch, &mut bytes, now);
-        self.write_moves(&mut commit, &mut batch, &mut bytes, most);
-        self.write_pipelines(&mut commit, &mut batch, &mut bytes);
-        let mut due: Vec<(Due, Micros, JobId)> = Vec::new();
+        self.add_shard_chunks(&mut commit, &mut batch, &mut bytes, most, false);
+        self.add_ledger_page(&mut commit, &mut batch, &mut bytes, now);
+        self.add_machine_transfers(&mut commit, &mut batch, &mut bytes, most);
+        self.add_pipeline_writes(&mut commit, &mut batch, &mut bytes);
+        let mut due: Vec<(WriteReason, Micros, JobId)> = Vec::new();
         for job in self
             .jobs
             .values_mut()
             .filter(|j| !j.write_in_flight && !j.version_unknown)
         {
             if job.home_shard.is_some_and(|home| home != self.shard.id) && job.has_no_launches() {
-                due.push((Due::Home, 0, job.id.clone()));
+                due.push((WriteReason::Transfer, 0, job.id.clone()));
                 continue;
             }
             let over = job.is_finished()
@@ -306,18 +312,18 @@
                 // In the order in which they ended: in that of their names one of a high number would wait for as long as
                 // more end than may be written.
                 since if job.is_finished() => {
-                    due.push((Due::Over, since.unwrap_or(0), job.id.clone()));
+                    due.push((WriteReason::Finished, since.unwrap_or(0), job.id.clone()));
                 }
-                _ if over => due.push((Due::Tidy, 0, job.id.clone())),
+                _ if over => due.push((WriteReason::Cancelled, 0, job.id.clone())),
                 // Launches wait for it.
                 _ if job.requested_watermark > job.durable_watermark
                     && !self.launches_without_watermark =>
                 {
-                    due.push((Due::Mark, 0, job.id.clone()));
+                    due.push((WriteReason::Watermark, 0, job.id.clone()));
                 }
                 // Progress can wait: until it is written, the worker keeps the result.
                 Some(t) if now >= t + 2 * SECOND && !job.dirty_parts.is_empty() => {
-                    due.push((Due::Progress, t, job.id.clone()));
+                    due.push((WriteReason::Progress, t, job.id.clone()));
                 }
                 _ => {}
             }
@@ -327,17 +333,18 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let live = format!("{}{id}", store::LIVE);
-            let room = ops - commit.changes();
-            if let (Due::Home, Some(home)) = (what, job.home_shard) {
+            let live = format!("{}{id}", store::LIVE_JOB_PREFIX);
+            let room = ops - commit.change_count();
+            if let (WriteReason::Transfer, Some(home)) = (what, job.home_shard) {
                 if room == 0 || bytes > 40_000 {
                     break;
                 }
                 let mut r = JobRecord::new((*job.submitted_spec).clone(), job.accepted_at);
-                r.ready = (job.ready_at != job.accepted_at).then_some(job.ready_at);
-                (r.cancelled, r.failing, r.block) = (job.cancelled, job.is_crash_looping(), home);
+                r.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
+                (r.cancelled, r.crash_looping, r.shard) =
+                    (job.cancelled, job.is_crash_looping(), home);
                 commit.guard(&live, job.version);
-                commit.put(&live, r.value(), None);
+                commit.put(&live, r.to_value(), None);
                 bytes += 1500;
                 job.write_in_flight = true;
                 batch.push(
@@ -349,16 +356,16 @@
                 );
                 continue;
             }
-            if matches!(what, Due::Over | Due::Tidy) {
+            if matches!(what, WriteReason::Finished | WriteReason::Cancelled) {
                 if room < 2 || bytes > 40_000 {
                     break;
                 }
                 let cancelled = job.cancelled;
                 commit.guard(&live, job.version);
                 let owner = self.usage_ledger.as_ref().map(|_| job_owner(job));
-                commit.end(
+                commit.end_job(
                     &id,
-                    &OverRecord {
+                    &FinishedJobRecord {
                         cancelled,
                         tasks: job.spec.tasks,
                         owner,
@@ -387,12 +394,12 @@
             // parts alone, carried out late, would take back ends that were written since.
             let spec = (*job.submitted_spec).clone();
             let mut r = JobRecord::new(spec, job.accepted_at);
-            r.ready = (job.ready_at != job.accepted_at).then_some(job.ready_at);
-            (r.cancelled, r.failing) = (job.cancelled, job.is_crash_looping());
-            (r.open, r.block) = (Some(job.requested_watermark), self.shard.id);
-            r.done = store::encode_done(&job.done, 0);
-            let mut value = r.value();
-            let outgrew = !job.overflow && value.get().len() + store::SLACK > limit;
+            r.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
+            (r.cancelled, r.crash_looping) = (job.cancelled, job.is_crash_looping());
+            (r.watermark, r.shard) = (Some(job.requested_watermark), self.shard.id);
+            r.done = store::encode_done_part(&job.done, 0);
+            let mut value = r.to_value();
+            let outgrew = !job.overflow && value.get().len() + store::VALUE_SLACK_BYTES > limit;
             if outgrew {
                 job.overflow = true;
                 job.dirty_parts.insert(0);
@@ -401,7 +408,7 @@
                 // Both change in one transaction. Whoever reads the parts, the version before as well, takes part 0 for
                 // what it is.
                 r.done.clear();
-                value = r.value();
+                value = r.to_value();
             }
             let in_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.overflow);
             if room < 1 + usize::from(in_parts) || bytes > 40_000 {
@@ -413,7 +420,7 @@
             let mut parts = BTreeMap::new();
             if !job.overflow {
                 job.dirty_parts.remove(&0);
-                parts.insert(0, job.done.slice(0, PART_TASKS));
+                parts.insert(0, job.done.slice(0, TASKS_PER_PART));
             }
             for part in job
                 .dirty_parts
@@ -422,13 +429,13 @@
                 .take(room - 1)
                 .collect::<Vec<_>>()
             {
-                let done = store::encode_done(&job.done, part);
+                let done = store::encode_done_part(&job.done, part);
                 job.dirty_parts.remove(&part);
                 bytes += done.len() + 200;
-                let lo = part * PART_TASKS;
-                parts.insert(part, job.done.slice(lo, lo + PART_TASKS));
-                let key = format!("{}{id}/{part}", store::PART);
-                commit.put(&key, store::raw(&PartRecord { done }), None);
+                let lo = part * TASKS_PER_PART;
+                parts.insert(part, job.done.slice(lo, lo + TASKS_PER_PART));
+                let key = format!("{}{id}/{part}", store::DONE_PART_PREFIX);
+                commit.put(&key, store::to_raw_value(&DonePartRecord { done }), None);
             }
             if job.dirty_parts.is_empty() {
                 job.dirty_since = None;
@@ -444,20 +451,20 @@
             );
         }
         if self.watermarks_recorded == Some(false)
-            && commit.changes() < ops
+            && commit.change_count() < ops
             && self.watermarks_cover_all_launches()
         {
             let holder = self.settings.name.clone();
-            let record = LeadRecord {
-                holder,
+            let record = LeaseRecord {
+                owner: holder,
                 term: self.term,
-                marked: true,
+                watermarks_reliable: true,
             };
-            commit.put(&self.assignment_keys.1, store::raw(&record), None);
+            commit.put(&self.assignment_keys.1, store::to_raw_value(&record), None);
             batch.writes.push(BatchedWrite::WatermarksReliable);
             self.watermarks_recorded = None;
         }
-        while commit.changes() < ops && bytes < 40_000 {
+        while commit.change_count() < ops && bytes < 40_000 {
             let Some(key) = self.stale_keys.pop() else {
                 break;
             };
@@ -465,27 +472,27 @@
             bytes += key.len() + 20;
             batch.writes.push(BatchedWrite::StaleKeyDeletion);
         }
-        if commit.changes() == 0 {
-            self.write_block(&mut commit, &mut batch, &mut bytes, ops, true);
+        if commit.change_count() == 0 {
+            self.add_shard_chunks(&mut commit, &mut batch, &mut bytes, ops, true);
         }
-        (commit.changes() > 0).then_some((commit, batch))
+        (commit.change_count() > 0).then_some((commit, batch))
     }
 
     /// Adds parts of the block's record to a transaction, until it has `most` changes.
-    fn write_block(
+    fn add_shard_chunks(
         &mut self,
-        commit: &mut Commit,
+        commit: &mut Transaction,
         batch: &mut WriteBatch,
         bytes: &mut usize,
         most: usize,
         idle: bool,
     ) {
-        while commit.changes() < most && *bytes < 40_000 {
+        while commit.change_count() < most && *bytes < 40_000 {
             let Some((index, stamp, record)) = self.shard.next_dirty_chunk(idle) else {
                 break;
             };
             let key = self.shard.chunk_key(index);
-            let value = store::raw(&record);
+            let value = store::to_raw_value(&record);
             *bytes += value.get().len() + 200;
             commit.guard(&key, stamp);
             commit.put(&key, value, None);
@@ -496,22 +503,22 @@
     }
 
     /// Adds the ledger's next page to a transaction, if one is due and fits.
-    fn write_ledger(
+    fn add_ledger_page(
         &mut self,
-        commit: &mut Commit,
+        commit: &mut Transaction,
         batch: &mut WriteBatch,
         bytes: &mut usize,
         now: Micros,
     ) {
-        let room =
-            self.max_transaction_changes() - commit.changes().min(self.max_transaction_changes());
+        let room = self.max_transaction_changes()
+            - commit.change_count().min(self.max_transaction_changes());
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
         let Some(write) = ledger.book.write(now, self.unix_time, room) else {
             return;
         };
-        let key = store::ledger_page(write.page);
+        let key = store::ledger_page_key(write.page);
         *bytes += write.value.len() + 200;
         commit.guard(&key, write.stamp);
         // It is built as JSON; what is not would be refused and read back.
@@ -521,20 +528,20 @@
             None,
         );
         if let Some(head) = &write.head {
-            commit.put(store::LEDGER_HEAD, store::raw(head), None);
+            commit.put(store::LEDGER_HEAD_KEY, store::to_raw_value(head), None);
         }
         for page in write.deletes {
-            commit.delete(&store::ledger_page(page));
+            commit.delete(&store::ledger_page_key(page));
         }
         batch.push(BatchedWrite::LedgerPage, key);
     }
 
     /// A page of the ledger has been read again, as its write had no answer.
-    pub fn ledger_reread(&mut self, item: Option<&store::Item>) {
+    pub fn ledger_page_reread(&mut self, item: Option<&store::StoredValue>) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
-        let page = item.and_then(|i| Some((i.record::<Page>()?, i.stamp)));
+        let page = item.and_then(|i| Some((i.decode::<Page>()?, i.version)));
         let unreadable = item.is_some() && page.is_none();
         let found = page.as_ref().map(|(p, stamp)| (p, *stamp));
         let result = match unreadable {
@@ -548,7 +555,7 @@
     }
 
     /// A transaction was carried out.
-    pub fn committed(&mut self, batch: WriteBatch, stamp: u64) {
+    pub fn transaction_committed(&mut self, batch: WriteBatch, stamp: u64) {
         self.transaction_rejections = 0;
         for item in batch.writes {
             match item {
@@ -576,10 +583,10 @@
                         Some(late_s) => tracing::info!(job = %id, late_s, "over"),
                         None => tracing::info!(job = %id, cancelled, "over"),
                     }
-                    self.job_gone(&id, stamp, Some(cancelled));
+                    self.apply_job_end(&id, stamp, Some(cancelled));
                 }
                 BatchedWrite::JobRelease { .. } | BatchedWrite::WaitingJobCancellation { .. } => {
-                    self.pipeline_written(&item, stamp)
+                    self.apply_pipeline_write(&item, stamp)
                 }
                 BatchedWrite::ShardChunk { index, members } => {
                     self.shard.mark_written(index, stamp);
@@ -588,7 +595,7 @@
                             // Only now that it is on this block's record may that of its way here go.
                             self.stale_keys.push(format!(
                                 "{}{}/{name}",
-                                store::MOVE,
+                                store::MACHINE_TRANSFER_PREFIX,
                                 self.shard.id
                             ));
                         }
@@ -604,8 +611,10 @@
                     let tickets = book.map_or_else(Vec::new, |b| b.written(stamp));
                     self.usage_page_written(tickets);
                 }
-                BatchedWrite::JobTransfer { id, record } => self.job_record(&id, *record, stamp),
-                BatchedWrite::MachineTransfer { machine } => self.gave(&machine),
+                BatchedWrite::JobTransfer { id, record } => {
+                    self.apply_job_record(&id, *record, stamp)
+                }
+                BatchedWrite::MachineTransfer { machine } => self.machine_transferred(&machine),
                 BatchedWrite::WatermarksReliable => {
                     tracing::info!(term = self.term, "a successor can go by the jobs' marks");
                     self.watermarks_recorded = Some(true);
@@ -617,7 +626,7 @@
 
     /// A transaction was not carried out. `unsure`: perhaps it was, or its versions were wrong; its
     /// keys are then to be read back, never assumed.
-    pub fn uncommitted(&mut self, batch: &WriteBatch, unsure: bool, now: Micros) {
+    pub fn transaction_failed(&mut self, batch: &WriteBatch, unsure: bool, now: Micros) {
         for item in &batch.writes {
             match item {
                 BatchedWrite::JobTransfer { id, .. } => {
@@ -625,7 +634,7 @@
                         (job.write_in_flight, job.version_unknown) = (false, unsure);
                     }
                 }
-                BatchedWrite::MachineTransfer { machine } => self.not_given(machine),
+                BatchedWrite::MachineTransfer { machine } => self.machine_transfer_failed(machine),
                 BatchedWrite::JobProgress {
                     id,
                     done_parts: parts,
@@ -645,7 +654,7 @@
                         job.write_in_flight = false;
                         job.version_unknown = unsure;
                     }
-                    self.pipeline_unwritten(id, unsure);
+                    self.pipeline_write_failed(id, unsure);
                 }
                 BatchedWrite::LedgerPage => {
                     if let Some(ledger) = &mut self.usage_ledger {
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -7,14 +7,14 @@
 use crate::state::pipeline::{DependencyOutcome, PipelineEffects, WaitingJob};
 use crate::state::shard_load;
 use crate::state::writes::{BatchedWrite, WriteBatch};
-use crate::wire::store::{self, Commit, JobRecord, OverRecord, WaitingRecord};
+use crate::wire::store::{self, FinishedJobRecord, JobRecord, Transaction, WaitingRecord};
 
 /// So many tasks of a released job may be launched without another write.
-const RELEASED_OPEN: u32 = 128;
+const RELEASE_WATERMARK: u32 = 128;
 
 impl Cluster {
     /// Takes in the record of a waiting job.
-    pub fn waiting_record(&mut self, id: &str, record: WaitingRecord, stamp: u64) {
+    pub fn apply_waiting_job(&mut self, id: &str, record: WaitingRecord, stamp: u64) {
         let id: JobId = id.into();
         if self.shard.id != 0 {
             return;
@@ -22,7 +22,7 @@
         if self.jobs.contains_key(&id) || self.has_tombstone(&id, stamp) {
             return;
         }
-        let upstream = store::decode_ids(&record.waiting.on);
+        let upstream = store::decode_job_ids(&record.waiting.upstream_ids);
         let lines = &mut self.pipelines;
         let known = lines.waiting.contains_key(&id);
         let w = lines
@@ -30,9 +30,9 @@
             .entry(id.clone())
             .or_insert_with(|| WaitingJob {
                 spec: Arc::new(record.waiting.job),
-                accepted_at: record.at,
+                accepted_at: record.accepted_at,
                 version: stamp,
-                upstream_ids: record.waiting.on,
+                upstream_ids: record.waiting.upstream_ids,
                 downstream_demand: None,
                 cancellation_recorded: false,
                 write_in_flight: false,
@@ -59,11 +59,11 @@
             let on = lines.dependencies.open_dependencies(&id).join(" ");
             tracing::info!(job = %id, %class, %on, "waits for others");
         }
-        self.follow_up(&id, consequences);
+        self.queue_pipeline_writes(&id, consequences);
     }
 
     /// What a change upstream leads to is written down with the next transactions.
-    fn follow_up(&mut self, cause: &str, consequences: PipelineEffects) {
+    fn queue_pipeline_writes(&mut self, cause: &str, consequences: PipelineEffects) {
         let PipelineEffects {
             released,
             cancelled,
@@ -80,25 +80,25 @@
     }
 
     /// A job that others may wait for has been cancelled by its user.
-    pub fn upstream_cancelled(&mut self, id: &str) {
+    pub fn mark_upstream_cancelled(&mut self, id: &str) {
         let consequences = self.pipelines.dependencies.cancel(&id.into());
-        self.follow_up(id, consequences);
+        self.queue_pipeline_writes(id, consequences);
     }
 
     /// A job that others may wait for is over; `cancelled` is what its stored end says, if it is known.
-    pub fn upstream_over(&mut self, id: &str, cancelled: Option<bool>) {
+    pub fn mark_upstream_ended(&mut self, id: &str, cancelled: Option<bool>) {
         let id: JobId = id.into();
         match cancelled {
             Some(cancelled) => {
                 let consequences = self.pipelines.dependencies.mark_ended(&id, cancelled);
-                self.follow_up(&id, consequences);
+                self.queue_pipeline_writes(&id, consequences);
             }
             None => self.pipelines.dependencies.mark_outcome_unknown(&id),
         }
     }
 
     /// A job's record shows that it waits no more.
-    pub fn upstream_released(&mut self, id: &JobId) {
+    pub fn mark_upstream_released(&mut self, id: &JobId) {
         let lines = &mut self.pipelines;
         lines.dependencies.mark_live(id);
         if lines.waiting.remove(id).is_some() {
@@ -110,9 +110,9 @@
 
     /// Adds releases and cancellations to a transaction, as far as its limits go: first what lets
     /// work begin, then what users were told, then what only tidies up.
-    pub fn write_pipelines(
+    pub fn add_pipeline_writes(
         &mut self,
-        commit: &mut Commit,
+        commit: &mut Transaction,
         batch: &mut WriteBatch,
         bytes: &mut usize,
     ) {
@@ -146,24 +146,24 @@
                 continue;
             };
             let changes = if step == 2 { 2 } else { 1 };
-            if commit.changes() + changes > most || *bytes > 40_000 {
+            if commit.change_count() + changes > most || *bytes > 40_000 {
                 continue;
             }
-            let live = format!("{}{id}", store::LIVE);
+            let live = format!("{}{id}", store::LIVE_JOB_PREFIX);
             commit.guard(&live, w.version);
             match step {
                 0 => {
                     let mut record = JobRecord::new((*w.spec).clone(), w.accepted_at);
-                    record.ready = Some(self.unix_time.max(w.accepted_at));
+                    record.ready_at = Some(self.unix_time.max(w.accepted_at));
                     // It is most likely to start at once.
-                    record.open = Some(w.spec.tasks.min(RELEASED_OPEN));
-                    record.block =
+                    record.watermark = Some(w.spec.tasks.min(RELEASE_WATERMARK));
+                    record.shard =
                         shard_load::choose_home_shard(&mut self.shard_loads, u32::MAX, &w.spec);
-                    if record.block != 0 {
+                    if record.shard != 0 {
                         // Whoever holds that block may know of others to go first.
-                        record.open = Some(0);
+                        record.watermark = Some(0);
                     }
-                    commit.put(&live, record.value(), None);
+                    commit.put(&live, record.to_value(), None);
                     batch.push(
                         BatchedWrite::JobRelease {
                             id: id.clone(),
@@ -175,22 +175,22 @@
                 1 => {
                     // It is marked before it ends: whoever follows only its own record then sees it
                     // end as cancelled, the version before pipelines too.
-                    let upstream = store::decode_ids(&w.upstream_ids);
+                    let upstream = store::decode_job_ids(&w.upstream_ids);
                     let spec = (*w.spec).clone();
                     let record = WaitingRecord::new(spec, w.accepted_at, true, &upstream);
-                    commit.put(&live, store::raw(&record), None);
+                    commit.put(&live, store::to_raw_value(&record), None);
                     batch.push(
                         BatchedWrite::WaitingJobCancellation { id: id.clone() },
                         live,
                     );
                 }
                 _ => {
-                    let over = OverRecord {
+                    let over = FinishedJobRecord {
                         cancelled: true,
                         tasks: w.spec.tasks,
                         owner: None,
                     };
-                    commit.end(&id, &over);
+                    commit.end_job(&id, &over);
                     batch.push(
                         BatchedWrite::JobEnd {
                             id: id.clone(),
@@ -207,12 +207,13 @@
     }
 
     /// What was written about a waiting job is in the state service.
-    pub fn pipeline_written(&mut self, item: &BatchedWrite, stamp: u64) {
+    pub fn apply_pipeline_write(&mut self, item: &BatchedWrite, stamp: u64) {
         match item {
             BatchedWrite::JobRelease { id, record } => {
-                let waited_s = seconds_from_micros(self.unix_time.saturating_sub(record.at)) as u32;
+                let waited_s =
+                    seconds_from_micros(self.unix_time.saturating_sub(record.accepted_at)) as u32;
                 tracing::info!(job = %id, class = %record.spec.class, waited_s, "released");
-                self.job_record(id, (**record).clone(), stamp);
+                self.apply_job_record(id, (**record).clone(), stamp);
             }
             BatchedWrite::WaitingJobCancellation { id } => {
                 if let Some(w) = self.pipelines.waiting.get_mut(id) {
@@ -226,7 +227,7 @@
     }
 
     /// Whether it was written is not known, or it was not.
-    pub fn pipeline_unwritten(&mut self, id: &JobId, unsure: bool) {
+    pub fn pipeline_write_failed(&mut self, id: &JobId, unsure: bool) {
         if let Some(w) = self.pipelines.waiting.get_mut(id) {
             w.write_in_flight = false;
             w.version_unknown = unsure;
@@ -234,11 +235,11 @@
     }
 
     /// A waiting job's live record is gone: only a cancelled one ends without a release.
-    pub fn waiting_gone(&mut self, id: &str) -> bool {
+    pub fn remove_waiting_job(&mut self, id: &str) -> bool {
         let gone = self.pipelines.waiting.remove(id).is_some();
         if gone {
             self.pipelines.pending_writes.remove(id);
-            self.upstream_over(id, Some(true));
+            self.mark_upstream_ended(id, Some(true));
         }
         gone
     }
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -7,32 +7,37 @@
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer, OfferRefusal};
 use crate::state::records::MachineId;
-use crate::wire::store::MoveRecord;
+use crate::wire::store::MachineTransferRecord;
 
 /// Nothing of a deleted machine comes later than this.
-const GHOSTS: Micros = 900 * SECOND;
+const MAX_MESSAGE_AGE: Micros = 900 * SECOND;
 
 impl Cluster {
     /// Takes in an answer of the cloud. `None`: no answer came.
-    pub fn cloud_answer(&mut self, call: CloudCall, answer: Option<(u16, &[u8])>, now: Micros) {
-        if matches!(answer, Some((429 | 503, _))) && !no_capacity(answer) {
+    pub fn apply_cloud_answer(
+        &mut self,
+        call: CloudCall,
+        answer: Option<(u16, &[u8])>,
+        now: Micros,
+    ) {
+        if matches!(answer, Some((429 | 503, _))) && !is_out_of_capacity(answer) {
             self.fleet.paused_until = now + SECOND;
         }
         match call {
             CloudCall::MachineTypes => {
                 let flavors = answer
                     .filter(|a| a.0 == 200)
-                    .and_then(|a| crate::wire::cloud::parse_flavors(a.1));
+                    .and_then(|a| crate::wire::cloud::parse_machine_types(a.1));
                 match flavors {
                     // Indices into the list are kept, so its order and names must not change.
-                    Some(f) if same_names(&f, &self.machine_types) => {
+                    Some(f) if has_same_names(&f, &self.machine_types) => {
                         self.machine_types = Arc::new(f)
                     }
                     Some(_) => tracing::info!("machine types changed: used after a takeover"),
                     None => self.fleet.next_machine_types_at = now + 5 * SECOND,
                 }
             }
-            CloudCall::List { .. } => self.listed(answer, now),
+            CloudCall::List { .. } => self.apply_machine_listing(answer, now),
             CloudCall::Delete { machines } => {
                 self.fleet.delete_in_flight = false;
                 if answer.is_some_and(|a| a.0 == 200) {
@@ -48,13 +53,13 @@
                 count,
                 tries,
             } => {
-                let rented = answer
-                    .filter(|a| a.0 == 200)
-                    .and_then(|a| serde_json::from_slice::<crate::wire::cloud::Rented>(a.1).ok());
+                let rented = answer.filter(|a| a.0 == 200).and_then(|a| {
+                    serde_json::from_slice::<crate::wire::cloud::ProvisionAnswer>(a.1).ok()
+                });
                 if let Some(rented) = rented {
                     self.fleet.pending_provisions.remove(&name);
                     if rented.machines.len() < count as usize {
-                        self.refused(&offer, now);
+                        self.record_offer_refusal(&offer, now);
                     } else {
                         self.fleet.refusals.remove(&offer);
                     }
@@ -65,12 +70,12 @@
                             // It may have reported by now, and have been adopted.
                             Some(to) if !self.machines.contains_key(m.as_str()) => {
                                 let (flavor, zone) = (flavor.to_string(), offer.zone.clone());
-                                let record = MoveRecord {
-                                    flavor,
+                                let record = MachineTransferRecord {
+                                    machine_type: flavor,
                                     zone,
                                     spot: offer.spot,
                                 };
-                                self.give(&m, record, to);
+                                self.start_machine_transfer(&m, record, to);
                             }
                             _ => drop(self.machine_or_adopt(
                                 &m,
@@ -81,15 +86,15 @@
                             )),
                         }
                     }
-                } else if no_capacity(answer) || tries >= 4 {
+                } else if is_out_of_capacity(answer) || tries >= 4 {
                     self.fleet.pending_provisions.remove(&name);
                     self.provisioning_for_shard.remove(&name);
-                    self.refused(&offer, now);
+                    self.record_offer_refusal(&offer, now);
                 } else if matches!(answer, Some((400, _))) {
                     tracing::error!(%name, "the cloud calls a rental request malformed");
                     self.fleet.pending_provisions.remove(&name);
                     self.provisioning_for_shard.remove(&name);
-                    self.refused(&offer, now);
+                    self.record_offer_refusal(&offer, now);
                 } else {
                     // The same name again: it rents once, however often it is carried out.
                     let again = CloudCall::Provision {
@@ -105,7 +110,7 @@
     }
 
     /// Block 0's holder was refused machines of these offers, and leaves them alone for so long.
-    pub fn told_refused(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
+    pub fn apply_refused_offers(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
         for (offer, left) in offers {
             let held = self.machines_of_offer(&offer);
             let refusal = OfferRefusal {
@@ -118,7 +123,7 @@
         }
     }
 
-    fn refused(&mut self, offer: &Offer, now: Micros) {
+    fn record_offer_refusal(&mut self, offer: &Offer, now: Micros) {
         let times = self.fleet.refusals.get(offer).map_or(0, |r| r.consecutive);
         let until = now + ((8 * SECOND) << times.min(2));
         let refusal = OfferRefusal {
@@ -130,7 +135,7 @@
         self.fleet.refusals.insert(offer.clone(), refusal);
     }
 
-    fn listed(&mut self, answer: Option<(u16, &[u8])>, now: Micros) {
+    fn apply_machine_listing(&mut self, answer: Option<(u16, &[u8])>, now: Micros) {
         self.fleet.listing_in_flight = false;
         let list = answer
             .filter(|a| a.0 == 200)
@@ -152,7 +157,7 @@
         let seen = std::mem::take(&mut self.fleet.listing_entries);
         let lag = 2 * self.settings.list_lag;
         // What other blocks have and is on no list any more is gone, however old the list is.
-        let old = now > self.took_over_at + lag + GHOSTS;
+        let old = now > self.took_over_at + lag + MAX_MESSAGE_AGE;
         self.machines_in_other_shards
             .retain(|m, _| !old || seen.iter().any(|l| l.id == *m));
         let limit = self.lease_expiry_bound();
@@ -177,7 +182,7 @@
         }
         self.fleet
             .deleted_machines
-            .retain(|_, at| now < *at + GHOSTS + lag);
+            .retain(|_, at| now < *at + MAX_MESSAGE_AGE + lag);
         let mut adopted = 0;
         for l in &seen {
             if self.machines_in_other_shards.contains_key(&l.id) {
@@ -191,7 +196,7 @@
                 adopted += 1;
             }
             let age = micros_from_seconds(l.age_s);
-            let m = self.machine_or_adopt(&l.id, &l.flavor, &l.zone, l.spot, now);
+            let m = self.machine_or_adopt(&l.id, &l.machine_type, &l.zone, l.spot, now);
             m.missed_listings = 0;
             if !m.in_listing {
                 m.in_listing = true;
@@ -208,11 +213,11 @@
     }
 }
 
-fn same_names(a: &[crate::model::MachineType], b: &[crate::model::MachineType]) -> bool {
+fn has_same_names(a: &[crate::model::MachineType], b: &[crate::model::MachineType]) -> bool {
     a.len() == b.len() && a.iter().zip(b).all(|(x, y)| x.name == y.name)
 }
 
-fn no_capacity(answer: Option<(u16, &[u8])>) -> bool {
+fn is_out_of_capacity(answer: Option<(u16, &[u8])>) -> bool {
     #[derive(serde::Deserialize)]
     struct Reason {
         #[serde(default)]
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -12,14 +12,19 @@
 use crate::state::shard::ShardMember;
 use crate::state::shard_load::OutgoingTransfer;
 use crate::state::writes::{BatchedWrite, WriteBatch};
-use crate::wire::store::{self, Commit, MoveRecord};
+use crate::wire::store::{self, MachineTransferRecord, Transaction};
 
 /// What was asked for, for another block, counts as coming for so long after it was given.
-const ARRIVES: Micros = 4 * SECOND;
+const ARRIVAL_TIME: Micros = 4 * SECOND;
 
 impl Cluster {
     /// A request for another block has brought a machine.
-    pub fn give(&mut self, machine: &str, record: MoveRecord, to: u32) {
+    pub fn start_machine_transfer(
+        &mut self,
+        machine: &str,
+        record: MachineTransferRecord,
+        to: u32,
+    ) {
         self.machines_in_other_shards.insert(machine.into(), to);
         self.outgoing_transfers.insert(
             machine.into(),
@@ -32,9 +37,9 @@
     }
 
     /// Adds machines on their way to other blocks to a transaction, until it has `most` changes.
-    pub(crate) fn write_moves(
+    pub(crate) fn add_machine_transfers(
         &mut self,
-        commit: &mut Commit,
+        commit: &mut Transaction,
         batch: &mut WriteBatch,
         bytes: &mut usize,
         most: usize,
@@ -44,11 +49,15 @@
             .iter_mut()
             .filter(|g| !g.1.write_in_flight)
         {
-            if commit.changes() >= most || *bytes > 40_000 {
+            if commit.change_count() >= most || *bytes > 40_000 {
                 break;
             }
-            let key = format!("{}{}/{machine}", store::MOVE, giving.to_shard);
-            commit.put(&key, store::raw(&giving.record), None);
+            let key = format!(
+                "{}{}/{machine}",
+                store::MACHINE_TRANSFER_PREFIX,
+                giving.to_shard
+            );
+            commit.put(&key, store::to_raw_value(&giving.record), None);
             *bytes += 250;
             giving.write_in_flight = true;
             batch.writes.push(BatchedWrite::MachineTransfer {
@@ -57,9 +66,9 @@
         }
     }
 
-    pub(crate) fn gave(&mut self, machine: &str) {
+    pub(crate) fn machine_transferred(&mut self, machine: &str) {
         if let Some(giving) = self.outgoing_transfers.remove(machine) {
-            let until = self.now + ARRIVES;
+            let until = self.now + ARRIVAL_TIME;
             self.recent_transfers
                 .entry(giving.to_shard)
                 .or_default()
@@ -68,14 +77,19 @@
     }
 
     /// Perhaps it was carried out: to say it again changes nothing, for whoever took it knows it already.
-    pub(crate) fn not_given(&mut self, machine: &str) {
+    pub(crate) fn machine_transfer_failed(&mut self, machine: &str) {
         if let Some(giving) = self.outgoing_transfers.get_mut(machine) {
             giving.write_in_flight = false;
         }
     }
 
     /// A machine is on its way to this block.
-    pub fn incoming(&mut self, machine: &str, record: &MoveRecord, now: Micros) {
+    pub fn accept_machine_transfer(
+        &mut self,
+        machine: &str,
+        record: &MachineTransferRecord,
+        now: Micros,
+    ) {
         if self.accepting_transfers.contains(machine) {
             return;
         }
@@ -83,21 +97,42 @@
             || self.fleet.deleted_machines.contains_key(machine)
         {
             // It is here already, or was: only what says that it is on its way is left over.
-            self.stale_keys
-                .push(format!("{}{}/{machine}", store::MOVE, self.shard.id));
+            self.stale_keys.push(format!(
+                "{}{}/{machine}",
+                store::MACHINE_TRANSFER_PREFIX,
+                self.shard.id
+            ));
             return;
         }
-        self.machine_or_adopt(machine, &record.flavor, &record.zone, record.spot, now);
-        let MoveRecord { flavor, zone, spot } = record.clone();
+        self.machine_or_adopt(
+            machine,
+            &record.machine_type,
+            &record.zone,
+            record.spot,
+            now,
+        );
+        let MachineTransferRecord {
+            machine_type: flavor,
+            zone,
+            spot,
+        } = record.clone();
         self.shard
             .add(machine, ShardMember { flavor, zone, spot }, None);
         self.accepting_transfers.insert(machine.into());
     }
 
     /// How many machines of an offer are being rented for a block, or on their way to it.
-    pub(crate) fn coming(&mut self, block: u32, flavor: &str, zone: &str, spot: bool) -> u32 {
+    pub(crate) fn incoming_machine_count(
+        &mut self,
+        block: u32,
+        flavor: &str,
+        zone: &str,
+        spot: bool,
+    ) -> u32 {
         let now = self.now;
-        let same = |r: &MoveRecord| r.flavor == flavor && r.zone == zone && r.spot == spot;
+        let same = |r: &MachineTransferRecord| {
+            r.machine_type == flavor && r.zone == zone && r.spot == spot
+        };
         let arriving = self.recent_transfers.entry(block).or_default();
         arriving.retain(|(until, _)| now < *until);
         let arriving = arriving.iter().filter(|(_, r)| same(r)).count() as u32;
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -178,7 +178,7 @@
         for (block, wants) in std::mem::take(&mut self.other_shards_demand) {
             for (offer, wanted) in wants {
                 let flavor = self.machine_types[offer.machine_type].name.clone();
-                let coming = self.coming(block, &flavor, &offer.zone, offer.spot);
+                let coming = self.incoming_machine_count(block, &flavor, &offer.zone, offer.spot);
                 let count = wanted.saturating_sub(coming).min(most);
                 if count == 0 || self.is_offer_blocked(&offer, now) {
                     continue;
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -21,7 +21,7 @@
 use crate::model::{JobId, MachineType, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
 use crate::policy::Setting;
 use crate::settings::Settings;
-use crate::wire::store::{MoveRecord, seat_keys};
+use crate::wire::store::{MachineTransferRecord, assignment_keys};
 
 /// Added to every lease that is waited out.
 const LEASE_MARGIN: Micros = 250_000;
@@ -71,7 +71,7 @@
     pub outgoing_transfers: BTreeMap<String, OutgoingTransfer>,
     pub provisioning_for_shard: BTreeMap<String, u32>,
     /// What has been given to other blocks lately, and until when it counts as on its way.
-    pub(crate) recent_transfers: BTreeMap<u32, Vec<(Micros, MoveRecord)>>,
+    pub(crate) recent_transfers: BTreeMap<u32, Vec<(Micros, MachineTransferRecord)>>,
     /// Machines that are being taken over from their way here.
     pub accepting_transfers: HashSet<String>,
     /// Machines that this block's plan asks for.
@@ -168,7 +168,7 @@
             machines: BTreeMap::new(),
             capacity_index: CapacityIndex::default(),
             shard,
-            assignment_keys: seat_keys(0),
+            assignment_keys: assignment_keys(0),
             machines_in_other_shards: BTreeMap::new(),
             jobs_in_other_shards: BTreeMap::new(),
             outgoing_transfers: BTreeMap::new(),
@@ -219,7 +219,7 @@
         let chunk = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
         let (name, bytes) = (&self.settings.name, self.settings.value_bytes);
         self.shard = Shard::new(block, self.term, name, bytes, chunk);
-        self.assignment_keys = seat_keys(block);
+        self.assignment_keys = assignment_keys(block);
     }
 
     /// What teams may use in this block. Guarantees follow their limits in proportion.
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -4,7 +4,7 @@
 
 use super::provisioning_times::ProvisioningTimes;
 use crate::model::{MachineType, Micros};
-use crate::wire::cloud::{CloudRequest, Listed};
+use crate::wire::cloud::{CloudRequest, ListedMachine};
 
 /// When the cloud last had no machine for an offer.
 #[derive(Clone, Copy, Debug)]
@@ -57,7 +57,7 @@
     pub(crate) next_machine_types_at: Micros,
     pub(crate) next_summary_at: Micros,
     pub(crate) listing_cursor: String,
-    pub(crate) listing_entries: Vec<Listed>,
+    pub(crate) listing_entries: Vec<ListedMachine>,
     pub(crate) calls_to_retry: Vec<CloudCall>,
     pub(crate) delete_in_flight: bool,
     pub(crate) next_move_at: Micros,
@@ -106,14 +106,14 @@
 impl CloudCall {
     pub fn to_request(&self, flavors: &[MachineType]) -> CloudRequest {
         match self {
-            CloudCall::MachineTypes => CloudRequest::flavors(),
+            CloudCall::MachineTypes => CloudRequest::machine_types(),
             CloudCall::List { after } => CloudRequest::list(after),
             CloudCall::Delete { machines } => CloudRequest::delete(machines),
             CloudCall::Provision {
                 name, offer, count, ..
             } => {
                 let flavor = &flavors[offer.machine_type].name;
-                CloudRequest::rent(name, flavor, &offer.zone, offer.spot, *count)
+                CloudRequest::provision(name, flavor, &offer.zone, offer.spot, *count)
             }
         }
     }
