--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -13,9 +13,11 @@
 
 use crate::model::{JobId, TaskSet};
 use crate::state::pipeline::{DependencyGraph, DependencyOutcome};
-use crate::wire::api::{JobView, Status};
-use crate::wire::configuration::CURRENT;
-use crate::wire::store::{Change, Followed, Item, LIVE, Listing, decode_done, decode_ids};
+use crate::wire::api::{JobStatus, JobView};
+use crate::wire::configuration::CURRENT_VERSION_KEY;
+use crate::wire::store::{
+    Change, ChangeLog, LIVE_JOB_PREFIX, Listing, StoredValue, decode_done_part, decode_job_ids,
+};
 
 /// How many ends, and how many ids that nobody submitted, are remembered.
 const REMEMBERED: usize = 50_000;
@@ -152,7 +154,7 @@
         match self.live.get_key_value(id) {
             Some((id, l)) if l.waiting && !l.cancelled => {
                 if self.dependencies.is_cancelled(id) {
-                    return JobLookup::Job(JobView::new(Status::Cancelled, 0));
+                    return JobLookup::Job(JobView::new(JobStatus::Cancelled, 0));
                 }
                 if !self.dependencies.is_complete_for(id) {
                     return JobLookup::DependencyUnknown;
@@ -182,7 +184,7 @@
     /// The end of a job that others wait for has been read.
     pub fn record_upstream_end(&mut self, id: JobId, view: JobView) {
         self.dependencies
-            .mark_ended(&id, view.status == Status::Cancelled);
+            .mark_ended(&id, view.status == JobStatus::Cancelled);
         self.record_end(id, view);
     }
 
@@ -202,7 +204,7 @@
 
     /// Takes in a page of all live jobs. Returns the key after which the next page begins.
     pub fn apply_listing_page(&mut self, listing: &Listing) -> Option<String> {
-        let began = *self.reading.get_or_insert(listing.ledger_no);
+        let began = *self.reading.get_or_insert(listing.version);
         listing.items.iter().for_each(|item| self.read(item));
         let last = listing.items.last().filter(|_| listing.truncated);
         if last.is_none() {
@@ -210,15 +212,18 @@
             self.at = Some(began);
             self.reading = None;
         }
-        last.map(|i| i.k.clone())
+        last.map(|i| i.key.clone())
     }
 
-    fn read(&mut self, item: &Item) {
-        if item.k == CURRENT {
+    fn read(&mut self, item: &StoredValue) {
+        if item.key == CURRENT_VERSION_KEY {
             return;
         }
-        if let (Some(id), Some(brief)) = (item.k.strip_prefix(LIVE), item.record::<JobSummary>()) {
-            self.alive(id.into(), &brief, item.stamp);
+        if let (Some(id), Some(brief)) = (
+            item.key.strip_prefix(LIVE_JOB_PREFIX),
+            item.decode::<JobSummary>(),
+        ) {
+            self.alive(id.into(), &brief, item.version);
         }
     }
 
@@ -229,7 +234,7 @@
             self.fresh.push(id.clone());
         }
         if let Some(w) = &brief.waiting {
-            let upstream = decode_ids(&w.on);
+            let upstream = decode_job_ids(&w.on);
             let (over, live) = (&self.over, &self.live);
             self.dependencies
                 .add_waiting(&id, &upstream, brief.cancelled, |u| recorded(over, live, u));
@@ -243,32 +248,40 @@
     }
 
     /// Takes in all changes since [`Mirror::at`].
-    pub fn apply_changes(&mut self, followed: &Followed) {
-        for change in &followed.log {
+    pub fn apply_changes(&mut self, followed: &ChangeLog) {
+        for change in &followed.changes {
             self.change(change);
         }
-        self.at = Some(followed.ledger_no);
-        self.told.retain(|_, stamp| *stamp > followed.ledger_no);
+        self.at = Some(followed.version);
+        self.told.retain(|_, stamp| *stamp > followed.version);
     }
 
     fn change(&mut self, change: &Change) {
         // The configuration is no job's.
-        if change.key() == Some(CURRENT) {
+        if change.key() == Some(CURRENT_VERSION_KEY) {
             return;
         }
-        if let Some(id) = change.write.as_deref().and_then(|k| k.strip_prefix(LIVE)) {
-            let text = change.v.as_deref().map_or("null", |v| v.get());
+        if let Some(id) = change
+            .written_key
+            .as_deref()
+            .and_then(|k| k.strip_prefix(LIVE_JOB_PREFIX))
+        {
+            let text = change.value.as_deref().map_or("null", |v| v.get());
             match serde_json::from_str::<JobSummary>(text) {
                 Ok(brief) => {
                     self.absent.remove(id);
-                    self.alive(id.into(), &brief, change.stamp);
+                    self.alive(id.into(), &brief, change.version);
                 }
                 Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
             }
         }
         // The record of a pipeline goes when it is over, in one transaction with the end's: what
         // it said last tells which end that is.
-        if let Some(id) = change.delete.as_deref().and_then(|k| k.strip_prefix(LIVE)) {
+        if let Some(id) = change
+            .deleted_key
+            .as_deref()
+            .and_then(|k| k.strip_prefix(LIVE_JOB_PREFIX))
+        {
             self.absent.remove(id);
             match self.live.remove_entry(id) {
                 Some((id, live)) => self.record_upstream_end(id, live.over()),
@@ -285,7 +298,7 @@
     id: &JobId,
 ) -> DependencyOutcome {
     match (over.get(id), live.get(id)) {
-        (Some(v), _) if v.status == Status::Cancelled => DependencyOutcome::Cancelled,
+        (Some(v), _) if v.status == JobStatus::Cancelled => DependencyOutcome::Cancelled,
         (Some(_), _) => DependencyOutcome::Done,
         (None, Some(l)) if l.cancelled => DependencyOutcome::Cancelled,
         (None, Some(_)) => DependencyOutcome::Live,
@@ -296,7 +309,7 @@
 impl Live {
     fn new(brief: &JobSummary, stamp: u64) -> Live {
         let mut done = TaskSet::default();
-        decode_done(&brief.done, 0, &mut done);
+        decode_done_part(&brief.done, 0, &mut done);
         let (tasks, waiting) = (brief.spec.tasks, brief.waiting.is_some());
         Live {
             stamp,
@@ -309,9 +322,9 @@
 
     fn view(&self) -> JobView {
         let status = if self.cancelled {
-            Status::Cancelled
+            JobStatus::Cancelled
         } else {
-            Status::Pending
+            JobStatus::Pending
         };
         JobView::new(status, self.done)
     }
@@ -319,9 +332,9 @@
     fn over(&self) -> JobView {
         // A job that was never released did not end any other way.
         if self.cancelled || self.waiting {
-            JobView::new(Status::Cancelled, self.done)
+            JobView::new(JobStatus::Cancelled, self.done)
         } else {
-            JobView::new(Status::Done, self.tasks)
+            JobView::new(JobStatus::Done, self.tasks)
         }
     }
 }
--- a/crates/gannethub-core/src/state/job_replica/tests.rs
+++ b/crates/gannethub-core/src/state/job_replica/tests.rs
@@ -47,9 +47,9 @@
     m.apply_changes(&serde_json::from_str(&log).unwrap());
     assert_eq!(m.version(), Some(12));
     assert!(
-        matches!(m.lookup("j-1"), JobLookup::Job(v) if v.status == Status::Done && v.done == 4)
+        matches!(m.lookup("j-1"), JobLookup::Job(v) if v.status == JobStatus::Done && v.done == 4)
     );
-    assert!(matches!(m.lookup("j-2"), JobLookup::Job(v) if v.status == Status::Cancelled));
+    assert!(matches!(m.lookup("j-2"), JobLookup::Job(v) if v.status == JobStatus::Cancelled));
     assert!(
         matches!(m.lookup("j-3"), JobLookup::Job(_)),
         "it is not absent any more"
--- a/crates/gannethub-core/src/state/kill_orders.rs
+++ b/crates/gannethub-core/src/state/kill_orders.rs
@@ -4,7 +4,7 @@
 
 use super::records::MachineId;
 use crate::model::{Micros, TaskId};
-use crate::wire::budget::Bucket;
+use crate::wire::budget::TokenBucket;
 
 /// Attempts to be halted on one machine.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct KillOrders {
     pub pending: BTreeMap<MachineId, KillOrder>,
-    pub rate_limit: Bucket,
+    pub rate_limit: TokenBucket,
 }
 
 impl KillOrders {
@@ -28,7 +28,7 @@
     pub fn new(rate: f64) -> KillOrders {
         KillOrders {
             pending: BTreeMap::new(),
-            rate_limit: Bucket::new(rate),
+            rate_limit: TokenBucket::new(rate),
         }
     }
 }
--- a/crates/gannethub-core/src/state/shard.rs
+++ b/crates/gannethub-core/src/state/shard.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::wire::store::BLOCK;
+use crate::wire::store::SHARD_PREFIX;
 
 /// A machine as its block records it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
@@ -94,13 +94,13 @@
     }
 
     pub fn chunk_key(&self, chunk: usize) -> String {
-        format!("{BLOCK}{}/{chunk}", self.id)
+        format!("{SHARD_PREFIX}{}/{chunk}", self.id)
     }
 
     /// The chunk that `key` names, if it is one of this block's.
     pub fn parse_chunk_key(&self, key: &str) -> Option<usize> {
         let rest = key
-            .strip_prefix(BLOCK)?
+            .strip_prefix(SHARD_PREFIX)?
             .strip_prefix(&self.id.to_string())?;
         rest.strip_prefix('/')?
             .parse()
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -2,13 +2,13 @@
 
 use super::fleet::Offer;
 use crate::model::{JobSpec, Resources, Shape};
-use crate::wire::store::MoveRecord;
+use crate::wire::store::MachineTransferRecord;
 
 /// A new machine on its way to another block.
 #[derive(Clone, Debug)]
 pub struct OutgoingTransfer {
     pub to_shard: u32,
-    pub record: MoveRecord,
+    pub record: MachineTransferRecord,
     /// The transaction that says so is under way.
     pub write_in_flight: bool,
 }
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -14,8 +14,8 @@
 use super::records::{AttemptPhase, Job, Machine, MachineId};
 use super::usage_replica::{ReplicatedRecord, UsageReplica};
 use crate::model::{JobId, Micros, Resources, SECOND, Shape, TaskId};
-use crate::wire::peer::{OpenTab, OpenTabs, TabKey, TabOwner};
-use crate::wire::store::{Owner, SLACK, ledger_page};
+use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageOwner, UsageRecords};
+use crate::wire::store::{JobOwner, VALUE_SLACK_BYTES, ledger_page_key};
 use crate::wire::worker::ExitReason;
 
 /// Attempt numbers with a time in them: the term above, milliseconds since [`EPOCH`] below.
@@ -57,7 +57,7 @@
 pub struct UsageRecord {
     pub meter: Meter,
     /// Not known of an attempt whose job is over and that this leader did not start.
-    owner: Option<Arc<Owner>>,
+    owner: Option<Arc<JobOwner>>,
     charged: Charged,
     /// Its worker says that its progress was saved.
     pub saved: bool,
@@ -110,7 +110,7 @@
     before: HashSet<Key>,
     unowned: BTreeMap<JobId, Vec<End>>,
     /// Ends that are charged and not in writing yet, by their tickets.
-    ends: BTreeMap<u64, (Arc<Owner>, End)>,
+    ends: BTreeMap<u64, (Arc<JobOwner>, End)>,
     ghosts: BTreeMap<MachineId, BTreeMap<(TaskId, u64), Ghost>>,
     /// What an earlier leader had charged, and this one wrote down.
     inherited: HashMap<Key, u64>,
@@ -119,7 +119,7 @@
     /// Launches among that are going out now.
     urgent: bool,
     ended: Vec<u64>,
-    closed: Vec<TabKey>,
+    closed: Vec<AttemptKey>,
     told: Vec<Sent>,
     /// When owners were asked for.
     asked: HashMap<JobId, Micros>,
@@ -133,12 +133,12 @@
 }
 
 /// Whom a job's attempts are charged to.
-pub(crate) fn job_owner(job: &Job) -> Owner {
-    Owner {
+pub(crate) fn job_owner(job: &Job) -> JobOwner {
+    JobOwner {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
-        need: job.spec.need,
-        replica: job.spec.shape == Shape::Service,
+        resources: job.spec.need,
+        is_service: job.spec.shape == Shape::Service,
     }
 }
 
@@ -183,7 +183,7 @@
 
 /// A page that is not as it was written is left as it is, and the service goes on.
 pub(crate) fn log_damaged_page(page: Damaged) {
-    let key = ledger_page(page.0);
+    let key = ledger_page_key(page.0);
     tracing::error!(
         key,
         "a page of the ledger is not as it was written; it is kept"
@@ -202,7 +202,7 @@
         let Some(setup) = self.settings.ledger.clone() else {
             return;
         };
-        let limit = self.settings.value_bytes - SLACK;
+        let limit = self.settings.value_bytes - VALUE_SLACK_BYTES;
         let window = Book::window(self.settings.lease, &setup.settings);
         let opened = Book::open(setup.settings, setup.keys, limit, window, head, pages);
         opened.damaged.into_iter().for_each(log_damaged_page);
@@ -267,13 +267,13 @@
             );
             let machine: MachineId = k.machine.as_str().into();
             let owner = t.owner.as_ref().map(|o| Arc::new(read_owner(o)));
-            let kind = (t.flavor.clone(), t.zone.clone(), t.spot, t.price);
-            if let Some(reason) = REASONS.get((t.reason as usize).wrapping_sub(1)) {
-                let at = told_at.saturating_sub(t.ended);
+            let kind = (t.machine_type.clone(), t.zone.clone(), t.spot, t.price);
+            if let Some(reason) = REASONS.get((t.end_reason as usize).wrapping_sub(1)) {
+                let at = told_at.saturating_sub(t.end_age);
                 // The process may be younger than that end.
                 let ago = now
                     .saturating_sub(told_at)
-                    .saturating_add(t.ended)
+                    .saturating_add(t.end_age)
                     .saturating_add(late);
                 let end = self.time_of_day(now).saturating_sub(ago);
                 let (reason, saved) = (*reason, t.saved);
@@ -298,16 +298,16 @@
                 continue;
             };
             let mut spent = reading.spent;
-            spent.0[stage.index()] += t.since;
+            spent.0[stage.index()] += t.stage_age;
             let meter = Meter {
                 stage,
                 since: told_at,
                 // Whether its launch went out was not told.
-                sent: Some((told_at.saturating_sub(t.since), told_at)),
+                sent: Some((told_at.saturating_sub(t.stage_age), told_at)),
                 spent,
                 // The machine may have been lost before its leader was, which did not know it yet.
-                unsure: t.unsure + until - told_at,
-                guessed: t.guessed,
+                unsure: t.begin_uncertainty + until - told_at,
+                guessed: t.begin_estimated,
             };
             let tab = UsageRecord {
                 meter,
@@ -318,7 +318,7 @@
             let ghost = Ghost {
                 tab,
                 kind,
-                session: t.session,
+                session: t.incarnation,
                 told_at: until,
                 late,
             };
@@ -331,7 +331,7 @@
     }
 
     /// Charges an end to its owner, or keeps it until that is known.
-    fn charge_end(&mut self, owner: Option<Arc<Owner>>, end: End, now: Micros) -> Option<u64> {
+    fn charge_end(&mut self, owner: Option<Arc<JobOwner>>, end: End, now: Micros) -> Option<u64> {
         let job = || {
             self.jobs
                 .get(&end.key.0.job)
@@ -449,7 +449,7 @@
     }
 
     /// All that is not charged yet, or not in writing.
-    pub fn all_usage_records(&self, now: Micros) -> Vec<OpenTab> {
+    pub fn all_usage_records(&self, now: Micros) -> Vec<OpenUsageRecord> {
         let Some(ledger) = &self.usage_ledger else {
             return Vec::new();
         };
@@ -475,7 +475,7 @@
     }
 
     /// What has changed since siblings were last told.
-    fn new_tabs(&self, now: Micros) -> Vec<OpenTab> {
+    fn new_tabs(&self, now: Micros) -> Vec<OpenUsageRecord> {
         let Some(ledger) = &self.usage_ledger else {
             return Vec::new();
         };
@@ -493,7 +493,7 @@
     }
 
     /// What to tell each sibling of the ledger now.
-    pub fn usage_messages(&mut self, now: Micros) -> Vec<(usize, OpenTabs)> {
+    pub fn usage_messages(&mut self, now: Micros) -> Vec<(usize, UsageRecords)> {
         let (term, at) = (self.term, self.unix_time);
         let lagging = self
             .usage_ledger
@@ -529,14 +529,14 @@
                 told.seq += 1;
                 messages.push((
                     sibling,
-                    OpenTabs {
+                    UsageRecords {
                         term,
-                        seq,
-                        first,
-                        last,
-                        open,
-                        closed,
-                        at,
+                        sequence: seq,
+                        is_first: first,
+                        is_last: last,
+                        open_records: open,
+                        closed_keys: closed,
+                        sent_at: at,
                     },
                 ));
             }
@@ -563,7 +563,12 @@
     }
 
     /// An attempt as siblings are told of it, unless it is charged: then its ticket tells.
-    fn told_tab(&self, id: &MachineId, key: &(TaskId, u64), now: Micros) -> Option<OpenTab> {
+    fn told_tab(
+        &self,
+        id: &MachineId,
+        key: &(TaskId, u64),
+        now: Micros,
+    ) -> Option<OpenUsageRecord> {
         let ledger = self.usage_ledger.as_ref()?;
         let ended = |e: &&End| e.key == *key && e.machine == *id;
         if let Some(end) = ledger
@@ -588,7 +593,7 @@
         key: &(TaskId, u64),
         tab: &UsageRecord,
         now: Micros,
-    ) -> Option<OpenTab> {
+    ) -> Option<OpenUsageRecord> {
         let m = self
             .machines
             .get(id)
@@ -860,7 +865,7 @@
     }
 
     /// Whose a job was, as far as is kept; what nobody owns is charged to nobody.
-    pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<Owner>, now: Micros) {
+    pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
@@ -985,10 +990,10 @@
     }
 }
 
-fn tab_key(machine: &MachineId, key: &(TaskId, u64)) -> TabKey {
+fn tab_key(machine: &MachineId, key: &(TaskId, u64)) -> AttemptKey {
     let (task, attempt) = key;
     let (machine, job) = (machine.to_string(), task.job.to_string());
-    TabKey {
+    AttemptKey {
         machine,
         job,
         task: task.index,
@@ -996,30 +1001,30 @@
     }
 }
 
-fn write_owner(o: &Owner) -> TabOwner {
+fn write_owner(o: &JobOwner) -> UsageOwner {
     let (team, class) = (o.team.clone(), o.class.clone());
-    let Resources { cpu, gpu, mem } = o.need;
-    TabOwner {
+    let Resources { cpu, gpu, mem } = o.resources;
+    UsageOwner {
         team,
         class,
         cpu,
         gpu,
         mem,
-        replica: o.replica,
+        is_service: o.is_service,
     }
 }
 
-fn read_owner(o: &TabOwner) -> Owner {
+fn read_owner(o: &UsageOwner) -> JobOwner {
     let need = Resources {
         cpu: o.cpu,
         gpu: o.gpu,
         mem: o.mem,
     };
-    Owner {
+    JobOwner {
         team: o.team.clone(),
         class: o.class.clone(),
-        need,
-        replica: o.replica,
+        resources: need,
+        is_service: o.is_service,
     }
 }
 
@@ -1031,55 +1036,55 @@
     kind: &Kind,
     session: u64,
     now: Micros,
-) -> OpenTab {
+) -> OpenUsageRecord {
     let m = &tab.meter;
     let (flavor, zone, spot, price) = kind.clone();
-    OpenTab {
+    OpenUsageRecord {
         key: Some(tab_key(id, key)),
         owner: tab.owner.as_deref().map(write_owner),
-        flavor,
+        machine_type: flavor,
         zone,
         spot,
         price,
-        session,
+        incarnation: session,
         stage: m.stage.index() as u32,
-        since: now.saturating_sub(m.since),
-        spent: m.spent.0.to_vec(),
-        unsure: m.unsure,
-        guessed: m.guessed,
+        stage_age: now.saturating_sub(m.since),
+        stage_times: m.spent.0.to_vec(),
+        begin_uncertainty: m.unsure,
+        begin_estimated: m.guessed,
         saved: tab.saved,
-        ..OpenTab::default()
+        ..OpenUsageRecord::default()
     }
 }
 
 /// What is told of one that is over and not in writing.
-fn end_tab(owner: Option<&Owner>, end: &End, now: Micros) -> OpenTab {
+fn end_tab(owner: Option<&JobOwner>, end: &End, now: Micros) -> OpenUsageRecord {
     let (flavor, zone, spot, price) = end.kind.clone();
     let place = REASONS.iter().position(|r| *r == end.reason).unwrap_or(0);
-    OpenTab {
+    OpenUsageRecord {
         key: Some(tab_key(&end.machine, &end.key)),
         owner: owner.map(write_owner),
-        flavor,
+        machine_type: flavor,
         zone,
         spot,
         price,
-        spent: end.reading.spent.0.to_vec(),
-        guessed: end.reading.estimate,
+        stage_times: end.reading.spent.0.to_vec(),
+        begin_estimated: end.reading.estimate,
         saved: end.saved,
-        reason: place as u32 + 1,
-        ended: now.saturating_sub(end.at),
-        bound: end.reading.bound,
-        ..OpenTab::default()
+        end_reason: place as u32 + 1,
+        end_age: now.saturating_sub(end.at),
+        time_uncertainty: end.reading.bound,
+        ..OpenUsageRecord::default()
     }
 }
 
 /// The times of a tab as it was told; `None` if they make no sense.
-fn reading_of(t: &OpenTab) -> Option<Reading> {
-    let spent: [Micros; 6] = t.spent.clone().try_into().ok()?;
+fn reading_of(t: &OpenUsageRecord) -> Option<Reading> {
+    let spent: [Micros; 6] = t.stage_times.clone().try_into().ok()?;
     Some(Reading {
         spent: Spent(spent),
-        bound: t.bound,
-        estimate: t.guessed,
+        bound: t.time_uncertainty,
+        estimate: t.begin_estimated,
     })
 }
 
@@ -1091,14 +1096,14 @@
 
 /// Charging, as the cluster has it.
 trait ChargeTo {
-    fn charge_to(&mut self, owner: &Owner, end: &End, now: Micros) -> u64;
+    fn charge_to(&mut self, owner: &JobOwner, end: &End, now: Micros) -> u64;
 }
 
 impl ChargeTo for Book {
-    fn charge_to(&mut self, owner: &Owner, end: &End, now: Micros) -> u64 {
+    fn charge_to(&mut self, owner: &JobOwner, end: &End, now: Micros) -> u64 {
         let worth = match (end.reason, end.saved) {
             (Reason::Done, _) => Worth::Useful,
-            _ if owner.replica => Worth::Useful,
+            _ if owner.is_service => Worth::Useful,
             (_, true) => Worth::Saved,
             _ => Worth::Lost,
         };
@@ -1107,7 +1112,7 @@
             team: owner.team.clone(),
             class: owner.class.clone(),
             job: task.job.to_string(),
-            need: need(owner.need),
+            need: need(owner.resources),
             flavor,
             zone,
             spot,
--- a/crates/gannethub-core/src/state/usage_replica.rs
+++ b/crates/gannethub-core/src/state/usage_replica.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use crate::model::{Micros, SECOND};
-use crate::wire::peer::{OpenTab, OpenTabs, TabKey};
+use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageRecords};
 
 /// A copy that has a gap asks again after this time.
 const ASK_AGAIN: Micros = 2 * SECOND;
@@ -16,7 +16,7 @@
 /// A tab as a leader told of it.
 #[derive(Debug, Clone)]
 pub struct ReplicatedRecord {
-    pub record: OpenTab,
+    pub record: OpenUsageRecord,
     /// When that came, and how long it had been on its way.
     pub received_at: Micros,
     pub transit_time: Micros,
@@ -33,30 +33,30 @@
     filling: bool,
     asked_at: Option<Micros>,
     heard_at: Micros,
-    tabs: BTreeMap<TabKey, ReplicatedRecord>,
+    tabs: BTreeMap<AttemptKey, ReplicatedRecord>,
 }
 
 impl UsageReplica {
     /// What a leader that steps down knows itself.
-    pub fn from_own_records(term: u64, tabs: Vec<OpenTab>, now: Micros) -> UsageReplica {
+    pub fn from_own_records(term: u64, tabs: Vec<OpenUsageRecord>, now: Micros) -> UsageReplica {
         let mut shadow = UsageReplica::default();
         let (seq, closed) = (0, Vec::new());
         let (first, last, at) = (true, true, 0);
-        let all = OpenTabs {
+        let all = UsageRecords {
             term,
-            seq,
-            first,
-            last,
-            open: tabs,
-            closed,
-            at,
+            sequence: seq,
+            is_first: first,
+            is_last: last,
+            open_records: tabs,
+            closed_keys: closed,
+            sent_at: at,
         };
         shadow.apply(all, now, 0);
         shadow
     }
 
     /// Takes in a leader's message that has been on its way so long. True: all of it should be asked for.
-    pub fn apply(&mut self, message: OpenTabs, now: Micros, late: Micros) -> bool {
+    pub fn apply(&mut self, message: UsageRecords, now: Micros, late: Micros) -> bool {
         if message.term < self.term {
             return false;
         }
@@ -66,20 +66,20 @@
                 ..UsageReplica::default()
             };
         }
-        if message.first {
+        if message.is_first {
             self.tabs.clear();
-            (self.filling, self.next) = (true, message.seq);
+            (self.filling, self.next) = (true, message.sequence);
         }
-        let follows = message.seq == self.next;
-        self.next = message.seq + 1;
+        let follows = message.sequence == self.next;
+        self.next = message.sequence + 1;
         if !follows {
             (self.complete, self.filling) = (false, false);
         }
         // What has come is of use even where something is missing.
-        for key in message.closed {
+        for key in message.closed_keys {
             self.tabs.remove(&key);
         }
-        for tab in message.open {
+        for tab in message.open_records {
             if let Some(key) = tab.key.clone() {
                 self.tabs.insert(
                     key,
@@ -92,7 +92,7 @@
                 );
             }
         }
-        if message.last && self.filling {
+        if message.is_last && self.filling {
             (self.complete, self.filling) = (true, false);
         }
         let ask = !self.complete && !self.filling;
--- a/crates/gannethub-core/src/state/usage_replica/tests.rs
+++ b/crates/gannethub-core/src/state/usage_replica/tests.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-fn tab(task: u32) -> OpenTab {
-    let key = TabKey {
+fn tab(task: u32) -> OpenUsageRecord {
+    let key = AttemptKey {
         machine: "m".into(),
         job: "j-1".into(),
         task,
         attempt: 1,
     };
-    OpenTab {
+    OpenUsageRecord {
         key: Some(key),
-        ..OpenTab::default()
+        ..OpenUsageRecord::default()
     }
 }
 
-fn message(seq: u64, first: bool, last: bool, open: &[u32], closed: &[u32]) -> OpenTabs {
+fn message(seq: u64, first: bool, last: bool, open: &[u32], closed: &[u32]) -> UsageRecords {
     let open = open.iter().map(|t| tab(*t)).collect();
     let closed = closed.iter().filter_map(|t| tab(*t).key).collect();
-    OpenTabs {
+    UsageRecords {
         term: 3,
-        seq,
-        first,
-        last,
-        open,
-        closed,
-        at: 0,
+        sequence: seq,
+        is_first: first,
+        is_last: last,
+        open_records: open,
+        closed_keys: closed,
+        sent_at: 0,
     }
 }
 
@@ -47,7 +47,7 @@
     assert!(!s.apply(message(8, true, false, &[1, 2], &[]), SECOND, 0));
     assert!(!s.apply(message(9, false, true, &[3], &[]), SECOND, 0));
     assert!(!s.apply(message(10, false, false, &[4], &[1]), SECOND, 0));
-    let old = OpenTabs {
+    let old = UsageRecords {
         term: 2,
         ..message(11, true, true, &[], &[])
     };
--- a/crates/gannethub-core/src/wire/api.rs
+++ b/crates/gannethub-core/src/wire/api.rs
@@ -13,13 +13,13 @@
 
 /// The most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
-const MAX_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// An answer names so many of the jobs that one waits for.
-const SHOWN: usize = 100;
+const MAX_SHOWN_DEPENDENCIES: usize = 100;
 
 /// What a user is told about a job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Status {
+pub enum JobStatus {
     Pending,
     Running,
     Done,
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobView {
-    pub status: Status,
+    pub status: JobStatus,
     pub done: u32,
     pub running: u32,
     /// Jobs that have to be done before it begins.
@@ -36,7 +36,7 @@
 }
 
 impl JobView {
-    pub fn new(status: Status, done: u32) -> JobView {
+    pub fn new(status: JobStatus, done: u32) -> JobView {
         JobView {
             status,
             done,
@@ -53,11 +53,11 @@
     /// Jobs that it waits for, each once.
     pub waits_on: Vec<JobId>,
     /// The version of the configuration that it was checked under.
-    pub checked_under: u64,
+    pub configuration_version: u64,
 }
 
 /// The body of an answer about a job.
-pub fn answer(code: u16, id: &str, view: &JobView) -> Response {
+pub fn job_response(code: u16, id: &str, view: &JobView) -> Response {
     #[derive(Serialize)]
     struct Wire<'a> {
         id: &'a str,
@@ -68,12 +68,17 @@
         waits_on: Vec<&'a str>,
     }
     let status = match view.status {
-        Status::Pending => "pending",
-        Status::Running => "running",
-        Status::Done => "done",
-        Status::Cancelled => "cancelled",
+        JobStatus::Pending => "pending",
+        JobStatus::Running => "running",
+        JobStatus::Done => "done",
+        JobStatus::Cancelled => "cancelled",
     };
-    let waits_on = view.waits_on.iter().take(SHOWN).map(|id| &**id).collect();
+    let waits_on = view
+        .waits_on
+        .iter()
+        .take(MAX_SHOWN_DEPENDENCIES)
+        .map(|id| &**id)
+        .collect();
     Response::json(
         code,
         &Wire {
@@ -94,12 +99,12 @@
     #[error("{0}")]
     Impossible(String),
     #[error("the machine types are not known yet")]
-    NotYet,
+    MachineTypesUnknown,
     #[error("the configuration is changing")]
-    Changing,
+    ConfigurationChanging,
 }
 
-fn bad<T>(field: &str, reason: &str) -> Result<T, Refusal> {
+fn malformed<T>(field: &str, reason: &str) -> Result<T, Refusal> {
     Err(Refusal::Malformed(format!("{field}: {reason}")))
 }
 
@@ -112,29 +117,29 @@
 
     fn text(&self, field: &str) -> Result<String, Refusal> {
         match self.get(field).and_then(Value::as_str) {
-            Some(s) if !s.is_empty() && s.len() <= MAX_NAME => Ok(s.to_string()),
-            Some(_) => bad(field, "must have 1 to 128 bytes"),
-            None => bad(field, "a string is needed"),
+            Some(s) if !s.is_empty() && s.len() <= MAX_NAME_BYTES => Ok(s.to_string()),
+            Some(_) => malformed(field, "must have 1 to 128 bytes"),
+            None => malformed(field, "a string is needed"),
         }
     }
 
     fn amount(&self, field: &str) -> Result<f64, Refusal> {
         match self.get(field).and_then(Value::as_f64) {
             Some(x) if (0.0..=1e7).contains(&x) => Ok(x),
-            Some(_) => bad(field, "out of range"),
-            None => bad(field, "a number is needed"),
+            Some(_) => malformed(field, "out of range"),
+            None => malformed(field, "a number is needed"),
         }
     }
 
     fn flag(&self, field: &str) -> Result<bool, Refusal> {
         self.get(field)
             .and_then(Value::as_bool)
-            .map_or_else(|| bad(field, "true or false"), Ok)
+            .map_or_else(|| malformed(field, "true or false"), Ok)
     }
 }
 
 /// The JSON object of a submission, and its id if it has a valid one.
-pub fn parse_object(body: &[u8]) -> Result<(Map<String, Value>, Option<JobId>), Refusal> {
+pub fn parse_json_object(body: &[u8]) -> Result<(Map<String, Value>, Option<JobId>), Refusal> {
     let Ok(Value::Object(map)) = serde_json::from_slice(body) else {
         return Err(Refusal::Malformed("the body is not a JSON object".into()));
     };
@@ -156,14 +161,16 @@
             for id in list {
                 match id.as_str().filter(|id| is_valid_job_id(id)) {
                     Some(id) if own == Some(id) => {
-                        return bad("waits_on", "a job cannot wait for itself");
+                        return malformed("waits_on", "a job cannot wait for itself");
                     }
                     Some(id) => ids.insert(JobId::from(id)),
-                    None => return bad("waits_on", "a list of job ids like j-000412 is needed"),
+                    None => {
+                        return malformed("waits_on", "a list of job ids like j-000412 is needed");
+                    }
                 };
             }
         }
-        Some(_) => return bad("waits_on", "a list of job ids or null"),
+        Some(_) => return malformed("waits_on", "a list of job ids or null"),
     }
     Ok(ids.into_iter().collect())
 }
@@ -176,13 +183,13 @@
         .and_then(Value::as_str)
         .is_some_and(is_valid_job_id)
     {
-        return bad("id", "a job id like j-000412 is needed");
+        return malformed("id", "a job id like j-000412 is needed");
     }
     let waits_on = parse_waits_on(&f)?;
     Ok(Submission {
         spec: parse_spec(&f)?,
         waits_on,
-        checked_under: 0,
+        configuration_version: 0,
     })
 }
 
@@ -191,18 +198,18 @@
         "array" => Shape::Array,
         "group" => Shape::Gang,
         "service" => Shape::Service,
-        _ => return bad("shape", "array, group or service"),
+        _ => return malformed("shape", "array, group or service"),
     };
     let priority = match f.text("rank")?.as_str() {
         "production" => Priority::Production,
         "urgent" => Priority::High,
         "normal" => Priority::Normal,
         "low" => Priority::Low,
-        _ => return bad("rank", "production, urgent, normal or low"),
+        _ => return malformed("rank", "production, urgent, normal or low"),
     };
     let tasks = match f.get("pieces").and_then(Value::as_u64) {
         Some(n) if (1..=u64::from(MAX_TASKS)).contains(&n) => n as u32,
-        _ => return bad("pieces", "a whole number from 1 to 100000"),
+        _ => return malformed("pieces", "a whole number from 1 to 100000"),
     };
     let types = match f.get("rigs") {
         None => None,
@@ -210,10 +217,10 @@
             let names = list.iter().map(|v| v.as_str().map(str::to_string));
             match names.collect::<Option<Vec<_>>>() {
                 Some(names) => Some(names),
-                None => return bad("rigs", "a list of names or null"),
+                None => return malformed("rigs", "a list of names or null"),
             }
         }
-        Some(_) => return bad("rigs", "a list of names or null"),
+        Some(_) => return malformed("rigs", "a list of names or null"),
     };
     let zone = if f.get("yard").is_some() {
         Some(f.text("yard")?)
@@ -248,7 +255,7 @@
 }
 
 /// The field that asks for more than any of these has; all of them, if only together they do.
-fn beyond(need: &Resources, sizes: &[&Resources]) -> &'static str {
+fn exceeded_field(need: &Resources, sizes: &[&Resources]) -> &'static str {
     let most = |part: fn(&Resources) -> i64| sizes.iter().map(|s| part(s)).max().unwrap_or(0);
     if need.cpu > most(|s| s.cpu) {
         "vcpus"
@@ -264,7 +271,7 @@
 /// Whether a job can ever run here. Narrows its list of types to those that exist.
 pub fn admit(spec: &mut JobSpec, teams: &[Team], flavors: &[MachineType]) -> Result<(), Refusal> {
     if flavors.is_empty() {
-        return Err(Refusal::NotYet);
+        return Err(Refusal::MachineTypesUnknown);
     }
     let never = |reason: &str| Err(Refusal::Impossible(reason.into()));
     let Some(team) = teams.iter().find(|t| t.name == spec.team && !t.closed) else {
@@ -291,7 +298,7 @@
         .collect();
     if fitting.is_empty() {
         let sizes: Vec<&Resources> = allowed.iter().map(|f| &f.size).collect();
-        let field = beyond(&spec.need, &sizes);
+        let field = exceeded_field(&spec.need, &sizes);
         return never(&format!("{field}: a task fits no allowed machine type"));
     }
     let at_once = if spec.shape == Shape::Array {
@@ -300,7 +307,7 @@
         i64::from(spec.tasks)
     };
     if !Team::within(&team.limit, &Resources::default(), &spec.need) {
-        let field = beyond(&spec.need, &[&team.limit]);
+        let field = exceeded_field(&spec.need, &[&team.limit]);
         return never(&format!("{field}: a task needs more than its team's limit"));
     }
     if !Team::within(
@@ -335,7 +342,7 @@
     Health,
     /// Which version of the configuration is in force here and at the siblings.
     Configuration,
-    Report,
+    Heartbeat,
     Submit,
     Query(&'a str),
     Cancel(&'a str),
@@ -347,7 +354,7 @@
 }
 
 /// Reads what is asked of the ledger.
-fn ledger(query: &str) -> Result<Route<'_>, Response> {
+fn parse_ledger_query(query: &str) -> Result<Route<'_>, Response> {
     let (mut page, mut team) = (None, None);
     for (name, value) in query.split('&').filter_map(|p| p.split_once('=')) {
         match name {
@@ -370,10 +377,10 @@
     use crate::http::Method::{Get, Post};
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let (route, needed) = match path {
-        "/api/ledger" => (ledger(query)?, Get),
+        "/api/ledger" => (parse_ledger_query(query)?, Get),
         "/healthz" => (Route::Health, Get),
         "/api/config" => (Route::Configuration, Get),
-        "/v1/report" => (Route::Report, Post),
+        "/v1/report" => (Route::Heartbeat, Post),
         "/api/jobs" => (Route::Submit, Post),
         _ => match path.strip_prefix("/api/jobs/") {
             Some(rest) => match rest.strip_suffix("/cancel") {
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -20,7 +20,7 @@
 fn check(body: &str) -> Result<JobSpec, Refusal> {
     let teams = crate::settings::tests::SAMPLE;
     let (settings, _) = crate::settings::Settings::parse(teams, "f").unwrap();
-    let mut spec = parse_submission(&parse_object(body.as_bytes())?.0)?.spec;
+    let mut spec = parse_submission(&parse_json_object(body.as_bytes())?.0)?.spec;
     admit(
         &mut spec,
         &settings.teams,
@@ -67,7 +67,7 @@
 fn the_jobs_that_one_waits_for_are_read_once_each() {
     let parse = |list: &str| {
         let body = JOB.replace("\"x\":1", &format!("\"waits_on\":{list}"));
-        parse_submission(&parse_object(body.as_bytes())?.0).map(|s| s.waits_on)
+        parse_submission(&parse_json_object(body.as_bytes())?.0).map(|s| s.waits_on)
     };
     for none in ["null", "[]"] {
         assert_eq!(parse(none), Ok(Vec::new()));
@@ -104,7 +104,10 @@
         );
     }
     let mut spec = check(JOB).unwrap();
-    assert_eq!(admit(&mut spec, &[], &[]), Err(Refusal::NotYet));
+    assert_eq!(
+        admit(&mut spec, &[], &[]),
+        Err(Refusal::MachineTypesUnknown)
+    );
 }
 
 #[test]
--- a/crates/gannethub-core/src/wire/budget/tests.rs
+++ b/crates/gannethub-core/src/wire/budget/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn the_budget_lets_renewals_pass_and_holds_the_rest_to_its_rates() {
-    let mut b = Budget::new(4.0, 2.0);
+    let mut b = RequestBudget::new(4.0, 2.0);
     for i in 0..10 {
         b.push(Urgency::User, 1, i);
     }
@@ -18,39 +18,39 @@
     );
     let later = std::iter::from_fn(|| b.pop(2 * SECOND)).count();
     assert_eq!(later, 2);
-    assert_eq!(b.queued(), 6);
-    assert_eq!(b.wait(), 3 * SECOND, "six changes at two a second");
+    assert_eq!(b.queued_requests(), 6);
+    assert_eq!(b.change_wait(), 3 * SECOND, "six changes at two a second");
 }
 
 #[test]
 fn questions_do_not_wait_behind_changes_that_may_not_be_made_yet() {
-    let mut b = Budget::new(20.0, 4.0);
+    let mut b = RequestBudget::new(20.0, 4.0);
     (0..10).for_each(|i| b.push(Urgency::User, 4, i));
-    b.push(Urgency::Commit, 4, 50);
+    b.push(Urgency::Transaction, 4, 50);
     (100..104).for_each(|i| b.push(Urgency::User, 0, i));
-    assert!(b.wait() > 8 * SECOND && b.wait_to_ask() == 0);
+    assert!(b.change_wait() > 8 * SECOND && b.query_wait() == 0);
     let first: Vec<u32> = std::iter::from_fn(|| b.pop(0)).collect();
     assert_eq!(first, [100, 50, 101, 102, 103]);
     // Nor are changes kept out by questions without end, or commits by both.
     (200..1000).for_each(|i| b.push(Urgency::User, 0, i));
-    assert!(b.wait_to_ask() > 30 * SECOND);
+    assert!(b.query_wait() > 30 * SECOND);
     let then: Vec<u32> = (1..9).flat_map(|s| b.pop(s * SECOND)).collect();
     assert!(then.iter().filter(|i| **i < 10).count() >= 3, "{then:?}");
 }
 
 #[test]
 fn a_storm_of_queries_leaves_every_other_request_to_commits() {
-    let mut b = Budget::new(6.0, 6.0);
+    let mut b = RequestBudget::new(6.0, 6.0);
     (0..1000).for_each(|i| b.push(Urgency::User, 0, i));
-    (0..3).for_each(|i| b.push(Urgency::Commit, 0, 2000 + i));
-    b.push(Urgency::Rest, 0, 3000);
+    (0..3).for_each(|i| b.push(Urgency::Transaction, 0, 2000 + i));
+    b.push(Urgency::Background, 0, 3000);
     let first: Vec<u32> = std::iter::from_fn(|| b.pop(SECOND)).collect();
     assert_eq!(first, [0, 2000, 1, 2001, 2, 2002]);
     // A transaction that waits for its changes holds up no reads, but the changes behind it.
-    let mut b = Budget::new(10.0, 4.0);
+    let mut b = RequestBudget::new(10.0, 4.0);
     b.push(Urgency::User, 4, 0);
     b.push(Urgency::User, 4, 1);
-    (2..6).for_each(|i| b.push(Urgency::Commit, u32::from(i == 4), i));
+    (2..6).for_each(|i| b.push(Urgency::Transaction, u32::from(i == 4), i));
     let first: Vec<u32> = std::iter::from_fn(|| b.pop(0)).collect();
     assert_eq!(first, [0, 2, 3]);
 }
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -15,7 +15,7 @@
 }
 
 impl CloudRequest {
-    pub fn flavors() -> CloudRequest {
+    pub fn machine_types() -> CloudRequest {
         CloudRequest {
             method: Method::Get,
             path: "/flavors".into(),
@@ -36,7 +36,7 @@
         }
     }
 
-    pub fn rent(name: &str, flavor: &str, zone: &str, spot: bool, count: u32) -> CloudRequest {
+    pub fn provision(name: &str, flavor: &str, zone: &str, spot: bool, count: u32) -> CloudRequest {
         #[derive(Serialize)]
         struct Rent<'a> {
             hire: &'a str,
@@ -74,12 +74,12 @@
 }
 
 #[derive(Deserialize)]
-struct Flavors {
-    rigs: Vec<RawFlavor>,
+struct MachineTypesAnswer {
+    rigs: Vec<MachineTypeEntry>,
 }
 
 #[derive(Deserialize)]
-struct RawFlavor {
+struct MachineTypeEntry {
     label: String,
     vcpus: f64,
     #[serde(default)]
@@ -97,8 +97,8 @@
 }
 
 /// Reads the machine types; `None` if the answer makes no sense.
-pub fn parse_flavors(body: &[u8]) -> Option<Vec<MachineType>> {
-    let raw: Flavors = serde_json::from_slice(body).ok()?;
+pub fn parse_machine_types(body: &[u8]) -> Option<Vec<MachineType>> {
+    let raw: MachineTypesAnswer = serde_json::from_slice(body).ok()?;
     let sane = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
     let flavors: Vec<MachineType> = raw
         .rigs
@@ -130,16 +130,16 @@
 }
 
 #[derive(Deserialize)]
-pub struct Rented {
+pub struct ProvisionAnswer {
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
 #[derive(Deserialize, Debug, Clone)]
-pub struct Listed {
+pub struct ListedMachine {
     pub id: String,
     #[serde(rename = "rig")]
-    pub flavor: String,
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "loaners", default)]
@@ -153,7 +153,7 @@
 #[derive(Deserialize)]
 pub struct MachineList {
     #[serde(rename = "hosts")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(default)]
     pub truncated: bool,
 }
--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -9,15 +9,15 @@
 use crate::configuration::Document;
 
 /// Which version holds. It sorts before all jobs' keys.
-pub const CURRENT: &str = "gh/live/configuration";
+pub const CURRENT_VERSION_KEY: &str = "gh/live/configuration";
 /// The versions before, the newest first.
-pub const HISTORY: &str = "gh/config/history";
+pub const HISTORY_KEY: &str = "gh/config/history";
 /// Under this and a version's id are the parts of its document.
-const DOCUMENT: &str = "gh/config/doc/";
+const DOCUMENT_PREFIX: &str = "gh/config/doc/";
 /// The longest reason and name that are kept with a version, in bytes.
-pub const MOST_TEXT: usize = 160;
+pub const MAX_TEXT_BYTES: usize = 160;
 /// Room that a stored value leaves for what holds it, in bytes.
-const SLACK: usize = 96;
+const VALUE_OVERHEAD_BYTES: usize = 96;
 
 /// A version: who made it, when and why, and where its document is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
@@ -29,11 +29,11 @@
     pub parts: u32,
     /// Time of day in microseconds since 1970, by the operator's clock.
     #[serde(rename = "at")]
-    pub at: u64,
+    pub created_at: u64,
     #[serde(rename = "by")]
-    pub by: String,
+    pub author: String,
     #[serde(rename = "why")]
-    pub why: String,
+    pub reason: String,
 }
 
 /// Versions that were in force, the newest first.
@@ -44,41 +44,42 @@
 
 /// Why a stored document cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StoredError {
+pub enum StoredDocumentError {
     #[error("{found} of {needed} parts are there")]
-    Parts { found: usize, needed: u32 },
+    MissingParts { found: usize, needed: u32 },
     #[error("{key} is not a part of a document: {reason}")]
-    Part { key: String, reason: String },
+    MalformedPart { key: String, reason: String },
     #[error("{field} does not fit into a value of {limit} bytes")]
     TooLarge { field: String, limit: usize },
 }
 
 impl VersionRecord {
     /// All parts of its document have keys that begin so.
-    pub fn prefix(&self) -> String {
-        format!("{DOCUMENT}{}/", self.id)
+    pub fn parts_prefix(&self) -> String {
+        format!("{DOCUMENT_PREFIX}{}/", self.id)
     }
 
     pub fn part_key(&self, part: usize) -> String {
-        format!("{}{part:03}", self.prefix())
+        format!("{}{part:03}", self.parts_prefix())
     }
 
     /// The document, from a listing of all its parts.
-    pub fn assemble(&self, listing: &Listing) -> Result<Document, StoredError> {
+    pub fn assemble(&self, listing: &Listing) -> Result<Document, StoredDocumentError> {
         let found = listing.items.len();
         if found != self.parts as usize || listing.truncated {
-            return Err(StoredError::Parts {
+            return Err(StoredDocumentError::MissingParts {
                 found,
                 needed: self.parts,
             });
         }
         let mut document = Document::default();
         for item in &listing.items {
-            let part: Document =
-                serde_json::from_str(item.v.get()).map_err(|e| StoredError::Part {
-                    key: item.k.clone(),
+            let part: Document = serde_json::from_str(item.value.get()).map_err(|e| {
+                StoredDocumentError::MalformedPart {
+                    key: item.key.clone(),
                     reason: e.to_string(),
-                })?;
+                }
+            })?;
             document.teams.extend(part.teams);
             document.objectives = part.objectives.or(document.objectives);
             document.policy = part.policy.or(document.policy);
@@ -91,10 +92,13 @@
 }
 
 /// A document in parts, each of which fits into a value of so many bytes.
-pub fn split(document: &Document, value_bytes: usize) -> Result<Vec<Document>, StoredError> {
-    let limit = value_bytes.saturating_sub(SLACK);
+pub fn split_document(
+    document: &Document,
+    value_bytes: usize,
+) -> Result<Vec<Document>, StoredDocumentError> {
+    let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
     let size = |d: &Document| serde_json::to_string(d).map_or(usize::MAX, |s| s.len());
-    let too_large = |field: String| Err(StoredError::TooLarge { field, limit });
+    let too_large = |field: String| Err(StoredDocumentError::TooLarge { field, limit });
     let objectives = Document {
         objectives: document.objectives.clone(),
         ..Document::default()
@@ -115,10 +119,10 @@
     let mut bytes = size(&part);
     for team in &document.teams {
         let alone = serde_json::to_string(team).map_or(usize::MAX, |s| s.len() + 1);
-        if alone + SLACK > limit {
+        if alone + VALUE_OVERHEAD_BYTES > limit {
             return too_large(format!("team {:?}", team.name));
         }
-        if bytes + alone + SLACK > limit {
+        if bytes + alone + VALUE_OVERHEAD_BYTES > limit {
             parts.push(std::mem::take(&mut part));
             bytes = size(&part);
         }
@@ -139,7 +143,7 @@
     /// With one more version, and as many of those before as fit; returns those that do not.
     pub fn push(&mut self, version: VersionRecord, value_bytes: usize) -> Vec<VersionRecord> {
         self.versions.insert(0, version);
-        let limit = value_bytes.saturating_sub(SLACK);
+        let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
         let mut dropped = Vec::new();
         let fits = |h: &HistoryRecord| serde_json::to_string(h).is_ok_and(|s| s.len() <= limit);
         while self.versions.len() > 1 && !fits(self) {
--- a/crates/gannethub-core/src/wire/configuration/tests.rs
+++ b/crates/gannethub-core/src/wire/configuration/tests.rs
@@ -26,7 +26,7 @@
 #[test]
 fn three_hundred_teams_go_into_small_values_and_come_back() {
     let whole = document(300);
-    let parts = split(&whole, 4096).unwrap();
+    let parts = split_document(&whole, 4096).unwrap();
     assert!((4..=7).contains(&parts.len()), "{}", parts.len());
     for part in &parts {
         assert!(serde_json::to_string(part).unwrap().len() <= 4096);
@@ -38,8 +38,11 @@
     };
     assert_eq!(record.assemble(&listing(&record, &parts)), Ok(whole));
     let missing = record.assemble(&listing(&record, &parts[1..]));
-    assert!(matches!(missing, Err(StoredError::Parts { .. })));
-    assert_eq!(split(&Document::default(), 4096).unwrap().len(), 1);
+    assert!(matches!(
+        missing,
+        Err(StoredDocumentError::MissingParts { .. })
+    ));
+    assert_eq!(split_document(&Document::default(), 4096).unwrap().len(), 1);
 }
 
 #[test]
@@ -48,7 +51,7 @@
         policy: Some("# ".repeat(4000)),
         ..Document::default()
     };
-    let error = split(&long, 4096).unwrap_err();
+    let error = split_document(&long, 4096).unwrap_err();
     assert!(
         error.to_string().starts_with("policy does not fit"),
         "{error}"
@@ -62,7 +65,7 @@
     for version in 1..=100 {
         let record = VersionRecord {
             version,
-            why: "x".repeat(100),
+            reason: "x".repeat(100),
             ..Default::default()
         };
         dropped += history.push(record, 4096).len();
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -24,38 +24,41 @@
 use crate::http::Method;
 use crate::model::{JobId, JobSpec, Micros, Resources, SECOND, TaskSet};
 
-pub const HOLDER: &str = "gh/lead/holder";
-pub const TERM: &str = "gh/lead/term";
-pub const LEAD: &str = "gh/lead/";
-pub const LIVE: &str = "gh/live/";
-pub const PART: &str = "gh/part/";
-pub const OVER: &str = "gh/over/";
-pub const BLOCK: &str = "gh/block/";
-pub const COUNT: &str = "gh/lead/count";
-pub const SEAT: &str = "gh/seat/";
-pub const MOVE: &str = "gh/move/";
-pub const ALLOT: &str = "gh/allot/";
-pub const LEDGER_HEAD: &str = "gh/ledger/head";
-pub const LEDGER_PAGE: &str = "gh/ledger/page/";
+pub const LEADER_KEY: &str = "gh/lead/holder";
+pub const TERM_KEY: &str = "gh/lead/term";
+pub const LEADER_PREFIX: &str = "gh/lead/";
+pub const LIVE_JOB_PREFIX: &str = "gh/live/";
+pub const DONE_PART_PREFIX: &str = "gh/part/";
+pub const FINISHED_JOB_PREFIX: &str = "gh/over/";
+pub const SHARD_PREFIX: &str = "gh/block/";
+pub const TERM_COUNTER_KEY: &str = "gh/lead/count";
+pub const SHARD_ASSIGNMENT_PREFIX: &str = "gh/seat/";
+pub const MACHINE_TRANSFER_PREFIX: &str = "gh/move/";
+pub const QUOTA_PARTITION_PREFIX: &str = "gh/allot/";
+pub const LEDGER_HEAD_KEY: &str = "gh/ledger/head";
+pub const LEDGER_PAGE_PREFIX: &str = "gh/ledger/page/";
 
 /// The key of a page of the ledger; in the order of their numbers.
-pub fn ledger_page(page: u64) -> String {
-    format!("{LEDGER_PAGE}{page:012}")
+pub fn ledger_page_key(page: u64) -> String {
+    format!("{LEDGER_PAGE_PREFIX}{page:012}")
 }
 
 /// The keys of a block's holder and of the last term that it was held in. Block 0 is the leader's.
-pub fn seat_keys(block: u32) -> (String, String) {
+pub fn assignment_keys(block: u32) -> (String, String) {
     match block {
-        0 => (HOLDER.into(), TERM.into()),
-        b => (format!("{SEAT}{b}/holder"), format!("{SEAT}{b}/term")),
+        0 => (LEADER_KEY.into(), TERM_KEY.into()),
+        b => (
+            format!("{SHARD_ASSIGNMENT_PREFIX}{b}/holder"),
+            format!("{SHARD_ASSIGNMENT_PREFIX}{b}/term"),
+        ),
     }
 }
 
 /// A machine on its way to a block: [`MOVE`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct MoveRecord {
+pub struct MachineTransferRecord {
     #[serde(rename = "flavor")]
-    pub flavor: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
@@ -63,21 +66,21 @@
 /// What each team may use in a block at most. Its holder lowers it, and keeps to that from before it is written on;
 /// only the holder of block 0 raises it, out of what no other block has.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct AllotRecord {
+pub struct QuotaPartitionRecord {
     pub teams: BTreeMap<String, Resources>,
 }
 
 /// The value of both keys under [`LEAD`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct LeadRecord {
+pub struct LeaseRecord {
     #[serde(rename = "holder")]
-    pub holder: String,
+    pub owner: String,
     pub term: u64,
     /// Whatever may be on a machine of any term so far is below its job's mark ([`JobRecord::open`]). The
     /// version before marks does not write it, and launches without them.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "marked")]
-    pub marked: bool,
+    pub watermarks_reliable: bool,
 }
 
 /// The value of a live job that waits for no other, or no longer.
@@ -86,11 +89,11 @@
     pub spec: JobSpec,
     /// Time of day at acceptance, in microseconds.
     #[serde(rename = "at")]
-    pub at: u64,
+    pub accepted_at: u64,
     /// Time of day at its release, if it waited for other jobs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "ready")]
-    pub ready: Option<u64>,
+    pub ready_at: Option<u64>,
     #[serde(default)]
     pub done: String,
     #[serde(default)]
@@ -98,59 +101,61 @@
     /// It fails wherever it runs.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "failing")]
-    pub failing: bool,
+    pub crash_looping: bool,
     /// Its mark: only tasks with lower numbers may be on a machine. It is raised before they are launched.
     /// `None`: any may be.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "open")]
-    pub open: Option<u32>,
+    pub watermark: Option<u32>,
     /// The block that its tasks run in. Only [`JobRecord::value`] writes it.
     #[serde(skip)]
-    pub block: u32,
+    pub shard: u32,
 }
 
 impl JobRecord {
     /// The value as it is written: that of a job of another block than 0 as a [`HomedRecord`].
-    pub fn value(&self) -> Box<RawValue> {
-        if self.block == 0 {
-            return raw(self);
+    pub fn to_value(&self) -> Box<RawValue> {
+        if self.shard == 0 {
+            return to_raw_value(self);
         }
         let r = self.clone();
-        raw(&HomedRecord {
-            spec: Size {
+        to_raw_value(&ShardedJobRecord {
+            spec: TaskCount {
                 tasks: r.spec.tasks,
             },
-            at: r.at,
+            accepted_at: r.accepted_at,
             done: r.done,
             cancelled: r.cancelled,
-            homed: Homed {
-                block: r.block,
-                job: r.spec,
-                ready: r.ready,
-                failing: r.failing,
-                open: r.open,
+            sharded: ShardedJob {
+                shard: r.shard,
+                spec: r.spec,
+                ready_at: r.ready_at,
+                crash_looping: r.crash_looping,
+                watermark: r.watermark,
             },
         })
     }
 
     /// Of a job that is accepted at `at`, none of whose tasks has been launched.
-    pub fn new(spec: JobSpec, at: u64) -> JobRecord {
-        let (done, ready, open) = (String::new(), None, Some(0));
+    pub fn new(spec: JobSpec, accepted_at: u64) -> JobRecord {
+        let (done, ready_at, watermark) = (String::new(), None, Some(0));
         JobRecord {
             spec,
-            at,
-            ready,
+            accepted_at,
+            ready_at,
             done,
             cancelled: false,
-            failing: false,
-            open,
-            block: 0,
+            crash_looping: false,
+            watermark,
+            shard: 0,
         }
     }
 
     /// The mark: tasks with this number or a higher one are on no machine.
-    pub fn mark(&self) -> u32 {
-        self.open.unwrap_or(self.spec.tasks).min(self.spec.tasks)
+    pub fn effective_watermark(&self) -> u32 {
+        self.watermark
+            .unwrap_or(self.spec.tasks)
+            .min(self.spec.tasks)
     }
 }
 
@@ -159,90 +164,98 @@
 /// queries need is where they look for it, and what its leader needs is not.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct WaitingRecord {
-    spec: Size,
+    spec: TaskCount,
     /// Time of day at acceptance, in microseconds.
     #[serde(rename = "at")]
-    pub at: u64,
+    pub accepted_at: u64,
     pub cancelled: bool,
-    pub waiting: Held,
+    pub waiting: WaitingJobSpec,
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-struct Size {
+struct TaskCount {
     tasks: u32,
 }
 
 /// The value of a job whose tasks run in another block than 0. A controller of the version before blocks answers
 /// queries from it, and cannot start the job: it would do so beside the block's holder.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-struct HomedRecord {
-    spec: Size,
+struct ShardedJobRecord {
+    spec: TaskCount,
     #[serde(rename = "at")]
-    at: u64,
+    accepted_at: u64,
     #[serde(default)]
     done: String,
     #[serde(default)]
     cancelled: bool,
     #[serde(rename = "homed")]
-    homed: Homed,
+    sharded: ShardedJob,
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-struct Homed {
+struct ShardedJob {
     #[serde(rename = "block")]
-    block: u32,
+    shard: u32,
     #[serde(rename = "job")]
-    job: JobSpec,
+    spec: JobSpec,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "ready")]
-    ready: Option<u64>,
+    ready_at: Option<u64>,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "failing")]
-    failing: bool,
+    crash_looping: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "open")]
-    open: Option<u32>,
-}
-
-impl From<HomedRecord> for JobRecord {
-    fn from(r: HomedRecord) -> JobRecord {
-        let Homed {
-            block,
-            job,
-            ready,
-            failing,
-            open,
-        } = r.homed;
-        let (at, done, cancelled) = (r.at, r.done, r.cancelled);
+    watermark: Option<u32>,
+}
+
+impl From<ShardedJobRecord> for JobRecord {
+    fn from(r: ShardedJobRecord) -> JobRecord {
+        let ShardedJob {
+            shard: block,
+            spec: job,
+            ready_at: ready,
+            crash_looping: failing,
+            watermark: open,
+        } = r.sharded;
+        let (at, done, cancelled) = (r.accepted_at, r.done, r.cancelled);
         JobRecord {
             spec: job,
-            at,
-            ready,
+            accepted_at: at,
+            ready_at: ready,
             done,
             cancelled,
-            failing,
-            open,
-            block,
+            crash_looping: failing,
+            watermark: open,
+            shard: block,
         }
     }
 }
 
 /// What a waiting job is, and which jobs it waits for ([`encode_ids`]).
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct WaitingJobSpec {
     pub job: JobSpec,
     #[serde(rename = "on")]
-    pub on: String,
+    pub upstream_ids: String,
 }
 
 impl WaitingRecord {
-    pub fn new(job: JobSpec, at: u64, cancelled: bool, upstream: &[JobId]) -> WaitingRecord {
-        let on = encode_ids(upstream);
+    pub fn new(
+        job: JobSpec,
+        accepted_at: u64,
+        cancelled: bool,
+        upstream: &[JobId],
+    ) -> WaitingRecord {
+        let on = encode_job_ids(upstream);
         WaitingRecord {
-            spec: Size { tasks: job.tasks },
-            at,
+            spec: TaskCount { tasks: job.tasks },
+            accepted_at,
             cancelled,
-            waiting: Held { job, on },
+            waiting: WaitingJobSpec {
+                job,
+                upstream_ids: on,
+            },
         }
     }
 }
@@ -260,7 +273,7 @@
             .map(LiveRecord::Job)
             .or_else(|e| {
                 // What is neither is explained as what it is most likely meant to be.
-                let homed = || serde_json::from_str::<HomedRecord>(text);
+                let homed = || serde_json::from_str::<ShardedJobRecord>(text);
                 let waiting = serde_json::from_str(text).map(LiveRecord::Waiting);
                 waiting
                     .or_else(|_| homed().map(|r| LiveRecord::Job(r.into())))
@@ -268,7 +281,7 @@
             })
     }
 
-    pub fn cancelled(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         match self {
             LiveRecord::Job(r) => r.cancelled,
             LiveRecord::Waiting(r) => r.cancelled,
@@ -277,27 +290,27 @@
 
     /// The record of the same job once its user has cancelled it, within `limit` bytes. What was
     /// done of it counts for nothing any more, and goes where there is no room for it.
-    pub fn cancel(self, limit: usize) -> Box<RawValue> {
+    pub fn into_cancelled_value(self, limit: usize) -> Box<RawValue> {
         match self {
             LiveRecord::Job(mut r) => {
                 r.cancelled = true;
-                let whole = r.value();
-                if whole.get().len() + SLACK <= limit {
+                let whole = r.to_value();
+                if whole.get().len() + VALUE_SLACK_BYTES <= limit {
                     return whole;
                 }
                 r.done.clear();
-                r.value()
+                r.to_value()
             }
             LiveRecord::Waiting(mut r) => {
                 r.cancelled = true;
-                raw(&r)
+                to_raw_value(&r)
             }
         }
     }
 }
 
 /// Writes job ids briefly: by their number of digits, as numbers and ranges of them, in order.
-pub fn encode_ids(ids: &[JobId]) -> String {
+pub fn encode_job_ids(ids: &[JobId]) -> String {
     use std::fmt::Write;
     let mut by_digits: BTreeMap<usize, BTreeSet<u64>> = BTreeMap::new();
     for digits in ids.iter().filter_map(|id| id.strip_prefix("j-")) {
@@ -327,7 +340,7 @@
 }
 
 /// Reads what [`encode_ids`] wrote.
-pub fn decode_ids(text: &str) -> Vec<JobId> {
+pub fn decode_job_ids(text: &str) -> Vec<JobId> {
     let mut ids = Vec::new();
     for (digits, numbers) in text.split(';').filter_map(|group| group.split_once(':')) {
         let Ok(digits) = digits.parse::<usize>() else {
@@ -336,7 +349,7 @@
         for item in numbers.split(',') {
             let (a, b) = item.split_once('-').unwrap_or((item, item));
             if let (Ok(a), Ok(b)) = (a.parse::<u64>(), b.parse::<u64>()) {
-                let most = b.min(a.saturating_add(MAX_UPSTREAM as u64));
+                let most = b.min(a.saturating_add(MAX_UPSTREAM_JOBS as u64));
                 ids.extend((a..=most).map(|n| JobId::from(format!("j-{n:0digits$}"))));
             }
         }
@@ -345,47 +358,47 @@
 }
 
 /// The most jobs that one may wait for; a body of 64 KiB holds no more.
-pub const MAX_UPSTREAM: usize = 16_000;
+pub const MAX_UPSTREAM_JOBS: usize = 16_000;
 
 /// What is kept of a job that is over.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct OverRecord {
+pub struct FinishedJobRecord {
     pub cancelled: bool,
     pub tasks: u32,
     /// Whose it was, where a ledger is kept: an attempt's end may be found after its job's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub owner: Option<Owner>,
+    pub owner: Option<JobOwner>,
 }
 
 /// Whom an attempt is charged to, and for what.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Owner {
+pub struct JobOwner {
     pub team: String,
     pub class: String,
     #[serde(rename = "need")]
-    pub need: Resources,
+    pub resources: Resources,
     /// It runs until it is stopped, and all of its run counts.
     #[serde(rename = "replica")]
-    pub replica: bool,
+    pub is_service: bool,
 }
 
 /// Finished tasks of one part of an array.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct PartRecord {
+pub struct DonePartRecord {
     pub done: String,
 }
 
 /// Values stay this far below their limit, as the state service may write them less tightly.
-pub const SLACK: usize = 64;
+pub const VALUE_SLACK_BYTES: usize = 64;
 
 /// Tasks whose completions share one value. A bitmap of this many always fits into 2 KiB.
-pub const PART_TASKS: u32 = 4096;
+pub const TASKS_PER_PART: u32 = 4096;
 
 /// Writes the members of `done` within part `part`: as ranges, or as a bitmap when that is shorter.
-pub fn encode_done(done: &TaskSet, part: u32) -> String {
+pub fn encode_done_part(done: &TaskSet, part: u32) -> String {
     use std::fmt::Write;
-    let lo = part * PART_TASKS;
-    let slice = done.slice(lo, lo + PART_TASKS);
+    let lo = part * TASKS_PER_PART;
+    let slice = done.slice(lo, lo + TASKS_PER_PART);
     let mut out = String::new();
     for &(a, b) in slice.as_ranges() {
         let sep = if out.is_empty() { "" } else { "," };
@@ -395,8 +408,8 @@
         } else {
             write!(out, "{sep}{a}-{b}")
         };
-        if out.len() > PART_TASKS as usize / 4 {
-            let mut map = vec![0u8; PART_TASKS as usize / 8];
+        if out.len() > TASKS_PER_PART as usize / 4 {
+            let mut map = vec![0u8; TASKS_PER_PART as usize / 8];
             slice
                 .iter()
                 .for_each(|x| map[(x - lo) as usize / 8] |= 1 << ((x - lo) % 8));
@@ -411,14 +424,14 @@
 }
 
 /// Adds what [`encode_done`] wrote to `done`. Numbers outside the part are ignored.
-pub fn decode_done(text: &str, part: u32, done: &mut TaskSet) {
-    let lo = part * PART_TASKS;
+pub fn decode_done_part(text: &str, part: u32, done: &mut TaskSet) {
+    let lo = part * TASKS_PER_PART;
     if let Some(hex) = text.strip_prefix('x') {
         for (i, pair) in hex
             .as_bytes()
             .chunks(2)
             .enumerate()
-            .take(PART_TASKS as usize / 8)
+            .take(TASKS_PER_PART as usize / 8)
         {
             let byte = std::str::from_utf8(pair)
                 .ok()
@@ -433,7 +446,7 @@
     for item in text.split(',') {
         let (a, b) = item.split_once('-').unwrap_or((item, item));
         if let (Ok(a), Ok(b)) = (a.parse::<u32>(), b.parse::<u32>()) {
-            (a.max(lo)..=b.min(lo + PART_TASKS - 1)).for_each(|x| {
+            (a.max(lo)..=b.min(lo + TASKS_PER_PART - 1)).for_each(|x| {
                 done.insert(x);
             });
         }
@@ -446,9 +459,9 @@
     pub method: Method,
     pub path: String,
     pub body: Bytes,
-    pub patience: Micros,
+    pub timeout: Micros,
     /// Puts and deletes it carries.
-    pub changes: u32,
+    pub change_count: u32,
 }
 
 impl StoreRequest {
@@ -457,8 +470,8 @@
             method,
             path,
             body,
-            patience: 2 * SECOND,
-            changes: 0,
+            timeout: 2 * SECOND,
+            change_count: 0,
         }
     }
 
@@ -476,20 +489,20 @@
         StoreRequest::new(Method::Get, path, Bytes::new())
     }
 
-    pub fn follow(prefix: &str, after: u64) -> StoreRequest {
+    pub fn watch(prefix: &str, after: u64) -> StoreRequest {
         let path = format!("/follow?starts={prefix}&from={after}&block_ms=10000");
         let mut r = StoreRequest::new(Method::Get, path, Bytes::new());
-        r.patience = 13 * SECOND;
+        r.timeout = 13 * SECOND;
         r
     }
 
     /// What has changed since then, and nothing more: it does not wait for changes.
-    pub fn changes(prefix: &str, after: u64) -> StoreRequest {
+    pub fn changes_since(prefix: &str, after: u64) -> StoreRequest {
         let path = format!("/follow?starts={prefix}&from={after}&block_ms=0");
         StoreRequest::new(Method::Get, path, Bytes::new())
     }
 
-    pub fn grant(ttl: Micros) -> StoreRequest {
+    pub fn acquire_lease(ttl: Micros) -> StoreRequest {
         #[derive(Serialize)]
         struct Grant {
             ttl_ms: u64,
@@ -497,28 +510,28 @@
         StoreRequest::new(
             Method::Post,
             "/grants".into(),
-            json(&Grant { ttl_ms: ttl / 1000 }),
+            to_json_bytes(&Grant { ttl_ms: ttl / 1000 }),
         )
     }
 
-    pub fn renew(grant: u64) -> StoreRequest {
+    pub fn renew_lease(grant: u64) -> StoreRequest {
         let mut r = StoreRequest::new(Method::Post, format!("/grants/{grant}/renew"), Bytes::new());
         r.body = Bytes::from_static(b"{}");
-        r.patience = SECOND;
+        r.timeout = SECOND;
         r
     }
 
-    pub fn drop_grant(grant: u64) -> StoreRequest {
+    pub fn revoke_lease(grant: u64) -> StoreRequest {
         StoreRequest::new(Method::Delete, format!("/grants/{grant}"), Bytes::new())
     }
 }
 
-fn json(value: &impl Serialize) -> Bytes {
+fn to_json_bytes(value: &impl Serialize) -> Bytes {
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
 /// A value as it goes into a transaction.
-pub fn raw(value: &impl Serialize) -> Box<RawValue> {
+pub fn to_raw_value(value: &impl Serialize) -> Box<RawValue> {
     // Our records have string keys only and finite numbers, so they always serialize.
     serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
 }
@@ -526,9 +539,9 @@
 #[derive(Serialize, Debug, Clone)]
 struct Guard {
     #[serde(rename = "k")]
-    k: String,
+    key: String,
     #[serde(rename = "stamp")]
-    stamp: u64,
+    version: u64,
 }
 
 #[derive(Serialize, Debug, Clone)]
@@ -536,91 +549,91 @@
 enum Write {
     Put {
         #[serde(rename = "write")]
-        write: String,
+        key: String,
         #[serde(rename = "v")]
-        v: Box<RawValue>,
+        value: Box<RawValue>,
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
-        permit: Option<u64>,
+        lease: Option<u64>,
     },
     Delete {
         #[serde(rename = "delete")]
-        delete: String,
+        key: String,
     },
 }
 
 /// A conditional transaction being put together.
 #[derive(Serialize, Debug, Clone, Default)]
-pub struct Commit {
+pub struct Transaction {
     guards: Vec<Guard>,
     writes: Vec<Write>,
 }
 
-impl Commit {
+impl Transaction {
     /// Requires `key` to have version `stamp`; 0: not to exist.
     pub fn guard(&mut self, key: &str, stamp: u64) {
         self.guards.push(Guard {
-            k: key.into(),
-            stamp,
+            key: key.into(),
+            version: stamp,
         });
     }
 
     pub fn put(&mut self, key: &str, value: Box<RawValue>, grant: Option<u64>) {
         self.writes.push(Write::Put {
-            write: key.into(),
-            v: value,
-            permit: grant,
+            key: key.into(),
+            value,
+            lease: grant,
         });
     }
 
     pub fn delete(&mut self, key: &str) {
-        self.writes.push(Write::Delete { delete: key.into() });
+        self.writes.push(Write::Delete { key: key.into() });
     }
 
     /// Moves a job from the live to those that are over. The caller guards its live record.
-    pub fn end(&mut self, id: &str, over: &OverRecord) {
-        let key = format!("{OVER}{id}");
+    pub fn end_job(&mut self, id: &str, over: &FinishedJobRecord) {
+        let key = format!("{FINISHED_JOB_PREFIX}{id}");
         self.guard(&key, 0);
-        self.delete(&format!("{LIVE}{id}"));
-        self.put(&key, raw(over), None);
+        self.delete(&format!("{LIVE_JOB_PREFIX}{id}"));
+        self.put(&key, to_raw_value(over), None);
     }
 
-    pub fn changes(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         self.writes.len()
     }
 
-    pub fn request(&self) -> StoreRequest {
-        let mut r = StoreRequest::new(Method::Post, "/commit".into(), json(self));
-        r.changes = self.writes.len() as u32;
+    pub fn to_request(&self) -> StoreRequest {
+        let mut r = StoreRequest::new(Method::Post, "/commit".into(), to_json_bytes(self));
+        r.change_count = self.writes.len() as u32;
         r
     }
 }
 
 /// An item read from the store.
 #[derive(Deserialize, Debug)]
-pub struct Item {
+pub struct StoredValue {
     #[serde(rename = "k")]
-    pub k: String,
+    pub key: String,
     #[serde(rename = "v")]
-    pub v: Box<RawValue>,
+    pub value: Box<RawValue>,
     #[serde(rename = "stamp")]
-    pub stamp: u64,
+    pub version: u64,
 }
 
-impl Item {
+impl StoredValue {
     /// The value as a live job's record, if it is one.
-    pub fn live(&self) -> Option<LiveRecord> {
-        let parsed = LiveRecord::parse(self.v.get());
+    pub fn as_live_record(&self) -> Option<LiveRecord> {
+        let parsed = LiveRecord::parse(self.value.get());
         if let Err(e) = &parsed {
-            tracing::error!(key = %self.k, error = %e, "a value in the state service is not ours");
+            tracing::error!(key = %self.key, error = %e, "a value in the state service is not ours");
         }
         parsed.ok()
     }
 
     /// The value as a record, if it is one.
-    pub fn record<'a, T: Deserialize<'a>>(&'a self) -> Option<T> {
-        let parsed = serde_json::from_str(self.v.get());
+    pub fn decode<'a, T: Deserialize<'a>>(&'a self) -> Option<T> {
+        let parsed = serde_json::from_str(self.value.get());
         if let Err(e) = &parsed {
-            tracing::error!(key = %self.k, error = %e, "a value in the state service is not ours");
+            tracing::error!(key = %self.key, error = %e, "a value in the state service is not ours");
         }
         parsed.ok()
     }
@@ -628,65 +641,65 @@
 
 #[derive(Deserialize, Debug)]
 pub struct Listing {
-    pub items: Vec<Item>,
+    pub items: Vec<StoredValue>,
     #[serde(default)]
     pub truncated: bool,
     #[serde(rename = "ledger_no")]
-    pub ledger_no: u64,
+    pub version: u64,
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Committed {
     #[serde(rename = "ledger_no")]
-    pub ledger_no: u64,
+    pub version: u64,
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Conflict {
     #[serde(default)]
     #[serde(rename = "failed")]
-    pub failed: Vec<String>,
+    pub failed_keys: Vec<String>,
 }
 
 #[derive(Deserialize, Debug)]
-pub struct Granted {
+pub struct LeaseGranted {
     #[serde(rename = "permit")]
-    pub permit: u64,
+    pub lease_id: u64,
 }
 
 #[derive(Deserialize, Debug)]
-pub struct Followed {
+pub struct ChangeLog {
     #[serde(rename = "ledger_no")]
-    pub ledger_no: u64,
+    pub version: u64,
     #[serde(default, deserialize_with = "in_order")]
     #[serde(rename = "log")]
-    pub log: Vec<Change>,
+    pub changes: Vec<Change>,
 }
 
 /// A log's changes in the order of their versions, whatever order they are listed in: the end of a job is told from what its
 /// record said before it went, and a change that is taken in after a newer one would take that back.
 fn in_order<'de, D: Deserializer<'de>>(log: D) -> Result<Vec<Change>, D::Error> {
     let mut log = Vec::<Change>::deserialize(log)?;
-    log.sort_by_key(|c| c.stamp);
+    log.sort_by_key(|c| c.version);
     Ok(log)
 }
 
 #[derive(Deserialize, Debug)]
 pub struct Change {
     #[serde(rename = "write")]
-    pub write: Option<String>,
+    pub written_key: Option<String>,
     #[serde(rename = "delete")]
-    pub delete: Option<String>,
+    pub deleted_key: Option<String>,
     #[serde(rename = "v")]
-    pub v: Option<Box<RawValue>>,
+    pub value: Option<Box<RawValue>>,
     #[serde(rename = "stamp")]
-    pub stamp: u64,
+    pub version: u64,
 }
 
 impl Change {
     /// The key that was written or deleted.
     pub fn key(&self) -> Option<&str> {
-        self.write.as_deref().or(self.delete.as_deref())
+        self.written_key.as_deref().or(self.deleted_key.as_deref())
     }
 }
 
--- a/crates/gannethub-core/src/wire/worker.rs
+++ b/crates/gannethub-core/src/wire/worker.rs
@@ -6,26 +6,26 @@
 
 /// A worker's report.
 #[derive(Deserialize, Debug, Clone)]
-pub struct Report<'a> {
+pub struct WorkerHeartbeat<'a> {
     #[serde(rename = "host", borrow)]
     pub machine: Cow<'a, str>,
     #[serde(default, borrow)]
     #[serde(rename = "addr")]
-    pub addr: Cow<'a, str>,
+    pub address: Cow<'a, str>,
     #[serde(rename = "rig", borrow)]
-    pub flavor: Cow<'a, str>,
+    pub machine_type: Cow<'a, str>,
     #[serde(rename = "yard", borrow)]
     pub zone: Cow<'a, str>,
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
     pub token: u64,
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     #[serde(rename = "pieces", default, borrow)]
     pub tasks: Vec<ReportedTask<'a>>,
 }
@@ -39,7 +39,7 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     #[serde(rename = "cause", default)]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     #[serde(rename = "kept", default)]
     pub saved: bool,
 }
@@ -109,17 +109,17 @@
 
 /// Commands that are sent to a worker without a report.
 #[derive(Serialize, Debug)]
-pub struct Commands<'a> {
+pub struct CommandsRequest<'a> {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     pub orders: &'a [Order],
 }
 
 /// The answer to a report.
 #[derive(Serialize, Debug)]
-pub struct ReportAnswer<'a> {
+pub struct HeartbeatResponse<'a> {
     #[serde(rename = "baton")]
     pub token: u64,
     pub orders: &'a [Order],
@@ -127,7 +127,7 @@
 
 /// 421: this controller does not take reports.
 #[derive(Serialize, Debug)]
-pub struct ReportElsewhere<'a> {
+pub struct HeartbeatRedirect<'a> {
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<&'a str>,
+    pub controller: Option<&'a str>,
 }
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -5,8 +5,8 @@
 mod leader_view;
 
 use gannethub_core::model::{SECOND, Shape};
-use gannethub_core::reconcile::heartbeat::Outcome;
-use gannethub_core::wire::worker::{Report, ReportedTask, TaskState};
+use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
+use gannethub_core::wire::worker::{ReportedTask, TaskState, WorkerHeartbeat};
 use leader_view::{LeaderView, TERM, spec};
 
 #[global_allocator]
@@ -44,11 +44,11 @@
     for (i, text) in texts.iter().enumerate() {
         f.now += SECOND / 10;
         let before = dhat::HeapStats::get().total_blocks;
-        let report: Report<'_> = serde_json::from_str(text).expect("a report");
+        let report: WorkerHeartbeat<'_> = serde_json::from_str(text).expect("a report");
         let parsed = dhat::HeapStats::get().total_blocks;
-        let outcome = f.c.report(f.now, &report);
+        let outcome = f.c.apply_heartbeat(f.now, &report);
         let done = dhat::HeapStats::get().total_blocks;
-        assert_eq!(outcome, Outcome::Orders(Vec::new()));
+        assert_eq!(outcome, HeartbeatOutcome::Orders(Vec::new()));
         // The first one differs from what `run_all` showed only in its number.
         if i > 0 {
             parsing += parsed - before;
@@ -61,11 +61,11 @@
         "the list of tasks is the only thing that is kept of the bytes"
     );
     // One that does hold news shows that the count counts.
-    let mut changed: Report<'_> = serde_json::from_str(&texts[0]).expect("a report");
-    changed.seq = 1000;
+    let mut changed: WorkerHeartbeat<'_> = serde_json::from_str(&texts[0]).expect("a report");
+    changed.sequence = 1000;
     let ended: &mut ReportedTask<'_> = &mut changed.tasks[0];
     ended.state = TaskState::Saving;
     let before = dhat::HeapStats::get().total_blocks;
-    f.c.report(f.now, &changed);
+    f.c.apply_heartbeat(f.now, &changed);
     assert!(dhat::HeapStats::get().total_blocks > before);
 }
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -15,16 +15,18 @@
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
 use gannethub_core::state::shard::{ChunkRecord, Shard, ShardMember};
-use gannethub_core::wire::api::{self, JobView, Refusal, Route, Status};
-use gannethub_core::wire::cloud::{self, CloudRequest, MachineList, Rented};
+use gannethub_core::wire::api::{self, JobStatus, JobView, Refusal, Route};
+use gannethub_core::wire::cloud::{self, CloudRequest, MachineList, ProvisionAnswer};
 use gannethub_core::wire::configuration::{self as stored, HistoryRecord, VersionRecord};
 use gannethub_core::wire::peer::{self, Body, Envelope};
 use gannethub_core::wire::store::{
-    self, AllotRecord, Commit, Committed, Conflict, Followed, Granted, Item, JobRecord, LeadRecord,
-    Listing, LiveRecord, MoveRecord, OverRecord, Owner, PartRecord, StoreRequest, WaitingRecord,
+    self, ChangeLog, Committed, Conflict, DonePartRecord, FinishedJobRecord, JobOwner, JobRecord,
+    LeaseGranted, LeaseRecord, Listing, LiveRecord, MachineTransferRecord, QuotaPartitionRecord,
+    StoreRequest, StoredValue, Transaction, WaitingRecord,
 };
 use gannethub_core::wire::worker::{
-    Commands, ExitReason, Order, Report, ReportAnswer, ReportElsewhere, TaskState,
+    CommandsRequest, ExitReason, HeartbeatRedirect, HeartbeatResponse, Order, TaskState,
+    WorkerHeartbeat,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -52,7 +54,7 @@
 /// A live job's record is written as it is pinned, and comes back from the pinned text.
 fn pin_live(record: LiveRecord, pinned: &str) {
     let text = |record: &LiveRecord| match record {
-        LiveRecord::Job(job) => job.value().get().to_string(),
+        LiveRecord::Job(job) => job.to_value().get().to_string(),
         LiveRecord::Waiting(waiting) => json(waiting),
     };
     pin(&text(&record), pinned);
@@ -86,13 +88,13 @@
 fn job_record() -> JobRecord {
     JobRecord {
         spec: spec(),
-        at: 1_700_000_000_000_001,
-        ready: Some(1_700_000_000_000_002),
+        accepted_at: 1_700_000_000_000_001,
+        ready_at: Some(1_700_000_000_000_002),
         done: "0-2,5".into(),
         cancelled: true,
-        failing: true,
-        open: Some(6),
-        block: 0,
+        crash_looping: true,
+        watermark: Some(6),
+        shard: 0,
     }
 }
 
@@ -101,33 +103,33 @@
 #[test]
 fn store_keys() {
     let keys = [
-        store::HOLDER,
-        store::TERM,
-        store::LEAD,
-        store::LIVE,
-        store::PART,
-        store::OVER,
-        store::BLOCK,
-        store::COUNT,
-        store::SEAT,
-        store::MOVE,
-        store::ALLOT,
-        store::LEDGER_HEAD,
-        store::LEDGER_PAGE,
-        stored::CURRENT,
-        stored::HISTORY,
+        store::LEADER_KEY,
+        store::TERM_KEY,
+        store::LEADER_PREFIX,
+        store::LIVE_JOB_PREFIX,
+        store::DONE_PART_PREFIX,
+        store::FINISHED_JOB_PREFIX,
+        store::SHARD_PREFIX,
+        store::TERM_COUNTER_KEY,
+        store::SHARD_ASSIGNMENT_PREFIX,
+        store::MACHINE_TRANSFER_PREFIX,
+        store::QUOTA_PARTITION_PREFIX,
+        store::LEDGER_HEAD_KEY,
+        store::LEDGER_PAGE_PREFIX,
+        stored::CURRENT_VERSION_KEY,
+        stored::HISTORY_KEY,
     ];
     pin(
         &keys.join(" "),
         "gh/lead/holder gh/lead/term gh/lead/ gh/live/ gh/part/ gh/over/ gh/block/ gh/lead/count gh/seat/ gh/move/ gh/allot/ gh/ledger/head gh/ledger/page/ gh/live/configuration gh/config/history",
     );
-    pin(&store::ledger_page(7), "gh/ledger/page/000000000007");
+    pin(&store::ledger_page_key(7), "gh/ledger/page/000000000007");
     pin(
-        &json(&store::seat_keys(0)),
+        &json(&store::assignment_keys(0)),
         r#"["gh/lead/holder","gh/lead/term"]"#,
     );
     pin(
-        &json(&store::seat_keys(3)),
+        &json(&store::assignment_keys(3)),
         r#"["gh/seat/3/holder","gh/seat/3/term"]"#,
     );
     pin(
@@ -138,7 +140,7 @@
         id: "3-a".into(),
         ..VersionRecord::default()
     };
-    pin(&version.prefix(), "gh/config/doc/3-a/");
+    pin(&version.parts_prefix(), "gh/config/doc/3-a/");
     pin(&version.part_key(4), "gh/config/doc/3-a/004");
 }
 
@@ -164,14 +166,14 @@
 #[test]
 fn store_record_live_job_of_another_shard() {
     let mut record = job_record();
-    record.block = 3;
+    record.shard = 3;
     pin_live(
         LiveRecord::Job(record),
         r#"{"spec":{"tasks":8},"at":1700000000000001,"done":"0-2,5","cancelled":true,"homed":{"block":3,"job":{"class":"train","team":"blue","shape":"Gang","priority":"High","tasks":8,"need":{"cpu":4000,"gpu":1000,"mem":64000},"image":"img-07","image_gb":6.2,"types":["g8"],"zone":"a","one_zone":true,"spread":false,"spot":true,"estimate":240000000,"checkpoint_every":30000000,"save":4000000,"deadline":900000000},"ready":1700000000000002,"failing":true,"open":6}}"#,
     );
     let mut record = JobRecord::new(spec(), 17);
     (record.spec.shape, record.spec.priority) = (Shape::Service, Priority::Production);
-    (record.block, record.open) = (3, None);
+    (record.shard, record.watermark) = (3, None);
     pin_live(
         LiveRecord::Job(record),
         r#"{"spec":{"tasks":8},"at":17,"done":"","cancelled":false,"homed":{"block":3,"job":{"class":"train","team":"blue","shape":"Service","priority":"Production","tasks":8,"need":{"cpu":4000,"gpu":1000,"mem":64000},"image":"img-07","image_gb":6.2,"types":["g8"],"zone":"a","one_zone":true,"spread":false,"spot":true,"estimate":240000000,"checkpoint_every":30000000,"save":4000000,"deadline":900000000}}}"#,
@@ -193,17 +195,17 @@
 #[test]
 fn store_record_job_ids() {
     let ids = ["j-000398", "j-000399", "j-7", "j-9"].map(JobId::from);
-    pin(&store::encode_ids(&ids), "1:7,9;6:398-399");
-    let read = store::decode_ids("1:7,9;6:398-399");
-    pin(&store::encode_ids(&read), "1:7,9;6:398-399");
+    pin(&store::encode_job_ids(&ids), "1:7,9;6:398-399");
+    let read = store::decode_job_ids("1:7,9;6:398-399");
+    pin(&store::encode_job_ids(&read), "1:7,9;6:398-399");
 }
 
 #[test]
 fn store_record_finished_tasks() {
     let write_again = |text: &str, part: u32| {
         let mut read = TaskSet::default();
-        store::decode_done(text, part, &mut read);
-        store::encode_done(&read, part)
+        store::decode_done_part(text, part, &mut read);
+        store::encode_done_part(&read, part)
     };
     pin(&write_again("0-2,5", 0), "0-2,5");
     pin(&write_again("5000-5001", 1), "5000-5001");
@@ -214,23 +216,23 @@
 #[test]
 fn store_record_part() {
     let done = "5000-5001".into();
-    pin_record(&PartRecord { done }, r#"{"done":"5000-5001"}"#);
+    pin_record(&DonePartRecord { done }, r#"{"done":"5000-5001"}"#);
 }
 
 #[test]
 fn store_record_over() {
-    let mut record = OverRecord {
+    let mut record = FinishedJobRecord {
         cancelled: false,
         tasks: 8,
         owner: None,
     };
     pin_record(&record, r#"{"cancelled":false,"tasks":8}"#);
     record.cancelled = true;
-    record.owner = Some(Owner {
+    record.owner = Some(JobOwner {
         team: "blue".into(),
         class: "train".into(),
-        need: Resources::new(4.0, 1.0, 64.0),
-        replica: true,
+        resources: Resources::new(4.0, 1.0, 64.0),
+        is_service: true,
     });
     pin_record(
         &record,
@@ -240,13 +242,13 @@
 
 #[test]
 fn store_record_leader() {
-    let mut record = LeadRecord {
-        holder: "n0".into(),
+    let mut record = LeaseRecord {
+        owner: "n0".into(),
         term: 7,
-        marked: false,
+        watermarks_reliable: false,
     };
     pin_record(&record, r#"{"holder":"n0","term":7}"#);
-    record.marked = true;
+    record.watermarks_reliable = true;
     pin_record(&record, r#"{"holder":"n0","term":7,"marked":true}"#);
 }
 
@@ -270,8 +272,8 @@
 
 #[test]
 fn store_record_machine_transfer() {
-    let record = MoveRecord {
-        flavor: "g8".into(),
+    let record = MachineTransferRecord {
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
     };
@@ -282,7 +284,7 @@
 fn store_record_quota_partition() {
     let teams = [("blue".to_string(), Resources::new(4.0, 1.0, 0.5))].into();
     pin_record(
-        &AllotRecord { teams },
+        &QuotaPartitionRecord { teams },
         r#"{"teams":{"blue":{"cpu":4000,"gpu":1000,"mem":500}}}"#,
     );
 }
@@ -292,9 +294,9 @@
         version: 3,
         id: "3-a".into(),
         parts: 2,
-        at: 1_700_000_000_000_001,
-        by: "operator".into(),
-        why: "more room".into(),
+        created_at: 1_700_000_000_000_001,
+        author: "operator".into(),
+        reason: "more room".into(),
     }
 }
 
@@ -363,7 +365,7 @@
 
 #[test]
 fn store_record_configuration_document_parts() {
-    let parts = stored::split(&document(), 4096).unwrap();
+    let parts = stored::split_document(&document(), 4096).unwrap();
     pin(
         &json(&parts),
         r#"[{"policy":"patience_s = 7","over_limit":"stop"},{"objectives":[{"kind":"start","class":"train","within_s":5.0,"share":0.95,"times":2.0},{"kind":"answer","within_s":0.5,"share":0.99,"times":1.0}]},{"teams":[{"name":"red","cpus":1.0,"cpus_max":2.0,"gpus":3.0,"gpus_max":4.0,"removed":true},{"name":"blue","cpus":0.0,"cpus_max":0.0}]}]"#,
@@ -377,8 +379,8 @@
         method,
         path,
         body,
-        patience,
-        changes,
+        timeout: patience,
+        change_count: changes,
     } = request;
     let body = std::str::from_utf8(body).unwrap();
     format!("{} {path} {body} {patience} {changes}", method.as_str())
@@ -408,7 +410,7 @@
 #[test]
 fn store_request_follow() {
     pin(
-        &request(&StoreRequest::follow("gh/live/", 41)),
+        &request(&StoreRequest::watch("gh/live/", 41)),
         "GET /follow?starts=gh/live/&from=41&block_ms=10000  13000000 0",
     );
 }
@@ -416,7 +418,7 @@
 #[test]
 fn store_request_changes() {
     pin(
-        &request(&StoreRequest::changes("gh/live/", 41)),
+        &request(&StoreRequest::changes_since("gh/live/", 41)),
         "GET /follow?starts=gh/live/&from=41&block_ms=0  2000000 0",
     );
 }
@@ -424,44 +426,44 @@
 #[test]
 fn store_request_lease() {
     pin(
-        &request(&StoreRequest::grant(6 * SECOND)),
+        &request(&StoreRequest::acquire_lease(6 * SECOND)),
         r#"POST /grants {"ttl_ms":6000} 2000000 0"#,
     );
     pin(
-        &request(&StoreRequest::renew(12)),
+        &request(&StoreRequest::renew_lease(12)),
         "POST /grants/12/renew {} 1000000 0",
     );
     pin(
-        &request(&StoreRequest::drop_grant(12)),
+        &request(&StoreRequest::revoke_lease(12)),
         "DELETE /grants/12  2000000 0",
     );
 }
 
 #[test]
 fn store_request_transaction() {
-    let record = LeadRecord {
-        holder: "n0".into(),
+    let record = LeaseRecord {
+        owner: "n0".into(),
         term: 7,
-        marked: true,
+        watermarks_reliable: true,
     };
-    let over = OverRecord {
+    let over = FinishedJobRecord {
         cancelled: true,
         tasks: 8,
         owner: None,
     };
-    let mut commit = Commit::default();
-    commit.guard(store::HOLDER, 0);
-    commit.guard(store::TERM, 41);
-    commit.put(store::HOLDER, store::raw(&record), Some(12));
-    commit.put(store::TERM, store::raw(&record), None);
+    let mut commit = Transaction::default();
+    commit.guard(store::LEADER_KEY, 0);
+    commit.guard(store::TERM_KEY, 41);
+    commit.put(store::LEADER_KEY, store::to_raw_value(&record), Some(12));
+    commit.put(store::TERM_KEY, store::to_raw_value(&record), None);
     commit.delete("gh/part/j-7/1");
-    commit.end("j-7", &over);
+    commit.end_job("j-7", &over);
     pin(
-        &request(&commit.request()),
+        &request(&commit.to_request()),
         r#"POST /commit {"guards":[{"k":"gh/lead/holder","stamp":0},{"k":"gh/lead/term","stamp":41},{"k":"gh/over/j-7","stamp":0}],"writes":[{"write":"gh/lead/holder","v":{"holder":"n0","term":7,"marked":true},"permit":12},{"write":"gh/lead/term","v":{"holder":"n0","term":7,"marked":true}},{"delete":"gh/part/j-7/1"},{"delete":"gh/live/j-7"},{"write":"gh/over/j-7","v":{"cancelled":true,"tasks":8}}]} 2000000 5"#,
     );
     pin(
-        &request(&Commit::default().request()),
+        &request(&Transaction::default().to_request()),
         r#"POST /commit {"guards":[],"writes":[]} 2000000 0"#,
     );
 }
@@ -469,11 +471,11 @@
 #[test]
 fn store_answer_item() {
     let text = r#"{"k":"gh/lead/term","v":{"holder":"n0","term":7},"stamp":41,"extra":1}"#;
-    let item: Item = serde_json::from_str(text).unwrap();
-    let record: LeadRecord = item.record().unwrap();
-    assert_eq!((&*item.k, item.stamp), ("gh/lead/term", 41));
+    let item: StoredValue = serde_json::from_str(text).unwrap();
+    let record: LeaseRecord = item.decode().unwrap();
+    assert_eq!((&*item.key, item.version), ("gh/lead/term", 41));
     assert_eq!(
-        (&*record.holder, record.term, record.marked),
+        (&*record.owner, record.term, record.watermarks_reliable),
         ("n0", 7, false)
     );
 }
@@ -481,22 +483,22 @@
 #[test]
 fn store_answer_committed() {
     let committed: Committed = serde_json::from_str(r#"{"ledger_no":42}"#).unwrap();
-    assert_eq!(committed.ledger_no, 42);
+    assert_eq!(committed.version, 42);
 }
 
 #[test]
 fn store_answer_conflict() {
     let text = r#"{"error":"conflict","failed":["gh/lead/term","gh/live/j-7"]}"#;
     let conflict: Conflict = serde_json::from_str(text).unwrap();
-    assert_eq!(conflict.failed, ["gh/lead/term", "gh/live/j-7"]);
+    assert_eq!(conflict.failed_keys, ["gh/lead/term", "gh/live/j-7"]);
     let conflict: Conflict = serde_json::from_str("{}").unwrap();
-    assert!(conflict.failed.is_empty());
+    assert!(conflict.failed_keys.is_empty());
 }
 
 #[test]
 fn store_answer_granted() {
-    let granted: Granted = serde_json::from_str(r#"{"permit":12}"#).unwrap();
-    assert_eq!(granted.permit, 12);
+    let granted: LeaseGranted = serde_json::from_str(r#"{"permit":12}"#).unwrap();
+    assert_eq!(granted.lease_id, 12);
 }
 
 #[test]
@@ -506,11 +508,11 @@
     let Listing {
         items,
         truncated,
-        ledger_no,
+        version: ledger_no,
     } = listing;
     assert_eq!((truncated, ledger_no), (true, 42));
     assert_eq!(
-        (&*items[0].k, items[0].v.get(), items[0].stamp),
+        (&*items[0].key, items[0].value.get(), items[0].version),
         ("a", "1", 2)
     );
     let listing: Listing = serde_json::from_str(r#"{"items":[],"ledger_no":42}"#).unwrap();
@@ -521,17 +523,23 @@
 fn store_answer_followed() {
     let text =
         r#"{"ledger_no":44,"log":[{"delete":"b","stamp":44},{"write":"a","v":1,"stamp":43}]}"#;
-    let followed: Followed = serde_json::from_str(text).unwrap();
-    assert_eq!(followed.ledger_no, 44);
-    let [write, delete] = &followed.log[..] else {
+    let followed: ChangeLog = serde_json::from_str(text).unwrap();
+    assert_eq!(followed.version, 44);
+    let [write, delete] = &followed.changes[..] else {
         panic!("two changes, in the order of their versions");
     };
-    assert_eq!((write.write.as_deref(), write.stamp), (Some("a"), 43));
-    assert_eq!(write.v.as_ref().unwrap().get(), "1");
-    assert_eq!((delete.delete.as_deref(), delete.stamp), (Some("b"), 44));
+    assert_eq!(
+        (write.written_key.as_deref(), write.version),
+        (Some("a"), 43)
+    );
+    assert_eq!(write.value.as_ref().unwrap().get(), "1");
+    assert_eq!(
+        (delete.deleted_key.as_deref(), delete.version),
+        (Some("b"), 44)
+    );
     assert_eq!((write.key(), delete.key()), (Some("a"), Some("b")));
-    let followed: Followed = serde_json::from_str(r#"{"ledger_no":44}"#).unwrap();
-    assert!(followed.log.is_empty());
+    let followed: ChangeLog = serde_json::from_str(r#"{"ledger_no":44}"#).unwrap();
+    assert!(followed.changes.is_empty());
 }
 
 // ---- Messages between controllers ----
@@ -553,11 +561,11 @@
     };
     let encode = |message: &Envelope| {
         let mut frame = BytesMut::new();
-        peer::encode(message, &mut frame);
+        peer::encode_frame(message, &mut frame);
         hex(&frame)
     };
     pin(&encode(&message), pinned);
-    let read = peer::decode(&mut BytesMut::from(&unhex(pinned)[..]));
+    let read = peer::decode_frame(&mut BytesMut::from(&unhex(pinned)[..]));
     let read = read.unwrap().unwrap();
     assert_eq!(read, message);
     assert_eq!(encode(&read), pinned);
@@ -570,50 +578,50 @@
         body: None,
     };
     let mut frame = BytesMut::new();
-    peer::encode(&message, &mut frame);
+    peer::encode_frame(&message, &mut frame);
     pin(&hex(&frame), "000000040a026e30");
-    assert_eq!(peer::decode(&mut frame).unwrap(), Some(message));
-    assert_eq!(peer::MAX_FRAME, 262_144);
+    assert_eq!(peer::decode_frame(&mut frame).unwrap(), Some(message));
+    assert_eq!(peer::MAX_FRAME_BYTES, 262_144);
 }
 
-fn offer() -> peer::OfferTold {
-    peer::OfferTold {
-        flavor: "g8".into(),
+fn offer() -> peer::OfferAmount {
+    peer::OfferAmount {
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        number: 301,
+        amount: 301,
     }
 }
 
 #[test]
 fn peer_message_heartbeat() {
     let heartbeat = peer::Heartbeat {
-        leading: 7,
-        state_ok: true,
-        takes_reports: true,
-        running: vec![peer::Running {
+        leading_term: 7,
+        store_reachable: true,
+        accepts_heartbeats: true,
+        running_jobs: vec![peer::RunningJob {
             job: "j-7".into(),
             tasks: 302,
             done: 303,
         }],
-        blocks: vec![peer::BlockTold {
-            block: 3,
+        shards: vec![peer::ShardStatus {
+            shard: 3,
             term: 304,
-            backlog: 305,
-            waiting: 306,
-            free: 307,
-            teams: vec![peer::TeamTold {
+            backlog_cpu: 305,
+            waiting_cpu: 306,
+            free_cpu: 307,
+            teams: vec![peer::TeamStatus {
                 used_cpu: 308,
                 used_gpu: 309,
-                waits_cpu: 310,
-                waits_gpu: -311,
+                waiting_cpu: 310,
+                waiting_gpu: -311,
             }],
-            wants: vec![offer()],
+            machine_demand: vec![offer()],
         }],
-        refused: vec![offer()],
-        configurable: true,
-        configuration: 312,
-        newest_configuration: 313,
+        refused_offers: vec![offer()],
+        supports_configuration: true,
+        configuration_version: 312,
+        newest_configuration_version: 313,
     };
     pin_message(
         Body::Heartbeat(heartbeat),
@@ -623,75 +631,75 @@
 
 #[test]
 fn peer_message_relay() {
-    let relay = peer::Relay {
+    let relay = peer::RelayHeartbeat {
         id: 301,
-        report: Bytes::from_static(b"{\"host\":\"m\"}"),
+        heartbeat: Bytes::from_static(b"{\"host\":\"m\"}"),
     };
     pin_message(
-        Body::Relay(relay),
+        Body::RelayHeartbeat(relay),
         "000000170a026e301a1108ad02120c7b22686f7374223a226d227d",
     );
 }
 
 #[test]
 fn peer_message_relayed() {
-    let relayed = peer::Relayed {
+    let relayed = peer::RelayAnswer {
         id: 301,
         status: 421,
         body: Bytes::from_static(b"{}"),
     };
     pin_message(
-        Body::Relayed(relayed),
+        Body::RelayAnswer(relayed),
         "000000100a026e30220a08ad0210a5031a027b7d",
     );
 }
 
 #[test]
 fn peer_message_vote_request() {
-    let ask = peer::PromiseAsk {
+    let ask = peer::VoteRequest {
         round: 301,
         term: 302,
-        micros: 303,
-        block: 304,
-        known: 305,
+        duration: 303,
+        shard: 304,
+        known_version: 305,
     };
     pin_message(
-        Body::PromiseAsk(ask),
+        Body::VoteRequest(ask),
         "000000150a026e302a0f08ad0210ae0218af0220b00228b102",
     );
 }
 
 #[test]
 fn peer_message_vote() {
-    let promise = peer::Promise {
+    let promise = peer::Vote {
         round: 301,
         term: 302,
-        block: 303,
-        knows: true,
-        cancelled: "1:7".into(),
-        count: 1,
-        configuration: 304,
+        shard: 303,
+        knows_cancellations: true,
+        cancelled_jobs: "1:7".into(),
+        cancelled_count: 1,
+        configuration_version: 304,
     };
     pin_message(
-        Body::Promise(promise),
+        Body::Vote(promise),
         "0000001b0a026e30321508ad0210ae0218af0220012a03313a37300138b002",
     );
 }
 
 #[test]
 fn peer_message_job_changed() {
-    let changed = peer::Changed {
+    let changed = peer::JobChanged {
         job: "j-7".into(),
-        stamp: 301,
+        version: 301,
     };
     pin_message(
-        Body::Changed(changed),
+        Body::JobChanged(changed),
         "0000000e0a026e303a080a036a2d3710ad02",
     );
 }
 
-fn usage_key() -> peer::TabKey {
-    peer::TabKey {
+fn usage_key() -> peer::AttemptKey {
+    peer::AttemptKey {
         machine: "host-000231".into(),
         job: "j-7".into(),
         task: 301,
@@ -701,42 +709,42 @@
 
 #[test]
 fn peer_message_open_usage() {
-    let tab = peer::OpenTab {
+    let tab = peer::OpenUsageRecord {
         key: Some(usage_key()),
-        owner: Some(peer::TabOwner {
+        owner: Some(peer::UsageOwner {
             team: "blue".into(),
             class: "train".into(),
             cpu: 303,
             gpu: 304,
             mem: 305,
-            replica: true,
+            is_service: true,
         }),
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         price: 306,
-        session: 307,
+        incarnation: 307,
         stage: 308,
-        since: 309,
-        spent: vec![310, 0, 311],
-        unsure: 312,
-        guessed: true,
+        stage_age: 309,
+        stage_times: vec![310, 0, 311],
+        begin_uncertainty: 312,
+        begin_estimated: true,
         saved: true,
-        reason: 313,
-        ended: 314,
-        bound: 315,
+        end_reason: 313,
+        end_age: 314,
+        time_uncertainty: 315,
     };
-    let tabs = peer::OpenTabs {
+    let tabs = peer::UsageRecords {
         term: 7,
-        seq: 316,
-        first: true,
-        last: true,
-        open: vec![tab],
-        closed: vec![usage_key()],
-        at: 317,
+        sequence: 316,
+        is_first: true,
+        is_last: true,
+        open_records: vec![tab],
+        closed_keys: vec![usage_key()],
+        sent_at: 317,
     };
     pin_message(
-        Body::OpenTabs(tabs),
+        Body::UsageRecords(tabs),
         "000000900a026e30428901080710bc02180120012a610a180a0b686f73742d30303032333112036a2d3718ad0220ae0212180a04626c75651205747261696e18af0220b00228b10230011a026738220161280130b20238b30240b40248b5025205b60200b70258b8026001680170b90278ba028001bb0232180a0b686f73742d30303032333112036a2d3718ad0220ae0238bd02",
     );
 }
@@ -744,24 +752,24 @@
 #[test]
 fn peer_message_open_usage_request() {
     pin_message(
-        Body::TabsAsk(peer::TabsAsk { term: 301 }),
+        Body::UsageRecordsRequest(peer::UsageRecordsRequest { term: 301 }),
         "000000090a026e304a0308ad02",
     );
 }
 
 #[test]
 fn peer_message_launch_watermarks() {
-    let marks = peer::Marks {
+    let marks = peer::WatermarkCheck {
         term: 301,
-        life: 302,
-        block: 303,
+        incarnation: 302,
+        shard: 303,
     };
     pin_message(
-        Body::MarksAsk(marks.clone()),
+        Body::WatermarkQuery(marks.clone()),
         "0000000f0a026e30520908ad0210ae0218af02",
     );
     pin_message(
-        Body::MarksHold(marks),
+        Body::WatermarkConfirmation(marks),
         "0000000f0a026e305a0908ad0210ae0218af02",
     );
 }
@@ -777,17 +785,17 @@
         {"piece":"j-7/2","try_no":3,"status":"running"},
         {"piece":"j-7/3","try_no":4,"status":"saving"},
         {"piece":"j-7/4","try_no":5,"status":"ended","cause":"stopped","kept":true}]}"#;
-    let report: Report<'_> = serde_json::from_str(text).unwrap();
-    let Report {
+    let report: WorkerHeartbeat<'_> = serde_json::from_str(text).unwrap();
+    let WorkerHeartbeat {
         machine,
-        addr,
-        flavor,
+        address: addr,
+        machine_type: flavor,
         zone,
         spot,
-        session,
-        seq,
+        incarnation: session,
+        sequence: seq,
         token,
-        notice_s,
+        preemption_notice_s: notice_s,
         tasks,
     } = report;
     assert_eq!((&*machine, &*addr), ("host-000231", "10.1.0.7:9000"));
@@ -804,9 +812,9 @@
         assert_eq!(task.task, format!("j-7/{i}"));
         assert_eq!((task.attempt, task.state), (i as u64 + 1, state));
     }
-    assert_eq!((tasks[0].why, tasks[0].saved), (None, false));
+    assert_eq!((tasks[0].exit_reason, tasks[0].saved), (None, false));
     assert_eq!(
-        (tasks[4].why, tasks[4].saved),
+        (tasks[4].exit_reason, tasks[4].saved),
         (Some(ExitReason::Stopped), true)
     );
     assert_eq!(tasks.len(), 5);
@@ -815,9 +823,12 @@
 #[test]
 fn worker_report_without_optional_fields() {
     let text = r#"{"host":"m","rig":"g8","yard":"a","shift":17,"tally":18}"#;
-    let report: Report<'_> = serde_json::from_str(text).unwrap();
-    assert_eq!((&*report.addr, report.spot, report.token), ("", false, 0));
-    assert_eq!((report.notice_s, report.tasks.len()), (None, 0));
+    let report: WorkerHeartbeat<'_> = serde_json::from_str(text).unwrap();
+    assert_eq!(
+        (&*report.address, report.spot, report.token),
+        ("", false, 0)
+    );
+    assert_eq!((report.preemption_notice_s, report.tasks.len()), (None, 0));
 }
 
 #[test]
@@ -860,7 +871,7 @@
 
 #[test]
 fn worker_answer() {
-    let answer = ReportAnswer {
+    let answer = HeartbeatResponse {
         token: 7,
         orders: &orders(),
     };
@@ -872,9 +883,9 @@
 
 #[test]
 fn worker_commands() {
-    let commands = Commands {
+    let commands = CommandsRequest {
         token: 7,
-        session: 17,
+        incarnation: 17,
         orders: &orders(),
     };
     pin(
@@ -886,8 +897,13 @@
 #[test]
 fn worker_answer_elsewhere() {
     let report_to = Some("n1");
-    pin(&json(&ReportElsewhere { report_to }), r#"{"foreman":"n1"}"#);
-    pin(&json(&ReportElsewhere { report_to: None }), "{}");
+    pin(
+        &json(&HeartbeatRedirect {
+            controller: report_to,
+        }),
+        r#"{"foreman":"n1"}"#,
+    );
+    pin(&json(&HeartbeatRedirect { controller: None }), "{}");
 }
 
 // ---- The cloud ----
@@ -900,7 +916,10 @@
 
 #[test]
 fn cloud_requests() {
-    pin(&cloud_request(&CloudRequest::flavors()), "GET /flavors ");
+    pin(
+        &cloud_request(&CloudRequest::machine_types()),
+        "GET /flavors ",
+    );
     pin(
         &cloud_request(&CloudRequest::list("")),
         "GET /rentals?page=500 ",
@@ -909,7 +928,7 @@
         &cloud_request(&CloudRequest::list("host-000231")),
         "GET /rentals?from=host-000231&page=500 ",
     );
-    let rent = CloudRequest::rent("n0-7-1", "g8", "a", true, 4);
+    let rent = CloudRequest::provision("n0-7-1", "g8", "a", true, 4);
     pin(
         &cloud_request(&rent),
         r#"POST /rentals {"hire":"n0-7-1","rig":"g8","yard":"a","loaners":true,"how_many":4}"#,
@@ -943,13 +962,13 @@
         fetch_gb_per_s: 1.0,
         zones: Vec::new(),
     };
-    assert_eq!(cloud::parse_flavors(text), Some(vec![large, small]));
-    assert_eq!(cloud::parse_flavors(br#"{"rigs":[]}"#), None);
+    assert_eq!(cloud::parse_machine_types(text), Some(vec![large, small]));
+    assert_eq!(cloud::parse_machine_types(br#"{"rigs":[]}"#), None);
 }
 
 #[test]
 fn cloud_answer_rented() {
-    let rented: Rented = serde_json::from_str(r#"{"hosts":["host-000231"]}"#).unwrap();
+    let rented: ProvisionAnswer = serde_json::from_str(r#"{"hosts":["host-000231"]}"#).unwrap();
     assert_eq!(rented.machines, ["host-000231"]);
 }
 
@@ -962,7 +981,7 @@
         panic!("two machines");
     };
     assert!(list.truncated);
-    assert_eq!((&*first.id, &*first.flavor), ("host-000231", "g8"));
+    assert_eq!((&*first.id, &*first.machine_type), ("host-000231", "g8"));
     assert_eq!((&*first.zone, first.spot), ("a", true));
     assert_eq!((&*first.status, first.age_s), ("ready", 12.5));
     assert_eq!(
@@ -979,7 +998,7 @@
     "due_s":900.0,"waits_on":["j-000398"]}"#;
 
 fn submission(text: &str) -> Result<api::Submission, Refusal> {
-    let (object, _) = api::parse_object(text.as_bytes())?;
+    let (object, _) = api::parse_json_object(text.as_bytes())?;
     api::parse_submission(&object)
 }
 
@@ -1043,7 +1062,7 @@
         },
         ..team.clone()
     };
-    let types = cloud::parse_flavors(MACHINE_TYPES).unwrap();
+    let types = cloud::parse_machine_types(MACHINE_TYPES).unwrap();
     let admit = |teams: &[Team], types: &[MachineType]| api::admit(&mut spec(), teams, types);
     pin(
         &admit(&[team], &types).unwrap_err().to_string(),
@@ -1059,7 +1078,7 @@
         "the machine types are not known yet",
     );
     pin(
-        &Refusal::Changing.to_string(),
+        &Refusal::ConfigurationChanging.to_string(),
         "the configuration is changing",
     );
     assert_eq!(admit(&[unlimited], &types), Ok(()));
@@ -1072,37 +1091,40 @@
 #[test]
 fn user_job_view() {
     let mut view = JobView {
-        status: Status::Pending,
+        status: JobStatus::Pending,
         done: 1,
         running: 2,
         waits_on: vec!["j-000398".into()],
     };
     pin(
-        &response(&api::answer(201, "j-000412", &view)),
+        &response(&api::job_response(201, "j-000412", &view)),
         r#"201 {"id":"j-000412","status":"pending","done":1,"running":2,"waits_on":["j-000398"]} None"#,
     );
     view.waits_on.clear();
     let statuses = [
         (
-            Status::Pending,
+            JobStatus::Pending,
             r#"200 {"id":"j-000412","status":"pending","done":1,"running":2} None"#,
         ),
         (
-            Status::Running,
+            JobStatus::Running,
             r#"200 {"id":"j-000412","status":"running","done":1,"running":2} None"#,
         ),
         (
-            Status::Done,
+            JobStatus::Done,
             r#"200 {"id":"j-000412","status":"done","done":1,"running":2} None"#,
         ),
         (
-            Status::Cancelled,
+            JobStatus::Cancelled,
             r#"200 {"id":"j-000412","status":"cancelled","done":1,"running":2} None"#,
         ),
     ];
     for (status, pinned) in statuses {
         view.status = status;
-        pin(&response(&api::answer(200, "j-000412", &view)), pinned);
+        pin(
+            &response(&api::job_response(200, "j-000412", &view)),
+            pinned,
+        );
     }
 }
 
@@ -1112,7 +1134,7 @@
     let routes = [
         (Get, "/healthz", Route::Health),
         (Get, "/api/config", Route::Configuration),
-        (Post, "/v1/report", Route::Report),
+        (Post, "/v1/report", Route::Heartbeat),
         (Post, "/api/jobs", Route::Submit),
         (Get, "/api/jobs/j-7", Route::Query("j-7")),
         (Post, "/api/jobs/j-7/cancel", Route::Cancel("j-7")),
@@ -1247,9 +1269,9 @@
 fn user_answer_health_of_a_ready_controller() {
     let mut controller = controller();
     let heartbeat = peer::Heartbeat {
-        leading: 7,
-        state_ok: true,
-        takes_reports: true,
+        leading_term: 7,
+        store_reachable: true,
+        accepts_heartbeats: true,
         ..peer::Heartbeat::default()
     };
     hear(&mut controller, heartbeat);
@@ -1289,8 +1311,8 @@
         r#"200 {"version":0,"newest":0,"refused":null,"fresh":false,"known_ms_ago":null,"nodes":[{"name":"n0","heard":true,"version":0},{"name":"n1","heard":false,"version":null}]} None"#,
     );
     let heartbeat = peer::Heartbeat {
-        configurable: true,
-        configuration: 3,
+        supports_configuration: true,
+        configuration_version: 3,
         ..peer::Heartbeat::default()
     };
     hear(&mut controller, heartbeat);
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -3,7 +3,7 @@
 
 use crate::unseen_cancellation::{begin, id, long, recover, roles};
 use crate::*;
-use gannethub_core::wire::store::TERM;
+use gannethub_core::wire::store::TERM_KEY;
 use harness::CANCEL;
 
 /// Waits until nothing is in trouble any more, then until all jobs are over, and asks once more at all nodes.
@@ -461,9 +461,9 @@
         w.lose_leader(2 * SECOND);
         for _ in 0..9 {
             w.lost_answers = 1.0;
-            let term = w.state.value(TERM).cloned();
+            let term = w.state.value(TERM_KEY).cloned();
             let until = w.now + 15 * SECOND;
-            let taken = |w: &World| w.state.value(TERM).cloned() != term || w.now > until;
+            let taken = |w: &World| w.state.value(TERM_KEY).cloned() != term || w.now > until;
             w.run_until(16, "a takeover is carried out", taken);
             // Its answer is missed after two seconds, and the grant given back at once.
             w.pause(SECOND * 3 / 2);
@@ -782,7 +782,7 @@
         w.run_until(10, "one leads", |w| w.leader().is_some());
         w.run(5);
         w.asked_since = w.now;
-        let term = w.state.value(TERM).cloned();
+        let term = w.state.value(TERM_KEY).cloned();
         let (mut next, requests) = (0, w.state.requests);
         let mut large = Vec::new();
         for second in 0..120 {
@@ -808,7 +808,7 @@
             w.run(1);
         }
         assert_eq!(
-            w.state.value(TERM).cloned(),
+            w.state.value(TERM_KEY).cloned(),
             term,
             "its renewals are served"
         );
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -5,8 +5,8 @@
 use gannethub_core::configuration::{Document, ObjectiveEntry, OverLimit};
 use gannethub_core::model::Shape;
 use gannethub_core::settings::Settings;
-use gannethub_core::wire::configuration::{CURRENT, HISTORY, VersionRecord};
-use gannethub_core::wire::store::raw;
+use gannethub_core::wire::configuration::{CURRENT_VERSION_KEY, HISTORY_KEY, VersionRecord};
+use gannethub_core::wire::store::to_raw_value;
 use gannethub_core::wire::worker::Order;
 use serde_json::json;
 
@@ -131,7 +131,7 @@
     f.c.run_scheduling_pass(f.now);
     f.write();
     let settings = with_limit(&f, 6.0);
-    f.c.configure(&settings, OverLimit::Run, f.now);
+    f.c.apply_settings(&settings, OverLimit::Run, f.now);
     assert_eq!(launches(&mut f), 6);
     assert_eq!(
         f.c.jobs["j-1"].live_attempts.len(),
@@ -344,7 +344,7 @@
         let mut gone = red(16.0);
         gone.teams[0].removed = true;
         w.configure(gone, 0);
-        let stored = w.state.stamp(CURRENT);
+        let stored = w.state.stamp(CURRENT_VERSION_KEY);
         // Controllers have not heard of it, and their transactions are on their way.
         for i in 0..9 {
             w.ask_quietly(job(50 + i, 1, json!({"crew": "red"})), i as usize % 3);
@@ -375,8 +375,8 @@
         let version = w.configure(red(6.0), 0);
         w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
         match broken {
-            "" => w.state.remove(CURRENT),
-            text => w.state.put(CURRENT, text),
+            "" => w.state.remove(CURRENT_VERSION_KEY),
+            text => w.state.put(CURRENT_VERSION_KEY, text),
         }
         w.run(EVERYWHERE);
         assert!(w.in_force(version), "{:?}", w.versions());
@@ -417,11 +417,12 @@
             ..VersionRecord::default()
         };
         w.state.put(&record.part_key(0), &document.to_string());
-        w.state.put(CURRENT, raw(&record).get());
+        w.state
+            .put(CURRENT_VERSION_KEY, to_raw_value(&record).get());
         w.run(EVERYWHERE);
         assert!(w.in_force(version), "{document}: {:?}", w.versions());
     }
-    w.state.remove(HISTORY);
+    w.state.remove(HISTORY_KEY);
     w.submit(job(2, 10, json!({"crew": "red"})));
     w.run_until(60, "the service goes on", |w| {
         w.jobs["j-000002"].told_done.is_some()
@@ -457,7 +458,8 @@
         &record.part_key(0),
         r#"{"teams":[{"name":"red","cpus":1.0,"cpus_max":2.0}]}"#,
     );
-    w.state.put(CURRENT, raw(&record).get());
+    w.state
+        .put(CURRENT_VERSION_KEY, to_raw_value(&record).get());
     w.run(EVERYWHERE);
     assert!(w.in_force(version), "{:?}", w.versions());
     w.run_until(120, "the array is done", |w| {
@@ -469,7 +471,7 @@
 #[test]
 fn where_nothing_was_ever_stored_nothing_more_is_asked() {
     let w = red_runs(55, 4);
-    assert!(w.state.keys("gh/config/").is_empty() && w.state.value(CURRENT).is_none());
+    assert!(w.state.keys("gh/config/").is_empty() && w.state.value(CURRENT_VERSION_KEY).is_none());
     assert!(w.versions().iter().all(|v| v.0 == 0));
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -252,10 +252,10 @@
         machines,
     };
     let mut record = JobRecord::new(spec(Shape::Array, "red", 20, 1.0), 1);
-    record.open = Some(6);
-    f.c.job_record("j-1", record, 5);
-    f.c.chunk_record("gh/block/0/0", chunk, 6);
-    f.c.loaded(f.now);
+    record.watermark = Some(6);
+    f.c.apply_job_record("j-1", record, 5);
+    f.c.apply_shard_chunk("gh/block/0/0", chunk, 6);
+    f.c.finish_loading(f.now);
     assert_eq!(
         f.c.unconfirmed.possible_usage[0].cpu, 6_000,
         "six tasks may be on them"
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 
 use gannethub_core::configuration::{Document, TeamEntry};
-use gannethub_core::wire::configuration::{CURRENT, HISTORY, HistoryRecord, VersionRecord, split};
-use gannethub_core::wire::store::{Commit, raw};
+use gannethub_core::wire::configuration::{
+    CURRENT_VERSION_KEY, HISTORY_KEY, HistoryRecord, VersionRecord, split_document,
+};
+use gannethub_core::wire::store::{Transaction, to_raw_value};
 use gannethub_emulators::state::Outcome;
 use serde_json::Value;
 
@@ -54,7 +56,7 @@
         let effective = document
             .effective(&base, &base)
             .expect("the story's document is fine");
-        let parts = split(&document, base.value_bytes).expect("it fits");
+        let parts = split_document(&document, base.value_bytes).expect("it fits");
         let version = self.changes.len() as u64 + 1;
         let record = VersionRecord {
             version,
@@ -62,16 +64,20 @@
             parts: parts.len() as u32,
             ..VersionRecord::default()
         };
-        let mut commit = Commit::default();
+        let mut commit = Transaction::default();
         for (i, part) in parts.iter().enumerate() {
-            commit.put(&record.part_key(i), raw(part), None);
+            commit.put(&record.part_key(i), to_raw_value(part), None);
         }
-        let history = self.state.value(HISTORY).cloned().unwrap_or(Value::Null);
+        let history = self
+            .state
+            .value(HISTORY_KEY)
+            .cloned()
+            .unwrap_or(Value::Null);
         let mut history: HistoryRecord = serde_json::from_value(history).unwrap_or_default();
         history.push(record.clone(), base.value_bytes);
-        commit.put(CURRENT, raw(&record), None);
-        commit.put(HISTORY, raw(&history), None);
-        let request = commit.request();
+        commit.put(CURRENT_VERSION_KEY, to_raw_value(&record), None);
+        commit.put(HISTORY_KEY, to_raw_value(&history), None);
+        let request = commit.to_request();
         let stored = self.state.handle(
             request.method.as_str(),
             &request.path,
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -100,7 +100,7 @@
         }
         let term = self
             .state
-            .value(TERM)
+            .value(TERM_KEY)
             .and_then(|v| v["term"].as_u64())
             .unwrap_or(0);
         if term == std::mem::replace(&mut self.last_term, term) {
@@ -282,7 +282,7 @@
 
     /// The state service has it that this task of a live job is done.
     pub(super) fn stored(&self, id: &str, index: u32) -> bool {
-        let part = index / PART_TASKS;
+        let part = index / TASKS_PER_PART;
         let values = [
             (format!("gh/live/{id}"), 0),
             (format!("gh/part/{id}/{part}"), part),
@@ -290,7 +290,7 @@
         values.iter().any(|(key, part)| {
             let text = self.state.value(key).and_then(|v| v["done"].as_str());
             let mut done = TaskSet::default();
-            decode_done(text.unwrap_or(""), *part, &mut done);
+            decode_done_part(text.unwrap_or(""), *part, &mut done);
             done.contains(index)
         })
     }
@@ -310,7 +310,7 @@
                 .value(&key)
                 .and_then(|v| v["done"].as_str())
                 .unwrap_or("");
-            decode_done(text, index, &mut done);
+            decode_done_part(text, index, &mut done);
             parts.insert(key, done.len() as usize);
         }
         for (key, before) in std::mem::take(&mut self.parts) {
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -16,8 +16,10 @@
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
 use gannethub_core::state::cluster::Cluster;
-use gannethub_core::wire::peer::{Body, Envelope, Promise};
-use gannethub_core::wire::store::{PART_TASKS, StoreRequest, TERM, decode_done, seat_keys};
+use gannethub_core::wire::peer::{Body, Envelope, Vote};
+use gannethub_core::wire::store::{
+    StoreRequest, TASKS_PER_PART, TERM_KEY, assignment_keys, decode_done_part,
+};
 use gannethub_ledger::KeyRing;
 use gannethub_ledger::audit::Page;
 use rand::rngs::StdRng;
@@ -278,16 +280,16 @@
 /// What the version before writes of a message.
 fn forget_cancellations(message: &mut Envelope) {
     match &mut message.body {
-        Some(Body::Promise(p)) => {
-            let (round, term, block) = (p.round, p.term, p.block);
-            *p = Promise {
+        Some(Body::Vote(p)) => {
+            let (round, term, block) = (p.round, p.term, p.shard);
+            *p = Vote {
                 round,
                 term,
-                block,
-                ..Promise::default()
+                shard: block,
+                ..Vote::default()
             };
         }
-        Some(Body::PromiseAsk(ask)) => ask.known = 0,
+        Some(Body::VoteRequest(ask)) => ask.known_version = 0,
         _ => {}
     }
 }
@@ -451,7 +453,7 @@
 
     /// Who holds a block, as the state service has it.
     pub fn holds(&self, block: u32) -> Option<String> {
-        let key = seat_keys(block).0;
+        let key = assignment_keys(block).0;
         Some(self.state.value(&key)?["holder"].as_str()?.to_string())
     }
 
@@ -656,7 +658,7 @@
                     self.now,
                 ) {
                     Outcome::Answer(status, body) => {
-                        let lost = self.now > asked + request.patience;
+                        let lost = self.now > asked + request.timeout;
                         let answer = (!lost).then_some((status, body));
                         let late = self.slow_commits.get(&node).copied();
                         match late.filter(|_| request.path == "/commit") {
@@ -882,7 +884,7 @@
                     response,
                 } => {
                     // Whoever leads answers workers only while nobody can have replaced it.
-                    let last = self.state.value(TERM).and_then(|v| v["term"].as_u64());
+                    let last = self.state.value(TERM_KEY).and_then(|v| v["term"].as_u64());
                     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
                     let acts = term.is_some() && body["baton"].as_u64() == term;
                     if response.status == 200 && acts && last > term {
@@ -927,7 +929,7 @@
                         let long = self.rng.random_range(SECOND..20 * SECOND);
                         let long = if lost { delay } else { long };
                         self.unanswered_commits += usize::from(lost);
-                        let patience = request.patience;
+                        let patience = request.timeout;
                         self.at(
                             long,
                             Event::Store {
@@ -989,10 +991,10 @@
                     if self.silent.contains(&node) {
                         forget_cancellations(&mut message);
                     }
-                    if let (true, Some(Body::Promise(p))) =
+                    if let (true, Some(Body::Vote(p))) =
                         (self.garbled.contains(&node), &mut message.body)
                     {
-                        p.cancelled = "6:1-;zz:4;x".into();
+                        p.cancelled_jobs = "6:1-;zz:4;x".into();
                     }
                     let name = self.settings[node].siblings[to].name.clone();
                     let to = self
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 
 use gannethub_core::model::{JobSpec, MachineType, Priority, Resources, SECOND, Shape};
-use gannethub_core::reconcile::heartbeat::Outcome;
+use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
 use gannethub_core::settings::Settings;
 use gannethub_core::state::cluster::Cluster;
 use gannethub_core::state::fleet::CloudCall;
 use gannethub_core::wire::store::JobRecord;
-use gannethub_core::wire::worker::{ExitReason, Order, Report, ReportedTask, TaskState};
+use gannethub_core::wire::worker::{ExitReason, Order, ReportedTask, TaskState, WorkerHeartbeat};
 use serde_json::json;
 
 pub const WALL: u64 = 1_700_000_000 * SECOND;
@@ -97,7 +97,7 @@
 
     pub fn with(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> LeaderView {
         let mut f = LeaderView::unread(teams, wait_s);
-        f.c.loaded(f.now);
+        f.c.finish_loading(f.now);
         f.c.tick(f.now, WALL);
         assert!(f.c.settled);
         f
@@ -123,7 +123,7 @@
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
         self.stamp += 1;
         self.c
-            .job_record(id, JobRecord::new(spec, WALL + self.now), self.stamp);
+            .apply_job_record(id, JobRecord::new(spec, WALL + self.now), self.stamp);
     }
 
     /// A report with these tasks; the orders it is answered with.
@@ -135,7 +135,7 @@
         tasks: &[(&str, u64, bool)],
     ) -> Vec<Order> {
         match self.try_report(name, flavor, zone, tasks) {
-            Outcome::Orders(orders) => orders,
+            HeartbeatOutcome::Orders(orders) => orders,
             other => panic!("{other:?}"),
         }
     }
@@ -146,7 +146,7 @@
         flavor: &str,
         zone: &str,
         tasks: &[(&str, u64, bool)],
-    ) -> Outcome {
+    ) -> HeartbeatOutcome {
         let tasks = tasks.iter().map(|(task, attempt, done)| ReportedTask {
             task: Cow::Borrowed(*task),
             attempt: *attempt,
@@ -155,7 +155,7 @@
             } else {
                 TaskState::Running
             },
-            why: done.then_some(ExitReason::Done),
+            exit_reason: done.then_some(ExitReason::Done),
             saved: false,
         });
         let tasks = tasks.collect();
@@ -170,33 +170,33 @@
         zone: &str,
         spot: bool,
         tasks: Vec<ReportedTask<'_>>,
-    ) -> Outcome {
+    ) -> HeartbeatOutcome {
         let seq = self.seqs.entry(name.into()).or_default();
         *seq += 1;
-        let report = Report {
+        let report = WorkerHeartbeat {
             machine: name.into(),
-            addr: "10.9.0.1:9000".into(),
-            flavor: flavor.into(),
+            address: "10.9.0.1:9000".into(),
+            machine_type: flavor.into(),
             zone: zone.into(),
             spot,
-            session: 1,
-            seq: *seq,
+            incarnation: 1,
+            sequence: *seq,
             token: TERM,
-            notice_s: None,
+            preemption_notice_s: None,
             tasks,
         };
-        self.c.report(self.now, &report)
+        self.c.apply_heartbeat(self.now, &report)
     }
 
     /// Carries out every transaction there is to write; how many there were, with their changes.
     pub fn write(&mut self) -> (usize, usize) {
         let (mut calls, mut changes) = (0, 0);
-        while let Some((commit, batch)) = self.c.next_commit(self.now, 1) {
-            assert!(commit.changes() <= self.c.settings.txn_ops);
+        while let Some((commit, batch)) = self.c.next_transaction(self.now, 1) {
+            assert!(commit.change_count() <= self.c.settings.txn_ops);
             calls += 1;
-            changes += commit.changes();
+            changes += commit.change_count();
             self.stamp += 1;
-            self.c.committed(batch, self.stamp);
+            self.c.transaction_committed(batch, self.stamp);
         }
         (calls, changes)
     }
@@ -274,7 +274,7 @@
                     _ => json!({"hosts": []}),
                 };
                 self.c
-                    .cloud_answer(call, Some((200, body.to_string().as_bytes())), self.now);
+                    .apply_cloud_answer(call, Some((200, body.to_string().as_bytes())), self.now);
             }
         }
         rented
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 use gannethub_core::model::{JobSpec, Shape};
-use gannethub_core::reconcile::heartbeat::Outcome;
+use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
 use gannethub_core::state::fleet::CloudCall;
 
 use crate::harness::{SECOND, World, job};
@@ -115,7 +115,7 @@
     let delete = calls
         .into_iter()
         .find(|c| matches!(c, CloudCall::Delete { .. }));
-    f.c.cloud_answer(
+    f.c.apply_cloud_answer(
         delete.expect("the silent one is returned"),
         Some((200, b"{}")),
         f.now,
@@ -125,7 +125,7 @@
     let tasks: Vec<_> = mine.iter().map(|(t, n)| (t.as_str(), *n, false)).collect();
     assert_eq!(
         f.try_report("host-0000", "large", "a", &tasks),
-        Outcome::Stale
+        HeartbeatOutcome::Stale
     );
     assert!(!f.c.machines.contains_key("host-0000"));
     assert!(
@@ -181,7 +181,7 @@
     };
     f.submit("j-3", spec(Shape::Array, "red", 1, 30.0));
     assert!(wait(&mut f).is_empty(), "something waits for room");
-    f.c.job_gone("j-3", u64::MAX, None);
+    f.c.apply_job_end("j-3", u64::MAX, None);
     let leaving = wait(&mut f);
     assert_eq!(leaving.len(), 1, "a part at a time");
     let m = &f.c.machines[leaving[0].as_str()];
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -243,7 +243,7 @@
         &["j-1".into()],
     );
     f.stamp += 1;
-    f.c.waiting_record("j-2", held, f.stamp);
+    f.c.apply_waiting_job("j-2", held, f.stamp);
     let rents = |f: &mut LeaderView| {
         let calls = f.c.plan_cloud_calls(f.now);
         calls
@@ -283,7 +283,7 @@
     };
     f.stamp += 1;
     let held = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
-    f.c.waiting_record("j-3", held, f.stamp);
+    f.c.apply_waiting_job("j-3", held, f.stamp);
     f.pass(1);
     f.c.run_scheduling_pass(f.now);
     assert_eq!(
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -3,7 +3,7 @@
 //! from when a user was told, at whichever controller, and looks at every machine every second.
 
 use crate::*;
-use gannethub_core::wire::store::TERM;
+use gannethub_core::wire::store::TERM_KEY;
 use harness::CANCEL;
 
 /// Work that outlasts any outage here: eight arrays of two tasks each, on machines.
@@ -342,7 +342,7 @@
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        let term = w.state.value(TERM).cloned();
+        let term = w.state.value(TERM_KEY).cloned();
         w.hung_watches.insert(old);
         others.iter().for_each(|i| {
             w.lost.insert((*i, old));
@@ -350,7 +350,7 @@
         w.run(10);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
         w.run(CANCEL / SECOND + 25);
-        assert_eq!(w.state.value(TERM).cloned(), term, "it leads on");
+        assert_eq!(w.state.value(TERM_KEY).cloned(), term, "it leads on");
         recover(w, seed);
     }
 }
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -7,7 +7,7 @@
 use gannethub_core::state::shard::ChunkRecord;
 use gannethub_core::wire::peer::{self, Body};
 use gannethub_core::wire::store::{
-    self, JobRecord, LeadRecord, LiveRecord, OverRecord, PartRecord, WaitingRecord,
+    self, DonePartRecord, FinishedJobRecord, JobRecord, LeaseRecord, LiveRecord, WaitingRecord,
 };
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -63,19 +63,19 @@
             panic!("it does not wait")
         };
         assert_eq!(
-            store::raw(&r).get(),
+            store::to_raw_value(&r).get(),
             text,
             "not a byte differs where nothing is new"
         );
     }
-    let over: OverRecord = serde_json::from_str(OVER).expect("an end");
-    assert_eq!(store::raw(&over).get(), OVER);
-    let part: PartRecord = serde_json::from_str(PART).expect("a part");
-    assert_eq!(store::raw(&part).get(), PART);
-    let lead: LeadRecord = serde_json::from_str(LEAD).expect("a leader");
-    assert_eq!(store::raw(&lead).get(), LEAD);
+    let over: FinishedJobRecord = serde_json::from_str(OVER).expect("an end");
+    assert_eq!(store::to_raw_value(&over).get(), OVER);
+    let part: DonePartRecord = serde_json::from_str(PART).expect("a part");
+    assert_eq!(store::to_raw_value(&part).get(), PART);
+    let lead: LeaseRecord = serde_json::from_str(LEAD).expect("a leader");
+    assert_eq!(store::to_raw_value(&lead).get(), LEAD);
     let chunk: ChunkRecord = serde_json::from_str(CHUNK).expect("a chunk");
-    assert_eq!(store::raw(&chunk).get(), CHUNK);
+    assert_eq!(store::to_raw_value(&chunk).get(), CHUNK);
 }
 
 #[test]
@@ -86,15 +86,15 @@
     let mut wire = BytesMut::from(&bytes[..]);
     let mut again = BytesMut::new();
     let mut kinds = Vec::new();
-    while let Some(message) = peer::decode(&mut wire).expect("a frame") {
-        peer::encode(&message, &mut again);
+    while let Some(message) = peer::decode_frame(&mut wire).expect("a frame") {
+        peer::encode_frame(&message, &mut again);
         kinds.push(match message.body.expect("a body") {
-            Body::Heartbeat(b) => (b.leading, b.running.len()),
-            Body::Relay(r) => (r.id, r.report.len()),
-            Body::Relayed(r) => (r.id, r.status as usize),
-            Body::PromiseAsk(p) => (p.term, p.micros as usize),
-            Body::Promise(p) => (p.term, p.round as usize),
-            Body::Changed(c) => (c.stamp, c.job.len()),
+            Body::Heartbeat(b) => (b.leading_term, b.running_jobs.len()),
+            Body::RelayHeartbeat(r) => (r.id, r.heartbeat.len()),
+            Body::RelayAnswer(r) => (r.id, r.status as usize),
+            Body::VoteRequest(p) => (p.term, p.duration as usize),
+            Body::Vote(p) => (p.term, p.round as usize),
+            Body::JobChanged(c) => (c.version, c.job.len()),
             other => panic!("the version before had no {other:?}"),
         });
     }
@@ -112,8 +112,8 @@
     };
     let on = [JobId::from("j-000398")];
     for cancelled in [false, true] {
-        let waiting = WaitingRecord::new(r.spec.clone(), r.at, cancelled, &on);
-        let text = store::raw(&waiting).get().to_string();
+        let waiting = WaitingRecord::new(r.spec.clone(), r.accepted_at, cancelled, &on);
+        let text = store::to_raw_value(&waiting).get().to_string();
         assert!(
             serde_json::from_str::<OldJob>(&text).is_err(),
             "its leader finds nothing to run"
@@ -126,11 +126,15 @@
         );
     }
     // Once released it is a job like any other, and losing `ready` only costs it its place.
-    let mut released = JobRecord::new(r.spec.clone(), r.at);
-    released.ready = Some(r.at + 5);
+    let mut released = JobRecord::new(r.spec.clone(), r.accepted_at);
+    released.ready_at = Some(r.accepted_at + 5);
     released.done = "0-2,9".into();
-    let old: OldJob = serde_json::from_str(store::raw(&released).get()).expect("a job to it too");
-    assert_eq!((old.spec, old.at, &*old.done), (r.spec, r.at, "0-2,9"));
+    let old: OldJob =
+        serde_json::from_str(store::to_raw_value(&released).get()).expect("a job to it too");
+    assert_eq!(
+        (old.spec, old.at, &*old.done),
+        (r.spec, r.accepted_at, "0-2,9")
+    );
     assert!(!old.cancelled && !old.failing);
 }
 
@@ -139,20 +143,23 @@
     let LiveRecord::Job(mut r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
         panic!()
     };
-    r.open = Some(40);
+    r.watermark = Some(40);
     // Its leader runs a job of block 0, and a mark is nothing to it; in turn it loses that, and we take all for
     // launched.
-    let old: OldJob = serde_json::from_str(r.value().get()).expect("a job to it too");
+    let old: OldJob = serde_json::from_str(r.to_value().get()).expect("a job to it too");
     assert_eq!(old.done, r.done);
     let LiveRecord::Job(lost) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
         panic!()
     };
-    assert_eq!((r.mark(), lost.mark()), (40, 70));
-    r.block = 2;
-    r.ready = Some(r.at + 5);
+    assert_eq!(
+        (r.effective_watermark(), lost.effective_watermark()),
+        (40, 70)
+    );
+    r.shard = 2;
+    r.ready_at = Some(r.accepted_at + 5);
     for cancelled in [false, true] {
         r.cancelled = cancelled;
-        let text = r.value().get().to_string();
+        let text = r.to_value().get().to_string();
         assert!(
             serde_json::from_str::<OldJob>(&text).is_err(),
             "its leader finds nothing to run"
@@ -164,11 +171,14 @@
             LiveRecord::Job(r.clone())
         );
     }
-    let cancelled = LiveRecord::Job(r.clone()).cancel(16 * 1024);
+    let cancelled = LiveRecord::Job(r.clone()).into_cancelled_value(16 * 1024);
     let LiveRecord::Job(back) = LiveRecord::parse(cancelled.get()).expect("ours") else {
         panic!()
     };
-    assert_eq!((back.block, back.open, back.cancelled), (2, Some(40), true));
+    assert_eq!(
+        (back.shard, back.watermark, back.cancelled),
+        (2, Some(40), true)
+    );
 }
 
 /// A job record as the version before keeps it, with these tasks done.
@@ -231,7 +241,7 @@
     for r in &ranges {
         done.insert(r.parse().expect("a number"));
     }
-    record["done"] = json!(store::encode_done(&done, 0));
+    record["done"] = json!(store::encode_done_part(&done, 0));
     record["spec"]["image"] = json!("i".repeat(128));
     let types: Vec<String> = (0..60).map(|i| format!("type-{i:02}")).collect();
     record["spec"]["types"] = json!([types, vec!["small".to_string()]].concat());
@@ -249,7 +259,7 @@
     let old: OldJob = serde_json::from_value(live.clone()).expect("the version before reads it");
     assert_eq!(old.done, "");
     let mut back = gannethub_core::model::TaskSet::default();
-    store::decode_done(part["done"].as_str().expect("text"), 0, &mut back);
+    store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut back);
     assert!(
         ranges
             .iter()
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -42,7 +42,7 @@
 /// All that holds, and where each value comes from.
 pub fn all(current: &Current, base: &Settings) -> String {
     let version = match &current.record {
-        Some(r) => format!("version {} by {}: {}", r.version, r.by, r.why),
+        Some(r) => format!("version {} by {}: {}", r.version, r.author, r.reason),
         None => "no version was ever stored: the platform's settings hold".to_string(),
     };
     let from_version = format!("version {}", current.version());
@@ -135,8 +135,13 @@
 pub fn history(history: &HistoryRecord) -> String {
     let mut versions = table(&["version", "at (s since 1970)", "by", "why"]);
     for v in &history.versions {
-        let at = (v.at / 1_000_000).to_string();
-        versions.add_row([v.version.to_string(), at, v.by.clone(), v.why.clone()]);
+        let at = (v.created_at / 1_000_000).to_string();
+        versions.add_row([
+            v.version.to_string(),
+            at,
+            v.author.clone(),
+            v.reason.clone(),
+        ]);
     }
     format!("{versions}\n")
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -10,9 +10,12 @@
 use gannethub_core::http::Method;
 use gannethub_core::settings::Settings;
 use gannethub_core::wire::configuration::{
-    CURRENT, HISTORY, HistoryRecord, MOST_TEXT, StoredError, VersionRecord, split,
+    CURRENT_VERSION_KEY, HISTORY_KEY, HistoryRecord, MAX_TEXT_BYTES, StoredDocumentError,
+    VersionRecord, split_document,
+};
+use gannethub_core::wire::store::{
+    Committed, Conflict, Listing, StoreRequest, StoredValue, Transaction, to_raw_value,
 };
-use gannethub_core::wire::store::{Commit, Committed, Conflict, Item, Listing, StoreRequest, raw};
 use tokio::time::sleep;
 
 use crate::http::Client;
@@ -57,11 +60,11 @@
     #[error("version {0} is not kept any more")]
     Unknown(u64),
     #[error("the document of version {0}: {1}")]
-    Stored(u64, StoredError),
+    Stored(u64, StoredDocumentError),
     #[error("{0}")]
     Document(#[from] DocumentError),
     #[error("the document: {0}")]
-    Split(StoredError),
+    Split(StoredDocumentError),
 }
 
 /// A version as it stands in the state service, with the versions of its keys there.
@@ -118,7 +121,7 @@
     }
 
     /// A key's value and version; `None`: there is none.
-    async fn get(&self, key: &str) -> Result<Option<Item>, ConfigError> {
+    async fn get(&self, key: &str) -> Result<Option<StoredValue>, ConfigError> {
         let request = StoreRequest::get(key);
         match self.ask(&request).await? {
             (200, body) => Ok(serde_json::from_slice(&body).ok()),
@@ -130,15 +133,17 @@
     /// The version that holds.
     pub async fn current(&self) -> Result<Current, ConfigError> {
         let mut current = Current::default();
-        if let Some(item) = self.get(HISTORY).await? {
-            current.history = item.record().ok_or(ConfigError::NotOurs(HISTORY))?;
-            current.history_stamp = item.stamp;
+        if let Some(item) = self.get(HISTORY_KEY).await? {
+            current.history = item.decode().ok_or(ConfigError::NotOurs(HISTORY_KEY))?;
+            current.history_stamp = item.version;
         }
-        let Some(item) = self.get(CURRENT).await? else {
+        let Some(item) = self.get(CURRENT_VERSION_KEY).await? else {
             return Ok(current);
         };
-        let record: VersionRecord = item.record().ok_or(ConfigError::NotOurs(CURRENT))?;
-        current.stamp = item.stamp;
+        let record: VersionRecord = item
+            .decode()
+            .ok_or(ConfigError::NotOurs(CURRENT_VERSION_KEY))?;
+        current.stamp = item.version;
         current.document = self.document(&record).await?;
         current.record = Some(record);
         Ok(current)
@@ -146,7 +151,7 @@
 
     /// The document of a version.
     pub async fn document(&self, record: &VersionRecord) -> Result<Document, ConfigError> {
-        let request = StoreRequest::list(&record.prefix(), "");
+        let request = StoreRequest::list(&record.parts_prefix(), "");
         match self.ask(&request).await? {
             (200, body) => {
                 let listing: Listing = serde_json::from_slice(&body)
@@ -181,15 +186,15 @@
     ) -> Result<VersionRecord, ConfigError> {
         let document = current.document.followed_by(wanted, self.base);
         document.effective(self.base, self.base)?;
-        let parts = split(&document, self.base.value_bytes).map_err(ConfigError::Split)?;
+        let parts = split_document(&document, self.base.value_bytes).map_err(ConfigError::Split)?;
         let version = current.version() + 1;
         let record = VersionRecord {
             version,
             id: format!("{version}-{:016x}", author.nonce),
             parts: parts.len() as u32,
-            at: author.at,
-            by: shortened(&author.by),
-            why: shortened(&author.why),
+            created_at: author.at,
+            author: shortened(&author.by),
+            reason: shortened(&author.why),
         };
         self.write_parts(&record, &parts).await?;
         let dropped = self.switch(current, &record).await?;
@@ -208,11 +213,11 @@
             .map(|(i, part)| (record.part_key(i), part))
             .collect();
         for batch in keys.chunks(self.base.txn_ops.max(1)) {
-            let mut commit = Commit::default();
+            let mut commit = Transaction::default();
             batch
                 .iter()
-                .for_each(|(key, part)| commit.put(key, raw(part), None));
-            let request = commit.request();
+                .for_each(|(key, part)| commit.put(key, to_raw_value(part), None));
+            let request = commit.to_request();
             match self.ask(&request).await? {
                 (200, _) => {}
                 (status, _) => return Err(ConfigError::Refused(status, "a part".into())),
@@ -230,12 +235,12 @@
     ) -> Result<Vec<VersionRecord>, ConfigError> {
         let mut history = current.history.clone();
         let dropped = history.push(record.clone(), self.base.value_bytes);
-        let mut commit = Commit::default();
-        commit.guard(CURRENT, current.stamp);
-        commit.guard(HISTORY, current.history_stamp);
-        commit.put(CURRENT, raw(record), None);
-        commit.put(HISTORY, raw(&history), None);
-        let request = commit.request();
+        let mut commit = Transaction::default();
+        commit.guard(CURRENT_VERSION_KEY, current.stamp);
+        commit.guard(HISTORY_KEY, current.history_stamp);
+        commit.put(CURRENT_VERSION_KEY, to_raw_value(record), None);
+        commit.put(HISTORY_KEY, to_raw_value(&history), None);
+        let request = commit.to_request();
         match self.ask(&request).await? {
             (200, body) if serde_json::from_slice::<Committed>(&body).is_ok() => Ok(dropped),
             (409, body) if serde_json::from_slice::<Conflict>(&body).is_ok() => {
@@ -247,14 +252,14 @@
 
     /// The version that holds is another one than was expected: this one, if the first answer was lost.
     async fn came_between(&self, record: &VersionRecord) -> Result<(), ConfigError> {
-        let item = self.get(CURRENT).await?;
-        let holds: Option<VersionRecord> = item.and_then(|i| i.record());
+        let item = self.get(CURRENT_VERSION_KEY).await?;
+        let holds: Option<VersionRecord> = item.and_then(|i| i.decode());
         // Others may have followed it since.
         let ours = |v: &VersionRecord| v.id == record.id;
         let history = self
-            .get(HISTORY)
+            .get(HISTORY_KEY)
             .await?
-            .and_then(|i| i.record::<HistoryRecord>());
+            .and_then(|i| i.decode::<HistoryRecord>());
         if holds.as_ref().is_some_and(ours) || history.is_some_and(|h| h.versions.iter().any(ours))
         {
             return Ok(());
@@ -263,10 +268,10 @@
         match holds {
             Some(v) => Err(ConfigError::Conflict {
                 version: v.version,
-                by: v.by,
-                why: v.why,
+                by: v.author,
+                why: v.reason,
             }),
-            None => Err(ConfigError::NotOurs(CURRENT)),
+            None => Err(ConfigError::NotOurs(CURRENT_VERSION_KEY)),
         }
     }
 
@@ -277,9 +282,9 @@
                 .map(|i| version.part_key(i))
                 .collect();
             for batch in keys.chunks(self.base.txn_ops.max(1)) {
-                let mut commit = Commit::default();
+                let mut commit = Transaction::default();
                 batch.iter().for_each(|key| commit.delete(key));
-                let request = commit.request();
+                let request = commit.to_request();
                 let _ = self
                     .client
                     .call(request.method, &request.path, &request.body)
@@ -291,5 +296,5 @@
 
 /// So much of a text as is kept with a version.
 fn shortened(text: &str) -> String {
-    text[..text.floor_char_boundary(MOST_TEXT.min(text.len()))].to_string()
+    text[..text.floor_char_boundary(MAX_TEXT_BYTES.min(text.len()))].to_string()
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -95,7 +95,7 @@
                 Effect::StoreRequest { id, request: r } => {
                     let (client, queue) = (state.clone(), queue.clone());
                     spawn_local(async move {
-                        let patience = Duration::from_micros(r.patience);
+                        let patience = Duration::from_micros(r.timeout);
                         let answer = client.call(r.method, &r.path, &r.body, patience).await;
                         let _ = queue.send(Command::StoreAnswer { id, answer }).await;
                     });
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use gannethub_core::controller::Command;
-use gannethub_core::wire::peer::{Body, Envelope, decode, encode};
+use gannethub_core::wire::peer::{Body, Envelope, decode_frame, encode_frame};
 
 /// Messages written at once.
 const BATCH: usize = 64;
@@ -41,7 +41,7 @@
     let mut buf = BytesMut::new();
     loop {
         loop {
-            match decode(&mut buf) {
+            match decode_frame(&mut buf) {
                 Ok(Some(message)) => {
                     if queue.send(Command::PeerMessage(message)).await.is_err() {
                         return;
@@ -85,7 +85,7 @@
                 }
                 after = Instant::now() + window;
                 out.clear();
-                batch.drain(..).for_each(|m| encode(&m, &mut out));
+                batch.drain(..).for_each(|m| encode_frame(&m, &mut out));
                 let sent = timeout(Duration::from_millis(1500), stream.write_all(&out)).await;
                 if !matches!(sent, Ok(Ok(()))) {
                     break;
@@ -115,7 +115,7 @@
             Err(_) if batch.is_empty() => return messages.recv_many(batch, BATCH).await > 0,
             Err(_) => return true,
         }
-        let waits = |m: &Envelope| matches!(m.body, Some(Body::Relay(_)));
+        let waits = |m: &Envelope| matches!(m.body, Some(Body::RelayHeartbeat(_)));
         if batch.len() >= BATCH || !batch.iter().all(waits) {
             return true;
         }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use gannethub_core::wire::peer::{Heartbeat, Relay};
+use gannethub_core::wire::peer::{Heartbeat, RelayHeartbeat};
 
 fn relay(id: u64) -> Envelope {
     Envelope {
         from: "n1".into(),
-        body: Some(Body::Relay(Relay {
+        body: Some(Body::RelayHeartbeat(RelayHeartbeat {
             id,
-            report: "{}".into(),
+            heartbeat: "{}".into(),
         })),
     }
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -102,7 +102,7 @@
             .store(&current, wanted, &author("ada", version))
             .await
             .expect("stored");
-        assert_eq!((record.version, record.by.as_str()), (version, "ada"));
+        assert_eq!((record.version, record.author.as_str()), (version, "ada"));
     }
     let current = store.current().await.expect("read");
     assert_eq!((current.version(), current.document.teams.len()), (3, 300));
