--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -142,7 +142,7 @@
         let told = running.map(|job| RunningJob {
             job: job.id.to_string(),
             tasks: job.live_count(),
-            done: job.done.len(),
+            done: job.tasks.done.len(),
         });
         told.collect()
     }
@@ -152,7 +152,7 @@
         self.cluster
             .jobs
             .get(id)
-            .map(|job| (job.live_count(), job.done.len()))
+            .map(|job| (job.live_count(), job.tasks.done.len()))
     }
 
     /// How a job ended that was no longer alive when it was read.
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -29,6 +29,9 @@
 /// A job's id, as its user chose it.
 pub type JobId = Arc<str>;
 
+/// A machine's name, as the cloud gave it.
+pub type MachineId = Arc<str>;
+
 /// Whether `id` has the one form that job ids take.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -4,10 +4,13 @@
 
 use gannethub_ledger::line::Reason;
 
+use crate::model::MachineId;
 use crate::model::{Micros, Resources, SECOND, Shape, TaskId, seconds_from_micros};
 use crate::saga::{AbortAction, Saga, SagaState};
+use crate::state::attempt::{Attempt, AttemptPhase, GangAttempt};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Attempt, AttemptPhase, GangAttempt, Job, Machine, MachineId};
+use crate::state::job::Job;
+use crate::state::machine::Machine;
 use crate::state::shard::ShardMember;
 use crate::state::usage;
 use crate::wire::store::TASKS_PER_PART;
@@ -87,48 +90,54 @@
         );
         let id = machine.id.clone();
         let zone = machine.zone.clone();
-        if (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence)
-            || report.incarnation <= machine.lost_incarnation
+        if (report.incarnation, report.sequence)
+            <= (machine.worker.incarnation, machine.worker.sequence)
+            || report.incarnation <= machine.worker.lost_incarnation
         {
             return HeartbeatOutcome::Stale;
         }
         let mut booted = None;
-        if !machine.is_up {
-            let took = now.saturating_sub(machine.provisioned_at);
+        if !machine.lifecycle.is_up {
+            let took = now.saturating_sub(machine.lifecycle.provisioned_at);
             tracing::info!(machine = %id, known, boot_s = seconds_from_micros(took) as u32, "machine is up");
-            machine.is_up = true;
-            machine.idle_since = now;
+            machine.lifecycle.is_up = true;
+            machine.placement.idle_since = now;
             // Of a machine that nobody knew of, nobody knows when it was rented.
             booted = machine.machine_type.filter(|_| known).map(|f| (f, took));
         }
-        let new_session = report.incarnation > machine.incarnation;
-        let news = new_session || !machine.confirmed;
+        let new_session = report.incarnation > machine.worker.incarnation;
+        let news = new_session || !machine.worker.confirmed;
         // Others were sent in between, or this one was held up while it was tried elsewhere.
-        let late = machine.last_heartbeat_at.is_some_and(|t| now > t + every);
-        let missed = new_session || report.sequence > machine.sequence + 1 || late;
+        let late = machine
+            .worker
+            .last_heartbeat_at
+            .is_some_and(|t| now > t + every);
+        let missed = new_session || report.sequence > machine.worker.sequence + 1 || late;
         if new_session && machine.ended_unanswered(now, lease) {
             // Reports arrive and answers do not. Whatever is placed there is lost with each session, and with the
             // cheapest room of all it would be placed there again and again.
-            machine.unanswered_incarnations += 1;
-            machine.unschedulable_until = now
+            machine.worker.unanswered_incarnations += 1;
+            machine.placement.unschedulable_until = now
                 + (lease
                     << machine
+                        .worker
                         .unanswered_incarnations
                         .min(MAX_UNANSWERED_INCARNATIONS));
-            machine.quarantined |= machine.unanswered_incarnations >= MAX_UNANSWERED_INCARNATIONS;
-            tracing::info!(machine = %id, sessions = machine.unanswered_incarnations, "its worker gets no answers");
-        }
-        machine.incarnation = report.incarnation;
-        machine.sequence = report.sequence;
-        machine.previous_heartbeat_at = machine.last_heartbeat_at.replace(now);
-        machine.missed_heartbeats = missed;
-        machine.last_answered_at = now;
-        if news || machine.address.is_none() {
-            machine.address = report.address.parse().ok();
-        }
-        let notice = report.preemption_notice_s.is_some() && !machine.preemption_notice;
-        machine.preemption_notice |= notice;
-        if !machine.recorded && !machine.deleting && !self.shard.contains(&id) {
+            machine.lifecycle.quarantined |=
+                machine.worker.unanswered_incarnations >= MAX_UNANSWERED_INCARNATIONS;
+            tracing::info!(machine = %id, sessions = machine.worker.unanswered_incarnations, "its worker gets no answers");
+        }
+        machine.worker.incarnation = report.incarnation;
+        machine.worker.sequence = report.sequence;
+        machine.worker.previous_heartbeat_at = machine.worker.last_heartbeat_at.replace(now);
+        machine.worker.missed_heartbeats = missed;
+        machine.worker.last_answered_at = now;
+        if news || machine.worker.address.is_none() {
+            machine.worker.address = report.address.parse().ok();
+        }
+        let notice = report.preemption_notice_s.is_some() && !machine.lifecycle.preemption_notice;
+        machine.lifecycle.preemption_notice |= notice;
+        if !machine.lifecycle.recorded && !machine.lifecycle.deleting && !self.shard.contains(&id) {
             let (flavor, zone) = (report.machine_type.to_string(), report.zone.to_string());
             self.shard.add(
                 &id,
@@ -160,7 +169,7 @@
             return HeartbeatOutcome::Orders(Vec::new());
         }
         if let Some(m) = self.machines.get_mut(&id) {
-            m.confirmed = true;
+            m.worker.confirmed = true;
         }
         if notice {
             tracing::info!(machine = %id, "spot notice");
@@ -173,14 +182,18 @@
         if self
             .machines
             .get(&id)
-            .is_some_and(|m| m.heartbeat_digest != Some(digest))
+            .is_some_and(|m| m.worker.heartbeat_digest != Some(digest))
         {
             self.reconcile_attempts(&id, now, report);
             if let Some(m) = self.machines.get_mut(&id) {
-                m.heartbeat_digest = Some(digest);
+                m.worker.heartbeat_digest = Some(digest);
             }
         }
-        if self.machines.get(&id).is_some_and(|m| m.preemption_notice) {
+        if self
+            .machines
+            .get(&id)
+            .is_some_and(|m| m.lifecycle.preemption_notice)
+        {
             self.drain_machine(&id);
         }
         self.reindex_machine(&id, now);
@@ -280,20 +293,22 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             entry.resources = job.spec.need;
             entry.team = job.team;
-            let free =
-                !job.live_attempts.contains_key(&task.index) && !job.done.contains(task.index);
+            let free = !job.tasks.live_attempts.contains_key(&task.index)
+                && !job.tasks.done.contains(task.index);
             if phase == AttemptPhase::Ended(ExitReason::Done) {
                 self.complete_task(&task, now);
             } else if !ended && free && task.index < job.spec.tasks {
-                job.live_attempts.insert(task.index, (id.clone(), attempt));
-                job.pending.remove(task.index);
-                job.unconfirmed.remove(task.index);
+                job.tasks
+                    .live_attempts
+                    .insert(task.index, (id.clone(), attempt));
+                job.tasks.pending.remove(task.index);
+                job.tasks.unconfirmed.remove(task.index);
                 job.request_watermark(task.index + 1);
                 if job.cancelled {
                     entry.stop_grace = Some(0);
                 } else if job.spec.shape == Shape::Gang {
                     let tasks = job.spec.tasks;
-                    let gang = job.gang_attempt.get_or_insert_with(|| GangAttempt {
+                    let gang = job.tasks.gang_attempt.get_or_insert_with(|| GangAttempt {
                         attempt,
                         saga: Saga::independent(tasks),
                         running: false,
@@ -348,7 +363,7 @@
         a.phase_since = now;
         a.reported = true;
         // It shows what it was told to launch.
-        machine.unanswered_incarnations = 0;
+        machine.worker.unanswered_incarnations = 0;
         let Some(job) = self.jobs.get_mut(&key.0.job) else {
             if let AttemptPhase::Ended(why) = phase {
                 self.release_attempt(id, key, usage::end_reason(why), now);
@@ -357,17 +372,28 @@
         };
         match phase {
             AttemptPhase::Running | AttemptPhase::Waiting => {
-                machine.cached_images.insert(job.spec.image.clone());
-                if let Some(g) = job.gang_attempt.as_mut().filter(|g| g.attempt == key.1) {
+                machine
+                    .placement
+                    .cached_images
+                    .insert(job.spec.image.clone());
+                if let Some(g) = job
+                    .tasks
+                    .gang_attempt
+                    .as_mut()
+                    .filter(|g| g.attempt == key.1)
+                {
                     g.running |= phase == AttemptPhase::Running;
                 }
             }
             AttemptPhase::Ended(why) => {
                 if why == ExitReason::Done {
-                    machine.cached_images.insert(job.spec.image.clone());
-                    machine.failures_by_job.clear();
+                    machine
+                        .placement
+                        .cached_images
+                        .insert(job.spec.image.clone());
+                    machine.placement.failures_by_job.clear();
                     if ran > 0 && job.spec.estimate > 0 {
-                        let ran = ran + job.saved_progress.remove(&key.0.index).unwrap_or(0);
+                        let ran = ran + job.tasks.saved_progress.remove(&key.0.index).unwrap_or(0);
                         let ratio = (ran as f64 / job.spec.estimate as f64).clamp(0.1, 10.0);
                         let pace = self
                             .runtime_ratios
@@ -379,7 +405,9 @@
                 self.release_attempt(id, key, usage::end_reason(why), now);
                 self.attempt_gone(key, id, Some(why), now);
             }
-            AttemptPhase::Saving => *job.saved_progress.entry(key.0.index).or_default() += ran,
+            AttemptPhase::Saving => {
+                *job.tasks.saved_progress.entry(key.0.index).or_default() += ran
+            }
             _ => {}
         }
     }
@@ -404,7 +432,7 @@
         self.pass_needed = true;
         let (need, team) = (a.resources, a.team);
         if !m.holds_capacity() {
-            m.idle_since = now;
+            m.placement.idle_since = now;
         }
         self.adjust_usage(id, team, need.scaled_by(-1), now);
     }
@@ -417,23 +445,23 @@
         if job.cancelled || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
             return;
         }
-        let first = job.done.is_empty();
+        let first = job.tasks.done.is_empty();
         // The tasks of a gang complete together: one done means every one is.
         let range = match job.spec.shape {
             Shape::Gang => 0..job.spec.tasks,
             _ => task.index..task.index + 1,
         };
         for x in range {
-            job.done.insert(x);
-            job.pending.remove(x);
-            job.unconfirmed.remove(x);
-            job.backoff.remove(&x);
-            job.dirty_parts.insert(x / TASKS_PER_PART);
-            if let Some(g) = &mut job.gang_attempt {
+            job.tasks.done.insert(x);
+            job.tasks.pending.remove(x);
+            job.tasks.unconfirmed.remove(x);
+            job.tasks.backoff.remove(&x);
+            job.persistence.dirty_parts.insert(x / TASKS_PER_PART);
+            if let Some(g) = &mut job.tasks.gang_attempt {
                 g.saga.commit(&x);
             }
         }
-        job.dirty_since.get_or_insert(now);
+        job.persistence.dirty_since.get_or_insert(now);
         if job.is_finished() {
             job.saga.commit(&0);
             debug_assert_eq!(job.saga.state(), SagaState::Committed);
@@ -459,17 +487,18 @@
             return;
         };
         if job
+            .tasks
             .live_attempts
             .get(&task.index)
             .is_none_or(|p| p.1 != *attempt || p.0 != *id)
         {
             return;
         }
-        job.live_attempts.remove(&task.index);
-        if job.cancelled || job.done.contains(task.index) {
+        job.tasks.live_attempts.remove(&task.index);
+        if job.cancelled || job.tasks.done.contains(task.index) {
             return;
         }
-        job.pending.insert(task.index);
+        job.tasks.pending.insert(task.index);
         match why {
             Some(ExitReason::Error) => self.record_task_failure(task, id, now),
             Some(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
@@ -479,10 +508,10 @@
                 } else {
                     SECOND
                 };
-                let n = job.backoff.get(&task.index).map_or(0, |b| b.1);
-                job.backoff.insert(task.index, (now + wait, n));
+                let n = job.tasks.backoff.get(&task.index).map_or(0, |b| b.1);
+                job.tasks.backoff.insert(task.index, (now + wait, n));
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.unschedulable_until = now + 3 * SECOND;
+                    m.placement.unschedulable_until = now + 3 * SECOND;
                 }
             }
             _ => {}
@@ -495,7 +524,12 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(gang) = job.gang_attempt.as_mut().filter(|g| g.attempt == attempt) else {
+        let Some(gang) = job
+            .tasks
+            .gang_attempt
+            .as_mut()
+            .filter(|g| g.attempt == attempt)
+        else {
             return;
         };
         // Before the start a replacement with the same attempt number completes the gang.
@@ -507,8 +541,8 @@
             cancels = gang.saga.abort_element(&task.index);
             gang.stopping = true;
         }
-        if job.live_attempts.is_empty() {
-            job.gang_attempt = None;
+        if job.tasks.live_attempts.is_empty() {
+            job.tasks.gang_attempt = None;
         }
         let id = task.job.clone();
         for action in cancels {
@@ -518,7 +552,7 @@
             let live = self
                 .jobs
                 .get(&id)
-                .and_then(|j| j.live_attempts.get(&i).cloned());
+                .and_then(|j| j.tasks.live_attempts.get(&i).cloned());
             if let Some((machine, attempt)) = live {
                 self.stop_attempt(&id, i, &machine, attempt, 0);
             }
@@ -530,7 +564,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        m.heartbeat_digest = None;
+        m.worker.heartbeat_digest = None;
         let keys: Vec<_> = m.attempts.keys().cloned().collect();
         let held = m.attempts.values().filter(|a| a.holds_capacity).count();
         if held > 0 {
@@ -555,9 +589,10 @@
         self.charge_orphans(id, Reason::Machine, now);
         self.shard.remove(id);
         if let Some(m) = self.machines.remove(id)
-            && let Some(number) = m.capacity_bucket
+            && let Some(number) = m.placement.capacity_bucket
         {
-            self.capacity_index.remove(number, id, m.indexed_free_cpu);
+            self.capacity_index
+                .remove(number, id, m.placement.indexed_free_cpu);
         }
     }
 
@@ -580,7 +615,7 @@
                     let durable = why != ExitReason::Done
                         || self.jobs.get(&task.job).is_none_or(|j| {
                             j.cancelled
-                                || j.durable_done.contains(task.index)
+                                || j.persistence.durable_done.contains(task.index)
                                 || j.spec.shape == Shape::Service
                         });
                     if durable && self.is_usage_settled(machine, key) {
@@ -635,13 +670,14 @@
         self.total_capacity = Resources::default();
         self.machines
             .values()
-            .filter(|m| m.is_up)
+            .filter(|m| m.lifecycle.is_up)
             .for_each(|m| self.total_capacity += m.capacity);
         let silent: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| {
-                now > m.last_answered_at + limit && (!m.confirmed || !m.attempts.is_empty())
+                now > m.worker.last_answered_at + limit
+                    && (!m.worker.confirmed || !m.attempts.is_empty())
             })
             .map(|m| m.id.clone())
             .collect();
@@ -649,7 +685,7 @@
             self.lose_attempts(&id, now, Reason::Lease, "its lease ran out");
             self.charge_orphans(&id, Reason::Lease, now);
             if let Some(m) = self.machines.get_mut(&id) {
-                m.lost_incarnation = m.lost_incarnation.max(m.incarnation);
+                m.worker.lost_incarnation = m.worker.lost_incarnation.max(m.worker.incarnation);
             }
         }
         if !self.settled {
@@ -659,10 +695,11 @@
             // a zone that is cut off more are silent, and their work goes on: they are waited for.
             let few = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
             if now > self.took_over_at + 2 * self.settings.report + 2 * SECOND && waiting <= few {
-                let waits = |m: &&mut Machine| m.is_unconfirmed(now, limit) && !m.deleting;
+                let waits =
+                    |m: &&mut Machine| m.is_unconfirmed(now, limit) && !m.lifecycle.deleting;
                 for m in self.machines.values_mut().filter(waits) {
                     tracing::info!(machine = %m.id, why = "it holds up a takeover", "returning");
-                    m.deleting = true;
+                    m.lifecycle.deleting = true;
                 }
             }
             if waiting == 0 {
@@ -676,10 +713,11 @@
         }
         self.reindex_changed_machines(now);
         self.charge_orphans_of_lost_machines(now);
-        let empty = |j: &&mut Job| j.live_attempts.is_empty() && j.gang_attempt.is_some();
+        let empty =
+            |j: &&mut Job| j.tasks.live_attempts.is_empty() && j.tasks.gang_attempt.is_some();
         self.jobs
             .values_mut()
             .filter(empty)
-            .for_each(|j| j.gang_attempt = None);
+            .for_each(|j| j.tasks.gang_attempt = None);
     }
 }
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -10,10 +10,11 @@
 use std::net::SocketAddrV4;
 
 use super::heartbeat::MAX_ORDERS_PER_ANSWER;
+use crate::model::MachineId;
 use crate::model::{Micros, TaskId};
 use crate::policy::Setting;
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, MachineId};
 use crate::wire::worker::Order;
 
 /// What is to be sent to a worker.
@@ -27,7 +28,11 @@
 impl Cluster {
     /// An attempt of a cancelled job is to end.
     pub(crate) fn queue_kill_order(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
-        let Some(m) = self.machines.get(machine).filter(|m| m.address.is_some()) else {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| m.worker.address.is_some())
+        else {
             return;
         };
         let key = (task, attempt);
@@ -69,7 +74,8 @@
         halts.pending.retain(|id, halt| {
             let machine = machines.get(id);
             now < halt.since + late
-                && machine.is_some_and(|m| m.last_heartbeat_at.is_none_or(|t| t <= halt.since))
+                && machine
+                    .is_some_and(|m| m.worker.last_heartbeat_at.is_none_or(|t| t <= halt.since))
         });
         let mut due: Vec<(bool, MachineId)> = halts
             .pending
@@ -95,11 +101,11 @@
                 grace_s: 0.0,
             };
             let orders: Vec<Order> = attempts.map(stop).collect();
-            if let (Some(addr), false) = (m.address, orders.is_empty()) {
+            if let (Some(addr), false) = (m.worker.address, orders.is_empty()) {
                 halts.rate_limit.tokens -= 1.0;
                 sent.push(KillOrderDelivery {
                     address: addr,
-                    incarnation: m.incarnation,
+                    incarnation: m.worker.incarnation,
                     orders,
                 });
             }
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -1,6 +1,6 @@
 //! What the state service holds: taking it in, and writing down what has changed.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use gannethub_ledger::audit::Page;
@@ -8,9 +8,9 @@
 
 use crate::model::{JobId, JobSpec, Micros, SECOND, TaskId, TaskSet, seconds_from_micros};
 use crate::policy::Setting;
-use crate::saga::{AbortAction, Saga};
+use crate::saga::AbortAction;
 use crate::state::cluster::Cluster;
-use crate::state::records::{FailureTracking, Job};
+use crate::state::job::Job;
 use crate::state::shard::ChunkRecord;
 use crate::state::usage::{job_owner, log_damaged_page};
 use crate::state::writes::{BatchedWrite, WriteBatch};
@@ -48,12 +48,15 @@
         }
         self.jobs_in_other_shards.remove(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            if stamp > job.version {
-                job.version = stamp;
+            if stamp > job.persistence.version {
+                job.persistence.version = stamp;
             }
-            job.version_unknown = false;
-            job.durable_watermark = job.durable_watermark.max(record.effective_watermark());
-            store::decode_done_part(&record.done, 0, &mut job.durable_done);
+            job.persistence.version_unknown = false;
+            job.persistence.durable_watermark = job
+                .persistence
+                .durable_watermark
+                .max(record.effective_watermark());
+            store::decode_done_part(&record.done, 0, &mut job.persistence.durable_done);
             if record.cancelled && !job.cancelled {
                 self.cancel_job(id);
             }
@@ -63,57 +66,15 @@
             return;
         }
         self.mark_upstream_released(&id.into());
-        let opened = record.effective_watermark();
-        let spec = Arc::new(record.spec);
-        let mut done = TaskSet::default();
-        store::decode_done_part(&record.done, 0, &mut done);
-        let mut pending = TaskSet::up_to(spec.tasks);
-        done.iter().for_each(|x| {
-            pending.remove(x);
-        });
         // What was there before this term may be on machines of which nothing is known yet.
-        let doubtful = match self.unconfirmed.loading {
-            true if self.watermarks_reliable => opened,
-            true => spec.tasks,
+        let possibly_launched = match self.unconfirmed.loading {
+            true if self.watermarks_reliable => record.effective_watermark(),
+            true => record.spec.tasks,
             false => 0,
         };
-        let doubted = pending.slice(0, doubtful);
-        let submitted = spec.clone();
-        let mut job = Job {
-            id: id.into(),
-            submitted_spec: submitted,
-            team: self.settings.team(&spec.team),
-            accepted_at: record.accepted_at,
-            ready_at: record.ready_at.unwrap_or(record.accepted_at),
-            downstream_demand: None,
-            version: stamp,
-            durable_done: done.clone(),
-            done,
-            cancelled: false,
-            saga: Saga::independent(1),
-            pending,
-            unconfirmed: doubted,
-            durable_watermark: opened,
-            requested_watermark: opened,
-            live_attempts: HashMap::new(),
-            gang_attempt: None,
-            saved_progress: HashMap::new(),
-            backoff: HashMap::new(),
-            failure_tracking: FailureTracking::new(record.crash_looping),
-            dirty_parts: BTreeSet::new(),
-            dirty_since: None,
-            overflow: false,
-            write_in_flight: false,
-            version_unknown: false,
-            fully_placed: false,
-            home_shard: None,
-            within_guarantee: false,
-            gang_placement_tried: false,
-            preempted_for_at: None,
-            reservable_until: 0,
-            last_queued_pass: 0,
-            spec,
-        };
+        let cancelled = record.cancelled;
+        let team = self.settings.team(&record.spec.team);
+        let mut job = Job::from_record(id.into(), record, stamp, team, possibly_launched);
         if job.spec.spot {
             let within = self.fits_guarantee(&job);
             let facts = self.policy_inputs(&job, within, self.latest_start(&job, within));
@@ -128,7 +89,7 @@
         self.queue.add_arrival(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
         self.pass_needed = true;
-        if record.cancelled {
+        if cancelled {
             self.cancel_job(id);
         }
     }
@@ -160,14 +121,14 @@
         };
         match self.jobs.get_mut(id) {
             Some(job) if part < 100 => {
-                job.overflow |= part == 0;
+                job.persistence.overflow |= part == 0;
                 let mut done = TaskSet::default();
                 store::decode_done_part(&record.done, part, &mut done);
                 for x in done.iter().filter(|x| *x < job.spec.tasks) {
-                    job.done.insert(x);
-                    job.durable_done.insert(x);
-                    job.pending.remove(x);
-                    job.unconfirmed.remove(x);
+                    job.tasks.done.insert(x);
+                    job.persistence.durable_done.insert(x);
+                    job.tasks.pending.remove(x);
+                    job.tasks.unconfirmed.remove(x);
                 }
             }
             // What belongs to no job is left over from one that is over.
@@ -194,9 +155,9 @@
             let taken = self.took_over_at;
             let machine =
                 self.machine_or_adopt(name, &member.flavor, &member.zone, member.spot, taken);
-            machine.recorded = true;
-            machine.last_answered_at = taken;
-            machine.is_up = true;
+            machine.lifecycle.recorded = true;
+            machine.worker.last_answered_at = taken;
+            machine.lifecycle.is_up = true;
         }
         self.shard.load_chunk(index, record, stamp);
     }
@@ -221,10 +182,11 @@
             return;
         };
         job.cancelled = true;
-        job.pending = TaskSet::default();
-        job.dirty_since = Some(0);
+        job.tasks.pending = TaskSet::default();
+        job.persistence.dirty_since = Some(0);
         let actions = job.saga.abort();
         let live: Vec<_> = job
+            .tasks
             .live_attempts
             .iter()
             .map(|(i, p)| (*i, p.clone()))
@@ -259,7 +221,7 @@
         }
         self.mark_upstream_ended(id, cancelled);
         if let Some(job) = self.jobs.remove(id) {
-            let first = u32::from(!job.overflow);
+            let first = u32::from(!job.persistence.overflow);
             for part in first..job.spec.tasks.div_ceil(TASKS_PER_PART) {
                 self.stale_keys
                     .push(format!("{}{id}/{part}", store::DONE_PART_PREFIX));
@@ -274,7 +236,7 @@
         self.shard.finish_loading();
         self.machines
             .values_mut()
-            .for_each(|m| m.last_answered_at = now);
+            .for_each(|m| m.worker.last_answered_at = now);
         // A report may come before the next tick: limits count what is in doubt from here on.
         self.review_unconfirmed(now);
     }
@@ -300,15 +262,20 @@
         for job in self
             .jobs
             .values_mut()
-            .filter(|j| !j.write_in_flight && !j.version_unknown)
+            .filter(|j| !j.persistence.write_in_flight && !j.persistence.version_unknown)
         {
-            if job.home_shard.is_some_and(|home| home != self.shard.id) && job.has_no_launches() {
+            if job
+                .scheduling
+                .home_shard
+                .is_some_and(|home| home != self.shard.id)
+                && job.has_no_launches()
+            {
                 due.push((WriteReason::Transfer, 0, job.id.clone()));
                 continue;
             }
             let over = job.is_finished()
-                || (job.cancelled && job.live_attempts.is_empty() && self.settled);
-            match job.dirty_since {
+                || (job.cancelled && job.tasks.live_attempts.is_empty() && self.settled);
+            match job.persistence.dirty_since {
                 // In the order in which they ended: in that of their names one of a high number would wait for as long as
                 // more end than may be written.
                 since if job.is_finished() => {
@@ -316,13 +283,13 @@
                 }
                 _ if over => due.push((WriteReason::Cancelled, 0, job.id.clone())),
                 // Launches wait for it.
-                _ if job.requested_watermark > job.durable_watermark
+                _ if job.persistence.requested_watermark > job.persistence.durable_watermark
                     && !self.launches_without_watermark =>
                 {
                     due.push((WriteReason::Watermark, 0, job.id.clone()));
                 }
                 // Progress can wait: until it is written, the worker keeps the result.
-                Some(t) if now >= t + 2 * SECOND && !job.dirty_parts.is_empty() => {
+                Some(t) if now >= t + 2 * SECOND && !job.persistence.dirty_parts.is_empty() => {
                     due.push((WriteReason::Progress, t, job.id.clone()));
                 }
                 _ => {}
@@ -335,7 +302,7 @@
             };
             let live = format!("{}{id}", store::LIVE_JOB_PREFIX);
             let room = ops - commit.change_count();
-            if let (WriteReason::Transfer, Some(home)) = (what, job.home_shard) {
+            if let (WriteReason::Transfer, Some(home)) = (what, job.scheduling.home_shard) {
                 if room == 0 || bytes > 40_000 {
                     break;
                 }
@@ -343,10 +310,10 @@
                 r.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
                 (r.cancelled, r.crash_looping, r.shard) =
                     (job.cancelled, job.is_crash_looping(), home);
-                commit.guard(&live, job.version);
+                commit.guard(&live, job.persistence.version);
                 commit.put(&live, r.to_value(), None);
                 bytes += 1500;
-                job.write_in_flight = true;
+                job.persistence.write_in_flight = true;
                 batch.push(
                     BatchedWrite::JobTransfer {
                         id,
@@ -361,7 +328,7 @@
                     break;
                 }
                 let cancelled = job.cancelled;
-                commit.guard(&live, job.version);
+                commit.guard(&live, job.persistence.version);
                 let owner = self.usage_ledger.as_ref().map(|_| job_owner(job));
                 commit.end_job(
                     &id,
@@ -372,7 +339,7 @@
                     },
                 );
                 bytes += 400;
-                job.write_in_flight = true;
+                job.persistence.write_in_flight = true;
                 let due = job
                     .submitted_spec
                     .deadline
@@ -396,56 +363,62 @@
             let mut r = JobRecord::new(spec, job.accepted_at);
             r.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
             (r.cancelled, r.crash_looping) = (job.cancelled, job.is_crash_looping());
-            (r.watermark, r.shard) = (Some(job.requested_watermark), self.shard.id);
-            r.done = store::encode_done_part(&job.done, 0);
+            (r.watermark, r.shard) = (Some(job.persistence.requested_watermark), self.shard.id);
+            r.done = store::encode_done_part(&job.tasks.done, 0);
             let mut value = r.to_value();
-            let outgrew = !job.overflow && value.get().len() + store::VALUE_SLACK_BYTES > limit;
+            let outgrew =
+                !job.persistence.overflow && value.get().len() + store::VALUE_SLACK_BYTES > limit;
             if outgrew {
-                job.overflow = true;
-                job.dirty_parts.insert(0);
+                job.persistence.overflow = true;
+                job.persistence.dirty_parts.insert(0);
             }
-            if job.overflow {
+            if job.persistence.overflow {
                 // Both change in one transaction. Whoever reads the parts, the version before as well, takes part 0 for
                 // what it is.
                 r.done.clear();
                 value = r.to_value();
             }
-            let in_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.overflow);
+            let in_parts = job
+                .persistence
+                .dirty_parts
+                .iter()
+                .any(|part| *part > 0 || job.persistence.overflow);
             if room < 1 + usize::from(in_parts) || bytes > 40_000 {
                 break;
             }
-            commit.guard(&live, job.version);
+            commit.guard(&live, job.persistence.version);
             commit.put(&live, value, None);
             bytes += 1500;
             let mut parts = BTreeMap::new();
-            if !job.overflow {
-                job.dirty_parts.remove(&0);
-                parts.insert(0, job.done.slice(0, TASKS_PER_PART));
+            if !job.persistence.overflow {
+                job.persistence.dirty_parts.remove(&0);
+                parts.insert(0, job.tasks.done.slice(0, TASKS_PER_PART));
             }
             for part in job
+                .persistence
                 .dirty_parts
                 .iter()
                 .copied()
                 .take(room - 1)
                 .collect::<Vec<_>>()
             {
-                let done = store::encode_done_part(&job.done, part);
-                job.dirty_parts.remove(&part);
+                let done = store::encode_done_part(&job.tasks.done, part);
+                job.persistence.dirty_parts.remove(&part);
                 bytes += done.len() + 200;
                 let lo = part * TASKS_PER_PART;
-                parts.insert(part, job.done.slice(lo, lo + TASKS_PER_PART));
+                parts.insert(part, job.tasks.done.slice(lo, lo + TASKS_PER_PART));
                 let key = format!("{}{id}/{part}", store::DONE_PART_PREFIX);
                 commit.put(&key, store::to_raw_value(&DonePartRecord { done }), None);
             }
-            if job.dirty_parts.is_empty() {
-                job.dirty_since = None;
+            if job.persistence.dirty_parts.is_empty() {
+                job.persistence.dirty_since = None;
             }
-            job.write_in_flight = true;
+            job.persistence.write_in_flight = true;
             batch.push(
                 BatchedWrite::JobProgress {
                     id,
                     done_parts: parts,
-                    watermark: job.requested_watermark,
+                    watermark: job.persistence.requested_watermark,
                 },
                 live,
             );
@@ -567,11 +540,11 @@
                     let Some(job) = self.jobs.get_mut(&id) else {
                         continue;
                     };
-                    job.write_in_flight = false;
-                    job.version = job.version.max(stamp);
-                    job.durable_watermark = job.durable_watermark.max(open);
+                    job.persistence.write_in_flight = false;
+                    job.persistence.version = job.persistence.version.max(stamp);
+                    job.persistence.durable_watermark = job.persistence.durable_watermark.max(open);
                     for x in parts.values().flat_map(TaskSet::iter) {
-                        job.durable_done.insert(x);
+                        job.persistence.durable_done.insert(x);
                     }
                 }
                 BatchedWrite::JobEnd {
@@ -600,7 +573,7 @@
                             ));
                         }
                         if let Some(m) = self.machines.get_mut(name.as_str()) {
-                            m.recorded = true;
+                            m.lifecycle.recorded = true;
                             let id = m.id.clone();
                             self.reindex_machine(&id, self.now);
                         }
@@ -631,7 +604,10 @@
             match item {
                 BatchedWrite::JobTransfer { id, .. } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        (job.write_in_flight, job.version_unknown) = (false, unsure);
+                        (
+                            job.persistence.write_in_flight,
+                            job.persistence.version_unknown,
+                        ) = (false, unsure);
                     }
                 }
                 BatchedWrite::MachineTransfer { machine } => self.machine_transfer_failed(machine),
@@ -641,18 +617,18 @@
                     ..
                 } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.write_in_flight = false;
-                        job.version_unknown = unsure;
-                        job.dirty_parts.extend(parts.keys());
-                        job.dirty_since.get_or_insert(now);
+                        job.persistence.write_in_flight = false;
+                        job.persistence.version_unknown = unsure;
+                        job.persistence.dirty_parts.extend(parts.keys());
+                        job.persistence.dirty_since.get_or_insert(now);
                     }
                 }
                 BatchedWrite::JobEnd { id, .. }
                 | BatchedWrite::JobRelease { id, .. }
                 | BatchedWrite::WaitingJobCancellation { id } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.write_in_flight = false;
-                        job.version_unknown = unsure;
+                        job.persistence.write_in_flight = false;
+                        job.persistence.version_unknown = unsure;
                     }
                     self.pipeline_write_failed(id, unsure);
                 }
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -3,10 +3,10 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
+use crate::model::MachineId;
 use crate::model::{Micros, SECOND, micros_from_seconds};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer, OfferRefusal};
-use crate::state::records::MachineId;
 use crate::wire::store::MachineTransferRecord;
 
 /// Nothing of a deleted machine comes later than this.
@@ -168,11 +168,11 @@
             .values_mut()
             .filter(|m| !names.contains(&*m.id))
         {
-            m.missed_listings += 1;
+            m.lifecycle.missed_listings += 1;
             // Lists lag and may be older than the one before; a machine counts as gone only when
             // it has long been silent as well, so that nothing can be left on it.
-            let old = now > m.known_since + lag + 2 * SECOND;
-            if old && m.missed_listings >= 3 && now > m.last_answered_at + limit {
+            let old = now > m.lifecycle.known_since + lag + 2 * SECOND;
+            if old && m.lifecycle.missed_listings >= 3 && now > m.worker.last_answered_at + limit {
                 gone.push(m.id.clone());
             }
         }
@@ -197,14 +197,15 @@
             }
             let age = micros_from_seconds(l.age_s);
             let m = self.machine_or_adopt(&l.id, &l.machine_type, &l.zone, l.spot, now);
-            m.missed_listings = 0;
-            if !m.in_listing {
-                m.in_listing = true;
-                m.provisioned_at = m.provisioned_at.min(now.saturating_sub(age));
+            m.lifecycle.missed_listings = 0;
+            if !m.lifecycle.in_listing {
+                m.lifecycle.in_listing = true;
+                m.lifecycle.provisioned_at =
+                    m.lifecycle.provisioned_at.min(now.saturating_sub(age));
             }
-            if l.status == "failed" && !m.deleting {
+            if l.status == "failed" && !m.lifecycle.deleting {
                 tracing::info!(machine = %m.id, why = "it failed", "returning");
-                m.deleting = true;
+                m.lifecycle.deleting = true;
             }
         }
         if adopted > 0 {
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -93,7 +93,10 @@
         if self.accepting_transfers.contains(machine) {
             return;
         }
-        if self.machines.get(machine).is_some_and(|m| m.recorded)
+        if self
+            .machines
+            .get(machine)
+            .is_some_and(|m| m.lifecycle.recorded)
             || self.fleet.deleted_machines.contains_key(machine)
         {
             // It is here already, or was: only what says that it is on its way is left over.
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -3,15 +3,18 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
+use crate::model::MachineId;
 use crate::model::{
     Micros, Resources, SECOND, Shape, TaskId, micros_from_seconds, seconds_from_micros,
 };
 use crate::policy::{Setting, Value};
 use crate::scheduling::zones::ZoneTaskCounts;
+use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::{Cluster, SchedulingCost};
 use crate::state::fleet::{CloudCall, Offer};
+use crate::state::job::Job;
+use crate::state::machine::Machine;
 use crate::state::provisioning_times::OVERDUE_FACTOR;
-use crate::state::records::{Attempt, AttemptPhase, Job, Machine, MachineId};
 
 /// What the cloud charges at least for a machine that is deleted.
 const MIN_BILLED_TIME: Micros = 60 * SECOND;
@@ -96,7 +99,7 @@
         let doomed: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.deleting)
+            .filter(|m| m.lifecycle.deleting)
             .map(|m| m.id.to_string())
             .collect();
         if !doomed.is_empty() && !self.fleet.delete_in_flight && self.fleet.try_take_token(0.0) {
@@ -198,7 +201,7 @@
                 continue;
             };
             let used = by_kind.entry((flavor, m.spot)).or_default();
-            if !m.is_up {
+            if !m.lifecycle.is_up {
                 used.booting += 1;
                 continue;
             }
@@ -234,7 +237,7 @@
     fn return_unhealthy(&mut self, now: Micros) {
         let limit = self.lease_expiry_bound();
         let boots = &mut self.fleet.provisioning_times;
-        for m in self.machines.values_mut().filter(|m| !m.deleting) {
+        for m in self.machines.values_mut().filter(|m| !m.lifecycle.deleting) {
             let usual = m
                 .machine_type
                 .map_or(60 * SECOND, |f| self.machine_types[f].boot_time);
@@ -249,35 +252,38 @@
             } else {
                 max_boot_time(boot)
             };
-            let age = now.saturating_sub(m.provisioned_at.max(m.known_since));
-            let stuck = !m.is_up && age > most;
-            if let Some(f) = m.machine_type.filter(|_| !m.is_up && !dark) {
+            let age = now.saturating_sub(m.lifecycle.provisioned_at.max(m.lifecycle.known_since));
+            let stuck = !m.lifecycle.is_up && age > most;
+            if let Some(f) = m.machine_type.filter(|_| !m.lifecycle.is_up && !dark) {
                 if stuck {
                     boots.record_lost(f, &m.zone, now);
-                } else if !m.boot_overdue && age as f64 > OVERDUE_FACTOR * boot as f64 {
-                    m.boot_overdue = true;
+                } else if !m.lifecycle.boot_overdue && age as f64 > OVERDUE_FACTOR * boot as f64 {
+                    m.lifecycle.boot_overdue = true;
                     boots.record_overdue(f, &m.zone, now);
                     tracing::debug!(machine = %m.id, age_s = seconds_from_micros(age) as u32, "late to boot");
                 }
             }
             // The lease has run out, so nothing is lost with a machine that stays silent.
-            let silent = m.is_up && now > m.last_answered_at + limit;
+            let silent = m.lifecycle.is_up && now > m.worker.last_answered_at + limit;
             let idle = m.attempts.values().all(|a| !a.holds_capacity);
-            let useless = (m.quarantined || m.preemption_notice || m.draining) && idle && m.is_up;
+            let useless =
+                (m.lifecycle.quarantined || m.lifecycle.preemption_notice || m.lifecycle.draining)
+                    && idle
+                    && m.lifecycle.is_up;
             if stuck || silent || useless {
                 let why = if stuck {
                     "it does not boot"
                 } else if silent {
                     "it is silent"
-                } else if m.quarantined {
+                } else if m.lifecycle.quarantined {
                     "it is faulty"
-                } else if m.draining {
+                } else if m.lifecycle.draining {
                     "its work has been moved"
                 } else {
                     "the cloud takes it back"
                 };
                 tracing::info!(machine = %m.id, why, "returning");
-                m.deleting = true;
+                m.lifecycle.deleting = true;
             }
         }
     }
@@ -285,9 +291,9 @@
     /// Gives back machines that have been idle for as long as policy keeps them.
     fn scale_in(&mut self, now: Micros) {
         let empty = |m: &&Machine| {
-            let awaited = now < m.planned_work_until;
-            m.is_up
-                && !m.deleting
+            let awaited = now < m.placement.planned_work_until;
+            m.lifecycle.is_up
+                && !m.lifecycle.deleting
                 && m.attempts.is_empty()
                 && m.active_reservation(now).is_none()
                 && !awaited
@@ -297,7 +303,7 @@
             .machines
             .values()
             .filter(empty)
-            .map(|m| (m.idle_since, m.id.clone()))
+            .map(|m| (m.placement.idle_since, m.id.clone()))
             .collect();
         idle.sort_by(|a, b| b.cmp(a));
         let mut spares: HashMap<(usize, bool), u32> = HashMap::new();
@@ -309,7 +315,7 @@
             let others = spares.entry((f, m.spot)).or_default();
             *others += 1;
             // The first minute is charged anyway.
-            if now + SECOND <= m.provisioned_at + MIN_BILLED_TIME {
+            if now + SECOND <= m.lifecycle.provisioned_at + MIN_BILLED_TIME {
                 continue;
             }
             let flavor = &self.machine_types[f];
@@ -319,6 +325,7 @@
                 .expected_boot_time(f, &m.zone, flavor.boot_time, now)
                 .max(flavor.boot_time);
             let urgent = m
+                .placement
                 .high_priority_placed_at
                 .map_or(1e9, |t| seconds_from_micros(now.saturating_sub(t)));
             let facts = [
@@ -332,9 +339,9 @@
                 Value::Number(f64::from(*others - 1)),
             ];
             let keep = micros_from_seconds(self.settings.policy.number(Setting::Idle, &facts));
-            if now > m.idle_since + keep {
+            if now > m.placement.idle_since + keep {
                 tracing::info!(machine = %m.id, why = "it is idle", "returning");
-                m.deleting = true;
+                m.lifecycle.deleting = true;
             }
         }
     }
@@ -347,8 +354,11 @@
         }
         self.fleet.next_move_at = now + CONSOLIDATION_INTERVAL;
         let waits =
-            |j: &Job| !j.cancelled && !j.pending.is_empty() && self.tasks_within_quota(j) > 0;
-        let moving = self.machines.values().any(|m| m.draining && !m.deleting);
+            |j: &Job| !j.cancelled && !j.tasks.pending.is_empty() && self.tasks_within_quota(j) > 0;
+        let moving = self
+            .machines
+            .values()
+            .any(|m| m.lifecycle.draining && !m.lifecycle.deleting);
         if moving || self.jobs.values().any(waits) {
             return;
         }
@@ -406,7 +416,7 @@
         for (id, tasks) in leaving {
             tracing::info!(machine = %id, tasks = tasks.len(), "moving its work elsewhere");
             if let Some(m) = self.machines.get_mut(&id) {
-                m.draining = true;
+                m.lifecycle.draining = true;
             }
             tasks.iter().for_each(|t| self.preempt(&t.job, t.index));
         }
@@ -469,7 +479,7 @@
             let tried = self
                 .machines
                 .values()
-                .any(|m| !m.is_up && *m.zone == *offer.zone)
+                .any(|m| !m.lifecycle.is_up && *m.zone == *offer.zone)
                 || self
                     .fleet
                     .pending_provisions
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -4,8 +4,9 @@
 
 use crate::model::{JobId, JobSpec, Micros, TaskId};
 use crate::state::cluster::Cluster;
+use crate::state::deadline::{Deadline, DownstreamDemand, StageDuration};
+use crate::state::job::Job;
 use crate::state::pipeline::WaitingJob;
-use crate::state::records::{Deadline, DownstreamDemand, Job, StageDuration};
 
 /// How often what downstream jobs ask of those upstream is worked out again.
 const RECOMPUTE_INTERVAL: Micros = 500_000;
@@ -99,13 +100,13 @@
             .extract_if(.., |id| !kept.contains(id))
         {
             if let Some(j) = self.jobs.get_mut(&id) {
-                j.downstream_demand = None;
+                j.scheduling.downstream_demand = None;
             }
         }
         self.pipelines.jobs_with_demand.clear();
         for (id, pull) in found {
             let before = match (self.jobs.get(&id), self.pipelines.waiting.get(&id)) {
-                (Some(j), _) => j.downstream_demand.as_ref(),
+                (Some(j), _) => j.scheduling.downstream_demand.as_ref(),
                 (None, w) => w.and_then(|w| w.downstream_demand.as_ref()),
             };
             let late = |p: &DownstreamDemand| {
@@ -118,7 +119,7 @@
                 tracing::info!(job = %id, "too late for the final deadline");
             }
             if let Some(j) = self.jobs.get_mut(&id) {
-                j.downstream_demand = Some(pull);
+                j.scheduling.downstream_demand = Some(pull);
                 self.pipelines.jobs_with_demand.push(id);
             } else if let Some(w) = self.pipelines.waiting.get_mut(&id) {
                 w.downstream_demand = Some(pull);
@@ -168,22 +169,26 @@
 
     /// When a job is expected to end at the earliest.
     pub(crate) fn expected_job_end(&self, job: &Job, now: Micros) -> Micros {
-        let ends = job.live_attempts.iter().map(|(index, (machine, attempt))| {
-            let key = (
-                TaskId {
-                    job: job.id.clone(),
-                    index: *index,
-                },
-                *attempt,
-            );
-            let attempt = self
-                .machines
-                .get(machine)
-                .and_then(|m| m.attempts.get(&key));
-            attempt.map_or(now, |a| self.expected_end(&key.0, a, now))
-        });
+        let ends = job
+            .tasks
+            .live_attempts
+            .iter()
+            .map(|(index, (machine, attempt))| {
+                let key = (
+                    TaskId {
+                        job: job.id.clone(),
+                        index: *index,
+                    },
+                    *attempt,
+                );
+                let attempt = self
+                    .machines
+                    .get(machine)
+                    .and_then(|m| m.attempts.get(&key));
+                attempt.map_or(now, |a| self.expected_end(&key.0, a, now))
+            });
         let last = ends.max().unwrap_or(now);
-        if job.pending.is_empty() {
+        if job.tasks.pending.is_empty() {
             last
         } else {
             last.max(now + self.expected_run(&job.spec))
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -49,6 +49,7 @@
             .filter(|m| m.is_unconfirmed(now, limit))
         {
             let kind = m
+                .placement
                 .capacity_bucket
                 .map(|n| self.capacity_index.buckets[n].kind.clone());
             *silent.entry(kind).or_default() += 1;
@@ -59,7 +60,11 @@
         self.unconfirmed.silent_machines = silent.into_iter().collect();
         let mut held = vec![Resources::default(); self.team_usage.len()];
         let mut clear = Vec::new();
-        for job in self.jobs.values().filter(|j| !j.unconfirmed.is_empty()) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| !j.tasks.unconfirmed.is_empty())
+        {
             self.scheduling_steps.set(self.scheduling_steps.get() + 1);
             // As it was submitted: what policy forbids now, another leader may have allowed.
             let most = self.max_unconfirmed_tasks(&job.submitted_spec);
@@ -70,12 +75,12 @@
                 held[t] += job
                     .submitted_spec
                     .need
-                    .scaled_by(most.min(i64::from(job.unconfirmed.len())));
+                    .scaled_by(most.min(i64::from(job.tasks.unconfirmed.len())));
             }
         }
         for id in clear {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.unconfirmed = Default::default();
+                job.tasks.unconfirmed = Default::default();
                 self.pass_needed = true;
             }
         }
@@ -111,10 +116,14 @@
             } else {
                 waiting.min(left)
             };
-            let covered = job.pending.slice(0, job.requested_watermark).len() as usize;
+            let covered = job
+                .tasks
+                .pending
+                .slice(0, job.persistence.requested_watermark)
+                .len() as usize;
             // A mark that has half of what it should have is raised by all of it.
             if covered < wanted && covered <= wanted / 2 {
-                let last = job.pending.iter().nth(wanted - 1);
+                let last = job.tasks.pending.iter().nth(wanted - 1);
                 if let (Some(last), Some(job)) = (last, self.jobs.get_mut(&id)) {
                     job.request_watermark(last + 1);
                 }
@@ -140,6 +149,6 @@
             && self
                 .jobs
                 .values()
-                .all(|j| j.requested_watermark <= j.durable_watermark)
+                .all(|j| j.persistence.requested_watermark <= j.persistence.durable_watermark)
     }
 }
--- a/crates/gannethub-core/src/scheduling/failure_tracking.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -8,9 +8,12 @@
 //! looked at again. A machine is faulty when a job that does well elsewhere fails on it twice, or
 //! when several jobs do that are not suspect.
 
+use crate::model::MachineId;
 use crate::model::{JobId, Micros, SECOND, Shape, TaskId};
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, FailureTracking, Job, MachineId};
+use crate::state::failure_tracking::FailureTracking;
+use crate::state::job::Job;
 
 /// Replicas never end; one that has run for this long has done well.
 const HEALTHY_AFTER: Micros = 10 * SECOND;
@@ -37,9 +40,9 @@
                 a.phase == AttemptPhase::Running && now >= a.phase_since + HEALTHY_AFTER
             })
         };
-        !job.done.is_empty()
+        !job.tasks.done.is_empty()
             || (job.spec.shape == Shape::Service
-                && job.live_attempts.iter().any(|(i, p)| lasting(p, *i)))
+                && job.tasks.live_attempts.iter().any(|(i, p)| lasting(p, *i)))
     }
 
     /// A task ended with an error on a machine.
@@ -50,8 +53,14 @@
         let first = job.failure_tracking.failed_machines.is_empty();
         let was = job.is_crash_looping();
         job.failure_tracking.failed_machines.insert(id.clone());
-        let (_, n) = job.backoff.get(&task.index).copied().unwrap_or((0, 0));
-        job.backoff
+        let (_, n) = job
+            .tasks
+            .backoff
+            .get(&task.index)
+            .copied()
+            .unwrap_or((0, 0));
+        job.tasks
+            .backoff
             .insert(task.index, (now + ((2 * SECOND) << n.min(5)), n + 1));
         if self
             .jobs
@@ -59,7 +68,11 @@
             .is_some_and(|j| self.has_succeeded(j, now))
         {
             // A service that runs elsewhere: what it failed on says nothing against it.
-            if let Some(j) = self.jobs.get_mut(&task.job).filter(|j| j.done.is_empty()) {
+            if let Some(j) = self
+                .jobs
+                .get_mut(&task.job)
+                .filter(|j| j.tasks.done.is_empty())
+            {
                 j.failure_tracking = FailureTracking::default();
             }
         }
@@ -89,7 +102,10 @@
         }
         tracing::debug!(%task, machine = %id, "task failed");
         if let Some(m) = self.machines.get_mut(id) {
-            *m.failures_by_job.entry(task.job.clone()).or_default() += 1;
+            *m.placement
+                .failures_by_job
+                .entry(task.job.clone())
+                .or_default() += 1;
         }
         self.quarantine_if_faulty(id, now);
     }
@@ -109,11 +125,12 @@
 
     /// Decides whether a machine is to blame for what failed on it since a task last did well.
     fn quarantine_if_faulty(&mut self, id: &MachineId, now: Micros) {
-        let Some(m) = self.machines.get(id).filter(|m| !m.quarantined) else {
+        let Some(m) = self.machines.get(id).filter(|m| !m.lifecycle.quarantined) else {
             return;
         };
         let credible = || {
             let jobs = m
+                .placement
                 .failures_by_job
                 .iter()
                 .filter_map(|(j, n)| Some((self.jobs.get(j)?, *n)));
@@ -122,9 +139,9 @@
         let faulty = credible().count() >= 2
             || credible().any(|(j, n)| n >= 2 && self.has_succeeded(j, now));
         if faulty {
-            tracing::info!(machine = %id, jobs = m.failures_by_job.len(), "machine judged faulty");
+            tracing::info!(machine = %id, jobs = m.placement.failures_by_job.len(), "machine judged faulty");
             if let Some(m) = self.machines.get_mut(id) {
-                m.quarantined = true;
+                m.lifecycle.quarantined = true;
             }
             self.drain_machine(id);
         }
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
+use crate::model::MachineId;
 use crate::model::{JobSpec, Micros, Resources, SECOND, Shape, UNLIMITED, micros_from_seconds};
 use crate::policy::Setting;
 use crate::scheduling::autoscaler::max_boot_time;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::Offer;
-use crate::state::records::MachineId;
 
 /// Steps of a plan, in queue order, and so many more for each machine there is: else a large cluster's
 /// plan would end among the machines it has, and never come to what has to be rented. A plan is made
@@ -347,6 +347,7 @@
                 ..job.spec.need
             };
             let backing = job
+                .tasks
                 .backoff
                 .values()
                 .filter(|b| b.0 > now + 10 * SECOND)
@@ -354,9 +355,9 @@
             let mut tasks = (pending - backing).min(need.count_in(&spare[t]));
             tasks = tasks.min(
                 job.tasks_worth_provisioning(now)
-                    .saturating_sub(job.live_attempts.len() as i64),
+                    .saturating_sub(job.tasks.live_attempts.len() as i64),
             );
-            if job.spec.shape == Shape::Gang && tasks < i64::from(job.pending.len()) {
+            if job.spec.shape == Shape::Gang && tasks < i64::from(job.tasks.pending.len()) {
                 // Of one that is in doubt, or has no room under its team's limit, nothing is planned.
                 tasks = 0;
             }
@@ -567,7 +568,7 @@
             .set(self.scheduling_steps.get() + future.steps);
         for id in awaited {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.planned_work_until = now + 2 * SECOND;
+                m.placement.planned_work_until = now + 2 * SECOND;
             }
         }
         wanted
@@ -674,10 +675,10 @@
             let Some(flavor) = m.machine_type else {
                 continue;
             };
-            if m.deleting
-                || m.draining
-                || m.quarantined
-                || m.preemption_notice
+            if m.lifecycle.deleting
+                || m.lifecycle.draining
+                || m.lifecycle.quarantined
+                || m.lifecycle.preemption_notice
                 || m.is_unanswered(now)
             {
                 continue;
@@ -685,7 +686,7 @@
             future.steps += 1 + m.attempts.len() as u64 / 2;
             let price = self.price_per_millicpu(flavor, m.spot);
             let line = future.group_for(flavor, &m.zone, m.spot, price);
-            if !m.is_up {
+            if !m.lifecycle.is_up {
                 if let Some(ready) = self.expected_up_at(m, now) {
                     future.add_machine(self.empty_machine_forecast(
                         line,
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -7,10 +7,13 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
+use crate::model::MachineId;
 use crate::model::{JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, Job, Machine, MachineId, Reservation};
+use crate::state::job::Job;
+use crate::state::machine::{Machine, Reservation};
 
 /// Room kept for gangs is looked over this often, for each machine, and always again before the
 /// room lapses.
@@ -140,7 +143,7 @@
     fn is_still_queued(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.last_queued_pass == self.pass_count)
+            .is_some_and(|j| j.scheduling.last_queued_pass == self.pass_count)
     }
 
     /// Gathers room for a gang that found none, and makes it where waiting would be too late.
@@ -154,15 +157,15 @@
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_crash_looping()) else {
             return;
         };
-        if !gathering.regather_all && job.gang_placement_tried {
+        if !gathering.regather_all && job.scheduling.gang_placement_tried {
             return;
         }
-        job.gang_placement_tried = true;
+        job.scheduling.gang_placement_tried = true;
         // Work is stopped only where waiting for it to end would be too late.
         let soon = self.gather_capacity(id, tasks, gathering, now);
         let Some(job) = self.jobs.get(id) else { return };
         let slack = self
-            .latest_start(job, job.within_guarantee)
+            .latest_start(job, job.scheduling.within_guarantee)
             .map_or(0, |t| t.saturating_sub(self.unix_time));
         if soon.is_none_or(|at| at > now + slack.max(2 * self.settings.report)) {
             self.preempt_for(id, tasks, gathering, now);
@@ -194,6 +197,7 @@
                 continue;
             };
             let until = m
+                .placement
                 .reservation
                 .as_ref()
                 .map_or(0, |k| k.expires_at)
@@ -264,7 +268,7 @@
                     list.remove(i);
                     continue;
                 }
-                if m.is_some_and(|m| !m.failures_by_job.contains_key(id)) {
+                if m.is_some_and(|m| !m.placement.failures_by_job.contains_key(id)) {
                     mine.push_back((*at, machine.clone(), i));
                 }
                 i += 1;
@@ -309,10 +313,10 @@
     /// When a machine will have room for the first, the second, ... of a job's tasks.
     fn capacity_times(&self, m: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
         let most = spec.need.count_in(&m.capacity).min(MAX_TASKS_PER_MACHINE) as usize;
-        if !m.is_up {
+        if !m.lifecycle.is_up {
             let at = self
                 .expected_up_at(m, now)
-                .filter(|_| !m.deleting && !m.quarantined);
+                .filter(|_| !m.lifecycle.deleting && !m.lifecycle.quarantined);
             return at.map_or_else(Vec::new, |at| vec![at; most]);
         }
         if !m.is_schedulable(now, self.settings.report) {
@@ -374,11 +378,12 @@
         let gang = spec.shape == Shape::Gang;
         // An array's tasks find room as others end; stopping as many others only moves the work.
         // Only guests, whose teams have no guarantee at all, make way for them, where they save.
-        if !(urgent || job.within_guarantee) {
+        if !(urgent || job.scheduling.within_guarantee) {
             return;
         }
         if gathering.catching_up
             && job
+                .scheduling
                 .preempted_for_at
                 .is_some_and(|t| now < t + PREEMPTION_RETRY)
         {
@@ -395,7 +400,7 @@
         }
         let most = self.tasks_within_quota(job).clamp(0, 1000) as usize;
         // Enough room may be being made already.
-        let kept = job.reservable_until > now;
+        let kept = job.scheduling.reservable_until > now;
         let making: i64 = if kept && !gang {
             let kept = self
                 .machines
@@ -417,7 +422,7 @@
         let asks = PreemptionRequest {
             spec: spec.clone(),
             team: job.team,
-            within: job.within_guarantee,
+            within: job.scheduling.within_guarantee,
             tasks: if gang { tasks } else { 1 },
         };
         let fresh = zones.is_empty() && !kept && job.failure_tracking.failed_machines.is_empty();
@@ -437,7 +442,7 @@
             shape: spec.shape,
             priority: spec.priority,
             team: job.team,
-            within: job.within_guarantee,
+            within: job.scheduling.within_guarantee,
         };
         // Jobs that may stop the same work look for it in one book.
         let mut made = match gathering.preemption_plans.remove(&who) {
@@ -484,7 +489,7 @@
         *borrowed = left;
         gathering.preemption_plans.insert(who, made);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.preempted_for_at = Some(now);
+            job.scheduling.preempted_for_at = Some(now);
         }
         for (machine, tasks) in keep {
             self.reserve(
@@ -544,8 +549,8 @@
                         .filter(|j| j.spec.shape != Shape::Gang);
                     let Some(j) = victim else { continue };
                     let lower = urgent && j.effective_priority() < spec.priority;
-                    let above = job.within_guarantee
-                        && !j.within_guarantee
+                    let above = job.scheduling.within_guarantee
+                        && !j.scheduling.within_guarantee
                         && j.team != job.team
                         && (!guests_only
                             || self.has_no_guarantee(j) && j.spec.checkpoint_every > 0)
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -1,9 +1,10 @@
 //! Teams that are above their limit, since it was lowered: what is not launched after all, and what is stopped.
 
 use crate::configuration::OverLimit;
+use crate::model::MachineId;
 use crate::model::{Micros, Resources, TaskId, Team};
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, MachineId};
 
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
@@ -76,7 +77,7 @@
         let live = self
             .jobs
             .get(&task.job)
-            .and_then(|j| j.live_attempts.get(&task.index));
+            .and_then(|j| j.tasks.live_attempts.get(&task.index));
         live.is_some_and(|(machine, attempt): &(MachineId, u64)| {
             let key = (task.clone(), *attempt);
             let attempt = self
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -10,8 +10,8 @@
 use crate::model::{Micros, Resources, Team};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
+use crate::state::job::Job;
 use crate::state::queue::QueueKey;
-use crate::state::records::Job;
 
 /// The order is worked out anew this often, for each job in it.
 const REORDER_INTERVAL_PER_JOB: Micros = 200;
@@ -24,7 +24,7 @@
     let all = job
         .spec
         .need
-        .scaled_by(i64::from(job.spec.tasks - job.done.len()));
+        .scaled_by(i64::from(job.spec.tasks - job.tasks.done.len()));
     let within = Team::within(&left[t], &Resources::default(), &all);
     left[t] -= all;
     within
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -11,7 +11,7 @@
 use crate::model::{JobId, Micros, Resources, SECOND, Shape};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer};
-use crate::state::records::Job;
+use crate::state::job::Job;
 use crate::state::shard_load::ShardLoad;
 
 /// What a block keeps beyond what it uses and waits for, as a part of that.
@@ -140,7 +140,8 @@
             .collect();
         for job in self.jobs.values().filter(|j| !j.cancelled) {
             let waiting = job.placeable_count() as i64;
-            load.backlog_cpu += job.spec.need.cpu * i64::from(job.spec.tasks - job.done.len());
+            load.backlog_cpu +=
+                job.spec.need.cpu * i64::from(job.spec.tasks - job.tasks.done.len());
             load.waiting_cpu += job.spec.need.cpu * waiting;
             if let Some(t) = job.team.filter(|_| waiting > 0) {
                 // No more than it could start soon, however long its queue.
@@ -225,7 +226,11 @@
             let waited = self.unix_time.saturating_sub(j.ready_at)
                 > MIN_WAIT_BEFORE_MOVE + self.settings.report;
             let moves = give_up || (waited && j.spec.shape != Shape::Gang);
-            j.has_no_launches() && !j.cancelled && !j.write_in_flight && !j.version_unknown && moves
+            j.has_no_launches()
+                && !j.cancelled
+                && !j.persistence.write_in_flight
+                && !j.persistence.version_unknown
+                && moves
         };
         let mut leave: Vec<(JobId, u32)> = Vec::new();
         let queue = self
@@ -245,7 +250,7 @@
         }
         for (id, to) in leave {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.home_shard = Some(to);
+                job.scheduling.home_shard = Some(to);
             }
             // Until the other holder says how it stands now.
             if let Some(load) = self.shard_loads.iter_mut().find(|l| l.shard == to) {
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 
 use crate::configuration::OverLimit;
+use crate::model::MachineId;
 use crate::model::{
     JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
     micros_from_seconds, seconds_from_micros,
@@ -18,11 +19,12 @@
 use crate::saga::Saga;
 use crate::scheduling::gang::GangPass;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
+use crate::state::attempt::{Attempt, AttemptPhase, GangAttempt};
 use crate::state::capacity_index::MachineKind;
 use crate::state::cluster::Cluster;
-use crate::state::records::{
-    Attempt, AttemptPhase, DownstreamDemand, GangAttempt, Job, Machine, MachineId, Reservation,
-};
+use crate::state::deadline::DownstreamDemand;
+use crate::state::job::Job;
+use crate::state::machine::{Machine, Reservation};
 
 /// Room up to this many times as dear as the cheapest of its rank counts as costing the same.
 const SIMILAR_PRICE: f64 = 1.5;
@@ -97,7 +99,7 @@
             Value::Text(&spec.team),
             Value::Text(priority),
             Value::Number(f64::from(spec.tasks)),
-            Value::Number(f64::from(job.done.len())),
+            Value::Number(f64::from(job.tasks.done.len())),
             Value::Number(spec.need.cpu as f64 / 1000.0),
             number(self.unix_time.saturating_sub(job.ready_at)),
             number(latest.unwrap_or(0).saturating_sub(self.unix_time)),
@@ -134,7 +136,7 @@
             &job.spec,
             job.accepted_at,
             job.ready_at,
-            job.downstream_demand.as_ref(),
+            job.scheduling.downstream_demand.as_ref(),
             within,
         )
     }
@@ -188,7 +190,7 @@
             limit.gpu,
             self.total_capacity.gpu,
         ));
-        let left = f64::from(job.spec.tasks - job.done.len());
+        let left = f64::from(job.spec.tasks - job.tasks.done.len());
         (left * each * self.expected_run(&job.spec) as f64) as Micros
     }
 
@@ -205,7 +207,7 @@
         if !job.spec.is_zone_constrained() {
             return zones;
         }
-        for (machine, _) in job.live_attempts.values() {
+        for (machine, _) in job.tasks.live_attempts.values() {
             if let Some(m) = self.machines.get(machine) {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
@@ -286,7 +288,7 @@
             .collect();
         for (id, within) in &queue {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.within_guarantee = *within;
+                job.scheduling.within_guarantee = *within;
             }
         }
         self.scheduling_steps
@@ -303,10 +305,10 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.pending.is_empty() {
+            if job.tasks.pending.is_empty() {
                 continue;
             }
-            job.last_queued_pass = self.pass_count;
+            job.scheduling.last_queued_pass = self.pass_count;
             self.placement_order.push(id.clone());
             let Some(job) = self
                 .jobs
@@ -330,7 +332,7 @@
                 continue;
             };
             let limited = self.settled && self.tasks_within_quota(job) <= 0;
-            if !job.fully_placed && (job.pending.is_empty() || limited) {
+            if !job.scheduling.fully_placed && (job.tasks.pending.is_empty() || limited) {
                 let waited_s =
                     seconds_from_micros(self.unix_time.saturating_sub(job.ready_at)) as u32;
                 let (class, team, tasks) = (&job.spec.class, &job.spec.team, job.spec.tasks);
@@ -340,7 +342,7 @@
                     latest.map(|t| seconds_from_micros(t.saturating_sub(self.unix_time)) as u32);
                 tracing::info!(job = %id, %class, %team, tasks, within, waited_s, slack_s, "placed");
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.fully_placed = true;
+                    job.scheduling.fully_placed = true;
                 }
             }
         }
@@ -417,6 +419,7 @@
         let gang = |job: &Job| {
             job.spec.shape == Shape::Gang
                 && !job
+                    .tasks
                     .gang_attempt
                     .as_ref()
                     .is_some_and(|g| g.running || g.stopping)
@@ -487,7 +490,7 @@
         self.scheduling_steps.set(self.scheduling_steps.get() + 1);
         // A suspect job is tried anywhere: it may have met faulty machines only.
         if !m.is_schedulable(now, self.settings.report)
-            || (!suspect && m.failures_by_job.contains_key(id))
+            || (!suspect && m.placement.failures_by_job.contains_key(id))
         {
             return 0;
         }
@@ -518,11 +521,11 @@
         let spec = job.spec.clone();
         let limit = self.tasks_within_quota(job).min(
             job.allowed_probes(now)
-                .saturating_sub(job.live_attempts.len() as i64),
+                .saturating_sub(job.tasks.live_attempts.len() as i64),
         );
         // A huge array must cost no more than the room there is for it.
-        let waiting = job.backoff.values().filter(|b| b.0 > now).count();
-        if spec.is_zone_constrained() && !job.unconfirmed.is_empty() {
+        let waiting = job.tasks.backoff.values().filter(|b| b.0 > now).count();
+        if spec.is_zone_constrained() && !job.tasks.unconfirmed.is_empty() {
             // Where those are decides where the others may go.
             return 0;
         }
@@ -553,9 +556,10 @@
             pass.record_unplaceable(&spec, 1);
         }
         let ready = |x: &u32| {
-            job.backoff.get(x).is_none_or(|b| b.0 <= now) && !job.unconfirmed.contains(*x)
+            job.tasks.backoff.get(x).is_none_or(|b| b.0 <= now)
+                && !job.tasks.unconfirmed.contains(*x)
         };
-        let tasks: Vec<u32> = job.pending.iter().filter(ready).take(found).collect();
+        let tasks: Vec<u32> = job.tasks.pending.iter().filter(ready).take(found).collect();
         let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
         for (index, machine) in tasks.into_iter().zip(places) {
             let attempt = self.next_attempt_number();
@@ -568,7 +572,7 @@
     fn has_reservation(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.reservable_until > self.now)
+            .is_some_and(|j| j.scheduling.reservable_until > self.now)
     }
 
     /// The zone with the most room for a job.
@@ -664,7 +668,7 @@
                 for m in open {
                     let most = self.tasks_that_fit(m, id, spec, suspect, now);
                     if most > 0 {
-                        found.push((!m.cached_images.contains(&spec.image), m, most));
+                        found.push((!m.placement.cached_images.contains(&spec.image), m, most));
                         if found.len() >= seen {
                             break;
                         }
@@ -698,7 +702,7 @@
         let Some(job) = self
             .jobs
             .get(id)
-            .filter(|j| j.downstream_demand.is_some() && !j.spec.is_zone_constrained())
+            .filter(|j| j.scheduling.downstream_demand.is_some() && !j.spec.is_zone_constrained())
         else {
             return;
         };
@@ -744,9 +748,9 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(&kept.job) {
-            job.reservable_until = job.reservable_until.max(kept.expires_at);
+            job.scheduling.reservable_until = job.scheduling.reservable_until.max(kept.expires_at);
         }
-        m.reservation = Some(kept);
+        m.placement.reservation = Some(kept);
     }
 
     /// Places all missing tasks of a gang's attempt, or none.
@@ -754,17 +758,17 @@
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         // The next attempt begins only when nothing of the last one is on a machine any more.
-        let fresh = job.gang_attempt.is_none();
-        if (fresh && !job.live_attempts.is_empty())
-            || job.gang_attempt.as_ref().is_some_and(|g| g.stopping || g.running)
-            || job.backoff.values().any(|b| b.0 > now)
+        let fresh = job.tasks.gang_attempt.is_none();
+        if (fresh && !job.tasks.live_attempts.is_empty())
+            || job.tasks.gang_attempt.as_ref().is_some_and(|g| g.stopping || g.running)
+            || job.tasks.backoff.values().any(|b| b.0 > now)
             || job.allowed_probes(now) == 0
             // Its attempt may go on, on machines that have not been heard yet.
-            || !job.unconfirmed.is_empty()
+            || !job.tasks.unconfirmed.is_empty()
         {
             return;
         }
-        let missing: Vec<u32> = job.pending.iter().collect();
+        let missing: Vec<u32> = job.tasks.pending.iter().collect();
         if self.tasks_within_quota(job) < missing.len() as i64 {
             return;
         }
@@ -774,13 +778,21 @@
             !simple || self.has_reservation(id) || !pass.is_known_unplaceable(&spec, missing.len());
         if searched && let Some(seats) = self.fit_whole_gang(id, &spec, &zones, missing.len(), now)
         {
-            let attempt = match self.jobs.get(id).and_then(|j| j.gang_attempt.as_ref()) {
+            let attempt = match self
+                .jobs
+                .get(id)
+                .and_then(|j| j.tasks.gang_attempt.as_ref())
+            {
                 Some(g) => g.attempt,
                 None => self.next_attempt_number(),
             };
-            if let Some(j) = self.jobs.get_mut(id).filter(|j| j.gang_attempt.is_none()) {
+            if let Some(j) = self
+                .jobs
+                .get_mut(id)
+                .filter(|j| j.tasks.gang_attempt.is_none())
+            {
                 let saga = Saga::independent(spec.tasks);
-                j.gang_attempt = Some(GangAttempt {
+                j.tasks.gang_attempt = Some(GangAttempt {
                     attempt,
                     saga,
                     running: false,
@@ -900,7 +912,7 @@
             .fleet
             .provisioning_times
             .expected_boot_time(f, &m.zone, usual, now);
-        let expected = m.provisioned_at + boot;
+        let expected = m.lifecycle.provisioned_at + boot;
         let late = now.saturating_sub(expected);
         (late <= boot.max(usual)).then(|| expected.max(now + late.max(2 * SECOND)))
     }
@@ -921,7 +933,7 @@
         now: Micros,
     ) -> bool {
         m.is_schedulable(now, self.settings.report)
-            && !m.failures_by_job.contains_key(id)
+            && !m.placement.failures_by_job.contains_key(id)
             && self.is_eligible_machine(m, spec)
             && is_zone_allowed(spec, zones, &m.zone)
     }
@@ -940,7 +952,13 @@
         } else {
             0
         };
-        let ran = ran + job.saved_progress.get(&task.index).copied().unwrap_or(0);
+        let ran = ran
+            + job
+                .tasks
+                .saved_progress
+                .get(&task.index)
+                .copied()
+                .unwrap_or(0);
         // What runs longer than expected is expected to run for a while yet.
         now + self
             .expected_run(&job.spec)
--- a/crates/gannethub-core/src/state/capacity_index.rs
+++ b/crates/gannethub-core/src/state/capacity_index.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::records::MachineId;
+use crate::model::MachineId;
 
 /// What machines that cost the same and lie in one zone have in common.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -7,20 +7,23 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-use super::capacity_index::{CapacityIndex, MachineKind};
+use super::capacity_index::CapacityIndex;
 use super::fleet::{Fleet, Offer};
 use super::kill_orders::KillOrders;
 use super::pipeline::Pipelines;
 use super::queue::Queue;
-use super::records::{Attempt, AttemptPhase, Job, Machine, MachineId};
 use super::shard::Shard;
 use super::shard_load::{OutgoingTransfer, ShardLoad};
 use super::unconfirmed::{LaunchRate, Unconfirmed};
 use super::usage::UsageLedger;
 use crate::configuration::OverLimit;
+use crate::model::MachineId;
 use crate::model::{JobId, MachineType, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
 use crate::policy::Setting;
 use crate::settings::Settings;
+use crate::state::attempt::{Attempt, AttemptPhase};
+use crate::state::job::Job;
+use crate::state::machine::{Machine, NewMachine};
 use crate::wire::store::{MachineTransferRecord, assignment_keys};
 
 /// Added to every lease that is waited out.
@@ -252,7 +255,7 @@
     pub fn record_version(&self, id: &str) -> Option<u64> {
         self.jobs
             .get(id)
-            .map(|j| j.version)
+            .map(|j| j.persistence.version)
             .or_else(|| self.waiting_job_version(id))
     }
 
@@ -270,10 +273,16 @@
     pub fn detect_unreachable_zones(&mut self, now: Micros) {
         let quiet = 3 * self.settings.report + 2 * SECOND;
         let mut silent: HashMap<Arc<str>, (u32, u32)> = HashMap::new();
-        for m in self.machines.values().filter(|m| m.is_up) {
+        for m in self.machines.values().filter(|m| m.lifecycle.is_up) {
             let (all, mute) = silent.entry(m.zone.clone()).or_default();
             *all += 1;
-            *mute += u32::from(now > m.last_heartbeat_at.unwrap_or(m.last_answered_at) + quiet);
+            *mute += u32::from(
+                now > m
+                    .worker
+                    .last_heartbeat_at
+                    .unwrap_or(m.worker.last_answered_at)
+                    + quiet,
+            );
         }
         // That one machine or two fall silent at a time is nothing unusual.
         let dark = |(all, mute): (u32, u32)| all > 2 && mute == all;
@@ -296,7 +305,7 @@
     pub fn machine_or_adopt(
         &mut self,
         name: &str,
-        flavor: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
         now: Micros,
@@ -304,59 +313,15 @@
         let id = self
             .machines
             .get(name)
-            .map_or_else(|| name.into(), |m| m.id.clone());
-        let (flavors, rooms) = (&self.machine_types, &mut self.capacity_index);
+            .map_or_else(|| name.into(), |machine| machine.id.clone());
+        let (machine_types, capacity_index) = (&self.machine_types, &mut self.capacity_index);
+        let kind = NewMachine {
+            machine_type,
+            zone,
+            spot,
+        };
         self.machines.entry(id).or_insert_with_key(|id| {
-            let flavor = flavors.iter().position(|f| *f.name == *flavor);
-            Machine {
-                capacity_bucket: flavor.map(|flavor| {
-                    rooms.insert(
-                        MachineKind {
-                            machine_type: flavor,
-                            zone: zone.into(),
-                            spot,
-                        },
-                        id.clone(),
-                    )
-                }),
-                indexed_free_cpu: None,
-                id: id.clone(),
-                machine_type: flavor,
-                capacity: flavor.map(|i| flavors[i].size).unwrap_or_default(),
-                zone: zone.into(),
-                spot,
-                recorded: false,
-                confirmed: false,
-                incarnation: 0,
-                sequence: 0,
-                lost_incarnation: 0,
-                last_heartbeat_at: None,
-                previous_heartbeat_at: None,
-                missed_heartbeats: false,
-                last_answered_at: now,
-                address: None,
-                attempts: BTreeMap::new(),
-                used: Resources::default(),
-                idle_since: now,
-                known_since: now,
-                provisioned_at: now,
-                is_up: false,
-                boot_overdue: false,
-                in_listing: false,
-                missed_listings: 0,
-                preemption_notice: false,
-                deleting: false,
-                draining: false,
-                quarantined: flavor.is_none(),
-                failures_by_job: HashMap::new(),
-                cached_images: HashSet::new(),
-                reservation: None,
-                planned_work_until: 0,
-                unschedulable_until: 0,
-                unanswered_incarnations: 0,
-                high_priority_placed_at: None,
-                heartbeat_digest: None,
-            }
+            Machine::new(id.clone(), machine_types, kind, capacity_index, now)
         })
     }
 
@@ -385,7 +350,7 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.heartbeat_digest = None;
+        m.worker.heartbeat_digest = None;
         if let Some(a) = m.attempts.get_mut(&key) {
             a.stop_grace = Some(a.stop_grace.map_or(grace, |g| g.min(grace)));
         }
@@ -398,17 +363,17 @@
         };
         let saves = j.spec.checkpoint_every > 0;
         let grace = if saves { j.spec.save + 2 * SECOND } else { 0 };
-        let targets: Vec<u32> = match &mut j.gang_attempt {
+        let targets: Vec<u32> = match &mut j.tasks.gang_attempt {
             Some(g) if g.stopping => return,
             Some(g) => {
                 g.stopping = true;
-                j.live_attempts.keys().copied().collect()
+                j.tasks.live_attempts.keys().copied().collect()
             }
             None => vec![index],
         };
         let live: Vec<_> = targets
             .iter()
-            .filter_map(|i| Some((*i, j.live_attempts.get(i)?.clone())))
+            .filter_map(|i| Some((*i, j.tasks.live_attempts.get(i)?.clone())))
             .collect();
         for (i, (machine, attempt)) in live {
             self.stop_attempt(job, i, &machine, attempt, grace);
@@ -449,18 +414,20 @@
         let (Some(j), Some(m)) = (self.jobs.get_mut(job), self.machines.get_mut(machine)) else {
             return;
         };
-        j.pending.remove(index);
-        j.live_attempts.insert(index, (machine.clone(), attempt));
+        j.tasks.pending.remove(index);
+        j.tasks
+            .live_attempts
+            .insert(index, (machine.clone(), attempt));
         j.request_watermark(index + 1);
         self.launch_rate.record_placed();
         let need = j.spec.need;
         if j.effective_priority() >= Priority::High {
-            m.high_priority_placed_at = Some(now);
+            m.placement.high_priority_placed_at = Some(now);
         }
-        if let Some(kept) = m.reservation.as_mut().filter(|k| k.job == *job) {
+        if let Some(kept) = m.placement.reservation.as_mut().filter(|k| k.job == *job) {
             kept.tasks -= 1;
             if kept.tasks <= 0 {
-                m.reservation = None;
+                m.placement.reservation = None;
             }
         }
         let entry = Attempt {
@@ -474,7 +441,7 @@
             usage_record: tab,
         };
         let team = j.team;
-        m.heartbeat_digest = None;
+        m.worker.heartbeat_digest = None;
         m.attempts.insert(
             (
                 TaskId {
@@ -490,7 +457,8 @@
 
     /// Whether the launch of a task may go out: its mark covers it, or no successor relies on marks.
     pub fn may_launch(&self, job: &Job, index: u32) -> bool {
-        !self.starts_paused && (index < job.durable_watermark || self.launches_without_watermark)
+        !self.starts_paused
+            && (index < job.persistence.durable_watermark || self.launches_without_watermark)
     }
 
     /// A number that no other start of the same task has, in this term or another.
@@ -514,14 +482,14 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(number) = m.capacity_bucket else {
+        let Some(number) = m.placement.capacity_bucket else {
             return;
         };
         let free = m.free();
         let open =
             (m.is_schedulable(now, self.settings.report) && free.cpu >= 0).then_some(free.cpu);
-        if open != m.indexed_free_cpu {
-            let old = std::mem::replace(&mut m.indexed_free_cpu, open);
+        if open != m.placement.indexed_free_cpu {
+            let old = std::mem::replace(&mut m.placement.indexed_free_cpu, open);
             self.capacity_index.update(number, id, old, open);
         }
     }
@@ -547,8 +515,8 @@
     pub fn reindex_changed_machines(&mut self, now: Micros) {
         let report = self.settings.report;
         let moved = |m: &&Machine| {
-            m.capacity_bucket.is_some()
-                && m.indexed_free_cpu.is_some()
+            m.placement.capacity_bucket.is_some()
+                && m.placement.indexed_free_cpu.is_some()
                     != (m.is_schedulable(now, report) && m.free().cpu >= 0)
         };
         let moved: Vec<MachineId> = self
@@ -564,19 +532,31 @@
     pub fn index_inconsistencies(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         for m in self.machines.values() {
-            let Some(shelf) = m.capacity_bucket.map(|n| &self.capacity_index.buckets[n]) else {
+            let Some(shelf) = m
+                .placement
+                .capacity_bucket
+                .map(|n| &self.capacity_index.buckets[n])
+            else {
                 continue;
             };
             let here = shelf.schedulable.iter().filter(|(_, id)| *id == m.id);
             let cpus: Vec<i64> = here.map(|(cpu, _)| *cpu).collect();
-            if !shelf.machines.contains(&m.id) || cpus != Vec::from_iter(m.indexed_free_cpu) {
-                wrong.push(format!("{}: {cpus:?} for {:?}", m.id, m.indexed_free_cpu));
+            if !shelf.machines.contains(&m.id)
+                || cpus != Vec::from_iter(m.placement.indexed_free_cpu)
+            {
+                wrong.push(format!(
+                    "{}: {cpus:?} for {:?}",
+                    m.id, m.placement.indexed_free_cpu
+                ));
             }
-            if m.indexed_free_cpu.is_some_and(|cpu| cpu != m.free().cpu) {
+            if m.placement
+                .indexed_free_cpu
+                .is_some_and(|cpu| cpu != m.free().cpu)
+            {
                 wrong.push(format!(
                     "{}: {:?} with {:?} free",
                     m.id,
-                    m.indexed_free_cpu,
+                    m.placement.indexed_free_cpu,
                     m.free()
                 ));
             }
@@ -590,7 +570,7 @@
         let shelved = self
             .machines
             .values()
-            .filter(|m| m.capacity_bucket.is_some())
+            .filter(|m| m.placement.capacity_bucket.is_some())
             .count();
         if known != shelved {
             wrong.push(format!("{known} in the index, {shelved} machines"));
--- a/crates/gannethub-core/src/state/kill_orders.rs
+++ b/crates/gannethub-core/src/state/kill_orders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::records::MachineId;
+use crate::model::MachineId;
 use crate::model::{Micros, TaskId};
 use crate::wire::budget::TokenBucket;
 
--- a/crates/gannethub-core/src/state/mod.rs
+++ b/crates/gannethub-core/src/state/mod.rs
@@ -1,14 +1,18 @@
 //! What is remembered, and nothing that decides.
 
+pub mod attempt;
 pub mod capacity_index;
 pub mod cluster;
+pub mod deadline;
+pub mod failure_tracking;
 pub mod fleet;
+pub mod job;
 pub mod job_replica;
 pub mod kill_orders;
+pub mod machine;
 pub mod pipeline;
 pub mod provisioning_times;
 pub mod queue;
-pub mod records;
 pub mod shard;
 pub mod shard_load;
 pub mod unconfirmed;
--- a/crates/gannethub-core/src/state/pipeline.rs
+++ b/crates/gannethub-core/src/state/pipeline.rs
@@ -17,9 +17,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use super::records::DownstreamDemand;
 use crate::model::{JobId, JobSpec, Micros};
 use crate::saga::{AbortAction, Saga, SagaState};
+use crate::state::deadline::DownstreamDemand;
 
 /// What is known of a job that another one names.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -1,7 +1,6 @@
 //! What a leader does not know yet of the machines that it took over.
 
 use super::capacity_index::MachineKind;
-use super::records::Machine;
 use crate::model::{Micros, Resources, SECOND};
 
 /// Machines that may hold tasks of an earlier term and have not been heard in this one, by kind. A kind that
@@ -26,14 +25,6 @@
     }
 }
 
-impl Machine {
-    /// It may hold tasks of an earlier term that nobody has told this leader of: it is on its block's record, has
-    /// not reported with this term's token, and its lease may not be over. `limit`: how long that takes.
-    pub fn is_unconfirmed(&self, now: Micros, limit: Micros) -> bool {
-        self.recorded && !self.confirmed && now <= self.last_answered_at + limit
-    }
-}
-
 /// Marks are ahead of launches by what has been launched in this time ...
 const AHEAD: Micros = SECOND;
 /// ... which is measured so often.
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -11,9 +11,12 @@
 use gannethub_ledger::meter::{Meter, News, Reading, Spent, Stage};
 
 use super::cluster::Cluster;
-use super::records::{AttemptPhase, Job, Machine, MachineId};
 use super::usage_replica::{ReplicatedRecord, UsageReplica};
+use crate::model::MachineId;
 use crate::model::{JobId, Micros, Resources, SECOND, Shape, TaskId};
+use crate::state::attempt::AttemptPhase;
+use crate::state::job::Job;
+use crate::state::machine::Machine;
 use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageOwner, UsageRecords};
 use crate::wire::store::{JobOwner, VALUE_SLACK_BYTES, ledger_page_key};
 use crate::wire::worker::ExitReason;
@@ -598,7 +601,14 @@
             .machines
             .get(id)
             .filter(|_| tab.charged == Charged::Open)?;
-        Some(tab_of(id, key, tab, &self.kind(m), m.incarnation, now))
+        Some(tab_of(
+            id,
+            key,
+            tab,
+            &self.kind(m),
+            m.worker.incarnation,
+            now,
+        ))
     }
 
     fn kind(&self, m: &Machine) -> Kind {
@@ -683,7 +693,7 @@
         // Of a job that is over nobody knows here when it was released.
         let (age, unsure) = self.age(key.1, ready);
         let ended = matches!(phase, AttemptPhase::Ended(_));
-        let session = self.machines.get(id).map_or(0, |m| m.incarnation);
+        let session = self.machines.get(id).map_or(0, |m| m.worker.incarnation);
         let ledger = self.usage_ledger.as_mut()?;
         ledger.changed.insert((id.clone(), key.clone()));
         let name = (key.0.job.to_string(), key.0.index, key.1, id.to_string());
@@ -808,9 +818,9 @@
         let news = match reason {
             // A report that shows a new session shows that the lease of the one before ran out, after the last answer
             // in it; of a machine that is silent nobody knows.
-            Reason::Lease | Reason::Machine => match machine.last_heartbeat_at {
+            Reason::Lease | Reason::Machine => match machine.worker.last_heartbeat_at {
                 Some(t) if t == now => News::Silence {
-                    heard: machine.previous_heartbeat_at,
+                    heard: machine.worker.previous_heartbeat_at,
                     likely: self.settings.lease,
                 },
                 heard => News::Silence {
@@ -819,8 +829,8 @@
                 },
             },
             _ => News::Reported {
-                before: machine.previous_heartbeat_at,
-                missed: machine.missed_heartbeats,
+                before: machine.worker.previous_heartbeat_at,
+                missed: machine.worker.missed_heartbeats,
             },
         };
         let reading = tab.meter.end(now, news);
@@ -891,7 +901,8 @@
             .usage_ledger
             .as_ref()
             .is_some_and(|l| !l.complete && !l.gaps.contains(id));
-        let unheard = |m: &&Machine| blind && m.recorded && m.last_heartbeat_at.is_none();
+        let unheard =
+            |m: &&Machine| blind && m.lifecycle.recorded && m.worker.last_heartbeat_at.is_none();
         let Some(m) = self.machines.get(id).filter(unheard) else {
             return;
         };
@@ -928,7 +939,7 @@
         // An end that is still shown would get the next start of the task here refused; and a report must
         // not outgrow its limit. Then this leader's memory has to do.
         let again = || {
-            let other = |(k, a): (&(TaskId, u64), &crate::state::records::Attempt)| {
+            let other = |(k, a): (&(TaskId, u64), &crate::state::attempt::Attempt)| {
                 k.0 == key.0 && k.1 != key.1 && a.phase == AttemptPhase::Starting
             };
             machine.attempts.iter().any(other)
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -134,7 +134,7 @@
     f.c.apply_settings(&settings, OverLimit::Run, f.now);
     assert_eq!(launches(&mut f), 6);
     assert_eq!(
-        f.c.jobs["j-1"].live_attempts.len(),
+        f.c.jobs["j-1"].tasks.live_attempts.len(),
         6,
         "the others wait for room under the limit"
     );
@@ -152,7 +152,7 @@
     f.submit("j-2", spec(Shape::Array, "blue", 1, 1.0));
     f.c.run_scheduling_pass(f.now);
     assert!(
-        !f.c.jobs["j-2"].live_attempts.contains_key(&0),
+        !f.c.jobs["j-2"].tasks.live_attempts.contains_key(&0),
         "and nothing is placed"
     );
     f.c.starts_paused = false;
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -27,7 +27,7 @@
             .values()
             .filter(|m| m.active_reservation(f.now).is_some())
     {
-        let same = |o: &&gannethub_core::state::records::Machine| {
+        let same = |o: &&gannethub_core::state::machine::Machine| {
             o.active_reservation(f.now).map(|k| &k.job)
                 == m.active_reservation(f.now).map(|k| &k.job)
         };
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -386,7 +386,7 @@
     w.crash(leader, 2 * SECOND);
     w.run(30);
     let done = w.nodes[0].controller.as_ref().and_then(|c| c.cluster());
-    let done = done.map_or(0, |c| c.jobs["j-000001"].done.len());
+    let done = done.map_or(0, |c| c.jobs["j-000001"].tasks.done.len());
     assert!(done > 50, "completions survive: {done}");
     w.cancel(1);
     w.run_until(90, "it is cancelled", World::all_over);
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -74,7 +74,12 @@
     let cluster = w
         .leader()
         .and_then(|l| w.nodes[l].controller.as_ref()?.cluster());
-    let blamed = cluster.map_or(0, |c| c.machines.values().filter(|m| m.quarantined).count());
+    let blamed = cluster.map_or(0, |c| {
+        c.machines
+            .values()
+            .filter(|m| m.lifecycle.quarantined)
+            .count()
+    });
     assert_eq!(blamed, 0);
     assert!(
         machines
@@ -130,6 +135,7 @@
     assert!(!f.c.machines.contains_key("host-0000"));
     assert!(
         f.c.jobs["j-1"]
+            .tasks
             .live_attempts
             .values()
             .all(|(m, _)| &**m != "host-0000")
@@ -175,7 +181,7 @@
         f.c.plan_cloud_calls(f.now);
         f.c.machines
             .values()
-            .filter(|m| m.draining)
+            .filter(|m| m.lifecycle.draining)
             .map(|m| m.id.to_string())
             .collect::<Vec<_>>()
     };
@@ -195,14 +201,15 @@
     f.report(&leaving[0], "small", "a", &[]);
     f.c.run_scheduling_pass(f.now);
     f.c.plan_cloud_calls(f.now);
-    assert!(f.c.machines[leaving[0].as_str()].deleting);
+    assert!(f.c.machines[leaving[0].as_str()].lifecycle.deleting);
     assert!(
         f.c.jobs["j-2"]
+            .tasks
             .live_attempts
             .values()
             .all(|(m, _)| **m != *leaving[0])
     );
-    assert_eq!(f.c.jobs["j-2"].live_attempts.len(), 3);
+    assert_eq!(f.c.jobs["j-2"].tasks.live_attempts.len(), 3);
 }
 
 #[test]
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -304,11 +304,14 @@
         f.report("up-0000", "small", "a", &tasks);
         f.c.run_scheduling_pass(f.now);
         assert_eq!(
-            f.c.jobs["j-1"].live_attempts.len(),
+            f.c.jobs["j-1"].tasks.live_attempts.len(),
             4 - ended,
             "nothing else has started"
         );
-        assert_eq!(f.c.jobs["j-2"].live_attempts.len(), usize::from(ended == 2));
+        assert_eq!(
+            f.c.jobs["j-2"].tasks.live_attempts.len(),
+            usize::from(ended == 2)
+        );
     }
 }
 
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -45,8 +45,9 @@
 
 /// Tasks that are on machines of a block, as its holder sees them.
 fn placed(w: &World, block: u32) -> usize {
-    w.block(block)
-        .map_or(0, |c| c.jobs.values().map(|j| j.live_attempts.len()).sum())
+    w.block(block).map_or(0, |c| {
+        c.jobs.values().map(|j| j.tasks.live_attempts.len()).sum()
+    })
 }
 
 #[test]
