--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -291,15 +291,15 @@
             let c = &mut self.view.c;
             let s = &mut self.spent;
             timed(&mut s.rest, &mut s.longest[3], || c.tick(now, WALL + now));
-            if now >= schedule_at.max(c.next_pass_at)
-                && (c.pass_needed || now >= c.last_pass_at + SECOND)
+            if now >= schedule_at.max(c.passes.next_at)
+                && (c.passes.needed || now >= c.passes.last_at + SECOND)
             {
                 schedule_at = now + 100_000;
                 timed(&mut s.passes, &mut s.longest[1], || {
                     c.run_scheduling_pass(now)
                 });
             }
-            if now >= plan_at.max(c.next_plan_at) {
+            if now >= plan_at.max(c.passes.next_plan_at) {
                 plan_at = now + 500_000;
                 let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_cloud_calls(now));
                 s.calls += calls.len() as u64;
@@ -318,7 +318,7 @@
                 });
             }
         }
-        self.spent.queue = self.view.c.placement_order.len();
+        self.spent.queue = self.view.c.passes.placement_order.len();
         self.spent.machines = self.view.c.machines.len();
     }
 }
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -86,7 +86,7 @@
                 },
                 |(name, tasks)| {
                     let mut f = f.borrow_mut();
-                    f.c.last_pass_at = f.now;
+                    f.c.passes.last_at = f.now;
                     let done = tasks
                         .iter()
                         .enumerate()
@@ -131,9 +131,9 @@
         .iter()
         .for_each(|n| drop(f.report(n, "small", "a", &[])));
     f.pass(1);
-    assert!(f.c.settled);
+    assert!(f.c.takeover.settled);
     f.c.run_scheduling_pass(f.now);
-    f.c.placement_order.len()
+    f.c.passes.placement_order.len()
 }
 
 criterion_group!(benches, decide);
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -374,7 +374,7 @@
     ) {
         let leads = holder.filter(|h| h.lease.term == ask.term);
         let holds = match leads {
-            Some(holder) => !holder.cluster.launches_without_watermark,
+            Some(holder) => !holder.cluster.watermarks.not_required,
             None => candidacy.knows_watermarks_hold(ask.term),
         };
         if holds {
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -345,7 +345,7 @@
         self.outbox.shard_loads.clone_from(&loads);
         let mut refused = Vec::new();
         if let Some(holder) = self.shard_owners.get_mut(&0) {
-            holder.cluster.other_shards_demand = orders;
+            holder.cluster.other_shards.demand = orders;
             refused = holder.cluster.refused_offers();
         }
         let now = self.outbox.clock.now;
@@ -355,7 +355,7 @@
         // A block that is one too many gets no more work.
         loads.retain(|l| l.shard < most);
         for (block, holder) in &mut self.shard_owners {
-            holder.cluster.shard_loads.clone_from(&loads);
+            holder.cluster.other_shards.loads.clone_from(&loads);
             holder.cluster.transfer_waiting_jobs(*block >= most);
         }
     }
@@ -564,7 +564,7 @@
             .validity
             .record_vote(promise.round, i, self.outbox.clock.now);
         if holder.lease.validity.was_extended_by_votes() {
-            holder.cluster.launches_without_watermark = true;
+            holder.cluster.watermarks.not_required = true;
             if let Some(candidacy) = self.election(block) {
                 candidacy.launched_without_watermarks(promise.term);
             }
@@ -803,7 +803,7 @@
         standing.election.takeover_succeeded(record, stamp.version);
         let (settings, flavors) = (port.settings.clone(), port.machine_types.clone());
         let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.unix_time);
-        cluster.set_watermarks_reliable(trusted);
+        cluster.watermarks.set_reliable(trusted);
         let mut holder = ShardOwner::new(lease, cluster);
         port.set_leader(true);
         standing.send_heartbeats_soon(now);
@@ -843,7 +843,7 @@
         let now = port.clock.now;
         let mut cluster = Cluster::new(term, settings, flavors, now, port.clock.unix_time);
         cluster.assign_shard(block);
-        cluster.set_watermarks_reliable(trusted);
+        cluster.watermarks.set_reliable(trusted);
         let mut holder = ShardOwner::new(lease, cluster);
         holder.load_next(port, "");
         self.membership.send_heartbeats_soon(now);
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -89,9 +89,14 @@
     /// Has the cluster keep to what its block may use.
     pub fn apply_limits(&mut self, cluster: &mut Cluster) {
         if !self.records.is_empty() {
-            self.decode_records(&cluster.cluster_teams);
+            self.decode_records(&cluster.quota.cluster_teams);
         }
-        let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
+        let whole: Vec<Resources> = cluster
+            .quota
+            .cluster_teams
+            .iter()
+            .map(|t| t.limit)
+            .collect();
         let own = cluster.shard.id;
         let mut parts = self.partitions();
         if let Some((pending, _)) = &self.pending_write {
@@ -158,13 +163,18 @@
         };
         self.had_damaged_records = std::mem::replace(&mut self.has_damaged_records, false);
         listing.items.iter().for_each(|item| self.add_record(item));
-        self.decode_records(&cluster.cluster_teams);
+        self.decode_records(&cluster.quota.cluster_teams);
         self.apply_limits(cluster);
         let load = cluster.shard_load();
         let raised = match lease.shard {
             0 if self.has_damaged_records => ShardQuotas::new(),
             0 => {
-                let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
+                let whole: Vec<Resources> = cluster
+                    .quota
+                    .cluster_teams
+                    .iter()
+                    .map(|t| t.limit)
+                    .collect();
                 let others = port.shard_loads.iter().filter(|l| l.shard > 0);
                 let told = others.map(|l| (l.shard, l.teams.clone())).collect();
                 quota_partition::raised_quotas(&whole, &self.partitions(), &load.teams, &told)
@@ -192,7 +202,7 @@
         }
         self.idle_since = None;
         let mut commit = Transaction::default();
-        commit.guard(&cluster.assignment_keys.0, lease.key_version);
+        commit.guard(&cluster.store_writes.assignment_keys.0, lease.key_version);
         let mut raised = raised;
         while raised.len() > cluster.max_transaction_changes() {
             raised.pop_last();
@@ -214,7 +224,7 @@
             );
         }
         for (b, part) in &raised {
-            let names = cluster.cluster_teams.iter().map(|t| t.name.clone());
+            let names = cluster.quota.cluster_teams.iter().map(|t| t.name.clone());
             let teams = names.zip(part.iter().copied()).collect();
             commit.put(
                 &format!("{QUOTA_PARTITION_PREFIX}{b}"),
--- a/crates/gannethub-core/src/controller/recovery.rs
+++ b/crates/gannethub-core/src/controller/recovery.rs
@@ -48,7 +48,8 @@
             }
         } else if self.lease.shard == 0 {
             self.cluster
-                .machines_in_other_shards
+                .other_shards
+                .machines
                 .insert(machine.into(), block);
         }
     }
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -167,7 +167,7 @@
                 && sibling.leading_term == 0
                 && sibling.shard_loads.is_empty()
         });
-        let ready = |h: &ShardOwner| h.is_loaded() && h.cluster.settled;
+        let ready = |h: &ShardOwner| h.is_loaded() && h.cluster.takeover.settled;
         let mut held = holders
             .iter()
             .filter(|(b, h)| **b > 0 && ready(h))
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -183,7 +183,7 @@
     /// Asks the cloud for what the plan wants.
     fn plan_fleet(&mut self, port: &mut Outbox) {
         let now = port.clock.now;
-        if now < self.next_plan_at.max(self.cluster.next_plan_at) {
+        if now < self.next_plan_at.max(self.cluster.passes.next_plan_at) {
             return;
         }
         self.next_plan_at = now + 500_000;
@@ -207,7 +207,7 @@
             self.next_plan_at = now;
         }
         self.cluster.apply_cloud_answer(call, answer, now);
-        self.cluster.pass_needed = true;
+        self.cluster.passes.needed = true;
     }
 
     /// Reads whose jobs were that were over before an attempt's end was found.
@@ -482,10 +482,12 @@
                 }
                 Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
             }
-            self.cluster.pass_needed = true;
+            self.cluster.passes.needed = true;
         }
         self.watched_version = self.watched_version.max(followed.version);
-        self.cluster.prune_tombstones(self.watched_version);
+        self.cluster
+            .store_writes
+            .prune_tombstones(self.watched_version);
         self.lease.cancellations_known(sent);
     }
 
@@ -500,14 +502,17 @@
         match answer {
             Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
                 Ok(done) => {
-                    self.cluster.pass_needed = true;
+                    self.cluster.passes.needed = true;
                     self.cluster.transaction_committed(batch, done.version);
                 }
                 Err(_) => self.write_failed(port, batch),
             },
             Some((409, body)) => {
                 let conflict = serde_json::from_slice::<Conflict>(&body);
-                if conflict.is_ok_and(|c| c.failed_keys.contains(&self.cluster.assignment_keys.0)) {
+                if conflict.is_ok_and(|c| {
+                    c.failed_keys
+                        .contains(&self.cluster.store_writes.assignment_keys.0)
+                }) {
                     self.end_reason = Some("its key is gone");
                     return;
                 }
@@ -521,8 +526,9 @@
                 let reason = String::from_utf8_lossy(&body).into_owned();
                 tracing::error!(status, reason, "the state service refuses a transaction");
                 // Smaller ones are tried, and more and more rarely: it may allow less than we know.
-                self.cluster.transaction_rejections += 1;
-                self.write_at = now + (SECOND << self.cluster.transaction_rejections.min(6)) / 2;
+                self.cluster.store_writes.transaction_rejections += 1;
+                self.write_at =
+                    now + (SECOND << self.cluster.store_writes.transaction_rejections.min(6)) / 2;
                 self.write_failed(port, batch);
             }
             None => self.write_failed(port, batch),
@@ -543,7 +549,7 @@
         answer: Option<(u16, Bytes)>,
     ) {
         self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
-        self.cluster.pass_needed = true;
+        self.cluster.passes.needed = true;
         let item = match &answer {
             Some((200, body)) => serde_json::from_slice::<StoredValue>(body).ok(),
             _ => None,
@@ -622,9 +628,9 @@
         self.cluster.tick(now, wall);
         self.read_transfers(port);
         self.quota_partitioner.tick(port, &self.lease);
-        let due = self.cluster.pass_needed || now >= self.cluster.last_pass_at + SECOND;
+        let due = self.cluster.passes.needed || now >= self.cluster.passes.last_at + SECOND;
         // Passes and plans are spaced by what they cost: reports, renewals and users come first.
-        if now >= self.next_pass_at.max(self.cluster.next_pass_at) && due {
+        if now >= self.next_pass_at.max(self.cluster.passes.next_at) && due {
             self.next_pass_at = now + 100_000;
             self.cluster.run_scheduling_pass(now);
         }
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -13,17 +13,20 @@
     /// Goes by these settings from here on. Teams keep their numbers, new ones come behind them.
     pub fn apply_settings(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
         let mut own = (**settings).clone();
-        if self.settings.teams.len() == settings.teams.len() && self.cluster_teams == settings.teams
+        if self.settings.teams.len() == settings.teams.len()
+            && self.quota.cluster_teams == settings.teams
         {
             // A block keeps to its part of limits that have not changed.
             own.teams.clone_from(&self.settings.teams);
         }
-        self.team_usage
+        self.quota
+            .team_usage
             .resize(own.teams.len(), Resources::default());
-        self.unconfirmed
+        self.takeover
+            .unconfirmed
             .possible_usage
             .resize(own.teams.len(), Resources::default());
-        self.cluster_teams.clone_from(&settings.teams);
+        self.quota.cluster_teams.clone_from(&settings.teams);
         let halts = |s: &Settings| s.policy.number(Setting::Halts, &[]);
         if halts(&own) != halts(&self.settings) {
             let due = std::mem::take(&mut self.kill_orders.pending);
@@ -33,12 +36,12 @@
             };
         }
         self.settings = Arc::new(own);
-        self.over_limit = over_limit;
+        self.quota.over_limit = over_limit;
         self.resolve_teams();
         self.enforce_limits(now);
-        self.pass_needed = true;
-        self.next_pass_at = now;
-        self.next_plan_at = now;
+        self.passes.needed = true;
+        self.passes.next_at = now;
+        self.passes.next_plan_at = now;
     }
 
     /// Jobs whose team was not known get theirs, and what they have on machines counts against it.
@@ -46,7 +49,7 @@
         for job in self.jobs.values_mut().filter(|j| j.team.is_none()) {
             job.team = self.settings.team(&job.spec.team);
         }
-        let (jobs, used) = (&self.jobs, &mut self.team_usage);
+        let (jobs, used) = (&self.jobs, &mut self.quota.team_usage);
         for machine in self.machines.values_mut() {
             for ((task, _), attempt) in &mut machine.attempts {
                 if attempt.team.is_some() {
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -68,7 +68,7 @@
         if !known && self.shard.id != 0 {
             return HeartbeatOutcome::OtherShard(None);
         }
-        if let Some(block) = self.machines_in_other_shards.get(&*report.machine) {
+        if let Some(block) = self.other_shards.machines.get(&*report.machine) {
             return HeartbeatOutcome::OtherShard(Some(*block));
         }
         if report.token > self.term {
@@ -158,7 +158,7 @@
                 now,
             );
         }
-        self.pass_needed |= news;
+        self.passes.needed |= news;
         if new_session {
             // The worker killed and forgot all it had when its lease ended.
             self.lose_attempts(&id, now, Reason::Lease, "its session ended");
@@ -173,9 +173,9 @@
         }
         if notice {
             tracing::info!(machine = %id, "spot notice");
-            self.pass_needed = true;
+            self.passes.needed = true;
         }
-        if self.unreachable_zones.remove(&zone).is_some() {
+        if self.zones.unreachable.remove(&zone).is_some() {
             tracing::info!(%zone, "a zone is heard again");
         }
         let digest = heartbeat_digest(report);
@@ -197,7 +197,7 @@
             self.drain_machine(&id);
         }
         self.reindex_machine(&id, now);
-        if std::mem::take(&mut self.capacity_freed) {
+        if std::mem::take(&mut self.passes.capacity_freed) {
             // What came free is used at once: the launches go out with this very answer.
             self.use_freed_capacity(&id, now);
         }
@@ -428,8 +428,8 @@
             return;
         };
         a.holds_capacity = false;
-        self.capacity_freed = true;
-        self.pass_needed = true;
+        self.passes.capacity_freed = true;
+        self.passes.needed = true;
         let (need, team) = (a.resources, a.team);
         if !m.holds_capacity() {
             m.placement.idle_since = now;
@@ -662,7 +662,7 @@
         // placing waits for it.
         let every =
             (SCAN_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_SCAN_INTERVAL);
-        if self.settled && now < self.machines_scanned_at + every {
+        if self.takeover.settled && now < self.machines_scanned_at + every {
             return;
         }
         self.machines_scanned_at = now;
@@ -688,13 +688,13 @@
                 m.worker.lost_incarnation = m.worker.lost_incarnation.max(m.worker.incarnation);
             }
         }
-        if !self.settled {
+        if !self.takeover.settled {
             let waiting = self.review_unconfirmed(now);
             // Every worker has had the time to find this leader. When only a few are silent they
             // have most likely died, and deleting them is sooner known than their leases' ends. Of
             // a zone that is cut off more are silent, and their work goes on: they are waited for.
             let few = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
-            if now > self.took_over_at + 2 * self.settings.report + 2 * SECOND && waiting <= few {
+            if now > self.takeover.at + 2 * self.settings.report + 2 * SECOND && waiting <= few {
                 let waits =
                     |m: &&mut Machine| m.is_unconfirmed(now, limit) && !m.lifecycle.deleting;
                 for m in self.machines.values_mut().filter(waits) {
@@ -708,7 +708,7 @@
                     jobs = self.jobs.len(),
                     "settled"
                 );
-                self.settled = true;
+                self.takeover.settled = true;
             }
         }
         self.reindex_changed_machines(now);
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -13,6 +13,7 @@
 use crate::state::job::Job;
 use crate::state::shard::ChunkRecord;
 use crate::state::usage::{job_owner, log_damaged_page};
+use crate::state::watermarks::ReliabilityRecord;
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{
     self, DonePartRecord, FinishedJobRecord, JobRecord, LeaseRecord, LiveRecord, TASKS_PER_PART,
@@ -46,7 +47,7 @@
         if record.shard != self.shard.id {
             return self.apply_foreign_job_record(id, &record, stamp);
         }
-        self.jobs_in_other_shards.remove(id);
+        self.other_shards.jobs.remove(id);
         if let Some(job) = self.jobs.get_mut(id) {
             if stamp > job.persistence.version {
                 job.persistence.version = stamp;
@@ -62,13 +63,13 @@
             }
             return;
         }
-        if self.has_tombstone(id, stamp) {
+        if self.store_writes.has_tombstone(id, stamp) {
             return;
         }
         self.mark_upstream_released(&id.into());
         // What was there before this term may be on machines of which nothing is known yet.
-        let possibly_launched = match self.unconfirmed.loading {
-            true if self.watermarks_reliable => record.effective_watermark(),
+        let possibly_launched = match self.takeover.unconfirmed.loading {
+            true if self.watermarks.reliable => record.effective_watermark(),
             true => record.spec.tasks,
             false => 0,
         };
@@ -88,7 +89,7 @@
         }
         self.queue.add_arrival(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
-        self.pass_needed = true;
+        self.passes.needed = true;
         if cancelled {
             self.cancel_job(id);
         }
@@ -99,10 +100,10 @@
         if self.jobs.remove(id).is_some() {
             tracing::info!(job = id, block = record.shard, "goes to another block");
         }
-        if self.shard.id != 0 || self.has_tombstone(id, stamp) {
+        if self.shard.id != 0 || self.store_writes.has_tombstone(id, stamp) {
             return;
         }
-        let known = self.jobs_in_other_shards.insert(id.into(), stamp).is_some();
+        let known = self.other_shards.jobs.insert(id.into(), stamp).is_some();
         if !known {
             self.mark_upstream_released(&id.into());
         }
@@ -132,8 +133,8 @@
                 }
             }
             // What belongs to no job is left over from one that is over.
-            _ if self.shard.id == 0 && !self.jobs_in_other_shards.contains_key(id) => {
-                self.stale_keys.push(key.to_string());
+            _ if self.shard.id == 0 && !self.other_shards.jobs.contains_key(id) => {
+                self.store_writes.stale_keys.push(key.to_string());
             }
             _ => {}
         }
@@ -146,13 +147,14 @@
                 .strip_prefix(store::SHARD_PREFIX)
                 .and_then(|k| k.split_once('/'));
             if let Some(block) = block.and_then(|(b, _)| b.parse().ok()) {
-                self.machines_in_other_shards
+                self.other_shards
+                    .machines
                     .extend(record.machines.into_keys().map(|m| (m, block)));
             }
             return;
         };
         for (name, member) in &record.machines {
-            let taken = self.took_over_at;
+            let taken = self.takeover.at;
             let machine =
                 self.machine_or_adopt(name, &member.flavor, &member.zone, member.spot, taken);
             machine.lifecycle.recorded = true;
@@ -166,14 +168,13 @@
     pub fn apply_remote_cancellation(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|j| !j.cancelled) {
             self.cancel_job(id);
-        } else if self.pipelines.waiting.contains_key(id)
-            || self.jobs_in_other_shards.contains_key(id)
+        } else if self.pipelines.waiting.contains_key(id) || self.other_shards.jobs.contains_key(id)
         {
             self.mark_upstream_cancelled(id);
         } else {
             return;
         }
-        self.pass_needed = true;
+        self.passes.needed = true;
     }
 
     /// The user cancelled: the pipeline's saga aborts. Nothing of it starts from here on.
@@ -214,8 +215,8 @@
         if self.record_version(id).is_some_and(|known| known >= stamp) {
             return;
         }
-        self.tombstones.insert(id.into(), stamp);
-        self.jobs_in_other_shards.remove(id);
+        self.store_writes.add_tombstone(id.into(), stamp);
+        self.other_shards.jobs.remove(id);
         if self.remove_waiting_job(id) {
             return;
         }
@@ -223,7 +224,8 @@
         if let Some(job) = self.jobs.remove(id) {
             let first = u32::from(!job.persistence.overflow);
             for part in first..job.spec.tasks.div_ceil(TASKS_PER_PART) {
-                self.stale_keys
+                self.store_writes
+                    .stale_keys
                     .push(format!("{}{id}/{part}", store::DONE_PART_PREFIX));
             }
         }
@@ -231,8 +233,8 @@
 
     /// Everything has been read; leases of recorded machines are counted from here.
     pub fn finish_loading(&mut self, now: Micros) {
-        self.took_over_at = now;
-        self.unconfirmed.loading = false;
+        self.takeover.at = now;
+        self.takeover.unconfirmed.loading = false;
         self.shard.finish_loading();
         self.machines
             .values_mut()
@@ -251,7 +253,7 @@
         let mut commit = Transaction::default();
         let mut batch = WriteBatch::default();
         let mut bytes = 512;
-        commit.guard(&self.assignment_keys.0, holder);
+        commit.guard(&self.store_writes.assignment_keys.0, holder);
         // A transaction must be able to carry the end of a job beside machines.
         let most = (ops / 2).max(1);
         self.add_shard_chunks(&mut commit, &mut batch, &mut bytes, most, false);
@@ -274,7 +276,7 @@
                 continue;
             }
             let over = job.is_finished()
-                || (job.cancelled && job.tasks.live_attempts.is_empty() && self.settled);
+                || (job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.settled);
             match job.persistence.dirty_since {
                 // In the order in which they ended: in that of their names one of a high number would wait for as long as
                 // more end than may be written.
@@ -284,7 +286,7 @@
                 _ if over => due.push((WriteReason::Cancelled, 0, job.id.clone())),
                 // Launches wait for it.
                 _ if job.persistence.requested_watermark > job.persistence.durable_watermark
-                    && !self.launches_without_watermark =>
+                    && !self.watermarks.not_required =>
                 {
                     due.push((WriteReason::Watermark, 0, job.id.clone()));
                 }
@@ -423,7 +425,7 @@
                 live,
             );
         }
-        if self.watermarks_recorded == Some(false)
+        if self.watermarks.recorded == ReliabilityRecord::Missing
             && commit.change_count() < ops
             && self.watermarks_cover_all_launches()
         {
@@ -433,12 +435,16 @@
                 term: self.term,
                 watermarks_reliable: true,
             };
-            commit.put(&self.assignment_keys.1, store::to_raw_value(&record), None);
+            commit.put(
+                &self.store_writes.assignment_keys.1,
+                store::to_raw_value(&record),
+                None,
+            );
             batch.writes.push(BatchedWrite::WatermarksReliable);
-            self.watermarks_recorded = None;
+            self.watermarks.recorded = ReliabilityRecord::WriteInFlight;
         }
         while commit.change_count() < ops && bytes < 40_000 {
-            let Some(key) = self.stale_keys.pop() else {
+            let Some(key) = self.store_writes.stale_keys.pop() else {
                 break;
             };
             commit.delete(&key);
@@ -529,7 +535,7 @@
 
     /// A transaction was carried out.
     pub fn transaction_committed(&mut self, batch: WriteBatch, stamp: u64) {
-        self.transaction_rejections = 0;
+        self.store_writes.transaction_rejections = 0;
         for item in batch.writes {
             match item {
                 BatchedWrite::JobProgress {
@@ -564,9 +570,9 @@
                 BatchedWrite::ShardChunk { index, members } => {
                     self.shard.mark_written(index, stamp);
                     for name in members {
-                        if self.accepting_transfers.remove(&name) {
+                        if self.transfers.incoming.remove(&name) {
                             // Only now that it is on this block's record may that of its way here go.
-                            self.stale_keys.push(format!(
+                            self.store_writes.stale_keys.push(format!(
                                 "{}{}/{name}",
                                 store::MACHINE_TRANSFER_PREFIX,
                                 self.shard.id
@@ -590,7 +596,7 @@
                 BatchedWrite::MachineTransfer { machine } => self.machine_transferred(&machine),
                 BatchedWrite::WatermarksReliable => {
                     tracing::info!(term = self.term, "a successor can go by the jobs' marks");
-                    self.watermarks_recorded = Some(true);
+                    self.watermarks.recorded = ReliabilityRecord::Durable;
                 }
                 BatchedWrite::StaleKeyDeletion => {}
             }
@@ -638,7 +644,9 @@
                     }
                 }
                 // That it may say so, though it was not told, is true all the same.
-                BatchedWrite::WatermarksReliable => self.watermarks_recorded = Some(false),
+                BatchedWrite::WatermarksReliable => {
+                    self.watermarks.recorded = ReliabilityRecord::Missing
+                }
                 BatchedWrite::ShardChunk { index, .. } if !unsure => {
                     self.shard.mark_write_failed(*index)
                 }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -19,7 +19,7 @@
         if self.shard.id != 0 {
             return;
         }
-        if self.jobs.contains_key(&id) || self.has_tombstone(&id, stamp) {
+        if self.jobs.contains_key(&id) || self.store_writes.has_tombstone(&id, stamp) {
             return;
         }
         let upstream = store::decode_job_ids(&record.waiting.upstream_ids);
@@ -41,7 +41,7 @@
         w.version = w.version.max(stamp);
         w.cancellation_recorded |= record.cancelled;
         w.version_unknown = false;
-        let (jobs, waiting, foreign) = (&self.jobs, &lines.waiting, &self.jobs_in_other_shards);
+        let (jobs, waiting, foreign) = (&self.jobs, &lines.waiting, &self.other_shards.jobs);
         let fate = |u: &JobId| match jobs.get(u) {
             None if foreign.contains_key(u) => DependencyOutcome::Live,
             Some(j) if j.cancelled => DependencyOutcome::Cancelled,
@@ -157,8 +157,11 @@
                     record.ready_at = Some(self.unix_time.max(w.accepted_at));
                     // It is most likely to start at once.
                     record.watermark = Some(w.spec.tasks.min(RELEASE_WATERMARK));
-                    record.shard =
-                        shard_load::choose_home_shard(&mut self.shard_loads, u32::MAX, &w.spec);
+                    record.shard = shard_load::choose_home_shard(
+                        &mut self.other_shards.loads,
+                        u32::MAX,
+                        &w.spec,
+                    );
                     if record.shard != 0 {
                         // Whoever holds that block may know of others to go first.
                         record.watermark = Some(0);
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -64,7 +64,7 @@
                         self.fleet.refusals.remove(&offer);
                     }
                     let flavor = self.machine_types[offer.machine_type].name.clone();
-                    let to = self.provisioning_for_shard.remove(&name);
+                    let to = self.transfers.provisioning_for_shard.remove(&name);
                     for m in rented.machines {
                         match to {
                             // It may have reported by now, and have been adopted.
@@ -88,12 +88,12 @@
                     }
                 } else if is_out_of_capacity(answer) || tries >= 4 {
                     self.fleet.pending_provisions.remove(&name);
-                    self.provisioning_for_shard.remove(&name);
+                    self.transfers.provisioning_for_shard.remove(&name);
                     self.record_offer_refusal(&offer, now);
                 } else if matches!(answer, Some((400, _))) {
                     tracing::error!(%name, "the cloud calls a rental request malformed");
                     self.fleet.pending_provisions.remove(&name);
-                    self.provisioning_for_shard.remove(&name);
+                    self.transfers.provisioning_for_shard.remove(&name);
                     self.record_offer_refusal(&offer, now);
                 } else {
                     // The same name again: it rents once, however often it is carried out.
@@ -157,8 +157,9 @@
         let seen = std::mem::take(&mut self.fleet.listing_entries);
         let lag = 2 * self.settings.list_lag;
         // What other blocks have and is on no list any more is gone, however old the list is.
-        let old = now > self.took_over_at + lag + MAX_MESSAGE_AGE;
-        self.machines_in_other_shards
+        let old = now > self.takeover.at + lag + MAX_MESSAGE_AGE;
+        self.other_shards
+            .machines
             .retain(|m, _| !old || seen.iter().any(|l| l.id == *m));
         let limit = self.lease_expiry_bound();
         let mut gone: Vec<MachineId> = Vec::new();
@@ -185,7 +186,7 @@
             .retain(|_, at| now < *at + MAX_MESSAGE_AGE + lag);
         let mut adopted = 0;
         for l in &seen {
-            if self.machines_in_other_shards.contains_key(&l.id) {
+            if self.other_shards.machines.contains_key(&l.id) {
                 continue;
             }
             if !self.machines.contains_key(l.id.as_str()) {
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -10,7 +10,7 @@
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
 use crate::state::shard::ShardMember;
-use crate::state::shard_load::OutgoingTransfer;
+use crate::state::shard_transfers::OutgoingTransfer;
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, MachineTransferRecord, Transaction};
 
@@ -25,8 +25,8 @@
         record: MachineTransferRecord,
         to: u32,
     ) {
-        self.machines_in_other_shards.insert(machine.into(), to);
-        self.outgoing_transfers.insert(
+        self.other_shards.machines.insert(machine.into(), to);
+        self.transfers.outgoing.insert(
             machine.into(),
             OutgoingTransfer {
                 to_shard: to,
@@ -45,7 +45,8 @@
         most: usize,
     ) {
         for (machine, giving) in self
-            .outgoing_transfers
+            .transfers
+            .outgoing
             .iter_mut()
             .filter(|g| !g.1.write_in_flight)
         {
@@ -67,9 +68,10 @@
     }
 
     pub(crate) fn machine_transferred(&mut self, machine: &str) {
-        if let Some(giving) = self.outgoing_transfers.remove(machine) {
+        if let Some(giving) = self.transfers.outgoing.remove(machine) {
             let until = self.now + ARRIVAL_TIME;
-            self.recent_transfers
+            self.transfers
+                .recent
                 .entry(giving.to_shard)
                 .or_default()
                 .push((until, giving.record));
@@ -78,7 +80,7 @@
 
     /// Perhaps it was carried out: to say it again changes nothing, for whoever took it knows it already.
     pub(crate) fn machine_transfer_failed(&mut self, machine: &str) {
-        if let Some(giving) = self.outgoing_transfers.get_mut(machine) {
+        if let Some(giving) = self.transfers.outgoing.get_mut(machine) {
             giving.write_in_flight = false;
         }
     }
@@ -90,7 +92,7 @@
         record: &MachineTransferRecord,
         now: Micros,
     ) {
-        if self.accepting_transfers.contains(machine) {
+        if self.transfers.incoming.contains(machine) {
             return;
         }
         if self
@@ -100,7 +102,7 @@
             || self.fleet.deleted_machines.contains_key(machine)
         {
             // It is here already, or was: only what says that it is on its way is left over.
-            self.stale_keys.push(format!(
+            self.store_writes.stale_keys.push(format!(
                 "{}{}/{machine}",
                 store::MACHINE_TRANSFER_PREFIX,
                 self.shard.id
@@ -121,7 +123,7 @@
         } = record.clone();
         self.shard
             .add(machine, ShardMember { flavor, zone, spot }, None);
-        self.accepting_transfers.insert(machine.into());
+        self.transfers.incoming.insert(machine.into());
     }
 
     /// How many machines of an offer are being rented for a block, or on their way to it.
@@ -136,15 +138,17 @@
         let same = |r: &MachineTransferRecord| {
             r.machine_type == flavor && r.zone == zone && r.spot == spot
         };
-        let arriving = self.recent_transfers.entry(block).or_default();
+        let arriving = self.transfers.recent.entry(block).or_default();
         arriving.retain(|(until, _)| now < *until);
         let arriving = arriving.iter().filter(|(_, r)| same(r)).count() as u32;
         let giving = self
-            .outgoing_transfers
+            .transfers
+            .outgoing
             .values()
             .filter(|g| g.to_shard == block && same(&g.record))
             .count();
         let asked = self
+            .transfers
             .provisioning_for_shard
             .iter()
             .filter(|(_, to)| **to == block);
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -10,10 +10,11 @@
 use crate::policy::{Setting, Value};
 use crate::scheduling::zones::ZoneTaskCounts;
 use crate::state::attempt::{Attempt, AttemptPhase};
-use crate::state::cluster::{Cluster, SchedulingCost};
+use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer};
 use crate::state::job::Job;
 use crate::state::machine::Machine;
+use crate::state::pass_state::SchedulingCost;
 use crate::state::provisioning_times::OVERDUE_FACTOR;
 
 /// What the cloud charges at least for a machine that is deleted.
@@ -58,7 +59,7 @@
 impl Cluster {
     /// The calls to make to the cloud now.
     pub fn plan_cloud_calls(&mut self, now: Micros) -> Vec<CloudCall> {
-        let before = self.scheduling_steps.get();
+        let before = self.passes.steps.get();
         let earned = now.saturating_sub(self.fleet.refilled_at) as f64 / SECOND as f64;
         self.fleet.rate_tokens = (self.fleet.rate_tokens + earned * self.fleet.rate)
             .min((self.fleet.rate * 2.0).max(1.0));
@@ -82,7 +83,7 @@
         self.detect_unreachable_zones(now);
         self.return_unhealthy(now);
         let leads = self.shard.id == 0;
-        if self.settled || self.all_workers_had_time_to_report(now) {
+        if self.takeover.settled || self.all_workers_had_time_to_report(now) {
             match leads {
                 true => self.scale_out(now, &mut calls),
                 // Block 0's holder rents for all.
@@ -92,7 +93,7 @@
         if leads {
             self.scale_out_for_shards(now, &mut calls, MAX_MACHINES_PER_RENTAL);
         }
-        if self.settled {
+        if self.takeover.settled {
             self.scale_in(now);
             self.consolidate(now);
         }
@@ -121,11 +122,11 @@
             self.fleet.next_machine_types_at = now + 30 * SECOND;
             calls.push(CloudCall::MachineTypes);
         }
-        let steps = self.scheduling_steps.get() - before;
-        self.next_plan_at = now + self.pacing_delay(steps);
-        self.scheduling_cost.plans += 1;
-        self.scheduling_cost.plan_steps += steps;
-        self.scheduling_cost.max_steps = self.scheduling_cost.max_steps.max(steps);
+        let steps = self.passes.steps.get() - before;
+        self.passes.next_plan_at = now + self.pacing_delay(steps);
+        self.passes.cost.plans += 1;
+        self.passes.cost.plan_steps += steps;
+        self.passes.cost.max_steps = self.passes.cost.max_steps.max(steps);
         calls
     }
 
@@ -140,7 +141,7 @@
                     return;
                 }
                 // One machine is enough to try a zone that was cut off.
-                let dark = self.unreachable_zones.contains_key(&*offer.zone);
+                let dark = self.zones.unreachable.contains_key(&*offer.zone);
                 let now = count.min(if dark { 1 } else { MAX_MACHINES_PER_RENTAL });
                 if count > now && !dark {
                     rest.insert(offer.clone(), count - now);
@@ -177,7 +178,7 @@
             plans,
             plan_steps,
             max_steps: most,
-        } = std::mem::take(&mut self.scheduling_cost);
+        } = std::mem::take(&mut self.passes.cost);
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -246,7 +247,7 @@
                 .map(|f| boots.expected_boot_time(f, &m.zone, usual, now));
             let boot = usual.max(expected.unwrap_or(0));
             // What boots in a zone that is cut off is of no use, but its first minute is paid.
-            let dark = self.unreachable_zones.contains_key(&m.zone);
+            let dark = self.zones.unreachable.contains_key(&m.zone);
             let most = if dark {
                 MIN_BILLED_TIME.max(2 * boot)
             } else {
@@ -369,7 +370,7 @@
             if !m.is_schedulable(now, self.settings.report) || m.attempts.is_empty() {
                 continue;
             }
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            self.passes.add_steps(1);
             if m.free().cpu > 0 && m.active_reservation(now).is_none() {
                 room.insert(m.id.clone(), m.free());
             }
@@ -431,7 +432,7 @@
     ) -> Option<(MachineId, Resources)> {
         let spec = &self.jobs.get(&task.job)?.spec;
         let may = |to: &MachineId| {
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            self.passes.add_steps(1);
             let free = room.free.get(to).is_some_and(|free| spec.need.fits(free));
             let m = self.machines.get(to).filter(|_| free);
             m.is_some_and(|m| self.can_host(m, &task.job, spec, &ZoneTaskCounts::new(), now))
@@ -474,7 +475,7 @@
     /// Whether an offer was refused lately. As long as no machine of it has been given back or
     /// taken since, the cloud most likely still has none.
     pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
-        if let Some(at) = self.unreachable_zones.get(&*offer.zone) {
+        if let Some(at) = self.zones.unreachable.get(&*offer.zone) {
             // Tried with one machine now and then.
             let tried = self
                 .machines
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -15,7 +15,7 @@
 use crate::state::cluster::Cluster;
 
 /// Marks are at least so many tasks ahead of what is launched, and one for so many machines, which may all
-/// have room in the same moment; and more where more is launched ([`Pace`](crate::state::unconfirmed::Pace)).
+/// have room in the same moment; and more where more is launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
 const MIN_WATERMARK_LEAD: usize = 32;
 const MACHINES_PER_WATERMARK_STEP: usize = 4;
 
@@ -30,6 +30,7 @@
             None => i64::MAX,
         };
         let each = self
+            .takeover
             .unconfirmed
             .silent_machines
             .iter()
@@ -57,15 +58,15 @@
         }
         let unknown = silent.contains_key(&None);
         let machines = silent.values().sum::<i64>() as usize;
-        self.unconfirmed.silent_machines = silent.into_iter().collect();
-        let mut held = vec![Resources::default(); self.team_usage.len()];
+        self.takeover.unconfirmed.silent_machines = silent.into_iter().collect();
+        let mut held = vec![Resources::default(); self.quota.team_usage.len()];
         let mut clear = Vec::new();
         for job in self
             .jobs
             .values()
             .filter(|j| !j.tasks.unconfirmed.is_empty())
         {
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            self.passes.add_steps(1);
             // As it was submitted: what policy forbids now, another leader may have allowed.
             let most = self.max_unconfirmed_tasks(&job.submitted_spec);
             if most == 0 {
@@ -81,7 +82,7 @@
         for id in clear {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.tasks.unconfirmed = Default::default();
-                self.pass_needed = true;
+                self.passes.needed = true;
             }
         }
         if !unknown {
@@ -90,23 +91,23 @@
                 h.gpu = h.gpu.min(most.gpu);
             }
         }
-        self.unconfirmed.possible_usage = held;
+        self.takeover.unconfirmed.possible_usage = held;
         machines
     }
 
     /// Raises marks ahead of what is to be launched next, in the order of the last pass.
     pub fn raise_watermarks_ahead(&mut self, now: Micros) {
-        self.launch_rate.measure(now);
+        self.watermarks.launch_rate.measure(now);
         let large = self.machines.len() / MACHINES_PER_WATERMARK_STEP;
         let mut left = MIN_WATERMARK_LEAD
             .max(large)
-            .max(self.launch_rate.tasks_per_second as usize);
-        for i in 0..self.placement_order.len() {
-            let id = self.placement_order[i].clone();
+            .max(self.watermarks.launch_rate.tasks_per_second as usize);
+        for i in 0..self.passes.placement_order.len() {
+            let id = self.passes.placement_order[i].clone();
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            self.passes.add_steps(1);
             let waiting = job.placeable_count();
             if waiting == 0 || job.cancelled || self.tasks_within_quota(job) <= 0 {
                 continue;
@@ -138,14 +139,14 @@
     /// Every worker that reaches a controller has had the time to report to this leader: what is silent now may
     /// stay so for a lease, and gives no room that can be planned with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
-        now > self.took_over_at + self.settings.report * 5 / 4 + 2 * SECOND
+        now > self.takeover.at + self.settings.report * 5 / 4 + 2 * SECOND
     }
 
     /// Whether all that may be on a machine is below its mark, as the state service holds it: then a successor
     /// can go by them.
     pub fn watermarks_cover_all_launches(&self) -> bool {
-        self.settled
-            && !self.launches_without_watermark
+        self.takeover.settled
+            && !self.watermarks.not_required
             && self
                 .jobs
                 .values()
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -327,12 +327,12 @@
 impl Cluster {
     /// Work that has no room now and may run under its team's limit, in queue order.
     fn pending_work(&self, now: Micros) -> Vec<PendingWork> {
-        let mut spare: Vec<Resources> = (0..self.team_usage.len())
+        let mut spare: Vec<Resources> = (0..self.quota.team_usage.len())
             .map(|t| self.remaining_quota(t))
             .collect();
         let mut out = Vec::new();
         for (id, within) in self.queue.jobs() {
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            self.passes.add_steps(1);
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
@@ -564,8 +564,7 @@
             }
             future.return_candidates(&key, read);
         }
-        self.scheduling_steps
-            .set(self.scheduling_steps.get() + future.steps);
+        self.passes.add_steps(future.steps);
         for id in awaited {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.placement.planned_work_until = now + 2 * SECOND;
@@ -632,7 +631,7 @@
                 if !least.fits(&free) {
                     break;
                 }
-                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                self.passes.add_steps(1);
                 if w.spec.allows(&flavor.name, zone, *spot) {
                     let n = w.spec.need.count_in(&free).min(w.tasks);
                     free -= w.spec.need.scaled_by(n);
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -124,13 +124,13 @@
     pub fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
         let every =
             (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
-        let round = now >= self.gang_round_at + every;
+        let round = now >= self.passes.gang_round_at + every;
         if round {
-            self.gang_round_at = now;
+            self.passes.gang_round_at = now;
         }
         let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
-        let until = self.scheduling_steps.get() + steps as u64;
-        let behind = round && std::mem::take(&mut self.gang_requests_deferred);
+        let until = self.passes.steps.get() + steps as u64;
+        let behind = round && std::mem::take(&mut self.passes.gang_requests_deferred);
         GangPass {
             regather_all: round,
             step_limit: until,
@@ -143,7 +143,7 @@
     fn is_still_queued(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.scheduling.last_queued_pass == self.pass_count)
+            .is_some_and(|j| j.scheduling.last_queued_pass == self.passes.count)
     }
 
     /// Gathers room for a gang that found none, and makes it where waiting would be too late.
@@ -225,8 +225,7 @@
         {
             let list = book.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.machines.iter().filter_map(|m| self.machines.get(m)) {
-                self.scheduling_steps
-                    .set(self.scheduling_steps.get() + 1 + m.attempts.len() as u64 / 4);
+                self.passes.add_steps(1 + m.attempts.len() as u64 / 4);
                 let times = self.capacity_times(m, spec, now);
                 list.extend(times.into_iter().map(|at| (at, m.id.clone())));
             }
@@ -257,7 +256,7 @@
             let mut i = 0;
             while i < list.len() && mine.len() < tasks {
                 let (at, machine) = &list[i];
-                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                self.passes.add_steps(1);
                 let m = self.machines.get(machine);
                 // What is kept for a gang further down the queue can be had: else each of two gangs
                 // may long hold a machine that is ready beside one that is not.
@@ -354,8 +353,8 @@
 
     /// What each team runs above its guarantee, less what has been told to stop.
     fn borrowed_quota(&self) -> BorrowedQuota {
-        let mut out: BorrowedQuota = Vec::with_capacity(self.team_usage.len());
-        for (used, team) in self.team_usage.iter().zip(&self.settings.teams) {
+        let mut out: BorrowedQuota = Vec::with_capacity(self.quota.team_usage.len());
+        for (used, team) in self.quota.team_usage.iter().zip(&self.settings.teams) {
             out.push(*used - team.guarantee);
         }
         for a in self.machines.values().flat_map(|m| m.attempts.values()) {
@@ -370,7 +369,7 @@
     /// for a job within its team's guarantee by stopping work that other teams run above theirs.
     /// What loses least is stopped first, and the room is kept for the job.
     pub fn preempt_for(&mut self, id: &JobId, tasks: usize, gathering: &mut GangPass, now: Micros) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.settled) else {
+        let Some(job) = self.jobs.get(id).filter(|_| self.takeover.settled) else {
             return;
         };
         let spec = job.spec.clone();
@@ -389,8 +388,8 @@
         {
             return;
         }
-        if self.scheduling_steps.get() > gathering.step_limit {
-            self.gang_requests_deferred = true;
+        if self.passes.steps.get() > gathering.step_limit {
+            self.passes.gang_requests_deferred = true;
             return;
         }
         let guests_only = !urgent && !gang;
@@ -529,8 +528,7 @@
         {
             let list = made.timeline.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.machines.iter().filter_map(|m| self.machines.get(m)) {
-                self.scheduling_steps
-                    .set(self.scheduling_steps.get() + 1 + m.attempts.len() as u64 / 4);
+                self.passes.add_steps(1 + m.attempts.len() as u64 / 4);
                 if !m.is_schedulable(now, self.settings.report)
                     || (!gang && m.active_reservation(now).is_some())
                 {
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -21,7 +21,7 @@
     pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
-            if !Team::within(&limit, &Resources::default(), &self.team_usage[team]) {
+            if !Team::within(&limit, &Resources::default(), &self.quota.team_usage[team]) {
                 self.enforce_team_limit(team, limit, now);
             }
         }
@@ -41,7 +41,7 @@
                 } else {
                     1 + now.saturating_sub(a.phase_since)
                 };
-                if starting || self.over_limit == OverLimit::Stop {
+                if starting || self.quota.over_limit == OverLimit::Stop {
                     excess.push(ExcessAttempt {
                         ran,
                         task: task.clone(),
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -54,8 +54,7 @@
                 .map(|j| self.queue_key(j, charge_guarantee(left, j)));
             queue.entries = keys.collect();
             queue.entries.sort_unstable();
-            self.scheduling_steps
-                .set(self.scheduling_steps.get() + queue.entries.len() as u64);
+            self.passes.add_steps(queue.entries.len() as u64);
         }
         for id in std::mem::take(&mut queue.arrivals) {
             let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else {
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -130,7 +130,11 @@
             term: self.term,
             ..ShardLoad::default()
         };
-        let held = self.team_usage.iter().zip(&self.unconfirmed.possible_usage);
+        let held = self
+            .quota
+            .team_usage
+            .iter()
+            .zip(&self.takeover.unconfirmed.possible_usage);
         load.teams = held
             .map(|(used, doubted)| {
                 let mut all = *used;
@@ -151,7 +155,7 @@
                 };
             }
         }
-        for (t, team) in self.cluster_teams.iter().enumerate() {
+        for (t, team) in self.quota.cluster_teams.iter().enumerate() {
             let (used, waiting) = &mut load.teams[t];
             waiting.cpu = waiting.cpu.min((team.limit.cpu - used.cpu).max(0));
             waiting.gpu = waiting.gpu.min((team.limit.gpu - used.gpu).max(0));
@@ -176,7 +180,7 @@
         calls: &mut Vec<CloudCall>,
         most: u32,
     ) {
-        for (block, wants) in std::mem::take(&mut self.other_shards_demand) {
+        for (block, wants) in std::mem::take(&mut self.other_shards.demand) {
             for (offer, wanted) in wants {
                 let flavor = self.machine_types[offer.machine_type].name.clone();
                 let coming = self.incoming_machine_count(block, &flavor, &offer.zone, offer.spot);
@@ -189,7 +193,9 @@
                 }
                 let call = self.rent(offer, count);
                 if let CloudCall::Provision { name, .. } = &call {
-                    self.provisioning_for_shard.insert(name.clone(), block);
+                    self.transfers
+                        .provisioning_for_shard
+                        .insert(name.clone(), block);
                 }
                 calls.push(call);
             }
@@ -211,12 +217,12 @@
     /// Sends jobs that nothing was launched of, and that have no room here, to a block that has; all that can go, if
     /// this block is to be given up.
     pub fn transfer_waiting_jobs(&mut self, give_up: bool) {
-        if !self.settled || self.shard_loads.len() < 2 {
+        if !self.takeover.settled || self.other_shards.loads.len() < 2 {
             return;
         }
         let own = self.shard.id;
         let best = |need: i64| {
-            let others = self.shard_loads.iter().filter(|l| l.shard != own);
+            let others = self.other_shards.loads.iter().filter(|l| l.shard != own);
             let roomy = others.filter(|l| give_up || l.free_cpu - l.waiting_cpu >= need);
             roomy
                 .max_by_key(|l| (l.free_cpu - l.waiting_cpu, l.shard))
@@ -234,6 +240,7 @@
         };
         let mut leave: Vec<(JobId, u32)> = Vec::new();
         let queue = self
+            .passes
             .placement_order
             .iter()
             .filter_map(|id| self.jobs.get(id));
@@ -246,14 +253,14 @@
             leave.extend(best(need).map(|to| (job.id.clone(), to)));
         }
         if !leave.is_empty() {
-            self.pass_needed = true;
+            self.passes.needed = true;
         }
         for (id, to) in leave {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.scheduling.home_shard = Some(to);
             }
             // Until the other holder says how it stands now.
-            if let Some(load) = self.shard_loads.iter_mut().find(|l| l.shard == to) {
+            if let Some(load) = self.other_shards.loads.iter_mut().find(|l| l.shard == to) {
                 load.free_cpu = 0;
             }
         }
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -218,8 +218,8 @@
     /// What a team may still use, counting all that it may have on machines.
     pub fn remaining_quota(&self, team: usize) -> Resources {
         self.settings.teams[team].limit
-            - self.team_usage[team]
-            - self.unconfirmed.possible_usage[team]
+            - self.quota.team_usage[team]
+            - self.takeover.unconfirmed.possible_usage[team]
     }
 
     /// How many more of the job's tasks its team's limit allows.
@@ -267,14 +267,14 @@
         let tiers = ranked
             .chunk_by(same)
             .map(|tier| tier.iter().map(|r| r.2).collect());
-        self.bucket_tiers = tiers.collect();
+        self.passes.bucket_tiers = tiers.collect();
     }
 
     /// Places what can be placed now, and makes room for what must not wait. At a takeover it places on what
     /// has been heard, and stops nothing: there may be room enough.
     pub fn run_scheduling_pass(&mut self, now: Micros) {
-        let before = self.scheduling_steps.get();
-        if self.over_limit == OverLimit::Stop {
+        let before = self.passes.steps.get();
+        if self.quota.over_limit == OverLimit::Stop {
             // A new leader learns of what runs as it is reported.
             self.enforce_limits(now);
         }
@@ -291,12 +291,11 @@
                 job.scheduling.within_guarantee = *within;
             }
         }
-        self.scheduling_steps
-            .set(self.scheduling_steps.get() + queue.len() as u64);
-        self.pass_needed = false;
-        self.last_pass_at = now;
-        self.pass_count += 1;
-        self.placement_order.clear();
+        self.passes.add_steps(queue.len() as u64);
+        self.passes.needed = false;
+        self.passes.last_at = now;
+        self.passes.count += 1;
+        self.passes.placement_order.clear();
         let mut pass = SchedulingPass {
             gangs: self.begin_gang_pass(now),
             ..SchedulingPass::default()
@@ -308,8 +307,8 @@
             if job.tasks.pending.is_empty() {
                 continue;
             }
-            job.scheduling.last_queued_pass = self.pass_count;
-            self.placement_order.push(id.clone());
+            job.scheduling.last_queued_pass = self.passes.count;
+            self.passes.placement_order.push(id.clone());
             let Some(job) = self
                 .jobs
                 .get(&id)
@@ -331,7 +330,7 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let limited = self.settled && self.tasks_within_quota(job) <= 0;
+            let limited = self.takeover.settled && self.tasks_within_quota(job) <= 0;
             if !job.scheduling.fully_placed && (job.tasks.pending.is_empty() || limited) {
                 let waited_s =
                     seconds_from_micros(self.unix_time.saturating_sub(job.ready_at)) as u32;
@@ -347,11 +346,11 @@
             }
         }
         self.raise_watermarks_ahead(now);
-        let steps = self.scheduling_steps.get() - before;
-        self.next_pass_at = now + self.pacing_delay(steps);
-        self.scheduling_cost.passes += 1;
-        self.scheduling_cost.pass_steps += steps;
-        self.scheduling_cost.max_steps = self.scheduling_cost.max_steps.max(steps);
+        let steps = self.passes.steps.get() - before;
+        self.passes.next_at = now + self.pacing_delay(steps);
+        self.passes.cost.passes += 1;
+        self.passes.cost.pass_steps += steps;
+        self.passes.cost.max_steps = self.passes.cost.max_steps.max(steps);
     }
 
     /// How long so many steps are to be the only ones: a step is a look at a machine or a job, and
@@ -364,8 +363,8 @@
     /// else in the order of the last one. A gang that may want it needs room elsewhere too, and is
     /// left to the next pass.
     pub fn use_freed_capacity(&mut self, id: &MachineId, now: Micros) {
-        let paced = self.last_pass_at + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
-        if now >= paced.max(self.next_pass_at) {
+        let paced = self.passes.last_at + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
+        if now >= paced.max(self.passes.next_at) {
             return self.run_scheduling_pass(now);
         }
         let report = self.settings.report;
@@ -382,6 +381,7 @@
         let free = machine.free();
         let candidates = || {
             let offered = self
+                .passes
                 .placement_order
                 .iter()
                 .take(MAX_JOBS_OFFERED)
@@ -407,7 +407,7 @@
                 }
                 // What came free is held until there is enough of it.
                 Some((_, false)) => {}
-                None if now >= self.next_pass_at => self.run_scheduling_pass(now),
+                None if now >= self.passes.next_at => self.run_scheduling_pass(now),
                 None => {}
             };
         }
@@ -427,8 +427,8 @@
         if candidates().any(gang) {
             return;
         }
-        for i in 0..self.placement_order.len().min(MAX_JOBS_OFFERED) {
-            let Some(j) = self.jobs.get(&self.placement_order[i]) else {
+        for i in 0..self.passes.placement_order.len().min(MAX_JOBS_OFFERED) {
+            let Some(j) = self.jobs.get(&self.passes.placement_order[i]) else {
                 continue;
             };
             let Some(m) = self.machines.get(id) else {
@@ -462,7 +462,7 @@
             better
                 && self.is_eligible_bucket(spec, &shelf.kind)
                 && open.any(|id| {
-                    self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                    self.passes.add_steps(1);
                     self.machines.get(id).is_some_and(|m| {
                         spec.need.fits(&m.free())
                             && m.active_reservation(now).is_none()
@@ -487,7 +487,7 @@
         suspect: bool,
         now: Micros,
     ) -> i64 {
-        self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+        self.passes.add_steps(1);
         // A suspect job is tried anywhere: it may have met faulty machines only.
         if !m.is_schedulable(now, self.settings.report)
             || (!suspect && m.placement.failures_by_job.contains_key(id))
@@ -650,7 +650,7 @@
         let mut seats = Placements::new();
         let mut left = n;
         let mut found: Vec<(bool, &Machine, i64)> = Vec::new();
-        for tier in &self.bucket_tiers {
+        for tier in &self.passes.bucket_tiers {
             if left == 0 {
                 break;
             }
@@ -715,7 +715,7 @@
             .filter(|s| self.is_eligible_bucket(&spec, &s.kind))
         {
             for m in shelf.with_cpu(1).filter_map(|m| self.machines.get(m)) {
-                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                self.passes.add_steps(1);
                 if !spec.need.fits(&m.free())
                     && m.active_reservation(now).is_none()
                     && self.can_host(m, id, &spec, &ZoneTaskCounts::new(), now)
@@ -808,7 +808,7 @@
         if searched && simple {
             pass.record_unplaceable(&spec, missing.len());
         }
-        if !self.settled {
+        if !self.takeover.settled {
             return self.reserve_on_confirmed_machines(id, &spec, missing.len(), now);
         }
         self.gather_or_preempt(id, missing.len(), &mut pass.gangs, now);
@@ -903,7 +903,7 @@
     /// When a booting machine is expected to be up. One that is overdue is expected to take as long
     /// again as it is late; after twice the expected time it is no longer counted on.
     pub fn expected_up_at(&self, m: &Machine, now: Micros) -> Option<Micros> {
-        if self.unreachable_zones.contains_key(&m.zone) {
+        if self.zones.unreachable.contains_key(&m.zone) {
             return None;
         }
         let f = m.machine_type?;
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -1,152 +1,111 @@
-//! The leader's view of jobs and machines, kept true by reports and by the state service.
+//! The leader's view of jobs and machines, kept true by heartbeats and by the state service.
 //!
-//! Everything that could be on a machine counts: tasks whose launch may still arrive, tasks that
-//! fetch, run, save or wait, and tasks of machines that cannot be reached.
+//! Everything that could be on a machine counts as there: tasks whose launch may still arrive, tasks that fetch, run, save
+//! or wait, and tasks of machines that cannot be reached.
 
-use std::cell::Cell;
-use std::collections::{BTreeMap, HashMap, HashSet};
+mod attempts;
+mod capacity;
+
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use super::capacity_index::CapacityIndex;
 use super::fleet::{Fleet, Offer};
+use super::job::Job;
 use super::kill_orders::KillOrders;
+use super::machine::{Machine, NewMachine};
+use super::pass_state::PassState;
 use super::pipeline::Pipelines;
 use super::queue::Queue;
+use super::quota::{QuotaState, partition_teams};
 use super::shard::Shard;
-use super::shard_load::{OutgoingTransfer, ShardLoad};
-use super::unconfirmed::{LaunchRate, Unconfirmed};
+use super::shard_transfers::{OtherShards, ShardTransfers};
+use super::unconfirmed::Takeover;
 use super::usage::UsageLedger;
-use crate::configuration::OverLimit;
-use crate::model::MachineId;
-use crate::model::{JobId, MachineType, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
+use super::watermarks::LaunchWatermarks;
+use super::writes::StoreWrites;
+use super::zones::ZoneReachability;
+use crate::model::{JobId, MachineId, MachineType, Micros, Resources};
 use crate::policy::Setting;
 use crate::settings::Settings;
-use crate::state::attempt::{Attempt, AttemptPhase};
-use crate::state::job::Job;
-use crate::state::machine::{Machine, NewMachine};
-use crate::wire::store::{MachineTransferRecord, assignment_keys};
+use crate::wire::store::assignment_keys;
 
 /// Added to every lease that is waited out.
 const LEASE_MARGIN: Micros = 250_000;
-
-/// A duration as a clock that runs 0.1% fast against ours would need it.
-fn with_clock_drift(d: Micros) -> Micros {
-    d + d / 1000
-}
-
-/// What deciding has cost, in steps: looks at machines, jobs and lanes.
-#[derive(Debug, Default)]
-pub struct SchedulingCost {
-    pub passes: u64,
-    pub pass_steps: u64,
-    pub plans: u64,
-    pub plan_steps: u64,
-    /// The most that one pass or plan took.
-    pub max_steps: u64,
-}
-
+/// Clocks may differ in speed by one part in so many.
+const MAX_CLOCK_DRIFT: Micros = 1000;
+/// The end of a job takes this many changes, and must always fit into a transaction.
+const MIN_TRANSACTION_CHANGES: usize = 2;
+
+/// All that the owner of a shard knows of it.
+///
+/// Part of it is owned by the types of its fields, each of which says who changes it. What still spans several parts is
+/// written here, in the methods of this module, and nowhere else:
+///
+/// - the use of machines and teams and the capacity index, which have to agree with the attempts on the machines
+///   (`adjust_usage`, `reindex_machine`);
+/// - the attempts of a job and those on its machines, which name each other (`place_task`).
+///
+/// The folders above this one add methods of their own: `scheduling` decides and changes `queue`, `passes`, `fleet` and the
+/// reservations on machines; `reconcile` takes in heartbeats, records and answers of the cloud, and with them changes jobs,
+/// machines and pipelines; `controller` only sets flags and calls methods.
 #[derive(Debug)]
 pub struct Cluster {
+    /// The term under which this controller owns the shard: the fencing token of all that it sends.
     pub term: u64,
-    /// With the limits and guarantees that hold in this block.
+    /// The settings, with the limits and guarantees that hold in this shard.
     pub settings: Arc<Settings>,
-    /// Teams as they are in the whole cluster.
-    pub cluster_teams: Vec<Team>,
     pub machine_types: Arc<Vec<MachineType>>,
+    /// The shard's durable record of its machines.
+    pub shard: Shard,
+
+    /// The time of the last step, on this process's clock.
+    pub now: Micros,
+    /// The time of day, in microseconds since 1970.
+    pub unix_time: u64,
+
     /// Jobs that wait for no other: only these can be placed.
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that wait for others.
     pub pipelines: Pipelines,
     pub machines: BTreeMap<MachineId, Machine>,
-    /// The same machines by where there is room.
+    /// The same machines by their free capacity.
     pub capacity_index: CapacityIndex,
-    pub team_usage: Vec<Resources>,
-    /// The size of all machines that are up.
+    /// The capacity of all machines that are up.
     pub total_capacity: Resources,
-    pub shard: Shard,
-    /// The keys of this block's holder and last term.
-    pub assignment_keys: (String, String),
-    /// Machines that are in another block, or on their way there; only block 0's holder keeps track.
-    pub machines_in_other_shards: BTreeMap<String, u32>,
-    /// Jobs of other blocks, and their versions; the same.
-    pub jobs_in_other_shards: BTreeMap<JobId, u64>,
-    /// New machines that are to go to other blocks, and the requests that are to bring them.
-    pub outgoing_transfers: BTreeMap<String, OutgoingTransfer>,
-    pub provisioning_for_shard: BTreeMap<String, u32>,
-    /// What has been given to other blocks lately, and until when it counts as on its way.
-    pub(crate) recent_transfers: BTreeMap<u32, Vec<(Micros, MachineTransferRecord)>>,
-    /// Machines that are being taken over from their way here.
-    pub accepting_transfers: HashSet<String>,
-    /// Machines that this block's plan asks for.
-    pub machine_demand: BTreeMap<Offer, u32>,
-    /// What other blocks' plans ask for, as far as it is not under way.
-    pub other_shards_demand: BTreeMap<u32, BTreeMap<Offer, u32>>,
-    /// How the other blocks stand, for homes of jobs.
-    pub shard_loads: Vec<ShardLoad>,
-    pub fleet: Fleet,
-    /// Every machine of the block has reported to this term, or its lease has run out: nothing is in doubt.
-    pub settled: bool,
-    /// What may be on machines for which neither is so yet.
-    pub unconfirmed: Unconfirmed,
-    /// The jobs' marks of earlier terms say what was launched then.
-    pub watermarks_reliable: bool,
-    /// The state service holds that whatever is launched is covered by marks; being written: `None`.
-    pub watermarks_recorded: Option<bool>,
-    /// Launches go out without marks: all siblings know that.
-    pub launches_without_watermark: bool,
-    /// How fast tasks are launched, which tells how far marks have to be ahead.
-    pub launch_rate: LaunchRate,
-    pub(crate) took_over_at: Micros,
+    /// When all machines were last looked through for what time alone changes, as leases that run out.
+    pub(crate) machines_scanned_at: Micros,
+    /// Attempts that this term has started, which numbers them where no usage ledger is kept.
     pub(crate) attempts_started: u64,
-    pub(crate) stale_keys: Vec<String>,
-    /// Learned: how long tasks of a class run, as a share of their owners' estimates.
+    /// Nothing is placed or launched, as there may be a newer configuration than is known here.
+    pub starts_paused: bool,
+
+    /// All jobs in the order in which they are served.
+    pub queue: Queue,
+    pub passes: PassState,
+    pub quota: QuotaState,
+    /// How long tasks of a class run, as a ratio to their users' estimates: a moving average.
     pub runtime_ratios: HashMap<String, f64>,
-    pub unix_time: u64,
-    /// Jobs that are over, and the version at which they ended: a watch may still bring older news.
-    pub(crate) tombstones: HashMap<JobId, u64>,
+    pub takeover: Takeover,
+    pub watermarks: LaunchWatermarks,
+
+    /// Calls to the cloud.
+    pub fleet: Fleet,
+    /// Machines that this shard's provisioning plan asks for.
+    pub machine_demand: BTreeMap<Offer, u32>,
+    pub zones: ZoneReachability,
+    pub transfers: ShardTransfers,
+    pub other_shards: OtherShards,
+
     /// Attempts of cancelled jobs that their workers are to be told of at once.
     pub(crate) kill_orders: KillOrders,
-    /// Room came free since the last report was answered.
-    pub(crate) capacity_freed: bool,
-    /// Something changed that a pass over the whole queue should see.
-    pub pass_needed: bool,
-    /// All jobs in the order in which they are served.
-    pub queue: Queue,
-    /// Jobs with work to place, in queue order, as of the last pass.
-    pub placement_order: Vec<JobId>,
-    pub last_pass_at: Micros,
-    /// Kinds of machines with room, in first-fit order, as of the last pass.
-    pub bucket_tiers: Vec<Vec<usize>>,
-    /// How many passes there have been; when the next one may begin, and the next plan.
-    pub pass_count: u64,
-    pub next_pass_at: Micros,
-    pub next_plan_at: Micros,
-    /// The last pass did not come to all that ask for room to be made.
-    pub gang_requests_deferred: bool,
-    /// When room was last gathered for all gangs that wait.
-    pub gang_round_at: Micros,
-    /// When all machines were last looked over for what time alone changes.
-    pub(crate) machines_scanned_at: Micros,
-    /// The time of the last step.
-    pub now: Micros,
-    /// Zones whose machines have all fallen silent while others are heard, and when that was last
-    /// seen.
-    pub unreachable_zones: HashMap<Arc<str>, Micros>,
-    /// Looks at machines, jobs and lanes: what deciding costs.
-    pub scheduling_steps: Cell<u64>,
-    /// What passes and plans have cost since that was last logged.
-    pub scheduling_cost: SchedulingCost,
-    /// Transactions in a row that the state service called malformed or too large.
-    pub transaction_rejections: u32,
-    /// What becomes of tasks above a limit that was lowered.
-    pub over_limit: OverLimit,
-    /// Nothing is placed or launched: there may be a newer configuration than is known here.
-    pub starts_paused: bool,
-    /// Usage as it is charged, where a ledger is kept.
+    pub store_writes: StoreWrites,
+    /// Usage that is metered and charged. `None`: no usage ledger is kept.
     pub usage_ledger: Option<Box<UsageLedger>>,
 }
 
 impl Cluster {
+    /// The view of shard 0 before anything has been read; see [`Cluster::assign_shard`] for the others.
     pub fn new(
         term: u64,
         settings: Arc<Settings>,
@@ -154,154 +113,86 @@
         now: Micros,
         unix_time: u64,
     ) -> Cluster {
-        let chunk = settings.policy.number(Setting::BlockChunk, &[]) as usize;
-        let shard = Shard::new(0, term, &settings.name, settings.value_bytes, chunk);
-        let unconfirmed = Unconfirmed::new(settings.teams.len());
-        let kill_orders = KillOrders::new(settings.policy.number(Setting::Halts, &[]));
+        let chunk_size = settings.policy.number(Setting::BlockChunk, &[]) as usize;
+        let kill_order_rate = settings.policy.number(Setting::Halts, &[]);
         Cluster {
             term,
-            team_usage: vec![Resources::default(); settings.teams.len()],
-            total_capacity: Resources::default(),
-            fleet: Fleet::new(term, settings.cloud_rps),
-            cluster_teams: settings.teams.clone(),
-            settings,
-            machine_types,
+            shard: Shard::new(0, term, &settings.name, settings.value_bytes, chunk_size),
+            now,
+            unix_time,
             jobs: BTreeMap::new(),
             pipelines: Pipelines::default(),
             machines: BTreeMap::new(),
             capacity_index: CapacityIndex::default(),
-            shard,
-            assignment_keys: assignment_keys(0),
-            machines_in_other_shards: BTreeMap::new(),
-            jobs_in_other_shards: BTreeMap::new(),
-            outgoing_transfers: BTreeMap::new(),
-            provisioning_for_shard: BTreeMap::new(),
-            recent_transfers: BTreeMap::new(),
-            accepting_transfers: HashSet::new(),
-            machine_demand: BTreeMap::new(),
-            other_shards_demand: BTreeMap::new(),
-            shard_loads: Vec::new(),
-            settled: false,
-            unconfirmed,
-            watermarks_reliable: false,
-            watermarks_recorded: Some(false),
-            launches_without_watermark: false,
-            launch_rate: LaunchRate::default(),
-            took_over_at: now,
-            attempts_started: 0,
-            stale_keys: Vec::new(),
-            runtime_ratios: HashMap::new(),
-            unix_time,
-            tombstones: HashMap::new(),
-            kill_orders,
-            capacity_freed: false,
-            pass_needed: true,
-            queue: Queue::default(),
-            placement_order: Vec::new(),
-            last_pass_at: 0,
-            bucket_tiers: Vec::new(),
-            pass_count: 0,
-            next_pass_at: 0,
-            next_plan_at: 0,
-            gang_requests_deferred: false,
-            gang_round_at: 0,
+            total_capacity: Resources::default(),
             machines_scanned_at: 0,
-            now,
-            unreachable_zones: HashMap::new(),
-            scheduling_steps: Cell::new(0),
-            scheduling_cost: SchedulingCost::default(),
-            transaction_rejections: 0,
-            over_limit: OverLimit::default(),
+            attempts_started: 0,
             starts_paused: false,
+            queue: Queue::default(),
+            passes: PassState::default(),
+            quota: QuotaState::new(settings.teams.clone()),
+            runtime_ratios: HashMap::new(),
+            takeover: Takeover::new(now, settings.teams.len()),
+            watermarks: LaunchWatermarks::default(),
+            fleet: Fleet::new(term, settings.cloud_rps),
+            machine_demand: BTreeMap::new(),
+            zones: ZoneReachability::default(),
+            transfers: ShardTransfers::default(),
+            other_shards: OtherShards::default(),
+            kill_orders: KillOrders::new(kill_order_rate),
+            store_writes: StoreWrites::new(assignment_keys(0)),
             usage_ledger: None,
+            settings,
+            machine_types,
         }
     }
 
-    /// It is of another block than the leader's.
-    pub fn assign_shard(&mut self, block: u32) {
-        let chunk = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
-        let (name, bytes) = (&self.settings.name, self.settings.value_bytes);
-        self.shard = Shard::new(block, self.term, name, bytes, chunk);
-        self.assignment_keys = assignment_keys(block);
+    /// Makes this the view of another shard than shard 0. It has to come before anything is read.
+    pub fn assign_shard(&mut self, shard: u32) {
+        let chunk_size = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
+        let Settings {
+            name, value_bytes, ..
+        } = &*self.settings;
+        self.shard = Shard::new(shard, self.term, name, *value_bytes, chunk_size);
+        self.store_writes.assignment_keys = assignment_keys(shard);
     }
 
-    /// What teams may use in this block. Guarantees follow their limits in proportion.
+    /// Sets what teams may use in this shard. Guarantees follow their limits in proportion.
     pub fn apply_team_limits(&mut self, limits: &[Resources]) {
         let mut settings = (*self.settings).clone();
-        let teams = settings.teams.iter_mut().zip(&self.cluster_teams);
-        for ((team, whole), limit) in teams.zip(limits) {
-            let part = |limit: i64, whole: i64, guarantee: i64| match whole {
-                0 => 0,
-                _ => (limit as f64 / whole as f64 * guarantee as f64) as i64,
-            };
-            team.limit = *limit;
-            team.guarantee = Resources {
-                cpu: part(limit.cpu, whole.limit.cpu, whole.guarantee.cpu),
-                gpu: part(limit.gpu, whole.limit.gpu, whole.guarantee.gpu),
-                mem: whole.guarantee.mem,
-            };
-        }
+        partition_teams(&self.quota.cluster_teams, &mut settings.teams, limits);
         self.settings = Arc::new(settings);
-        self.pass_needed = true;
-    }
-
-    /// Goes by the marks of earlier terms, or does not.
-    pub fn set_watermarks_reliable(&mut self, trusted: bool) {
-        self.watermarks_reliable = trusted;
-        self.watermarks_recorded = Some(trusted);
+        self.passes.needed = true;
     }
 
     /// The newest version of a live record that is known here.
     pub fn record_version(&self, id: &str) -> Option<u64> {
-        self.jobs
-            .get(id)
-            .map(|j| j.persistence.version)
-            .or_else(|| self.waiting_job_version(id))
-    }
-
-    /// The job was over at this version.
-    pub fn has_tombstone(&self, id: &str, stamp: u64) -> bool {
-        self.tombstones.get(id).is_some_and(|over| *over >= stamp)
+        match self.jobs.get(id) {
+            Some(job) => Some(job.persistence.version),
+            None => self.waiting_job_version(id),
+        }
     }
 
-    /// The watch has reached this version: nothing older can come.
-    pub fn prune_tombstones(&mut self, stamp: u64) {
-        self.tombstones.retain(|_, over| *over > stamp);
+    /// The version of a waiting job's record.
+    pub fn waiting_job_version(&self, id: &str) -> Option<u64> {
+        let waiting = self.pipelines.waiting.get(id);
+        waiting.map(|job| job.version)
     }
 
-    /// Looks for zones that are cut off: machines rented there would not be heard either.
+    /// Looks for zones that have become unreachable.
     pub fn detect_unreachable_zones(&mut self, now: Micros) {
-        let quiet = 3 * self.settings.report + 2 * SECOND;
-        let mut silent: HashMap<Arc<str>, (u32, u32)> = HashMap::new();
-        for m in self.machines.values().filter(|m| m.lifecycle.is_up) {
-            let (all, mute) = silent.entry(m.zone.clone()).or_default();
-            *all += 1;
-            *mute += u32::from(
-                now > m
-                    .worker
-                    .last_heartbeat_at
-                    .unwrap_or(m.worker.last_answered_at)
-                    + quiet,
-            );
-        }
-        // That one machine or two fall silent at a time is nothing unusual.
-        let dark = |(all, mute): (u32, u32)| all > 2 && mute == all;
-        if silent.values().all(|s| dark(*s)) {
-            return;
-        }
-        for (zone, _) in silent.into_iter().filter(|s| dark(s.1)) {
-            if self.unreachable_zones.insert(zone.clone(), now).is_none() {
-                tracing::info!(%zone, "no machine of a zone is heard");
-            }
-        }
+        let heartbeat_interval = self.settings.report;
+        let machines = self.machines.values();
+        self.zones.detect(machines, heartbeat_interval, now);
     }
 
     /// After this long without an answer a worker's lease has run out, whatever its clock.
     pub fn lease_expiry_bound(&self) -> Micros {
-        with_clock_drift(self.settings.lease) + LEASE_MARGIN
+        let lease = self.settings.lease;
+        lease + lease / MAX_CLOCK_DRIFT + LEASE_MARGIN
     }
 
-    /// The machine of that name; one not known yet is adopted.
+    /// The machine of that name; one that is not known yet is adopted.
     pub fn machine_or_adopt(
         &mut self,
         name: &str,
@@ -315,266 +206,20 @@
             .get(name)
             .map_or_else(|| name.into(), |machine| machine.id.clone());
         let (machine_types, capacity_index) = (&self.machine_types, &mut self.capacity_index);
-        let kind = NewMachine {
+        let new_machine = NewMachine {
             machine_type,
             zone,
             spot,
         };
         self.machines.entry(id).or_insert_with_key(|id| {
-            Machine::new(id.clone(), machine_types, kind, capacity_index, now)
+            Machine::new(id.clone(), machine_types, new_machine, capacity_index, now)
         })
     }
 
-    /// Changes that a transaction may have. What the state service has called too large is asked
-    /// for in smaller ones; the end of a job takes two.
+    /// How many changes a transaction may have. What the state service has rejected as too large is tried again in smaller
+    /// transactions.
     pub fn max_transaction_changes(&self) -> usize {
-        (self.settings.txn_ops >> self.transaction_rejections.min(8)).max(2)
-    }
-
-    /// Tells one attempt to stop. A shorter grace replaces a longer one.
-    pub(crate) fn stop_attempt(
-        &mut self,
-        job: &str,
-        index: u32,
-        machine: &str,
-        attempt: u64,
-        grace: Micros,
-    ) {
-        let key = (
-            TaskId {
-                job: job.into(),
-                index,
-            },
-            attempt,
-        );
-        let Some(m) = self.machines.get_mut(machine) else {
-            return;
-        };
-        m.worker.heartbeat_digest = None;
-        if let Some(a) = m.attempts.get_mut(&key) {
-            a.stop_grace = Some(a.stop_grace.map_or(grace, |g| g.min(grace)));
-        }
-    }
-
-    /// Stops a task so that it saves if it can; a gang is stopped whole, and in order.
-    pub fn preempt(&mut self, job: &JobId, index: u32) {
-        let Some(j) = self.jobs.get_mut(job) else {
-            return;
-        };
-        let saves = j.spec.checkpoint_every > 0;
-        let grace = if saves { j.spec.save + 2 * SECOND } else { 0 };
-        let targets: Vec<u32> = match &mut j.tasks.gang_attempt {
-            Some(g) if g.stopping => return,
-            Some(g) => {
-                g.stopping = true;
-                j.tasks.live_attempts.keys().copied().collect()
-            }
-            None => vec![index],
-        };
-        let live: Vec<_> = targets
-            .iter()
-            .filter_map(|i| Some((*i, j.tasks.live_attempts.get(i)?.clone())))
-            .collect();
-        for (i, (machine, attempt)) in live {
-            self.stop_attempt(job, i, &machine, attempt, grace);
-        }
-    }
-
-    /// Moves off a machine what can save its work.
-    pub fn drain_machine(&mut self, id: &MachineId) {
-        let Some(m) = self.machines.get(id) else {
-            return;
-        };
-        let tasks: Vec<TaskId> = m
-            .attempts
-            .iter()
-            .filter(|(_, a)| a.holds_capacity && a.stop_grace.is_none())
-            .map(|(k, _)| k.0.clone())
-            .collect();
-        for t in tasks {
-            let Some(j) = self.jobs.get(&t.job) else {
-                continue;
-            };
-            if j.spec.checkpoint_every > 0 || j.spec.shape == Shape::Service {
-                self.preempt(&t.job, t.index);
-            }
-        }
-    }
-
-    /// Puts a task on a machine; the launch goes out with the answer to its next report.
-    pub fn place_task(
-        &mut self,
-        job: &JobId,
-        index: u32,
-        machine: &MachineId,
-        attempt: u64,
-        now: Micros,
-    ) {
-        let tab = self.open_usage_record(job, index, machine, attempt, now);
-        let (Some(j), Some(m)) = (self.jobs.get_mut(job), self.machines.get_mut(machine)) else {
-            return;
-        };
-        j.tasks.pending.remove(index);
-        j.tasks
-            .live_attempts
-            .insert(index, (machine.clone(), attempt));
-        j.request_watermark(index + 1);
-        self.launch_rate.record_placed();
-        let need = j.spec.need;
-        if j.effective_priority() >= Priority::High {
-            m.placement.high_priority_placed_at = Some(now);
-        }
-        if let Some(kept) = m.placement.reservation.as_mut().filter(|k| k.job == *job) {
-            kept.tasks -= 1;
-            if kept.tasks <= 0 {
-                m.placement.reservation = None;
-            }
-        }
-        let entry = Attempt {
-            phase: AttemptPhase::Starting,
-            phase_since: now,
-            reported: false,
-            stop_grace: None,
-            resources: need,
-            team: j.team,
-            holds_capacity: true,
-            usage_record: tab,
-        };
-        let team = j.team;
-        m.worker.heartbeat_digest = None;
-        m.attempts.insert(
-            (
-                TaskId {
-                    job: job.clone(),
-                    index,
-                },
-                attempt,
-            ),
-            entry,
-        );
-        self.adjust_usage(machine, team, need, now);
-    }
-
-    /// Whether the launch of a task may go out: its mark covers it, or no successor relies on marks.
-    pub fn may_launch(&self, job: &Job, index: u32) -> bool {
-        !self.starts_paused
-            && (index < job.persistence.durable_watermark || self.launches_without_watermark)
-    }
-
-    /// A number that no other start of the same task has, in this term or another.
-    pub fn next_attempt_number(&mut self) -> u64 {
-        if let Some(number) = self.timestamped_attempt_number() {
-            return number;
-        }
-        self.attempts_started += 1;
-        (self.term << 24) + self.attempts_started
-    }
-
-    /// The stamp of a waiting job's record.
-    pub fn waiting_job_version(&self, id: &str) -> Option<u64> {
-        self.pipelines.waiting.get(id).map(|w| w.version)
-    }
-}
-
-impl Cluster {
-    /// Brings a machine's place in the index up to date.
-    pub fn reindex_machine(&mut self, id: &MachineId, now: Micros) {
-        let Some(m) = self.machines.get_mut(id) else {
-            return;
-        };
-        let Some(number) = m.placement.capacity_bucket else {
-            return;
-        };
-        let free = m.free();
-        let open =
-            (m.is_schedulable(now, self.settings.report) && free.cpu >= 0).then_some(free.cpu);
-        if open != m.placement.indexed_free_cpu {
-            let old = std::mem::replace(&mut m.placement.indexed_free_cpu, open);
-            self.capacity_index.update(number, id, old, open);
-        }
-    }
-
-    /// An attempt takes its place on a machine and in its team's quota, or gives it back.
-    pub fn adjust_usage(
-        &mut self,
-        id: &MachineId,
-        team: Option<usize>,
-        need: Resources,
-        now: Micros,
-    ) {
-        if let Some(m) = self.machines.get_mut(id) {
-            m.used += need;
-        }
-        if let Some(t) = team {
-            self.team_usage[t] += need;
-        }
-        self.reindex_machine(id, now);
-    }
-
-    /// Machines whose state has changed with time alone, as when they fall silent, find their place.
-    pub fn reindex_changed_machines(&mut self, now: Micros) {
-        let report = self.settings.report;
-        let moved = |m: &&Machine| {
-            m.placement.capacity_bucket.is_some()
-                && m.placement.indexed_free_cpu.is_some()
-                    != (m.is_schedulable(now, report) && m.free().cpu >= 0)
-        };
-        let moved: Vec<MachineId> = self
-            .machines
-            .values()
-            .filter(moved)
-            .map(|m| m.id.clone())
-            .collect();
-        moved.iter().for_each(|id| self.reindex_machine(id, now));
-    }
-
-    /// What differs between the index and the machines themselves: nothing, ever. For tests.
-    pub fn index_inconsistencies(&self) -> Vec<String> {
-        let mut wrong = Vec::new();
-        for m in self.machines.values() {
-            let Some(shelf) = m
-                .placement
-                .capacity_bucket
-                .map(|n| &self.capacity_index.buckets[n])
-            else {
-                continue;
-            };
-            let here = shelf.schedulable.iter().filter(|(_, id)| *id == m.id);
-            let cpus: Vec<i64> = here.map(|(cpu, _)| *cpu).collect();
-            if !shelf.machines.contains(&m.id)
-                || cpus != Vec::from_iter(m.placement.indexed_free_cpu)
-            {
-                wrong.push(format!(
-                    "{}: {cpus:?} for {:?}",
-                    m.id, m.placement.indexed_free_cpu
-                ));
-            }
-            if m.placement
-                .indexed_free_cpu
-                .is_some_and(|cpu| cpu != m.free().cpu)
-            {
-                wrong.push(format!(
-                    "{}: {:?} with {:?} free",
-                    m.id,
-                    m.placement.indexed_free_cpu,
-                    m.free()
-                ));
-            }
-        }
-        let known: usize = self
-            .capacity_index
-            .buckets
-            .iter()
-            .map(|s| s.machines.len())
-            .sum();
-        let shelved = self
-            .machines
-            .values()
-            .filter(|m| m.placement.capacity_bucket.is_some())
-            .count();
-        if known != shelved {
-            wrong.push(format!("{known} in the index, {shelved} machines"));
-        }
-        wrong
+        let halvings = self.store_writes.transaction_rejections.min(8);
+        (self.settings.txn_ops >> halvings).max(MIN_TRANSACTION_CHANGES)
     }
 }
--- /dev/null
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -0,0 +1,141 @@
+//! Placing tasks on machines and stopping them.
+
+use crate::model::{JobId, MachineId, Micros, Priority, SECOND, Shape, TaskId};
+use crate::state::attempt::{Attempt, AttemptPhase};
+use crate::state::cluster::Cluster;
+use crate::state::job::Job;
+
+/// Added to a task's own time to save when it is preempted.
+const SAVE_MARGIN: Micros = 2 * SECOND;
+/// Attempt numbers without a time in them: the term above this many bits, a count below.
+const ATTEMPT_COUNT_BITS: u32 = 24;
+
+impl Cluster {
+    /// Tells one attempt to stop. A shorter grace replaces a longer one.
+    pub(crate) fn stop_attempt(
+        &mut self,
+        job: &str,
+        index: u32,
+        machine: &str,
+        attempt: u64,
+        grace: Micros,
+    ) {
+        let Some(machine) = self.machines.get_mut(machine) else {
+            return;
+        };
+        machine.worker.heartbeat_digest = None;
+        let job = job.into();
+        let key = (TaskId { job, index }, attempt);
+        if let Some(attempt) = machine.attempts.get_mut(&key) {
+            let shortest = attempt.stop_grace.map_or(grace, |known| known.min(grace));
+            attempt.stop_grace = Some(shortest);
+        }
+    }
+
+    /// Stops a task so that it saves its progress if it can. A gang is stopped whole, once.
+    pub fn preempt(&mut self, job_id: &JobId, index: u32) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
+            return;
+        };
+        let saves_progress = job.spec.checkpoint_every > 0;
+        let grace = match saves_progress {
+            true => job.spec.save + SAVE_MARGIN,
+            false => 0,
+        };
+        let targets: Vec<u32> = match &mut job.tasks.gang_attempt {
+            Some(gang) if gang.stopping => return,
+            Some(gang) => {
+                gang.stopping = true;
+                job.tasks.live_attempts.keys().copied().collect()
+            }
+            None => vec![index],
+        };
+        let live_attempts = &job.tasks.live_attempts;
+        let live: Vec<_> = targets
+            .into_iter()
+            .filter_map(|index| Some((index, live_attempts.get(&index)?.clone())))
+            .collect();
+        for (index, (machine, attempt)) in live {
+            self.stop_attempt(job_id, index, &machine, attempt, grace);
+        }
+    }
+
+    /// Moves off a machine what loses nothing by it: tasks that save their progress, and replicas of services.
+    pub fn drain_machine(&mut self, id: &MachineId) {
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        let running = machine
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.holds_capacity && attempt.stop_grace.is_none());
+        let tasks: Vec<TaskId> = running.map(|(key, _)| key.0.clone()).collect();
+        for task in tasks {
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            if job.spec.checkpoint_every > 0 || job.spec.shape == Shape::Service {
+                self.preempt(&task.job, task.index);
+            }
+        }
+    }
+
+    /// Puts a task on a machine; the launch goes out with the answer to the machine's next heartbeat.
+    pub fn place_task(
+        &mut self,
+        job_id: &JobId,
+        index: u32,
+        machine_id: &MachineId,
+        attempt: u64,
+        now: Micros,
+    ) {
+        let usage_record = self.open_usage_record(job_id, index, machine_id, attempt, now);
+        let job = self.jobs.get_mut(job_id);
+        let machine = self.machines.get_mut(machine_id);
+        let (Some(job), Some(machine)) = (job, machine) else {
+            return;
+        };
+        job.tasks.pending.remove(index);
+        job.tasks
+            .live_attempts
+            .insert(index, (machine_id.clone(), attempt));
+        job.request_watermark(index + 1);
+        self.watermarks.launch_rate.record_placed();
+        let (team, resources) = (job.team, job.spec.need);
+        if job.effective_priority() >= Priority::High {
+            machine.placement.high_priority_placed_at = Some(now);
+        }
+        machine.placement.use_reservation(job_id);
+        machine.worker.heartbeat_digest = None;
+        let entry = Attempt {
+            phase: AttemptPhase::Starting,
+            phase_since: now,
+            reported: false,
+            stop_grace: None,
+            resources,
+            team,
+            holds_capacity: true,
+            usage_record,
+        };
+        let job = job_id.clone();
+        machine
+            .attempts
+            .insert((TaskId { job, index }, attempt), entry);
+        self.adjust_usage(machine_id, team, resources, now);
+    }
+
+    /// Whether the launch of a task may go out: its watermark covers it, or no successor relies on watermarks.
+    pub fn may_launch(&self, job: &Job, index: u32) -> bool {
+        let is_covered = index < job.persistence.durable_watermark;
+        !self.starts_paused && (is_covered || self.watermarks.not_required)
+    }
+
+    /// A number that no other attempt of the same task has, in this term or another.
+    pub fn next_attempt_number(&mut self) -> u64 {
+        if let Some(number) = self.timestamped_attempt_number() {
+            return number;
+        }
+        self.attempts_started += 1;
+        (self.term << ATTEMPT_COUNT_BITS) + self.attempts_started
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/src/state/cluster/capacity.rs
@@ -0,0 +1,86 @@
+//! What attempts hold of machines and teams, and the capacity index that follows from it.
+
+use crate::model::{MachineId, Micros, Resources};
+use crate::state::cluster::Cluster;
+
+impl Cluster {
+    /// Brings a machine's entry in the capacity index up to date.
+    pub fn reindex_machine(&mut self, id: &MachineId, now: Micros) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(bucket) = machine.placement.capacity_bucket else {
+            return;
+        };
+        let free_cpu = machine.schedulable_cpu(now, self.settings.report);
+        let indexed = &mut machine.placement.indexed_free_cpu;
+        if free_cpu != *indexed {
+            let previous = std::mem::replace(indexed, free_cpu);
+            self.capacity_index.update(bucket, id, previous, free_cpu);
+        }
+    }
+
+    /// Counts what an attempt takes of its machine and of its team's quota; a negative amount gives it back.
+    pub fn adjust_usage(
+        &mut self,
+        id: &MachineId,
+        team: Option<usize>,
+        amount: Resources,
+        now: Micros,
+    ) {
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.used += amount;
+        }
+        if let Some(team) = team {
+            self.quota.team_usage[team] += amount;
+        }
+        self.reindex_machine(id, now);
+    }
+
+    /// Reindexes machines whose state has changed with time alone, as when they fall silent.
+    pub fn reindex_changed_machines(&mut self, now: Micros) {
+        let heartbeat_interval = self.settings.report;
+        let changed: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(|machine| {
+                let is_indexed = machine.placement.indexed_free_cpu.is_some();
+                let is_schedulable = machine.schedulable_cpu(now, heartbeat_interval).is_some();
+                machine.placement.capacity_bucket.is_some() && is_indexed != is_schedulable
+            })
+            .map(|machine| machine.id.clone())
+            .collect();
+        changed.iter().for_each(|id| self.reindex_machine(id, now));
+    }
+
+    /// What differs between the capacity index and the machines themselves: nothing, ever. For tests.
+    pub fn index_inconsistencies(&self) -> Vec<String> {
+        let mut wrong = Vec::new();
+        for machine in self.machines.values() {
+            let Some(bucket) = machine.placement.capacity_bucket else {
+                continue;
+            };
+            let bucket = &self.capacity_index.buckets[bucket];
+            let (id, indexed) = (&machine.id, machine.placement.indexed_free_cpu);
+            let entries = bucket.schedulable.iter().filter(|(_, other)| other == id);
+            let cpus: Vec<i64> = entries.map(|(cpu, _)| *cpu).collect();
+            if !bucket.machines.contains(id) || cpus != Vec::from_iter(indexed) {
+                wrong.push(format!("{id}: {cpus:?} for {indexed:?}"));
+            }
+            if indexed.is_some_and(|cpu| cpu != machine.free().cpu) {
+                wrong.push(format!("{id}: {indexed:?} with {:?} free", machine.free()));
+            }
+        }
+        let buckets = &self.capacity_index.buckets;
+        let indexed: usize = buckets.iter().map(|bucket| bucket.machines.len()).sum();
+        let with_bucket = self
+            .machines
+            .values()
+            .filter(|machine| machine.placement.capacity_bucket.is_some())
+            .count();
+        if indexed != with_bucket {
+            wrong.push(format!("{indexed} in the index, {with_bucket} machines"));
+        }
+        wrong
+    }
+}
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -232,6 +232,12 @@
             && self.machine_type.is_some()
             && self.placement.unschedulable_until <= now
     }
+
+    /// The free CPU by which the capacity index should have it: `None` if nothing may be placed on it.
+    pub(crate) fn schedulable_cpu(&self, now: Micros, heartbeat_interval: Micros) -> Option<i64> {
+        let free = self.free().cpu;
+        (self.is_schedulable(now, heartbeat_interval) && free >= 0).then_some(free)
+    }
 }
 
 /// What is known of a machine when it is first heard of.
@@ -301,4 +307,15 @@
             indexed_free_cpu: None,
         }
     }
+    /// A task of a job has been placed here: its reservation, if it has one, is for one task less.
+    pub(crate) fn use_reservation(&mut self, job: &JobId) {
+        let reservation = self.reservation.as_mut();
+        let Some(reservation) = reservation.filter(|reservation| reservation.job == *job) else {
+            return;
+        };
+        reservation.tasks -= 1;
+        if reservation.tasks <= 0 {
+            self.reservation = None;
+        }
+    }
 }
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -426,7 +426,7 @@
 
     /// Ghosts of machines that are not there any more, once nothing of an earlier term can be left.
     pub(crate) fn charge_orphans_of_lost_machines(&mut self, now: Micros) {
-        if now <= self.took_over_at + self.lease_expiry_bound() {
+        if now <= self.takeover.at + self.lease_expiry_bound() {
             return;
         }
         let Some(ledger) = &self.usage_ledger else {
@@ -907,7 +907,7 @@
             return;
         };
         let (flavor, zone, spot, _) = self.kind(m);
-        let (from, to) = (self.time_of_day(self.took_over_at), self.time_of_day(now));
+        let (from, to) = (self.time_of_day(self.takeover.at), self.time_of_day(now));
         let gap = Gap {
             machine: id.to_string(),
             flavor,
--- a/crates/gannethub-core/src/state/writes.rs
+++ b/crates/gannethub-core/src/state/writes.rs
@@ -1,68 +1,101 @@
-//! What is in a transaction on its way to the state service.
+//! What is to be written to the state service, and what a transaction on its way there carries.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashMap};
 
 use crate::model::{JobId, TaskSet};
 use crate::wire::store::JobRecord;
 
-/// Part of a transaction in flight.
+/// What has to be remembered about writes to the state service, beside the state that is written.
+#[derive(Debug)]
+pub struct StoreWrites {
+    /// The keys of the shard's owner, which guards every transaction, and of its last term.
+    pub assignment_keys: (String, String),
+    /// Keys that nothing needs any more. They are deleted as transactions have room for it.
+    pub(crate) stale_keys: Vec<String>,
+    /// Jobs that are over, and the versions at which they ended: the watch may still bring older records of them.
+    tombstones: HashMap<JobId, u64>,
+    /// Transactions in a row that the state service called malformed or too large. The next ones are smaller.
+    pub transaction_rejections: u32,
+}
+
+impl StoreWrites {
+    pub fn new(assignment_keys: (String, String)) -> StoreWrites {
+        StoreWrites {
+            assignment_keys,
+            stale_keys: Vec::new(),
+            tombstones: HashMap::new(),
+            transaction_rejections: 0,
+        }
+    }
+
+    /// The job ended at this version.
+    pub(crate) fn add_tombstone(&mut self, job: JobId, version: u64) {
+        self.tombstones.insert(job, version);
+    }
+
+    /// Whether the job had ended when its record had this version.
+    pub fn has_tombstone(&self, job: &str, version: u64) -> bool {
+        let ended_at = self.tombstones.get(job);
+        ended_at.is_some_and(|ended_at| *ended_at >= version)
+    }
+
+    /// The watch has reached this version, so nothing older can come.
+    pub fn prune_tombstones(&mut self, version: u64) {
+        self.tombstones.retain(|_, ended_at| *ended_at > version);
+    }
+}
+
+/// A change that a transaction on its way to the state service carries, with what has to be done once its outcome is known.
 #[derive(Debug, Clone)]
 pub enum BatchedWrite {
+    /// The record of a job, with parts of its set of finished tasks.
     JobProgress {
         id: JobId,
+        /// Finished tasks by the number of the part that they are stored in.
         done_parts: BTreeMap<u32, TaskSet>,
-        /// The mark in its own value.
+        /// The launch watermark in the record.
         watermark: u32,
     },
-    /// `late_s`: by how much it missed its deadline.
+    /// The end of a job. `deadline_missed_by_s`: by how many seconds it missed its deadline, if it did.
     JobEnd {
         id: JobId,
         cancelled: bool,
         deadline_missed_by_s: Option<u32>,
     },
     /// A job that waited for others is released.
-    JobRelease {
-        id: JobId,
-        record: Box<JobRecord>,
-    },
-    /// A waiting job is cancelled with one that it needs.
-    WaitingJobCancellation {
-        id: JobId,
-    },
-    ShardChunk {
-        index: usize,
-        members: Vec<String>,
-    },
-    /// A page of the ledger.
+    JobRelease { id: JobId, record: Box<JobRecord> },
+    /// A waiting job is cancelled together with one that it waits for.
+    WaitingJobCancellation { id: JobId },
+    /// Part of the shard's record of its machines.
+    ShardChunk { index: usize, members: Vec<String> },
+    /// A page of the usage ledger.
     LedgerPage,
-    /// That marks cover all launches.
+    /// That the watermarks of this term are reliable.
     WatermarksReliable,
-    /// A job goes to another block.
-    JobTransfer {
-        id: JobId,
-        record: Box<JobRecord>,
-    },
-    /// A machine was given to another block.
-    MachineTransfer {
-        machine: String,
-    },
+    /// A job goes to another shard.
+    JobTransfer { id: JobId, record: Box<JobRecord> },
+    /// A machine goes to another shard.
+    MachineTransfer { machine: String },
+    /// The deletion of a key that nothing needs any more.
     StaleKeyDeletion,
 }
 
+/// All changes of one transaction.
 #[derive(Debug, Default)]
 pub struct WriteBatch {
     pub(crate) writes: Vec<BatchedWrite>,
-    keys: Vec<String>,
+    guarded_keys: Vec<String>,
 }
 
 impl WriteBatch {
-    pub fn push(&mut self, item: BatchedWrite, key: String) {
-        self.writes.push(item);
-        self.keys.push(key);
+    /// Adds a change that is guarded by the version of a key.
+    pub fn push(&mut self, write: BatchedWrite, key: String) {
+        self.writes.push(write);
+        self.guarded_keys.push(key);
     }
 
-    /// Keys whose versions are unsure when the transaction's fate is.
+    /// Keys whose versions are unknown when the outcome of the transaction is.
     pub fn keys(&self) -> &[String] {
-        &self.keys
+        &self.guarded_keys
     }
 }
--- /dev/null
+++ b/crates/gannethub-core/src/state/zones.rs
@@ -0,0 +1,61 @@
+//! Zones that cannot be reached.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use super::machine::Machine;
+use crate::model::{Micros, SECOND};
+
+/// A single machine or two that fall silent at a time are nothing unusual: a zone has to have more.
+const MIN_MACHINES: u32 = 3;
+
+/// Zones whose machines have all fallen silent while others are heard.
+///
+/// A machine that is provisioned there would not be heard either, so the autoscaler leaves these zones alone. A heartbeat
+/// from such a zone takes it out again.
+#[derive(Debug, Default)]
+pub struct ZoneReachability {
+    /// The zones, and when each was last found to be silent.
+    pub unreachable: HashMap<Arc<str>, Micros>,
+}
+
+#[derive(Clone, Copy, Default)]
+struct ZoneHeartbeats {
+    machines: u32,
+    silent: u32,
+}
+
+impl ZoneHeartbeats {
+    fn is_silent(&self) -> bool {
+        self.machines >= MIN_MACHINES && self.silent == self.machines
+    }
+}
+
+impl ZoneReachability {
+    /// Looks for zones that have become unreachable. Where none of the zones is heard, this controller is the one that is
+    /// cut off, and nothing is concluded.
+    pub fn detect<'a>(
+        &mut self,
+        machines: impl Iterator<Item = &'a Machine>,
+        heartbeat_interval: Micros,
+        now: Micros,
+    ) {
+        let max_silence = 3 * heartbeat_interval + 2 * SECOND;
+        let mut zones: HashMap<Arc<str>, ZoneHeartbeats> = HashMap::new();
+        for machine in machines.filter(|machine| machine.lifecycle.is_up) {
+            let worker = &machine.worker;
+            let heard_at = worker.last_heartbeat_at.unwrap_or(worker.last_answered_at);
+            let zone = zones.entry(machine.zone.clone()).or_default();
+            zone.machines += 1;
+            zone.silent += u32::from(now > heard_at + max_silence);
+        }
+        if zones.values().all(ZoneHeartbeats::is_silent) {
+            return;
+        }
+        for (zone, _) in zones.into_iter().filter(|(_, zone)| zone.is_silent()) {
+            if self.unreachable.insert(zone.clone(), now).is_none() {
+                tracing::info!(%zone, "no heartbeat from any machine of a zone");
+            }
+        }
+    }
+}
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -17,7 +17,7 @@
 
 /// Whether anything may still be on machines that its leader has not heard.
 fn settled(w: &World) -> bool {
-    cluster(w).is_some_and(|c| c.settled)
+    cluster(w).is_some_and(|c| c.takeover.settled)
 }
 
 /// Three controllers, replicas that fill machines of their own, and an array beside them that will end.
@@ -75,7 +75,7 @@
     let before = w.starts;
     w.submit(job(2, 2, json!({"rigs": ["small"]})));
     w.run_until(6, "it starts", |w| w.starts >= before + 2);
-    assert!(!settled(&w) && cluster(&w).is_some_and(|c| c.watermarks_reliable));
+    assert!(!settled(&w) && cluster(&w).is_some_and(|c| c.watermarks.reliable));
     w.run_until(120, "it is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
     });
@@ -127,7 +127,7 @@
         w.submit(job(2, 12, json!({"crew": "red", "rigs": ["small"]})));
         w.run_until(6, "as many start as may", |w| w.starts >= 40);
         let held = cluster(&w).map_or(0, |c| {
-            c.team_usage[0].cpu + c.unconfirmed.possible_usage[0].cpu
+            c.quota.team_usage[0].cpu + c.takeover.unconfirmed.possible_usage[0].cpu
         });
         assert!(!settled(&w));
         w.run(3);
@@ -171,7 +171,7 @@
             .for_each(|m| m.hung_until = until);
         w.state.down = false;
         lose_leader(&mut w);
-        assert!(cluster(&w).is_some_and(|c| !c.watermarks_reliable));
+        assert!(cluster(&w).is_some_and(|c| !c.watermarks.reliable));
         w.run_until(60, "every machine is known", settled);
         w.cloud.capacity = 40;
         w.cloud.no_deletes = false;
@@ -200,7 +200,7 @@
         w.run(10);
         w.cut.clear();
         lose_leader(&mut w);
-        assert_eq!(cluster(&w).map(|c| c.watermarks_reliable), Some(told));
+        assert_eq!(cluster(&w).map(|c| c.watermarks.reliable), Some(told));
         w.run(20);
         w.finish();
     }
@@ -227,11 +227,11 @@
     w.run_until(12, "another leads", |w| {
         cluster(w).is_some_and(|c| c.term > 1)
     });
-    assert!(cluster(&w).is_some_and(|c| !c.watermarks_reliable));
+    assert!(cluster(&w).is_some_and(|c| !c.watermarks.reliable));
     assert_eq!(marked(&w), Some(false));
     w.run_until(30, "it says that marks hold", |w| marked(w) == Some(true));
     lose_leader(&mut w);
-    assert!(cluster(&w).is_some_and(|c| c.watermarks_reliable));
+    assert!(cluster(&w).is_some_and(|c| c.watermarks.reliable));
     w.run(20);
     w.finish();
 }
@@ -239,7 +239,7 @@
 #[test]
 fn limits_count_what_is_in_doubt_from_the_moment_that_everything_is_read() {
     let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
-    f.c.set_watermarks_reliable(true);
+    f.c.watermarks.set_reliable(true);
     let member = |_| ShardMember {
         flavor: "small".into(),
         zone: "a".into(),
@@ -257,7 +257,7 @@
     f.c.apply_shard_chunk("gh/block/0/0", chunk, 6);
     f.c.finish_loading(f.now);
     assert_eq!(
-        f.c.unconfirmed.possible_usage[0].cpu, 6_000,
+        f.c.takeover.unconfirmed.possible_usage[0].cpu, 6_000,
         "six tasks may be on them"
     );
     // The first machine shows two of them, before any tick: two more CPUs are left, and tasks from the mark on.
@@ -342,7 +342,9 @@
             for _ in 0..w.rng.random_range(3..10) {
                 let before = w.starts;
                 w.run(1);
-                early += usize::from(w.starts > before && cluster(&w).is_some_and(|c| !c.settled));
+                early += usize::from(
+                    w.starts > before && cluster(&w).is_some_and(|c| !c.takeover.settled),
+                );
             }
         }
         terms += cluster(&w).map_or(0, |c| c.term);
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -82,7 +82,7 @@
         f.submit("j-1", spec(Shape::Array, "blue", 200, 1.0));
         f.c.run_scheduling_pass(f.now);
         f.run_all();
-        assert_eq!(f.c.team_usage[1].cpu, 96_000);
+        assert_eq!(f.c.quota.team_usage[1].cpu, 96_000);
         f.submit("j-2", spec(Shape::Gang, "red", tasks, 30.0));
         f.c.run_scheduling_pass(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
@@ -156,7 +156,7 @@
             .for_each(|n| drop(f.report(n, "small", "b", &[])));
     }
     f.c.plan_cloud_calls(f.now);
-    assert!(f.c.unreachable_zones.contains_key("a") && !f.c.unreachable_zones.contains_key("b"));
+    assert!(f.c.zones.unreachable.contains_key("a") && !f.c.zones.unreachable.contains_key("b"));
     f.pass(52);
     heard
         .iter()
@@ -170,7 +170,7 @@
         .sum();
     assert!(tried <= 1, "{rented:?}");
     f.report("new-0000", "small", "a", &[]);
-    assert!(!f.c.unreachable_zones.contains_key("a"), "heard again");
+    assert!(!f.c.zones.unreachable.contains_key("a"), "heard again");
 }
 
 #[test]
@@ -195,9 +195,9 @@
         .collect();
     assert!(running.iter().all(|r| r.len() == 4));
     // Reports without news look at no other machine.
-    let before = f.c.scheduling_steps.get();
+    let before = f.c.passes.steps.get();
     f.run_all();
-    assert_eq!(f.c.scheduling_steps.get(), before);
+    assert_eq!(f.c.passes.steps.get(), before);
     // A hundred machines with a task done each, at one moment: one look over the machines for
     // each of them, and not one for each job that waits.
     for (name, tasks) in names.iter().zip(&running).take(100) {
@@ -213,7 +213,7 @@
             .count();
         assert_eq!(starts, 1, "the room is used with the same answer");
     }
-    let looks = f.c.scheduling_steps.get() - before;
+    let looks = f.c.passes.steps.get() - before;
     assert!(looks < 100 * 2 * 400, "{looks} looks for 100 reports");
     // And a hundred completions of a few jobs are few changes.
     f.pass(3);
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -99,7 +99,7 @@
         let mut f = LeaderView::unread(teams, wait_s);
         f.c.finish_loading(f.now);
         f.c.tick(f.now, WALL);
-        assert!(f.c.settled);
+        assert!(f.c.takeover.settled);
         f
     }
 
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -226,7 +226,9 @@
     w.run_until(8, "another leads", |w| w.leader().is_some_and(|l| l != old));
     let settled = |w: &World| {
         let leader = w.leader().and_then(|l| w.nodes[l].controller.as_ref());
-        leader.and_then(|c| c.cluster()).is_some_and(|c| c.settled)
+        leader
+            .and_then(|c| c.cluster())
+            .is_some_and(|c| c.takeover.settled)
     };
     w.run_until(6, "every machine is accounted for", settled);
     w.finish();
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -265,7 +265,10 @@
             .values()
             .all(|m| m.active_reservation(f.now).is_none())
     );
-    assert!(f.c.placement_order.is_empty(), "it is not in the queue");
+    assert!(
+        f.c.passes.placement_order.is_empty(),
+        "it is not in the queue"
+    );
 }
 
 #[test]
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -49,9 +49,9 @@
 
 /// Looks that a piece of work takes.
 fn looks(f: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
-    let before = f.c.scheduling_steps.get();
+    let before = f.c.passes.steps.get();
     work(f);
-    (f.c.scheduling_steps.get() - before) as f64
+    (f.c.passes.steps.get() - before) as f64
 }
 
 #[test]
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -95,12 +95,12 @@
             assert!(
                 others
                     .iter()
-                    .all(|b| w.block(*b).is_some_and(|c| c.settled))
+                    .all(|b| w.block(*b).is_some_and(|c| c.takeover.settled))
             );
         }
         w.run_until(10, "the block is held again", |w| {
             w.holds(lost).is_some_and(|h| node(&h) != victim)
-                && w.block(lost).is_some_and(|c| c.settled)
+                && w.block(lost).is_some_and(|c| c.takeover.settled)
         });
         w.run_until(150, "the arrays are done", |w| {
             (30..36).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
@@ -120,7 +120,7 @@
         w.holds(1).is_some_and(|h| node(&h) != victim)
     });
     w.run_until(8, "it knows all of it", |w| {
-        w.block(1).is_some_and(|c| c.settled)
+        w.block(1).is_some_and(|c| c.takeover.settled)
     });
     let (starts, running) = (w.starts, placed(&w, 1));
     assert!(running > 0);
@@ -128,10 +128,10 @@
         w.holds(1).is_some_and(|h| node(&h) == victim)
     });
     w.run_until(8, "and known there", |w| {
-        w.block(1).is_some_and(|c| c.settled)
+        w.block(1).is_some_and(|c| c.takeover.settled)
     });
     assert!(
-        w.block(1).is_some_and(|c| c.watermarks_reliable),
+        w.block(1).is_some_and(|c| c.watermarks.reliable),
         "it was told that marks hold"
     );
     w.run(5);
