--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -80,7 +80,7 @@
                     let tasks: Vec<(String, u64)> = f.borrow().c.machines[name.as_str()]
                         .attempts
                         .keys()
-                        .map(|(task, attempt)| (task.to_string(), *attempt))
+                        .map(|id| (id.task.to_string(), id.number))
                         .collect();
                     (name, tasks)
                 },
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -366,8 +366,9 @@
             .shard_owners
             .get_mut(&0)
             .map(|h| h.cluster.usage_messages(now));
-        for (i, tabs) in tabs.into_iter().flatten() {
-            self.outbox.send_to_peer(i, Body::UsageRecords(tabs));
+        for message in tabs.into_iter().flatten() {
+            let records = Body::UsageRecords(message.records);
+            self.outbox.send_to_peer(message.peer, records);
         }
     }
 
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -65,6 +65,13 @@
     }
 }
 
+/// One attempt at running a task, on one machine. All tasks of a gang that are started together share the number.
+#[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
+pub struct AttemptId {
+    pub task: TaskId,
+    pub number: u64,
+}
+
 /// Amounts of CPU, GPU and memory, in thousandths of the wire's units.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default, Serialize, Deserialize)]
 pub struct Resources {
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -51,11 +51,11 @@
         }
         let (jobs, used) = (&self.jobs, &mut self.quota.team_usage);
         for machine in self.machines.values_mut() {
-            for ((task, _), attempt) in &mut machine.attempts {
+            for (id, attempt) in &mut machine.attempts {
                 if attempt.team.is_some() {
                     continue;
                 }
-                attempt.team = jobs.get(&task.job).and_then(|j| j.team);
+                attempt.team = jobs.get(&id.task.job).and_then(|j| j.team);
                 if let Some(team) = attempt.team.filter(|_| attempt.holds_capacity) {
                     used[team] += attempt.resources;
                 }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -4,10 +4,11 @@
 
 use gannethub_ledger::line::Reason;
 
-use crate::model::MachineId;
-use crate::model::{Micros, Resources, SECOND, Shape, TaskId, seconds_from_micros};
+use crate::model::{
+    AttemptId, MachineId, Micros, Resources, SECOND, Shape, TaskId, seconds_from_micros,
+};
 use crate::saga::{AbortAction, Saga, SagaState};
-use crate::state::attempt::{Attempt, AttemptPhase, GangAttempt};
+use crate::state::attempt::{Attempt, AttemptPhase, GangAttempt, LiveAttempt};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 use crate::state::machine::Machine;
@@ -205,12 +206,15 @@
     }
 
     fn reconcile_attempts(&mut self, id: &MachineId, now: Micros, report: &WorkerHeartbeat<'_>) {
-        let mut reported: HashSet<(TaskId, u64)> = HashSet::with_capacity(report.tasks.len());
+        let mut reported: HashSet<AttemptId> = HashSet::with_capacity(report.tasks.len());
         for t in &report.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
                 continue;
             };
-            let key = (task, t.attempt);
+            let key = AttemptId {
+                task,
+                number: t.attempt,
+            };
             reported.insert(key.clone());
             let phase = match t.state {
                 TaskState::Fetching => AttemptPhase::Fetching,
@@ -271,14 +275,11 @@
     }
 
     /// A worker shows an attempt that this leader did not start.
-    fn adopt_attempt(
-        &mut self,
-        id: &MachineId,
-        key: (TaskId, u64),
-        phase: AttemptPhase,
-        now: Micros,
-    ) {
-        let (task, attempt) = key.clone();
+    fn adopt_attempt(&mut self, id: &MachineId, key: AttemptId, phase: AttemptPhase, now: Micros) {
+        let AttemptId {
+            task,
+            number: attempt,
+        } = key.clone();
         let ended = matches!(phase, AttemptPhase::Ended(_));
         let mut entry = Attempt {
             phase,
@@ -298,9 +299,13 @@
             if phase == AttemptPhase::Ended(ExitReason::Done) {
                 self.complete_task(&task, now);
             } else if !ended && free && task.index < job.spec.tasks {
-                job.tasks
-                    .live_attempts
-                    .insert(task.index, (id.clone(), attempt));
+                job.tasks.live_attempts.insert(
+                    task.index,
+                    LiveAttempt {
+                        machine: id.clone(),
+                        number: attempt,
+                    },
+                );
                 job.tasks.pending.remove(task.index);
                 job.tasks.unconfirmed.remove(task.index);
                 job.request_watermark(task.index + 1);
@@ -340,13 +345,7 @@
     }
 
     /// An attempt changed its phase.
-    fn change_phase(
-        &mut self,
-        id: &MachineId,
-        key: &(TaskId, u64),
-        phase: AttemptPhase,
-        now: Micros,
-    ) {
+    fn change_phase(&mut self, id: &MachineId, key: &AttemptId, phase: AttemptPhase, now: Micros) {
         self.usage_phase_changed(id, key, phase, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -364,7 +363,7 @@
         a.reported = true;
         // It shows what it was told to launch.
         machine.worker.unanswered_incarnations = 0;
-        let Some(job) = self.jobs.get_mut(&key.0.job) else {
+        let Some(job) = self.jobs.get_mut(&key.task.job) else {
             if let AttemptPhase::Ended(why) = phase {
                 self.release_attempt(id, key, usage::end_reason(why), now);
             }
@@ -380,7 +379,7 @@
                     .tasks
                     .gang_attempt
                     .as_mut()
-                    .filter(|g| g.attempt == key.1)
+                    .filter(|g| g.attempt == key.number)
                 {
                     g.running |= phase == AttemptPhase::Running;
                 }
@@ -393,7 +392,12 @@
                         .insert(job.spec.image.clone());
                     machine.placement.failures_by_job.clear();
                     if ran > 0 && job.spec.estimate > 0 {
-                        let ran = ran + job.tasks.saved_progress.remove(&key.0.index).unwrap_or(0);
+                        let ran = ran
+                            + job
+                                .tasks
+                                .saved_progress
+                                .remove(&key.task.index)
+                                .unwrap_or(0);
                         let ratio = (ran as f64 / job.spec.estimate as f64).clamp(0.1, 10.0);
                         let pace = self
                             .runtime_ratios
@@ -406,20 +410,14 @@
                 self.attempt_gone(key, id, Some(why), now);
             }
             AttemptPhase::Saving => {
-                *job.tasks.saved_progress.entry(key.0.index).or_default() += ran
+                *job.tasks.saved_progress.entry(key.task.index).or_default() += ran
             }
             _ => {}
         }
     }
 
     /// Gives back what an attempt held.
-    fn release_attempt(
-        &mut self,
-        id: &MachineId,
-        key: &(TaskId, u64),
-        reason: Reason,
-        now: Micros,
-    ) {
+    fn release_attempt(&mut self, id: &MachineId, key: &AttemptId, reason: Reason, now: Micros) {
         self.charge_attempt(id, key, reason, now);
         let Some(m) = self.machines.get_mut(id) else {
             return;
@@ -474,12 +472,15 @@
     /// An attempt is known to be gone. `why` is `None` when it vanished with its machine.
     fn attempt_gone(
         &mut self,
-        key: &(TaskId, u64),
+        key: &AttemptId,
         id: &MachineId,
         why: Option<ExitReason>,
         now: Micros,
     ) {
-        let (task, attempt) = key;
+        let AttemptId {
+            task,
+            number: attempt,
+        } = key;
         if why == Some(ExitReason::Done) {
             self.complete_task(task, now);
         }
@@ -490,7 +491,7 @@
             .tasks
             .live_attempts
             .get(&task.index)
-            .is_none_or(|p| p.1 != *attempt || p.0 != *id)
+            .is_none_or(|live| live.number != *attempt || live.machine != *id)
         {
             return;
         }
@@ -508,8 +509,8 @@
                 } else {
                     SECOND
                 };
-                let n = job.tasks.backoff.get(&task.index).map_or(0, |b| b.1);
-                job.tasks.backoff.insert(task.index, (now + wait, n));
+                let backoff = job.tasks.backoff.entry(task.index).or_default();
+                backoff.until = now + wait;
                 if let Some(m) = self.machines.get_mut(id) {
                     m.placement.unschedulable_until = now + 3 * SECOND;
                 }
@@ -553,8 +554,8 @@
                 .jobs
                 .get(&id)
                 .and_then(|j| j.tasks.live_attempts.get(&i).cloned());
-            if let Some((machine, attempt)) = live {
-                self.stop_attempt(&id, i, &machine, attempt, 0);
+            if let Some(live) = live {
+                self.stop_attempt(&id, i, &live.machine, live.number, 0);
             }
         }
     }
@@ -604,7 +605,7 @@
         let mut starts = Vec::new();
         let mut orders = Vec::new();
         for (key, a) in &machine.attempts {
-            let (task, attempt) = (&key.0, key.1);
+            let (task, attempt) = (&key.task, key.number);
             let name = || task.to_string();
             // What belongs to no live pipeline has to end.
             let job = self.jobs.get(&task.job);
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -10,8 +10,7 @@
 use std::net::SocketAddrV4;
 
 use super::heartbeat::MAX_ORDERS_PER_ANSWER;
-use crate::model::MachineId;
-use crate::model::{Micros, TaskId};
+use crate::model::{AttemptId, MachineId, Micros, TaskId};
 use crate::policy::Setting;
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
@@ -35,7 +34,10 @@
         else {
             return;
         };
-        let key = (task, attempt);
+        let key = AttemptId {
+            task,
+            number: attempt,
+        };
         let Some(a) = m.attempts.get(&key) else {
             return;
         };
@@ -89,15 +91,15 @@
             let (Some(halt), Some(m)) = (halts.pending.remove(&id), machines.get(&id)) else {
                 continue;
             };
-            let alive = |key: &(TaskId, u64)| {
+            let alive = |key: &AttemptId| {
                 m.attempts
                     .get(key)
                     .is_some_and(|a| !matches!(a.phase, AttemptPhase::Ended(_)))
             };
             let attempts = halt.attempts.into_iter().filter(alive);
-            let stop = |(task, attempt): (TaskId, u64)| Order::Stop {
-                task: task.to_string(),
-                attempt,
+            let stop = |attempt: AttemptId| Order::Stop {
+                task: attempt.task.to_string(),
+                attempt: attempt.number,
                 grace_s: 0.0,
             };
             let orders: Vec<Order> = attempts.map(stop).collect();
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -9,6 +9,7 @@
 use crate::model::{JobId, JobSpec, Micros, SECOND, TaskId, TaskSet, seconds_from_micros};
 use crate::policy::Setting;
 use crate::saga::AbortAction;
+use crate::state::attempt::LiveAttempt;
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 use crate::state::shard::ChunkRecord;
@@ -195,15 +196,16 @@
         tracing::info!(job = id, tasks = live.len(), "cancelled");
         self.mark_upstream_cancelled(id);
         if actions.contains(&AbortAction::Cancel(0)) {
-            for (index, (machine, attempt)) in live {
-                self.stop_attempt(id, index, &machine, attempt, 0);
+            for (index, attempt) in live {
+                let LiveAttempt { machine, number } = attempt;
+                self.stop_attempt(id, index, &machine, number, 0);
                 self.queue_kill_order(
                     &machine,
                     TaskId {
                         job: id.into(),
                         index,
                     },
-                    attempt,
+                    number,
                 );
             }
         }
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -3,8 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use crate::model::MachineId;
-use crate::model::{Micros, SECOND, micros_from_seconds};
+use crate::model::{MachineId, Micros, SECOND, micros_from_seconds};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer, OfferRefusal};
 use crate::wire::store::MachineTransferRecord;
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::model::MachineId;
 use crate::model::{
-    Micros, Resources, SECOND, Shape, TaskId, micros_from_seconds, seconds_from_micros,
+    AttemptId, MachineId, Micros, Resources, SECOND, Shape, TaskId, micros_from_seconds,
+    seconds_from_micros,
 };
 use crate::policy::{Setting, Value};
 use crate::scheduling::zones::ZoneTaskCounts;
@@ -374,8 +374,9 @@
             if m.free().cpu > 0 && m.active_reservation(now).is_none() {
                 room.insert(m.id.clone(), m.free());
             }
-            let task = |((t, _), a): (&(TaskId, u64), &Attempt)| {
-                self.is_worth_moving(m, t, a, now).then(|| t.clone())
+            let task = |(id, a): (&AttemptId, &Attempt)| {
+                self.is_worth_moving(m, &id.task, a, now)
+                    .then(|| id.task.clone())
             };
             let tasks: Option<Vec<_>> = m.attempts.iter().map(task).collect();
             if let (Some(tasks), Some(f)) = (tasks, m.machine_type) {
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::model::{JobId, JobSpec, Micros, TaskId};
+use crate::model::{AttemptId, JobId, JobSpec, Micros, TaskId};
 use crate::state::cluster::Cluster;
 use crate::state::deadline::{Deadline, DownstreamDemand, StageDuration};
 use crate::state::job::Job;
@@ -169,24 +169,21 @@
 
     /// When a job is expected to end at the earliest.
     pub(crate) fn expected_job_end(&self, job: &Job, now: Micros) -> Micros {
-        let ends = job
-            .tasks
-            .live_attempts
-            .iter()
-            .map(|(index, (machine, attempt))| {
-                let key = (
-                    TaskId {
-                        job: job.id.clone(),
-                        index: *index,
-                    },
-                    *attempt,
-                );
-                let attempt = self
-                    .machines
-                    .get(machine)
-                    .and_then(|m| m.attempts.get(&key));
-                attempt.map_or(now, |a| self.expected_end(&key.0, a, now))
-            });
+        let ends = job.tasks.live_attempts.iter().map(|(index, live)| {
+            let task = TaskId {
+                job: job.id.clone(),
+                index: *index,
+            };
+            let key = AttemptId {
+                task,
+                number: live.number,
+            };
+            let attempt = self
+                .machines
+                .get(&live.machine)
+                .and_then(|m| m.attempts.get(&key));
+            attempt.map_or(now, |a| self.expected_end(&key.task, a, now))
+        });
         let last = ends.max().unwrap_or(now);
         if job.tasks.pending.is_empty() {
             last
--- a/crates/gannethub-core/src/scheduling/failure_tracking.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -8,9 +8,8 @@
 //! looked at again. A machine is faulty when a job that does well elsewhere fails on it twice, or
 //! when several jobs do that are not suspect.
 
-use crate::model::MachineId;
-use crate::model::{JobId, Micros, SECOND, Shape, TaskId};
-use crate::state::attempt::AttemptPhase;
+use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, Shape, TaskId};
+use crate::state::attempt::{AttemptPhase, LiveAttempt};
 use crate::state::cluster::Cluster;
 use crate::state::failure_tracking::FailureTracking;
 use crate::state::job::Job;
@@ -24,17 +23,18 @@
 impl Cluster {
     /// Something of the job has gone well on some machine.
     fn has_succeeded(&self, job: &Job, now: Micros) -> bool {
-        let lasting = |(machine, attempt): &(MachineId, u64), index: u32| {
-            let key = (
-                TaskId {
-                    job: job.id.clone(),
-                    index,
-                },
-                *attempt,
-            );
+        let lasting = |live: &LiveAttempt, index: u32| {
+            let task = TaskId {
+                job: job.id.clone(),
+                index,
+            };
+            let key = AttemptId {
+                task,
+                number: live.number,
+            };
             let a = self
                 .machines
-                .get(machine)
+                .get(&live.machine)
                 .and_then(|m| m.attempts.get(&key));
             a.is_some_and(|a| {
                 a.phase == AttemptPhase::Running && now >= a.phase_since + HEALTHY_AFTER
@@ -53,15 +53,9 @@
         let first = job.failure_tracking.failed_machines.is_empty();
         let was = job.is_crash_looping();
         job.failure_tracking.failed_machines.insert(id.clone());
-        let (_, n) = job
-            .tasks
-            .backoff
-            .get(&task.index)
-            .copied()
-            .unwrap_or((0, 0));
-        job.tasks
-            .backoff
-            .insert(task.index, (now + ((2 * SECOND) << n.min(5)), n + 1));
+        let backoff = job.tasks.backoff.entry(task.index).or_default();
+        backoff.until = now + ((2 * SECOND) << backoff.failures.min(5));
+        backoff.failures += 1;
         if self
             .jobs
             .get(&task.job)
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -9,8 +9,9 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::model::MachineId;
-use crate::model::{JobSpec, Micros, Resources, SECOND, Shape, UNLIMITED, micros_from_seconds};
+use crate::model::{
+    JobSpec, MachineId, Micros, Resources, SECOND, Shape, UNLIMITED, micros_from_seconds,
+};
 use crate::policy::Setting;
 use crate::scheduling::autoscaler::max_boot_time;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed};
@@ -350,7 +351,7 @@
                 .tasks
                 .backoff
                 .values()
-                .filter(|b| b.0 > now + 10 * SECOND)
+                .filter(|b| b.until > now + 10 * SECOND)
                 .count() as i64;
             let mut tasks = (pending - backing).min(need.count_in(&spare[t]));
             tasks = tasks.min(
@@ -700,9 +701,8 @@
             lane.free = m.free();
             lane.machine = Some(m.id.clone());
             let held = m.attempts.iter().filter(|(_, a)| a.holds_capacity);
-            lane.releases.extend(
-                held.map(|((task, _), a)| (self.expected_end(task, a, now), 1, a.resources)),
-            );
+            lane.releases
+                .extend(held.map(|(id, a)| (self.expected_end(&id.task, a, now), 1, a.resources)));
             lane.releases.sort_by_key(|r| Reverse(r.0));
             future.add_machine(lane);
         }
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -7,8 +7,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::model::MachineId;
-use crate::model::{JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
+use crate::model::{
+    JobId, JobSpec, MachineId, Micros, Priority, Resources, SECOND, Shape, TaskId, Team,
+};
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
@@ -325,7 +326,7 @@
             .attempts
             .iter()
             .filter(|(_, a)| a.holds_capacity)
-            .map(|((t, _), a)| (self.expected_end(t, a, now), a.resources))
+            .map(|(id, a)| (self.expected_end(&id.task, a, now), a.resources))
             .collect();
         ends.sort_by_key(|e| e.0);
         let mut ends = ends.into_iter();
@@ -536,14 +537,14 @@
                 }
                 let mut victims = Vec::new();
                 let mut free = m.free_after_stops();
-                for ((task, _), a) in m
+                for (id, a) in m
                     .attempts
                     .iter()
                     .filter(|(_, a)| a.holds_capacity && a.stop_grace.is_none())
                 {
                     let victim = self
                         .jobs
-                        .get(&task.job)
+                        .get(&id.task.job)
                         .filter(|j| j.spec.shape != Shape::Gang);
                     let Some(j) = victim else { continue };
                     let lower = urgent && j.effective_priority() < spec.priority;
@@ -571,7 +572,7 @@
                         let team = a.team.filter(|_| !lower);
                         victims.push(Victim {
                             loss,
-                            task: task.clone(),
+                            task: id.task.clone(),
                             need: a.resources,
                             team,
                         });
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -1,8 +1,7 @@
 //! Teams that are above their limit, since it was lowered: what is not launched after all, and what is stopped.
 
 use crate::configuration::OverLimit;
-use crate::model::MachineId;
-use crate::model::{Micros, Resources, TaskId, Team};
+use crate::model::{AttemptId, Micros, Resources, TaskId, Team};
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
 
@@ -30,7 +29,7 @@
     fn enforce_team_limit(&mut self, team: usize, limit: Resources, now: Micros) {
         let (mut held, mut excess) = (Resources::default(), Vec::new());
         for machine in self.machines.values() {
-            for ((task, _), a) in &machine.attempts {
+            for (AttemptId { task, .. }, a) in &machine.attempts {
                 if a.team != Some(team) || !a.holds_capacity || a.stop_grace.is_some() {
                     continue;
                 }
@@ -78,11 +77,14 @@
             .jobs
             .get(&task.job)
             .and_then(|j| j.tasks.live_attempts.get(&task.index));
-        live.is_some_and(|(machine, attempt): &(MachineId, u64)| {
-            let key = (task.clone(), *attempt);
+        live.is_some_and(|live| {
+            let key = AttemptId {
+                task: task.clone(),
+                number: live.number,
+            };
             let attempt = self
                 .machines
-                .get(machine)
+                .get(&live.machine)
                 .and_then(|m| m.attempts.get(&key));
             attempt.is_some_and(|a| a.stop_grace.is_some())
         })
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -10,9 +10,8 @@
 use std::sync::Arc;
 
 use crate::configuration::OverLimit;
-use crate::model::MachineId;
 use crate::model::{
-    JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
+    JobId, JobSpec, MachineId, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
     micros_from_seconds, seconds_from_micros,
 };
 use crate::policy::Value;
@@ -86,7 +85,7 @@
         latest: Option<u64>,
     ) -> [Value<'a>; 14] {
         let spec = &job.spec;
-        let (share, over_share) = self.team_usage_share(job.team);
+        let share = self.team_usage_share(job.team);
         let priority = match job.effective_priority() {
             Priority::Low => "low",
             Priority::Normal => "normal",
@@ -107,8 +106,8 @@
             number(self.expected_run(spec)),
             Value::Bool(latest.is_none()),
             Value::Bool(within),
-            Value::Number(share),
-            Value::Number(over_share),
+            Value::Number(share.of_total),
+            Value::Number(share.over_due),
         ]
     }
 
@@ -207,8 +206,8 @@
         if !job.spec.is_zone_constrained() {
             return zones;
         }
-        for (machine, _) in job.tasks.live_attempts.values() {
-            if let Some(m) = self.machines.get(machine) {
+        for live in job.tasks.live_attempts.values() {
+            if let Some(m) = self.machines.get(&live.machine) {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
         }
@@ -524,7 +523,7 @@
                 .saturating_sub(job.tasks.live_attempts.len() as i64),
         );
         // A huge array must cost no more than the room there is for it.
-        let waiting = job.tasks.backoff.values().filter(|b| b.0 > now).count();
+        let waiting = job.tasks.backoff.values().filter(|b| b.until > now).count();
         if spec.is_zone_constrained() && !job.tasks.unconfirmed.is_empty() {
             // Where those are decides where the others may go.
             return 0;
@@ -556,7 +555,7 @@
             pass.record_unplaceable(&spec, 1);
         }
         let ready = |x: &u32| {
-            job.tasks.backoff.get(x).is_none_or(|b| b.0 <= now)
+            job.tasks.backoff.get(x).is_none_or(|b| b.until <= now)
                 && !job.tasks.unconfirmed.contains(*x)
         };
         let tasks: Vec<u32> = job.tasks.pending.iter().filter(ready).take(found).collect();
@@ -761,7 +760,7 @@
         let fresh = job.tasks.gang_attempt.is_none();
         if (fresh && !job.tasks.live_attempts.is_empty())
             || job.tasks.gang_attempt.as_ref().is_some_and(|g| g.stopping || g.running)
-            || job.tasks.backoff.values().any(|b| b.0 > now)
+            || job.tasks.backoff.values().any(|b| b.until > now)
             || job.allowed_probes(now) == 0
             // Its attempt may go on, on machines that have not been heard yet.
             || !job.tasks.unconfirmed.is_empty()
--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts: single starts of a task on a machine, and the attempts that a gang makes as a whole.
 
-use super::usage::UsageRecord;
-use crate::model::{Micros, Resources};
+use super::usage::record::UsageRecord;
+use crate::model::{MachineId, Micros, Resources};
 use crate::saga::Saga;
 use crate::wire::worker::ExitReason;
 
@@ -43,6 +43,13 @@
     pub usage_record: Option<Box<UsageRecord>>,
 }
 
+/// Where a task is placed, and the number of that attempt.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct LiveAttempt {
+    pub machine: MachineId,
+    pub number: u64,
+}
+
 /// The current attempt of a gang, whose tasks start and fail together.
 #[derive(Debug)]
 pub struct GangAttempt {
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -21,7 +21,7 @@
 use super::shard::Shard;
 use super::shard_transfers::{OtherShards, ShardTransfers};
 use super::unconfirmed::Takeover;
-use super::usage::UsageLedger;
+use super::usage::ledger::UsageLedger;
 use super::watermarks::LaunchWatermarks;
 use super::writes::StoreWrites;
 use super::zones::ZoneReachability;
--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -1,7 +1,7 @@
 //! Placing tasks on machines and stopping them.
 
-use crate::model::{JobId, MachineId, Micros, Priority, SECOND, Shape, TaskId};
-use crate::state::attempt::{Attempt, AttemptPhase};
+use crate::model::{AttemptId, JobId, MachineId, Micros, Priority, SECOND, Shape, TaskId};
+use crate::state::attempt::{Attempt, AttemptPhase, LiveAttempt};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 
@@ -25,7 +25,10 @@
         };
         machine.worker.heartbeat_digest = None;
         let job = job.into();
-        let key = (TaskId { job, index }, attempt);
+        let key = AttemptId {
+            task: TaskId { job, index },
+            number: attempt,
+        };
         if let Some(attempt) = machine.attempts.get_mut(&key) {
             let shortest = attempt.stop_grace.map_or(grace, |known| known.min(grace));
             attempt.stop_grace = Some(shortest);
@@ -55,8 +58,8 @@
             .into_iter()
             .filter_map(|index| Some((index, live_attempts.get(&index)?.clone())))
             .collect();
-        for (index, (machine, attempt)) in live {
-            self.stop_attempt(job_id, index, &machine, attempt, grace);
+        for (index, live) in live {
+            self.stop_attempt(job_id, index, &live.machine, live.number, grace);
         }
     }
 
@@ -69,7 +72,7 @@
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.holds_capacity && attempt.stop_grace.is_none());
-        let tasks: Vec<TaskId> = running.map(|(key, _)| key.0.clone()).collect();
+        let tasks: Vec<TaskId> = running.map(|(id, _)| id.task.clone()).collect();
         for task in tasks {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
@@ -96,9 +99,11 @@
             return;
         };
         job.tasks.pending.remove(index);
-        job.tasks
-            .live_attempts
-            .insert(index, (machine_id.clone(), attempt));
+        let live_attempt = LiveAttempt {
+            machine: machine_id.clone(),
+            number: attempt,
+        };
+        job.tasks.live_attempts.insert(index, live_attempt);
         job.request_watermark(index + 1);
         self.watermarks.launch_rate.record_placed();
         let (team, resources) = (job.team, job.spec.need);
@@ -118,9 +123,13 @@
             usage_record,
         };
         let job = job_id.clone();
-        machine
-            .attempts
-            .insert((TaskId { job, index }, attempt), entry);
+        machine.attempts.insert(
+            AttemptId {
+                task: TaskId { job, index },
+                number: attempt,
+            },
+            entry,
+        );
         self.adjust_usage(machine_id, team, resources, now);
     }
 
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use super::attempt::GangAttempt;
+use super::attempt::{GangAttempt, LiveAttempt};
 use super::deadline::DownstreamDemand;
 use super::failure_tracking::FailureTracking;
-use crate::model::{JobId, JobSpec, MachineId, Micros, Priority, SECOND, Shape, TaskSet};
+use crate::model::{JobId, JobSpec, Micros, Priority, SECOND, Shape, TaskSet};
 use crate::saga::Saga;
 use crate::wire::store::{JobRecord, decode_done_part};
 
@@ -51,14 +51,23 @@
     pub pending: TaskSet,
     /// Those of `pending` that an earlier leader may have launched on a machine which has not confirmed this term yet.
     pub unconfirmed: TaskSet,
-    /// The attempt of every task that is placed: its machine and its attempt number.
-    pub live_attempts: HashMap<u32, (MachineId, u64)>,
+    /// The attempt of every task that is placed.
+    pub live_attempts: HashMap<u32, LiveAttempt>,
     /// The current attempt of a gang.
     pub gang_attempt: Option<GangAttempt>,
     /// How long tasks ran before they were stopped and saved, as far as this leader has seen.
     pub saved_progress: HashMap<u32, Micros>,
-    /// Tasks that may not be placed again before a time, and how often they have failed.
-    pub backoff: HashMap<u32, (Micros, u32)>,
+    /// Tasks that have failed or were refused, until they are done.
+    pub backoff: HashMap<u32, TaskBackoff>,
+}
+
+/// A pause before a task is placed again.
+#[derive(Clone, Copy, Default, Debug)]
+pub struct TaskBackoff {
+    /// The task is not placed before this time.
+    pub until: Micros,
+    /// How often it has failed.
+    pub failures: u32,
 }
 
 /// What the scheduler remembers about a job from one pass to the next.
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -6,7 +6,7 @@
 
 use super::attempt::Attempt;
 use super::capacity_index::{CapacityIndex, MachineKind};
-use crate::model::{JobId, MachineId, MachineType, Micros, Resources, SECOND, TaskId};
+use crate::model::{AttemptId, JobId, MachineId, MachineType, Micros, Resources, SECOND};
 
 /// Heartbeats that arrived closer together than this may have been held back in the network together.
 const MIN_HEARTBEAT_SPACING: Micros = 3 * SECOND;
@@ -24,8 +24,8 @@
     pub zone: Arc<str>,
     /// It was rented on the spot market and may be taken away at short notice.
     pub spot: bool,
-    /// Everything that is or may still be on the machine, by task and attempt number.
-    pub attempts: BTreeMap<(TaskId, u64), Attempt>,
+    /// Everything that is or may still be on the machine, by task and number.
+    pub attempts: BTreeMap<AttemptId, Attempt>,
     /// The resources of all attempts that hold capacity.
     pub used: Resources,
     pub worker: WorkerState,
--- /dev/null
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -0,0 +1,248 @@
+//! Attempts that have ended: they are charged to their owners, which may have to be found first.
+
+use std::sync::Arc;
+
+use gannethub_ledger::book::Book;
+use gannethub_ledger::line::{Common, Entry, Reason, Worth};
+use gannethub_ledger::meter::News;
+
+use super::record::{AttemptEnd, ChargeState, to_need};
+use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, Shape};
+use crate::state::attempt::AttemptPhase;
+use crate::state::cluster::Cluster;
+use crate::state::job::Job;
+use crate::state::machine::Machine;
+use crate::wire::store::JobOwner;
+use crate::wire::worker::ExitReason;
+
+/// More ended attempts than this are not kept in a worker's heartbeat, which has to stay below 64 KiB.
+const MAX_ENDED_ATTEMPTS: usize = 200;
+/// An owner that could not be read is asked for again after this time.
+const OWNER_QUERY_INTERVAL: Micros = 3 * SECOND;
+/// How many owners are asked for at a time.
+const MAX_OWNER_QUERIES: usize = 5;
+
+/// Whom a job's attempts are charged to.
+pub(crate) fn job_owner(job: &Job) -> JobOwner {
+    JobOwner {
+        team: job.spec.team.clone(),
+        class: job.spec.class.clone(),
+        resources: job.spec.need,
+        is_service: job.spec.shape == Shape::Service,
+    }
+}
+
+/// Why an attempt ended that its worker reports as ended.
+pub fn end_reason(exit_reason: ExitReason) -> Reason {
+    match exit_reason {
+        ExitReason::Done => Reason::Done,
+        ExitReason::Stopped => Reason::Stopped,
+        ExitReason::PeersGone => Reason::PeersGone,
+        ExitReason::Alone => Reason::Alone,
+        ExitReason::Error => Reason::Error,
+        ExitReason::NoRoom => Reason::NoRoom,
+        ExitReason::Busy => Reason::Busy,
+        ExitReason::Unknown => Reason::Unknown,
+        ExitReason::Other => Reason::Other,
+    }
+}
+
+impl Cluster {
+    /// An attempt has given its capacity back: it is charged, unless it was.
+    pub(crate) fn charge_attempt(
+        &mut self,
+        id: &MachineId,
+        attempt: &AttemptId,
+        reason: Reason,
+        now: Micros,
+    ) {
+        let Some(end) = self.attempt_end(id, attempt, reason, now) else {
+            return;
+        };
+        let record = self.usage_record_mut(id, attempt);
+        let owner = record.and_then(|record| record.owner.clone());
+        let charge = match self.charge_end(owner, end, now) {
+            Some(ticket) => ChargeState::Charged(ticket),
+            None => ChargeState::OwnerUnknown,
+        };
+        if let Some(record) = self.usage_record_mut(id, attempt) {
+            record.charge = charge;
+        }
+    }
+
+    /// The end of an attempt whose charge is still open.
+    fn attempt_end(
+        &self,
+        id: &MachineId,
+        attempt: &AttemptId,
+        reason: Reason,
+        now: Micros,
+    ) -> Option<AttemptEnd> {
+        self.usage_ledger.as_ref()?;
+        let machine = self.machines.get(id)?;
+        let record = machine.attempts.get(attempt)?.usage_record.as_ref()?;
+        if record.charge != ChargeState::Open {
+            return None;
+        }
+        let news = self.end_news(machine, reason, now);
+        Some(AttemptEnd {
+            id: attempt.clone(),
+            machine: id.clone(),
+            rate: self.machine_rate(machine),
+            reading: record.meter.end(now, news),
+            at: now,
+            unix_time: self.time_of_day(now),
+            reason,
+            saved: record.saved,
+        })
+    }
+
+    /// How the end of an attempt on a machine came to be known.
+    fn end_news(&self, machine: &Machine, reason: Reason, now: Micros) -> News {
+        let worker = &machine.worker;
+        if !matches!(reason, Reason::Lease | Reason::Machine) {
+            return News::Reported {
+                before: worker.previous_heartbeat_at,
+                missed: worker.missed_heartbeats,
+            };
+        }
+        // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer in it;
+        // of a machine that is silent nobody knows.
+        match worker.last_heartbeat_at {
+            Some(at) if at == now => News::Silence {
+                heard: worker.previous_heartbeat_at,
+                likely: self.settings.lease,
+            },
+            heard => News::Silence {
+                heard,
+                likely: self.settings.report / 2,
+            },
+        }
+    }
+
+    /// Charges an end to its owner, or keeps it until that is known. Returns the ticket of the charge.
+    pub(super) fn charge_end(
+        &mut self,
+        owner: Option<Arc<JobOwner>>,
+        end: AttemptEnd,
+        now: Micros,
+    ) -> Option<u64> {
+        let job_id = &end.id.task.job;
+        let job = self.jobs.get(job_id);
+        let owner = owner.or_else(|| job.map(|job| Arc::new(job_owner(job))));
+        let ledger = self.usage_ledger.as_mut()?;
+        let Some(owner) = owner else {
+            ledger.replication.mark_changed(&end.machine, &end.id);
+            let unowned = ledger.unowned_ends.entry(job_id.clone()).or_default();
+            unowned.push(end);
+            return None;
+        };
+        let ticket = charge_to(&mut ledger.book, &owner, &end, now);
+        ledger.undurable_ends.insert(ticket, (owner, end));
+        ledger.replication.ended.push(ticket);
+        Some(ticket)
+    }
+
+    /// Jobs whose owners are to be read from what is stored of their ends.
+    pub fn owners_to_read(&mut self, now: Micros) -> Vec<JobId> {
+        let Some(ledger) = &mut self.usage_ledger else {
+            return Vec::new();
+        };
+        let queries = &mut ledger.owner_queries;
+        queries.retain(|_, asked_at| now < *asked_at + OWNER_QUERY_INTERVAL);
+        let unasked = ledger
+            .unowned_ends
+            .keys()
+            .filter(|job| !queries.contains_key(*job));
+        let jobs: Vec<JobId> = unasked.take(MAX_OWNER_QUERIES).cloned().collect();
+        queries.extend(jobs.iter().map(|job| (job.clone(), now)));
+        jobs
+    }
+
+    /// The owner of a job that is over, as far as it is stored; what nobody owns is charged to nobody.
+    pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
+        let Some(ledger) = &mut self.usage_ledger else {
+            return;
+        };
+        let owner = Arc::new(owner.unwrap_or_default());
+        for end in ledger.unowned_ends.remove(job).unwrap_or_default() {
+            let (machine, attempt) = (end.machine.clone(), end.id.clone());
+            let Some(ticket) = self.charge_end(Some(owner.clone()), end, now) else {
+                continue;
+            };
+            if let Some(record) = self.usage_record_mut(&machine, &attempt) {
+                record.charge = ChargeState::Charged(ticket);
+            }
+        }
+    }
+
+    /// Whether a worker may forget an ended attempt, as far as the ledger goes.
+    pub(crate) fn is_usage_settled(&self, machine: &Machine, attempt: &AttemptId) -> bool {
+        let Some(ledger) = &self.usage_ledger else {
+            return true;
+        };
+        let record = machine
+            .attempts
+            .get(attempt)
+            .and_then(|entry| entry.usage_record.as_ref());
+        let is_durable = match record.map(|record| record.charge) {
+            None | Some(ChargeState::ChargedBefore) => true,
+            Some(ChargeState::Charged(ticket)) => ledger.book.is_written(ticket),
+            Some(ChargeState::Open | ChargeState::OwnerUnknown) => false,
+        };
+        // An end that is still shown would get the next start of the task here refused; and a heartbeat must not outgrow
+        // its limit. Then this leader's memory has to do.
+        is_durable || is_replaced(machine, attempt) || has_too_many_ends(machine)
+    }
+}
+
+/// Whether another attempt of the same task waits to be launched on the machine.
+fn is_replaced(machine: &Machine, attempt: &AttemptId) -> bool {
+    machine.attempts.iter().any(|(other, entry)| {
+        other.task == attempt.task
+            && other.number != attempt.number
+            && entry.phase == AttemptPhase::Starting
+    })
+}
+
+fn has_too_many_ends(machine: &Machine) -> bool {
+    let ended = machine
+        .attempts
+        .values()
+        .filter(|entry| matches!(entry.phase, AttemptPhase::Ended(_)));
+    ended.count() > MAX_ENDED_ATTEMPTS
+}
+
+/// Charges an end. Returns the ticket of the charge.
+fn charge_to(book: &mut Book, owner: &JobOwner, end: &AttemptEnd, now: Micros) -> u64 {
+    let worth = match (end.reason, end.saved) {
+        (Reason::Done, _) => Worth::Useful,
+        _ if owner.is_service => Worth::Useful,
+        (_, true) => Worth::Saved,
+        _ => Worth::Lost,
+    };
+    let AttemptId { task, number } = &end.id;
+    let rate = end.rate.clone();
+    let common = Common {
+        team: owner.team.clone(),
+        class: owner.class.clone(),
+        job: task.job.to_string(),
+        need: to_need(owner.resources),
+        flavor: rate.machine_type,
+        zone: rate.zone,
+        spot: rate.spot,
+        price: rate.hourly_price,
+        reason: end.reason,
+        worth,
+    };
+    let entry = Entry {
+        task: task.index,
+        attempt: *number,
+        machine: end.machine.to_string(),
+        begin: end.unix_time.saturating_sub(end.reading.spent.held()),
+        spent: end.reading.spent,
+        bound: end.reading.bound,
+        estimate: end.reading.estimate,
+    };
+    book.charge(common, entry, now)
+}
--- /dev/null
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -0,0 +1,268 @@
+//! Records of attempts that are placed, found on a machine, or change their phase.
+
+use std::sync::Arc;
+
+use gannethub_ledger::meter::{Meter, Stage};
+
+use super::ends::job_owner;
+use super::record::{ChargeState, MachineRate, OrphanedAttempt, UsageRecord, ledger_key};
+use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, TaskId};
+use crate::state::attempt::AttemptPhase;
+use crate::state::cluster::Cluster;
+use crate::state::machine::Machine;
+use crate::wire::worker::ExitReason;
+
+/// Attempt numbers with a time in them: the term above this many bits, milliseconds since [`EPOCH_MS`] below.
+const TIME_BITS: u32 = 42;
+/// Terms from here on leave no room for a time.
+const TERM_LIMIT: u64 = 1 << 21;
+/// The start of 2020, in milliseconds since 1970.
+const EPOCH_MS: u64 = 1_577_836_800_000;
+/// A worker that gets no answer sends its next heartbeat after this time.
+const LOST_ANSWER_DELAY: Micros = 5 * SECOND;
+
+/// How long ago an attempt was placed, and how far that may be off.
+#[derive(Clone, Copy)]
+struct EstimatedAge {
+    age: Micros,
+    uncertainty: Micros,
+}
+
+/// The stage that an attempt in this phase is metered in.
+fn stage(phase: AttemptPhase) -> Stage {
+    match phase {
+        AttemptPhase::Starting => Stage::Starting,
+        AttemptPhase::Fetching => Stage::Fetching,
+        AttemptPhase::Waiting => Stage::Waiting,
+        AttemptPhase::Running => Stage::Running,
+        AttemptPhase::Saving => Stage::Saving,
+        // What it did before it was found is put down to what it most likely did last.
+        AttemptPhase::Ended(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
+            Stage::Starting
+        }
+        AttemptPhase::Ended(ExitReason::Alone) => Stage::Waiting,
+        AttemptPhase::Ended(_) => Stage::Running,
+    }
+}
+
+impl Cluster {
+    /// The record of an attempt that is placed now.
+    pub(crate) fn open_usage_record(
+        &mut self,
+        job: &JobId,
+        index: u32,
+        machine: &MachineId,
+        number: u64,
+        now: Micros,
+    ) -> Option<Box<UsageRecord>> {
+        let ledger = self.usage_ledger.as_mut()?;
+        let job = self.jobs.get(job)?;
+        let task = TaskId {
+            job: job.id.clone(),
+            index,
+        };
+        let attempt = AttemptId { task, number };
+        ledger.replication.mark_changed(machine, &attempt);
+        Some(Box::new(UsageRecord {
+            meter: Meter::placed(now),
+            owner: Some(Arc::new(job_owner(job))),
+            charge: ChargeState::Open,
+            saved: false,
+        }))
+    }
+
+    /// The record of an attempt that another leader started, and that is found on a machine.
+    pub(crate) fn adopt_usage_record(
+        &mut self,
+        id: &MachineId,
+        attempt: &AttemptId,
+        phase: AttemptPhase,
+    ) -> Option<Box<UsageRecord>> {
+        let ledger = self.usage_ledger.as_mut()?;
+        ledger.replication.mark_changed(id, attempt);
+        let orphans = ledger.orphans.get_mut(id);
+        let orphan = orphans.and_then(|orphans| orphans.remove(attempt));
+        let incarnation = self
+            .machines
+            .get(id)
+            .map_or(0, |machine| machine.worker.incarnation);
+        let record = match orphan.filter(|orphan| orphan.incarnation == incarnation) {
+            Some(orphan) => self.resume_record(orphan, attempt, phase),
+            None => self.estimate_record(id, attempt, phase)?,
+        };
+        Some(Box::new(record))
+    }
+
+    /// Goes on with the record that the leader before this one told of.
+    fn resume_record(
+        &self,
+        orphan: OrphanedAttempt,
+        attempt: &AttemptId,
+        phase: AttemptPhase,
+    ) -> UsageRecord {
+        let now = self.now;
+        let mut record = orphan.record;
+        let meter = &mut record.meter;
+        meter.wait(orphan.transit_time);
+        if matches!(phase, AttemptPhase::Ended(_)) {
+            // It may have ended at any time since it was told of: in the middle, on average.
+            let unseen = now.saturating_sub(orphan.last_known_at);
+            meter.since = meter.since.max(orphan.last_known_at + unseen / 2);
+            meter.unsure += unseen + orphan.transit_time;
+        } else if stage(phase) != meter.stage {
+            meter.enter(stage(phase), now);
+        }
+        let job = self.jobs.get(&attempt.task.job);
+        record.owner = record
+            .owner
+            .or_else(|| job.map(|job| Arc::new(job_owner(job))));
+        record
+    }
+
+    /// A record of an attempt that nothing was told of: its age is estimated from its number.
+    fn estimate_record(
+        &self,
+        id: &MachineId,
+        attempt: &AttemptId,
+        phase: AttemptPhase,
+    ) -> Option<UsageRecord> {
+        let ledger = self.usage_ledger.as_ref()?;
+        let job = self.jobs.get(&attempt.task.job);
+        // Of a job that is over nobody knows here when it was released.
+        let ready_at = job.map_or(0, |job| job.ready_at);
+        let EstimatedAge {
+            age,
+            mut uncertainty,
+        } = self.estimate_age(attempt.number, ready_at);
+        let has_ended = matches!(phase, AttemptPhase::Ended(_));
+        let key = ledger_key(id, attempt);
+        let charge = match ledger.inherited_tickets.get(&key) {
+            Some(ticket) => ChargeState::Charged(*ticket),
+            // What was charged is over. One that goes on is a later start under the same number, as when a gang's
+            // task was replaced where it had been.
+            None if has_ended && ledger.charged_before.contains(&key) => ChargeState::ChargedBefore,
+            None => ChargeState::Open,
+        };
+        // How long its launch took to reach the worker is not known: a heartbeat, or another after a lost answer.
+        uncertainty += 2 * self.settings.report + LOST_ANSWER_DELAY;
+        let meter = match has_ended {
+            true => Meter::found(age / 2, uncertainty + age, stage(phase), self.now),
+            false => Meter::found(age, uncertainty, stage(phase), self.now),
+        };
+        Some(UsageRecord {
+            meter,
+            owner: job.map(|job| Arc::new(job_owner(job))),
+            charge,
+            saved: false,
+        })
+    }
+
+    /// How long ago an attempt of another term was placed. `ready_at`: when its job was released.
+    fn estimate_age(&self, number: u64, ready_at: Micros) -> EstimatedAge {
+        let setup = self.settings.ledger.as_ref();
+        let max_clock_offset = setup.map_or(0, |setup| setup.settings.clock_off);
+        let ms = number & ((1 << TIME_BITS) - 1);
+        let has_time = number >> TIME_BITS > 0;
+        let placed_at = has_time.then_some((EPOCH_MS + ms) * 1000);
+        // A number of another make gives a time that cannot be.
+        let is_possible = |at: &u64| {
+            *at <= self.unix_time + max_clock_offset && *at + max_clock_offset >= ready_at
+        };
+        match placed_at.filter(is_possible) {
+            Some(at) => EstimatedAge {
+                age: self.unix_time.saturating_sub(at),
+                uncertainty: max_clock_offset,
+            },
+            None => EstimatedAge {
+                age: 0,
+                uncertainty: self.unix_time.saturating_sub(ready_at),
+            },
+        }
+    }
+
+    /// The number of an attempt that is placed now, if numbers tell the time of their attempts.
+    pub(crate) fn timestamped_attempt_number(&mut self) -> Option<u64> {
+        let ms = (self.unix_time / 1000)
+            .checked_sub(EPOCH_MS)
+            .filter(|ms| *ms < 1 << TIME_BITS)?;
+        let term = self.term;
+        let ledger = self.usage_ledger.as_mut().filter(|_| term < TERM_LIMIT)?;
+        // The clock may step back; an attempt must never get the number of an earlier one of its task.
+        let number = (term << TIME_BITS) + ms;
+        ledger.last_attempt_number = ledger.last_attempt_number.max(number);
+        Some(ledger.last_attempt_number)
+    }
+
+    /// An attempt is in another phase than before. Its end is charged instead.
+    pub(crate) fn usage_phase_changed(
+        &mut self,
+        id: &MachineId,
+        attempt: &AttemptId,
+        phase: AttemptPhase,
+        now: Micros,
+    ) {
+        if matches!(phase, AttemptPhase::Ended(_)) {
+            return;
+        }
+        let Some(ledger) = &mut self.usage_ledger else {
+            return;
+        };
+        ledger.replication.mark_changed(id, attempt);
+        if let Some(record) = self.usage_record_mut(id, attempt) {
+            record.meter.enter(stage(phase), now);
+        }
+    }
+
+    /// Launches that wait on a machine go out with the answer to its heartbeat.
+    pub(crate) fn launches_sent(&mut self, id: &MachineId, now: Micros) {
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        let is_sent = |attempt: &&AttemptId| {
+            let job = self.jobs.get(&attempt.task.job);
+            job.is_some_and(|job| self.may_launch(job, attempt.task.index))
+        };
+        let attempts = machine.attempts.iter();
+        let starting = attempts.filter(|(_, attempt)| attempt.phase == AttemptPhase::Starting);
+        let sent: Vec<AttemptId> = starting
+            .map(|(attempt, _)| attempt)
+            .filter(is_sent)
+            .cloned()
+            .collect();
+        if let Some(ledger) = &mut self.usage_ledger {
+            let replication = &mut ledger.replication;
+            let changed = &replication.changed;
+            let is_untold = |attempt: &AttemptId| changed.contains(&(id.clone(), attempt.clone()));
+            replication.is_urgent |= sent.iter().any(is_untold);
+        }
+        for attempt in &sent {
+            if let Some(record) = self.usage_record_mut(id, attempt) {
+                record.meter.sent(now);
+            }
+        }
+    }
+
+    /// The record of an attempt on a machine.
+    pub(super) fn usage_record_mut(
+        &mut self,
+        id: &MachineId,
+        attempt: &AttemptId,
+    ) -> Option<&mut UsageRecord> {
+        let attempts = &mut self.machines.get_mut(id)?.attempts;
+        attempts.get_mut(attempt)?.usage_record.as_deref_mut()
+    }
+
+    /// What a machine costs.
+    pub(super) fn machine_rate(&self, machine: &Machine) -> MachineRate {
+        let machine_type = machine
+            .machine_type
+            .and_then(|index| self.machine_types.get(index));
+        let hourly_price = machine_type.map_or(0.0, |known| known.price_of(machine.spot));
+        MachineRate {
+            machine_type: machine_type.map_or(String::new(), |known| known.name.to_string()),
+            zone: machine.zone.to_string(),
+            spot: machine.spot,
+            hourly_price: (hourly_price * 1e6) as u64,
+        }
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -0,0 +1,217 @@
+//! Attempts that an earlier leader told of and that no worker has shown since.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use gannethub_ledger::line::Reason;
+use gannethub_ledger::meter::{Meter, News, Reading, Stage};
+
+use super::record::{AttemptEnd, ChargeState, OrphanedAttempt, UsageRecord, ledger_key};
+use super::replication::{rate_of, read_attempt_key, read_end_reason, read_owner, read_reading};
+use crate::model::{AttemptId, MachineId, Micros};
+use crate::state::cluster::Cluster;
+use crate::state::usage_replica::ReplicatedRecord;
+
+impl Cluster {
+    /// Goes on with what the leader before this one had not made durable, as far as it told.
+    pub(super) fn take_over_usage(&mut self, records: Vec<ReplicatedRecord>, now: Micros) {
+        for replicated in records {
+            self.take_over_record(&replicated, now);
+        }
+    }
+
+    fn take_over_record(&mut self, replicated: &ReplicatedRecord, now: Micros) {
+        let record = &replicated.record;
+        let Some(key) = &record.key else { return };
+        let (machine, attempt) = read_attempt_key(key);
+        let Some(ledger) = &self.usage_ledger else {
+            return;
+        };
+        if ledger
+            .charged_before
+            .contains(&ledger_key(&machine, &attempt))
+        {
+            return;
+        }
+        let Some(reading) = read_reading(record) else {
+            return;
+        };
+        if let Some(reason) = read_end_reason(record) {
+            let end = self.taken_over_end(machine, attempt, replicated, reading, reason, now);
+            self.charge_taken_over_end(end, replicated, now);
+        } else {
+            self.adopt_orphan(machine, attempt, replicated, reading);
+        }
+    }
+
+    fn taken_over_end(
+        &self,
+        machine: MachineId,
+        id: AttemptId,
+        replicated: &ReplicatedRecord,
+        reading: Reading,
+        reason: Reason,
+        now: Micros,
+    ) -> AttemptEnd {
+        let record = &replicated.record;
+        // The process may be younger than that end.
+        let ended_ago = now
+            .saturating_sub(replicated.received_at)
+            .saturating_add(record.end_age)
+            .saturating_add(replicated.transit_time);
+        AttemptEnd {
+            id,
+            machine,
+            rate: rate_of(record),
+            reading,
+            at: replicated.received_at.saturating_sub(record.end_age),
+            unix_time: self.time_of_day(now).saturating_sub(ended_ago),
+            reason,
+            saved: record.saved,
+        }
+    }
+
+    fn charge_taken_over_end(
+        &mut self,
+        end: AttemptEnd,
+        replicated: &ReplicatedRecord,
+        now: Micros,
+    ) {
+        let key = ledger_key(&end.machine, &end.id);
+        let owner = replicated.record.owner.as_ref();
+        let owner = owner.map(|owner| Arc::new(read_owner(owner)));
+        if let Some(ticket) = self.charge_end(owner, end, now)
+            && let Some(ledger) = &mut self.usage_ledger
+        {
+            ledger.inherited_tickets.insert(key, ticket);
+        }
+    }
+
+    /// An attempt that had not ended waits for its worker to show it, or for its lease to run out.
+    fn adopt_orphan(
+        &mut self,
+        machine: MachineId,
+        attempt: AttemptId,
+        replicated: &ReplicatedRecord,
+        reading: Reading,
+    ) {
+        let record = &replicated.record;
+        let Some(stage) = Stage::from_index(record.stage as usize) else {
+            return;
+        };
+        let received_at = replicated.received_at;
+        let mut spent = reading.spent;
+        spent.0[stage.index()] += record.stage_age;
+        let meter = Meter {
+            stage,
+            since: received_at,
+            // Whether its launch went out was not told.
+            sent: Some((received_at.saturating_sub(record.stage_age), received_at)),
+            spent,
+            // The machine may have been lost before its leader was, which did not know it yet.
+            unsure: record.begin_uncertainty + replicated.current_until - received_at,
+            guessed: record.begin_estimated,
+        };
+        let owner = record.owner.as_ref();
+        let orphan = OrphanedAttempt {
+            record: UsageRecord {
+                meter,
+                owner: owner.map(|owner| Arc::new(read_owner(owner))),
+                charge: ChargeState::Open,
+                saved: record.saved,
+            },
+            rate: rate_of(record),
+            incarnation: record.incarnation,
+            last_known_at: replicated.current_until,
+            transit_time: replicated.transit_time,
+        };
+        if let Some(ledger) = &mut self.usage_ledger {
+            ledger.replication.mark_changed(&machine, &attempt);
+            let orphans = ledger.orphans.entry(machine).or_default();
+            orphans.insert(attempt, orphan);
+        }
+    }
+
+    /// A worker has shown all that it holds to this leader for the first time: orphans that it has not shown are over.
+    pub(crate) fn charge_orphans_not_shown(
+        &mut self,
+        id: &MachineId,
+        incarnation: u64,
+        now: Micros,
+    ) {
+        let ledger = self.usage_ledger.as_ref();
+        if !ledger.is_some_and(|ledger| ledger.orphans.contains_key(id)) {
+            return;
+        }
+        // The machine is alive: what another incarnation had was lost when its lease ran out.
+        let (lease, heartbeat_interval) = (self.settings.lease, self.settings.report);
+        let is_of_another = |orphan: &OrphanedAttempt| orphan.incarnation != incarnation;
+        self.charge_orphans_where(id, Reason::Lease, now, lease, is_of_another);
+        self.charge_orphans_where(id, Reason::Missing, now, heartbeat_interval / 2, |_| true);
+    }
+
+    /// A machine is gone, or its worker's lease is over, and with it all of its orphans.
+    pub(crate) fn charge_orphans(&mut self, id: &MachineId, reason: Reason, now: Micros) {
+        let likely_duration = self.settings.report / 2;
+        self.charge_orphans_where(id, reason, now, likely_duration, |_| true);
+    }
+
+    /// Charges orphans of machines that are not there any more, once nothing of an earlier term can be left.
+    pub(crate) fn charge_orphans_of_lost_machines(&mut self, now: Micros) {
+        if now <= self.takeover.at + self.lease_expiry_bound() {
+            return;
+        }
+        let Some(ledger) = &self.usage_ledger else {
+            return;
+        };
+        let machines = ledger.orphans.keys();
+        let lost: Vec<MachineId> = machines
+            .filter(|id| !self.machines.contains_key(*id))
+            .cloned()
+            .collect();
+        lost.iter()
+            .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
+    }
+
+    /// Charges the orphans of a machine that `is_over` says of. `likely_duration`: how long they most likely went on after
+    /// they were last known.
+    fn charge_orphans_where(
+        &mut self,
+        id: &MachineId,
+        reason: Reason,
+        now: Micros,
+        likely_duration: Micros,
+        is_over: impl Fn(&OrphanedAttempt) -> bool,
+    ) {
+        let Some(ledger) = &mut self.usage_ledger else {
+            return;
+        };
+        let Some(orphans) = ledger.orphans.remove(id) else {
+            return;
+        };
+        let (over, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            orphans.into_iter().partition(|(_, orphan)| is_over(orphan));
+        if !left.is_empty() {
+            ledger.orphans.insert(id.clone(), left);
+        }
+        for (attempt, orphan) in over {
+            let news = News::Silence {
+                heard: Some(orphan.last_known_at),
+                likely: likely_duration,
+            };
+            // Whenever it ended, that was not seen.
+            let reading = orphan.record.meter.end(now, news);
+            let end = AttemptEnd {
+                id: attempt,
+                machine: id.clone(),
+                rate: orphan.rate,
+                reading: reading.quiet(orphan.transit_time),
+                at: now,
+                unix_time: self.time_of_day(now),
+                reason,
+                saved: orphan.record.saved,
+            };
+            self.charge_end(orphan.record.owner, end, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -0,0 +1,103 @@
+//! Opening the ledger, and what is durable of it.
+
+use gannethub_ledger::audit::Page;
+use gannethub_ledger::book::{Book, Damaged, Head};
+use gannethub_ledger::line::{Body, Gap, Took};
+
+use super::ledger::UsageLedger;
+use super::replication::attempt_key;
+use crate::model::{MachineId, Micros};
+use crate::state::cluster::Cluster;
+use crate::state::machine::Machine;
+use crate::state::usage_replica::UsageReplica;
+use crate::wire::store::{VALUE_SLACK_BYTES, ledger_page_key};
+
+/// A page that is not as it was written is left as it is, and the service goes on.
+pub(crate) fn log_damaged_page(page: Damaged) {
+    let key = ledger_page_key(page.0);
+    tracing::error!(
+        key,
+        "a page of the ledger is not as it was written; it is kept"
+    );
+}
+
+impl Cluster {
+    /// Begins to keep the ledger, after what the state service holds of it and what the leader before this one told.
+    pub fn open_usage_ledger(
+        &mut self,
+        head: Option<Head>,
+        pages: &[(Page, u64)],
+        replica: &mut UsageReplica,
+        now: Micros,
+    ) {
+        let Some(setup) = self.settings.ledger.clone() else {
+            return;
+        };
+        let value_limit = self.settings.value_bytes - VALUE_SLACK_BYTES;
+        let window = Book::window(self.settings.lease, &setup.settings);
+        let mut opened = Book::open(setup.settings, setup.keys, value_limit, window, head, pages);
+        std::mem::take(&mut opened.damaged)
+            .into_iter()
+            .for_each(log_damaged_page);
+        let peer_count = self.settings.siblings.len();
+        self.usage_ledger = Some(Box::new(UsageLedger::new(opened, peer_count)));
+        let (records, is_complete) = replica.take_records(self.term - 1);
+        self.take_over_usage(records, now);
+        let takeover = Took {
+            term: self.term,
+            holder: self.settings.name.clone(),
+            at: self.unix_time,
+            complete: is_complete,
+        };
+        if let Some(ledger) = &mut self.usage_ledger {
+            ledger.replica_was_complete = is_complete;
+            ledger.book.note(Body::Took(takeover), now);
+        }
+    }
+
+    /// The transaction with the ledger's page was carried out: the ends with these tickets are durable.
+    pub(crate) fn usage_page_written(&mut self, tickets: Vec<u64>) {
+        let Some(ledger) = &mut self.usage_ledger else {
+            return;
+        };
+        for ticket in tickets {
+            if let Some((_, end)) = ledger.undurable_ends.remove(&ticket) {
+                let key = attempt_key(&end.machine, &end.id);
+                ledger.replication.closed.push(key);
+            }
+        }
+    }
+
+    /// A recorded machine that never sent this leader a heartbeat is given up. If records of the leader before may be
+    /// missing, what ran on it cannot be metered, which is noted in the ledger once.
+    pub(crate) fn record_unmetered_interval(&mut self, id: &MachineId, now: Micros) {
+        let may_miss_records = self.usage_ledger.as_ref().is_some_and(|ledger| {
+            !ledger.replica_was_complete && !ledger.unmetered_machines.contains(id)
+        });
+        let was_never_heard = |machine: &&Machine| {
+            machine.lifecycle.recorded && machine.worker.last_heartbeat_at.is_none()
+        };
+        let machine = self.machines.get(id).filter(was_never_heard);
+        let Some(machine) = machine.filter(|_| may_miss_records) else {
+            return;
+        };
+        let rate = self.machine_rate(machine);
+        let interval = Gap {
+            machine: id.to_string(),
+            flavor: rate.machine_type,
+            zone: rate.zone,
+            spot: rate.spot,
+            from: self.time_of_day(self.takeover.at),
+            to: self.time_of_day(now),
+        };
+        if let Some(ledger) = &mut self.usage_ledger {
+            ledger.unmetered_machines.insert(id.clone());
+            ledger.book.note(Body::Gap(interval), now);
+        }
+    }
+
+    /// The time of day at a time of this process's clock.
+    pub(super) fn time_of_day(&self, at: Micros) -> Micros {
+        self.unix_time.saturating_sub(self.now.saturating_sub(at))
+    }
+}
--- a/crates/gannethub-core/src/state/usage_replica.rs
+++ b/crates/gannethub-core/src/state/usage_replica.rs
@@ -1,62 +1,64 @@
-//! A sibling's copy of what a leader has not charged yet, or not in writing.
+//! A peer's copy of what a leader has not charged yet, or not made durable.
 //!
-//! A worker remembers an attempt until it is told to forget it, and that is enough while machines live. What was
-//! on a machine that is lost together with the leader is known to nobody else; so the leader tells its siblings
-//! what is open, and one of them goes on with it. Messages may be lost: a copy with a gap asks for all of it,
-//! and says of itself that it is not complete.
+//! A worker remembers an attempt until it is told to forget it, and that is enough while machines live. What was on a
+//! machine that is lost together with the leader is known to nobody else; so the leader sends its open usage records to its
+//! peers, and the one that succeeds it goes on with them. Messages may be lost: a copy that has missed one asks for all
+//! records, and says of itself that it is not complete.
 
 use std::collections::BTreeMap;
 
 use crate::model::{Micros, SECOND};
 use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageRecords};
 
-/// A copy that has a gap asks again after this time.
-const ASK_AGAIN: Micros = 2 * SECOND;
+/// A copy that has missed a message asks again after this time.
+const RESEND_REQUEST_INTERVAL: Micros = 2 * SECOND;
 
-/// A tab as a leader told of it.
+/// An open usage record as a leader sent it.
 #[derive(Debug, Clone)]
 pub struct ReplicatedRecord {
     pub record: OpenUsageRecord,
-    /// When that came, and how long it had been on its way.
+    /// When the record came, on this process's clock.
     pub received_at: Micros,
+    /// How long it had been on its way.
     pub transit_time: Micros,
-    /// When the leader was last heard, and had nothing else to tell of it.
+    /// Until when it is known to have held: when the leader was last heard, and had nothing new to tell of it.
     pub current_until: Micros,
 }
 
-/// What is known of a leader's open tabs.
+/// What is known of a leader's open usage records.
 #[derive(Debug, Default)]
 pub struct UsageReplica {
+    /// The leader's term.
     pub term: u64,
-    next: u64,
-    complete: bool,
-    filling: bool,
-    asked_at: Option<Micros>,
-    heard_at: Micros,
-    tabs: BTreeMap<AttemptKey, ReplicatedRecord>,
+    next_sequence: u64,
+    /// It has all of the leader's records.
+    is_complete: bool,
+    /// The leader is sending all of its records, and none has been missed so far.
+    is_filling: bool,
+    resend_requested_at: Option<Micros>,
+    leader_heard_at: Micros,
+    records: BTreeMap<AttemptKey, ReplicatedRecord>,
 }
 
 impl UsageReplica {
     /// What a leader that steps down knows itself.
-    pub fn from_own_records(term: u64, tabs: Vec<OpenUsageRecord>, now: Micros) -> UsageReplica {
-        let mut shadow = UsageReplica::default();
-        let (seq, closed) = (0, Vec::new());
-        let (first, last, at) = (true, true, 0);
-        let all = UsageRecords {
+    pub fn from_own_records(term: u64, records: Vec<OpenUsageRecord>, now: Micros) -> UsageReplica {
+        let mut replica = UsageReplica::default();
+        let all_records = UsageRecords {
             term,
-            sequence: seq,
-            is_first: first,
-            is_last: last,
-            open_records: tabs,
-            closed_keys: closed,
-            sent_at: at,
+            sequence: 0,
+            is_first: true,
+            is_last: true,
+            open_records: records,
+            closed_keys: Vec::new(),
+            sent_at: 0,
         };
-        shadow.apply(all, now, 0);
-        shadow
+        replica.apply(all_records, now, 0);
+        replica
     }
 
-    /// Takes in a leader's message that has been on its way so long. True: all of it should be asked for.
-    pub fn apply(&mut self, message: UsageRecords, now: Micros, late: Micros) -> bool {
+    /// Takes in a leader's message. Returns whether all records should be asked for again.
+    pub fn apply(&mut self, message: UsageRecords, now: Micros, transit_time: Micros) -> bool {
         if message.term < self.term {
             return false;
         }
@@ -67,59 +69,77 @@
             };
         }
         if message.is_first {
-            self.tabs.clear();
-            (self.filling, self.next) = (true, message.sequence);
+            self.records.clear();
+            self.is_filling = true;
+            self.next_sequence = message.sequence;
         }
-        let follows = message.sequence == self.next;
-        self.next = message.sequence + 1;
-        if !follows {
-            (self.complete, self.filling) = (false, false);
+        if message.sequence != self.next_sequence {
+            self.is_complete = false;
+            self.is_filling = false;
         }
+        self.next_sequence = message.sequence + 1;
         // What has come is of use even where something is missing.
-        for key in message.closed_keys {
-            self.tabs.remove(&key);
+        for key in &message.closed_keys {
+            self.records.remove(key);
         }
-        for tab in message.open_records {
-            if let Some(key) = tab.key.clone() {
-                self.tabs.insert(
-                    key,
-                    ReplicatedRecord {
-                        record: tab,
-                        received_at: now,
-                        transit_time: late,
-                        current_until: now,
-                    },
-                );
-            }
+        for record in message.open_records {
+            self.insert(record, now, transit_time);
         }
-        if message.is_last && self.filling {
-            (self.complete, self.filling) = (true, false);
+        if message.is_last && self.is_filling {
+            self.is_complete = true;
+            self.is_filling = false;
         }
-        let ask = !self.complete && !self.filling;
-        let due = self.asked_at.is_none_or(|t| now >= t + ASK_AGAIN);
-        if ask && due {
-            self.asked_at = Some(now);
+        self.should_request_resend(now)
+    }
+
+    fn insert(&mut self, record: OpenUsageRecord, now: Micros, transit_time: Micros) {
+        let Some(key) = record.key.clone() else {
+            return;
+        };
+        let record = ReplicatedRecord {
+            record,
+            received_at: now,
+            transit_time,
+            current_until: now,
+        };
+        self.records.insert(key, record);
+    }
+
+    fn should_request_resend(&mut self, now: Micros) -> bool {
+        if self.is_complete || self.is_filling {
+            return false;
         }
-        ask && due
+        let is_due = self
+            .resend_requested_at
+            .is_none_or(|at| now >= at + RESEND_REQUEST_INTERVAL);
+        if is_due {
+            self.resend_requested_at = Some(now);
+        }
+        is_due
     }
 
     /// The leader of `term` is alive.
     pub fn leader_heard(&mut self, term: u64, now: Micros) {
         if term == self.term {
-            self.heard_at = now;
+            self.leader_heard_at = now;
         }
     }
 
-    /// What the leader of `term` left open, and whether that is all. Of what it had no news of, nothing had
-    /// changed while it was heard.
+    /// What the leader of `term` left open, and whether that is all. A record of which it sent no news had not changed while
+    /// the leader was heard.
     pub fn take_records(&mut self, term: u64) -> (Vec<ReplicatedRecord>, bool) {
-        let complete = self.complete && self.term == term;
-        let UsageReplica { tabs, heard_at, .. } = std::mem::take(self);
-        let until = |told: ReplicatedRecord| ReplicatedRecord {
-            current_until: told.current_until.max(heard_at),
-            ..told
-        };
-        (tabs.into_values().map(until).collect(), complete)
+        let replica = std::mem::take(self);
+        let records = replica
+            .records
+            .into_values()
+            .map(|record| ReplicatedRecord {
+                current_until: record.current_until.max(replica.leader_heard_at),
+                ..record
+            });
+        (
+            records.collect(),
+            replica.is_complete && replica.term == term,
+        )
     }
 }
 
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -34,7 +34,9 @@
     f.c.run_scheduling_pass(f.now);
     f.write();
     let attempts = f.c.machines[&*machine].attempts.keys();
-    let tasks: Vec<(String, u64)> = attempts.map(|(t, a)| (t.to_string(), *a)).collect();
+    let tasks: Vec<(String, u64)> = attempts
+        .map(|id| (id.task.to_string(), id.number))
+        .collect();
     assert_eq!(tasks.len(), 4);
     f.run_all();
     let texts: Vec<String> = (0..50).map(|i| bytes(&machine, 100 + i, &tasks)).collect();
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -271,7 +271,7 @@
     let placed: Vec<u32> = f.c.machines["up-1"]
         .attempts
         .keys()
-        .map(|k| k.0.index)
+        .map(|id| id.task.index)
         .collect();
     assert_eq!(
         placed,
@@ -283,7 +283,7 @@
     let placed: Vec<u32> = f.c.machines["up-1"]
         .attempts
         .keys()
-        .map(|k| k.0.index)
+        .map(|id| id.task.index)
         .collect();
     assert_eq!(placed, [0, 1, 6, 7]);
 }
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -189,7 +189,7 @@
             f.c.machines[n.as_str()]
                 .attempts
                 .keys()
-                .map(|(t, a)| (t.to_string(), *a))
+                .map(|id| (id.task.to_string(), id.number))
                 .collect()
         })
         .collect();
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -233,7 +233,7 @@
                 let tasks: Vec<(String, u64)> = m
                     .attempts
                     .keys()
-                    .map(|(t, attempt)| (t.to_string(), *attempt))
+                    .map(|id| (id.task.to_string(), id.number))
                     .collect();
                 (m.id.to_string(), flavor, m.zone.to_string(), tasks)
             })
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -109,7 +109,7 @@
     let mine: Vec<(String, u64)> = f.c.machines["host-0000"]
         .attempts
         .keys()
-        .map(|(t, n)| (t.to_string(), *n))
+        .map(|id| (id.task.to_string(), id.number))
         .collect();
     // It falls silent for longer than its lease and is deleted; the other goes on.
     for _ in 0..6 {
@@ -138,7 +138,7 @@
             .tasks
             .live_attempts
             .values()
-            .all(|(m, _)| &**m != "host-0000")
+            .all(|live| &*live.machine != "host-0000")
     );
 }
 
@@ -163,7 +163,9 @@
     // The others end, and each machine is left with one long task.
     for name in &names {
         let attempts = f.c.machines[name.as_str()].attempts.keys();
-        let tasks: Vec<_> = attempts.map(|(t, n)| (t.to_string(), *n)).collect();
+        let tasks: Vec<_> = attempts
+            .map(|id| (id.task.to_string(), id.number))
+            .collect();
         assert_eq!(tasks.len(), 2);
         let ended = |t: &str| t.starts_with("j-1/");
         let tasks: Vec<_> = tasks
@@ -207,7 +209,7 @@
             .tasks
             .live_attempts
             .values()
-            .all(|(m, _)| **m != *leaving[0])
+            .all(|live| *live.machine != *leaving[0])
     );
     assert_eq!(f.c.jobs["j-2"].tasks.live_attempts.len(), 3);
 }
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -300,7 +300,7 @@
         let tasks: Vec<(String, u64, bool)> = running
             .iter()
             .enumerate()
-            .map(|(i, (t, a))| (t.to_string(), *a, i < ended))
+            .map(|(i, id)| (id.task.to_string(), id.number, i < ended))
             .collect();
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
         f.pass(1);
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -71,7 +71,7 @@
                 let on_it: Vec<(String, u64)> = f.c.machines[name.as_str()]
                     .attempts
                     .keys()
-                    .map(|(t, attempt)| (t.to_string(), *attempt))
+                    .map(|id| (id.task.to_string(), id.number))
                     .collect();
                 let done = on_it
                     .iter()
