--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -114,14 +114,14 @@
     let names: Vec<String> = (0..machines).map(|i| format!("host-{i:06}")).collect();
     for (chunk, names) in names.chunks(40).enumerate() {
         let member = ShardMember {
-            flavor: "small".into(),
+            machine_type: "small".into(),
             zone: "a".into(),
             spot: false,
         };
         let machines = names.iter().map(|n| (n.clone(), member.clone())).collect();
         let record = ChunkRecord {
             term: 0,
-            holder: "n1".into(),
+            owner: "n1".into(),
             machines,
         };
         f.c.apply_shard_chunk(&f.c.shard.chunk_key(chunk), record, 5);
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -139,11 +139,11 @@
         let notice = report.preemption_notice_s.is_some() && !machine.lifecycle.preemption_notice;
         machine.lifecycle.preemption_notice |= notice;
         if !machine.lifecycle.recorded && !machine.lifecycle.deleting && !self.shard.contains(&id) {
-            let (flavor, zone) = (report.machine_type.to_string(), report.zone.to_string());
+            let (machine_type, zone) = (report.machine_type.to_string(), report.zone.to_string());
             self.shard.add(
                 &id,
                 ShardMember {
-                    flavor,
+                    machine_type,
                     zone,
                     spot: report.spot,
                 },
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -12,7 +12,7 @@
 use crate::state::attempt::LiveAttempt;
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
-use crate::state::shard::ChunkRecord;
+use crate::state::shard::{ChunkRecord, ChunkWrite};
 use crate::state::usage::{job_owner, log_damaged_page};
 use crate::state::watermarks::ReliabilityRecord;
 use crate::state::writes::{BatchedWrite, WriteBatch};
@@ -157,7 +157,7 @@
         for (name, member) in &record.machines {
             let taken = self.takeover.at;
             let machine =
-                self.machine_or_adopt(name, &member.flavor, &member.zone, member.spot, taken);
+                self.machine_or_adopt(name, &member.machine_type, &member.zone, member.spot, taken);
             machine.lifecycle.recorded = true;
             machine.worker.last_answered_at = taken;
             machine.lifecycle.is_up = true;
@@ -469,13 +469,18 @@
         idle: bool,
     ) {
         while commit.change_count() < most && *bytes < 40_000 {
-            let Some((index, stamp, record)) = self.shard.next_dirty_chunk(idle) else {
+            let Some(write) = self.shard.next_dirty_chunk(idle) else {
                 break;
             };
+            let ChunkWrite {
+                index,
+                version,
+                record,
+            } = write;
             let key = self.shard.chunk_key(index);
             let value = store::to_raw_value(&record);
             *bytes += value.get().len() + 200;
-            commit.guard(&key, stamp);
+            commit.guard(&key, version);
             commit.put(&key, value, None);
             self.shard.mark_write_in_flight(index);
             let members = record.machines.into_keys().collect();
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -4,7 +4,8 @@
 
 use crate::model::{JobId, seconds_from_micros};
 use crate::state::cluster::Cluster;
-use crate::state::pipeline::{DependencyOutcome, PipelineEffects, WaitingJob};
+use crate::state::dependencies::{DependencyOutcome, PipelineEffects};
+use crate::state::pipeline::WaitingJob;
 use crate::state::shard_load;
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, FinishedJobRecord, JobRecord, Transaction, WaitingRecord};
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -116,13 +116,8 @@
             record.spot,
             now,
         );
-        let MachineTransferRecord {
-            machine_type: flavor,
-            zone,
-            spot,
-        } = record.clone();
-        self.shard
-            .add(machine, ShardMember { flavor, zone, spot }, None);
+        let member = ShardMember::from(record.clone());
+        self.shard.add(machine, member, None);
         self.transfers.incoming.insert(machine.into());
     }
 
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -1,12 +1,13 @@
 //! Nested sagas, after Garcia-Molina et al., "Coordinating Multi-Transaction Activities".
 //!
-//! A saga holds elements, each a child saga. It commits when all of them have, and a vital child's
-//! abort aborts it: active elements are cancelled, committed ones compensated in reverse commit
-//! order. A non-vital child's abort cancels only what waits for it. A pipeline is a saga of jobs;
-//! a gang attempt is a saga of tasks, non-vital to its job, so that a lost attempt is repeated.
+//! A saga holds elements, each a child saga. It commits when all of them have, and a vital child's abort aborts it: active
+//! elements are cancelled, committed ones compensated in reverse commit order. A non-vital child's abort cancels only what
+//! waits for it. A pipeline is a saga of jobs; a gang attempt is a saga of tasks, non-vital to its job, so that a lost
+//! attempt is repeated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The state of a saga or of one of its elements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SagaState {
     /// Waits for upstream elements to commit.
@@ -16,7 +17,14 @@
     Aborted,
 }
 
-/// What the owner of a saga has to do after an abort.
+impl SagaState {
+    /// Whether it can still be aborted and has not committed.
+    fn is_unfinished(self) -> bool {
+        matches!(self, SagaState::Waiting | SagaState::Active)
+    }
+}
+
+/// What the owner of a saga has to do with one of its elements after an abort.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AbortAction<K> {
     /// The element was active, or waited for one that has been aborted: stop it.
@@ -29,20 +37,32 @@
 struct Element<K> {
     vital: bool,
     /// Upstream elements that have not committed.
-    open: BTreeSet<K>,
+    open_upstream: BTreeSet<K>,
     /// Elements that wait for this one.
     downstream: BTreeSet<K>,
     state: SagaState,
 }
 
-/// A saga whose elements go by `K`. What a commit or an abort costs follows what it changes.
+impl<K> Element<K> {
+    fn new(vital: bool) -> Element<K> {
+        Element {
+            vital,
+            open_upstream: BTreeSet::new(),
+            downstream: BTreeSet::new(),
+            state: SagaState::Active,
+        }
+    }
+}
+
+/// A saga whose elements have keys of type `K`. What a commit or an abort costs depends only on how much it changes.
 #[derive(Clone, Debug)]
 pub struct Saga<K> {
     elements: BTreeMap<K, Element<K>>,
     commit_order: Vec<K>,
+    /// How many elements have neither committed nor been aborted.
     unfinished: usize,
-    /// It goes on when no element is left to run: others may come.
-    standing: bool,
+    /// It stays active when no element is left to run, as others may join.
+    open_ended: bool,
     state: SagaState,
 }
 
@@ -52,17 +72,17 @@
             elements: BTreeMap::new(),
             commit_order: Vec::new(),
             unfinished: 0,
-            standing: false,
+            open_ended: false,
             state: SagaState::Active,
         }
     }
 }
 
 impl Saga<u32> {
-    /// A saga of `n` vital elements that wait for nothing: a gang attempt, or a job on its own.
-    pub fn independent(n: u32) -> Saga<u32> {
+    /// A saga of `count` vital elements that wait for nothing: a gang attempt, or a job on its own.
+    pub fn independent(count: u32) -> Saga<u32> {
         let mut saga = Saga::default();
-        (0..n).for_each(|i| saga.add(i, true, &[]));
+        (0..count).for_each(|index| saga.add(index, true, &[]));
         saga
     }
 }
@@ -71,76 +91,72 @@
     /// A saga that elements keep joining and leaving.
     pub fn open_ended() -> Saga<K> {
         Saga {
-            standing: true,
+            open_ended: true,
             ..Saga::default()
         }
     }
 
-    fn enter(&mut self, key: &K, vital: bool) -> &mut Element<K> {
+    fn element_or_new(&mut self, key: &K, vital: bool) -> &mut Element<K> {
         let unfinished = &mut self.unfinished;
         self.elements.entry(key.clone()).or_insert_with(|| {
             *unfinished += 1;
-            let (open, downstream) = (BTreeSet::new(), BTreeSet::new());
-            Element {
-                vital,
-                open,
-                downstream,
-                state: SagaState::Active,
-            }
+            Element::new(vital)
         })
     }
 
-    /// Adds an element that is released when every element of `upstream` has committed. Upstream
-    /// elements that are not known yet are taken to be active, and may be added later.
+    /// Adds an element that is released when every element of `upstream` has committed. Upstream elements that are not known
+    /// yet are taken to be active, and may be added later.
     pub fn add(&mut self, key: K, vital: bool, upstream: &[K]) {
-        let mut open = BTreeSet::new();
-        for u in upstream {
-            let element = self.enter(u, false);
+        let mut open_upstream = BTreeSet::new();
+        for upstream_key in upstream {
+            let element = self.element_or_new(upstream_key, false);
             if element.state != SagaState::Committed {
                 element.downstream.insert(key.clone());
-                open.insert(u.clone());
+                open_upstream.insert(upstream_key.clone());
             }
         }
-        let lost = open
+        let is_lost = open_upstream
             .iter()
-            .any(|u| self.element_state(u) == Some(SagaState::Aborted));
-        let element = self.enter(&key, vital);
+            .any(|upstream_key| self.element_state(upstream_key) == Some(SagaState::Aborted));
+        let element = self.element_or_new(&key, vital);
         element.vital = vital;
-        if !open.is_empty() && element.state == SagaState::Active {
+        if !open_upstream.is_empty() && element.state == SagaState::Active {
             element.state = SagaState::Waiting;
         }
-        element.open = open;
-        if lost {
+        element.open_upstream = open_upstream;
+        if is_lost {
             self.abort_element(&key);
         }
     }
 
+    /// The state of the saga itself.
     pub fn state(&self) -> SagaState {
         self.state
     }
 
+    /// The state of an element.
     pub fn element_state(&self, key: &K) -> Option<SagaState> {
-        self.elements.get(key).map(|e| e.state)
+        self.elements.get(key).map(|element| element.state)
     }
 
     /// What an element still waits for.
     pub fn open_upstream(&self, key: &K) -> impl Iterator<Item = &K> {
-        self.elements.get(key).into_iter().flat_map(|e| &e.open)
+        let element = self.elements.get(key).into_iter();
+        element.flat_map(|element| &element.open_upstream)
     }
 
     /// What waits for an element.
     pub fn downstream(&self, key: &K) -> impl Iterator<Item = &K> {
-        self.elements
-            .get(key)
-            .into_iter()
-            .flat_map(|e| &e.downstream)
+        let element = self.elements.get(key).into_iter();
+        element.flat_map(|element| &element.downstream)
     }
 
+    /// All elements.
     pub fn keys(&self) -> impl Iterator<Item = &K> {
         self.elements.keys()
     }
 
-    /// Commits an element and returns those it releases, in order.
+    /// Commits an active element and returns those that this releases, in order.
     pub fn commit(&mut self, key: &K) -> Vec<K> {
         let Some(element) = self.elements.get_mut(key) else {
             return Vec::new();
@@ -151,94 +167,97 @@
         element.state = SagaState::Committed;
         self.commit_order.push(key.clone());
         let mut released = Vec::new();
-        for d in std::mem::take(&mut element.downstream) {
-            let Some(e) = self.elements.get_mut(&d) else {
+        for downstream_key in std::mem::take(&mut element.downstream) {
+            let Some(waiting) = self.elements.get_mut(&downstream_key) else {
                 continue;
             };
-            e.open.remove(key);
-            if e.state == SagaState::Waiting && e.open.is_empty() {
-                e.state = SagaState::Active;
-                released.push(d);
+            waiting.open_upstream.remove(key);
+            if waiting.state == SagaState::Waiting && waiting.open_upstream.is_empty() {
+                waiting.state = SagaState::Active;
+                released.push(downstream_key);
             }
         }
-        self.finished();
+        self.element_finished();
         released
     }
 
     /// One element less is left to run. The saga commits with the last one.
-    fn finished(&mut self) {
+    fn element_finished(&mut self) {
         self.unfinished -= 1;
-        if self.state == SagaState::Active && self.unfinished == 0 && !self.standing {
+        if self.state == SagaState::Active && self.unfinished == 0 && !self.open_ended {
             self.state = SagaState::Committed;
         }
     }
 
     /// Aborts one element; a vital one takes the saga with it, any other what waits for it.
     pub fn abort_element(&mut self, key: &K) -> Vec<AbortAction<K>> {
-        let open = |s| matches!(s, Some(SagaState::Active | SagaState::Waiting));
-        if self.state != SagaState::Active || !open(self.element_state(key)) {
+        if self.state != SagaState::Active {
             return Vec::new();
         }
-        if self.elements.get(key).is_some_and(|e| e.vital) {
-            if let Some(e) = self.elements.get_mut(key) {
-                e.state = SagaState::Aborted;
-            }
+        let unfinished = |element: &&mut Element<K>| element.state.is_unfinished();
+        let Some(element) = self.elements.get_mut(key).filter(unfinished) else {
+            return Vec::new();
+        };
+        if element.vital {
+            element.state = SagaState::Aborted;
             return self.abort();
         }
+        self.abort_with_downstream(key)
+    }
+
+    fn abort_with_downstream(&mut self, key: &K) -> Vec<AbortAction<K>> {
         let mut actions = Vec::new();
-        // A list of what is left to do rather than calls within calls: chains may be long.
-        let mut gone = vec![key.clone()];
-        while let Some(x) = gone.pop() {
-            let Some(e) = self.elements.get_mut(&x).filter(|e| open(Some(e.state))) else {
+        // A list of what is left to do rather than recursion: chains may be long.
+        let mut to_abort = vec![key.clone()];
+        while let Some(next) = to_abort.pop() {
+            let unfinished = |element: &&mut Element<K>| element.state.is_unfinished();
+            let Some(element) = self.elements.get_mut(&next).filter(unfinished) else {
                 continue;
             };
-            e.state = SagaState::Aborted;
-            gone.extend(e.downstream.iter().cloned());
-            if x != *key {
-                actions.push(AbortAction::Cancel(x));
+            element.state = SagaState::Aborted;
+            to_abort.extend(element.downstream.iter().cloned());
+            if next != *key {
+                actions.push(AbortAction::Cancel(next));
             }
-            self.finished();
+            self.element_finished();
         }
         actions
     }
 
     /// Takes an element that is over, or that nothing waits for, out of the saga.
     pub fn remove(&mut self, key: &K) {
-        let Some(e) = self.elements.remove(key) else {
+        let Some(element) = self.elements.remove(key) else {
             return;
         };
-        if matches!(e.state, SagaState::Active | SagaState::Waiting) {
+        if element.state.is_unfinished() {
             self.unfinished -= 1;
         }
-        self.detach(key, e.open);
-        // An aborted element's downstream is aborted as well: nothing must go on naming it.
-        for d in e.downstream {
-            if let Some(d) = self.elements.get_mut(&d) {
-                d.open.remove(key);
+        self.detach(key, element.open_upstream);
+        // The downstream of an aborted element is aborted as well: nothing must go on naming it.
+        for downstream_key in element.downstream {
+            if let Some(downstream) = self.elements.get_mut(&downstream_key) {
+                downstream.open_upstream.remove(key);
             }
         }
-        self.commit_order.retain(|k| k != key);
+        self.commit_order.retain(|committed| committed != key);
     }
 
     /// A waiting element is known to be released: all that it waited for has committed elsewhere.
     pub fn release(&mut self, key: &K) {
-        let Some(e) = self
-            .elements
-            .get_mut(key)
-            .filter(|e| e.state == SagaState::Waiting)
-        else {
+        let waiting = |element: &&mut Element<K>| element.state == SagaState::Waiting;
+        let Some(element) = self.elements.get_mut(key).filter(waiting) else {
             return;
         };
-        e.state = SagaState::Active;
-        let open = std::mem::take(&mut e.open);
-        self.detach(key, open);
+        element.state = SagaState::Active;
+        let upstream = std::mem::take(&mut element.open_upstream);
+        self.detach(key, upstream);
     }
 
     /// `key` does not wait for these any more.
     fn detach(&mut self, key: &K, upstream: BTreeSet<K>) {
-        for u in upstream {
-            if let Some(u) = self.elements.get_mut(&u) {
-                u.downstream.remove(key);
+        for upstream_key in upstream {
+            if let Some(element) = self.elements.get_mut(&upstream_key) {
+                element.downstream.remove(key);
             }
         }
     }
@@ -250,21 +269,16 @@
         }
         self.state = SagaState::Aborted;
         let mut actions = Vec::new();
-        for (k, e) in self.elements.iter_mut() {
-            match e.state {
-                SagaState::Active => actions.push(AbortAction::Cancel(k.clone())),
+        for (key, element) in &mut self.elements {
+            match element.state {
+                SagaState::Active => actions.push(AbortAction::Cancel(key.clone())),
                 SagaState::Committed => continue,
                 SagaState::Waiting | SagaState::Aborted => {}
             }
-            e.state = SagaState::Aborted;
+            element.state = SagaState::Aborted;
         }
-        actions.extend(
-            self.commit_order
-                .iter()
-                .rev()
-                .cloned()
-                .map(AbortAction::Compensate),
-        );
+        let committed = self.commit_order.iter().rev().cloned();
+        actions.extend(committed.map(AbortAction::Compensate));
         actions
     }
 }
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -73,10 +73,16 @@
         let latest = self.latest_start(job, within);
         let facts = self.policy_inputs(job, within, latest);
         let weight = self.settings.policy.number(Setting::QueueWeight, &facts);
-        let served = self.settings.policy.number(Setting::QueueShare, &facts);
-        // As whole thousandths, so that the order is total.
-        let (weight, served) = ((weight * 1000.0) as i64, (served * 1000.0) as i64);
-        let standing = (Reverse(job.effective_priority()), !within, latest.is_none());
-        (standing, served, weight, job.ready_at, job.id.clone())
+        let share = self.settings.policy.number(Setting::QueueShare, &facts);
+        QueueKey {
+            priority: Reverse(job.effective_priority()),
+            is_above_guarantee: !within,
+            is_too_late: latest.is_none(),
+            // As whole thousandths, so that the order is total.
+            share: (share * 1000.0) as i64,
+            weight: (weight * 1000.0) as i64,
+            ready_at: job.ready_at,
+            job: job.id.clone(),
+        }
     }
 }
--- a/crates/gannethub-core/src/state/capacity_index.rs
+++ b/crates/gannethub-core/src/state/capacity_index.rs
@@ -1,25 +1,25 @@
-//! Where there is room: machines by kind, and within a kind by the CPU that is free on them.
+//! Index of machines by free capacity: machines in buckets of like kind, and within a bucket by their free CPU.
 //!
-//! A pass, a report or a plan asks for room of some size, and must not look at every machine to find
-//! it: what it costs to decide would then grow with the square of the cluster. The index only says
-//! where to look. What is found there is still checked against the machine itself, so a machine
-//! that has fallen silent since costs a look and breaks nothing.
+//! A pass, a heartbeat or a plan asks for free capacity of some size, and must not look at every machine to find it: the
+//! cost of deciding would then grow with the square of the cluster. The index only says where to look. What is found there
+//! is still checked against the machine itself, so a machine that has fallen silent since then costs one look and breaks
+//! nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::model::MachineId;
 
-/// What machines that cost the same and lie in one zone have in common.
+/// What machines that cost the same and are in one zone have in common.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct MachineKind {
-    /// Number in the list of machine types.
+    /// Index into the list of machine types.
     pub machine_type: usize,
     pub zone: Arc<str>,
     pub spot: bool,
 }
 
-/// The machines of a kind.
+/// The machines of one kind.
 #[derive(Debug)]
 pub struct CapacityBucket {
     pub kind: MachineKind,
@@ -30,18 +30,28 @@
 }
 
 impl CapacityBucket {
-    /// Machines that may be placed on and have at least so much CPU free, the fullest first.
+    fn new(kind: MachineKind) -> CapacityBucket {
+        CapacityBucket {
+            kind,
+            machines: BTreeSet::new(),
+            schedulable: BTreeSet::new(),
+        }
+    }
+
+    /// Machines that may be placed on and have at least `cpu` free, the fullest first.
     pub fn with_cpu(&self, cpu: i64) -> impl DoubleEndedIterator<Item = &MachineId> {
-        let none: MachineId = Arc::from("");
-        self.schedulable.range((cpu, none)..).map(|(_, id)| id)
+        // The empty name comes before every other: the range begins with the first machine that has so much.
+        let first_id: MachineId = Arc::from("");
+        self.schedulable.range((cpu, first_id)..).map(|(_, id)| id)
     }
 
+    /// Whether any of its machines may be placed on.
     pub fn has_schedulable(&self) -> bool {
         !self.schedulable.is_empty()
     }
 }
 
-/// All kinds there are or have been. A machine keeps the number of its shelf.
+/// The buckets of all kinds there are or have been. A machine keeps the index of its bucket, so buckets are never removed.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     pub buckets: Vec<CapacityBucket>,
@@ -49,49 +59,44 @@
 }
 
 impl CapacityIndex {
-    /// A machine is known from now on. Returns the number of its shelf.
+    /// Adds a machine that may not be placed on yet. Returns the index of its bucket.
     pub fn insert(&mut self, kind: MachineKind, id: MachineId) -> usize {
-        let number = *self
-            .bucket_numbers
-            .entry(kind.clone())
-            .or_insert(self.buckets.len());
-        if number == self.buckets.len() {
-            self.buckets.push(CapacityBucket {
-                kind,
-                machines: BTreeSet::new(),
-                schedulable: BTreeSet::new(),
-            });
+        let next = self.buckets.len();
+        let bucket = *self.bucket_numbers.entry(kind.clone()).or_insert(next);
+        if bucket == next {
+            self.buckets.push(CapacityBucket::new(kind));
         }
-        self.buckets[number].machines.insert(id);
-        number
+        self.buckets[bucket].machines.insert(id);
+        bucket
     }
 
-    /// A machine is gone, which stood open with so much free CPU.
-    pub fn remove(&mut self, number: usize, id: &MachineId, open: Option<i64>) {
-        self.update(number, id, open, None);
-        self.buckets[number].machines.remove(id);
+    /// Removes a machine that was last indexed with this much free CPU.
+    pub fn remove(&mut self, bucket: usize, id: &MachineId, indexed_cpu: Option<i64>) {
+        self.update(bucket, id, indexed_cpu, None);
+        self.buckets[bucket].machines.remove(id);
     }
 
-    /// What is free on a machine has changed, or whether it may be placed on.
-    pub fn update(&mut self, number: usize, id: &MachineId, old: Option<i64>, new: Option<i64>) {
-        let open = &mut self.buckets[number].schedulable;
+    /// The free CPU of a machine has changed, or whether it may be placed on, for which `None` stands.
+    pub fn update(&mut self, bucket: usize, id: &MachineId, old: Option<i64>, new: Option<i64>) {
+        let schedulable = &mut self.buckets[bucket].schedulable;
         if let Some(cpu) = old {
-            open.remove(&(cpu, id.clone()));
+            schedulable.remove(&(cpu, id.clone()));
         }
         if let Some(cpu) = new {
-            open.insert((cpu, id.clone()));
+            schedulable.insert((cpu, id.clone()));
         }
     }
 
     /// How many machines of a kind are known.
-    pub fn machine_count(&self, flavor: usize, zone: &str, spot: bool) -> usize {
+    pub fn machine_count(&self, machine_type: usize, zone: &str, spot: bool) -> usize {
         let kind = MachineKind {
-            machine_type: flavor,
+            machine_type,
             zone: zone.into(),
             spot,
         };
-        self.bucket_numbers
-            .get(&kind)
-            .map_or(0, |n| self.buckets[*n].machines.len())
+        match self.bucket_numbers.get(&kind) {
+            Some(bucket) => self.buckets[*bucket].machines.len(),
+            None => 0,
+        }
     }
 }
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -1,18 +1,16 @@
-//! A controller's copy of what the state service says of jobs, which lets one read answer any
-//! number of queries.
+//! A controller's copy of what the state service holds of jobs, which lets one read answer any number of queries.
 //!
-//! The copy is of every live pipeline. Before queries are answered it is brought up to the present
-//! with one read of what changed; a query that comes while that read is under way waits for the
-//! next one. So an answer is never older than its question, and nobody is told less than another
-//! controller has said already, in a takeover or after a cut as well. Of what is over only the
-//! answers given or seen lately are kept: an end never changes.
+//! The copy has every live job. Before queries are answered it is brought up to the present with one read of what has
+//! changed; a query that comes while that read is under way waits for the next one. So an answer is never older than its
+//! question, and nobody is told less than another controller has said already, in a takeover or after a partition as well.
+//! Of jobs that are over only the answers given or seen lately are kept, as an end never changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use serde::Deserialize;
 
 use crate::model::{JobId, TaskSet};
-use crate::state::pipeline::{DependencyGraph, DependencyOutcome};
+use crate::state::dependencies::{DependencyGraph, DependencyOutcome};
 use crate::wire::api::{JobStatus, JobView};
 use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::store::{
@@ -20,33 +18,34 @@
 };
 
 /// How many ends, and how many ids that nobody submitted, are remembered.
-const REMEMBERED: usize = 50_000;
+const MAX_REMEMBERED: usize = 50_000;
 
-/// What a query needs of a job's record.
+/// What a query needs of a job's stored record.
 #[derive(Deserialize)]
 struct JobSummary {
-    spec: BriefSpec,
+    spec: SpecSummary,
     #[serde(default)]
     done: String,
     #[serde(default)]
     cancelled: bool,
-    waiting: Option<BriefWaiting>,
+    waiting: Option<WaitingSummary>,
 }
 
 #[derive(Deserialize)]
-struct BriefSpec {
+struct SpecSummary {
     tasks: u32,
 }
 
 #[derive(Deserialize)]
-struct BriefWaiting {
-    on: String,
+struct WaitingSummary {
+    #[serde(rename = "on")]
+    upstream_ids: String,
 }
 
 #[derive(Debug)]
-struct Live {
+struct LiveJob {
     /// The version of its last change.
-    stamp: u64,
+    version: u64,
     tasks: u32,
     done: u32,
     cancelled: bool,
@@ -57,37 +56,37 @@
 /// What the copy says of a job.
 #[derive(Debug, PartialEq)]
 pub enum JobLookup {
-    /// Alive, or over for good.
+    /// Live, or over for good.
     Job(JobView),
-    /// Not alive; nobody has asked yet whether it is over.
+    /// Not live; nobody has asked yet whether it is over.
     NotLive,
     /// It waits for others, and the end of one that somebody waits for has not been read yet.
     DependencyUnknown,
-    /// It was never submitted.
     NeverSubmitted,
 }
 
+/// The copy itself.
 #[derive(Debug, Default)]
 pub struct JobReplica {
-    /// The version the copy is true to; `None` until everything has been read.
-    at: Option<u64>,
+    /// The version that the copy is true to; `None` until everything has been read.
+    version: Option<u64>,
     /// The version at which reading everything began.
-    reading: Option<u64>,
-    live: HashMap<JobId, Live>,
-    /// Who waits for whom: a waiting job is cancelled with any that it needs.
+    listing_version: Option<u64>,
+    live: HashMap<JobId, LiveJob>,
+    /// Who waits for whom: a waiting job is cancelled with any that it waits for.
     pub dependencies: DependencyGraph,
     over: HashMap<JobId, JobView>,
-    absent: HashSet<JobId>,
+    never_submitted: HashSet<JobId>,
     /// Cancellations that were stored or read here and that the copy does not show yet, with their versions.
-    told: BTreeMap<JobId, u64>,
-    /// Cancellations that became known here and that this controller's own holders have not been told of.
-    fresh: Vec<JobId>,
+    pending_cancellations: BTreeMap<JobId, u64>,
+    /// Cancellations that became known here and that the shards owned by this controller have not been told of.
+    new_cancellations: Vec<JobId>,
 }
 
 impl JobReplica {
     /// The version from which changes are to be read; `None` if everything has to be.
     pub fn version(&self) -> Option<u64> {
-        self.at
+        self.version
     }
 
     /// The final state of a job, if it is known to be over. It holds at any time.
@@ -95,30 +94,31 @@
         self.over.get(id)
     }
 
+    /// Whether the copy has the job as live.
     pub fn is_live(&self, id: &str) -> bool {
         self.live.contains_key(id)
     }
 
     /// A job's final state has been read or written.
     pub fn record_end(&mut self, id: JobId, view: JobView) {
-        if self.over.len() >= REMEMBERED {
+        if self.over.len() >= MAX_REMEMBERED {
             self.over.clear();
         }
         self.over.insert(id, view);
     }
 
     /// The cancellation of a live job was stored or read here, at this version, and its user is told.
-    pub fn record_cancellation(&mut self, id: JobId, stamp: u64) {
-        self.fresh.push(id.clone());
-        if self.at.is_none_or(|at| at < stamp) {
-            self.told.insert(id, stamp);
+    pub fn record_cancellation(&mut self, id: JobId, version: u64) {
+        self.new_cancellations.push(id.clone());
+        if self.version.is_none_or(|known| known < version) {
+            self.pending_cancellations.insert(id, version);
         }
     }
 
-    /// What has become known to be cancelled since this was last asked for. Users are told that from here on, so whoever
-    /// holds machines in this process must not be the last to know.
+    /// Jobs that have become known to be cancelled since this was last called. Users are told from here on, so the shards
+    /// owned by this process must not be the last to know.
     pub fn take_new_cancellations(&mut self) -> Vec<JobId> {
-        std::mem::take(&mut self.fresh)
+        std::mem::take(&mut self.new_cancellations)
     }
 
     /// Live jobs whose cancellation is known here and was stored after that version, some of them twice.
@@ -126,24 +126,27 @@
         let live = self
             .live
             .iter()
-            .filter(|(_, l)| l.cancelled)
-            .map(|(id, l)| (id, l.stamp));
-        let told = self.told.iter().map(|(id, stamp)| (id, *stamp));
-        live.chain(told)
-            .filter(move |(_, stamp)| *stamp > version)
+            .filter(|(_, job)| job.cancelled)
+            .map(|(id, job)| (id, job.version));
+        let pending = self
+            .pending_cancellations
+            .iter()
+            .map(|(id, cancelled_at)| (id, *cancelled_at));
+        live.chain(pending)
+            .filter(move |(_, cancelled_at)| *cancelled_at > version)
             .map(|(id, _)| id)
     }
 
-    /// The job was neither alive nor over at this version. That holds until a change shows it, if
-    /// all later changes are still to come.
-    pub fn record_absent(&mut self, id: JobId, stamp: u64) {
-        if self.at.is_none_or(|at| at > stamp) {
+    /// The job was neither live nor over at this version. That holds until a change shows it, if all later changes are
+    /// still to come.
+    pub fn record_absent(&mut self, id: JobId, version: u64) {
+        if self.version.is_none_or(|known| known > version) {
             return;
         }
-        if self.absent.len() >= REMEMBERED {
-            self.absent.clear();
+        if self.never_submitted.len() >= MAX_REMEMBERED {
+            self.never_submitted.clear();
         }
-        self.absent.insert(id);
+        self.never_submitted.insert(id);
     }
 
     /// What the copy says, as of the version it is true to.
@@ -152,32 +155,34 @@
             return JobLookup::Job(view.clone());
         }
         match self.live.get_key_value(id) {
-            Some((id, l)) if l.waiting && !l.cancelled => {
-                if self.dependencies.is_cancelled(id) {
-                    return JobLookup::Job(JobView::new(JobStatus::Cancelled, 0));
-                }
-                if !self.dependencies.is_complete_for(id) {
-                    return JobLookup::DependencyUnknown;
-                }
-                JobLookup::Job(JobView {
-                    waits_on: self.dependencies.open_dependencies(id),
-                    ..l.view()
-                })
-            }
-            Some((_, l)) => JobLookup::Job(l.view()),
-            None if self.absent.contains(id) => JobLookup::NeverSubmitted,
+            Some((id, job)) if job.waiting && !job.cancelled => self.lookup_waiting(id, job),
+            Some((_, job)) => JobLookup::Job(job.view()),
+            None if self.never_submitted.contains(id) => JobLookup::NeverSubmitted,
             None => JobLookup::NotLive,
         }
     }
 
-    /// What is known of a job that another one names. All but [`Fate::Unknown`] shows that it was
-    /// accepted, and an end never changes.
+    fn lookup_waiting(&self, id: &JobId, job: &LiveJob) -> JobLookup {
+        if self.dependencies.is_cancelled(id) {
+            return JobLookup::Job(JobView::new(JobStatus::Cancelled, 0));
+        }
+        if !self.dependencies.is_complete_for(id) {
+            return JobLookup::DependencyUnknown;
+        }
+        JobLookup::Job(JobView {
+            waits_on: self.dependencies.open_dependencies(id),
+            ..job.view()
+        })
+    }
+
+    /// What is known of a job that another one waits for. All but [`DependencyOutcome::Unknown`] shows that it was accepted,
+    /// and an end never changes.
     pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
-        match recorded(&self.over, &self.live, id) {
+        match recorded_outcome(&self.over, &self.live, id) {
             DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
                 DependencyOutcome::Cancelled
             }
-            fate => fate,
+            outcome => outcome,
         }
     }
 
@@ -188,148 +193,155 @@
         self.record_end(id, view);
     }
 
-    /// Changes were missed: everything has to be read again.
+    /// Changes were missed: everything has to be read again. What is known of ends stays.
     pub fn reset(&mut self) {
-        self.at = None;
-        self.reading = None;
+        self.version = None;
+        self.listing_version = None;
         self.live.clear();
         self.dependencies = DependencyGraph::default();
-        self.absent.clear();
+        self.never_submitted.clear();
     }
 
-    /// The next page is the first one.
+    /// Whether the next page of the listing is the first one.
     pub fn is_at_first_page(&self) -> bool {
-        self.reading.is_none()
+        self.listing_version.is_none()
     }
 
     /// Takes in a page of all live jobs. Returns the key after which the next page begins.
     pub fn apply_listing_page(&mut self, listing: &Listing) -> Option<String> {
-        let began = *self.reading.get_or_insert(listing.version);
-        listing.items.iter().for_each(|item| self.read(item));
+        let began_at = *self.listing_version.get_or_insert(listing.version);
+        listing
+            .items
+            .iter()
+            .for_each(|stored| self.apply_stored_value(stored));
         let last = listing.items.last().filter(|_| listing.truncated);
         if last.is_none() {
             // What changed while the pages were read is read again with the changes since then.
-            self.at = Some(began);
-            self.reading = None;
+            self.version = Some(began_at);
+            self.listing_version = None;
         }
-        last.map(|i| i.key.clone())
+        last.map(|stored| stored.key.clone())
     }
 
-    fn read(&mut self, item: &StoredValue) {
-        if item.key == CURRENT_VERSION_KEY {
+    fn apply_stored_value(&mut self, stored: &StoredValue) {
+        if stored.key == CURRENT_VERSION_KEY {
             return;
         }
-        if let (Some(id), Some(brief)) = (
-            item.key.strip_prefix(LIVE_JOB_PREFIX),
-            item.decode::<JobSummary>(),
-        ) {
-            self.alive(id.into(), &brief, item.version);
+        let Some(id) = stored.key.strip_prefix(LIVE_JOB_PREFIX) else {
+            return;
+        };
+        if let Some(summary) = stored.decode::<JobSummary>() {
+            self.apply_live(id.into(), &summary, stored.version);
         }
     }
 
     /// Takes in what a live job's record says.
-    fn alive(&mut self, id: JobId, brief: &JobSummary, stamp: u64) {
+    fn apply_live(&mut self, id: JobId, summary: &JobSummary, version: u64) {
         self.dependencies.mark_live(&id);
-        if brief.cancelled && self.live.get(&id).is_none_or(|l| !l.cancelled) {
-            self.fresh.push(id.clone());
+        let was_cancelled = self.live.get(&id).is_some_and(|job| job.cancelled);
+        if summary.cancelled && !was_cancelled {
+            self.new_cancellations.push(id.clone());
         }
-        if let Some(w) = &brief.waiting {
-            let upstream = decode_job_ids(&w.on);
+        if let Some(waiting) = &summary.waiting {
+            let upstream = decode_job_ids(&waiting.upstream_ids);
             let (over, live) = (&self.over, &self.live);
+            let outcome = |job: &JobId| recorded_outcome(over, live, job);
             self.dependencies
-                .add_waiting(&id, &upstream, brief.cancelled, |u| recorded(over, live, u));
+                .add_waiting(&id, &upstream, summary.cancelled, outcome);
         } else {
             self.dependencies.mark_released(&id);
-            if brief.cancelled {
+            if summary.cancelled {
                 self.dependencies.cancel(&id);
             }
         }
-        self.live.insert(id, Live::new(brief, stamp));
+        self.live.insert(id, LiveJob::new(summary, version));
     }
 
-    /// Takes in all changes since [`Mirror::at`].
-    pub fn apply_changes(&mut self, followed: &ChangeLog) {
-        for change in &followed.changes {
-            self.change(change);
+    /// Takes in all changes since [`JobReplica::version`].
+    pub fn apply_changes(&mut self, changes: &ChangeLog) {
+        for change in &changes.changes {
+            self.apply_change(change);
         }
-        self.at = Some(followed.version);
-        self.told.retain(|_, stamp| *stamp > followed.version);
+        let version = changes.version;
+        self.version = Some(version);
+        self.pending_cancellations
+            .retain(|_, cancelled_at| *cancelled_at > version);
     }
 
-    fn change(&mut self, change: &Change) {
-        // The configuration is no job's.
+    fn apply_change(&mut self, change: &Change) {
+        // The configuration lies among the jobs and is none.
         if change.key() == Some(CURRENT_VERSION_KEY) {
             return;
         }
-        if let Some(id) = change
-            .written_key
-            .as_deref()
-            .and_then(|k| k.strip_prefix(LIVE_JOB_PREFIX))
-        {
-            let text = change.value.as_deref().map_or("null", |v| v.get());
+        let live_id = |key: &Option<String>| {
+            let id = key.as_deref()?.strip_prefix(LIVE_JOB_PREFIX)?;
+            Some(JobId::from(id))
+        };
+        if let Some(id) = live_id(&change.written_key) {
+            let text = change.value.as_deref().map_or("null", |value| value.get());
             match serde_json::from_str::<JobSummary>(text) {
-                Ok(brief) => {
-                    self.absent.remove(id);
-                    self.alive(id.into(), &brief, change.version);
+                Ok(summary) => {
+                    self.never_submitted.remove(&id);
+                    self.apply_live(id, &summary, change.version);
                 }
-                Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
+                Err(error) => tracing::error!(job = &*id, %error, "a job's value is not ours"),
             }
         }
-        // The record of a pipeline goes when it is over, in one transaction with the end's: what
-        // it said last tells which end that is.
-        if let Some(id) = change
-            .deleted_key
-            .as_deref()
-            .and_then(|k| k.strip_prefix(LIVE_JOB_PREFIX))
-        {
-            self.absent.remove(id);
-            match self.live.remove_entry(id) {
-                Some((id, live)) => self.record_upstream_end(id, live.over()),
-                None => self.dependencies.mark_outcome_unknown(&id.into()),
-            }
+        if let Some(id) = live_id(&change.deleted_key) {
+            self.apply_deletion(id);
+        }
+    }
+
+    /// The record of a job goes when it is over, in one transaction with the one that creates its end: what it said last
+    /// tells which end that is.
+    fn apply_deletion(&mut self, id: JobId) {
+        self.never_submitted.remove(&id);
+        match self.live.remove_entry(&id) {
+            Some((id, job)) => self.record_upstream_end(id, job.final_view()),
+            None => self.dependencies.mark_outcome_unknown(&id),
         }
     }
 }
 
 /// What a job's own record says, live or over.
-fn recorded(
+fn recorded_outcome(
     over: &HashMap<JobId, JobView>,
-    live: &HashMap<JobId, Live>,
+    live: &HashMap<JobId, LiveJob>,
     id: &JobId,
 ) -> DependencyOutcome {
     match (over.get(id), live.get(id)) {
-        (Some(v), _) if v.status == JobStatus::Cancelled => DependencyOutcome::Cancelled,
+        (Some(view), _) if view.status == JobStatus::Cancelled => DependencyOutcome::Cancelled,
         (Some(_), _) => DependencyOutcome::Done,
-        (None, Some(l)) if l.cancelled => DependencyOutcome::Cancelled,
+        (None, Some(job)) if job.cancelled => DependencyOutcome::Cancelled,
         (None, Some(_)) => DependencyOutcome::Live,
         (None, None) => DependencyOutcome::Unknown,
     }
 }
 
-impl Live {
-    fn new(brief: &JobSummary, stamp: u64) -> Live {
+impl LiveJob {
+    fn new(summary: &JobSummary, version: u64) -> LiveJob {
         let mut done = TaskSet::default();
-        decode_done_part(&brief.done, 0, &mut done);
-        let (tasks, waiting) = (brief.spec.tasks, brief.waiting.is_some());
-        Live {
-            stamp,
-            tasks,
+        decode_done_part(&summary.done, 0, &mut done);
+        LiveJob {
+            version,
+            tasks: summary.spec.tasks,
             done: done.len(),
-            cancelled: brief.cancelled,
-            waiting,
+            cancelled: summary.cancelled,
+            waiting: summary.waiting.is_some(),
         }
     }
 
+    /// What users are told of it while it is live.
     fn view(&self) -> JobView {
-        let status = if self.cancelled {
-            JobStatus::Cancelled
-        } else {
-            JobStatus::Pending
+        let status = match self.cancelled {
+            true => JobStatus::Cancelled,
+            false => JobStatus::Pending,
         };
         JobView::new(status, self.done)
     }
 
-    fn over(&self) -> JobView {
+    /// What users are told of it once its record is gone.
+    fn final_view(&self) -> JobView {
         // A job that was never released did not end any other way.
         if self.cancelled || self.waiting {
             JobView::new(JobStatus::Cancelled, self.done)
--- a/crates/gannethub-core/src/state/mod.rs
+++ b/crates/gannethub-core/src/state/mod.rs
@@ -4,6 +4,7 @@
 pub mod capacity_index;
 pub mod cluster;
 pub mod deadline;
+pub mod dependencies;
 pub mod failure_tracking;
 pub mod fleet;
 pub mod job;
--- a/crates/gannethub-core/src/state/shard.rs
+++ b/crates/gannethub-core/src/state/shard.rs
@@ -1,232 +1,281 @@
-//! Machine blocks: which machines a controller may place on, and under which lease.
+//! Shards of machines: which machines a controller may place on, and under which lease.
 //!
-//! A block's machines are kept in the state service in chunks, so that no value outgrows its
-//! limit. A machine is written there before the first launch on it: whoever takes the block over
-//! reads every machine that may hold tasks.
+//! A shard's machines are kept in the state service in chunks, so that no value outgrows its limit. A machine is written
+//! there before the first launch on it: whoever takes the shard over reads every machine that may hold tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::{Deserialize, Serialize};
 
-use crate::wire::store::SHARD_PREFIX;
+use crate::wire::store::{MachineTransferRecord, SHARD_PREFIX};
 
-/// A machine as its block records it.
+/// Removals that a chunk collects before they are written beside other work.
+const MIN_BATCHED_REMOVALS: usize = 8;
+/// What a member takes of its chunk's value at most, beside its names.
+const MEMBER_OVERHEAD_BYTES: usize = 50;
+/// What a chunk's value takes at most, beside its members and its owner's name.
+const CHUNK_OVERHEAD_BYTES: usize = 150;
+/// Chunk numbers from here on are no shard's.
+const MAX_CHUNKS: usize = 100_000;
+
+/// A machine as its shard's record has it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ShardMember {
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
 
-/// The value of one chunk of a block.
+/// The stored value of one chunk of a shard.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ChunkRecord {
-    /// The term under which the block is leased.
+    /// The term under which the shard is owned.
     pub term: u64,
-    /// The controller that holds the lease.
-    pub holder: String,
+    /// The controller that owns the shard.
+    #[serde(rename = "holder")]
+    pub owner: String,
     pub machines: BTreeMap<String, ShardMember>,
 }
 
-/// Removals that a chunk gathers before they are written beside other work.
-const REMOVALS: usize = 8;
+/// A chunk that is to be written.
+#[derive(Debug)]
+pub struct ChunkWrite {
+    pub index: usize,
+    /// The version that guards the write.
+    pub version: u64,
+    pub record: ChunkRecord,
+}
+
+impl From<MachineTransferRecord> for ShardMember {
+    fn from(record: MachineTransferRecord) -> ShardMember {
+        ShardMember {
+            machine_type: record.machine_type,
+            zone: record.zone,
+            spot: record.spot,
+        }
+    }
+}
 
 impl ShardMember {
     /// What it takes of a chunk's value, at most.
-    fn bytes(&self, name: &str) -> usize {
-        name.len() + self.flavor.len() + self.zone.len() + 50
+    fn max_bytes(&self, name: &str) -> usize {
+        name.len() + self.machine_type.len() + self.zone.len() + MEMBER_OVERHEAD_BYTES
     }
 }
 
 #[derive(Debug, Default)]
 struct Chunk {
-    stamp: u64,
+    version: u64,
     machines: BTreeMap<String, ShardMember>,
     bytes: usize,
     /// Machines were added: nothing can be placed on them before that is written.
-    added: bool,
-    /// Machines taken out since it was last written: their record only costs a successor time.
-    removed: usize,
-    /// Chunks that have taken over machines from this one. As long as they are not written, the
-    /// stored value of this one is the only record of those machines.
-    held: BTreeSet<usize>,
+    has_additions: bool,
+    /// Machines removed since it was last written: their record only costs a successor time.
+    removals: usize,
+    /// Chunks that have taken over machines from this one. As long as they are not written, the stored value of this one is
+    /// the only record of those machines, so it must not be written.
+    waits_for: BTreeSet<usize>,
 }
 
 impl Chunk {
     fn insert(&mut self, name: &str, member: ShardMember) {
-        self.bytes += member.bytes(name);
+        self.bytes += member.max_bytes(name);
         self.machines.insert(name.into(), member);
     }
 
     fn remove(&mut self, name: &str) -> Option<ShardMember> {
         let member = self.machines.remove(name)?;
-        self.bytes -= member.bytes(name);
+        self.bytes -= member.max_bytes(name);
         Some(member)
     }
+
+    fn needs_write(&self, min_removals: usize) -> bool {
+        self.waits_for.is_empty() && (self.has_additions || self.removals >= min_removals)
+    }
 }
 
-/// A block as its holder sees it.
+/// The durable record of a shard's machines, as its owner sees it.
 #[derive(Debug)]
 pub struct Shard {
     pub id: u32,
+    /// The term under which this controller owns the shard.
     pub term: u64,
-    pub holder: String,
-    per_chunk: usize,
+    /// The name of this controller.
+    pub owner: String,
+    max_members: usize,
     /// What the members of a chunk may take.
-    room: usize,
+    max_member_bytes: usize,
     chunks: Vec<Chunk>,
-    place: HashMap<String, usize>,
+    /// The chunk of every machine.
+    chunk_by_machine: HashMap<String, usize>,
 }
 
 impl Shard {
-    pub fn new(id: u32, term: u64, holder: &str, value_bytes: usize, chunk: usize) -> Shard {
-        let room = value_bytes.saturating_sub(150 + holder.len());
-        let place = HashMap::new();
+    /// A shard of which nothing has been read yet. `max_value_bytes`: the size that a value in the state service may have.
+    /// `chunk_size`: how many machines a chunk may have.
+    pub fn new(
+        id: u32,
+        term: u64,
+        owner: &str,
+        max_value_bytes: usize,
+        chunk_size: usize,
+    ) -> Shard {
         Shard {
             id,
             term,
-            holder: holder.into(),
-            per_chunk: chunk.max(1),
-            room,
+            owner: owner.into(),
+            max_members: chunk_size.max(1),
+            max_member_bytes: max_value_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES + owner.len()),
             chunks: Vec::new(),
-            place,
+            chunk_by_machine: HashMap::new(),
         }
     }
 
+    /// The key of a chunk in the state service.
     pub fn chunk_key(&self, chunk: usize) -> String {
         format!("{SHARD_PREFIX}{}/{chunk}", self.id)
     }
 
-    /// The chunk that `key` names, if it is one of this block's.
+    /// The chunk that `key` names, if it is one of this shard's.
     pub fn parse_chunk_key(&self, key: &str) -> Option<usize> {
         let rest = key
             .strip_prefix(SHARD_PREFIX)?
             .strip_prefix(&self.id.to_string())?;
-        rest.strip_prefix('/')?
-            .parse()
-            .ok()
-            .filter(|n| *n < 100_000)
+        let chunk = rest.strip_prefix('/')?.parse().ok()?;
+        (chunk < MAX_CHUNKS).then_some(chunk)
     }
 
-    /// Takes over what a chunk holds. A machine that another chunk holds as well was on its way from
-    /// one to the other; it stays where it was seen first, and is taken out here.
-    pub fn load_chunk(&mut self, chunk: usize, record: ChunkRecord, stamp: u64) {
-        while self.chunks.len() <= chunk {
+    /// Takes over what a stored chunk holds. A machine that another chunk holds as well was on its way from one to the
+    /// other; it stays where it was seen first, and is removed here.
+    pub fn load_chunk(&mut self, index: usize, record: ChunkRecord, version: u64) {
+        while self.chunks.len() <= index {
             self.chunks.push(Chunk::default());
         }
-        let c = &mut self.chunks[chunk];
-        c.stamp = stamp;
+        let chunk = &mut self.chunks[index];
+        chunk.version = version;
         for (name, member) in record.machines {
-            if self.place.contains_key(&name) {
-                c.removed += 1;
+            if self.chunk_by_machine.contains_key(&name) {
+                chunk.removals += 1;
                 continue;
             }
-            self.place.insert(name.clone(), chunk);
-            c.insert(&name, member);
+            self.chunk_by_machine.insert(name.clone(), index);
+            chunk.insert(&name, member);
         }
     }
 
-    /// Everything has been loaded. Chunks that a holder wrote under larger limits could not be
-    /// written again: what is too much for them moves to others, which are written first.
+    /// Everything has been loaded. Chunks that an owner wrote under larger limits could not be written again: what is too
+    /// much for them moves to others, which are written first.
     pub fn finish_loading(&mut self) {
-        for i in 0..self.chunks.len() {
-            let mut moving = Vec::new();
-            let c = &mut self.chunks[i];
-            while c.bytes > self.room || c.machines.len() > self.per_chunk {
-                let Some(name) = c.machines.keys().next_back().cloned() else {
-                    break;
-                };
-                moving.extend(c.remove(&name).map(|member| (name, member)));
-            }
-            for (name, member) in moving {
-                self.place.remove(&name);
-                let to = self.add(&name, member, Some(i));
-                self.chunks[i].held.insert(to);
-                self.chunks[i].removed += REMOVALS;
+        for index in 0..self.chunks.len() {
+            for (name, member) in self.take_excess(index) {
+                self.chunk_by_machine.remove(&name);
+                let target = self.add(&name, member, Some(index));
+                let chunk = &mut self.chunks[index];
+                chunk.waits_for.insert(target);
+                chunk.removals += MIN_BATCHED_REMOVALS;
             }
         }
     }
 
+    /// Removes from a chunk the machines that are too many for it.
+    fn take_excess(&mut self, index: usize) -> Vec<(String, ShardMember)> {
+        let mut excess = Vec::new();
+        let chunk = &mut self.chunks[index];
+        while chunk.bytes > self.max_member_bytes || chunk.machines.len() > self.max_members {
+            let Some(name) = chunk.machines.keys().next_back().cloned() else {
+                break;
+            };
+            excess.extend(chunk.remove(&name).map(|member| (name, member)));
+        }
+        excess
+    }
+
+    /// Whether a machine is on the record, or is to be written there.
     pub fn contains(&self, name: &str) -> bool {
-        self.place.contains_key(name)
+        self.chunk_by_machine.contains_key(name)
     }
 
-    /// Adds a machine, but not to chunk `except`; it counts only once its chunk is written.
+    /// Adds a machine, but not to chunk `except`; it counts only once its chunk is written. Returns its chunk.
     pub fn add(&mut self, name: &str, member: ShardMember, except: Option<usize>) -> usize {
-        if let Some(chunk) = self.place.get(name) {
+        if let Some(chunk) = self.chunk_by_machine.get(name) {
             return *chunk;
         }
-        let bytes = member.bytes(name);
-        let roomy = |(i, c): (usize, &Chunk)| {
-            // What another chunk waits for must not be held up itself.
-            Some(i) != except
-                && c.held.is_empty()
-                && c.machines.len() < self.per_chunk
-                && c.bytes + bytes <= self.room
-        };
-        let chunk = self
-            .chunks
-            .iter()
-            .enumerate()
-            .position(roomy)
+        let index = self
+            .find_chunk_for(member.max_bytes(name), except)
             .unwrap_or_else(|| {
                 self.chunks.push(Chunk::default());
                 self.chunks.len() - 1
             });
-        self.chunks[chunk].insert(name, member);
-        self.chunks[chunk].added = true;
-        self.place.insert(name.into(), chunk);
-        chunk
+        let chunk = &mut self.chunks[index];
+        chunk.insert(name, member);
+        chunk.has_additions = true;
+        self.chunk_by_machine.insert(name.into(), index);
+        index
+    }
+
+    fn find_chunk_for(&self, bytes: usize, except: Option<usize>) -> Option<usize> {
+        let mut chunks = self.chunks.iter().enumerate();
+        chunks.position(|(index, chunk)| {
+            // A chunk that another one waits for must not wait itself.
+            Some(index) != except
+                && chunk.waits_for.is_empty()
+                && chunk.machines.len() < self.max_members
+                && chunk.bytes + bytes <= self.max_member_bytes
+        })
     }
 
-    /// Takes out a machine that is known to be gone.
+    /// Removes a machine that is known to be gone.
     pub fn remove(&mut self, name: &str) {
-        if let Some(chunk) = self.place.remove(name) {
-            self.chunks[chunk].remove(name);
-            self.chunks[chunk].removed += 1;
-        }
+        let Some(index) = self.chunk_by_machine.remove(name) else {
+            return;
+        };
+        let chunk = &mut self.chunks[index];
+        chunk.remove(name);
+        chunk.removals += 1;
+    }
+
+    /// The next chunk to write. `idle`: there is nothing else to write, so that a single removal is enough.
+    pub fn next_dirty_chunk(&self, idle: bool) -> Option<ChunkWrite> {
+        let min_removals = if idle { 1 } else { MIN_BATCHED_REMOVALS };
+        let mut chunks = self.chunks.iter().enumerate();
+        let (index, chunk) = chunks.find(|(_, chunk)| chunk.needs_write(min_removals))?;
+        let record = ChunkRecord {
+            term: self.term,
+            owner: self.owner.clone(),
+            machines: chunk.machines.clone(),
+        };
+        Some(ChunkWrite {
+            index,
+            version: chunk.version,
+            record,
+        })
+    }
+
+    /// A chunk is on its way to the state service: what changes from here on makes it dirty again.
+    pub fn mark_write_in_flight(&mut self, index: usize) {
+        self.chunks[index].has_additions = false;
+        self.chunks[index].removals = 0;
     }
 
-    /// The next chunk to write: its number, its version and its new value. `idle`: there is nothing
-    /// else to write.
-    pub fn next_dirty_chunk(&self, idle: bool) -> Option<(usize, u64, ChunkRecord)> {
-        let least = if idle { 1 } else { REMOVALS };
-        let due = |c: &Chunk| c.held.is_empty() && (c.added || c.removed >= least);
-        let (i, c) = self.chunks.iter().enumerate().find(|(_, c)| due(c))?;
-        let machines = c.machines.clone();
-        Some((
-            i,
-            c.stamp,
-            ChunkRecord {
-                term: self.term,
-                holder: self.holder.clone(),
-                machines,
-            },
-        ))
-    }
-
-    /// A chunk is on its way to the store: what changes from here on makes it dirty again.
-    pub fn mark_write_in_flight(&mut self, chunk: usize) {
-        self.chunks[chunk].added = false;
-        self.chunks[chunk].removed = 0;
-    }
-
-    pub fn mark_written(&mut self, chunk: usize, stamp: u64) {
-        self.chunks[chunk].stamp = stamp;
-        for c in &mut self.chunks {
-            c.held.remove(&chunk);
+    /// A chunk's write was carried out.
+    pub fn mark_written(&mut self, index: usize, version: u64) {
+        self.chunks[index].version = version;
+        for chunk in &mut self.chunks {
+            chunk.waits_for.remove(&index);
         }
     }
 
-    /// A write was not carried out.
-    pub fn mark_write_failed(&mut self, chunk: usize) {
-        self.chunks[chunk].added = true;
+    /// A chunk's write was not carried out.
+    pub fn mark_write_failed(&mut self, index: usize) {
+        self.chunks[index].has_additions = true;
     }
 
-    /// A write's fate is unknown: write again on top of what the store holds now.
-    pub fn mark_write_unknown(&mut self, chunk: usize, stamp: u64) {
-        self.chunks[chunk].stamp = stamp;
-        self.chunks[chunk].added = true;
+    /// The outcome of a chunk's write is unknown: it is written again on top of the version that the state service holds
+    /// now.
+    pub fn mark_write_unknown(&mut self, index: usize, version: u64) {
+        self.chunks[index].version = version;
+        self.chunks[index].has_additions = true;
     }
 }
 
--- a/crates/gannethub-core/src/state/shard/tests.rs
+++ b/crates/gannethub-core/src/state/shard/tests.rs
@@ -2,7 +2,7 @@
 
 fn member() -> ShardMember {
     ShardMember {
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: false,
     }
@@ -10,11 +10,11 @@
 
 /// Writes all there is to write, in any number of steps, and returns what the store then holds.
 fn write_all(block: &mut Shard, store: &mut BTreeMap<usize, ChunkRecord>, limit: usize) {
-    while let Some((chunk, _, record)) = block.next_dirty_chunk(true) {
-        assert!(serde_json::to_string(&record).unwrap().len() <= limit);
-        store.insert(chunk, record);
-        block.mark_write_in_flight(chunk);
-        block.mark_written(chunk, 9);
+    while let Some(write) = block.next_dirty_chunk(true) {
+        assert!(serde_json::to_string(&write.record).unwrap().len() <= limit);
+        store.insert(write.index, write.record);
+        block.mark_write_in_flight(write.index);
+        block.mark_written(write.index, 9);
     }
 }
 
@@ -43,7 +43,7 @@
     assert!(next.next_dirty_chunk(true).is_none());
     next.add("host-99", member(), None);
     assert_eq!(
-        next.next_dirty_chunk(false).unwrap().0,
+        next.next_dirty_chunk(false).unwrap().index,
         0,
         "the room that host-3 left is used again"
     );
@@ -63,13 +63,13 @@
         let mut store = store.clone();
         let mut block = load(&store, 2048);
         for _ in 0..most {
-            let Some((chunk, _, record)) = block.next_dirty_chunk(true) else {
+            let Some(write) = block.next_dirty_chunk(true) else {
                 break;
             };
-            assert!(serde_json::to_string(&record).unwrap().len() <= 2048);
-            store.insert(chunk, record);
-            block.mark_write_in_flight(chunk);
-            block.mark_written(chunk, 9);
+            assert!(serde_json::to_string(&write.record).unwrap().len() <= 2048);
+            store.insert(write.index, write.record);
+            block.mark_write_in_flight(write.index);
+            block.mark_written(write.index, 9);
             let next = load(&store, 2048);
             assert!((0..100).all(|i| next.contains(&format!("host-{i:06}"))));
         }
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -255,13 +255,13 @@
 #[test]
 fn store_record_shard_chunk() {
     let member = ShardMember {
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
     };
     let record = ChunkRecord {
         term: 7,
-        holder: "n0".into(),
+        owner: "n0".into(),
         machines: [("host-000231".to_string(), member)].into(),
     };
     pin_record(
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -241,14 +241,14 @@
     let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
     f.c.watermarks.set_reliable(true);
     let member = |_| ShardMember {
-        flavor: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
     };
     let machines = ["up-1", "up-2"].map(|m| (m.to_string(), member(m))).into();
     let chunk = ChunkRecord {
         term: 1,
-        holder: "n9".into(),
+        owner: "n9".into(),
         machines,
     };
     let mut record = JobRecord::new(spec(Shape::Array, "red", 20, 1.0), 1);
