--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -1,4 +1,6 @@
-//! The field's nouns: times, resources, machine types, teams, jobs and tasks.
+//! The nouns that every module shares: times, resources, machine types, teams, jobs, tasks and attempts.
+
+mod task_set;
 
 use std::fmt;
 use std::ops::{AddAssign, Sub, SubAssign};
@@ -6,13 +8,16 @@
 
 use serde::{Deserialize, Serialize};
 
+pub use self::task_set::TaskSet;
+
 /// A time or a duration in whole microseconds.
 pub type Micros = u64;
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Seconds from the wire as microseconds; nonsense becomes zero, huge values saturate.
+/// Seconds from the wire as microseconds. What is no time, as a negative or infinite number, becomes zero; huge values
+/// saturate.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     if seconds.is_finite() && seconds > 0.0 {
         (seconds * SECOND as f64).round() as Micros
@@ -26,7 +31,7 @@
     t as f64 / SECOND as f64
 }
 
-/// A job's id, as its user chose it.
+/// A job's id, as its user chose it: see [`is_valid_job_id`].
 pub type JobId = Arc<str>;
 
 /// A machine's name, as the cloud gave it.
@@ -38,7 +43,7 @@
         .is_some_and(|n| (1..=18).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// A task: its job and its number in the job.
+/// A task: its job and its index in the job, from zero.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskId {
     pub job: JobId,
@@ -46,7 +51,7 @@
 }
 
 impl TaskId {
-    /// Reads `j-000412/3`.
+    /// Reads the form that workers use, as in `j-000412/3`. `None`: that is no task's name.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         if !is_valid_job_id(job) {
@@ -72,7 +77,7 @@
     pub number: u64,
 }
 
-/// Amounts of CPU, GPU and memory, in thousandths of the wire's units.
+/// Amounts of CPU, GPU and memory, in thousandths of a CPU, of a GPU and of a GB.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default, Serialize, Deserialize)]
 pub struct Resources {
     pub cpu: i64,
@@ -81,8 +86,9 @@
 }
 
 impl Resources {
+    /// Amounts in whole CPUs, GPUs and GB, as the wire has them.
     pub fn new(cpus: f64, gpus: f64, mem_gb: f64) -> Resources {
-        let milli = |x: f64| (x * 1000.0).round() as i64;
+        let milli = |amount: f64| (amount * 1000.0).round() as i64;
         Resources {
             cpu: milli(cpus),
             gpu: milli(gpus),
@@ -90,81 +96,86 @@
         }
     }
 
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.mem <= room.mem
+    /// Whether `self` fits into `free`.
+    pub fn fits(&self, free: &Resources) -> bool {
+        self.cpu <= free.cpu && self.gpu <= free.gpu && self.mem <= free.mem
     }
 
-    /// How many of `self` fit into `room`.
-    pub fn count_in(&self, room: &Resources) -> i64 {
-        let part = |need: i64, have: i64| {
-            if need > 0 {
-                have.max(0) / need
-            } else {
-                i64::MAX
-            }
+    /// How many of `self` fit into `free`: `i64::MAX` if `self` is nothing at all.
+    pub fn count_in(&self, free: &Resources) -> i64 {
+        let count = |amount: i64, free: i64| match amount {
+            1.. => free.max(0) / amount,
+            _ => i64::MAX,
         };
-        part(self.cpu, room.cpu)
-            .min(part(self.gpu, room.gpu))
-            .min(part(self.mem, room.mem))
+        count(self.cpu, free.cpu)
+            .min(count(self.gpu, free.gpu))
+            .min(count(self.mem, free.mem))
     }
 
-    pub fn scaled_by(&self, n: i64) -> Resources {
-        let m = |x: i64| x.saturating_mul(n);
+    /// So many times the amounts. A negative factor gives them back, huge results saturate.
+    pub fn scaled_by(&self, factor: i64) -> Resources {
         Resources {
-            cpu: m(self.cpu),
-            gpu: m(self.gpu),
-            mem: m(self.mem),
+            cpu: self.cpu.saturating_mul(factor),
+            gpu: self.gpu.saturating_mul(factor),
+            mem: self.mem.saturating_mul(factor),
         }
     }
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        self.cpu += o.cpu;
-        self.gpu += o.gpu;
-        self.mem += o.mem;
+    fn add_assign(&mut self, other: Resources) {
+        self.cpu += other.cpu;
+        self.gpu += other.gpu;
+        self.mem += other.mem;
     }
 }
 
 impl SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        self.cpu -= o.cpu;
-        self.gpu -= o.gpu;
-        self.mem -= o.mem;
+    fn sub_assign(&mut self, other: Resources) {
+        self.cpu -= other.cpu;
+        self.gpu -= other.gpu;
+        self.mem -= other.mem;
     }
 }
 
 impl Sub for Resources {
     type Output = Resources;
-    fn sub(mut self, o: Resources) -> Resources {
-        self -= o;
+
+    fn sub(mut self, other: Resources) -> Resources {
+        self -= other;
         self
     }
 }
 
-/// A machine type the cloud rents out.
+/// A machine type that the cloud rents out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: Arc<str>,
     pub size: Resources,
+    /// The price of an hour on demand.
     pub price: f64,
+    /// The price of an hour on the spot market.
     pub spot_price: f64,
+    /// How long its machines usually take to boot.
     pub boot_time: Micros,
+    /// How fast its machines fetch images.
     pub fetch_gb_per_s: f64,
+    /// The zones in which it is offered.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
+    /// The price of an hour.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
 
-/// A limit of this amount is none at all.
+/// A limit of this amount is no limit.
 pub const UNLIMITED: i64 = i64::MAX / 4;
 
-/// A team's guarantee and limit. CPUs and GPUs only. A guarantee of zero is no guarantee, and a
-/// team without a limit has one of [`UNLIMITED`].
+/// A team's guarantee and limit, which count CPUs and GPUs only. A guarantee of zero is no guarantee, and a team without a
+/// limit has one of [`UNLIMITED`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     pub name: String,
@@ -181,13 +192,18 @@
     }
 }
 
+/// How the tasks of a job belong together.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum Shape {
+    /// Tasks that run on their own and may run at any time.
     Array,
+    /// Tasks that only run all at once.
     Gang,
+    /// Replicas that run until the job is cancelled.
     Service,
 }
 
+/// How urgent a job is; a later variant is served before an earlier one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum Priority {
     Low,
@@ -196,40 +212,50 @@
     Production,
 }
 
-/// What a user submitted.
+/// What a user submitted. The names of its fields are those of the stored record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The kind of work, as its user names it: jobs of a class are expected to behave alike.
     pub class: String,
     pub team: String,
     pub shape: Shape,
     pub priority: Priority,
+    /// How many tasks it has.
     pub tasks: u32,
+    /// What each task needs.
     pub need: Resources,
     pub image: String,
     pub image_gb: f64,
+    /// The machine types that its tasks may run on. `None`: any.
     pub types: Option<Vec<String>>,
+    /// The zone that its tasks have to run in. `None`: any.
     pub zone: Option<String>,
+    /// All tasks have to run in the same zone.
     pub one_zone: bool,
+    /// No zone may have more than half of the tasks.
     pub spread: bool,
+    /// It may run on spot machines.
     pub spot: bool,
+    /// How long a task runs, as its user estimates.
     pub estimate: Micros,
+    /// How often a task saves its progress. Zero: it cannot.
     pub checkpoint_every: Micros,
+    /// How long a task takes to save its progress.
     pub save: Micros,
+    /// How long after its acceptance the job has to be done.
     pub deadline: Option<Micros>,
 }
 
 impl JobSpec {
-    /// Whether a machine of this type, zone and kind may run the job's tasks at all.
-    pub fn allows(&self, flavor: &str, zone: &str, spot: bool) -> bool {
+    /// Whether a machine of this type and zone may run the job's tasks at all.
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        let allows_type = |types: &Vec<String>| types.iter().any(|allowed| allowed == machine_type);
         (self.spot || !spot)
-            && self.zone.as_deref().is_none_or(|z| z == zone)
-            && self
-                .types
-                .as_ref()
-                .is_none_or(|t| t.iter().any(|x| x == flavor))
+            && self.zone.as_deref().is_none_or(|allowed| allowed == zone)
+            && self.types.as_ref().is_none_or(allows_type)
     }
 
-    /// Whether where its tasks are matters to where its others may go.
+    /// Whether it matters to the zones of its other tasks where one of its tasks is.
     pub fn is_zone_constrained(&self) -> bool {
         self.one_zone || self.spread
     }
@@ -244,92 +270,5 @@
     }
 }
 
-/// A set of task numbers kept as sorted, disjoint, inclusive ranges.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TaskSet(Vec<(u32, u32)>);
-
-impl TaskSet {
-    /// The numbers `0..n`.
-    pub fn up_to(n: u32) -> TaskSet {
-        if n == 0 {
-            TaskSet::default()
-        } else {
-            TaskSet(vec![(0, n - 1)])
-        }
-    }
-
-    fn slot(&self, x: u32) -> usize {
-        self.0.partition_point(|&(_, hi)| hi < x)
-    }
-
-    pub fn contains(&self, x: u32) -> bool {
-        self.0.get(self.slot(x)).is_some_and(|&(lo, _)| lo <= x)
-    }
-
-    pub fn insert(&mut self, x: u32) -> bool {
-        let i = self.slot(x);
-        if self.0.get(i).is_some_and(|&(lo, _)| lo <= x) {
-            return false;
-        }
-        let left = i > 0 && self.0[i - 1].1 + 1 == x;
-        let right = i < self.0.len() && self.0[i].0 == x + 1;
-        match (left, right) {
-            (true, true) => {
-                self.0[i - 1].1 = self.0[i].1;
-                self.0.remove(i);
-            }
-            (true, false) => self.0[i - 1].1 = x,
-            (false, true) => self.0[i].0 = x,
-            (false, false) => self.0.insert(i, (x, x)),
-        }
-        true
-    }
-
-    pub fn remove(&mut self, x: u32) -> bool {
-        let i = self.slot(x);
-        let Some(&(lo, hi)) = self.0.get(i) else {
-            return false;
-        };
-        if lo > x {
-            return false;
-        }
-        match (lo == x, hi == x) {
-            (true, true) => {
-                self.0.remove(i);
-            }
-            (true, false) => self.0[i].0 = x + 1,
-            (false, true) => self.0[i].1 = x - 1,
-            (false, false) => {
-                self.0[i].1 = x - 1;
-                self.0.insert(i + 1, (x + 1, hi));
-            }
-        }
-        true
-    }
-
-    pub fn len(&self) -> u32 {
-        self.0.iter().map(|&(lo, hi)| hi - lo + 1).sum()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-
-    pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.0.iter().flat_map(|&(lo, hi)| lo..=hi)
-    }
-
-    /// The part of the set within `lo..hi`.
-    pub fn slice(&self, lo: u32, hi: u32) -> TaskSet {
-        let clip = self.0.iter().filter(|&&(a, b)| b >= lo && a < hi);
-        TaskSet(clip.map(|&(a, b)| (a.max(lo), b.min(hi - 1))).collect())
-    }
-
-    /// The ranges themselves, in order.
-    pub fn as_ranges(&self) -> &[(u32, u32)] {
-        &self.0
-    }
-}
-
 #[cfg(test)]
 mod tests;
