--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddrV4;
 
-use super::heartbeat::MAX_ORDERS_PER_ANSWER;
+use super::orders::MAX_ORDERS_PER_ANSWER;
 use crate::model::{Micros, TaskId};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
--- a/crates/gannethub-core/src/reconcile/mod.rs
+++ b/crates/gannethub-core/src/reconcile/mod.rs
@@ -1,8 +1,12 @@
-//! What happens: reports, answers and stored values are taken in, and what follows from them.
+//! Events are applied to the state: heartbeats, answers of the cloud and of the state service, stored records. What
+//! follows from them is written down and sent on; decisions are left to [`crate::scheduling`].
 
+pub mod attempts;
 pub mod configuration;
 pub mod heartbeat;
 pub mod kill_delivery;
+pub mod lease_expiry;
+pub mod orders;
 pub mod persistence;
 pub mod pipelines;
 pub mod provisioning;
--- /dev/null
+++ b/crates/gannethub-core/src/reconcile/orders.rs
@@ -0,0 +1,93 @@
+//! The orders that a worker is sent with the answer to its heartbeat.
+//!
+//! Orders follow from the state alone and are repeated with every answer until the worker shows that it carried them
+//! out, so a lost answer needs no bookkeeping.
+
+use crate::model::{Micros, SECOND, Shape, TaskId};
+use crate::state::cluster::Cluster;
+use crate::state::records::{Attempt, AttemptPhase, Job, Machine, MachineId};
+use crate::wire::worker::{ExitReason, Order};
+
+/// The most orders in one answer, or in one push: this keeps the body below the 64 KiB that workers read.
+pub(super) const MAX_ORDERS_PER_ANSWER: usize = 300;
+
+impl Cluster {
+    /// The orders for a machine: first those that end or forget attempts, then launches.
+    pub(super) fn next_orders(&mut self, id: &MachineId) -> Vec<Order> {
+        let Some(machine) = self.machines.get(id) else {
+            return Vec::new();
+        };
+        let mut launches = Vec::new();
+        let mut orders = Vec::new();
+        for (key, attempt) in &machine.attempts {
+            match self.order_for(machine, key, attempt) {
+                Some(launch @ Order::Start { .. }) => launches.push(launch),
+                Some(order) => orders.push(order),
+                None => {}
+            }
+        }
+        orders.append(&mut launches);
+        orders.truncate(MAX_ORDERS_PER_ANSWER);
+        if self.usage_ledger.is_some() {
+            self.launches_sent(id, self.now);
+        }
+        orders
+    }
+
+    /// What a worker is to do with one attempt, if anything.
+    fn order_for(
+        &self,
+        machine: &Machine,
+        key: &(TaskId, u64),
+        attempt: &Attempt,
+    ) -> Option<Order> {
+        let (task, number) = (&key.0, key.1);
+        let job = self.jobs.get(&task.job);
+        // An attempt of no live job has to end.
+        let stop_grace = job.map_or(Some(0), |_| attempt.stop_grace);
+        match (attempt.phase, stop_grace) {
+            (AttemptPhase::Ended(reason), _) => (is_durable(job, task.index, reason)
+                && self.is_usage_settled(machine, key))
+            .then(|| forget_order(task, number)),
+            // It is saving its progress already, which is what the grace is for.
+            (AttemptPhase::Saving, Some(grace)) if grace > 0 => None,
+            (_, Some(grace)) if attempt.reported => Some(stop_order(task, number, grace)),
+            // Until the watermark that covers it is durable, the attempt only holds its place.
+            (AttemptPhase::Starting, None) => job
+                .is_some_and(|job| self.may_launch(job, task.index))
+                .then(|| start_order(task, number)),
+            _ => None,
+        }
+    }
+}
+
+/// Whether the state service holds all that this end means for the job. The worker keeps a result until then.
+fn is_durable(job: Option<&Job>, index: u32, reason: ExitReason) -> bool {
+    let Some(job) = job.filter(|_| reason == ExitReason::Done) else {
+        return true;
+    };
+    job.cancelled || job.durable_done.contains(index) || job.spec.shape == Shape::Service
+}
+
+fn start_order(task: &TaskId, attempt: u64) -> Order {
+    Order::Start {
+        task: task.to_string(),
+        attempt,
+    }
+}
+
+/// Tells a worker to stop an attempt, with this much time to save its progress.
+pub(super) fn stop_order(task: &TaskId, attempt: u64, grace: Micros) -> Order {
+    Order::Stop {
+        task: task.to_string(),
+        attempt,
+        grace_s: grace as f64 / SECOND as f64,
+    }
+}
+
+fn forget_order(task: &TaskId, attempt: u64) -> Order {
+    Order::Forget {
+        task: task.to_string(),
+        attempt,
+    }
+}
