--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -192,7 +192,7 @@
         }
         self.idle_since = None;
         let mut commit = Transaction::default();
-        commit.guard(&cluster.assignment_keys.0, lease.key_version);
+        commit.guard(&cluster.assignment_keys.owner, lease.key_version);
         let mut raised = raised;
         while raised.len() > cluster.max_transaction_changes() {
             raised.pop_last();
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -295,12 +295,12 @@
         };
         let keys = assignment_keys(block);
         let mut commit = Transaction::default();
-        commit.guard(&keys.0, holder);
-        commit.guard(&keys.1, term);
+        commit.guard(&keys.owner, holder);
+        commit.guard(&keys.term, term);
         commit.guard(TERM_KEY, lead.1);
         commit.guard(TERM_COUNTER_KEY, count.1);
-        commit.put(&keys.0, store::to_raw_value(&record), Some(grant));
-        commit.put(&keys.1, store::to_raw_value(&record), None);
+        commit.put(&keys.owner, store::to_raw_value(&record), Some(grant));
+        commit.put(&keys.term, store::to_raw_value(&record), None);
         commit.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
         let purpose = PendingRequest::TakeOverShard {
             shard: block,
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -507,7 +507,9 @@
             },
             Some((409, body)) => {
                 let conflict = serde_json::from_slice::<Conflict>(&body);
-                if conflict.is_ok_and(|c| c.failed_keys.contains(&self.cluster.assignment_keys.0)) {
+                if conflict
+                    .is_ok_and(|c| c.failed_keys.contains(&self.cluster.assignment_keys.owner))
+                {
                     self.end_reason = Some("its key is gone");
                     return;
                 }
--- /dev/null
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -0,0 +1,51 @@
+//! Cancellations by users.
+
+use crate::model::{TaskId, TaskSet};
+use crate::saga::AbortAction;
+use crate::state::cluster::Cluster;
+
+impl Cluster {
+    /// Another controller has told its users that the job is cancelled, which the watch here may not show yet. The
+    /// job's record is still read, and applied like any other.
+    pub fn apply_remote_cancellation(&mut self, id: &str) {
+        let is_upstream_only =
+            self.pipelines.waiting.contains_key(id) || self.jobs_in_other_shards.contains_key(id);
+        if self.jobs.get(id).is_some_and(|job| !job.cancelled) {
+            self.cancel_job(id);
+        } else if is_upstream_only {
+            self.mark_upstream_cancelled(id);
+        } else {
+            return;
+        }
+        self.pass_needed = true;
+    }
+
+    /// The user cancelled a job: its saga aborts, what runs of it is stopped, and nothing of it starts from here on.
+    pub(super) fn cancel_job(&mut self, id: &str) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.cancelled = true;
+        job.pending = TaskSet::default();
+        job.dirty_since = Some(0);
+        let actions = job.saga.abort();
+        let live: Vec<_> = job
+            .live_attempts
+            .iter()
+            .map(|(index, place)| (*index, place.clone()))
+            .collect();
+        tracing::info!(job = id, tasks = live.len(), "cancelled");
+        self.mark_upstream_cancelled(id);
+        if !actions.contains(&AbortAction::Cancel(0)) {
+            return;
+        }
+        for (index, (machine, attempt)) in live {
+            self.stop_attempt(id, index, &machine, attempt, 0);
+            let task = TaskId {
+                job: id.into(),
+                index,
+            };
+            self.queue_kill_order(&machine, task, attempt);
+        }
+    }
+}
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration is taken in by the holder of a block.
+//! A new version of the configuration is applied by the owner of a shard.
 
 use std::sync::Arc;
 
@@ -10,29 +10,23 @@
 use crate::state::kill_orders::KillOrders;
 
 impl Cluster {
-    /// Goes by these settings from here on. Teams keep their numbers, new ones come behind them.
+    /// Goes by these settings from here on. Teams keep their numbers, and new ones come behind them: the caller has
+    /// checked that.
     pub fn apply_settings(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
-        let mut own = (**settings).clone();
-        if self.settings.teams.len() == settings.teams.len() && self.cluster_teams == settings.teams
-        {
-            // A block keeps to its part of limits that have not changed.
-            own.teams.clone_from(&self.settings.teams);
+        let mut shard_settings = (**settings).clone();
+        let has_same_count = self.settings.teams.len() == settings.teams.len();
+        if has_same_count && self.cluster_teams == settings.teams {
+            // The shard keeps to its part of limits that have not changed.
+            shard_settings.teams.clone_from(&self.settings.teams);
         }
-        self.team_usage
-            .resize(own.teams.len(), Resources::default());
+        let teams = shard_settings.teams.len();
+        self.team_usage.resize(teams, Resources::default());
         self.unconfirmed
             .possible_usage
-            .resize(own.teams.len(), Resources::default());
+            .resize(teams, Resources::default());
         self.cluster_teams.clone_from(&settings.teams);
-        let halts = |s: &Settings| s.policy.number(Setting::Halts, &[]);
-        if halts(&own) != halts(&self.settings) {
-            let due = std::mem::take(&mut self.kill_orders.pending);
-            self.kill_orders = KillOrders {
-                pending: due,
-                ..KillOrders::new(halts(&own))
-            };
-        }
-        self.settings = Arc::new(own);
+        self.apply_kill_order_rate(&shard_settings);
+        self.settings = Arc::new(shard_settings);
         self.over_limit = over_limit;
         self.resolve_teams();
         self.enforce_limits(now);
@@ -41,21 +35,32 @@
         self.next_plan_at = now;
     }
 
-    /// Jobs whose team was not known get theirs, and what they have on machines counts against it.
+    /// Limits the rate of kill orders anew if its setting has changed. Pending ones stay.
+    fn apply_kill_order_rate(&mut self, settings: &Settings) {
+        let rate = |settings: &Settings| settings.policy.number(Setting::Halts, &[]);
+        if rate(settings) != rate(&self.settings) {
+            let pending = std::mem::take(&mut self.kill_orders.pending);
+            self.kill_orders = KillOrders {
+                pending,
+                ..KillOrders::new(rate(settings))
+            };
+        }
+    }
+
+    /// Jobs whose team was not known get theirs, and what they hold on machines counts against it.
     fn resolve_teams(&mut self) {
-        for job in self.jobs.values_mut().filter(|j| j.team.is_none()) {
+        for job in self.jobs.values_mut().filter(|job| job.team.is_none()) {
             job.team = self.settings.team(&job.spec.team);
         }
-        let (jobs, used) = (&self.jobs, &mut self.team_usage);
-        for machine in self.machines.values_mut() {
-            for ((task, _), attempt) in &mut machine.attempts {
-                if attempt.team.is_some() {
-                    continue;
-                }
-                attempt.team = jobs.get(&task.job).and_then(|j| j.team);
-                if let Some(team) = attempt.team.filter(|_| attempt.holds_capacity) {
-                    used[team] += attempt.resources;
-                }
+        let (jobs, team_usage) = (&self.jobs, &mut self.team_usage);
+        let machines = self.machines.values_mut();
+        for ((task, _), attempt) in machines.flat_map(|machine| &mut machine.attempts) {
+            if attempt.team.is_some() {
+                continue;
+            }
+            attempt.team = jobs.get(&task.job).and_then(|job| job.team);
+            if let Some(team) = attempt.team.filter(|_| attempt.holds_capacity) {
+                team_usage[team] += attempt.resources;
             }
         }
     }
--- /dev/null
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -0,0 +1,245 @@
+//! Jobs whose records have to be written: ends, watermarks, transfers to other shards, progress.
+
+use std::collections::BTreeMap;
+
+use serde_json::value::RawValue;
+
+use super::transaction::TransactionBuilder;
+use crate::model::{JobId, Micros, SECOND, TaskSet, seconds_from_micros};
+use crate::state::cluster::Cluster;
+use crate::state::records::Job;
+use crate::state::usage::job_owner;
+use crate::state::writes::BatchedWrite;
+use crate::wire::store::{
+    self, DonePartRecord, FinishedJobRecord, JobRecord, TASKS_PER_PART, VALUE_SLACK_BYTES,
+};
+
+/// Progress is written this long after it was made: until then the worker keeps the result.
+const PROGRESS_WRITE_DELAY: Micros = 2 * SECOND;
+/// What the write of a job's record takes in a transaction, about.
+pub(super) const JOB_RECORD_BYTES: usize = 1500;
+/// What the write of a job's end takes in a transaction, about.
+const JOB_END_BYTES: usize = 400;
+
+/// Why a job's record is to be written, in the order in which that is done.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum WriteReason {
+    /// Launches wait for a higher watermark.
+    Watermark,
+    /// The job moves to another shard.
+    Transfer,
+    /// All its tasks are done, and its users wait to be told.
+    Finished,
+    /// It was cancelled, which its users know, and nothing of it runs any more.
+    Cancelled,
+    /// Tasks were done.
+    Progress,
+}
+
+/// A job whose record is to be written. Sorts by urgency.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DueWrite {
+    reason: WriteReason,
+    /// When the change was made. Among jobs that are written for the same reason those come first that changed first:
+    /// in the order of their ids, one of a high id would wait for as long as more change than may be written.
+    since: Micros,
+    id: JobId,
+}
+
+impl Cluster {
+    /// Adds writes of jobs' records, as far as they fit.
+    pub(super) fn add_job_writes(&mut self, builder: &mut TransactionBuilder, now: Micros) {
+        let jobs = self.jobs.values();
+        let writable = jobs.filter(|job| !job.write_in_flight && !job.version_unknown);
+        let mut due: Vec<DueWrite> = writable
+            .filter_map(|job| self.due_write(job, now))
+            .collect();
+        due.sort();
+        for DueWrite { reason, id, .. } in due {
+            let fitted = match reason {
+                WriteReason::Transfer => self.add_job_transfer(builder, id),
+                WriteReason::Finished | WriteReason::Cancelled => self.add_job_end(builder, id),
+                WriteReason::Watermark | WriteReason::Progress => {
+                    self.add_job_progress(builder, id)
+                }
+            };
+            if !fitted {
+                break;
+            }
+        }
+    }
+
+    /// Why a job's record is to be written now, if it is.
+    fn due_write(&self, job: &Job, now: Micros) -> Option<DueWrite> {
+        let due = |reason, since| {
+            let id = job.id.clone();
+            Some(DueWrite { reason, since, id })
+        };
+        let moves = job.home_shard.is_some_and(|home| home != self.shard.id);
+        if moves && job.has_no_launches() {
+            return due(WriteReason::Transfer, 0);
+        }
+        if job.is_finished() {
+            return due(WriteReason::Finished, job.dirty_since.unwrap_or(0));
+        }
+        if job.cancelled && job.live_attempts.is_empty() && self.settled {
+            return due(WriteReason::Cancelled, 0);
+        }
+        if job.requested_watermark > job.durable_watermark && !self.launches_without_watermark {
+            return due(WriteReason::Watermark, 0);
+        }
+        let dirty_since = job.dirty_since.filter(|_| !job.dirty_parts.is_empty())?;
+        if now < dirty_since + PROGRESS_WRITE_DELAY {
+            return None;
+        }
+        due(WriteReason::Progress, dirty_since)
+    }
+
+    /// Hands a job over to another shard. Like the other `add_job_` functions, it returns `false` if the write does not
+    /// fit into this transaction.
+    fn add_job_transfer(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return true;
+        };
+        let Some(home) = job.home_shard else {
+            return true;
+        };
+        if !builder.fits(1) {
+            return false;
+        }
+        let record = job_record(job, home);
+        let key = store::live_job_key(&id);
+        builder.transaction.guard(&key, job.version);
+        builder.transaction.put(&key, record.to_value(), None);
+        builder.add_bytes(JOB_RECORD_BYTES);
+        job.write_in_flight = true;
+        let record = Box::new(record);
+        let write = BatchedWrite::JobTransfer { id, record };
+        builder.batch.push(write, key);
+        true
+    }
+
+    /// Moves a job from the live to the finished ones.
+    fn add_job_end(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return true;
+        };
+        if !builder.fits(2) {
+            return false;
+        }
+        let cancelled = job.cancelled;
+        let key = store::live_job_key(&id);
+        builder.transaction.guard(&key, job.version);
+        let record = FinishedJobRecord {
+            cancelled,
+            tasks: job.spec.tasks,
+            owner: self.usage_ledger.as_ref().map(|_| job_owner(job)),
+        };
+        builder.transaction.end_job(&id, &record);
+        builder.add_bytes(JOB_END_BYTES);
+        job.write_in_flight = true;
+        let write = BatchedWrite::JobEnd {
+            id,
+            cancelled,
+            deadline_missed_by_s: deadline_missed_by_s(job, self.unix_time),
+        };
+        builder.batch.push(write, key);
+        true
+    }
+
+    /// Writes a job's record, and those parts of its finished tasks that have keys of their own.
+    ///
+    /// Every write of finished tasks changes the live record and is guarded by its version: a transaction of parts
+    /// alone, carried out late, would take back tasks that were written since.
+    fn add_job_progress(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
+        let value_bytes = self.settings.value_bytes;
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return true;
+        };
+        let value = progress_value(job, self.shard.id, value_bytes);
+        let has_dirty_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.overflow);
+        if !builder.fits(1 + usize::from(has_dirty_parts)) {
+            return false;
+        }
+        let max_parts = builder.remaining_changes() - 1;
+        let key = store::live_job_key(&id);
+        builder.transaction.guard(&key, job.version);
+        builder.transaction.put(&key, value, None);
+        builder.add_bytes(JOB_RECORD_BYTES);
+        let done_parts = add_done_parts(builder, job, max_parts);
+        if job.dirty_parts.is_empty() {
+            job.dirty_since = None;
+        }
+        job.write_in_flight = true;
+        let write = BatchedWrite::JobProgress {
+            id,
+            done_parts,
+            watermark: job.requested_watermark,
+        };
+        builder.batch.push(write, key);
+        true
+    }
+}
+
+/// A job's record, without finished tasks, as it is written into this shard.
+fn job_record(job: &Job, shard: u32) -> JobRecord {
+    let mut record = JobRecord::new((*job.submitted_spec).clone(), job.accepted_at);
+    record.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
+    record.cancelled = job.cancelled;
+    record.crash_looping = job.is_crash_looping();
+    record.shard = shard;
+    record
+}
+
+/// The value of a job's record. Its first part of finished tasks is in it, unless that makes it too large: from then
+/// on the job overflows, and the first part has a key of its own like all others.
+fn progress_value(job: &mut Job, shard: u32, value_bytes: usize) -> Box<RawValue> {
+    let mut record = job_record(job, shard);
+    record.watermark = Some(job.requested_watermark);
+    record.done = store::encode_done_part(&job.done, 0);
+    let value = record.to_value();
+    if !job.overflow && value.get().len() + VALUE_SLACK_BYTES > value_bytes {
+        job.overflow = true;
+        job.dirty_parts.insert(0);
+    }
+    if !job.overflow {
+        return value;
+    }
+    // Both keys change in one transaction. Whoever reads the parts, earlier releases included, takes part 0 for what
+    // it is.
+    record.done.clear();
+    record.to_value()
+}
+
+/// Writes up to `max_parts` changed parts of a job's finished tasks. Returns the tasks that the transaction makes
+/// durable, the job's own record included.
+fn add_done_parts(
+    builder: &mut TransactionBuilder,
+    job: &mut Job,
+    max_parts: usize,
+) -> BTreeMap<u32, TaskSet> {
+    let mut written = BTreeMap::new();
+    if !job.overflow {
+        job.dirty_parts.remove(&0);
+        written.insert(0, job.done.slice(0, TASKS_PER_PART));
+    }
+    let parts: Vec<u32> = job.dirty_parts.iter().copied().take(max_parts).collect();
+    for part in parts {
+        let done = store::encode_done_part(&job.done, part);
+        job.dirty_parts.remove(&part);
+        builder.add_value_bytes(done.len());
+        let first = part * TASKS_PER_PART;
+        written.insert(part, job.done.slice(first, first + TASKS_PER_PART));
+        let key = store::done_part_key(&job.id, part);
+        let value = store::to_raw_value(&DonePartRecord { done });
+        builder.transaction.put(&key, value, None);
+    }
+    written
+}
+
+/// By how many seconds a job that ends now misses its deadline, if it does.
+fn deadline_missed_by_s(job: &Job, unix_time: u64) -> Option<u32> {
+    let deadline = job.submitted_spec.deadline.filter(|_| !job.cancelled)?;
+    let late = unix_time.checked_sub(job.accepted_at + deadline)?;
+    Some(seconds_from_micros(late) as u32)
+}
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -1,22 +1,25 @@
-//! Halts that are sent to workers at once: tasks of a job that was just cancelled are told to end by `POST /commands`, beside
-//! the next answer to their machines' reports.
+//! Kill orders that are pushed: tasks of a job that was just cancelled are told to stop by `POST /commands`, beside the
+//! next answer to their machines' heartbeats.
 //!
-//! It saves what a task would run or start within a report's time, and reaches workers that reach no controller. Nothing
-//! relies on it: it is sent once, its answer is not looked at, and what it does not reach is told by the next answer or ends
-//! with its lease. A halt may be carried out late, minutes after it was sent, and can harm nothing then: it names an attempt
-//! that is not used again, of a job that is cancelled for ever, under this term's token and the worker's session. A launch or
-//! a `forget` could, so they are never sent this way.
+//! A push saves what a task would run, or start, within a heartbeat interval, and reaches workers that reach no
+//! controller. Nothing relies on it: it is sent once, its answer is not looked at, and whatever it does not reach is
+//! told by the next answer or ends with its worker's lease.
+//!
+//! A push may arrive late, minutes after it was sent, and must be harmless then. A kill order is: it names an attempt
+//! that is never used again, of a job that is cancelled for good, under this term's token and the worker's
+//! incarnation. A launch or a `forget` is not, so those are never pushed.
 
 use std::net::SocketAddrV4;
 
-use super::orders::MAX_ORDERS_PER_ANSWER;
+use super::orders::{MAX_ORDERS_PER_ANSWER, stop_order};
 use crate::model::{Micros, TaskId};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, MachineId};
+use crate::state::kill_orders::KillOrder;
+use crate::state::records::{AttemptPhase, Machine, MachineId};
 use crate::wire::worker::Order;
 
-/// What is to be sent to a worker.
+/// Kill orders to be pushed to one worker.
 #[derive(Debug)]
 pub struct KillOrderDelivery {
     pub address: SocketAddrV4,
@@ -25,85 +28,96 @@
 }
 
 impl Cluster {
-    /// An attempt of a cancelled job is to end.
+    /// Queues a kill order for an attempt of a cancelled job, if its worker takes pushes.
     pub(crate) fn queue_kill_order(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
-        let Some(m) = self.machines.get(machine).filter(|m| m.address.is_some()) else {
+        let known = self.machines.get(machine);
+        let Some(reachable) = known.filter(|machine| machine.address.is_some()) else {
             return;
         };
         let key = (task, attempt);
-        let Some(a) = m.attempts.get(&key) else {
+        let Some(attempt) = reachable.attempts.get(&key) else {
             return;
         };
-        let starts = matches!(
-            a.phase,
+        let is_unstarted = matches!(
+            attempt.phase,
             AttemptPhase::Starting | AttemptPhase::Fetching | AttemptPhase::Waiting
         );
-        let halt = self.kill_orders.pending.entry(machine.clone()).or_default();
-        halt.since = self.now;
-        halt.has_unstarted |= starts;
-        if halt.attempts.len() < MAX_ORDERS_PER_ANSWER {
-            halt.attempts.push(key);
+        let order = self.kill_orders.pending.entry(machine.clone()).or_default();
+        order.since = self.now;
+        order.has_unstarted |= is_unstarted;
+        if order.attempts.len() < MAX_ORDERS_PER_ANSWER {
+            order.attempts.push(key);
         }
     }
 
-    /// What is to be sent now: first to machines where something would start. Who has been answered since, or has been lost,
-    /// needs nothing; and more than may be sent within a report's time is left to the answers.
+    /// The pushes to send now, as far as the rate limit goes: first to machines where something would start.
     pub fn next_kill_orders(&mut self, now: Micros) -> Vec<KillOrderDelivery> {
         if self.kill_orders.pending.is_empty() {
             return Vec::new();
         }
-        let halts = &mut self.kill_orders;
         if self.settings.policy.number(Setting::Halts, &[]) <= 0.0 {
-            halts.pending.clear();
+            self.kill_orders.pending.clear();
             return Vec::new();
         }
-        halts.rate_limit.refill(now);
-        if halts.rate_limit.tokens < 1.0 {
-            // Nothing is gone through at each step for what may not be sent yet.
+        self.kill_orders.rate_limit.refill(now);
+        if self.kill_orders.rate_limit.tokens < 1.0 {
+            // The queue is not gone through at each step for what may not be sent yet.
             return Vec::new();
         }
-        let (machines, late) = (
-            &self.machines,
-            self.settings.report + self.settings.report / 4,
-        );
-        halts.pending.retain(|id, halt| {
-            let machine = machines.get(id);
-            now < halt.since + late
-                && machine.is_some_and(|m| m.last_heartbeat_at.is_none_or(|t| t <= halt.since))
-        });
-        let mut due: Vec<(bool, MachineId)> = halts
-            .pending
-            .iter()
-            .map(|(id, halt)| (!halt.has_unstarted, id.clone()))
-            .collect();
-        due.sort();
-        due.truncate(halts.rate_limit.tokens as usize);
-        let mut sent = Vec::new();
-        for (_, id) in due {
-            let (Some(halt), Some(m)) = (halts.pending.remove(&id), machines.get(&id)) else {
+        self.drop_needless_kill_orders(now);
+        let mut deliveries = Vec::new();
+        for id in self.kill_orders_by_urgency() {
+            let order = self.kill_orders.pending.remove(&id);
+            let (Some(order), Some(machine)) = (order, self.machines.get(&id)) else {
                 continue;
             };
-            let alive = |key: &(TaskId, u64)| {
-                m.attempts
-                    .get(key)
-                    .is_some_and(|a| !matches!(a.phase, AttemptPhase::Ended(_)))
-            };
-            let attempts = halt.attempts.into_iter().filter(alive);
-            let stop = |(task, attempt): (TaskId, u64)| Order::Stop {
-                task: task.to_string(),
-                attempt,
-                grace_s: 0.0,
-            };
-            let orders: Vec<Order> = attempts.map(stop).collect();
-            if let (Some(addr), false) = (m.address, orders.is_empty()) {
-                halts.rate_limit.tokens -= 1.0;
-                sent.push(KillOrderDelivery {
-                    address: addr,
-                    incarnation: m.incarnation,
-                    orders,
-                });
+            if let Some(delivery) = delivery_to(machine, order) {
+                self.kill_orders.rate_limit.tokens -= 1.0;
+                deliveries.push(delivery);
             }
         }
-        sent
+        deliveries
+    }
+
+    /// Drops orders for machines that are lost, that were answered since, or that are about to be.
+    fn drop_needless_kill_orders(&mut self, now: Micros) {
+        let machines = &self.machines;
+        let answered_within = self.settings.report + self.settings.report / 4;
+        self.kill_orders.pending.retain(|id, order| {
+            let is_unanswered = machines.get(id).is_some_and(|machine| {
+                let last = machine.last_heartbeat_at;
+                last.is_none_or(|last| last <= order.since)
+            });
+            is_unanswered && now < order.since + answered_within
+        });
+    }
+
+    /// The machines that may be told now.
+    fn kill_orders_by_urgency(&self) -> Vec<MachineId> {
+        let pending = self.kill_orders.pending.iter();
+        let mut due: Vec<(bool, MachineId)> = pending
+            .map(|(id, order)| (!order.has_unstarted, id.clone()))
+            .collect();
+        due.sort();
+        due.truncate(self.kill_orders.rate_limit.tokens as usize);
+        due.into_iter().map(|(_, id)| id).collect()
     }
 }
+
+/// What is pushed to a worker; `None` if all the attempts have ended, or it takes no pushes any more.
+fn delivery_to(machine: &Machine, order: KillOrder) -> Option<KillOrderDelivery> {
+    let is_live = |key: &(TaskId, u64)| {
+        let attempt = machine.attempts.get(key);
+        attempt.is_some_and(|attempt| !matches!(attempt.phase, AttemptPhase::Ended(_)))
+    };
+    let live = order.attempts.into_iter().filter(is_live);
+    let orders: Vec<Order> = live
+        .map(|(task, attempt)| stop_order(&task, attempt, 0))
+        .collect();
+    let address = machine.address.filter(|_| !orders.is_empty())?;
+    Some(KillOrderDelivery {
+        address,
+        incarnation: machine.incarnation,
+        orders,
+    })
+}
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -1,89 +1,88 @@
-//! Machines that go to another block, and that come from there.
+//! Machines that go to other shards, and those that come from there.
 //!
-//! A machine comes to the cluster by block 0's holder, and is given to another block before it is up, when nothing can be
-//! on it and it has seen no token. That is a saga of two transactions, each under the guard of its own holder's key:
-//! the giver writes that the machine is on its way, the taker writes it into its block's record and then removes
-//! that. At any moment at most one block's record or way names it, so at most one holder launches on it. If the taker is
-//! lost, its successor reads both; if the giver is lost before it wrote, the machine is adopted like any that nobody
-//! expected.
+//! A machine joins the cluster through shard 0's owner, and is given to another shard before it is up, when nothing can
+//! be on it and its worker has seen no token. That is a saga of two transactions, each guarded by the key of the owner
+//! that sends it: the giver records that the machine is on its way; the taker records it as a member of its shard, and
+//! deletes the transfer record afterwards. At any moment at most one shard's record or one transfer record names the
+//! machine, so at most one owner launches on it. If the taker is lost, its successor reads both; if the giver is lost
+//! before it wrote, the machine is adopted like any that nobody expected.
 
+use super::transaction::TransactionBuilder;
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
 use crate::state::shard::ShardMember;
 use crate::state::shard_load::OutgoingTransfer;
-use crate::state::writes::{BatchedWrite, WriteBatch};
-use crate::wire::store::{self, MachineTransferRecord, Transaction};
+use crate::state::writes::BatchedWrite;
+use crate::wire::store::{self, MachineTransferRecord};
 
-/// What was asked for, for another block, counts as coming for so long after it was given.
+/// A machine that was given to a shard counts as on its way there for this long: by then the shard's owner has read
+/// its record, and no longer asks for the machine.
 const ARRIVAL_TIME: Micros = 4 * SECOND;
+/// What a transfer record takes in a transaction, at most.
+const TRANSFER_RECORD_BYTES: usize = 250;
 
 impl Cluster {
-    /// A request for another block has brought a machine.
+    /// A request on behalf of another shard has brought a machine.
     pub fn start_machine_transfer(
         &mut self,
         machine: &str,
         record: MachineTransferRecord,
-        to: u32,
+        to_shard: u32,
     ) {
-        self.machines_in_other_shards.insert(machine.into(), to);
-        self.outgoing_transfers.insert(
-            machine.into(),
-            OutgoingTransfer {
-                to_shard: to,
-                record,
-                write_in_flight: false,
-            },
-        );
+        self.machines_in_other_shards
+            .insert(machine.into(), to_shard);
+        let transfer = OutgoingTransfer {
+            to_shard,
+            record,
+            write_in_flight: false,
+        };
+        self.outgoing_transfers.insert(machine.into(), transfer);
     }
 
-    /// Adds machines on their way to other blocks to a transaction, until it has `most` changes.
-    pub(crate) fn add_machine_transfers(
+    /// Adds machines on their way to other shards to a transaction, until it has `max_changes`.
+    pub(super) fn add_machine_transfers(
         &mut self,
-        commit: &mut Transaction,
-        batch: &mut WriteBatch,
-        bytes: &mut usize,
-        most: usize,
+        builder: &mut TransactionBuilder,
+        max_changes: usize,
     ) {
-        for (machine, giving) in self
-            .outgoing_transfers
-            .iter_mut()
-            .filter(|g| !g.1.write_in_flight)
-        {
-            if commit.change_count() >= most || *bytes > 40_000 {
+        for (machine, transfer) in &mut self.outgoing_transfers {
+            if transfer.write_in_flight {
+                continue;
+            }
+            if builder.transaction.change_count() >= max_changes || builder.is_too_large() {
                 break;
             }
-            let key = format!(
-                "{}{}/{machine}",
-                store::MACHINE_TRANSFER_PREFIX,
-                giving.to_shard
-            );
-            commit.put(&key, store::to_raw_value(&giving.record), None);
-            *bytes += 250;
-            giving.write_in_flight = true;
-            batch.writes.push(BatchedWrite::MachineTransfer {
-                machine: machine.clone(),
-            });
+            let key = store::machine_transfer_key(transfer.to_shard, machine);
+            let value = store::to_raw_value(&transfer.record);
+            builder.transaction.put(&key, value, None);
+            builder.add_bytes(TRANSFER_RECORD_BYTES);
+            transfer.write_in_flight = true;
+            let machine = machine.clone();
+            let write = BatchedWrite::MachineTransfer { machine };
+            builder.batch.writes.push(write);
         }
     }
 
-    pub(crate) fn machine_transferred(&mut self, machine: &str) {
-        if let Some(giving) = self.outgoing_transfers.remove(machine) {
-            let until = self.now + ARRIVAL_TIME;
+    /// A transfer was recorded: the machine is the other shard's from here on.
+    pub(super) fn machine_transferred(&mut self, machine: &str) {
+        if let Some(transfer) = self.outgoing_transfers.remove(machine) {
+            let counts_until = self.now + ARRIVAL_TIME;
             self.recent_transfers
-                .entry(giving.to_shard)
+                .entry(transfer.to_shard)
                 .or_default()
-                .push((until, giving.record));
+                .push((counts_until, transfer.record));
         }
     }
 
-    /// Perhaps it was carried out: to say it again changes nothing, for whoever took it knows it already.
-    pub(crate) fn machine_transfer_failed(&mut self, machine: &str) {
-        if let Some(giving) = self.outgoing_transfers.get_mut(machine) {
-            giving.write_in_flight = false;
+    /// The transaction that records a transfer failed, or perhaps it was carried out. Writing the record once more
+    /// changes nothing then: whoever took the machine knows it already.
+    pub(super) fn machine_transfer_failed(&mut self, machine: &str) {
+        if let Some(transfer) = self.outgoing_transfers.get_mut(machine) {
+            transfer.write_in_flight = false;
         }
     }
 
-    /// A machine is on its way to this block.
+    /// A machine is on its way to this shard.
     pub fn accept_machine_transfer(
         &mut self,
         machine: &str,
@@ -93,64 +92,59 @@
         if self.accepting_transfers.contains(machine) {
             return;
         }
-        if self.machines.get(machine).is_some_and(|m| m.recorded)
-            || self.fleet.deleted_machines.contains_key(machine)
-        {
-            // It is here already, or was: only what says that it is on its way is left over.
-            self.stale_keys.push(format!(
-                "{}{}/{machine}",
-                store::MACHINE_TRANSFER_PREFIX,
-                self.shard.id
-            ));
+        let is_member = self.machines.get(machine).is_some_and(|m| m.recorded);
+        if is_member || self.fleet.deleted_machines.contains_key(machine) {
+            // It is here already, or was: only the record of its transfer is left over.
+            let key = store::machine_transfer_key(self.shard.id, machine);
+            self.stale_keys.push(key);
             return;
         }
-        self.machine_or_adopt(
-            machine,
-            &record.machine_type,
-            &record.zone,
-            record.spot,
-            now,
-        );
         let MachineTransferRecord {
-            machine_type: flavor,
+            machine_type,
             zone,
             spot,
         } = record.clone();
-        self.shard
-            .add(machine, ShardMember { flavor, zone, spot }, None);
+        self.machine_or_adopt(machine, &machine_type, &zone, spot, now);
+        let member = ShardMember {
+            flavor: machine_type,
+            zone,
+            spot,
+        };
+        self.shard.add(machine, member, None);
         self.accepting_transfers.insert(machine.into());
     }
 
-    /// How many machines of an offer are being rented for a block, or on their way to it.
+    /// How many machines of an offer are being provisioned for a shard, or are on their way to it.
     pub(crate) fn incoming_machine_count(
         &mut self,
-        block: u32,
-        flavor: &str,
+        shard: u32,
+        machine_type: &str,
         zone: &str,
         spot: bool,
     ) -> u32 {
         let now = self.now;
-        let same = |r: &MachineTransferRecord| {
-            r.machine_type == flavor && r.zone == zone && r.spot == spot
+        let is_same = |record: &MachineTransferRecord| {
+            record.machine_type == machine_type && record.zone == zone && record.spot == spot
         };
-        let arriving = self.recent_transfers.entry(block).or_default();
-        arriving.retain(|(until, _)| now < *until);
-        let arriving = arriving.iter().filter(|(_, r)| same(r)).count() as u32;
-        let giving = self
-            .outgoing_transfers
-            .values()
-            .filter(|g| g.to_shard == block && same(&g.record))
+        let recent = self.recent_transfers.entry(shard).or_default();
+        recent.retain(|(counts_until, _)| now < *counts_until);
+        let arriving = recent.iter().filter(|(_, record)| is_same(record)).count();
+        let outgoing = self.outgoing_transfers.values();
+        let leaving = outgoing
+            .filter(|transfer| transfer.to_shard == shard && is_same(&transfer.record))
             .count();
-        let asked = self
+        let requested: u32 = self
             .provisioning_for_shard
             .iter()
-            .filter(|(_, to)| **to == block);
-        let asked = asked.filter_map(|(name, _)| self.fleet.pending_provisions.get(name));
-        let asked = asked.filter(|(offer, _)| {
-            *self.machine_types[offer.machine_type].name == *flavor
-                && offer.zone == zone
-                && offer.spot == spot
-        });
-        arriving + giving as u32 + asked.map(|(_, n)| n).sum::<u32>()
+            .filter(|(_, to_shard)| **to_shard == shard)
+            .filter_map(|(request, _)| self.fleet.pending_provisions.get(request))
+            .filter(|(offer, _)| {
+                *self.machine_types[offer.machine_type].name == *machine_type
+                    && offer.zone == zone
+                    && offer.spot == spot
+            })
+            .map(|(_, count)| count)
+            .sum();
+        arriving as u32 + leaving as u32 + requested
     }
 }
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -21,7 +21,7 @@
 use crate::model::{JobId, MachineType, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
 use crate::policy::Setting;
 use crate::settings::Settings;
-use crate::wire::store::{MachineTransferRecord, assignment_keys};
+use crate::wire::store::{AssignmentKeys, MachineTransferRecord, assignment_keys};
 
 /// Added to every lease that is waited out.
 const LEASE_MARGIN: Micros = 250_000;
@@ -62,7 +62,7 @@
     pub total_capacity: Resources,
     pub shard: Shard,
     /// The keys of this block's holder and last term.
-    pub assignment_keys: (String, String),
+    pub assignment_keys: AssignmentKeys,
     /// Machines that are in another block, or on their way there; only block 0's holder keeps track.
     pub machines_in_other_shards: BTreeMap<String, u32>,
     /// Jobs of other blocks, and their versions; the same.
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -2,8 +2,8 @@
 //! messages between controllers, requests and answers of workers, users and the cloud, and the settings files.
 //!
 //! Controllers of different releases share a cluster during an upgrade, and stored records outlive all of them, so a
-//! renamed Rust field must not show on the wire. The literals were printed by the code before its names changed. When Rust names
-//! change, edit the Rust names in this file and nothing else: a literal that has to change is an incompatible change.
+//! renamed Rust field must not show on the wire. The literals were printed by the code before its names changed. When
+//! Rust names change, edit those in this file and nothing else: a literal that has to change is an incompatible change.
 
 use bytes::{Bytes, BytesMut};
 use gannethub_core::configuration::{Document, ObjectiveEntry, OverLimit, TeamEntry};
@@ -124,12 +124,13 @@
         "gh/lead/holder gh/lead/term gh/lead/ gh/live/ gh/part/ gh/over/ gh/block/ gh/lead/count gh/seat/ gh/move/ gh/allot/ gh/ledger/head gh/ledger/page/ gh/live/configuration gh/config/history",
     );
     pin(&store::ledger_page_key(7), "gh/ledger/page/000000000007");
+    let assignment_keys = |shard: u32| {
+        let keys = store::assignment_keys(shard);
+        json(&(keys.owner, keys.term))
+    };
+    pin(&assignment_keys(0), r#"["gh/lead/holder","gh/lead/term"]"#);
     pin(
-        &json(&store::assignment_keys(0)),
-        r#"["gh/lead/holder","gh/lead/term"]"#,
-    );
-    pin(
-        &json(&store::assignment_keys(3)),
+        &assignment_keys(3),
         r#"["gh/seat/3/holder","gh/seat/3/term"]"#,
     );
     pin(
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -453,7 +453,7 @@
 
     /// Who holds a block, as the state service has it.
     pub fn holds(&self, block: u32) -> Option<String> {
-        let key = assignment_keys(block).0;
+        let key = assignment_keys(block).owner;
         Some(self.state.value(&key)?["holder"].as_str()?.to_string())
     }
 
--- a/crates/gannethub-ledger/tests/formats.rs
+++ b/crates/gannethub-ledger/tests/formats.rs
@@ -1,8 +1,8 @@
 //! Every format of the ledger, pinned as literal text: lines, pages, the head, the key file and the settings file.
 //!
 //! Pages are kept for years, tied by a hash of their exact text, so a renamed Rust field must not show in them. The
-//! literals were printed by the code before its names changed. When Rust names change, edit those in this file and nothing
-//! else: a literal that has to change is an incompatible change.
+//! literals were printed by the code before its names changed. When Rust names change, edit those in this file and
+//! nothing else: a literal that has to change is an incompatible change.
 
 use std::sync::Arc;
 
