--- a/crates/gannethub-core/src/wire/peer.rs
+++ b/crates/gannethub-core/src/wire/peer.rs
@@ -1,11 +1,18 @@
-//! What controllers say to one another: `prost` messages in length-limited frames.
+//! Messages between controllers: `prost` messages in length-prefixed frames.
+//!
+//! Fields go by their tags on the wire. Controllers of different releases talk to each other during an upgrade: a tag
+//! is never used again for something else, and a field that an earlier release does not send has its default.
 
-use bytes::{Buf, BufMut, Bytes, BytesMut};
+mod frame;
+mod usage;
+
+use bytes::Bytes;
 use prost::Message;
 
-/// A frame longer than this is garbage, and ends the connection.
-pub const MAX_FRAME_BYTES: usize = 256 * 1024;
+pub use self::frame::{FrameError, MAX_FRAME_BYTES, decode_frame, encode_frame};
+pub use self::usage::{AttemptKey, OpenUsageRecord, UsageOwner, UsageRecords, UsageRecordsRequest};
 
+/// One message and its sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
     /// The sender's name.
@@ -15,6 +22,7 @@
     pub body: Option<Body>,
 }
 
+/// What a message says.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
     #[prost(message, tag = "2")]
@@ -33,13 +41,15 @@
     UsageRecords(UsageRecords),
     #[prost(message, tag = "9")]
     UsageRecordsRequest(UsageRecordsRequest),
+    /// Asks whether every launch in the term so far was covered by a watermark.
     #[prost(message, tag = "10")]
     WatermarkQuery(WatermarkCheck),
+    /// Answers that it was. Whoever does not know does not answer.
     #[prost(message, tag = "11")]
     WatermarkConfirmation(WatermarkCheck),
 }
 
-/// Sent to every sibling, by every controller, all the time.
+/// A controller's heartbeat, sent to every peer at a fixed interval.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
     /// The sender's term if it is the leader, else 0.
@@ -48,49 +58,54 @@
     /// The state service answers the sender.
     #[prost(bool, tag = "2")]
     pub store_reachable: bool,
-    /// The sender leads, or can pass reports on to the leader.
+    /// The sender leads, or can relay workers' heartbeats to the leader.
     #[prost(bool, tag = "3")]
     pub accepts_heartbeats: bool,
-    /// From holders: tasks running now, by job.
+    /// From shard owners: tasks that run now, by job.
     #[prost(message, repeated, tag = "4")]
     pub running_jobs: Vec<RunningJob>,
-    /// The blocks that the sender holds, where there are several.
+    /// The shards that the sender owns, where there are several.
     #[prost(message, repeated, tag = "5")]
     pub shards: Vec<ShardStatus>,
-    /// From block 0's holder: offers that the cloud refuses, and for how many milliseconds they are left alone.
+    /// From shard 0's owner: offers that the cloud refuses, and for how many milliseconds they are not asked for.
     #[prost(message, repeated, tag = "6")]
     pub refused_offers: Vec<OfferAmount>,
-    /// The sender follows versions of the configuration; a sender of an earlier release does not say so.
+    /// The sender follows versions of the configuration; one of an earlier release does not say so.
     #[prost(bool, tag = "7")]
     pub supports_configuration: bool,
-    /// The version of the configuration that is in force at the sender, and the newest that it has seen.
+    /// The version of the configuration that is in force at the sender.
     #[prost(uint64, tag = "8")]
     pub configuration_version: u64,
+    /// The newest version of the configuration that the sender has seen.
     #[prost(uint64, tag = "9")]
     pub newest_configuration_version: u64,
 }
 
-/// How a block stands.
+/// The load of a shard. Amounts are thousandths of a CPU or of a GPU.
 #[derive(Clone, PartialEq, Message)]
 pub struct ShardStatus {
     #[prost(uint32, tag = "1")]
     pub shard: u32,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Thousandths of a CPU, as are all amounts here.
+    /// What its unfinished jobs ask for.
     #[prost(int64, tag = "3")]
     pub backlog_cpu: i64,
+    /// The part of the backlog that waits for a machine.
     #[prost(int64, tag = "4")]
     pub waiting_cpu: i64,
+    /// What is free on its machines.
     #[prost(int64, tag = "5")]
     pub free_cpu: i64,
     /// In the settings' order of teams.
     #[prost(message, repeated, tag = "6")]
     pub teams: Vec<TeamStatus>,
+    /// Machines that its plan asks for.
     #[prost(message, repeated, tag = "7")]
     pub machine_demand: Vec<OfferAmount>,
 }
 
+/// What a team uses in a shard, and what it waits for, in thousandths.
 #[derive(Clone, PartialEq, Message)]
 pub struct TeamStatus {
     #[prost(int64, tag = "1")]
@@ -103,6 +118,7 @@
     pub waiting_gpu: i64,
 }
 
+/// An offer of the cloud, and an amount that the field it is in explains: machines, or milliseconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct OfferAmount {
     #[prost(string, tag = "1")]
@@ -115,69 +131,77 @@
     pub amount: u64,
 }
 
+/// How far a live job is.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunningJob {
     #[prost(string, tag = "1")]
     pub job: String,
+    /// Tasks on machines.
     #[prost(uint32, tag = "2")]
     pub tasks: u32,
+    /// Finished tasks.
     #[prost(uint32, tag = "3")]
     pub done: u32,
 }
 
-/// A worker's report, passed on to the leader.
+/// A worker's heartbeat, relayed to the owner of its machine's shard.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayHeartbeat {
+    /// The sender's number for it, which the answer repeats.
     #[prost(uint64, tag = "1")]
     pub id: u64,
+    /// The body as the worker sent it.
     #[prost(bytes = "bytes", tag = "2")]
     pub heartbeat: Bytes,
 }
 
-/// The leader's answer to a relayed report.
+/// The owner's answer to a relayed heartbeat, to be passed on to the worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayAnswer {
     #[prost(uint64, tag = "1")]
     pub id: u64,
+    /// The HTTP status.
     #[prost(uint32, tag = "2")]
     pub status: u32,
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
 }
 
-/// The leader cannot reach the state service and asks not to be replaced for a while.
+/// A shard's owner cannot reach the state service, and asks its peers not to take the shard over for a while.
 #[derive(Clone, PartialEq, Message)]
 pub struct VoteRequest {
+    /// The sender's number for this round of requests, which votes repeat.
     #[prost(uint64, tag = "1")]
     pub round: u64,
     #[prost(uint64, tag = "2")]
     pub term: u64,
+    /// For how long, in microseconds from the receipt.
     #[prost(uint64, tag = "3")]
     pub duration: u64,
-    /// The block that the lease is for.
     #[prost(uint32, tag = "4")]
     pub shard: u32,
-    /// The asker has seen all changes of jobs up to this version. 0: it does not say.
+    /// The sender has seen all changes of jobs up to this version. 0: it does not say.
     #[prost(uint64, tag = "5")]
     pub known_version: u64,
 }
 
-/// The sender will not take over from `term` for as long as was asked.
+/// The sender will not take over from the owner in `term` for as long as was asked.
 #[derive(Clone, PartialEq, Message)]
 pub struct Vote {
     #[prost(uint64, tag = "1")]
     pub round: u64,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The block that the lease is for.
     #[prost(uint32, tag = "3")]
     pub shard: u32,
-    /// All cancellations that the sender has told anybody of, and that came after what the asker has seen, are here.
+    /// `cancelled_jobs` has all cancellations that the sender has told anybody of after the version that the request
+    /// names. Without that the owner cannot know what users were told.
     #[prost(bool, tag = "4")]
     pub knows_cancellations: bool,
-    /// Those, as numbers and ranges, and how many they are.
+    /// Ids of cancelled jobs, as [`encode_job_ids`](super::store::encode_job_ids) writes them.
     #[prost(string, tag = "5")]
     pub cancelled_jobs: String,
+    /// How many there are: a receiver that reads another number knows that it does not understand them.
     #[prost(uint32, tag = "6")]
     pub cancelled_count: u32,
     /// The newest version of the configuration that the sender has seen.
@@ -185,21 +209,20 @@
     pub configuration_version: u64,
 }
 
-/// A process that began within a term asks, and whoever knows answers, whether nothing was launched without
-/// marks in it so far.
+/// Asks, or confirms, that nothing was launched without a watermark in a term so far. A process that began within the
+/// term asks: it cannot know itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatermarkCheck {
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The asking process's own number: answers to another life of it count for nothing.
+    /// The asking process's own number: an answer to an earlier process of the same name does not count.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The block that the lease is for.
     #[prost(uint32, tag = "3")]
     pub shard: u32,
 }
 
-/// A job was accepted or cancelled here. The leader looks at it if its watch does not tell it soon.
+/// A job was accepted or cancelled at the sender. The job's owner reads it if its watch does not show the change soon.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobChanged {
     #[prost(string, tag = "1")]
@@ -208,136 +231,3 @@
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
-
-/// From a leader that keeps a ledger: attempts that are not charged yet, or not in writing.
-#[derive(Clone, PartialEq, Message)]
-pub struct UsageRecords {
-    #[prost(uint64, tag = "1")]
-    pub term: u64,
-    /// Counts what the leader has sent to this sibling; one that is missing makes the rest useless.
-    #[prost(uint64, tag = "2")]
-    pub sequence: u64,
-    /// The first of a list of all, and the last of one.
-    #[prost(bool, tag = "3")]
-    pub is_first: bool,
-    #[prost(bool, tag = "4")]
-    pub is_last: bool,
-    #[prost(message, repeated, tag = "5")]
-    pub open_records: Vec<OpenUsageRecord>,
-    /// In writing by now, or never to be charged.
-    #[prost(message, repeated, tag = "6")]
-    pub closed_keys: Vec<AttemptKey>,
-    /// Time of day when it was sent: messages may be held back for minutes.
-    #[prost(uint64, tag = "7")]
-    pub sent_at: u64,
-}
-
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
-pub struct AttemptKey {
-    #[prost(string, tag = "1")]
-    pub machine: String,
-    #[prost(string, tag = "2")]
-    pub job: String,
-    #[prost(uint32, tag = "3")]
-    pub task: u32,
-    #[prost(uint64, tag = "4")]
-    pub attempt: u64,
-}
-
-/// What is charged of one attempt so far. Times are ages when the message was sent, in microseconds.
-#[derive(Clone, PartialEq, Message)]
-pub struct OpenUsageRecord {
-    #[prost(message, optional, tag = "1")]
-    pub key: Option<AttemptKey>,
-    #[prost(message, optional, tag = "2")]
-    pub owner: Option<UsageOwner>,
-    #[prost(string, tag = "3")]
-    pub machine_type: String,
-    #[prost(string, tag = "4")]
-    pub zone: String,
-    #[prost(bool, tag = "5")]
-    pub spot: bool,
-    #[prost(uint64, tag = "6")]
-    pub price: u64,
-    /// The worker's session in which it was placed.
-    #[prost(uint64, tag = "7")]
-    pub incarnation: u64,
-    #[prost(uint32, tag = "8")]
-    pub stage: u32,
-    #[prost(uint64, tag = "9")]
-    pub stage_age: u64,
-    #[prost(uint64, repeated, tag = "10")]
-    pub stage_times: Vec<u64>,
-    #[prost(uint64, tag = "11")]
-    pub begin_uncertainty: u64,
-    #[prost(bool, tag = "12")]
-    pub begin_estimated: bool,
-    #[prost(bool, tag = "13")]
-    pub saved: bool,
-    /// If it is over: why, by its place among the reasons and counted from one, how long ago, and how far its
-    /// time may be off.
-    #[prost(uint32, tag = "14")]
-    pub end_reason: u32,
-    #[prost(uint64, tag = "15")]
-    pub end_age: u64,
-    #[prost(uint64, tag = "16")]
-    pub time_uncertainty: u64,
-}
-
-#[derive(Clone, PartialEq, Message)]
-pub struct UsageOwner {
-    #[prost(string, tag = "1")]
-    pub team: String,
-    #[prost(string, tag = "2")]
-    pub class: String,
-    #[prost(int64, tag = "3")]
-    pub cpu: i64,
-    #[prost(int64, tag = "4")]
-    pub gpu: i64,
-    #[prost(int64, tag = "5")]
-    pub mem: i64,
-    #[prost(bool, tag = "6")]
-    pub is_service: bool,
-}
-
-/// The sender has missed some of the leader's open tabs and asks for all.
-#[derive(Clone, PartialEq, Message)]
-pub struct UsageRecordsRequest {
-    #[prost(uint64, tag = "1")]
-    pub term: u64,
-}
-
-/// Appends a message to `out` as one frame.
-pub fn encode_frame(message: &Envelope, out: &mut BytesMut) {
-    out.put_u32(message.encoded_len() as u32);
-    // A BytesMut grows, so encoding cannot run out of room.
-    let _ = message.encode(out);
-}
-
-/// A frame that cannot be understood.
-#[derive(Debug, thiserror::Error)]
-pub enum FrameError {
-    #[error("a frame of {0} bytes is over the limit")]
-    TooLong(usize),
-    #[error("not a message: {0}")]
-    Garbled(#[from] prost::DecodeError),
-}
-
-/// Takes the next whole frame off `buf`, if there is one.
-pub fn decode_frame(buf: &mut BytesMut) -> Result<Option<Envelope>, FrameError> {
-    let Some(head) = buf.get(..4) else {
-        return Ok(None);
-    };
-    let n = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if n > MAX_FRAME_BYTES {
-        return Err(FrameError::TooLong(n));
-    }
-    if buf.len() < 4 + n {
-        return Ok(None);
-    }
-    buf.advance(4);
-    Ok(Some(Envelope::decode(buf.split_to(n).freeze())?))
-}
-
-#[cfg(test)]
-mod tests;
