--- /dev/null
+++ b/crates/gannethub-core/src/wire/api/admission.rs
@@ -0,0 +1,118 @@
+//! Whether a job can ever run in this cluster.
+
+use std::collections::BTreeSet;
+
+use super::Refusal;
+use crate::model::{JobSpec, MachineType, Resources, Shape, Team};
+
+fn impossible<T>(field: &str, reason: &str) -> Result<T, Refusal> {
+    Err(Refusal::Impossible(format!("{field}: {reason}")))
+}
+
+/// Checks that a job can run here, and narrows its list of machine types to those that it fits on.
+pub fn admit(
+    spec: &mut JobSpec,
+    teams: &[Team],
+    machine_types: &[MachineType],
+) -> Result<(), Refusal> {
+    if machine_types.is_empty() {
+        return Err(Refusal::MachineTypesUnknown);
+    }
+    let is_own = |team: &&Team| team.name == spec.team && !team.closed;
+    let Some(team) = teams.iter().find(is_own) else {
+        return impossible("crew", "no such team");
+    };
+    let fitting = fitting_machine_types(spec, machine_types)?;
+    check_team_limit(spec, team)?;
+    check_spread(spec, &fitting)?;
+    if let Some(types) = &mut spec.types {
+        types.retain(|name| fitting.iter().any(|fitting| *fitting.name == **name));
+        types.sort();
+        types.dedup();
+    }
+    Ok(())
+}
+
+/// The machine types that the job allows, that are offered where it may run, and that a task of it fits on.
+fn fitting_machine_types<'a>(
+    spec: &JobSpec,
+    machine_types: &'a [MachineType],
+) -> Result<Vec<&'a MachineType>, Refusal> {
+    let is_named = |machine_type: &&MachineType| match &spec.types {
+        Some(names) => names.iter().any(|name| **name == *machine_type.name),
+        None => true,
+    };
+    let mut allowed: Vec<&MachineType> = machine_types.iter().filter(is_named).collect();
+    if allowed.is_empty() {
+        return impossible("rigs", "there is no such machine type");
+    }
+    if let Some(zone) = &spec.zone {
+        allowed.retain(|machine_type| machine_type.zones.contains(zone));
+    }
+    if allowed.is_empty() {
+        return impossible("yard", "no allowed machine type is in that zone");
+    }
+    let fits = |machine_type: &&&MachineType| spec.need.fits(&machine_type.size);
+    let fitting: Vec<&MachineType> = allowed.iter().filter(fits).copied().collect();
+    if fitting.is_empty() {
+        let sizes: Vec<&Resources> = allowed.iter().map(|allowed| &allowed.size).collect();
+        let field = exceeded_field(&spec.need, &sizes);
+        return impossible(field, "a task fits no allowed machine type");
+    }
+    Ok(fitting)
+}
+
+/// How many tasks of a job run at the same time, at least.
+fn tasks_at_once(spec: &JobSpec) -> u32 {
+    match spec.shape {
+        Shape::Array => 1,
+        Shape::Gang | Shape::Service => spec.tasks,
+    }
+}
+
+fn check_team_limit(spec: &JobSpec, team: &Team) -> Result<(), Refusal> {
+    let fits = |need: &Resources| Team::within(&team.limit, &Resources::default(), need);
+    if !fits(&spec.need) {
+        let field = exceeded_field(&spec.need, &[&team.limit]);
+        return impossible(field, "a task needs more than its team's limit");
+    }
+    let at_once = i64::from(tasks_at_once(spec));
+    if !fits(&spec.need.scaled_by(at_once)) {
+        return impossible("pieces", "the job needs more than its team's limit");
+    }
+    Ok(())
+}
+
+/// A zone may have half of a spread job's tasks at the most, so all of them at once need two zones.
+fn check_spread(spec: &JobSpec, fitting: &[&MachineType]) -> Result<(), Refusal> {
+    if !spec.spread || tasks_at_once(spec) <= 1 {
+        return Ok(());
+    }
+    let zones: BTreeSet<&String> = fitting
+        .iter()
+        .flat_map(|machine_type| &machine_type.zones)
+        .filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone))
+        .collect();
+    if spec.one_zone || zones.len() < 2 {
+        let reason = "the job's tasks cannot all run at the same time in one zone";
+        return impossible("scatter", reason);
+    }
+    Ok(())
+}
+
+/// The field that asks for more than any of these sizes has; all of them, if only together they do.
+fn exceeded_field(need: &Resources, sizes: &[&Resources]) -> &'static str {
+    let largest = |amount: fn(&Resources) -> i64| {
+        let amounts = sizes.iter().map(|size| amount(size));
+        amounts.max().unwrap_or(0)
+    };
+    if need.cpu > largest(|size| size.cpu) {
+        "vcpus"
+    } else if need.gpu > largest(|size| size.gpu) {
+        "cards"
+    } else if need.mem > largest(|size| size.mem) {
+        "mem_gb"
+    } else {
+        "vcpus, cards, mem_gb"
+    }
+}
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -1,11 +1,13 @@
 use super::*;
+use crate::http::Method;
+use crate::model::{JobSpec, MachineType, Resources};
 
-pub const JOB: &str = r#"{"id":"j-000412","jobclass":"train","crew":"blue","shape":"group",
+const JOB: &str = r#"{"id":"j-000412","jobclass":"train","crew":"blue","shape":"group",
     "rank":"urgent","pieces":2,"vcpus":4.0,"cards":1.0,"mem_gb":64.0,"build":"img-07",
     "size_gb":6.2,"rigs":["g8","gone"],"yard":null,"together":true,"scatter":false,
     "loaners":true,"guess_s":240.0,"stamp_every_s":30.0,"stamp_s":4.0,"due_s":900.0,"x":1}"#;
 
-pub fn flavor(name: &str, cpus: f64, gpus: f64, mem: f64) -> MachineType {
+fn machine_type(name: &str, cpus: f64, gpus: f64, mem: f64) -> MachineType {
     MachineType {
         name: name.into(),
         size: Resources::new(cpus, gpus, mem),
@@ -24,7 +26,7 @@
     admit(
         &mut spec,
         &settings.teams,
-        &[flavor("g8", 96.0, 8.0, 768.0)],
+        &[machine_type("g8", 96.0, 8.0, 768.0)],
     )?;
     Ok(spec)
 }
@@ -112,7 +114,6 @@
 
 #[test]
 fn routes_know_their_methods() {
-    use crate::http::Method;
     assert_eq!(
         route(Method::Post, "/api/jobs/j-1/cancel"),
         Ok(Route::Cancel("j-1"))
--- a/crates/gannethub-core/src/wire/budget/tests.rs
+++ b/crates/gannethub-core/src/wire/budget/tests.rs
@@ -2,55 +2,59 @@
 
 #[test]
 fn the_budget_lets_renewals_pass_and_holds_the_rest_to_its_rates() {
-    let mut b = RequestBudget::new(4.0, 2.0);
+    let mut budget = RequestBudget::new(4.0, 2.0);
     for i in 0..10 {
-        b.push(Urgency::User, 1, i);
+        budget.push(Urgency::User, 1, i);
     }
-    b.push(Urgency::Renewal, 0, 100);
+    budget.push(Urgency::Renewal, 0, 100);
     let mut first = Vec::new();
-    while let Some(x) = b.pop(SECOND) {
-        first.push(x);
+    while let Some(request) = budget.pop(SECOND) {
+        first.push(request);
     }
     assert_eq!(
         first,
         [100, 0, 1],
         "the renewal first, then two changes a second"
     );
-    let later = std::iter::from_fn(|| b.pop(2 * SECOND)).count();
+    let later = std::iter::from_fn(|| budget.pop(2 * SECOND)).count();
     assert_eq!(later, 2);
-    assert_eq!(b.queued_requests(), 6);
-    assert_eq!(b.change_wait(), 3 * SECOND, "six changes at two a second");
+    assert_eq!(budget.queued_requests(), 6);
+    assert_eq!(
+        budget.change_wait(),
+        3 * SECOND,
+        "six changes at two a second"
+    );
 }
 
 #[test]
-fn questions_do_not_wait_behind_changes_that_may_not_be_made_yet() {
-    let mut b = RequestBudget::new(20.0, 4.0);
-    (0..10).for_each(|i| b.push(Urgency::User, 4, i));
-    b.push(Urgency::Transaction, 4, 50);
-    (100..104).for_each(|i| b.push(Urgency::User, 0, i));
-    assert!(b.change_wait() > 8 * SECOND && b.query_wait() == 0);
-    let first: Vec<u32> = std::iter::from_fn(|| b.pop(0)).collect();
+fn queries_do_not_wait_behind_changes_that_may_not_be_made_yet() {
+    let mut budget = RequestBudget::new(20.0, 4.0);
+    (0..10).for_each(|i| budget.push(Urgency::User, 4, i));
+    budget.push(Urgency::Transaction, 4, 50);
+    (100..104).for_each(|i| budget.push(Urgency::User, 0, i));
+    assert!(budget.change_wait() > 8 * SECOND && budget.query_wait() == 0);
+    let first: Vec<u32> = std::iter::from_fn(|| budget.pop(0)).collect();
     assert_eq!(first, [100, 50, 101, 102, 103]);
     // Nor are changes kept out by questions without end, or commits by both.
-    (200..1000).for_each(|i| b.push(Urgency::User, 0, i));
-    assert!(b.query_wait() > 30 * SECOND);
-    let then: Vec<u32> = (1..9).flat_map(|s| b.pop(s * SECOND)).collect();
+    (200..1000).for_each(|i| budget.push(Urgency::User, 0, i));
+    assert!(budget.query_wait() > 30 * SECOND);
+    let then: Vec<u32> = (1..9).flat_map(|s| budget.pop(s * SECOND)).collect();
     assert!(then.iter().filter(|i| **i < 10).count() >= 3, "{then:?}");
 }
 
 #[test]
 fn a_storm_of_queries_leaves_every_other_request_to_commits() {
-    let mut b = RequestBudget::new(6.0, 6.0);
-    (0..1000).for_each(|i| b.push(Urgency::User, 0, i));
-    (0..3).for_each(|i| b.push(Urgency::Transaction, 0, 2000 + i));
-    b.push(Urgency::Background, 0, 3000);
-    let first: Vec<u32> = std::iter::from_fn(|| b.pop(SECOND)).collect();
+    let mut budget = RequestBudget::new(6.0, 6.0);
+    (0..1000).for_each(|i| budget.push(Urgency::User, 0, i));
+    (0..3).for_each(|i| budget.push(Urgency::Transaction, 0, 2000 + i));
+    budget.push(Urgency::Background, 0, 3000);
+    let first: Vec<u32> = std::iter::from_fn(|| budget.pop(SECOND)).collect();
     assert_eq!(first, [0, 2000, 1, 2001, 2, 2002]);
     // A transaction that waits for its changes holds up no reads, but the changes behind it.
-    let mut b = RequestBudget::new(10.0, 4.0);
-    b.push(Urgency::User, 4, 0);
-    b.push(Urgency::User, 4, 1);
-    (2..6).for_each(|i| b.push(Urgency::Transaction, u32::from(i == 4), i));
-    let first: Vec<u32> = std::iter::from_fn(|| b.pop(0)).collect();
+    let mut budget = RequestBudget::new(10.0, 4.0);
+    budget.push(Urgency::User, 4, 0);
+    budget.push(Urgency::User, 4, 1);
+    (2..6).for_each(|i| budget.push(Urgency::Transaction, u32::from(i == 4), i));
+    let first: Vec<u32> = std::iter::from_fn(|| budget.pop(0)).collect();
     assert_eq!(first, [0, 2, 3]);
 }
--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -1,33 +1,35 @@
-//! How versions of the configuration are stored: one key says which version holds, others hold its document in parts.
+//! Versions of the configuration as they are stored: one key says which version is in force, others hold its document in
+//! parts.
 //!
-//! The key is among those of live jobs, so the watch that every controller has brings a new version without a further
-//! request. A controller of a release that does not know it finds a value there that is no job's, and passes over it.
+//! The first key is among those of live jobs, so the watch that every controller has brings a new version without a
+//! further request. A controller of a release that does not know of it finds a value there that is no job's, and passes
+//! over it.
 
 use serde::{Deserialize, Serialize};
 
 use super::store::Listing;
-use crate::configuration::Document;
+use crate::configuration::{Document, TeamEntry};
 
-/// Which version holds. It sorts before all jobs' keys.
+/// The version in force. The key sorts before all jobs' keys.
 pub const CURRENT_VERSION_KEY: &str = "gh/live/configuration";
-/// The versions before, the newest first.
+/// The versions before it, the newest first.
 pub const HISTORY_KEY: &str = "gh/config/history";
-/// Under this and a version's id are the parts of its document.
+/// Under this prefix and a version's id are the parts of its document.
 const DOCUMENT_PREFIX: &str = "gh/config/doc/";
 /// The longest reason and name that are kept with a version, in bytes.
 pub const MAX_TEXT_BYTES: usize = 160;
-/// Room that a stored value leaves for what holds it, in bytes.
+/// Stored values are kept this far below their limit, for what holds them.
 const VALUE_OVERHEAD_BYTES: usize = 96;
 
 /// A version: who made it, when and why, and where its document is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct VersionRecord {
     pub version: u64,
-    /// Tells documents apart that were written for the same version by two operators at once.
+    /// Tells documents apart that two operators wrote for the same version at once.
     pub id: String,
     /// How many parts the document has.
     pub parts: u32,
-    /// Time of day in microseconds since 1970, by the operator's clock.
+    /// Unix time in microseconds, by the operator's clock.
     #[serde(rename = "at")]
     pub created_at: u64,
     #[serde(rename = "by")]
@@ -42,7 +44,7 @@
     pub versions: Vec<VersionRecord>,
 }
 
-/// Why a stored document cannot be read.
+/// Why a document cannot be stored, or a stored one cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoredDocumentError {
     #[error("{found} of {needed} parts are there")]
@@ -54,16 +56,17 @@
 }
 
 impl VersionRecord {
-    /// All parts of its document have keys that begin so.
+    /// The prefix of the keys of all parts of its document.
     pub fn parts_prefix(&self) -> String {
         format!("{DOCUMENT_PREFIX}{}/", self.id)
     }
 
+    /// The key of one part of its document.
     pub fn part_key(&self, part: usize) -> String {
         format!("{}{part:03}", self.parts_prefix())
     }
 
-    /// The document, from a listing of all its parts.
+    /// Puts the document together from a listing of all its parts.
     pub fn assemble(&self, listing: &Listing) -> Result<Document, StoredDocumentError> {
         let found = listing.items.len();
         if found != self.parts as usize || listing.truncated {
@@ -74,79 +77,102 @@
         }
         let mut document = Document::default();
         for item in &listing.items {
-            let part: Document = serde_json::from_str(item.value.get()).map_err(|e| {
+            let part: Document = serde_json::from_str(item.value.get()).map_err(|error| {
                 StoredDocumentError::MalformedPart {
                     key: item.key.clone(),
-                    reason: e.to_string(),
+                    reason: error.to_string(),
                 }
             })?;
-            document.teams.extend(part.teams);
-            document.objectives = part.objectives.or(document.objectives);
-            document.policy = part.policy.or(document.policy);
-            if part.over_limit != Default::default() {
-                document.over_limit = part.over_limit;
-            }
+            merge_part(&mut document, part);
         }
         Ok(document)
     }
 }
 
-/// A document in parts, each of which fits into a value of so many bytes.
+/// Adds one part to a document. Only one of the parts has each of the fields that are not lists.
+fn merge_part(document: &mut Document, part: Document) {
+    document.teams.extend(part.teams);
+    document.objectives = part.objectives.or(document.objectives.take());
+    document.policy = part.policy.or(document.policy.take());
+    if part.over_limit != Default::default() {
+        document.over_limit = part.over_limit;
+    }
+}
+
+/// Splits a document into parts that fit into values of so many bytes each: the policy, the objectives, and teams.
+///
+/// There is always at least one part, so a document without any is known to be broken.
 pub fn split_document(
     document: &Document,
     value_bytes: usize,
 ) -> Result<Vec<Document>, StoredDocumentError> {
     let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
-    let size = |d: &Document| serde_json::to_string(d).map_or(usize::MAX, |s| s.len());
-    let too_large = |field: String| Err(StoredDocumentError::TooLarge { field, limit });
-    let objectives = Document {
-        objectives: document.objectives.clone(),
-        ..Document::default()
-    };
-    if size(&objectives) > limit {
-        return too_large("objectives".into());
-    }
     let policy = Document {
         policy: document.policy.clone(),
         over_limit: document.over_limit,
         ..Document::default()
     };
-    if size(&policy) > limit {
-        return too_large("policy".into());
-    }
+    let objectives = Document {
+        objectives: document.objectives.clone(),
+        ..Document::default()
+    };
+    check_size("objectives", json_bytes(&objectives), limit)?;
+    check_size("policy", json_bytes(&policy), limit)?;
     let mut parts = vec![policy, objectives];
+    parts.extend(split_teams(&document.teams, limit)?);
+    parts.retain(|part| *part != Document::default());
+    if parts.is_empty() {
+        parts.push(Document::default());
+    }
+    Ok(parts)
+}
+
+/// As many teams to a part as fit into `limit` bytes.
+fn split_teams(teams: &[TeamEntry], limit: usize) -> Result<Vec<Document>, StoredDocumentError> {
+    let mut parts = Vec::new();
     let mut part = Document::default();
-    let mut bytes = size(&part);
-    for team in &document.teams {
-        let alone = serde_json::to_string(team).map_or(usize::MAX, |s| s.len() + 1);
-        if alone + VALUE_OVERHEAD_BYTES > limit {
-            return too_large(format!("team {:?}", team.name));
-        }
-        if bytes + alone + VALUE_OVERHEAD_BYTES > limit {
+    let empty_bytes = json_bytes(&part);
+    let mut part_bytes = empty_bytes;
+    for team in teams {
+        // With its comma, and room for what a part has beside its teams.
+        let team_bytes = json_bytes(team).saturating_add(1);
+        let field = format!("team {:?}", team.name);
+        check_size(
+            &field,
+            team_bytes.saturating_add(VALUE_OVERHEAD_BYTES),
+            limit,
+        )?;
+        if part_bytes + team_bytes + VALUE_OVERHEAD_BYTES > limit {
             parts.push(std::mem::take(&mut part));
-            bytes = size(&part);
+            part_bytes = empty_bytes;
         }
         part.teams.push(team.clone());
-        bytes += alone;
+        part_bytes += team_bytes;
     }
     parts.push(part);
-    // The first part is always there, so that a document without parts is known to be broken.
-    let empty = |d: &Document| *d == Document::default();
-    let mut kept: Vec<Document> = parts.into_iter().filter(|d| !empty(d)).collect();
-    if kept.is_empty() {
-        kept.push(Document::default());
+    Ok(parts)
+}
+
+fn check_size(field: &str, bytes: usize, limit: usize) -> Result<(), StoredDocumentError> {
+    if bytes <= limit {
+        return Ok(());
     }
-    Ok(kept)
+    let field = field.to_string();
+    Err(StoredDocumentError::TooLarge { field, limit })
+}
+
+/// What a value takes as JSON. One that cannot be written fits nowhere.
+fn json_bytes(value: &impl Serialize) -> usize {
+    serde_json::to_string(value).map_or(usize::MAX, |text| text.len())
 }
 
 impl HistoryRecord {
-    /// With one more version, and as many of those before as fit; returns those that do not.
+    /// Adds a version as the newest. Returns the oldest ones, which do not fit into a value of so many bytes any more.
     pub fn push(&mut self, version: VersionRecord, value_bytes: usize) -> Vec<VersionRecord> {
         self.versions.insert(0, version);
         let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
         let mut dropped = Vec::new();
-        let fits = |h: &HistoryRecord| serde_json::to_string(h).is_ok_and(|s| s.len() <= limit);
-        while self.versions.len() > 1 && !fits(self) {
+        while self.versions.len() > 1 && json_bytes(self) > limit {
             dropped.extend(self.versions.pop());
         }
         dropped
--- a/crates/gannethub-core/src/wire/mod.rs
+++ b/crates/gannethub-core/src/wire/mod.rs
@@ -1,4 +1,7 @@
-//! What goes over each wire: the types of requests, answers and stored values.
+//! Formats: requests, answers, messages and stored values, and the budget for requests to the state service.
+//!
+//! Names on the wire are fixed by the protocol and by what is stored; Rust names differ from them by `serde` attributes
+//! and `prost` tags. Nothing here knows what a message leads to.
 
 pub mod api;
 pub mod budget;
