--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -19,6 +19,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
+use gannethub_core::http::Answer;
 use gannethub_core::model::{JobSpec, SECOND, Shape};
 use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
 use gannethub_core::state::fleet::CloudCall;
@@ -258,9 +259,8 @@
             longest: [.., longest],
             ..
         } = &mut self.spent;
-        timed(rest, longest, || {
-            c.apply_cloud_answer(call, Some((status, text.as_bytes())), now)
-        });
+        let answer = Ok(Answer::new(status, text));
+        timed(rest, longest, || c.apply_cloud_answer(call, &answer, now));
     }
 
     fn play(&mut self, machines: usize, seconds: u64, load: f64) {
--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -1,12 +1,11 @@
 //! What follows from a new version of the configuration in all roles of a controller, and what is told of it.
 
-use bytes::Bytes;
 use serde::Serialize;
 
 use super::Controller;
 use super::config_watch::{ConfigurationRead, NewSettings};
 use super::outbox::PendingRequest;
-use crate::http::Response;
+use crate::http::{CallResult, Response};
 use crate::wire::budget::Urgency;
 
 /// The answer to `GET /api/config`.
@@ -49,7 +48,7 @@
     pub(super) fn handle_configuration_answer(
         &mut self,
         what: ConfigurationRead,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let port = &mut self.outbox;
         let (running, now) = (port.settings.clone(), port.clock.now);
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -13,10 +13,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use bytes::Bytes;
-
-use super::outbox::decode_ok;
 use crate::configuration::{Document, OverLimit};
+use crate::http::{Answer, CallResult, decode_ok};
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
 use crate::wire::configuration::{CURRENT_VERSION_KEY, HISTORY_KEY, HistoryRecord, VersionRecord};
@@ -289,13 +287,13 @@
     pub fn handle_answer(
         &mut self,
         what: ConfigurationRead,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
         running: &Settings,
         now: Micros,
     ) -> Option<NewSettings> {
         self.read_in_flight = false;
         match what {
-            ConfigurationRead::Document => match decode_ok::<Listing>(answer) {
+            ConfigurationRead::Document => match decode_ok::<Listing>(&answer) {
                 Some(listing) => self.handle_document(&listing, running),
                 None => {
                     self.read_at = now + READ_RETRY_INTERVAL;
@@ -352,10 +350,10 @@
         }
     }
 
-    fn handle_history(&mut self, answer: Option<(u16, Bytes)>, now: Micros) {
+    fn handle_history(&mut self, answer: CallResult, now: Micros) {
         let newest = self.newest_version();
         match answer {
-            Some((200, body)) => {
+            Ok(Answer { status: 200, body }) => {
                 let item = serde_json::from_slice::<StoredValue>(&body).ok();
                 let history = item
                     .and_then(|i| i.decode::<HistoryRecord>())
@@ -368,7 +366,7 @@
                     self.fall_back_to_platform_settings();
                 }
             }
-            Some((404, _)) => self.fall_back_to_platform_settings(),
+            Ok(Answer { status: 404, .. }) => self.fall_back_to_platform_settings(),
             _ => self.read_at = now + READ_RETRY_INTERVAL,
         }
     }
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::http::NoAnswer;
 use crate::settings::tests::SAMPLE;
 
 fn configuring() -> (ConfigWatch, Arc<Settings>) {
@@ -18,11 +19,11 @@
     serde_json::from_str(&text.to_string()).unwrap()
 }
 
-fn part(version: u64, value: &str) -> Option<(u16, Bytes)> {
+fn part(version: u64, value: &str) -> CallResult {
     let text = format!(
         r#"{{"items":[{{"k":"gh/config/doc/{version}-x/000","v":{value},"stamp":1}}],"truncated":false,"ledger_no":9}}"#
     );
-    Some((200, Bytes::from(text)))
+    Ok(Answer::new(200, text))
 }
 
 const TEAM: &str = r#"{"teams":[{"name":"late","cpus":1.0,"cpus_max":4.0}]}"#;
@@ -44,7 +45,11 @@
         "{}",
         request.path
     );
-    assert!(c.handle_answer(what, None, &base, 200).is_none() && c.next_read(201).is_none());
+    assert!(
+        c.handle_answer(what, Err(NoAnswer::Timeout), &base, 200)
+            .is_none()
+            && c.next_read(201).is_none()
+    );
     let (what, _) = c.next_read(200 + READ_RETRY_INTERVAL).unwrap();
     let new = c.handle_answer(what, part(4, TEAM), &base, 300).unwrap();
     assert!(new.settings.team("late").is_some());
@@ -133,7 +138,7 @@
         {"version":5,"id":"5-x","parts":1,"at":0,"by":"","why":""},
         {"version":4,"id":"4-x","parts":1,"at":0,"by":"","why":""}]},"stamp":60}"#;
     assert!(
-        c.handle_answer(what, Some((200, Bytes::from(history))), &base, 300)
+        c.handle_answer(what, Ok(Answer::new(200, history)), &base, 300)
             .is_none()
     );
     let (what, _) = c.next_read(300).unwrap();
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -2,11 +2,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use bytes::Bytes;
-
 use super::election::{Election, VOTE_DURATION};
-use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest, decode_ok};
+use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest};
 use super::shard_owner::{ShardOwner, ShardOwners};
+use crate::http::{CallResult, decode_ok};
 use crate::model::{JobId, MachineType, Micros, Resources, SECOND};
 use crate::state::fleet::Offer;
 use crate::state::job_replica::JobReplica;
@@ -96,9 +95,9 @@
             || (others().count() > 0 && others().all(|i| !self.peers[i].store_reachable))
     }
 
-    pub(super) fn handle_probe_answer(&mut self, port: &mut Outbox, answer: Option<(u16, Bytes)>) {
+    pub(super) fn handle_probe_answer(&mut self, port: &mut Outbox, answer: CallResult) {
         self.probe_in_flight = false;
-        let listing = decode_ok::<Listing>(answer);
+        let listing = decode_ok::<Listing>(&answer);
         let Some(listing) = listing else { return };
         let mut holder = None;
         let (mut term, mut count) = (None, None);
@@ -122,9 +121,9 @@
         &mut self,
         port: &mut Outbox,
         sent: Micros,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let granted = decode_ok::<LeaseGranted>(answer);
+        let granted = decode_ok::<LeaseGranted>(&answer);
         let Some(granted) = granted else {
             self.election.attempt_in_progress = false;
             return;
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -38,7 +38,7 @@
 use self::shard_assignment::ShardAssignments;
 use self::shard_owner::{ShardOwner, ShardOwners};
 use self::submissions::{JobApi, LookupWaiter, QUERY_TIMEOUT, SUBMIT_TIMEOUT};
-use crate::http::{Request, Response};
+use crate::http::{Answer, CallResult, Request, Response};
 use crate::model::{JobId, Micros, SECOND, is_valid_job_id};
 use crate::settings::Settings;
 use crate::state::cluster::Cluster;
@@ -591,13 +591,13 @@
 
     // ---- Answers of the state service and the cloud ----
 
-    fn handle_store_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
+    fn handle_store_answer(&mut self, id: u64, answer: CallResult) {
         let port = &mut self.outbox;
         let Some(purpose) = port.pending_requests.remove(&id) else {
             return;
         };
         let now = port.clock.now;
-        let status = answer.as_ref().map(|a| a.0);
+        let status = answer.as_ref().ok().map(|a| a.status);
         if status.is_some_and(|s| s < 500 && s != 429)
             && !matches!(purpose, PendingRequest::Watch { .. })
         {
@@ -757,7 +757,7 @@
     }
 
     /// Queries are answered, with what the leader knows beside what is stored.
-    fn answer_queries(&mut self, purpose: PendingRequest, answer: Option<(u16, Bytes)>) {
+    fn answer_queries(&mut self, purpose: PendingRequest, answer: CallResult) {
         let (port, standing) = (&mut self.outbox, &self.membership);
         let holders = &self.shard_owners;
         let siblings = standing.running_jobs(port);
@@ -785,17 +785,17 @@
         record: LeaseRecord,
         grant: u64,
         sent: Micros,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let (port, standing) = (&mut self.outbox, &mut self.membership);
         let now = port.clock.now;
         standing.election.attempt_in_progress = false;
         let stamp = match &answer {
-            Some((200, body)) => serde_json::from_slice::<Committed>(body).ok(),
+            Ok(Answer { status: 200, body }) => serde_json::from_slice::<Committed>(body).ok(),
             _ => None,
         };
         let Some(stamp) = stamp else {
-            return standing.takeover_failed(port, grant, answer.map(|a| a.0));
+            return standing.takeover_failed(port, grant, answer.ok().map(|answer| answer.status));
         };
         let (term, trusted) = (record.term, record.watermarks_reliable);
         tracing::info!(term, trusted, "leading");
@@ -818,12 +818,12 @@
         record: LeaseRecord,
         grant: u64,
         sent: Micros,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let port = &mut self.outbox;
-        let status = answer.as_ref().map(|a| a.0);
+        let status = answer.as_ref().ok().map(|a| a.status);
         let stamp = match &answer {
-            Some((200, body)) => serde_json::from_slice::<Committed>(body).ok(),
+            Ok(Answer { status: 200, body }) => serde_json::from_slice::<Committed>(body).ok(),
             _ => None,
         };
         let Some(seat) = self.shard_assignments.assignments.get_mut(&block) else {
@@ -850,15 +850,12 @@
         self.shard_owners.insert(block, Box::new(holder));
     }
 
-    fn handle_cloud_answer(&mut self, id: u64, answer: Option<(u16, Bytes)>) {
+    fn handle_cloud_answer(&mut self, id: u64, answer: CallResult) {
         let Some((term, call)) = self.outbox.pending_cloud_calls.remove(&id) else {
             return;
         };
         if term == 0 {
-            let flavors = answer
-                .filter(|a| a.0 == 200)
-                .and_then(|a| cloud::parse_machine_types(&a.1));
-            if let Some(flavors) = flavors {
+            if let Some(flavors) = cloud::decode_machine_types(&answer) {
                 self.outbox.machine_types = Arc::new(flavors);
             }
             return;
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -6,10 +6,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use serde::de::DeserializeOwned;
 
 use super::config_watch::{ConfigWatch, ConfigurationRead};
-use crate::http::{Request, Response};
+use crate::http::{CallResult, Request, Response};
 use crate::model::{JobId, JobSpec, MachineType, Micros, SECOND, micros_from_seconds};
 use crate::policy::Setting;
 use crate::settings::{Rates, Settings};
@@ -39,18 +38,9 @@
 /// What the owner of all state is told.
 #[derive(Debug)]
 pub enum Command {
-    HttpRequest {
-        connection: u64,
-        request: Request,
-    },
-    StoreAnswer {
-        id: u64,
-        answer: Option<(u16, Bytes)>,
-    },
-    CloudAnswer {
-        id: u64,
-        answer: Option<(u16, Bytes)>,
-    },
+    HttpRequest { connection: u64, request: Request },
+    StoreAnswer { id: u64, answer: CallResult },
+    CloudAnswer { id: u64, answer: CallResult },
     PeerMessage(Envelope),
     Tick,
 }
@@ -205,12 +195,6 @@
     JobChanged(JobId, u64),
 }
 
-/// What an answer holds, if it is there and is one.
-pub(super) fn decode_ok<T: DeserializeOwned>(answer: Option<(u16, Bytes)>) -> Option<T> {
-    let (_, body) = answer.filter(|a| a.0 == 200)?;
-    serde_json::from_slice(&body).ok()
-}
-
 pub(super) struct Outbox {
     pub settings: Arc<Settings>,
     pub clock: Clock,
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -2,16 +2,15 @@
 
 use std::collections::BTreeSet;
 
-use bytes::Bytes;
 use gannethub_ledger::audit::Page;
 
 use super::config_watch::CHANGE_READ_INTERVAL;
-use super::outbox::{Event, Outbox, PendingRequest, decode_ok};
+use super::outbox::{Event, Outbox, PendingRequest};
 use super::shard_owner::ShardOwner;
 use super::submissions::{
     JobApi, LookupWaiter, MAX_WAITING_QUERIES, QUERY_TIMEOUT, RefreshWaiter, commit_version,
 };
-use crate::http::Response;
+use crate::http::{Answer, CallResult, Response, decode_ok};
 use crate::model::{JobId, Micros, SECOND, TaskSet};
 use crate::state::job_replica::JobLookup;
 use crate::wire::api::{self, JobStatus, JobView};
@@ -68,11 +67,11 @@
         port: &mut Outbox,
         conn: u64,
         team: Option<String>,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let item = match answer {
-            Some((200, body)) => serde_json::from_slice::<StoredValue>(&body).ok(),
-            Some((404, _)) => {
+            Ok(Answer { status: 200, body }) => serde_json::from_slice::<StoredValue>(&body).ok(),
+            Ok(Answer { status: 404, .. }) => {
                 let why = "page: there is no such page";
                 return port.reply(conn, Response::error(404, why));
             }
@@ -130,11 +129,11 @@
         &mut self,
         port: &mut Outbox,
         job: JobId,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
         holder: Option<&mut ShardOwner>,
     ) {
         let now = port.clock.now;
-        let Some(view) = answer.as_ref().and_then(finished_view_of_answer) else {
+        let Some(view) = finished_view_of_answer(&answer) else {
             // Not over, or not to be known now.
             self.outcome_reads.insert(job, now + SECOND / 2);
             return;
@@ -257,12 +256,8 @@
         }
     }
 
-    pub(super) fn handle_listing_answer(
-        &mut self,
-        port: &mut Outbox,
-        answer: Option<(u16, Bytes)>,
-    ) {
-        let listing = decode_ok::<Listing>(answer);
+    pub(super) fn handle_listing_answer(&mut self, port: &mut Outbox, answer: CallResult) {
+        let listing = decode_ok::<Listing>(&answer);
         let Some(listing) = listing else {
             self.refresh_in_flight = false;
             return self.job_replica.reset();
@@ -285,17 +280,17 @@
     pub(super) fn handle_refresh_answer(
         &mut self,
         port: &mut Outbox,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
         progress: ProgressLookup<'_>,
     ) {
         self.refresh_in_flight = false;
         let waiting = std::mem::take(&mut self.current_refresh_waiters);
         let followed = match &answer {
-            Some((200, body)) => serde_json::from_slice::<ChangeLog>(body).ok(),
+            Ok(Answer { status: 200, body }) => serde_json::from_slice::<ChangeLog>(body).ok(),
             _ => None,
         };
         let Some(followed) = followed else {
-            if matches!(answer, Some((status, _)) if status != 429 && status != 503) {
+            if matches!(answer, Ok(Answer { status, .. }) if status != 429 && status != 503) {
                 // Too far behind: the changes are not kept any more.
                 self.job_replica.reset();
             }
@@ -338,11 +333,11 @@
         port: &mut Outbox,
         job: JobId,
         over: bool,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
         progress: ProgressLookup<'_>,
     ) {
         match answer {
-            Some((200, body)) => {
+            Ok(Answer { status: 200, body }) => {
                 let Ok(item) = serde_json::from_slice::<StoredValue>(&body) else {
                     return self.lookup_failed(port, job);
                 };
@@ -359,8 +354,8 @@
                     self.job_found(port, job, view, Some((r, item.version)));
                 }
             }
-            Some((404, _)) if !over => self.send_lookup(port, job, true),
-            Some((404, body)) => {
+            Ok(Answer { status: 404, .. }) if !over => self.send_lookup(port, job, true),
+            Ok(Answer { status: 404, body }) => {
                 if let Ok(missing) = serde_json::from_slice::<Committed>(&body) {
                     self.job_replica.record_absent(job.clone(), missing.version);
                 }
@@ -464,11 +459,11 @@
         job: JobId,
         conns: Vec<u64>,
         view: JobView,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let status = answer.as_ref().map(|a| a.0);
+        let status = answer.as_ref().ok().map(|a| a.status);
         if status == Some(200) {
-            let stamp = commit_version(answer.as_ref());
+            let stamp = commit_version(&answer);
             self.job_replica.record_end(job.clone(), view.clone());
             self.job_replica.record_cancellation(job.clone(), stamp);
             for c in conns {
@@ -527,7 +522,6 @@
 }
 
 /// The same from the answer to a read of that record, if there was one.
-pub(super) fn finished_view_of_answer(answer: &(u16, Bytes)) -> Option<JobView> {
-    let item = (answer.0 == 200).then(|| serde_json::from_slice::<StoredValue>(&answer.1).ok());
-    finished_job_view(&item.flatten()?)
+pub(super) fn finished_view_of_answer(answer: &CallResult) -> Option<JobView> {
+    finished_job_view(&decode_ok::<StoredValue>(answer)?)
 }
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -8,10 +8,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bytes::Bytes;
-
 use super::lease::ShardLease;
-use super::outbox::{Outbox, PendingRequest, decode_ok};
+use super::outbox::{Outbox, PendingRequest};
+use crate::http::{CallResult, decode_ok};
 use crate::model::{Micros, Resources, SECOND, Team};
 use crate::scheduling::quota_partition::{self, ShardQuotas};
 use crate::state::cluster::Cluster;
@@ -148,12 +147,12 @@
         port: &mut Outbox,
         lease: &ShardLease,
         cluster: &mut Cluster,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let now = port.clock.now;
         self.read_in_flight = false;
         self.read_at = now + READ_INTERVAL;
-        let Some(listing) = decode_ok::<Listing>(answer) else {
+        let Some(listing) = decode_ok::<Listing>(&answer) else {
             return;
         };
         self.had_damaged_records = std::mem::replace(&mut self.has_damaged_records, false);
--- a/crates/gannethub-core/src/controller/recovery.rs
+++ b/crates/gannethub-core/src/controller/recovery.rs
@@ -1,11 +1,11 @@
 //! Reading what the state service holds for a block: all of it after a takeover, and machines that were given to it.
 
-use bytes::Bytes;
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
 
-use super::outbox::{Outbox, PendingRequest, decode_ok};
+use super::outbox::{Outbox, PendingRequest};
 use super::shard_owner::ShardOwner;
+use crate::http::{Answer, CallResult, decode_ok};
 use crate::model::{Micros, SECOND};
 use crate::state::shard::ChunkRecord;
 use crate::state::usage_replica::UsageReplica;
@@ -54,8 +54,8 @@
     }
 
     /// Machines on their way here have been looked for.
-    pub fn handle_transfers_answer(&mut self, port: &Outbox, answer: Option<(u16, Bytes)>) {
-        let listing = decode_ok::<Listing>(answer);
+    pub fn handle_transfers_answer(&mut self, port: &Outbox, answer: CallResult) {
+        let listing = decode_ok::<Listing>(&answer);
         for item in listing.iter().flat_map(|l| &l.items) {
             self.apply_transfer_record(item, port.clock.now);
         }
@@ -143,11 +143,11 @@
         &mut self,
         port: &mut Outbox,
         shadow: &mut UsageReplica,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let now = port.clock.now;
         match answer {
-            Some((200, body)) => {
+            Ok(Answer { status: 200, body }) => {
                 let item = serde_json::from_slice::<StoredValue>(&body).ok();
                 self.ledger_head = item.and_then(|i| i.decode::<Head>());
                 self.load_stage = match self.ledger_head {
@@ -160,7 +160,7 @@
                 };
                 self.load_next(port, "");
             }
-            Some((404, _)) => {
+            Ok(Answer { status: 404, .. }) => {
                 self.cluster.open_usage_ledger(None, &[], shadow, now);
                 self.load_stage = ALL_LOADED;
                 self.load_next(port, "");
@@ -174,9 +174,9 @@
         port: &mut Outbox,
         shadow: &mut UsageReplica,
         stage: usize,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let listing = decode_ok::<Listing>(answer);
+        let listing = decode_ok::<Listing>(&answer);
         let Some(listing) = listing else {
             // Reading a stage again is harmless.
             self.reload_at = Some(port.clock.now + 300_000);
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -3,12 +3,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bytes::Bytes;
-
 use super::election::Election;
 use super::membership::Membership;
-use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest, decode_ok};
+use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest};
 use super::shard_owner::{ShardOwner, ShardOwners};
+use crate::http::{CallResult, decode_ok};
 use crate::model::{Micros, SECOND};
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, WatermarkCheck};
@@ -196,9 +195,9 @@
         port.revoke_store_lease(block, grant);
     }
 
-    pub fn handle_probe_answer(&mut self, port: &Outbox, answer: Option<(u16, Bytes)>) {
+    pub fn handle_probe_answer(&mut self, port: &Outbox, answer: CallResult) {
         self.probe_in_flight = false;
-        let Some(listing) = decode_ok::<Listing>(answer) else {
+        let Some(listing) = decode_ok::<Listing>(&answer) else {
             return;
         };
         type Seen = Option<(LeaseRecord, u64)>;
@@ -243,9 +242,9 @@
         port: &mut Outbox,
         block: u32,
         sent: Micros,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let granted = decode_ok::<LeaseGranted>(answer);
+        let granted = decode_ok::<LeaseGranted>(&answer);
         let seat = self.assignment(port, block);
         let Some(granted) = granted else {
             seat.election.attempt_in_progress = false;
@@ -269,9 +268,9 @@
         block: u32,
         grant: u64,
         sent: Micros,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let listing = decode_ok::<Listing>(answer);
+        let listing = decode_ok::<Listing>(&answer);
         let now = port.clock.now;
         let name = port.settings.name.clone();
         let candidacy = &mut self.assignment(port, block).election;
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -7,10 +7,10 @@
 use gannethub_ledger::book::Head;
 
 use super::lease::ShardLease;
-use super::outbox::{Effect, Outbox, PendingRequest, decode_ok};
+use super::outbox::{Effect, Outbox, PendingRequest};
 use super::quota_partitioner::QuotaPartitioner;
 use super::recovery::ALL_LOADED;
-use crate::http::Response;
+use crate::http::{Answer, CallResult, Response, decode_ok};
 use crate::model::{JobId, Micros, SECOND};
 use crate::reconcile::heartbeat::HeartbeatOutcome;
 use crate::reconcile::kill_delivery::KillOrderDelivery;
@@ -156,18 +156,18 @@
     }
 
     /// How a job ended that was no longer alive when it was read.
-    pub fn handle_finished_job_answer(&mut self, key: &str, answer: Option<(u16, Bytes)>) {
+    pub fn handle_finished_job_answer(&mut self, key: &str, answer: CallResult) {
         self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
         let id = key.trim_start_matches(store::FINISHED_JOB_PREFIX);
         match answer {
-            Some((200, body)) => {
+            Ok(Answer { status: 200, body }) => {
                 let item = serde_json::from_slice::<StoredValue>(&body).ok();
                 let end = item.as_ref().and_then(|i| i.decode::<FinishedJobRecord>());
                 let stamp = item.map_or(u64::MAX, |i| i.version);
                 self.cluster
                     .apply_job_end(id, stamp, end.map(|e| e.cancelled));
             }
-            Some((404, _)) => {}
+            Ok(Answer { status: 404, .. }) => {}
             _ => {
                 self.keys_to_reread
                     .insert(format!("{}{id}", store::LIVE_JOB_PREFIX));
@@ -194,19 +194,13 @@
     }
 
     /// Takes in an answer of the cloud.
-    pub fn handle_cloud_answer(
-        &mut self,
-        port: &Outbox,
-        call: CloudCall,
-        answer: Option<(u16, Bytes)>,
-    ) {
+    pub fn handle_cloud_answer(&mut self, port: &Outbox, call: CloudCall, answer: CallResult) {
         let now = port.clock.now;
-        let answer = answer.as_ref().map(|a| (a.0, &a.1[..]));
         if matches!(call, CloudCall::Provision { .. }) {
             // A refusal leads to the next best offer without delay.
             self.next_plan_at = now;
         }
-        self.cluster.apply_cloud_answer(call, answer, now);
+        self.cluster.apply_cloud_answer(call, &answer, now);
         self.cluster.pass_needed = true;
     }
 
@@ -228,17 +222,17 @@
         &mut self,
         port: &Outbox,
         job: &JobId,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let now = port.clock.now;
         match answer {
-            Some((200, body)) => {
+            Ok(Answer { status: 200, body }) => {
                 let over = serde_json::from_slice::<StoredValue>(&body).ok();
                 let over = over.and_then(|i| i.decode::<FinishedJobRecord>());
                 self.cluster
                     .usage_owner_read(job, over.and_then(|o| o.owner), now);
             }
-            Some((404, _)) => self.cluster.usage_owner_read(job, None, now),
+            Ok(Answer { status: 404, .. }) => self.cluster.usage_owner_read(job, None, now),
             // It is asked for again.
             _ => {}
         }
@@ -340,12 +334,12 @@
         &mut self,
         port: &mut Outbox,
         sent: Micros,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         self.catch_up_in_flight = false;
         // The watch finds out if it is too far behind.
         if self.is_loaded()
-            && let Some(followed) = decode_ok::<ChangeLog>(answer)
+            && let Some(followed) = decode_ok::<ChangeLog>(&answer)
         {
             self.apply_changes(port, followed, sent);
         }
@@ -418,12 +412,12 @@
         }
     }
 
-    pub(super) fn handle_watch_answer(&mut self, port: &mut Outbox, answer: Option<(u16, Bytes)>) {
+    pub(super) fn handle_watch_answer(&mut self, port: &mut Outbox, answer: CallResult) {
         let now = port.clock.now;
         self.watch_in_flight = false;
         let followed = match answer {
-            Some((200, body)) => serde_json::from_slice::<ChangeLog>(&body).ok(),
-            Some((410, _)) => {
+            Ok(Answer { status: 200, body }) => serde_json::from_slice::<ChangeLog>(&body).ok(),
+            Ok(Answer { status: 410, .. }) => {
                 // Too far behind: read everything live again. What ended is found by reading back.
                 tracing::info!("the watch fell behind; reading all jobs again");
                 let waiting = self.cluster.pipelines.waiting.keys();
@@ -493,19 +487,19 @@
         &mut self,
         port: &Outbox,
         batch: WriteBatch,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         let now = port.clock.now;
         self.write_in_flight = false;
         match answer {
-            Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
+            Ok(Answer { status: 200, body }) => match serde_json::from_slice::<Committed>(&body) {
                 Ok(done) => {
                     self.cluster.pass_needed = true;
                     self.cluster.transaction_committed(batch, done.version);
                 }
                 Err(_) => self.write_failed(port, batch),
             },
-            Some((409, body)) => {
+            Ok(Answer { status: 409, body }) => {
                 let conflict = serde_json::from_slice::<Conflict>(&body);
                 if conflict.is_ok_and(|c| c.failed_keys.contains(&self.cluster.assignment_keys.0)) {
                     self.end_reason = Some("its key is gone");
@@ -513,11 +507,13 @@
                 }
                 self.write_failed(port, batch);
             }
-            Some((429 | 503, _)) => {
+            Ok(Answer {
+                status: 429 | 503, ..
+            }) => {
                 self.cluster.transaction_failed(&batch, false, now);
                 self.write_at = now + 300_000;
             }
-            Some((status, body)) => {
+            Ok(Answer { status, body }) => {
                 let reason = String::from_utf8_lossy(&body).into_owned();
                 tracing::error!(status, reason, "the state service refuses a transaction");
                 // Smaller ones are tried, and more and more rarely: it may allow less than we know.
@@ -525,7 +521,7 @@
                 self.write_at = now + (SECOND << self.cluster.transaction_rejections.min(6)) / 2;
                 self.write_failed(port, batch);
             }
-            None => self.write_failed(port, batch),
+            Err(_) => self.write_failed(port, batch),
         }
     }
 
@@ -540,18 +536,20 @@
         &mut self,
         port: &mut Outbox,
         key: String,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
         self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
         self.cluster.pass_needed = true;
         let item = match &answer {
-            Some((200, body)) => serde_json::from_slice::<StoredValue>(body).ok(),
+            Ok(Answer { status: 200, body }) => serde_json::from_slice::<StoredValue>(body).ok(),
             _ => None,
         };
         if let Some(chunk) = self.cluster.shard.parse_chunk_key(&key) {
             match (item, answer) {
                 (Some(item), _) => self.cluster.shard.mark_write_unknown(chunk, item.version),
-                (None, Some((404, _))) => self.cluster.shard.mark_write_unknown(chunk, 0),
+                (None, Ok(Answer { status: 404, .. })) => {
+                    self.cluster.shard.mark_write_unknown(chunk, 0)
+                }
                 _ => {
                     self.keys_to_reread.insert(key);
                 }
@@ -561,7 +559,7 @@
         if key.starts_with(store::LEDGER_PAGE_PREFIX) {
             match (item, answer) {
                 (Some(item), _) => self.cluster.ledger_page_reread(Some(&item)),
-                (None, Some((404, _))) => self.cluster.ledger_page_reread(None),
+                (None, Ok(Answer { status: 404, .. })) => self.cluster.ledger_page_reread(None),
                 _ => {
                     self.keys_to_reread.insert(key);
                 }
@@ -575,7 +573,7 @@
                     self.cluster.apply_live_record(&id, record, item.version);
                 }
             }
-            (None, Some((404, _))) => {
+            (None, Ok(Answer { status: 404, .. })) => {
                 self.rereads_in_flight += 1;
                 let key = format!("{}{id}", store::FINISHED_JOB_PREFIX);
                 let purpose = PendingRequest::ReadFinishedJob {
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -3,11 +3,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use bytes::Bytes;
-
 use super::outbox::{Event, Outbox, PendingRequest};
 use super::queries::finished_view_of_answer;
-use crate::http::Response;
+use crate::http::{Answer, CallResult, Response};
 use crate::model::{JobId, Micros, SECOND};
 use crate::state::job_replica::JobReplica;
 use crate::state::pipeline::DependencyOutcome;
@@ -209,9 +207,9 @@
         port: &mut Outbox,
         conn: u64,
         job: JobId,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let end = answer.as_ref().and_then(finished_view_of_answer);
+        let end = finished_view_of_answer(&answer);
         if let Some(view) = &end {
             self.job_replica.record_end(job.clone(), view.clone());
         }
@@ -228,7 +226,7 @@
                     self.accept_queue.push_back((conn, n.job, n.submission));
                 }
             }
-            (None, Some((404, _))) => {
+            (None, Ok(Answer { status: 404, .. })) => {
                 self.dependency_checks.remove(&conn);
                 let why = format!("waits_on: no such job as {job}");
                 port.reply_refusal(conn, &Refusal::Impossible(why));
@@ -358,13 +356,14 @@
         &mut self,
         port: &mut Outbox,
         jobs: Vec<(u64, JobId)>,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     ) {
-        let status = answer.as_ref().map(|a| a.0);
-        let stamp = commit_version(answer.as_ref());
+        let status = answer.as_ref().ok().map(|a| a.status);
+        let stamp = commit_version(&answer);
         let failed = answer
-            .filter(|a| a.0 == 409)
-            .and_then(|a| serde_json::from_slice::<Conflict>(&a.1).ok())
+            .ok()
+            .filter(|answer| answer.status == 409)
+            .and_then(|answer| answer.decode::<Conflict>())
             .map_or_else(Vec::new, |c| c.failed_keys);
         if failed.iter().any(|k| k == CURRENT_VERSION_KEY) {
             port.configuration.mark_unconfirmed(port.clock.now);
@@ -407,7 +406,8 @@
 
 /// The version a transaction was carried out at, as its answer has it. An answer that cannot be
 /// read is taken for the newest: the job is then looked at.
-pub(super) fn commit_version(answer: Option<&(u16, Bytes)>) -> u64 {
-    let done = answer.and_then(|a| serde_json::from_slice::<Committed>(&a.1).ok());
+pub(super) fn commit_version(result: &CallResult) -> u64 {
+    let answer = result.as_ref().ok();
+    let done = answer.and_then(|answer| answer.decode::<Committed>());
     done.map_or(u64::MAX, |c| c.version)
 }
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -1,6 +1,7 @@
 //! Requests and answers as the controller sees them, whatever carries them.
 
 use bytes::Bytes;
+use serde::de::DeserializeOwned;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Method {
@@ -77,3 +78,51 @@
         self
     }
 }
+
+/// The answer of another service to a request of this process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Answer {
+    pub status: u16,
+    pub body: Bytes,
+}
+
+impl Answer {
+    pub fn new(status: u16, body: impl Into<Bytes>) -> Answer {
+        Answer {
+            status,
+            body: body.into(),
+        }
+    }
+
+    /// Whether the request was carried out.
+    pub fn is_ok(&self) -> bool {
+        self.status == 200
+    }
+
+    /// The body as JSON, whatever the status; `None` if it is something else.
+    pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
+        serde_json::from_slice(&self.body).ok()
+    }
+
+    /// The body as JSON if the request was carried out.
+    pub fn decode_ok<T: DeserializeOwned>(&self) -> Option<T> {
+        self.is_ok().then(|| self.decode()).flatten()
+    }
+}
+
+/// Why a request has no answer. In either case the service may have carried it out already, or may still do so.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NoAnswer {
+    #[error("no answer came in time")]
+    Timeout,
+    #[error("the connection could not be opened, or broke before the answer")]
+    Disconnected,
+}
+
+/// What became of a request to another service.
+pub type CallResult = Result<Answer, NoAnswer>;
+
+/// The body as JSON of an answer that says that the request was carried out.
+pub fn decode_ok<T: DeserializeOwned>(result: &CallResult) -> Option<T> {
+    result.as_ref().ok()?.decode_ok()
+}
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -3,31 +3,33 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
+use crate::http::{Answer, CallResult, decode_ok};
 use crate::model::{Micros, SECOND, micros_from_seconds};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer, OfferRefusal};
 use crate::state::records::MachineId;
+use crate::wire::cloud::{self, MachineList, ProvisionAnswer};
 use crate::wire::store::MachineTransferRecord;
 
 /// Nothing of a deleted machine comes later than this.
 const MAX_MESSAGE_AGE: Micros = 900 * SECOND;
 
 impl Cluster {
-    /// Takes in an answer of the cloud. `None`: no answer came.
-    pub fn apply_cloud_answer(
-        &mut self,
-        call: CloudCall,
-        answer: Option<(u16, &[u8])>,
-        now: Micros,
-    ) {
-        if matches!(answer, Some((429 | 503, _))) && !is_out_of_capacity(answer) {
+    /// Takes in an answer of the cloud.
+    pub fn apply_cloud_answer(&mut self, call: CloudCall, answer: &CallResult, now: Micros) {
+        if matches!(
+            answer,
+            Ok(Answer {
+                status: 429 | 503,
+                ..
+            })
+        ) && !is_out_of_capacity(answer)
+        {
             self.fleet.paused_until = now + SECOND;
         }
         match call {
             CloudCall::MachineTypes => {
-                let flavors = answer
-                    .filter(|a| a.0 == 200)
-                    .and_then(|a| crate::wire::cloud::parse_machine_types(a.1));
+                let flavors = cloud::decode_machine_types(answer);
                 match flavors {
                     // Indices into the list are kept, so its order and names must not change.
                     Some(f) if has_same_names(&f, &self.machine_types) => {
@@ -40,7 +42,7 @@
             CloudCall::List { .. } => self.apply_machine_listing(answer, now),
             CloudCall::Delete { machines } => {
                 self.fleet.delete_in_flight = false;
-                if answer.is_some_and(|a| a.0 == 200) {
+                if answer.as_ref().is_ok_and(Answer::is_ok) {
                     for name in machines {
                         self.fleet.deleted_machines.insert(name.clone(), now);
                         self.remove_machine(&name.as_str().into(), now, "it was returned");
@@ -53,10 +55,7 @@
                 count,
                 tries,
             } => {
-                let rented = answer.filter(|a| a.0 == 200).and_then(|a| {
-                    serde_json::from_slice::<crate::wire::cloud::ProvisionAnswer>(a.1).ok()
-                });
-                if let Some(rented) = rented {
+                if let Some(rented) = decode_ok::<ProvisionAnswer>(answer) {
                     self.fleet.pending_provisions.remove(&name);
                     if rented.machines.len() < count as usize {
                         self.record_offer_refusal(&offer, now);
@@ -90,7 +89,7 @@
                     self.fleet.pending_provisions.remove(&name);
                     self.provisioning_for_shard.remove(&name);
                     self.record_offer_refusal(&offer, now);
-                } else if matches!(answer, Some((400, _))) {
+                } else if matches!(answer, Ok(Answer { status: 400, .. })) {
                     tracing::error!(%name, "the cloud calls a rental request malformed");
                     self.fleet.pending_provisions.remove(&name);
                     self.provisioning_for_shard.remove(&name);
@@ -135,12 +134,9 @@
         self.fleet.refusals.insert(offer.clone(), refusal);
     }
 
-    fn apply_machine_listing(&mut self, answer: Option<(u16, &[u8])>, now: Micros) {
+    fn apply_machine_listing(&mut self, answer: &CallResult, now: Micros) {
         self.fleet.listing_in_flight = false;
-        let list = answer
-            .filter(|a| a.0 == 200)
-            .and_then(|a| serde_json::from_slice::<crate::wire::cloud::MachineList>(a.1).ok());
-        let Some(list) = list else {
+        let Some(list) = decode_ok::<MachineList>(answer) else {
             self.fleet.listing_cursor.clear();
             self.fleet.listing_entries.clear();
             self.fleet.next_listing_at = now + 2 * SECOND;
@@ -217,13 +213,14 @@
     a.len() == b.len() && a.iter().zip(b).all(|(x, y)| x.name == y.name)
 }
 
-fn is_out_of_capacity(answer: Option<(u16, &[u8])>) -> bool {
+fn is_out_of_capacity(answer: &CallResult) -> bool {
     #[derive(serde::Deserialize)]
     struct Reason {
         #[serde(default)]
         error: String,
     }
-    answer.filter(|a| a.0 == 503).is_some_and(|a| {
-        serde_json::from_slice::<Reason>(a.1).is_ok_and(|r| r.error == "no capacity")
-    })
+    let refusal = answer.as_ref().ok().filter(|answer| answer.status == 503);
+    refusal
+        .and_then(Answer::decode::<Reason>)
+        .is_some_and(|reason| reason.error == "no capacity")
 }
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::http::Method;
+use crate::http::{CallResult, Method};
 use crate::model::{MachineType, Resources, micros_from_seconds};
 
 /// A request to the cloud.
@@ -96,6 +96,12 @@
     yards: Vec<String>,
 }
 
+/// The machine types of an answer; `None` if there is none, or it has none that can be used.
+pub fn decode_machine_types(result: &CallResult) -> Option<Vec<MachineType>> {
+    let answer = result.as_ref().ok().filter(|answer| answer.is_ok())?;
+    parse_machine_types(&answer.body)
+}
+
 /// Reads the machine types; `None` if the answer makes no sense.
 pub fn parse_machine_types(body: &[u8]) -> Option<Vec<MachineType>> {
     let raw: MachineTypesAnswer = serde_json::from_slice(body).ok()?;
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -8,7 +8,7 @@
 use bytes::{Bytes, BytesMut};
 use gannethub_core::configuration::{Document, ObjectiveEntry, OverLimit, TeamEntry};
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
-use gannethub_core::http::{Method, Request, Response};
+use gannethub_core::http::{Answer, Method, Request, Response};
 use gannethub_core::model::{
     JobId, JobSpec, MachineType, Priority, Resources, SECOND, Shape, TaskSet, Team, UNLIMITED,
 };
@@ -1245,7 +1245,7 @@
                     response: answer,
                 } => return response(&answer),
                 Effect::StoreRequest { id, .. } => {
-                    let answer = Some((stored.0, Bytes::copy_from_slice(stored.1.as_bytes())));
+                    let answer = Ok(Answer::new(stored.0, stored.1.to_string()));
                     commands.push(Command::StoreAnswer { id, answer });
                 }
                 _ => {}
@@ -1291,11 +1291,11 @@
     let answers = effects.into_iter().filter_map(|effect| match effect {
         Effect::StoreRequest { id, .. } => Some(Command::StoreAnswer {
             id,
-            answer: Some((200, stored.clone())),
+            answer: Ok(Answer::new(200, stored.clone())),
         }),
         Effect::CloudRequest { id, .. } => Some(Command::CloudAnswer {
             id,
-            answer: Some((200, types.clone())),
+            answer: Ok(Answer::new(200, types.clone())),
         }),
         _ => None,
     });
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use gannethub_core::configuration::Document;
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
-use gannethub_core::http::{Method, Request, Response};
+use gannethub_core::http::{Answer, Method, NoAnswer, Request, Response};
 use gannethub_core::model::TaskSet;
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
@@ -690,7 +690,7 @@
                 body,
             } => {
                 let (status, body) = self.ask_cloud(&path, &body);
-                let answer = Some((status, Bytes::from(body.to_string())));
+                let answer = Ok(Answer::new(status, body.to_string()));
                 self.at(
                     20_000,
                     Event::Command {
@@ -789,7 +789,9 @@
         id: u64,
         answer: Option<(u16, Value)>,
     ) {
-        let answer = answer.map(|(s, b)| (s, Bytes::from(b.to_string())));
+        let answer = answer
+            .map(|(status, body)| Answer::new(status, body.to_string()))
+            .ok_or(NoAnswer::Timeout);
         self.at(
             delay,
             Event::Command {
@@ -940,7 +942,8 @@
                                 asked,
                             },
                         );
-                        let command = Command::StoreAnswer { id, answer: None };
+                        let answer = Err(NoAnswer::Timeout);
+                        let command = Command::StoreAnswer { id, answer };
                         self.at(
                             patience,
                             Event::Command {
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use gannethub_core::http::Answer;
 use gannethub_core::model::{JobSpec, MachineType, Priority, Resources, SECOND, Shape};
 use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
 use gannethub_core::settings::Settings;
@@ -274,7 +275,7 @@
                     _ => json!({"hosts": []}),
                 };
                 self.c
-                    .apply_cloud_answer(call, Some((200, body.to_string().as_bytes())), self.now);
+                    .apply_cloud_answer(call, &Ok(Answer::new(200, body.to_string())), self.now);
             }
         }
         rented
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -2,6 +2,7 @@
 
 use serde_json::json;
 
+use gannethub_core::http::Answer;
 use gannethub_core::model::{JobSpec, Shape};
 use gannethub_core::reconcile::heartbeat::HeartbeatOutcome;
 use gannethub_core::state::fleet::CloudCall;
@@ -117,7 +118,7 @@
         .find(|c| matches!(c, CloudCall::Delete { .. }));
     f.c.apply_cloud_answer(
         delete.expect("the silent one is returned"),
-        Some((200, b"{}")),
+        &Ok(Answer::new(200, "{}")),
         f.now,
     );
     // What it had sent before was held back in the network. Its task must not wait for it again.
--- a/crates/gannethub-scale/src/changes.rs
+++ b/crates/gannethub-scale/src/changes.rs
@@ -179,7 +179,7 @@
             for (i, addr) in self.controllers.iter().enumerate() {
                 let client = Client::new(*addr);
                 let answer = client.call(Method::Get, "/api/config", b"", PATIENCE).await;
-                let told = answer.and_then(|a| serde_json::from_slice::<Told>(&a.1).ok());
+                let told = answer.ok().and_then(|answer| answer.decode::<Told>());
                 let Some(told) = told else { continue };
                 answered += 1;
                 behind += usize::from(told.version < version);
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -8,10 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::Bytes;
 use clap::Args;
 use gannethub::emulators::{Asked, serve};
-use gannethub::http::{Client, Method};
+use gannethub::http::{Answer, CallResult, Client, Method};
 use gannethub_emulators::worker::{Phase, Task, job_of};
 use gannethub_emulators::{JobFacts, Site, Worker};
 use rand::rngs::StdRng;
@@ -77,7 +76,7 @@
         host: String,
         node: usize,
         sent: u64,
-        answer: Option<(u16, Bytes)>,
+        answer: CallResult,
     },
     Direct(String, Asked),
     /// The process of a task has ended by itself.
@@ -440,16 +439,16 @@
         }
     }
 
-    fn answered(&mut self, host: &str, node: usize, sent: u64, answer: Option<(u16, Bytes)>) {
+    fn answered(&mut self, host: &str, node: usize, sent: u64, answer: CallResult) {
         match &answer {
-            Some((200, body)) => {
+            Ok(Answer { status: 200, body }) => {
                 self.site.counts.answers += 1;
                 self.site.counts.answer_bytes += (body.len() + HEAD) as u64;
             }
             _ => self.site.counts.unanswered += 1,
         }
         // Where nothing came the worker finds out by its own clock.
-        if let Some((status, body)) = answer {
+        if let Ok(Answer { status, body }) = answer {
             self.with(host, |worker, site| {
                 worker.answered(site, node, sent, status, &body)
             });
--- a/crates/gannethub-scale/src/run/faults.rs
+++ b/crates/gannethub-scale/src/run/faults.rs
@@ -85,11 +85,8 @@
             self.ports.state,
         ));
         let path = "/kv/gh/lead/holder";
-        let (_, body) = client
-            .call(Method::Get, path, b"", PATIENCE)
-            .await
-            .filter(|a| a.0 == 200)?;
-        let body: serde_json::Value = serde_json::from_slice(&body).ok()?;
+        let answer = client.call(Method::Get, path, b"", PATIENCE).await;
+        let body: serde_json::Value = decode_ok(&answer)?;
         Some(body["v"]["holder"].as_str()?.to_string())
     }
 }
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use gannethub::files::FileError;
-use gannethub::http::{Client, Method};
+use gannethub::http::{Client, Method, decode_ok};
 use gannethub_emulators::worker::job_of;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::rngs::StdRng;
@@ -212,10 +212,10 @@
     async fn wait_healthy(&self) -> Result<(), RunError> {
         let ready = async {
             for client in &self.users.clients {
-                while client
+                while !client
                     .call(Method::Get, "/healthz", b"", PATIENCE)
                     .await
-                    .is_none_or(|a| a.0 != 200)
+                    .is_ok_and(|answer| answer.is_ok())
                 {
                     sleep(Duration::from_millis(100)).await;
                 }
--- a/crates/gannethub-scale/src/users.rs
+++ b/crates/gannethub-scale/src/users.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gannethub::http::{Client, Method};
+use gannethub::http::{Answer, Client, Method};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
@@ -83,11 +83,11 @@
         let first = self.draw(self.clients.len());
         for client in self.clients.iter().cycle().skip(first) {
             match client.call(method, path, body, SUBMIT_PATIENCE).await {
-                Some((status, body)) if good.contains(&status) => {
+                Ok(Answer { status, body }) if good.contains(&status) => {
                     return Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)));
                 }
-                Some(_) => self.latencies.borrow_mut().turned_away += 1,
-                None => self.latencies.borrow_mut().unanswered += 1,
+                Ok(_) => self.latencies.borrow_mut().turned_away += 1,
+                Err(_) => self.latencies.borrow_mut().unanswered += 1,
             }
             if self.clock.now() > until {
                 break;
@@ -156,7 +156,7 @@
             let answer = client.call(Method::Get, &path, b"", POLL_PATIENCE).await;
             let now = self.clock.now();
             match answer {
-                Some((200, body)) => {
+                Ok(Answer { status: 200, body }) => {
                     heard = now;
                     self.latencies
                         .borrow_mut()
@@ -172,12 +172,12 @@
                         _ => {}
                     }
                 }
-                Some((404, _)) => {
+                Ok(Answer { status: 404, .. }) => {
                     let what = "404 for an accepted job".to_string();
                     return self.note(&job.id, |j| j.broken.push(("forgotten", what)));
                 }
-                Some(_) => self.latencies.borrow_mut().turned_away += 1,
-                None => self.latencies.borrow_mut().unanswered += 1,
+                Ok(_) => self.latencies.borrow_mut().turned_away += 1,
+                Err(_) => self.latencies.borrow_mut().unanswered += 1,
             }
             if now > heard + FORGOTTEN {
                 let what = "no poll was answered for 90 s".to_string();
@@ -226,7 +226,7 @@
             let path = format!("/api/jobs/{id}");
             let client = self.clients[self.draw(self.clients.len())].clone();
             let answer = client.call(Method::Get, &path, b"", POLL_PATIENCE).await;
-            let Some((status, body)) = answer else {
+            let Ok(Answer { status, body }) = answer else {
                 continue;
             };
             let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -5,9 +5,8 @@
 
 use std::time::Duration;
 
-use bytes::Bytes;
 use gannethub_core::configuration::{Document, DocumentError};
-use gannethub_core::http::Method;
+use gannethub_core::http::{Answer, CallResult, Method};
 use gannethub_core::settings::Settings;
 use gannethub_core::wire::configuration::{
     CURRENT_VERSION_KEY, HISTORY_KEY, HistoryRecord, MAX_TEXT_BYTES, StoredDocumentError,
@@ -27,17 +26,12 @@
 
 /// The way to the state service.
 pub trait StateClient {
-    /// `None`: no answer; the request may have been carried out, or may still be.
-    fn call(
-        &self,
-        method: Method,
-        path: &str,
-        body: &[u8],
-    ) -> impl Future<Output = Option<(u16, Bytes)>>;
+    /// Sends one request.
+    fn call(&self, method: Method, path: &str, body: &[u8]) -> impl Future<Output = CallResult>;
 }
 
 impl StateClient for Client {
-    async fn call(&self, method: Method, path: &str, body: &[u8]) -> Option<(u16, Bytes)> {
+    async fn call(&self, method: Method, path: &str, body: &[u8]) -> CallResult {
         Client::call(self, method, path, body, PATIENCE).await
     }
 }
@@ -104,7 +98,7 @@
 
 impl<C: StateClient> ConfigStore<'_, C> {
     /// Asks until there is an answer that asking again would not change.
-    async fn ask(&self, request: &StoreRequest) -> Result<(u16, Bytes), ConfigError> {
+    async fn ask(&self, request: &StoreRequest) -> Result<Answer, ConfigError> {
         let mut last = None;
         for _ in 0..TRIES {
             match self
@@ -112,8 +106,8 @@
                 .call(request.method, &request.path, &request.body)
                 .await
             {
-                Some((status, body)) if status != 429 && status < 500 => return Ok((status, body)),
-                answer => last = answer.map(|a| a.0).or(last),
+                Ok(answer) if answer.status != 429 && answer.status < 500 => return Ok(answer),
+                result => last = result.ok().map(|answer| answer.status).or(last),
             }
             sleep(PAUSE).await;
         }
@@ -124,9 +118,9 @@
     async fn get(&self, key: &str) -> Result<Option<StoredValue>, ConfigError> {
         let request = StoreRequest::get(key);
         match self.ask(&request).await? {
-            (200, body) => Ok(serde_json::from_slice(&body).ok()),
-            (404, _) => Ok(None),
-            (status, _) => Err(ConfigError::Refused(status, request.path)),
+            answer if answer.is_ok() => Ok(answer.decode()),
+            answer if answer.status == 404 => Ok(None),
+            answer => Err(ConfigError::Refused(answer.status, request.path)),
         }
     }
 
@@ -153,13 +147,14 @@
     pub async fn document(&self, record: &VersionRecord) -> Result<Document, ConfigError> {
         let request = StoreRequest::list(&record.parts_prefix(), "");
         match self.ask(&request).await? {
-            (200, body) => {
-                let listing: Listing = serde_json::from_slice(&body)
-                    .map_err(|_| ConfigError::Refused(200, request.path.clone()))?;
+            answer if answer.is_ok() => {
+                let listing: Listing = answer
+                    .decode()
+                    .ok_or_else(|| ConfigError::Refused(200, request.path.clone()))?;
                 let document = record.assemble(&listing);
                 document.map_err(|e| ConfigError::Stored(record.version, e))
             }
-            (status, _) => Err(ConfigError::Refused(status, request.path)),
+            answer => Err(ConfigError::Refused(answer.status, request.path)),
         }
     }
 
@@ -219,8 +214,8 @@
                 .for_each(|(key, part)| commit.put(key, to_raw_value(part), None));
             let request = commit.to_request();
             match self.ask(&request).await? {
-                (200, _) => {}
-                (status, _) => return Err(ConfigError::Refused(status, "a part".into())),
+                answer if answer.is_ok() => {}
+                answer => return Err(ConfigError::Refused(answer.status, "a part".into())),
             }
         }
         Ok(())
@@ -242,11 +237,11 @@
         commit.put(HISTORY_KEY, to_raw_value(&history), None);
         let request = commit.to_request();
         match self.ask(&request).await? {
-            (200, body) if serde_json::from_slice::<Committed>(&body).is_ok() => Ok(dropped),
-            (409, body) if serde_json::from_slice::<Conflict>(&body).is_ok() => {
+            answer if answer.decode_ok::<Committed>().is_some() => Ok(dropped),
+            answer if answer.status == 409 && answer.decode::<Conflict>().is_some() => {
                 self.came_between(record).await.map(|()| dropped)
             }
-            (status, _) => Err(ConfigError::Refused(status, "the switch".into())),
+            answer => Err(ConfigError::Refused(answer.status, "the switch".into())),
         }
     }
 
--- a/src/config/wait.rs
+++ b/src/config/wait.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use gannethub_core::http::Method;
+use gannethub_core::http::{Method, decode_ok};
 use serde::Deserialize;
 use tokio::time::sleep;
 
@@ -39,8 +39,7 @@
         let answer = Client::new(*addr)
             .call(Method::Get, "/api/config", b"", PATIENCE)
             .await;
-        let body = answer.filter(|a| a.0 == 200).map(|a| a.1);
-        told.extend(body.and_then(|b| serde_json::from_slice::<Told>(&b).ok()));
+        told.extend(decode_ok::<Told>(&answer));
     }
     told
 }
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -29,7 +29,7 @@
 
 use crate::emulators::{Asked, StateService, free_ports, serve};
 use crate::files::{self, FileError};
-use crate::http::{Client, ask_any};
+use crate::http::{CallResult, Client, ask_any};
 use crate::ledger::{LedgerError, fetch};
 
 const SECOND: u64 = 1_000_000;
@@ -78,7 +78,7 @@
         worker: String,
         node: usize,
         sent: u64,
-        answer: Option<(u16, bytes::Bytes)>,
+        answer: CallResult,
     },
     /// The state service refuses everything, or no longer.
     Outage(bool),
@@ -187,8 +187,10 @@
                     return;
                 };
                 // Nothing came: the worker finds that out by its own clock.
-                if let Some((status, body)) = answer.filter(|_| !w.hung(now)) {
-                    w.answered(self, node, sent, status, &body);
+                if let Ok(answer) = answer
+                    && !w.hung(now)
+                {
+                    w.answered(self, node, sent, answer.status, &answer.body);
                     self.record.note(&w, now);
                 }
                 self.workers.insert(worker, w);
@@ -477,7 +479,7 @@
     body: &str,
 ) -> Result<(u16, Value), DevError> {
     match ask_any(clients, method, path, body.as_bytes()).await {
-        Ok((status, body)) => Ok((status, serde_json::from_slice(&body).unwrap_or(Value::Null))),
+        Ok(answer) => Ok((answer.status, answer.decode().unwrap_or(Value::Null))),
         Err(_) => Err(DevError::Load(format!("no controller answers {path}"))),
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Buf, Bytes, BytesMut};
-pub use gannethub_core::http::{Method, Request, Response};
+pub use gannethub_core::http::{
+    Answer, CallResult, Method, NoAnswer, Request, Response, decode_ok,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -286,26 +288,21 @@
         }
     }
 
-    /// Sends one request. `None`: no answer; it may have been carried out, or may still be.
+    /// Sends one request.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: &[u8],
         patience: Duration,
-    ) -> Option<(u16, Bytes)> {
-        timeout(patience, self.try_call(method, path, body))
-            .await
-            .ok()?
-            .ok()
+    ) -> CallResult {
+        match timeout(patience, self.try_call(method, path, body)).await {
+            Ok(answer) => answer.map_err(|_| NoAnswer::Disconnected),
+            Err(_) => Err(NoAnswer::Timeout),
+        }
     }
 
-    async fn try_call(
-        &self,
-        method: Method,
-        path: &str,
-        body: &[u8],
-    ) -> std::io::Result<(u16, Bytes)> {
+    async fn try_call(&self, method: Method, path: &str, body: &[u8]) -> std::io::Result<Answer> {
         let mut out = format!(
             "{} {path} HTTP/1.1\r\nHost: {}\r\nContent-Length: {}\r\n\r\n",
             method.as_str(),
@@ -331,7 +328,7 @@
                 idle.push(stream);
             }
         }
-        Ok((status, body))
+        Ok(Answer { status, body })
     }
 }
 
@@ -346,13 +343,13 @@
     method: Method,
     path: &str,
     body: &[u8],
-) -> Result<(u16, Bytes), Option<u16>> {
+) -> Result<Answer, Option<u16>> {
     let until = Instant::now() + REPEATS;
     let mut last = None;
     for client in clients.iter().cycle() {
         match client.call(method, path, body, PATIENCE).await {
-            Some((status, body)) if status < 500 && status != 429 => return Ok((status, body)),
-            answer => last = answer.map(|a| a.0).or(last),
+            Ok(answer) if answer.status < 500 && answer.status != 429 => return Ok(answer),
+            result => last = result.ok().map(|answer| answer.status).or(last),
         }
         if Instant::now() >= until {
             break;
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -162,8 +162,8 @@
         (a, b)
     };
     let (_, (a, b)) = tokio::join!(serve, ask);
-    assert_eq!(a, Some((200, Bytes::from("ab"))));
-    assert_eq!(b, Some((409, Bytes::from("cde"))));
+    assert_eq!(a, Ok(Answer::new(200, "ab")));
+    assert_eq!(b, Ok(Answer::new(409, "cde")));
 }
 
 #[tokio::test]
@@ -203,5 +203,5 @@
     let call = client.call(Method::Post, "/commands", b"{}", Duration::from_secs(5));
     let (received, answered) = tokio::join!(receive, call);
     assert_eq!(received, pinned);
-    assert_eq!(answered, Some((200, Bytes::from_static(b"[]"))));
+    assert_eq!(answered, Ok(Answer::new(200, "[]")));
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use comfy_table::Table;
-use gannethub_core::http::Method;
+use gannethub_core::http::{Answer, Method};
 use gannethub_core::settings::LedgerSetup;
 use gannethub_ledger::audit::{Page, Verified, verify};
 use gannethub_ledger::book::Head;
@@ -221,9 +221,13 @@
 /// Asks controllers in turn until one answers; `None` if there is no such thing.
 async fn ask(clients: &[Client], path: &str) -> Result<Option<bytes::Bytes>, LedgerError> {
     match ask_any(clients, Method::Get, path, &[]).await {
-        Ok((200, body)) => Ok(Some(body)),
-        Ok((404, body)) if String::from_utf8_lossy(&body).contains("no such page") => Ok(None),
-        Ok((status, body)) => Err(LedgerError::Refused(
+        Ok(Answer { status: 200, body }) => Ok(Some(body)),
+        Ok(Answer { status: 404, body })
+            if String::from_utf8_lossy(&body).contains("no such page") =>
+        {
+            Ok(None)
+        }
+        Ok(Answer { status, body }) => Err(LedgerError::Refused(
             status,
             String::from_utf8_lossy(&body).into_owned(),
         )),
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use gannethub::config::store::{Author, ConfigError, ConfigStore, StateClient};
 use gannethub_core::configuration::{Document, TeamEntry};
-use gannethub_core::http::Method;
+use gannethub_core::http::{Answer, CallResult, Method, NoAnswer};
 use gannethub_core::settings::Settings;
 use gannethub_emulators::State;
 use gannethub_emulators::state::Outcome;
@@ -39,21 +39,21 @@
 }
 
 impl StateClient for Store {
-    async fn call(&self, method: Method, path: &str, body: &[u8]) -> Option<(u16, Bytes)> {
+    async fn call(&self, method: Method, path: &str, body: &[u8]) -> CallResult {
         if !used_up(&self.refused) {
-            return Some((503, Bytes::new()));
+            return Ok(Answer::new(503, Bytes::new()));
         }
         let outcome = self
             .state
             .borrow_mut()
             .handle(method.as_str(), path, body, 0);
         let Outcome::Answer(status, body) = outcome else {
-            return None;
+            return Err(NoAnswer::Timeout);
         };
         if path == "/commit" && !used_up(&self.lost) {
-            return None;
+            return Err(NoAnswer::Timeout);
         }
-        Some((status, Bytes::from(body.to_string())))
+        Ok(Answer::new(status, body.to_string()))
     }
 }
 
