--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -2,13 +2,13 @@
 //! messages between controllers, requests and answers of workers, users and the cloud, and the settings files.
 //!
 //! Controllers of different releases share a cluster during an upgrade, and stored records outlive all of them, so a
-//! renamed Rust field must not show on the wire. The literals were printed by the code before its names changed. When Rust names
-//! change, edit the Rust names in this file and nothing else: a literal that has to change is an incompatible change.
+//! renamed Rust field must not show on the wire. The literals were printed by the code before its names changed. When
+//! Rust names change, edit those in this file and nothing else: a literal that has to change is an incompatible change.
 
 use bytes::{Bytes, BytesMut};
 use gannethub_core::configuration::{Document, ObjectiveEntry, OverLimit, TeamEntry};
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
-use gannethub_core::http::{Method, Request, Response};
+use gannethub_core::http::{Answer, Method, Request, Response};
 use gannethub_core::model::{
     JobId, JobSpec, MachineType, Priority, Resources, SECOND, Shape, TaskSet, Team, UNLIMITED,
 };
@@ -124,12 +124,13 @@
         "gh/lead/holder gh/lead/term gh/lead/ gh/live/ gh/part/ gh/over/ gh/block/ gh/lead/count gh/seat/ gh/move/ gh/allot/ gh/ledger/head gh/ledger/page/ gh/live/configuration gh/config/history",
     );
     pin(&store::ledger_page_key(7), "gh/ledger/page/000000000007");
+    let assignment_keys = |shard: u32| {
+        let keys = store::assignment_keys(shard);
+        json(&(keys.owner, keys.term))
+    };
+    pin(&assignment_keys(0), r#"["gh/lead/holder","gh/lead/term"]"#);
     pin(
-        &json(&store::assignment_keys(0)),
-        r#"["gh/lead/holder","gh/lead/term"]"#,
-    );
-    pin(
-        &json(&store::assignment_keys(3)),
+        &assignment_keys(3),
         r#"["gh/seat/3/holder","gh/seat/3/term"]"#,
     );
     pin(
@@ -1245,7 +1246,7 @@
                     response: answer,
                 } => return response(&answer),
                 Effect::StoreRequest { id, .. } => {
-                    let answer = Some((stored.0, Bytes::copy_from_slice(stored.1.as_bytes())));
+                    let answer = Ok(Answer::new(stored.0, stored.1.to_string()));
                     commands.push(Command::StoreAnswer { id, answer });
                 }
                 _ => {}
@@ -1291,11 +1292,11 @@
     let answers = effects.into_iter().filter_map(|effect| match effect {
         Effect::StoreRequest { id, .. } => Some(Command::StoreAnswer {
             id,
-            answer: Some((200, stored.clone())),
+            answer: Ok(Answer::new(200, stored.clone())),
         }),
         Effect::CloudRequest { id, .. } => Some(Command::CloudAnswer {
             id,
-            answer: Some((200, types.clone())),
+            answer: Ok(Answer::new(200, types.clone())),
         }),
         _ => None,
     });
