--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -80,13 +80,13 @@
                     let tasks: Vec<(String, u64)> = f.borrow().c.machines[name.as_str()]
                         .attempts
                         .keys()
-                        .map(|(task, attempt)| (task.to_string(), *attempt))
+                        .map(|id| (id.task.to_string(), id.number))
                         .collect();
                     (name, tasks)
                 },
                 |(name, tasks)| {
                     let mut f = f.borrow_mut();
-                    f.c.last_pass_at = f.now;
+                    f.c.passes.last_at = f.now;
                     let done = tasks
                         .iter()
                         .enumerate()
@@ -114,14 +114,14 @@
     let names: Vec<String> = (0..machines).map(|i| format!("host-{i:06}")).collect();
     for (chunk, names) in names.chunks(40).enumerate() {
         let member = ShardMember {
-            flavor: "small".into(),
+            machine_type: "small".into(),
             zone: "a".into(),
             spot: false,
         };
         let machines = names.iter().map(|n| (n.clone(), member.clone())).collect();
         let record = ChunkRecord {
             term: 0,
-            holder: "n1".into(),
+            owner: "n1".into(),
             machines,
         };
         f.c.apply_shard_chunk(&f.c.shard.chunk_key(chunk), record, 5);
@@ -131,9 +131,9 @@
         .iter()
         .for_each(|n| drop(f.report(n, "small", "a", &[])));
     f.pass(1);
-    assert!(f.c.settled);
+    assert!(f.c.takeover.settled);
     f.c.run_scheduling_pass(f.now);
-    f.c.placement_order.len()
+    f.c.passes.placement_order.len()
 }
 
 criterion_group!(benches, decide);
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -10,10 +10,10 @@
 use std::net::SocketAddrV4;
 
 use super::heartbeat::MAX_ORDERS_PER_ANSWER;
-use crate::model::{Micros, TaskId};
+use crate::model::{AttemptId, MachineId, Micros, TaskId};
 use crate::policy::Setting;
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, MachineId};
 use crate::wire::worker::Order;
 
 /// What is to be sent to a worker.
@@ -27,10 +27,17 @@
 impl Cluster {
     /// An attempt of a cancelled job is to end.
     pub(crate) fn queue_kill_order(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
-        let Some(m) = self.machines.get(machine).filter(|m| m.address.is_some()) else {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| m.worker.address.is_some())
+        else {
             return;
         };
-        let key = (task, attempt);
+        let key = AttemptId {
+            task,
+            number: attempt,
+        };
         let Some(a) = m.attempts.get(&key) else {
             return;
         };
@@ -69,7 +76,8 @@
         halts.pending.retain(|id, halt| {
             let machine = machines.get(id);
             now < halt.since + late
-                && machine.is_some_and(|m| m.last_heartbeat_at.is_none_or(|t| t <= halt.since))
+                && machine
+                    .is_some_and(|m| m.worker.last_heartbeat_at.is_none_or(|t| t <= halt.since))
         });
         let mut due: Vec<(bool, MachineId)> = halts
             .pending
@@ -83,23 +91,23 @@
             let (Some(halt), Some(m)) = (halts.pending.remove(&id), machines.get(&id)) else {
                 continue;
             };
-            let alive = |key: &(TaskId, u64)| {
+            let alive = |key: &AttemptId| {
                 m.attempts
                     .get(key)
                     .is_some_and(|a| !matches!(a.phase, AttemptPhase::Ended(_)))
             };
             let attempts = halt.attempts.into_iter().filter(alive);
-            let stop = |(task, attempt): (TaskId, u64)| Order::Stop {
-                task: task.to_string(),
-                attempt,
+            let stop = |attempt: AttemptId| Order::Stop {
+                task: attempt.task.to_string(),
+                attempt: attempt.number,
                 grace_s: 0.0,
             };
             let orders: Vec<Order> = attempts.map(stop).collect();
-            if let (Some(addr), false) = (m.address, orders.is_empty()) {
+            if let (Some(addr), false) = (m.worker.address, orders.is_empty()) {
                 halts.rate_limit.tokens -= 1.0;
                 sent.push(KillOrderDelivery {
                     address: addr,
-                    incarnation: m.incarnation,
+                    incarnation: m.worker.incarnation,
                     orders,
                 });
             }
--- a/crates/gannethub-core/src/reconcile/persistence.rs
+++ b/crates/gannethub-core/src/reconcile/persistence.rs
@@ -1,6 +1,6 @@
 //! What the state service holds: taking it in, and writing down what has changed.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use gannethub_ledger::audit::Page;
@@ -8,11 +8,13 @@
 
 use crate::model::{JobId, JobSpec, Micros, SECOND, TaskId, TaskSet, seconds_from_micros};
 use crate::policy::Setting;
-use crate::saga::{AbortAction, Saga};
+use crate::saga::AbortAction;
+use crate::state::attempt::LiveAttempt;
 use crate::state::cluster::Cluster;
-use crate::state::records::{FailureTracking, Job};
-use crate::state::shard::ChunkRecord;
+use crate::state::job::Job;
+use crate::state::shard::{ChunkRecord, ChunkWrite};
 use crate::state::usage::{job_owner, log_damaged_page};
+use crate::state::watermarks::ReliabilityRecord;
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{
     self, DonePartRecord, FinishedJobRecord, JobRecord, LeaseRecord, LiveRecord, TASKS_PER_PART,
@@ -46,74 +48,35 @@
         if record.shard != self.shard.id {
             return self.apply_foreign_job_record(id, &record, stamp);
         }
-        self.jobs_in_other_shards.remove(id);
+        self.other_shards.jobs.remove(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            if stamp > job.version {
-                job.version = stamp;
+            if stamp > job.persistence.version {
+                job.persistence.version = stamp;
             }
-            job.version_unknown = false;
-            job.durable_watermark = job.durable_watermark.max(record.effective_watermark());
-            store::decode_done_part(&record.done, 0, &mut job.durable_done);
+            job.persistence.version_unknown = false;
+            job.persistence.durable_watermark = job
+                .persistence
+                .durable_watermark
+                .max(record.effective_watermark());
+            store::decode_done_part(&record.done, 0, &mut job.persistence.durable_done);
             if record.cancelled && !job.cancelled {
                 self.cancel_job(id);
             }
             return;
         }
-        if self.has_tombstone(id, stamp) {
+        if self.store_writes.has_tombstone(id, stamp) {
             return;
         }
         self.mark_upstream_released(&id.into());
-        let opened = record.effective_watermark();
-        let spec = Arc::new(record.spec);
-        let mut done = TaskSet::default();
-        store::decode_done_part(&record.done, 0, &mut done);
-        let mut pending = TaskSet::up_to(spec.tasks);
-        done.iter().for_each(|x| {
-            pending.remove(x);
-        });
         // What was there before this term may be on machines of which nothing is known yet.
-        let doubtful = match self.unconfirmed.loading {
-            true if self.watermarks_reliable => opened,
-            true => spec.tasks,
+        let possibly_launched = match self.takeover.unconfirmed.loading {
+            true if self.watermarks.reliable => record.effective_watermark(),
+            true => record.spec.tasks,
             false => 0,
         };
-        let doubted = pending.slice(0, doubtful);
-        let submitted = spec.clone();
-        let mut job = Job {
-            id: id.into(),
-            submitted_spec: submitted,
-            team: self.settings.team(&spec.team),
-            accepted_at: record.accepted_at,
-            ready_at: record.ready_at.unwrap_or(record.accepted_at),
-            downstream_demand: None,
-            version: stamp,
-            durable_done: done.clone(),
-            done,
-            cancelled: false,
-            saga: Saga::independent(1),
-            pending,
-            unconfirmed: doubted,
-            durable_watermark: opened,
-            requested_watermark: opened,
-            live_attempts: HashMap::new(),
-            gang_attempt: None,
-            saved_progress: HashMap::new(),
-            backoff: HashMap::new(),
-            failure_tracking: FailureTracking::new(record.crash_looping),
-            dirty_parts: BTreeSet::new(),
-            dirty_since: None,
-            overflow: false,
-            write_in_flight: false,
-            version_unknown: false,
-            fully_placed: false,
-            home_shard: None,
-            within_guarantee: false,
-            gang_placement_tried: false,
-            preempted_for_at: None,
-            reservable_until: 0,
-            last_queued_pass: 0,
-            spec,
-        };
+        let cancelled = record.cancelled;
+        let team = self.settings.team(&record.spec.team);
+        let mut job = Job::from_record(id.into(), record, stamp, team, possibly_launched);
         if job.spec.spot {
             let within = self.fits_guarantee(&job);
             let facts = self.policy_inputs(&job, within, self.latest_start(&job, within));
@@ -127,8 +90,8 @@
         }
         self.queue.add_arrival(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
-        self.pass_needed = true;
-        if record.cancelled {
+        self.passes.needed = true;
+        if cancelled {
             self.cancel_job(id);
         }
     }
@@ -138,10 +101,10 @@
         if self.jobs.remove(id).is_some() {
             tracing::info!(job = id, block = record.shard, "goes to another block");
         }
-        if self.shard.id != 0 || self.has_tombstone(id, stamp) {
+        if self.shard.id != 0 || self.store_writes.has_tombstone(id, stamp) {
             return;
         }
-        let known = self.jobs_in_other_shards.insert(id.into(), stamp).is_some();
+        let known = self.other_shards.jobs.insert(id.into(), stamp).is_some();
         if !known {
             self.mark_upstream_released(&id.into());
         }
@@ -160,19 +123,19 @@
         };
         match self.jobs.get_mut(id) {
             Some(job) if part < 100 => {
-                job.overflow |= part == 0;
+                job.persistence.overflow |= part == 0;
                 let mut done = TaskSet::default();
                 store::decode_done_part(&record.done, part, &mut done);
                 for x in done.iter().filter(|x| *x < job.spec.tasks) {
-                    job.done.insert(x);
-                    job.durable_done.insert(x);
-                    job.pending.remove(x);
-                    job.unconfirmed.remove(x);
+                    job.tasks.done.insert(x);
+                    job.persistence.durable_done.insert(x);
+                    job.tasks.pending.remove(x);
+                    job.tasks.unconfirmed.remove(x);
                 }
             }
             // What belongs to no job is left over from one that is over.
-            _ if self.shard.id == 0 && !self.jobs_in_other_shards.contains_key(id) => {
-                self.stale_keys.push(key.to_string());
+            _ if self.shard.id == 0 && !self.other_shards.jobs.contains_key(id) => {
+                self.store_writes.stale_keys.push(key.to_string());
             }
             _ => {}
         }
@@ -185,18 +148,19 @@
                 .strip_prefix(store::SHARD_PREFIX)
                 .and_then(|k| k.split_once('/'));
             if let Some(block) = block.and_then(|(b, _)| b.parse().ok()) {
-                self.machines_in_other_shards
+                self.other_shards
+                    .machines
                     .extend(record.machines.into_keys().map(|m| (m, block)));
             }
             return;
         };
         for (name, member) in &record.machines {
-            let taken = self.took_over_at;
+            let taken = self.takeover.at;
             let machine =
-                self.machine_or_adopt(name, &member.flavor, &member.zone, member.spot, taken);
-            machine.recorded = true;
-            machine.last_answered_at = taken;
-            machine.is_up = true;
+                self.machine_or_adopt(name, &member.machine_type, &member.zone, member.spot, taken);
+            machine.lifecycle.recorded = true;
+            machine.worker.last_answered_at = taken;
+            machine.lifecycle.is_up = true;
         }
         self.shard.load_chunk(index, record, stamp);
     }
@@ -205,14 +169,13 @@
     pub fn apply_remote_cancellation(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|j| !j.cancelled) {
             self.cancel_job(id);
-        } else if self.pipelines.waiting.contains_key(id)
-            || self.jobs_in_other_shards.contains_key(id)
+        } else if self.pipelines.waiting.contains_key(id) || self.other_shards.jobs.contains_key(id)
         {
             self.mark_upstream_cancelled(id);
         } else {
             return;
         }
-        self.pass_needed = true;
+        self.passes.needed = true;
     }
 
     /// The user cancelled: the pipeline's saga aborts. Nothing of it starts from here on.
@@ -221,10 +184,11 @@
             return;
         };
         job.cancelled = true;
-        job.pending = TaskSet::default();
-        job.dirty_since = Some(0);
+        job.tasks.pending = TaskSet::default();
+        job.persistence.dirty_since = Some(0);
         let actions = job.saga.abort();
         let live: Vec<_> = job
+            .tasks
             .live_attempts
             .iter()
             .map(|(i, p)| (*i, p.clone()))
@@ -232,15 +196,16 @@
         tracing::info!(job = id, tasks = live.len(), "cancelled");
         self.mark_upstream_cancelled(id);
         if actions.contains(&AbortAction::Cancel(0)) {
-            for (index, (machine, attempt)) in live {
-                self.stop_attempt(id, index, &machine, attempt, 0);
+            for (index, attempt) in live {
+                let LiveAttempt { machine, number } = attempt;
+                self.stop_attempt(id, index, &machine, number, 0);
                 self.queue_kill_order(
                     &machine,
                     TaskId {
                         job: id.into(),
                         index,
                     },
-                    attempt,
+                    number,
                 );
             }
         }
@@ -252,16 +217,17 @@
         if self.record_version(id).is_some_and(|known| known >= stamp) {
             return;
         }
-        self.tombstones.insert(id.into(), stamp);
-        self.jobs_in_other_shards.remove(id);
+        self.store_writes.add_tombstone(id.into(), stamp);
+        self.other_shards.jobs.remove(id);
         if self.remove_waiting_job(id) {
             return;
         }
         self.mark_upstream_ended(id, cancelled);
         if let Some(job) = self.jobs.remove(id) {
-            let first = u32::from(!job.overflow);
+            let first = u32::from(!job.persistence.overflow);
             for part in first..job.spec.tasks.div_ceil(TASKS_PER_PART) {
-                self.stale_keys
+                self.store_writes
+                    .stale_keys
                     .push(format!("{}{id}/{part}", store::DONE_PART_PREFIX));
             }
         }
@@ -269,12 +235,12 @@
 
     /// Everything has been read; leases of recorded machines are counted from here.
     pub fn finish_loading(&mut self, now: Micros) {
-        self.took_over_at = now;
-        self.unconfirmed.loading = false;
+        self.takeover.at = now;
+        self.takeover.unconfirmed.loading = false;
         self.shard.finish_loading();
         self.machines
             .values_mut()
-            .for_each(|m| m.last_answered_at = now);
+            .for_each(|m| m.worker.last_answered_at = now);
         // A report may come before the next tick: limits count what is in doubt from here on.
         self.review_unconfirmed(now);
     }
@@ -289,7 +255,7 @@
         let mut commit = Transaction::default();
         let mut batch = WriteBatch::default();
         let mut bytes = 512;
-        commit.guard(&self.assignment_keys.0, holder);
+        commit.guard(&self.store_writes.assignment_keys.0, holder);
         // A transaction must be able to carry the end of a job beside machines.
         let most = (ops / 2).max(1);
         self.add_shard_chunks(&mut commit, &mut batch, &mut bytes, most, false);
@@ -300,15 +266,20 @@
         for job in self
             .jobs
             .values_mut()
-            .filter(|j| !j.write_in_flight && !j.version_unknown)
+            .filter(|j| !j.persistence.write_in_flight && !j.persistence.version_unknown)
         {
-            if job.home_shard.is_some_and(|home| home != self.shard.id) && job.has_no_launches() {
+            if job
+                .scheduling
+                .home_shard
+                .is_some_and(|home| home != self.shard.id)
+                && job.has_no_launches()
+            {
                 due.push((WriteReason::Transfer, 0, job.id.clone()));
                 continue;
             }
             let over = job.is_finished()
-                || (job.cancelled && job.live_attempts.is_empty() && self.settled);
-            match job.dirty_since {
+                || (job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.settled);
+            match job.persistence.dirty_since {
                 // In the order in which they ended: in that of their names one of a high number would wait for as long as
                 // more end than may be written.
                 since if job.is_finished() => {
@@ -316,13 +287,13 @@
                 }
                 _ if over => due.push((WriteReason::Cancelled, 0, job.id.clone())),
                 // Launches wait for it.
-                _ if job.requested_watermark > job.durable_watermark
-                    && !self.launches_without_watermark =>
+                _ if job.persistence.requested_watermark > job.persistence.durable_watermark
+                    && !self.watermarks.not_required =>
                 {
                     due.push((WriteReason::Watermark, 0, job.id.clone()));
                 }
                 // Progress can wait: until it is written, the worker keeps the result.
-                Some(t) if now >= t + 2 * SECOND && !job.dirty_parts.is_empty() => {
+                Some(t) if now >= t + 2 * SECOND && !job.persistence.dirty_parts.is_empty() => {
                     due.push((WriteReason::Progress, t, job.id.clone()));
                 }
                 _ => {}
@@ -335,7 +306,7 @@
             };
             let live = format!("{}{id}", store::LIVE_JOB_PREFIX);
             let room = ops - commit.change_count();
-            if let (WriteReason::Transfer, Some(home)) = (what, job.home_shard) {
+            if let (WriteReason::Transfer, Some(home)) = (what, job.scheduling.home_shard) {
                 if room == 0 || bytes > 40_000 {
                     break;
                 }
@@ -343,10 +314,10 @@
                 r.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
                 (r.cancelled, r.crash_looping, r.shard) =
                     (job.cancelled, job.is_crash_looping(), home);
-                commit.guard(&live, job.version);
+                commit.guard(&live, job.persistence.version);
                 commit.put(&live, r.to_value(), None);
                 bytes += 1500;
-                job.write_in_flight = true;
+                job.persistence.write_in_flight = true;
                 batch.push(
                     BatchedWrite::JobTransfer {
                         id,
@@ -361,7 +332,7 @@
                     break;
                 }
                 let cancelled = job.cancelled;
-                commit.guard(&live, job.version);
+                commit.guard(&live, job.persistence.version);
                 let owner = self.usage_ledger.as_ref().map(|_| job_owner(job));
                 commit.end_job(
                     &id,
@@ -372,7 +343,7 @@
                     },
                 );
                 bytes += 400;
-                job.write_in_flight = true;
+                job.persistence.write_in_flight = true;
                 let due = job
                     .submitted_spec
                     .deadline
@@ -396,61 +367,67 @@
             let mut r = JobRecord::new(spec, job.accepted_at);
             r.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
             (r.cancelled, r.crash_looping) = (job.cancelled, job.is_crash_looping());
-            (r.watermark, r.shard) = (Some(job.requested_watermark), self.shard.id);
-            r.done = store::encode_done_part(&job.done, 0);
+            (r.watermark, r.shard) = (Some(job.persistence.requested_watermark), self.shard.id);
+            r.done = store::encode_done_part(&job.tasks.done, 0);
             let mut value = r.to_value();
-            let outgrew = !job.overflow && value.get().len() + store::VALUE_SLACK_BYTES > limit;
+            let outgrew =
+                !job.persistence.overflow && value.get().len() + store::VALUE_SLACK_BYTES > limit;
             if outgrew {
-                job.overflow = true;
-                job.dirty_parts.insert(0);
+                job.persistence.overflow = true;
+                job.persistence.dirty_parts.insert(0);
             }
-            if job.overflow {
+            if job.persistence.overflow {
                 // Both change in one transaction. Whoever reads the parts, the version before as well, takes part 0 for
                 // what it is.
                 r.done.clear();
                 value = r.to_value();
             }
-            let in_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.overflow);
+            let in_parts = job
+                .persistence
+                .dirty_parts
+                .iter()
+                .any(|part| *part > 0 || job.persistence.overflow);
             if room < 1 + usize::from(in_parts) || bytes > 40_000 {
                 break;
             }
-            commit.guard(&live, job.version);
+            commit.guard(&live, job.persistence.version);
             commit.put(&live, value, None);
             bytes += 1500;
             let mut parts = BTreeMap::new();
-            if !job.overflow {
-                job.dirty_parts.remove(&0);
-                parts.insert(0, job.done.slice(0, TASKS_PER_PART));
+            if !job.persistence.overflow {
+                job.persistence.dirty_parts.remove(&0);
+                parts.insert(0, job.tasks.done.slice(0, TASKS_PER_PART));
             }
             for part in job
+                .persistence
                 .dirty_parts
                 .iter()
                 .copied()
                 .take(room - 1)
                 .collect::<Vec<_>>()
             {
-                let done = store::encode_done_part(&job.done, part);
-                job.dirty_parts.remove(&part);
+                let done = store::encode_done_part(&job.tasks.done, part);
+                job.persistence.dirty_parts.remove(&part);
                 bytes += done.len() + 200;
                 let lo = part * TASKS_PER_PART;
-                parts.insert(part, job.done.slice(lo, lo + TASKS_PER_PART));
+                parts.insert(part, job.tasks.done.slice(lo, lo + TASKS_PER_PART));
                 let key = format!("{}{id}/{part}", store::DONE_PART_PREFIX);
                 commit.put(&key, store::to_raw_value(&DonePartRecord { done }), None);
             }
-            if job.dirty_parts.is_empty() {
-                job.dirty_since = None;
+            if job.persistence.dirty_parts.is_empty() {
+                job.persistence.dirty_since = None;
             }
-            job.write_in_flight = true;
+            job.persistence.write_in_flight = true;
             batch.push(
                 BatchedWrite::JobProgress {
                     id,
                     done_parts: parts,
-                    watermark: job.requested_watermark,
+                    watermark: job.persistence.requested_watermark,
                 },
                 live,
             );
         }
-        if self.watermarks_recorded == Some(false)
+        if self.watermarks.recorded == ReliabilityRecord::Missing
             && commit.change_count() < ops
             && self.watermarks_cover_all_launches()
         {
@@ -460,12 +437,16 @@
                 term: self.term,
                 watermarks_reliable: true,
             };
-            commit.put(&self.assignment_keys.1, store::to_raw_value(&record), None);
+            commit.put(
+                &self.store_writes.assignment_keys.1,
+                store::to_raw_value(&record),
+                None,
+            );
             batch.writes.push(BatchedWrite::WatermarksReliable);
-            self.watermarks_recorded = None;
+            self.watermarks.recorded = ReliabilityRecord::WriteInFlight;
         }
         while commit.change_count() < ops && bytes < 40_000 {
-            let Some(key) = self.stale_keys.pop() else {
+            let Some(key) = self.store_writes.stale_keys.pop() else {
                 break;
             };
             commit.delete(&key);
@@ -488,13 +469,18 @@
         idle: bool,
     ) {
         while commit.change_count() < most && *bytes < 40_000 {
-            let Some((index, stamp, record)) = self.shard.next_dirty_chunk(idle) else {
+            let Some(write) = self.shard.next_dirty_chunk(idle) else {
                 break;
             };
+            let ChunkWrite {
+                index,
+                version,
+                record,
+            } = write;
             let key = self.shard.chunk_key(index);
             let value = store::to_raw_value(&record);
             *bytes += value.get().len() + 200;
-            commit.guard(&key, stamp);
+            commit.guard(&key, version);
             commit.put(&key, value, None);
             self.shard.mark_write_in_flight(index);
             let members = record.machines.into_keys().collect();
@@ -556,7 +542,7 @@
 
     /// A transaction was carried out.
     pub fn transaction_committed(&mut self, batch: WriteBatch, stamp: u64) {
-        self.transaction_rejections = 0;
+        self.store_writes.transaction_rejections = 0;
         for item in batch.writes {
             match item {
                 BatchedWrite::JobProgress {
@@ -567,11 +553,11 @@
                     let Some(job) = self.jobs.get_mut(&id) else {
                         continue;
                     };
-                    job.write_in_flight = false;
-                    job.version = job.version.max(stamp);
-                    job.durable_watermark = job.durable_watermark.max(open);
+                    job.persistence.write_in_flight = false;
+                    job.persistence.version = job.persistence.version.max(stamp);
+                    job.persistence.durable_watermark = job.persistence.durable_watermark.max(open);
                     for x in parts.values().flat_map(TaskSet::iter) {
-                        job.durable_done.insert(x);
+                        job.persistence.durable_done.insert(x);
                     }
                 }
                 BatchedWrite::JobEnd {
@@ -591,16 +577,16 @@
                 BatchedWrite::ShardChunk { index, members } => {
                     self.shard.mark_written(index, stamp);
                     for name in members {
-                        if self.accepting_transfers.remove(&name) {
+                        if self.transfers.incoming.remove(&name) {
                             // Only now that it is on this block's record may that of its way here go.
-                            self.stale_keys.push(format!(
+                            self.store_writes.stale_keys.push(format!(
                                 "{}{}/{name}",
                                 store::MACHINE_TRANSFER_PREFIX,
                                 self.shard.id
                             ));
                         }
                         if let Some(m) = self.machines.get_mut(name.as_str()) {
-                            m.recorded = true;
+                            m.lifecycle.recorded = true;
                             let id = m.id.clone();
                             self.reindex_machine(&id, self.now);
                         }
@@ -617,7 +603,7 @@
                 BatchedWrite::MachineTransfer { machine } => self.machine_transferred(&machine),
                 BatchedWrite::WatermarksReliable => {
                     tracing::info!(term = self.term, "a successor can go by the jobs' marks");
-                    self.watermarks_recorded = Some(true);
+                    self.watermarks.recorded = ReliabilityRecord::Durable;
                 }
                 BatchedWrite::StaleKeyDeletion => {}
             }
@@ -631,7 +617,10 @@
             match item {
                 BatchedWrite::JobTransfer { id, .. } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        (job.write_in_flight, job.version_unknown) = (false, unsure);
+                        (
+                            job.persistence.write_in_flight,
+                            job.persistence.version_unknown,
+                        ) = (false, unsure);
                     }
                 }
                 BatchedWrite::MachineTransfer { machine } => self.machine_transfer_failed(machine),
@@ -641,18 +630,18 @@
                     ..
                 } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.write_in_flight = false;
-                        job.version_unknown = unsure;
-                        job.dirty_parts.extend(parts.keys());
-                        job.dirty_since.get_or_insert(now);
+                        job.persistence.write_in_flight = false;
+                        job.persistence.version_unknown = unsure;
+                        job.persistence.dirty_parts.extend(parts.keys());
+                        job.persistence.dirty_since.get_or_insert(now);
                     }
                 }
                 BatchedWrite::JobEnd { id, .. }
                 | BatchedWrite::JobRelease { id, .. }
                 | BatchedWrite::WaitingJobCancellation { id } => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.write_in_flight = false;
-                        job.version_unknown = unsure;
+                        job.persistence.write_in_flight = false;
+                        job.persistence.version_unknown = unsure;
                     }
                     self.pipeline_write_failed(id, unsure);
                 }
@@ -662,7 +651,9 @@
                     }
                 }
                 // That it may say so, though it was not told, is true all the same.
-                BatchedWrite::WatermarksReliable => self.watermarks_recorded = Some(false),
+                BatchedWrite::WatermarksReliable => {
+                    self.watermarks.recorded = ReliabilityRecord::Missing
+                }
                 BatchedWrite::ShardChunk { index, .. } if !unsure => {
                     self.shard.mark_write_failed(*index)
                 }
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -3,10 +3,9 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use crate::model::{Micros, SECOND, micros_from_seconds};
+use crate::model::{MachineId, Micros, SECOND, micros_from_seconds};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer, OfferRefusal};
-use crate::state::records::MachineId;
 use crate::wire::store::MachineTransferRecord;
 
 /// Nothing of a deleted machine comes later than this.
@@ -64,7 +63,7 @@
                         self.fleet.refusals.remove(&offer);
                     }
                     let flavor = self.machine_types[offer.machine_type].name.clone();
-                    let to = self.provisioning_for_shard.remove(&name);
+                    let to = self.transfers.provisioning_for_shard.remove(&name);
                     for m in rented.machines {
                         match to {
                             // It may have reported by now, and have been adopted.
@@ -88,12 +87,12 @@
                     }
                 } else if is_out_of_capacity(answer) || tries >= 4 {
                     self.fleet.pending_provisions.remove(&name);
-                    self.provisioning_for_shard.remove(&name);
+                    self.transfers.provisioning_for_shard.remove(&name);
                     self.record_offer_refusal(&offer, now);
                 } else if matches!(answer, Some((400, _))) {
                     tracing::error!(%name, "the cloud calls a rental request malformed");
                     self.fleet.pending_provisions.remove(&name);
-                    self.provisioning_for_shard.remove(&name);
+                    self.transfers.provisioning_for_shard.remove(&name);
                     self.record_offer_refusal(&offer, now);
                 } else {
                     // The same name again: it rents once, however often it is carried out.
@@ -157,8 +156,9 @@
         let seen = std::mem::take(&mut self.fleet.listing_entries);
         let lag = 2 * self.settings.list_lag;
         // What other blocks have and is on no list any more is gone, however old the list is.
-        let old = now > self.took_over_at + lag + MAX_MESSAGE_AGE;
-        self.machines_in_other_shards
+        let old = now > self.takeover.at + lag + MAX_MESSAGE_AGE;
+        self.other_shards
+            .machines
             .retain(|m, _| !old || seen.iter().any(|l| l.id == *m));
         let limit = self.lease_expiry_bound();
         let mut gone: Vec<MachineId> = Vec::new();
@@ -168,11 +168,11 @@
             .values_mut()
             .filter(|m| !names.contains(&*m.id))
         {
-            m.missed_listings += 1;
+            m.lifecycle.missed_listings += 1;
             // Lists lag and may be older than the one before; a machine counts as gone only when
             // it has long been silent as well, so that nothing can be left on it.
-            let old = now > m.known_since + lag + 2 * SECOND;
-            if old && m.missed_listings >= 3 && now > m.last_answered_at + limit {
+            let old = now > m.lifecycle.known_since + lag + 2 * SECOND;
+            if old && m.lifecycle.missed_listings >= 3 && now > m.worker.last_answered_at + limit {
                 gone.push(m.id.clone());
             }
         }
@@ -185,7 +185,7 @@
             .retain(|_, at| now < *at + MAX_MESSAGE_AGE + lag);
         let mut adopted = 0;
         for l in &seen {
-            if self.machines_in_other_shards.contains_key(&l.id) {
+            if self.other_shards.machines.contains_key(&l.id) {
                 continue;
             }
             if !self.machines.contains_key(l.id.as_str()) {
@@ -197,14 +197,15 @@
             }
             let age = micros_from_seconds(l.age_s);
             let m = self.machine_or_adopt(&l.id, &l.machine_type, &l.zone, l.spot, now);
-            m.missed_listings = 0;
-            if !m.in_listing {
-                m.in_listing = true;
-                m.provisioned_at = m.provisioned_at.min(now.saturating_sub(age));
+            m.lifecycle.missed_listings = 0;
+            if !m.lifecycle.in_listing {
+                m.lifecycle.in_listing = true;
+                m.lifecycle.provisioned_at =
+                    m.lifecycle.provisioned_at.min(now.saturating_sub(age));
             }
-            if l.status == "failed" && !m.deleting {
+            if l.status == "failed" && !m.lifecycle.deleting {
                 tracing::info!(machine = %m.id, why = "it failed", "returning");
-                m.deleting = true;
+                m.lifecycle.deleting = true;
             }
         }
         if adopted > 0 {
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -1,9 +1,9 @@
 //! Teams that are above their limit, since it was lowered: what is not launched after all, and what is stopped.
 
 use crate::configuration::OverLimit;
-use crate::model::{Micros, Resources, TaskId, Team};
+use crate::model::{AttemptId, Micros, Resources, TaskId, Team};
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, MachineId};
 
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
-            if !Team::within(&limit, &Resources::default(), &self.team_usage[team]) {
+            if !Team::within(&limit, &Resources::default(), &self.quota.team_usage[team]) {
                 self.enforce_team_limit(team, limit, now);
             }
         }
@@ -29,7 +29,7 @@
     fn enforce_team_limit(&mut self, team: usize, limit: Resources, now: Micros) {
         let (mut held, mut excess) = (Resources::default(), Vec::new());
         for machine in self.machines.values() {
-            for ((task, _), a) in &machine.attempts {
+            for (AttemptId { task, .. }, a) in &machine.attempts {
                 if a.team != Some(team) || !a.holds_capacity || a.stop_grace.is_some() {
                     continue;
                 }
@@ -40,7 +40,7 @@
                 } else {
                     1 + now.saturating_sub(a.phase_since)
                 };
-                if starting || self.over_limit == OverLimit::Stop {
+                if starting || self.quota.over_limit == OverLimit::Stop {
                     excess.push(ExcessAttempt {
                         ran,
                         task: task.clone(),
@@ -76,12 +76,15 @@
         let live = self
             .jobs
             .get(&task.job)
-            .and_then(|j| j.live_attempts.get(&task.index));
-        live.is_some_and(|(machine, attempt): &(MachineId, u64)| {
-            let key = (task.clone(), *attempt);
+            .and_then(|j| j.tasks.live_attempts.get(&task.index));
+        live.is_some_and(|live| {
+            let key = AttemptId {
+                task: task.clone(),
+                number: live.number,
+            };
             let attempt = self
                 .machines
-                .get(machine)
+                .get(&live.machine)
                 .and_then(|m| m.attempts.get(&key));
             attempt.is_some_and(|a| a.stop_grace.is_some())
         })
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -10,8 +10,8 @@
 use crate::model::{Micros, Resources, Team};
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
+use crate::state::job::Job;
 use crate::state::queue::QueueKey;
-use crate::state::records::Job;
 
 /// The order is worked out anew this often, for each job in it.
 const REORDER_INTERVAL_PER_JOB: Micros = 200;
@@ -24,7 +24,7 @@
     let all = job
         .spec
         .need
-        .scaled_by(i64::from(job.spec.tasks - job.done.len()));
+        .scaled_by(i64::from(job.spec.tasks - job.tasks.done.len()));
     let within = Team::within(&left[t], &Resources::default(), &all);
     left[t] -= all;
     within
@@ -54,8 +54,7 @@
                 .map(|j| self.queue_key(j, charge_guarantee(left, j)));
             queue.entries = keys.collect();
             queue.entries.sort_unstable();
-            self.scheduling_steps
-                .set(self.scheduling_steps.get() + queue.entries.len() as u64);
+            self.passes.add_steps(queue.entries.len() as u64);
         }
         for id in std::mem::take(&mut queue.arrivals) {
             let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else {
@@ -74,10 +73,16 @@
         let latest = self.latest_start(job, within);
         let facts = self.policy_inputs(job, within, latest);
         let weight = self.settings.policy.number(Setting::QueueWeight, &facts);
-        let served = self.settings.policy.number(Setting::QueueShare, &facts);
-        // As whole thousandths, so that the order is total.
-        let (weight, served) = ((weight * 1000.0) as i64, (served * 1000.0) as i64);
-        let standing = (Reverse(job.effective_priority()), !within, latest.is_none());
-        (standing, served, weight, job.ready_at, job.id.clone())
+        let share = self.settings.policy.number(Setting::QueueShare, &facts);
+        QueueKey {
+            priority: Reverse(job.effective_priority()),
+            is_above_guarantee: !within,
+            is_too_late: latest.is_none(),
+            // As whole thousandths, so that the order is total.
+            share: (share * 1000.0) as i64,
+            weight: (weight * 1000.0) as i64,
+            ready_at: job.ready_at,
+            job: job.id.clone(),
+        }
     }
 }
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -49,9 +49,9 @@
 
 /// Looks that a piece of work takes.
 fn looks(f: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
-    let before = f.c.scheduling_steps.get();
+    let before = f.c.passes.steps.get();
     work(f);
-    (f.c.scheduling_steps.get() - before) as f64
+    (f.c.passes.steps.get() - before) as f64
 }
 
 #[test]
@@ -71,7 +71,7 @@
                 let on_it: Vec<(String, u64)> = f.c.machines[name.as_str()]
                     .attempts
                     .keys()
-                    .map(|(t, attempt)| (t.to_string(), *attempt))
+                    .map(|id| (id.task.to_string(), id.number))
                     .collect();
                 let done = on_it
                     .iter()
