--- a/crates/gannethub-core/src/reconcile/attempts.rs
+++ b/crates/gannethub-core/src/reconcile/attempts.rs
@@ -4,10 +4,11 @@
 
 use gannethub_ledger::line::Reason;
 
-use crate::model::{JobId, Micros, Resources, SECOND, Shape, TaskId};
+use crate::model::{AttemptId, JobId, MachineId, Micros, Resources, SECOND, Shape, TaskId};
 use crate::saga::{AbortAction, Saga, SagaState};
+use crate::state::attempt::{Attempt, AttemptPhase, GangAttempt, LiveAttempt};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Attempt, AttemptPhase, GangAttempt, Job, MachineId};
+use crate::state::job::Job;
 use crate::state::usage;
 use crate::wire::store::TASKS_PER_PART;
 use crate::wire::worker::{ExitReason, ReportedTask, TaskState, WorkerHeartbeat};
@@ -52,9 +53,12 @@
             let Some(task_id) = TaskId::parse(&task.task) else {
                 continue;
             };
-            let key = (task_id, task.attempt);
-            reported.insert(key.clone());
-            self.apply_reported_task(id, key, task, now);
+            let attempt_id = AttemptId {
+                task: task_id,
+                number: task.attempt,
+            };
+            reported.insert(attempt_id.clone());
+            self.apply_reported_task(id, attempt_id, task, now);
         }
         self.charge_orphans_not_shown(id, heartbeat.incarnation, now);
         self.drop_missing_attempts(id, &reported, now);
@@ -63,7 +67,7 @@
     fn apply_reported_task(
         &mut self,
         id: &MachineId,
-        key: (TaskId, u64),
+        attempt_id: AttemptId,
         task: &ReportedTask<'_>,
         now: Micros,
     ) {
@@ -71,14 +75,14 @@
             return;
         };
         let phase = AttemptPhase::of(task);
-        let Some(attempt) = machine.attempts.get_mut(&key) else {
-            return self.adopt_attempt(id, key, phase, now);
+        let Some(attempt) = machine.attempts.get_mut(&attempt_id) else {
+            return self.adopt_attempt(id, attempt_id, phase, now);
         };
         if let Some(usage) = &mut attempt.usage_record {
             usage.saved |= task.saved;
         }
         if attempt.phase != phase {
-            self.change_phase(id, &key, phase, now);
+            self.change_phase(id, &attempt_id, phase, now);
         }
     }
 
@@ -86,27 +90,27 @@
     fn drop_missing_attempts(
         &mut self,
         id: &MachineId,
-        reported: &HashSet<(TaskId, u64)>,
+        reported: &HashSet<AttemptId>,
         now: Micros,
     ) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let attempts = machine.attempts.keys();
-        let missing: Vec<_> = attempts
-            .filter(|key| !reported.contains(*key))
+        let shown = machine.attempts.keys();
+        let missing: Vec<_> = shown
+            .filter(|attempt_id| !reported.contains(*attempt_id))
             .cloned()
             .collect();
-        for key in missing {
-            self.drop_missing_attempt(id, &key, now);
+        for attempt_id in missing {
+            self.drop_missing_attempt(id, &attempt_id, now);
         }
     }
 
-    fn drop_missing_attempt(&mut self, id: &MachineId, key: &(TaskId, u64), now: Micros) {
+    fn drop_missing_attempt(&mut self, id: &MachineId, attempt_id: &AttemptId, now: Micros) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(attempt) = machine.attempts.get(key) else {
+        let Some(attempt) = machine.attempts.get(attempt_id) else {
             return;
         };
         match attempt.phase {
@@ -115,12 +119,12 @@
             // The answer with the launch was lost, and workers drop late answers: it is sent again.
             AttemptPhase::Starting if attempt.stop_grace.is_none() => return,
             _ => {
-                self.release_attempt(id, key, Reason::Missing, now);
-                self.attempt_gone(key, id, None, now);
+                self.release_attempt(id, attempt_id, Reason::Missing, now);
+                self.attempt_gone(attempt_id, id, None, now);
             }
         }
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.attempts.remove(key);
+            machine.attempts.remove(attempt_id);
         }
     }
 
@@ -129,16 +133,16 @@
     fn adopt_attempt(
         &mut self,
         id: &MachineId,
-        key: (TaskId, u64),
+        attempt_id: AttemptId,
         phase: AttemptPhase,
         now: Micros,
     ) {
-        let usage_record = self.adopt_usage_record(id, &key, phase);
-        let job = self.jobs.get(&key.0.job);
+        let usage_record = self.adopt_usage_record(id, &attempt_id, phase);
+        let job = self.jobs.get(&attempt_id.task.job);
         let (resources, team) = job.map_or((Resources::default(), None), |job| {
             (job.spec.need, job.team)
         });
-        let stop_grace = self.adopt_into_job(id, &key, phase, now);
+        let stop_grace = self.adopt_into_job(id, &attempt_id, phase, now);
         let attempt = Attempt {
             phase,
             phase_since: now,
@@ -150,10 +154,10 @@
             usage_record,
         };
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.attempts.insert(key.clone(), attempt);
+            machine.attempts.insert(attempt_id.clone(), attempt);
         }
         if let AttemptPhase::Ended(reason) = phase {
-            self.charge_attempt(id, &key, usage::end_reason(reason), now);
+            self.charge_attempt(id, &attempt_id, usage::end_reason(reason), now);
         } else {
             self.adjust_usage(id, team, resources, now);
         }
@@ -163,11 +167,11 @@
     fn adopt_into_job(
         &mut self,
         id: &MachineId,
-        key: &(TaskId, u64),
+        attempt_id: &AttemptId,
         phase: AttemptPhase,
         now: Micros,
     ) -> Option<Micros> {
-        let (task, number) = (&key.0, key.1);
+        let (task, number) = (&attempt_id.task, attempt_id.number);
         if phase.is_ended() {
             if phase == AttemptPhase::Ended(ExitReason::Done) {
                 self.complete_task(task, now);
@@ -178,14 +182,18 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return Some(0);
         };
-        let is_needed =
-            !job.live_attempts.contains_key(&task.index) && !job.done.contains(task.index);
+        let is_needed = !job.tasks.live_attempts.contains_key(&task.index)
+            && !job.tasks.done.contains(task.index);
         if !is_needed || task.index >= job.spec.tasks {
             return Some(0);
         }
-        job.live_attempts.insert(task.index, (id.clone(), number));
-        job.pending.remove(task.index);
-        job.unconfirmed.remove(task.index);
+        let live = LiveAttempt {
+            machine: id.clone(),
+            number,
+        };
+        job.tasks.live_attempts.insert(task.index, live);
+        job.tasks.pending.remove(task.index);
+        job.tasks.unconfirmed.remove(task.index);
         job.request_watermark(task.index + 1);
         if job.cancelled {
             return Some(0);
@@ -199,47 +207,62 @@
     fn change_phase(
         &mut self,
         id: &MachineId,
-        key: &(TaskId, u64),
+        attempt_id: &AttemptId,
         phase: AttemptPhase,
         now: Micros,
     ) {
-        self.usage_phase_changed(id, key, phase, now);
+        self.usage_phase_changed(id, attempt_id, phase, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(attempt) = machine.attempts.get_mut(key) else {
+        let Some(attempt) = machine.attempts.get_mut(attempt_id) else {
             return;
         };
         let old_phase = std::mem::replace(&mut attempt.phase, phase);
         let entered_at = std::mem::replace(&mut attempt.phase_since, now);
         attempt.reported = true;
         // It shows what it was told to launch, so the answers reach it.
-        machine.unanswered_incarnations = 0;
+        machine.worker.unanswered_incarnations = 0;
         let run_time = match old_phase {
             AttemptPhase::Running => now.saturating_sub(entered_at),
             _ => 0,
         };
         match phase {
-            AttemptPhase::Waiting | AttemptPhase::Running => self.image_fetched(id, key, phase),
+            AttemptPhase::Waiting | AttemptPhase::Running => {
+                self.image_fetched(id, attempt_id, phase)
+            }
             AttemptPhase::Saving => {
-                if let Some(job) = self.jobs.get_mut(&key.0.job) {
-                    *job.saved_progress.entry(key.0.index).or_default() += run_time;
+                if let Some(job) = self.jobs.get_mut(&attempt_id.task.job) {
+                    *job.tasks
+                        .saved_progress
+                        .entry(attempt_id.task.index)
+                        .or_default() += run_time;
                 }
             }
-            AttemptPhase::Ended(reason) => self.attempt_ended(id, key, reason, run_time, now),
+            AttemptPhase::Ended(reason) => {
+                self.attempt_ended(id, attempt_id, reason, run_time, now)
+            }
             AttemptPhase::Starting | AttemptPhase::Fetching => {}
         }
     }
 
     /// An attempt waits for its gang or runs: its image is on the machine.
-    fn image_fetched(&mut self, id: &MachineId, key: &(TaskId, u64), phase: AttemptPhase) {
-        let Some(job) = self.jobs.get_mut(&key.0.job) else {
+    fn image_fetched(&mut self, id: &MachineId, attempt_id: &AttemptId, phase: AttemptPhase) {
+        let Some(job) = self.jobs.get_mut(&attempt_id.task.job) else {
             return;
         };
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.cached_images.insert(job.spec.image.clone());
-        }
-        if let Some(gang) = job.gang_attempt.as_mut().filter(|g| g.attempt == key.1) {
+            machine
+                .placement
+                .cached_images
+                .insert(job.spec.image.clone());
+        }
+        if let Some(gang) = job
+            .tasks
+            .gang_attempt
+            .as_mut()
+            .filter(|g| g.attempt == attempt_id.number)
+        {
             gang.running |= phase == AttemptPhase::Running;
         }
     }
@@ -248,18 +271,18 @@
     fn attempt_ended(
         &mut self,
         id: &MachineId,
-        key: &(TaskId, u64),
+        attempt_id: &AttemptId,
         reason: ExitReason,
         run_time: Micros,
         now: Micros,
     ) {
-        let has_job = self.jobs.contains_key(&key.0.job);
+        let has_job = self.jobs.contains_key(&attempt_id.task.job);
         if has_job && reason == ExitReason::Done {
-            self.record_success(id, &key.0, run_time);
+            self.record_success(id, &attempt_id.task, run_time);
         }
-        self.release_attempt(id, key, usage::end_reason(reason), now);
+        self.release_attempt(id, attempt_id, usage::end_reason(reason), now);
         if has_job {
-            self.attempt_gone(key, id, Some(reason), now);
+            self.attempt_gone(attempt_id, id, Some(reason), now);
         }
     }
 
@@ -269,13 +292,16 @@
             return;
         };
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.cached_images.insert(job.spec.image.clone());
-            machine.failures_by_job.clear();
+            machine
+                .placement
+                .cached_images
+                .insert(job.spec.image.clone());
+            machine.placement.failures_by_job.clear();
         }
         if run_time == 0 || job.spec.estimate == 0 {
             return;
         }
-        let run_time = run_time + job.saved_progress.remove(&task.index).unwrap_or(0);
+        let run_time = run_time + job.tasks.saved_progress.remove(&task.index).unwrap_or(0);
         let (least, most) = RUNTIME_RATIO_RANGE;
         let ratio = (run_time as f64 / job.spec.estimate as f64).clamp(least, most);
         let learned = self
@@ -289,25 +315,25 @@
     fn release_attempt(
         &mut self,
         id: &MachineId,
-        key: &(TaskId, u64),
+        attempt_id: &AttemptId,
         reason: Reason,
         now: Micros,
     ) {
-        self.charge_attempt(id, key, reason, now);
+        self.charge_attempt(id, attempt_id, reason, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let held = machine.attempts.get_mut(key);
+        let held = machine.attempts.get_mut(attempt_id);
         let Some(attempt) = held.filter(|attempt| attempt.holds_capacity) else {
             return;
         };
         attempt.holds_capacity = false;
         let (resources, team) = (attempt.resources, attempt.team);
         if !machine.holds_capacity() {
-            machine.idle_since = now;
+            machine.placement.idle_since = now;
         }
-        self.capacity_freed = true;
-        self.pass_needed = true;
+        self.passes.capacity_freed = true;
+        self.passes.needed = true;
         self.adjust_usage(id, team, resources.scaled_by(-1), now);
     }
 
@@ -319,23 +345,23 @@
         if job.cancelled || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
             return;
         }
-        let is_first_success = job.done.is_empty();
+        let is_first_success = job.tasks.done.is_empty();
         // The tasks of a gang complete together: one done means every one is.
         let completed = match job.spec.shape {
             Shape::Gang => 0..job.spec.tasks,
             _ => task.index..task.index + 1,
         };
         for index in completed {
-            job.done.insert(index);
-            job.pending.remove(index);
-            job.unconfirmed.remove(index);
-            job.backoff.remove(&index);
-            job.dirty_parts.insert(index / TASKS_PER_PART);
-            if let Some(gang) = &mut job.gang_attempt {
+            job.tasks.done.insert(index);
+            job.tasks.pending.remove(index);
+            job.tasks.unconfirmed.remove(index);
+            job.tasks.backoff.remove(&index);
+            job.persistence.dirty_parts.insert(index / TASKS_PER_PART);
+            if let Some(gang) = &mut job.tasks.gang_attempt {
                 gang.saga.commit(&index);
             }
         }
-        job.dirty_since.get_or_insert(now);
+        job.persistence.dirty_since.get_or_insert(now);
         if job.is_finished() {
             job.saga.commit(&0);
             debug_assert_eq!(job.saga.state(), SagaState::Committed);
@@ -349,27 +375,27 @@
     /// vanished, with its machine or without a word.
     fn attempt_gone(
         &mut self,
-        key: &(TaskId, u64),
+        attempt_id: &AttemptId,
         id: &MachineId,
         reason: Option<ExitReason>,
         now: Micros,
     ) {
-        let (task, number) = (&key.0, key.1);
+        let (task, number) = (&attempt_id.task, attempt_id.number);
         if reason == Some(ExitReason::Done) {
             self.complete_task(task, now);
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let live = job.live_attempts.get(&task.index);
-        if !live.is_some_and(|(machine, attempt)| *attempt == number && machine == id) {
+        let live = job.tasks.live_attempts.get(&task.index);
+        if !live.is_some_and(|live| live.number == number && live.machine == *id) {
             return;
         }
-        job.live_attempts.remove(&task.index);
-        if job.cancelled || job.done.contains(task.index) {
+        job.tasks.live_attempts.remove(&task.index);
+        if job.cancelled || job.tasks.done.contains(task.index) {
             return;
         }
-        job.pending.insert(task.index);
+        job.tasks.pending.insert(task.index);
         match reason {
             Some(ExitReason::Error) => self.record_task_failure(task, id, now),
             Some(refusal @ (ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown)) => {
@@ -394,11 +420,11 @@
             _ => REFUSED_LAUNCH_BACKOFF,
         };
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            let failures = job.backoff.get(&task.index).map_or(0, |b| b.1);
-            job.backoff.insert(task.index, (now + backoff, failures));
+            let task_backoff = job.tasks.backoff.entry(task.index).or_default();
+            task_backoff.until = now + backoff;
         }
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.unschedulable_until = now + REFUSING_MACHINE_BACKOFF;
+            machine.placement.unschedulable_until = now + REFUSING_MACHINE_BACKOFF;
         }
     }
 
@@ -408,7 +434,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let gang = job.gang_attempt.as_mut();
+        let gang = job.tasks.gang_attempt.as_mut();
         let Some(gang) = gang.filter(|gang| gang.attempt == number) else {
             return;
         };
@@ -418,8 +444,8 @@
             aborts = gang.saga.abort_element(&task.index);
             gang.stopping = true;
         }
-        if job.live_attempts.is_empty() {
-            job.gang_attempt = None;
+        if job.tasks.live_attempts.is_empty() {
+            job.tasks.gang_attempt = None;
         }
         self.stop_aborted_tasks(&task.job, aborts);
     }
@@ -430,9 +456,9 @@
                 continue;
             };
             let job = self.jobs.get(id);
-            let live = job.and_then(|job| job.live_attempts.get(&index).cloned());
-            if let Some((machine, number)) = live {
-                self.stop_attempt(id, index, &machine, number, 0);
+            let live = job.and_then(|job| job.tasks.live_attempts.get(&index).cloned());
+            if let Some(live) = live {
+                self.stop_attempt(id, index, &live.machine, live.number, 0);
             }
         }
     }
@@ -442,20 +468,20 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.heartbeat_digest = None;
-        let keys: Vec<_> = machine.attempts.keys().cloned().collect();
+        machine.worker.heartbeat_digest = None;
+        let attempt_ids: Vec<_> = machine.attempts.keys().cloned().collect();
         let attempts = machine.attempts.values();
         let tasks = attempts.filter(|attempt| attempt.holds_capacity).count();
         if tasks > 0 {
             tracing::info!(machine = %id, tasks, why, "tasks lost");
         }
         self.record_unmetered_interval(id, now);
-        for key in keys {
-            self.release_attempt(id, &key, reason, now);
+        for attempt_id in attempt_ids {
+            self.release_attempt(id, &attempt_id, reason, now);
             let machine = self.machines.get_mut(id);
-            let lost = machine.and_then(|machine| machine.attempts.remove(&key));
+            let lost = machine.and_then(|machine| machine.attempts.remove(&attempt_id));
             if lost.is_some_and(|attempt| !attempt.phase.is_ended()) {
-                self.attempt_gone(&key, id, None, now);
+                self.attempt_gone(&attempt_id, id, None, now);
             }
         }
     }
@@ -468,9 +494,9 @@
         let Some(machine) = self.machines.remove(id) else {
             return;
         };
-        if let Some(bucket) = machine.capacity_bucket {
+        if let Some(bucket) = machine.placement.capacity_bucket {
             self.capacity_index
-                .remove(bucket, id, machine.indexed_free_cpu);
+                .remove(bucket, id, machine.placement.indexed_free_cpu);
         }
     }
 }
@@ -479,7 +505,7 @@
 /// another gang attempt.
 fn join_gang_attempt(job: &mut Job, number: u64, phase: AttemptPhase) -> bool {
     let tasks = job.spec.tasks;
-    let gang = job.gang_attempt.get_or_insert_with(|| GangAttempt {
+    let gang = job.tasks.gang_attempt.get_or_insert_with(|| GangAttempt {
         attempt: number,
         saga: Saga::independent(tasks),
         running: false,
--- a/crates/gannethub-core/src/reconcile/cancellation.rs
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -1,7 +1,8 @@
 //! Cancellations by users.
 
-use crate::model::{TaskId, TaskSet};
+use crate::model::{AttemptId, TaskId, TaskSet};
 use crate::saga::AbortAction;
+use crate::state::attempt::LiveAttempt;
 use crate::state::cluster::Cluster;
 
 impl Cluster {
@@ -9,7 +10,7 @@
     /// job's record is still read, and applied like any other.
     pub fn apply_remote_cancellation(&mut self, id: &str) {
         let is_upstream_only =
-            self.pipelines.waiting.contains_key(id) || self.jobs_in_other_shards.contains_key(id);
+            self.pipelines.waiting.contains_key(id) || self.other_shards.jobs.contains_key(id);
         if self.jobs.get(id).is_some_and(|job| !job.cancelled) {
             self.cancel_job(id);
         } else if is_upstream_only {
@@ -17,7 +18,7 @@
         } else {
             return;
         }
-        self.pass_needed = true;
+        self.passes.needed = true;
     }
 
     /// The user cancelled a job: its saga aborts, what runs of it is stopped, and nothing of it starts from here on.
@@ -26,26 +27,25 @@
             return;
         };
         job.cancelled = true;
-        job.pending = TaskSet::default();
-        job.dirty_since = Some(0);
+        job.tasks.pending = TaskSet::default();
+        job.persistence.dirty_since = Some(0);
         let actions = job.saga.abort();
         let live: Vec<_> = job
+            .tasks
             .live_attempts
             .iter()
-            .map(|(index, place)| (*index, place.clone()))
+            .map(|(index, attempt)| (*index, attempt.clone()))
             .collect();
         tracing::info!(job = id, tasks = live.len(), "cancelled");
         self.mark_upstream_cancelled(id);
         if !actions.contains(&AbortAction::Cancel(0)) {
             return;
         }
-        for (index, (machine, attempt)) in live {
-            self.stop_attempt(id, index, &machine, attempt, 0);
-            let task = TaskId {
-                job: id.into(),
-                index,
-            };
-            self.queue_kill_order(&machine, task, attempt);
+        for (index, LiveAttempt { machine, number }) in live {
+            self.stop_attempt(id, index, &machine, number, 0);
+            let job = id.into();
+            let task = TaskId { job, index };
+            self.queue_kill_order(&machine, AttemptId { task, number });
         }
     }
 }
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -15,24 +15,25 @@
     pub fn apply_settings(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
         let mut shard_settings = (**settings).clone();
         let has_same_count = self.settings.teams.len() == settings.teams.len();
-        if has_same_count && self.cluster_teams == settings.teams {
+        if has_same_count && self.quota.cluster_teams == settings.teams {
             // The shard keeps to its part of limits that have not changed.
             shard_settings.teams.clone_from(&self.settings.teams);
         }
         let teams = shard_settings.teams.len();
-        self.team_usage.resize(teams, Resources::default());
-        self.unconfirmed
+        self.quota.team_usage.resize(teams, Resources::default());
+        self.takeover
+            .unconfirmed
             .possible_usage
             .resize(teams, Resources::default());
-        self.cluster_teams.clone_from(&settings.teams);
+        self.quota.cluster_teams.clone_from(&settings.teams);
         self.apply_kill_order_rate(&shard_settings);
         self.settings = Arc::new(shard_settings);
-        self.over_limit = over_limit;
+        self.quota.over_limit = over_limit;
         self.resolve_teams();
         self.enforce_limits(now);
-        self.pass_needed = true;
-        self.next_pass_at = now;
-        self.next_plan_at = now;
+        self.passes.needed = true;
+        self.passes.next_at = now;
+        self.passes.next_plan_at = now;
     }
 
     /// Limits the rate of kill orders anew if its setting has changed. Pending ones stay.
@@ -52,13 +53,13 @@
         for job in self.jobs.values_mut().filter(|job| job.team.is_none()) {
             job.team = self.settings.team(&job.spec.team);
         }
-        let (jobs, team_usage) = (&self.jobs, &mut self.team_usage);
+        let (jobs, team_usage) = (&self.jobs, &mut self.quota.team_usage);
         let machines = self.machines.values_mut();
-        for ((task, _), attempt) in machines.flat_map(|machine| &mut machine.attempts) {
+        for (id, attempt) in machines.flat_map(|machine| &mut machine.attempts) {
             if attempt.team.is_some() {
                 continue;
             }
-            attempt.team = jobs.get(&task.job).and_then(|job| job.team);
+            attempt.team = jobs.get(&id.task.job).and_then(|job| job.team);
             if let Some(team) = attempt.team.filter(|_| attempt.holds_capacity) {
                 team_usage[team] += attempt.resources;
             }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -7,9 +7,9 @@
 
 use gannethub_ledger::line::Reason;
 
-use crate::model::{Micros, SECOND, seconds_from_micros};
+use crate::model::{MachineId, Micros, SECOND, seconds_from_micros};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Machine, MachineId};
+use crate::state::machine::Machine;
 use crate::state::shard::ShardMember;
 use crate::wire::worker::{Order, WorkerHeartbeat};
 
@@ -76,7 +76,7 @@
         if !is_known && self.shard.id != 0 {
             return Some(HeartbeatOutcome::OtherShard(None));
         }
-        if let Some(shard) = self.machines_in_other_shards.get(&*heartbeat.machine) {
+        if let Some(shard) = self.other_shards.machines.get(&*heartbeat.machine) {
             return Some(HeartbeatOutcome::OtherShard(Some(*shard)));
         }
         if heartbeat.token > self.term {
@@ -109,25 +109,25 @@
             heartbeat.spot,
             now,
         );
-        let latest = (machine.incarnation, machine.sequence);
+        let latest = (machine.worker.incarnation, machine.worker.sequence);
         if (heartbeat.incarnation, heartbeat.sequence) <= latest
-            || heartbeat.incarnation <= machine.lost_incarnation
+            || heartbeat.incarnation <= machine.worker.lost_incarnation
         {
             return None;
         }
         let booted = mark_up(machine, is_known, now);
-        let is_new_incarnation = heartbeat.incarnation > machine.incarnation;
-        let is_first_contact = is_new_incarnation || !machine.confirmed;
+        let is_new_incarnation = heartbeat.incarnation > machine.worker.incarnation;
+        let is_first_contact = is_new_incarnation || !machine.worker.confirmed;
         if is_new_incarnation && machine.ended_unanswered(now, lease) {
             record_unanswered_incarnation(machine, now, lease);
         }
         record_heartbeat(machine, heartbeat, now, max_interval);
-        if is_first_contact || machine.address.is_none() {
-            machine.address = heartbeat.address.parse().ok();
+        if is_first_contact || machine.worker.address.is_none() {
+            machine.worker.address = heartbeat.address.parse().ok();
         }
         let is_preemption_announced =
-            heartbeat.preemption_notice_s.is_some() && !machine.preemption_notice;
-        machine.preemption_notice |= is_preemption_announced;
+            heartbeat.preemption_notice_s.is_some() && !machine.lifecycle.preemption_notice;
+        machine.lifecycle.preemption_notice |= is_preemption_announced;
         Some(MachineChanges {
             id: machine.id.clone(),
             zone: machine.zone.clone(),
@@ -156,7 +156,7 @@
                 now,
             );
         }
-        self.pass_needed |= changes.is_first_contact;
+        self.passes.needed |= changes.is_first_contact;
         if changes.is_new_incarnation {
             // The worker killed and forgot all it had when its lease ended.
             self.lose_attempts(&changes.id, now, Reason::Lease, "its worker started anew");
@@ -168,10 +168,10 @@
         let is_unrecorded = self
             .machines
             .get(id)
-            .is_some_and(|machine| !machine.recorded && !machine.deleting);
+            .is_some_and(|machine| !machine.lifecycle.recorded && !machine.lifecycle.deleting);
         if is_unrecorded && !self.shard.contains(id) {
             let member = ShardMember {
-                flavor: heartbeat.machine_type.to_string(),
+                machine_type: heartbeat.machine_type.to_string(),
                 zone: heartbeat.zone.to_string(),
                 spot: heartbeat.spot,
             };
@@ -188,21 +188,25 @@
     ) {
         let (id, zone) = (&changes.id, &changes.zone);
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.confirmed = true;
+            machine.worker.confirmed = true;
         }
         if changes.is_preemption_announced {
             tracing::info!(machine = %id, "preemption notice");
-            self.pass_needed = true;
+            self.passes.needed = true;
         }
-        if self.unreachable_zones.remove(zone).is_some() {
+        if self.zones.unreachable.remove(zone).is_some() {
             tracing::info!(%zone, "a zone is heard again");
         }
         self.reconcile_if_changed(id, now, heartbeat);
-        if self.machines.get(id).is_some_and(|m| m.preemption_notice) {
+        if self
+            .machines
+            .get(id)
+            .is_some_and(|m| m.lifecycle.preemption_notice)
+        {
             self.drain_machine(id);
         }
         self.reindex_machine(id, now);
-        if std::mem::take(&mut self.capacity_freed) {
+        if std::mem::take(&mut self.passes.capacity_freed) {
             // What came free is used at once: the launches go out with this very answer.
             self.use_freed_capacity(id, now);
         }
@@ -216,13 +220,13 @@
         heartbeat: &WorkerHeartbeat<'_>,
     ) {
         let digest = Some(heartbeat_digest(heartbeat));
-        let has_changed = |machine: &Machine| machine.heartbeat_digest != digest;
+        let has_changed = |machine: &Machine| machine.worker.heartbeat_digest != digest;
         if !self.machines.get(id).is_some_and(has_changed) {
             return;
         }
         self.reconcile_attempts(id, now, heartbeat);
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.heartbeat_digest = digest;
+            machine.worker.heartbeat_digest = digest;
         }
     }
 }
@@ -230,14 +234,14 @@
 /// Marks a machine as up with its first heartbeat. Returns its type and how long it took to boot, where it is known
 /// when it was provisioned.
 fn mark_up(machine: &mut Machine, is_known: bool, now: Micros) -> Option<(usize, Micros)> {
-    if machine.is_up {
+    if machine.lifecycle.is_up {
         return None;
     }
-    let boot_time = now.saturating_sub(machine.provisioned_at);
+    let boot_time = now.saturating_sub(machine.lifecycle.provisioned_at);
     let boot_s = seconds_from_micros(boot_time) as u32;
     tracing::info!(machine = %machine.id, known = is_known, boot_s, "machine is up");
-    machine.is_up = true;
-    machine.idle_since = now;
+    machine.lifecycle.is_up = true;
+    machine.placement.idle_since = now;
     // An adopted machine was provisioned by somebody else at an unknown time.
     let machine_type = machine.machine_type.filter(|_| is_known)?;
     Some((machine_type, boot_time))
@@ -246,10 +250,10 @@
 /// Heartbeats arrive from this machine and the answers do not reach it. Whatever is placed there is lost with each
 /// incarnation, and as its capacity may be the cheapest of all, it would be placed there again and again.
 fn record_unanswered_incarnation(machine: &mut Machine, now: Micros, lease: Micros) {
-    machine.unanswered_incarnations += 1;
-    let count = machine.unanswered_incarnations;
-    machine.unschedulable_until = now + (lease << count.min(MAX_UNANSWERED_INCARNATIONS));
-    machine.quarantined |= count >= MAX_UNANSWERED_INCARNATIONS;
+    machine.worker.unanswered_incarnations += 1;
+    let count = machine.worker.unanswered_incarnations;
+    machine.placement.unschedulable_until = now + (lease << count.min(MAX_UNANSWERED_INCARNATIONS));
+    machine.lifecycle.quarantined |= count >= MAX_UNANSWERED_INCARNATIONS;
     tracing::info!(machine = %machine.id, incarnations = count, "its worker gets no answers");
 }
 
@@ -260,17 +264,18 @@
     now: Micros,
     max_interval: Micros,
 ) {
-    let is_new_incarnation = heartbeat.incarnation > machine.incarnation;
-    let is_gap_in_sequence = heartbeat.sequence > machine.sequence + 1;
+    let is_new_incarnation = heartbeat.incarnation > machine.worker.incarnation;
+    let is_gap_in_sequence = heartbeat.sequence > machine.worker.sequence + 1;
     // A late heartbeat was held up while its worker tried another controller.
     let is_late = machine
+        .worker
         .last_heartbeat_at
         .is_some_and(|last| now > last + max_interval);
-    machine.missed_heartbeats = is_new_incarnation || is_gap_in_sequence || is_late;
-    machine.incarnation = heartbeat.incarnation;
-    machine.sequence = heartbeat.sequence;
-    machine.previous_heartbeat_at = machine.last_heartbeat_at.replace(now);
-    machine.last_answered_at = now;
+    machine.worker.missed_heartbeats = is_new_incarnation || is_gap_in_sequence || is_late;
+    machine.worker.incarnation = heartbeat.incarnation;
+    machine.worker.sequence = heartbeat.sequence;
+    machine.worker.previous_heartbeat_at = machine.worker.last_heartbeat_at.replace(now);
+    machine.worker.last_answered_at = now;
 }
 
 /// A hash of the attempts that a heartbeat lists and of their states. A heartbeat with the digest of the last one
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -7,7 +7,7 @@
 use super::transaction::TransactionBuilder;
 use crate::model::{JobId, Micros, SECOND, TaskSet, seconds_from_micros};
 use crate::state::cluster::Cluster;
-use crate::state::records::Job;
+use crate::state::job::Job;
 use crate::state::usage::job_owner;
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{
@@ -50,7 +50,8 @@
     /// Adds writes of jobs' records, as far as they fit.
     pub(super) fn add_job_writes(&mut self, builder: &mut TransactionBuilder, now: Micros) {
         let jobs = self.jobs.values();
-        let writable = jobs.filter(|job| !job.write_in_flight && !job.version_unknown);
+        let writable =
+            jobs.filter(|job| !job.persistence.write_in_flight && !job.persistence.version_unknown);
         let mut due: Vec<DueWrite> = writable
             .filter_map(|job| self.due_write(job, now))
             .collect();
@@ -75,20 +76,31 @@
             let id = job.id.clone();
             Some(DueWrite { reason, since, id })
         };
-        let moves = job.home_shard.is_some_and(|home| home != self.shard.id);
+        let moves = job
+            .scheduling
+            .home_shard
+            .is_some_and(|home| home != self.shard.id);
         if moves && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
         }
         if job.is_finished() {
-            return due(WriteReason::Finished, job.dirty_since.unwrap_or(0));
+            return due(
+                WriteReason::Finished,
+                job.persistence.dirty_since.unwrap_or(0),
+            );
         }
-        if job.cancelled && job.live_attempts.is_empty() && self.settled {
+        if job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.settled {
             return due(WriteReason::Cancelled, 0);
         }
-        if job.requested_watermark > job.durable_watermark && !self.launches_without_watermark {
+        if job.persistence.requested_watermark > job.persistence.durable_watermark
+            && !self.watermarks.not_required
+        {
             return due(WriteReason::Watermark, 0);
         }
-        let dirty_since = job.dirty_since.filter(|_| !job.dirty_parts.is_empty())?;
+        let dirty_since = job
+            .persistence
+            .dirty_since
+            .filter(|_| !job.persistence.dirty_parts.is_empty())?;
         if now < dirty_since + PROGRESS_WRITE_DELAY {
             return None;
         }
@@ -101,7 +113,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let Some(home) = job.home_shard else {
+        let Some(home) = job.scheduling.home_shard else {
             return true;
         };
         if !builder.fits(1) {
@@ -109,10 +121,10 @@
         }
         let record = job_record(job, home);
         let key = store::live_job_key(&id);
-        builder.transaction.guard(&key, job.version);
+        builder.transaction.guard(&key, job.persistence.version);
         builder.transaction.put(&key, record.to_value(), None);
         builder.add_bytes(JOB_RECORD_BYTES);
-        job.write_in_flight = true;
+        job.persistence.write_in_flight = true;
         let record = Box::new(record);
         let write = BatchedWrite::JobTransfer { id, record };
         builder.batch.push(write, key);
@@ -129,7 +141,7 @@
         }
         let cancelled = job.cancelled;
         let key = store::live_job_key(&id);
-        builder.transaction.guard(&key, job.version);
+        builder.transaction.guard(&key, job.persistence.version);
         let record = FinishedJobRecord {
             cancelled,
             tasks: job.spec.tasks,
@@ -137,7 +149,7 @@
         };
         builder.transaction.end_job(&id, &record);
         builder.add_bytes(JOB_END_BYTES);
-        job.write_in_flight = true;
+        job.persistence.write_in_flight = true;
         let write = BatchedWrite::JobEnd {
             id,
             cancelled,
@@ -157,24 +169,28 @@
             return true;
         };
         let value = progress_value(job, self.shard.id, value_bytes);
-        let has_dirty_parts = job.dirty_parts.iter().any(|part| *part > 0 || job.overflow);
+        let has_dirty_parts = job
+            .persistence
+            .dirty_parts
+            .iter()
+            .any(|part| *part > 0 || job.persistence.overflow);
         if !builder.fits(1 + usize::from(has_dirty_parts)) {
             return false;
         }
         let max_parts = builder.remaining_changes() - 1;
         let key = store::live_job_key(&id);
-        builder.transaction.guard(&key, job.version);
+        builder.transaction.guard(&key, job.persistence.version);
         builder.transaction.put(&key, value, None);
         builder.add_bytes(JOB_RECORD_BYTES);
         let done_parts = add_done_parts(builder, job, max_parts);
-        if job.dirty_parts.is_empty() {
-            job.dirty_since = None;
+        if job.persistence.dirty_parts.is_empty() {
+            job.persistence.dirty_since = None;
         }
-        job.write_in_flight = true;
+        job.persistence.write_in_flight = true;
         let write = BatchedWrite::JobProgress {
             id,
             done_parts,
-            watermark: job.requested_watermark,
+            watermark: job.persistence.requested_watermark,
         };
         builder.batch.push(write, key);
         true
@@ -195,14 +211,14 @@
 /// on the job overflows, and the first part has a key of its own like all others.
 fn progress_value(job: &mut Job, shard: u32, value_bytes: usize) -> Box<RawValue> {
     let mut record = job_record(job, shard);
-    record.watermark = Some(job.requested_watermark);
-    record.done = store::encode_done_part(&job.done, 0);
+    record.watermark = Some(job.persistence.requested_watermark);
+    record.done = store::encode_done_part(&job.tasks.done, 0);
     let value = record.to_value();
-    if !job.overflow && value.get().len() + VALUE_SLACK_BYTES > value_bytes {
-        job.overflow = true;
-        job.dirty_parts.insert(0);
+    if !job.persistence.overflow && value.get().len() + VALUE_SLACK_BYTES > value_bytes {
+        job.persistence.overflow = true;
+        job.persistence.dirty_parts.insert(0);
     }
-    if !job.overflow {
+    if !job.persistence.overflow {
         return value;
     }
     // Both keys change in one transaction. Whoever reads the parts, earlier releases included, takes part 0 for what
@@ -219,17 +235,23 @@
     max_parts: usize,
 ) -> BTreeMap<u32, TaskSet> {
     let mut written = BTreeMap::new();
-    if !job.overflow {
-        job.dirty_parts.remove(&0);
-        written.insert(0, job.done.slice(0, TASKS_PER_PART));
+    if !job.persistence.overflow {
+        job.persistence.dirty_parts.remove(&0);
+        written.insert(0, job.tasks.done.slice(0, TASKS_PER_PART));
     }
-    let parts: Vec<u32> = job.dirty_parts.iter().copied().take(max_parts).collect();
+    let parts: Vec<u32> = job
+        .persistence
+        .dirty_parts
+        .iter()
+        .copied()
+        .take(max_parts)
+        .collect();
     for part in parts {
-        let done = store::encode_done_part(&job.done, part);
-        job.dirty_parts.remove(&part);
+        let done = store::encode_done_part(&job.tasks.done, part);
+        job.persistence.dirty_parts.remove(&part);
         builder.add_value_bytes(done.len());
         let first = part * TASKS_PER_PART;
-        written.insert(part, job.done.slice(first, first + TASKS_PER_PART));
+        written.insert(part, job.tasks.done.slice(first, first + TASKS_PER_PART));
         let key = store::done_part_key(&job.id, part);
         let value = store::to_raw_value(&DonePartRecord { done });
         builder.transaction.put(&key, value, None);
--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -2,9 +2,9 @@
 
 use gannethub_ledger::line::Reason;
 
-use crate::model::{Micros, Resources, SECOND};
+use crate::model::{MachineId, Micros, Resources, SECOND};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Job, MachineId};
+use crate::state::job::Job;
 
 /// All machines are scanned this often for each machine there is, so that scanning costs a fixed share of the time ...
 const SCAN_INTERVAL_PER_MACHINE: Micros = 50;
@@ -23,11 +23,11 @@
         }
         self.machines_scanned_at = now;
         self.total_capacity = Resources::default();
-        for machine in self.machines.values().filter(|m| m.is_up) {
+        for machine in self.machines.values().filter(|m| m.lifecycle.is_up) {
             self.total_capacity += machine.capacity;
         }
         self.expire_leases(now);
-        if !self.settled {
+        if !self.takeover.settled {
             self.settle_takeover(now);
         }
         self.reindex_changed_machines(now);
@@ -39,7 +39,7 @@
     fn is_scan_due(&self, now: Micros) -> bool {
         let interval = SCAN_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
         let due_at = self.machines_scanned_at + interval.min(MAX_SCAN_INTERVAL);
-        !self.settled || now >= due_at
+        !self.takeover.settled || now >= due_at
     }
 
     /// Gives up what was on machines whose workers' leases are over.
@@ -48,15 +48,18 @@
         let expired: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| now > machine.last_answered_at + bound)
-            .filter(|machine| !machine.confirmed || !machine.attempts.is_empty())
+            .filter(|machine| now > machine.worker.last_answered_at + bound)
+            .filter(|machine| !machine.worker.confirmed || !machine.attempts.is_empty())
             .map(|machine| machine.id.clone())
             .collect();
         for id in expired {
             self.lose_attempts(&id, now, Reason::Lease, "its lease ran out");
             self.charge_orphans(&id, Reason::Lease, now);
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.lost_incarnation = machine.lost_incarnation.max(machine.incarnation);
+                machine.worker.lost_incarnation = machine
+                    .worker
+                    .lost_incarnation
+                    .max(machine.worker.incarnation);
             }
         }
     }
@@ -68,7 +71,7 @@
         if unconfirmed == 0 {
             let (machines, jobs) = (self.machines.len(), self.jobs.len());
             tracing::info!(machines, jobs, "settled");
-            self.settled = true;
+            self.takeover.settled = true;
         }
     }
 
@@ -79,24 +82,25 @@
     /// and their work goes on: they are waited for.
     fn return_few_silent_machines(&mut self, now: Micros, unconfirmed: usize) {
         let few = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
-        let all_heard_by = self.took_over_at + 2 * self.settings.report + 2 * SECOND;
+        let all_heard_by = self.takeover.at + 2 * self.settings.report + 2 * SECOND;
         if now <= all_heard_by || unconfirmed > few {
             return;
         }
         let bound = self.lease_expiry_bound();
         for machine in self.machines.values_mut() {
-            if machine.is_unconfirmed(now, bound) && !machine.deleting {
+            if machine.is_unconfirmed(now, bound) && !machine.lifecycle.deleting {
                 tracing::info!(machine = %machine.id, why = "it holds up a takeover", "returning");
-                machine.deleting = true;
+                machine.lifecycle.deleting = true;
             }
         }
     }
 
     /// The next attempt of a gang is a new one once nothing of the last one is left.
     fn drop_empty_gang_attempts(&mut self) {
-        let is_empty = |job: &&mut Job| job.live_attempts.is_empty() && job.gang_attempt.is_some();
+        let is_empty =
+            |job: &&mut Job| job.tasks.live_attempts.is_empty() && job.tasks.gang_attempt.is_some();
         for job in self.jobs.values_mut().filter(is_empty) {
-            job.gang_attempt = None;
+            job.tasks.gang_attempt = None;
         }
     }
 }
--- a/crates/gannethub-core/src/reconcile/orders.rs
+++ b/crates/gannethub-core/src/reconcile/orders.rs
@@ -3,9 +3,11 @@
 //! Orders follow from the state alone and are repeated with every answer until the worker shows that it carried them
 //! out, so a lost answer needs no bookkeeping.
 
-use crate::model::{Micros, SECOND, Shape, TaskId};
+use crate::model::{AttemptId, MachineId, Micros, SECOND, Shape, TaskId};
+use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::Cluster;
-use crate::state::records::{Attempt, AttemptPhase, Job, Machine, MachineId};
+use crate::state::job::Job;
+use crate::state::machine::Machine;
 use crate::wire::worker::{ExitReason, Order};
 
 /// The most orders in one answer, or in one push: this keeps the body below the 64 KiB that workers read.
@@ -19,8 +21,8 @@
         };
         let mut launches = Vec::new();
         let mut orders = Vec::new();
-        for (key, attempt) in &machine.attempts {
-            match self.order_for(machine, key, attempt) {
+        for (attempt_id, attempt) in &machine.attempts {
+            match self.order_for(machine, attempt_id, attempt) {
                 Some(launch @ Order::Start { .. }) => launches.push(launch),
                 Some(order) => orders.push(order),
                 None => {}
@@ -38,16 +40,16 @@
     fn order_for(
         &self,
         machine: &Machine,
-        key: &(TaskId, u64),
+        attempt_id: &AttemptId,
         attempt: &Attempt,
     ) -> Option<Order> {
-        let (task, number) = (&key.0, key.1);
+        let (task, number) = (&attempt_id.task, attempt_id.number);
         let job = self.jobs.get(&task.job);
         // An attempt of no live job has to end.
         let stop_grace = job.map_or(Some(0), |_| attempt.stop_grace);
         match (attempt.phase, stop_grace) {
             (AttemptPhase::Ended(reason), _) => (is_durable(job, task.index, reason)
-                && self.is_usage_settled(machine, key))
+                && self.is_usage_settled(machine, attempt_id))
             .then(|| forget_order(task, number)),
             // It is saving its progress already, which is what the grace is for.
             (AttemptPhase::Saving, Some(grace)) if grace > 0 => None,
@@ -66,7 +68,9 @@
     let Some(job) = job.filter(|_| reason == ExitReason::Done) else {
         return true;
     };
-    job.cancelled || job.durable_done.contains(index) || job.spec.shape == Shape::Service
+    job.cancelled
+        || job.persistence.durable_done.contains(index)
+        || job.spec.shape == Shape::Service
 }
 
 fn start_order(task: &TaskId, attempt: u64) -> Order {
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -8,7 +8,8 @@
 use super::transaction::TransactionBuilder;
 use crate::model::{JobId, seconds_from_micros};
 use crate::state::cluster::Cluster;
-use crate::state::pipeline::{DependencyOutcome, PipelineEffects, WaitingJob};
+use crate::state::dependencies::{DependencyOutcome, PipelineEffects};
+use crate::state::pipeline::WaitingJob;
 use crate::state::shard_load;
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{self, FinishedJobRecord, JobRecord, WaitingRecord};
@@ -46,7 +47,7 @@
         if self.shard.id != 0 {
             return;
         }
-        if self.jobs.contains_key(&id) || self.has_tombstone(&id, version) {
+        if self.jobs.contains_key(&id) || self.store_writes.has_tombstone(&id, version) {
             return;
         }
         let is_cancelled = record.cancelled;
@@ -79,7 +80,7 @@
         is_cancelled: bool,
     ) -> PipelineEffects {
         let (jobs, waiting) = (&self.jobs, &self.pipelines.waiting);
-        let in_other_shards = &self.jobs_in_other_shards;
+        let in_other_shards = &self.other_shards.jobs;
         let outcome = |id: &JobId| match jobs.get(id) {
             Some(job) if job.cancelled => DependencyOutcome::Cancelled,
             Some(_) => DependencyOutcome::Live,
@@ -153,8 +154,11 @@
             job.write_in_flight = true;
             let write = match write {
                 WaitingJobWrite::Release => {
-                    let shard =
-                        shard_load::choose_home_shard(&mut self.shard_loads, u32::MAX, &job.spec);
+                    let shard = shard_load::choose_home_shard(
+                        &mut self.other_shards.loads,
+                        u32::MAX,
+                        &job.spec,
+                    );
                     let record = released_record(job, shard, self.unix_time);
                     builder.transaction.put(&key, record.to_value(), None);
                     let record = Box::new(record);
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -11,7 +11,7 @@
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
 use crate::state::shard::ShardMember;
-use crate::state::shard_load::OutgoingTransfer;
+use crate::state::shard_transfers::OutgoingTransfer;
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{self, MachineTransferRecord};
 
@@ -29,14 +29,13 @@
         record: MachineTransferRecord,
         to_shard: u32,
     ) {
-        self.machines_in_other_shards
-            .insert(machine.into(), to_shard);
+        self.other_shards.machines.insert(machine.into(), to_shard);
         let transfer = OutgoingTransfer {
             to_shard,
             record,
             write_in_flight: false,
         };
-        self.outgoing_transfers.insert(machine.into(), transfer);
+        self.transfers.outgoing.insert(machine.into(), transfer);
     }
 
     /// Adds machines on their way to other shards to a transaction, until it has `max_changes`.
@@ -45,7 +44,7 @@
         builder: &mut TransactionBuilder,
         max_changes: usize,
     ) {
-        for (machine, transfer) in &mut self.outgoing_transfers {
+        for (machine, transfer) in &mut self.transfers.outgoing {
             if transfer.write_in_flight {
                 continue;
             }
@@ -65,9 +64,10 @@
 
     /// A transfer was recorded: the machine is the other shard's from here on.
     pub(super) fn machine_transferred(&mut self, machine: &str) {
-        if let Some(transfer) = self.outgoing_transfers.remove(machine) {
+        if let Some(transfer) = self.transfers.outgoing.remove(machine) {
             let counts_until = self.now + ARRIVAL_TIME;
-            self.recent_transfers
+            self.transfers
+                .recent
                 .entry(transfer.to_shard)
                 .or_default()
                 .push((counts_until, transfer.record));
@@ -77,7 +77,7 @@
     /// The transaction that records a transfer failed, or perhaps it was carried out. Writing the record once more
     /// changes nothing then: whoever took the machine knows it already.
     pub(super) fn machine_transfer_failed(&mut self, machine: &str) {
-        if let Some(transfer) = self.outgoing_transfers.get_mut(machine) {
+        if let Some(transfer) = self.transfers.outgoing.get_mut(machine) {
             transfer.write_in_flight = false;
         }
     }
@@ -89,29 +89,24 @@
         record: &MachineTransferRecord,
         now: Micros,
     ) {
-        if self.accepting_transfers.contains(machine) {
+        if self.transfers.incoming.contains(machine) {
             return;
         }
-        let is_member = self.machines.get(machine).is_some_and(|m| m.recorded);
+        let is_member = self
+            .machines
+            .get(machine)
+            .is_some_and(|m| m.lifecycle.recorded);
         if is_member || self.fleet.deleted_machines.contains_key(machine) {
             // It is here already, or was: only the record of its transfer is left over.
             let key = store::machine_transfer_key(self.shard.id, machine);
-            self.stale_keys.push(key);
+            self.store_writes.stale_keys.push(key);
             return;
         }
-        let MachineTransferRecord {
-            machine_type,
-            zone,
-            spot,
-        } = record.clone();
-        self.machine_or_adopt(machine, &machine_type, &zone, spot, now);
-        let member = ShardMember {
-            flavor: machine_type,
-            zone,
-            spot,
-        };
+        let (machine_type, zone) = (&record.machine_type, &record.zone);
+        self.machine_or_adopt(machine, machine_type, zone, record.spot, now);
+        let member = ShardMember::from(record.clone());
         self.shard.add(machine, member, None);
-        self.accepting_transfers.insert(machine.into());
+        self.transfers.incoming.insert(machine.into());
     }
 
     /// How many machines of an offer are being provisioned for a shard, or are on their way to it.
@@ -126,14 +121,15 @@
         let is_same = |record: &MachineTransferRecord| {
             record.machine_type == machine_type && record.zone == zone && record.spot == spot
         };
-        let recent = self.recent_transfers.entry(shard).or_default();
+        let recent = self.transfers.recent.entry(shard).or_default();
         recent.retain(|(counts_until, _)| now < *counts_until);
         let arriving = recent.iter().filter(|(_, record)| is_same(record)).count();
-        let outgoing = self.outgoing_transfers.values();
+        let outgoing = self.transfers.outgoing.values();
         let leaving = outgoing
             .filter(|transfer| transfer.to_shard == shard && is_same(&transfer.record))
             .count();
         let requested: u32 = self
+            .transfers
             .provisioning_for_shard
             .iter()
             .filter(|(_, to_shard)| **to_shard == shard)
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -3,14 +3,12 @@
 //! Records arrive while a new leader loads the state, from its watch, and from keys that are read again. They may
 //! arrive late and more than once, so each one is applied only as far as its version is news.
 
-use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 use crate::model::{JobSpec, Micros, TaskSet};
 use crate::policy::Setting;
-use crate::saga::Saga;
 use crate::state::cluster::Cluster;
-use crate::state::records::{FailureTracking, Job};
+use crate::state::job::Job;
 use crate::state::shard::ChunkRecord;
 use crate::wire::store::{self, DonePartRecord, JobRecord, LiveRecord, TASKS_PER_PART};
 
@@ -31,18 +29,21 @@
         if record.shard != self.shard.id {
             return self.apply_foreign_job_record(id, &record, version);
         }
-        self.jobs_in_other_shards.remove(id);
+        self.other_shards.jobs.remove(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.version = job.version.max(version);
-            job.version_unknown = false;
-            job.durable_watermark = job.durable_watermark.max(record.effective_watermark());
-            store::decode_done_part(&record.done, 0, &mut job.durable_done);
+            job.persistence.version = job.persistence.version.max(version);
+            job.persistence.version_unknown = false;
+            job.persistence.durable_watermark = job
+                .persistence
+                .durable_watermark
+                .max(record.effective_watermark());
+            store::decode_done_part(&record.done, 0, &mut job.persistence.durable_done);
             if record.cancelled && !job.cancelled {
                 self.cancel_job(id);
             }
             return;
         }
-        if self.has_tombstone(id, version) {
+        if self.store_writes.has_tombstone(id, version) {
             return;
         }
         self.mark_upstream_released(&id.into());
@@ -55,15 +56,14 @@
 
     /// Adds a job that is not known yet.
     fn add_job(&mut self, id: &str, record: JobRecord, version: u64) {
-        let mut job = new_job(id, record, version);
-        job.team = self.settings.team(&job.spec.team);
         // What was there before this term may be on machines of which nothing is known yet.
-        let maybe_launched = match self.unconfirmed.loading {
-            true if self.watermarks_reliable => job.durable_watermark,
-            true => job.spec.tasks,
+        let possibly_launched = match self.takeover.unconfirmed.loading {
+            true if self.watermarks.reliable => record.effective_watermark(),
+            true => record.spec.tasks,
             false => 0,
         };
-        job.unconfirmed = job.pending.slice(0, maybe_launched);
+        let team = self.settings.team(&record.spec.team);
+        let mut job = Job::from_record(id.into(), record, version, team, possibly_launched);
         if job.spec.spot && !self.may_use_spot(&job) {
             let spec = (*job.submitted_spec).clone();
             job.spec = Arc::new(JobSpec {
@@ -73,7 +73,7 @@
         }
         self.queue.add_arrival(job.id.clone());
         self.jobs.insert(job.id.clone(), job);
-        self.pass_needed = true;
+        self.passes.needed = true;
     }
 
     /// Whether the operators' policy lets a job use spot machines.
@@ -90,10 +90,10 @@
         if self.jobs.remove(id).is_some() {
             tracing::info!(job = id, shard = record.shard, "moves to another shard");
         }
-        if self.shard.id != 0 || self.has_tombstone(id, version) {
+        if self.shard.id != 0 || self.store_writes.has_tombstone(id, version) {
             return;
         }
-        let known_version = self.jobs_in_other_shards.insert(id.into(), version);
+        let known_version = self.other_shards.jobs.insert(id.into(), version);
         if known_version.is_none() {
             self.mark_upstream_released(&id.into());
         }
@@ -110,8 +110,8 @@
         match self.jobs.get_mut(id) {
             Some(job) if part < MAX_PARTS => add_durable_part(job, record, part),
             // A part of no job is left over from one that is finished.
-            _ if self.shard.id == 0 && !self.jobs_in_other_shards.contains_key(id) => {
-                self.stale_keys.push(key.to_string());
+            _ if self.shard.id == 0 && !self.other_shards.jobs.contains_key(id) => {
+                self.store_writes.stale_keys.push(key.to_string());
             }
             _ => {}
         }
@@ -122,18 +122,18 @@
         let Some(index) = self.shard.parse_chunk_key(key) else {
             if let Some(shard) = store::parse_chunk_shard(key) {
                 let machines = record.machines.into_keys().map(|name| (name, shard));
-                self.machines_in_other_shards.extend(machines);
+                self.other_shards.machines.extend(machines);
             }
             return;
         };
-        let took_over_at = self.took_over_at;
+        let took_over_at = self.takeover.at;
         for (name, member) in &record.machines {
-            let (machine_type, zone) = (&member.flavor, &member.zone);
+            let (machine_type, zone) = (&member.machine_type, &member.zone);
             let machine =
                 self.machine_or_adopt(name, machine_type, zone, member.spot, took_over_at);
-            machine.recorded = true;
-            machine.last_answered_at = took_over_at;
-            machine.is_up = true;
+            machine.lifecycle.recorded = true;
+            machine.worker.last_answered_at = took_over_at;
+            machine.lifecycle.is_up = true;
         }
         self.shard.load_chunk(index, record, version);
     }
@@ -145,89 +145,42 @@
         if known.is_some_and(|known| known >= version) {
             return;
         }
-        self.tombstones.insert(id.into(), version);
-        self.jobs_in_other_shards.remove(id);
+        self.store_writes.add_tombstone(id.into(), version);
+        self.other_shards.jobs.remove(id);
         if self.remove_waiting_job(id) {
             return;
         }
         self.mark_upstream_ended(id, cancelled);
         if let Some(job) = self.jobs.remove(id) {
-            let first_part = u32::from(!job.overflow);
+            let first_part = u32::from(!job.persistence.overflow);
             let parts = first_part..job.spec.tasks.div_ceil(TASKS_PER_PART);
             let keys = parts.map(|part| store::done_part_key(id, part));
-            self.stale_keys.extend(keys);
+            self.store_writes.stale_keys.extend(keys);
         }
     }
 
     /// All records have been read; leases of recorded machines are counted from here.
     pub fn finish_loading(&mut self, now: Micros) {
-        self.took_over_at = now;
-        self.unconfirmed.loading = false;
+        self.takeover.at = now;
+        self.takeover.unconfirmed.loading = false;
         self.shard.finish_loading();
         for machine in self.machines.values_mut() {
-            machine.last_answered_at = now;
+            machine.worker.last_answered_at = now;
         }
         // A heartbeat may come before the next tick, and limits have to count unconfirmed tasks from here on.
         self.review_unconfirmed(now);
     }
 }
 
-/// A job as its record has it, with nothing live. The caller finds its team and what of it is unconfirmed.
-fn new_job(id: &str, record: JobRecord, version: u64) -> Job {
-    let watermark = record.effective_watermark();
-    let spec = Arc::new(record.spec);
-    let mut done = TaskSet::default();
-    store::decode_done_part(&record.done, 0, &mut done);
-    let mut pending = TaskSet::up_to(spec.tasks);
-    for index in done.iter() {
-        pending.remove(index);
-    }
-    Job {
-        id: id.into(),
-        submitted_spec: spec.clone(),
-        team: None,
-        accepted_at: record.accepted_at,
-        ready_at: record.ready_at.unwrap_or(record.accepted_at),
-        downstream_demand: None,
-        version,
-        durable_done: done.clone(),
-        done,
-        cancelled: false,
-        saga: Saga::independent(1),
-        pending,
-        unconfirmed: TaskSet::default(),
-        durable_watermark: watermark,
-        requested_watermark: watermark,
-        live_attempts: HashMap::new(),
-        gang_attempt: None,
-        saved_progress: HashMap::new(),
-        backoff: HashMap::new(),
-        failure_tracking: FailureTracking::new(record.crash_looping),
-        dirty_parts: BTreeSet::new(),
-        dirty_since: None,
-        overflow: false,
-        write_in_flight: false,
-        version_unknown: false,
-        fully_placed: false,
-        home_shard: None,
-        within_guarantee: false,
-        gang_placement_tried: false,
-        preempted_for_at: None,
-        reservable_until: 0,
-        last_queued_pass: 0,
-        spec,
-    }
-}
-
 /// Adds finished tasks that the state service holds in a part of their own.
 fn add_durable_part(job: &mut Job, record: &DonePartRecord, part: u32) {
-    job.overflow |= part == 0;
+    job.persistence.overflow |= part == 0;
     let mut done = TaskSet::default();
     store::decode_done_part(&record.done, part, &mut done);
     for index in done.iter().filter(|index| *index < job.spec.tasks) {
-        job.done.insert(index);
-        job.durable_done.insert(index);
-        job.pending.remove(index);
-        job.unconfirmed.remove(index);
+        job.tasks.done.insert(index);
+        job.persistence.durable_done.insert(index);
+        job.tasks.pending.remove(index);
+        job.tasks.unconfirmed.remove(index);
     }
 }
--- a/crates/gannethub-core/src/reconcile/transaction.rs
+++ b/crates/gannethub-core/src/reconcile/transaction.rs
@@ -7,6 +7,8 @@
 
 use crate::model::Micros;
 use crate::state::cluster::Cluster;
+use crate::state::shard::ChunkWrite;
+use crate::state::watermarks::ReliabilityRecord;
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, LeaseRecord, Transaction};
 
@@ -86,7 +88,7 @@
         let mut builder = TransactionBuilder::new(max_changes);
         builder
             .transaction
-            .guard(&self.assignment_keys.owner, owner_version);
+            .guard(&self.store_writes.assignment_keys.owner, owner_version);
         // Machines leave room for the end of a job, which users wait for.
         let max_for_machines = (max_changes / 2).max(1);
         self.add_shard_chunks(&mut builder, max_for_machines, false);
@@ -111,9 +113,14 @@
         idle: bool,
     ) {
         while builder.transaction.change_count() < max_changes && builder.has_spare_bytes() {
-            let Some((index, version, record)) = self.shard.next_dirty_chunk(idle) else {
+            let Some(write) = self.shard.next_dirty_chunk(idle) else {
                 break;
             };
+            let ChunkWrite {
+                index,
+                version,
+                record,
+            } = write;
             let key = self.shard.chunk_key(index);
             let value = store::to_raw_value(&record);
             builder.add_value_bytes(value.get().len());
@@ -153,7 +160,7 @@
 
     /// Records for successors that the jobs' watermarks cover all launches, as soon as they do.
     fn add_watermarks_reliable(&mut self, builder: &mut TransactionBuilder) {
-        if self.watermarks_recorded != Some(false)
+        if self.watermarks.recorded != ReliabilityRecord::Missing
             || builder.remaining_changes() == 0
             || !self.watermarks_cover_all_launches()
         {
@@ -167,15 +174,15 @@
         let value = store::to_raw_value(&record);
         builder
             .transaction
-            .put(&self.assignment_keys.term, value, None);
+            .put(&self.store_writes.assignment_keys.term, value, None);
         builder.batch.writes.push(BatchedWrite::WatermarksReliable);
-        self.watermarks_recorded = None;
+        self.watermarks.recorded = ReliabilityRecord::WriteInFlight;
     }
 
     /// Deletes keys that are left over, with the changes that are left.
     fn add_stale_key_deletions(&mut self, builder: &mut TransactionBuilder) {
         while builder.remaining_changes() > 0 && builder.has_spare_bytes() {
-            let Some(key) = self.stale_keys.pop() else {
+            let Some(key) = self.store_writes.stale_keys.pop() else {
                 break;
             };
             builder.transaction.delete(&key);
--- a/crates/gannethub-core/src/reconcile/transaction_outcome.rs
+++ b/crates/gannethub-core/src/reconcile/transaction_outcome.rs
@@ -7,13 +7,14 @@
 use crate::model::{JobId, Micros, TaskSet};
 use crate::state::cluster::Cluster;
 use crate::state::usage::log_damaged_page;
+use crate::state::watermarks::ReliabilityRecord;
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, StoredValue};
 
 impl Cluster {
     /// A transaction was carried out at this version.
     pub fn transaction_committed(&mut self, batch: WriteBatch, version: u64) {
-        self.transaction_rejections = 0;
+        self.store_writes.transaction_rejections = 0;
         for write in batch.writes {
             match write {
                 BatchedWrite::JobProgress {
@@ -48,7 +49,7 @@
                 BatchedWrite::LedgerPage => self.ledger_page_written(version),
                 BatchedWrite::WatermarksReliable => {
                     tracing::info!(term = self.term, "a successor can rely on watermarks");
-                    self.watermarks_recorded = Some(true);
+                    self.watermarks.recorded = ReliabilityRecord::Durable;
                 }
                 BatchedWrite::StaleKeyDeletion => {}
             }
@@ -65,11 +66,11 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.write_in_flight = false;
-        job.version = job.version.max(version);
-        job.durable_watermark = job.durable_watermark.max(watermark);
+        job.persistence.write_in_flight = false;
+        job.persistence.version = job.persistence.version.max(version);
+        job.persistence.durable_watermark = job.persistence.durable_watermark.max(watermark);
         for index in done_parts.values().flat_map(TaskSet::iter) {
-            job.durable_done.insert(index);
+            job.persistence.durable_done.insert(index);
         }
     }
 
@@ -77,13 +78,13 @@
     fn shard_chunk_written(&mut self, index: usize, members: Vec<String>, version: u64) {
         self.shard.mark_written(index, version);
         for name in members {
-            if self.accepting_transfers.remove(&name) {
+            if self.transfers.incoming.remove(&name) {
                 // Only now that the machine is on this shard's record may the record of its transfer go.
                 let key = store::machine_transfer_key(self.shard.id, &name);
-                self.stale_keys.push(key);
+                self.store_writes.stale_keys.push(key);
             }
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
-                machine.recorded = true;
+                machine.lifecycle.recorded = true;
                 let id = machine.id.clone();
                 self.reindex_machine(&id, self.now);
             }
@@ -122,8 +123,8 @@
                 BatchedWrite::JobProgress { id, done_parts, .. } => {
                     self.job_write_failed(id, version_unknown);
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.dirty_parts.extend(done_parts.keys());
-                        job.dirty_since.get_or_insert(now);
+                        job.persistence.dirty_parts.extend(done_parts.keys());
+                        job.persistence.dirty_since.get_or_insert(now);
                     }
                 }
                 BatchedWrite::JobTransfer { id, .. } => self.job_write_failed(id, version_unknown),
@@ -140,7 +141,9 @@
                     }
                 }
                 // Should the record say so although no answer told, it says the truth.
-                BatchedWrite::WatermarksReliable => self.watermarks_recorded = Some(false),
+                BatchedWrite::WatermarksReliable => {
+                    self.watermarks.recorded = ReliabilityRecord::Missing
+                }
                 BatchedWrite::ShardChunk { index, .. } if !version_unknown => {
                     self.shard.mark_write_failed(*index);
                 }
@@ -152,8 +155,8 @@
 
     fn job_write_failed(&mut self, id: &JobId, version_unknown: bool) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.write_in_flight = false;
-            job.version_unknown = version_unknown;
+            job.persistence.write_in_flight = false;
+            job.persistence.version_unknown = version_unknown;
         }
     }
 }
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -11,18 +11,19 @@
 
 use crate::configuration::OverLimit;
 use crate::model::{
-    JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
+    JobId, JobSpec, MachineId, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
     micros_from_seconds, seconds_from_micros,
 };
 use crate::policy::Value;
 use crate::saga::Saga;
 use crate::scheduling::gang::GangPass;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
+use crate::state::attempt::{Attempt, AttemptPhase, GangAttempt};
 use crate::state::capacity_index::MachineKind;
 use crate::state::cluster::Cluster;
-use crate::state::records::{
-    Attempt, AttemptPhase, DownstreamDemand, GangAttempt, Job, Machine, MachineId, Reservation,
-};
+use crate::state::deadline::DownstreamDemand;
+use crate::state::job::Job;
+use crate::state::machine::{Machine, Reservation};
 
 /// Room up to this many times as dear as the cheapest of its rank counts as costing the same.
 const SIMILAR_PRICE: f64 = 1.5;
@@ -84,7 +85,7 @@
         latest: Option<u64>,
     ) -> [Value<'a>; 14] {
         let spec = &job.spec;
-        let (share, over_share) = self.team_usage_share(job.team);
+        let share = self.team_usage_share(job.team);
         let priority = match job.effective_priority() {
             Priority::Low => "low",
             Priority::Normal => "normal",
@@ -97,7 +98,7 @@
             Value::Text(&spec.team),
             Value::Text(priority),
             Value::Number(f64::from(spec.tasks)),
-            Value::Number(f64::from(job.done.len())),
+            Value::Number(f64::from(job.tasks.done.len())),
             Value::Number(spec.need.cpu as f64 / 1000.0),
             number(self.unix_time.saturating_sub(job.ready_at)),
             number(latest.unwrap_or(0).saturating_sub(self.unix_time)),
@@ -105,8 +106,8 @@
             number(self.expected_run(spec)),
             Value::Bool(latest.is_none()),
             Value::Bool(within),
-            Value::Number(share),
-            Value::Number(over_share),
+            Value::Number(share.of_total),
+            Value::Number(share.over_due),
         ]
     }
 
@@ -134,7 +135,7 @@
             &job.spec,
             job.accepted_at,
             job.ready_at,
-            job.downstream_demand.as_ref(),
+            job.scheduling.downstream_demand.as_ref(),
             within,
         )
     }
@@ -188,7 +189,7 @@
             limit.gpu,
             self.total_capacity.gpu,
         ));
-        let left = f64::from(job.spec.tasks - job.done.len());
+        let left = f64::from(job.spec.tasks - job.tasks.done.len());
         (left * each * self.expected_run(&job.spec) as f64) as Micros
     }
 
@@ -205,8 +206,8 @@
         if !job.spec.is_zone_constrained() {
             return zones;
         }
-        for (machine, _) in job.live_attempts.values() {
-            if let Some(m) = self.machines.get(machine) {
+        for live in job.tasks.live_attempts.values() {
+            if let Some(m) = self.machines.get(&live.machine) {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
         }
@@ -216,8 +217,8 @@
     /// What a team may still use, counting all that it may have on machines.
     pub fn remaining_quota(&self, team: usize) -> Resources {
         self.settings.teams[team].limit
-            - self.team_usage[team]
-            - self.unconfirmed.possible_usage[team]
+            - self.quota.team_usage[team]
+            - self.takeover.unconfirmed.possible_usage[team]
     }
 
     /// How many more of the job's tasks its team's limit allows.
@@ -265,14 +266,14 @@
         let tiers = ranked
             .chunk_by(same)
             .map(|tier| tier.iter().map(|r| r.2).collect());
-        self.bucket_tiers = tiers.collect();
+        self.passes.bucket_tiers = tiers.collect();
     }
 
     /// Places what can be placed now, and makes room for what must not wait. At a takeover it places on what
     /// has been heard, and stops nothing: there may be room enough.
     pub fn run_scheduling_pass(&mut self, now: Micros) {
-        let before = self.scheduling_steps.get();
-        if self.over_limit == OverLimit::Stop {
+        let before = self.passes.steps.get();
+        if self.quota.over_limit == OverLimit::Stop {
             // A new leader learns of what runs as it is reported.
             self.enforce_limits(now);
         }
@@ -286,15 +287,14 @@
             .collect();
         for (id, within) in &queue {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.within_guarantee = *within;
+                job.scheduling.within_guarantee = *within;
             }
         }
-        self.scheduling_steps
-            .set(self.scheduling_steps.get() + queue.len() as u64);
-        self.pass_needed = false;
-        self.last_pass_at = now;
-        self.pass_count += 1;
-        self.placement_order.clear();
+        self.passes.add_steps(queue.len() as u64);
+        self.passes.needed = false;
+        self.passes.last_at = now;
+        self.passes.count += 1;
+        self.passes.placement_order.clear();
         let mut pass = SchedulingPass {
             gangs: self.begin_gang_pass(now),
             ..SchedulingPass::default()
@@ -303,11 +303,11 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.pending.is_empty() {
+            if job.tasks.pending.is_empty() {
                 continue;
             }
-            job.last_queued_pass = self.pass_count;
-            self.placement_order.push(id.clone());
+            job.scheduling.last_queued_pass = self.passes.count;
+            self.passes.placement_order.push(id.clone());
             let Some(job) = self
                 .jobs
                 .get(&id)
@@ -329,8 +329,8 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let limited = self.settled && self.tasks_within_quota(job) <= 0;
-            if !job.fully_placed && (job.pending.is_empty() || limited) {
+            let limited = self.takeover.settled && self.tasks_within_quota(job) <= 0;
+            if !job.scheduling.fully_placed && (job.tasks.pending.is_empty() || limited) {
                 let waited_s =
                     seconds_from_micros(self.unix_time.saturating_sub(job.ready_at)) as u32;
                 let (class, team, tasks) = (&job.spec.class, &job.spec.team, job.spec.tasks);
@@ -340,16 +340,16 @@
                     latest.map(|t| seconds_from_micros(t.saturating_sub(self.unix_time)) as u32);
                 tracing::info!(job = %id, %class, %team, tasks, within, waited_s, slack_s, "placed");
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.fully_placed = true;
+                    job.scheduling.fully_placed = true;
                 }
             }
         }
         self.raise_watermarks_ahead(now);
-        let steps = self.scheduling_steps.get() - before;
-        self.next_pass_at = now + self.pacing_delay(steps);
-        self.scheduling_cost.passes += 1;
-        self.scheduling_cost.pass_steps += steps;
-        self.scheduling_cost.max_steps = self.scheduling_cost.max_steps.max(steps);
+        let steps = self.passes.steps.get() - before;
+        self.passes.next_at = now + self.pacing_delay(steps);
+        self.passes.cost.passes += 1;
+        self.passes.cost.pass_steps += steps;
+        self.passes.cost.max_steps = self.passes.cost.max_steps.max(steps);
     }
 
     /// How long so many steps are to be the only ones: a step is a look at a machine or a job, and
@@ -362,8 +362,8 @@
     /// else in the order of the last one. A gang that may want it needs room elsewhere too, and is
     /// left to the next pass.
     pub fn use_freed_capacity(&mut self, id: &MachineId, now: Micros) {
-        let paced = self.last_pass_at + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
-        if now >= paced.max(self.next_pass_at) {
+        let paced = self.passes.last_at + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
+        if now >= paced.max(self.passes.next_at) {
             return self.run_scheduling_pass(now);
         }
         let report = self.settings.report;
@@ -380,6 +380,7 @@
         let free = machine.free();
         let candidates = || {
             let offered = self
+                .passes
                 .placement_order
                 .iter()
                 .take(MAX_JOBS_OFFERED)
@@ -405,7 +406,7 @@
                 }
                 // What came free is held until there is enough of it.
                 Some((_, false)) => {}
-                None if now >= self.next_pass_at => self.run_scheduling_pass(now),
+                None if now >= self.passes.next_at => self.run_scheduling_pass(now),
                 None => {}
             };
         }
@@ -417,6 +418,7 @@
         let gang = |job: &Job| {
             job.spec.shape == Shape::Gang
                 && !job
+                    .tasks
                     .gang_attempt
                     .as_ref()
                     .is_some_and(|g| g.running || g.stopping)
@@ -424,8 +426,8 @@
         if candidates().any(gang) {
             return;
         }
-        for i in 0..self.placement_order.len().min(MAX_JOBS_OFFERED) {
-            let Some(j) = self.jobs.get(&self.placement_order[i]) else {
+        for i in 0..self.passes.placement_order.len().min(MAX_JOBS_OFFERED) {
+            let Some(j) = self.jobs.get(&self.passes.placement_order[i]) else {
                 continue;
             };
             let Some(m) = self.machines.get(id) else {
@@ -459,7 +461,7 @@
             better
                 && self.is_eligible_bucket(spec, &shelf.kind)
                 && open.any(|id| {
-                    self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                    self.passes.add_steps(1);
                     self.machines.get(id).is_some_and(|m| {
                         spec.need.fits(&m.free())
                             && m.active_reservation(now).is_none()
@@ -484,10 +486,10 @@
         suspect: bool,
         now: Micros,
     ) -> i64 {
-        self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+        self.passes.add_steps(1);
         // A suspect job is tried anywhere: it may have met faulty machines only.
         if !m.is_schedulable(now, self.settings.report)
-            || (!suspect && m.failures_by_job.contains_key(id))
+            || (!suspect && m.placement.failures_by_job.contains_key(id))
         {
             return 0;
         }
@@ -518,11 +520,11 @@
         let spec = job.spec.clone();
         let limit = self.tasks_within_quota(job).min(
             job.allowed_probes(now)
-                .saturating_sub(job.live_attempts.len() as i64),
+                .saturating_sub(job.tasks.live_attempts.len() as i64),
         );
         // A huge array must cost no more than the room there is for it.
-        let waiting = job.backoff.values().filter(|b| b.0 > now).count();
-        if spec.is_zone_constrained() && !job.unconfirmed.is_empty() {
+        let waiting = job.tasks.backoff.values().filter(|b| b.until > now).count();
+        if spec.is_zone_constrained() && !job.tasks.unconfirmed.is_empty() {
             // Where those are decides where the others may go.
             return 0;
         }
@@ -553,9 +555,10 @@
             pass.record_unplaceable(&spec, 1);
         }
         let ready = |x: &u32| {
-            job.backoff.get(x).is_none_or(|b| b.0 <= now) && !job.unconfirmed.contains(*x)
+            job.tasks.backoff.get(x).is_none_or(|b| b.until <= now)
+                && !job.tasks.unconfirmed.contains(*x)
         };
-        let tasks: Vec<u32> = job.pending.iter().filter(ready).take(found).collect();
+        let tasks: Vec<u32> = job.tasks.pending.iter().filter(ready).take(found).collect();
         let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
         for (index, machine) in tasks.into_iter().zip(places) {
             let attempt = self.next_attempt_number();
@@ -568,7 +571,7 @@
     fn has_reservation(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.reservable_until > self.now)
+            .is_some_and(|j| j.scheduling.reservable_until > self.now)
     }
 
     /// The zone with the most room for a job.
@@ -646,7 +649,7 @@
         let mut seats = Placements::new();
         let mut left = n;
         let mut found: Vec<(bool, &Machine, i64)> = Vec::new();
-        for tier in &self.bucket_tiers {
+        for tier in &self.passes.bucket_tiers {
             if left == 0 {
                 break;
             }
@@ -664,7 +667,7 @@
                 for m in open {
                     let most = self.tasks_that_fit(m, id, spec, suspect, now);
                     if most > 0 {
-                        found.push((!m.cached_images.contains(&spec.image), m, most));
+                        found.push((!m.placement.cached_images.contains(&spec.image), m, most));
                         if found.len() >= seen {
                             break;
                         }
@@ -698,7 +701,7 @@
         let Some(job) = self
             .jobs
             .get(id)
-            .filter(|j| j.downstream_demand.is_some() && !j.spec.is_zone_constrained())
+            .filter(|j| j.scheduling.downstream_demand.is_some() && !j.spec.is_zone_constrained())
         else {
             return;
         };
@@ -711,7 +714,7 @@
             .filter(|s| self.is_eligible_bucket(&spec, &s.kind))
         {
             for m in shelf.with_cpu(1).filter_map(|m| self.machines.get(m)) {
-                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                self.passes.add_steps(1);
                 if !spec.need.fits(&m.free())
                     && m.active_reservation(now).is_none()
                     && self.can_host(m, id, &spec, &ZoneTaskCounts::new(), now)
@@ -744,9 +747,9 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(&kept.job) {
-            job.reservable_until = job.reservable_until.max(kept.expires_at);
+            job.scheduling.reservable_until = job.scheduling.reservable_until.max(kept.expires_at);
         }
-        m.reservation = Some(kept);
+        m.placement.reservation = Some(kept);
     }
 
     /// Places all missing tasks of a gang's attempt, or none.
@@ -754,17 +757,17 @@
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         // The next attempt begins only when nothing of the last one is on a machine any more.
-        let fresh = job.gang_attempt.is_none();
-        if (fresh && !job.live_attempts.is_empty())
-            || job.gang_attempt.as_ref().is_some_and(|g| g.stopping || g.running)
-            || job.backoff.values().any(|b| b.0 > now)
+        let fresh = job.tasks.gang_attempt.is_none();
+        if (fresh && !job.tasks.live_attempts.is_empty())
+            || job.tasks.gang_attempt.as_ref().is_some_and(|g| g.stopping || g.running)
+            || job.tasks.backoff.values().any(|b| b.until > now)
             || job.allowed_probes(now) == 0
             // Its attempt may go on, on machines that have not been heard yet.
-            || !job.unconfirmed.is_empty()
+            || !job.tasks.unconfirmed.is_empty()
         {
             return;
         }
-        let missing: Vec<u32> = job.pending.iter().collect();
+        let missing: Vec<u32> = job.tasks.pending.iter().collect();
         if self.tasks_within_quota(job) < missing.len() as i64 {
             return;
         }
@@ -774,13 +777,21 @@
             !simple || self.has_reservation(id) || !pass.is_known_unplaceable(&spec, missing.len());
         if searched && let Some(seats) = self.fit_whole_gang(id, &spec, &zones, missing.len(), now)
         {
-            let attempt = match self.jobs.get(id).and_then(|j| j.gang_attempt.as_ref()) {
+            let attempt = match self
+                .jobs
+                .get(id)
+                .and_then(|j| j.tasks.gang_attempt.as_ref())
+            {
                 Some(g) => g.attempt,
                 None => self.next_attempt_number(),
             };
-            if let Some(j) = self.jobs.get_mut(id).filter(|j| j.gang_attempt.is_none()) {
+            if let Some(j) = self
+                .jobs
+                .get_mut(id)
+                .filter(|j| j.tasks.gang_attempt.is_none())
+            {
                 let saga = Saga::independent(spec.tasks);
-                j.gang_attempt = Some(GangAttempt {
+                j.tasks.gang_attempt = Some(GangAttempt {
                     attempt,
                     saga,
                     running: false,
@@ -796,7 +807,7 @@
         if searched && simple {
             pass.record_unplaceable(&spec, missing.len());
         }
-        if !self.settled {
+        if !self.takeover.settled {
             return self.reserve_on_confirmed_machines(id, &spec, missing.len(), now);
         }
         self.gather_or_preempt(id, missing.len(), &mut pass.gangs, now);
@@ -891,7 +902,7 @@
     /// When a booting machine is expected to be up. One that is overdue is expected to take as long
     /// again as it is late; after twice the expected time it is no longer counted on.
     pub fn expected_up_at(&self, m: &Machine, now: Micros) -> Option<Micros> {
-        if self.unreachable_zones.contains_key(&m.zone) {
+        if self.zones.unreachable.contains_key(&m.zone) {
             return None;
         }
         let f = m.machine_type?;
@@ -900,7 +911,7 @@
             .fleet
             .provisioning_times
             .expected_boot_time(f, &m.zone, usual, now);
-        let expected = m.provisioned_at + boot;
+        let expected = m.lifecycle.provisioned_at + boot;
         let late = now.saturating_sub(expected);
         (late <= boot.max(usual)).then(|| expected.max(now + late.max(2 * SECOND)))
     }
@@ -921,7 +932,7 @@
         now: Micros,
     ) -> bool {
         m.is_schedulable(now, self.settings.report)
-            && !m.failures_by_job.contains_key(id)
+            && !m.placement.failures_by_job.contains_key(id)
             && self.is_eligible_machine(m, spec)
             && is_zone_allowed(spec, zones, &m.zone)
     }
@@ -940,7 +951,13 @@
         } else {
             0
         };
-        let ran = ran + job.saved_progress.get(&task.index).copied().unwrap_or(0);
+        let ran = ran
+            + job
+                .tasks
+                .saved_progress
+                .get(&task.index)
+                .copied()
+                .unwrap_or(0);
         // What runs longer than expected is expected to run for a while yet.
         now + self
             .expected_run(&job.spec)
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -100,7 +100,7 @@
         let mut f = LeaderView::unread(teams, wait_s);
         f.c.finish_loading(f.now);
         f.c.tick(f.now, WALL);
-        assert!(f.c.settled);
+        assert!(f.c.takeover.settled);
         f
     }
 
@@ -234,7 +234,7 @@
                 let tasks: Vec<(String, u64)> = m
                     .attempts
                     .keys()
-                    .map(|(t, attempt)| (t.to_string(), *attempt))
+                    .map(|id| (id.task.to_string(), id.number))
                     .collect();
                 (m.id.to_string(), flavor, m.zone.to_string(), tasks)
             })
