--- a/crates/gannethub-core/src/state/writes.rs
+++ b/crates/gannethub-core/src/state/writes.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::model::{JobId, TaskSet};
-use crate::wire::store::JobRecord;
+use crate::wire::store::{AssignmentKeys, JobRecord};
 
 /// What has to be remembered about writes to the state service, beside the state that is written.
 #[derive(Debug)]
 pub struct StoreWrites {
-    /// The keys of the shard's owner, which guards every transaction, and of its last term.
-    pub assignment_keys: (String, String),
+    /// The owner key guards every transaction.
+    pub assignment_keys: AssignmentKeys,
     /// Keys that nothing needs any more. They are deleted as transactions have room for it.
     pub(crate) stale_keys: Vec<String>,
     /// Jobs that are over, and the versions at which they ended: the watch may still bring older records of them.
@@ -19,7 +19,7 @@
 }
 
 impl StoreWrites {
-    pub fn new(assignment_keys: (String, String)) -> StoreWrites {
+    pub fn new(assignment_keys: AssignmentKeys) -> StoreWrites {
         StoreWrites {
             assignment_keys,
             stale_keys: Vec::new(),
