--- a/crates/gannethub-core/src/reconcile/attempts.rs
+++ b/crates/gannethub-core/src/reconcile/attempts.rs
@@ -53,12 +53,12 @@
             let Some(task_id) = TaskId::parse(&task.task) else {
                 continue;
             };
-            let key = AttemptId {
+            let attempt_id = AttemptId {
                 task: task_id,
                 number: task.attempt,
             };
-            reported.insert(key.clone());
-            self.apply_reported_task(id, key, task, now);
+            reported.insert(attempt_id.clone());
+            self.apply_reported_task(id, attempt_id, task, now);
         }
         self.charge_orphans_not_shown(id, heartbeat.incarnation, now);
         self.drop_missing_attempts(id, &reported, now);
@@ -67,7 +67,7 @@
     fn apply_reported_task(
         &mut self,
         id: &MachineId,
-        key: AttemptId,
+        attempt_id: AttemptId,
         task: &ReportedTask<'_>,
         now: Micros,
     ) {
@@ -75,14 +75,14 @@
             return;
         };
         let phase = AttemptPhase::of(task);
-        let Some(attempt) = machine.attempts.get_mut(&key) else {
-            return self.adopt_attempt(id, key, phase, now);
+        let Some(attempt) = machine.attempts.get_mut(&attempt_id) else {
+            return self.adopt_attempt(id, attempt_id, phase, now);
         };
         if let Some(usage) = &mut attempt.usage_record {
             usage.saved |= task.saved;
         }
         if attempt.phase != phase {
-            self.change_phase(id, &key, phase, now);
+            self.change_phase(id, &attempt_id, phase, now);
         }
     }
 
@@ -96,21 +96,21 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let attempts = machine.attempts.keys();
-        let missing: Vec<_> = attempts
-            .filter(|key| !reported.contains(*key))
+        let shown = machine.attempts.keys();
+        let missing: Vec<_> = shown
+            .filter(|attempt_id| !reported.contains(*attempt_id))
             .cloned()
             .collect();
-        for key in missing {
-            self.drop_missing_attempt(id, &key, now);
+        for attempt_id in missing {
+            self.drop_missing_attempt(id, &attempt_id, now);
         }
     }
 
-    fn drop_missing_attempt(&mut self, id: &MachineId, key: &AttemptId, now: Micros) {
+    fn drop_missing_attempt(&mut self, id: &MachineId, attempt_id: &AttemptId, now: Micros) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(attempt) = machine.attempts.get(key) else {
+        let Some(attempt) = machine.attempts.get(attempt_id) else {
             return;
         };
         match attempt.phase {
@@ -119,24 +119,30 @@
             // The answer with the launch was lost, and workers drop late answers: it is sent again.
             AttemptPhase::Starting if attempt.stop_grace.is_none() => return,
             _ => {
-                self.release_attempt(id, key, Reason::Missing, now);
-                self.attempt_gone(key, id, None, now);
+                self.release_attempt(id, attempt_id, Reason::Missing, now);
+                self.attempt_gone(attempt_id, id, None, now);
             }
         }
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.attempts.remove(key);
+            machine.attempts.remove(attempt_id);
         }
     }
 
     /// A worker shows an attempt that this leader did not start: an earlier leader did, and it is adopted if its job
     /// still needs it. What is not needed is told to stop.
-    fn adopt_attempt(&mut self, id: &MachineId, key: AttemptId, phase: AttemptPhase, now: Micros) {
-        let usage_record = self.adopt_usage_record(id, &key, phase);
-        let job = self.jobs.get(&key.task.job);
+    fn adopt_attempt(
+        &mut self,
+        id: &MachineId,
+        attempt_id: AttemptId,
+        phase: AttemptPhase,
+        now: Micros,
+    ) {
+        let usage_record = self.adopt_usage_record(id, &attempt_id, phase);
+        let job = self.jobs.get(&attempt_id.task.job);
         let (resources, team) = job.map_or((Resources::default(), None), |job| {
             (job.spec.need, job.team)
         });
-        let stop_grace = self.adopt_into_job(id, &key, phase, now);
+        let stop_grace = self.adopt_into_job(id, &attempt_id, phase, now);
         let attempt = Attempt {
             phase,
             phase_since: now,
@@ -148,10 +154,10 @@
             usage_record,
         };
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.attempts.insert(key.clone(), attempt);
+            machine.attempts.insert(attempt_id.clone(), attempt);
         }
         if let AttemptPhase::Ended(reason) = phase {
-            self.charge_attempt(id, &key, usage::end_reason(reason), now);
+            self.charge_attempt(id, &attempt_id, usage::end_reason(reason), now);
         } else {
             self.adjust_usage(id, team, resources, now);
         }
@@ -161,11 +167,11 @@
     fn adopt_into_job(
         &mut self,
         id: &MachineId,
-        key: &AttemptId,
+        attempt_id: &AttemptId,
         phase: AttemptPhase,
         now: Micros,
     ) -> Option<Micros> {
-        let (task, number) = (&key.task, key.number);
+        let (task, number) = (&attempt_id.task, attempt_id.number);
         if phase.is_ended() {
             if phase == AttemptPhase::Ended(ExitReason::Done) {
                 self.complete_task(task, now);
@@ -181,13 +187,11 @@
         if !is_needed || task.index >= job.spec.tasks {
             return Some(0);
         }
-        job.tasks.live_attempts.insert(
-            task.index,
-            LiveAttempt {
-                machine: id.clone(),
-                number,
-            },
-        );
+        let live = LiveAttempt {
+            machine: id.clone(),
+            number,
+        };
+        job.tasks.live_attempts.insert(task.index, live);
         job.tasks.pending.remove(task.index);
         job.tasks.unconfirmed.remove(task.index);
         job.request_watermark(task.index + 1);
@@ -200,12 +204,18 @@
     }
 
     /// An attempt has entered another phase.
-    fn change_phase(&mut self, id: &MachineId, key: &AttemptId, phase: AttemptPhase, now: Micros) {
-        self.usage_phase_changed(id, key, phase, now);
+    fn change_phase(
+        &mut self,
+        id: &MachineId,
+        attempt_id: &AttemptId,
+        phase: AttemptPhase,
+        now: Micros,
+    ) {
+        self.usage_phase_changed(id, attempt_id, phase, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(attempt) = machine.attempts.get_mut(key) else {
+        let Some(attempt) = machine.attempts.get_mut(attempt_id) else {
             return;
         };
         let old_phase = std::mem::replace(&mut attempt.phase, phase);
@@ -218,20 +228,27 @@
             _ => 0,
         };
         match phase {
-            AttemptPhase::Waiting | AttemptPhase::Running => self.image_fetched(id, key, phase),
+            AttemptPhase::Waiting | AttemptPhase::Running => {
+                self.image_fetched(id, attempt_id, phase)
+            }
             AttemptPhase::Saving => {
-                if let Some(job) = self.jobs.get_mut(&key.task.job) {
-                    *job.tasks.saved_progress.entry(key.task.index).or_default() += run_time;
+                if let Some(job) = self.jobs.get_mut(&attempt_id.task.job) {
+                    *job.tasks
+                        .saved_progress
+                        .entry(attempt_id.task.index)
+                        .or_default() += run_time;
                 }
             }
-            AttemptPhase::Ended(reason) => self.attempt_ended(id, key, reason, run_time, now),
+            AttemptPhase::Ended(reason) => {
+                self.attempt_ended(id, attempt_id, reason, run_time, now)
+            }
             AttemptPhase::Starting | AttemptPhase::Fetching => {}
         }
     }
 
     /// An attempt waits for its gang or runs: its image is on the machine.
-    fn image_fetched(&mut self, id: &MachineId, key: &AttemptId, phase: AttemptPhase) {
-        let Some(job) = self.jobs.get_mut(&key.task.job) else {
+    fn image_fetched(&mut self, id: &MachineId, attempt_id: &AttemptId, phase: AttemptPhase) {
+        let Some(job) = self.jobs.get_mut(&attempt_id.task.job) else {
             return;
         };
         if let Some(machine) = self.machines.get_mut(id) {
@@ -244,7 +261,7 @@
             .tasks
             .gang_attempt
             .as_mut()
-            .filter(|g| g.attempt == key.number)
+            .filter(|g| g.attempt == attempt_id.number)
         {
             gang.running |= phase == AttemptPhase::Running;
         }
@@ -254,18 +271,18 @@
     fn attempt_ended(
         &mut self,
         id: &MachineId,
-        key: &AttemptId,
+        attempt_id: &AttemptId,
         reason: ExitReason,
         run_time: Micros,
         now: Micros,
     ) {
-        let has_job = self.jobs.contains_key(&key.task.job);
+        let has_job = self.jobs.contains_key(&attempt_id.task.job);
         if has_job && reason == ExitReason::Done {
-            self.record_success(id, &key.task, run_time);
+            self.record_success(id, &attempt_id.task, run_time);
         }
-        self.release_attempt(id, key, usage::end_reason(reason), now);
+        self.release_attempt(id, attempt_id, usage::end_reason(reason), now);
         if has_job {
-            self.attempt_gone(key, id, Some(reason), now);
+            self.attempt_gone(attempt_id, id, Some(reason), now);
         }
     }
 
@@ -295,12 +312,18 @@
     }
 
     /// Charges an attempt and gives back what it held.
-    fn release_attempt(&mut self, id: &MachineId, key: &AttemptId, reason: Reason, now: Micros) {
-        self.charge_attempt(id, key, reason, now);
+    fn release_attempt(
+        &mut self,
+        id: &MachineId,
+        attempt_id: &AttemptId,
+        reason: Reason,
+        now: Micros,
+    ) {
+        self.charge_attempt(id, attempt_id, reason, now);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let held = machine.attempts.get_mut(key);
+        let held = machine.attempts.get_mut(attempt_id);
         let Some(attempt) = held.filter(|attempt| attempt.holds_capacity) else {
             return;
         };
@@ -352,12 +375,12 @@
     /// vanished, with its machine or without a word.
     fn attempt_gone(
         &mut self,
-        key: &AttemptId,
+        attempt_id: &AttemptId,
         id: &MachineId,
         reason: Option<ExitReason>,
         now: Micros,
     ) {
-        let (task, number) = (&key.task, key.number);
+        let (task, number) = (&attempt_id.task, attempt_id.number);
         if reason == Some(ExitReason::Done) {
             self.complete_task(task, now);
         }
@@ -397,7 +420,8 @@
             _ => REFUSED_LAUNCH_BACKOFF,
         };
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.tasks.backoff.entry(task.index).or_default().until = now + backoff;
+            let task_backoff = job.tasks.backoff.entry(task.index).or_default();
+            task_backoff.until = now + backoff;
         }
         if let Some(machine) = self.machines.get_mut(id) {
             machine.placement.unschedulable_until = now + REFUSING_MACHINE_BACKOFF;
@@ -433,8 +457,8 @@
             };
             let job = self.jobs.get(id);
             let live = job.and_then(|job| job.tasks.live_attempts.get(&index).cloned());
-            if let Some(LiveAttempt { machine, number }) = live {
-                self.stop_attempt(id, index, &machine, number, 0);
+            if let Some(live) = live {
+                self.stop_attempt(id, index, &live.machine, live.number, 0);
             }
         }
     }
@@ -445,19 +469,19 @@
             return;
         };
         machine.worker.heartbeat_digest = None;
-        let keys: Vec<_> = machine.attempts.keys().cloned().collect();
+        let attempt_ids: Vec<_> = machine.attempts.keys().cloned().collect();
         let attempts = machine.attempts.values();
         let tasks = attempts.filter(|attempt| attempt.holds_capacity).count();
         if tasks > 0 {
             tracing::info!(machine = %id, tasks, why, "tasks lost");
         }
         self.record_unmetered_interval(id, now);
-        for key in keys {
-            self.release_attempt(id, &key, reason, now);
+        for attempt_id in attempt_ids {
+            self.release_attempt(id, &attempt_id, reason, now);
             let machine = self.machines.get_mut(id);
-            let lost = machine.and_then(|machine| machine.attempts.remove(&key));
+            let lost = machine.and_then(|machine| machine.attempts.remove(&attempt_id));
             if lost.is_some_and(|attempt| !attempt.phase.is_ended()) {
-                self.attempt_gone(&key, id, None, now);
+                self.attempt_gone(&attempt_id, id, None, now);
             }
         }
     }
--- a/crates/gannethub-core/src/reconcile/cancellation.rs
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -1,6 +1,6 @@
 //! Cancellations by users.
 
-use crate::model::{TaskId, TaskSet};
+use crate::model::{AttemptId, TaskId, TaskSet};
 use crate::saga::AbortAction;
 use crate::state::attempt::LiveAttempt;
 use crate::state::cluster::Cluster;
@@ -34,21 +34,18 @@
             .tasks
             .live_attempts
             .iter()
-            .map(|(index, place)| (*index, place.clone()))
+            .map(|(index, attempt)| (*index, attempt.clone()))
             .collect();
         tracing::info!(job = id, tasks = live.len(), "cancelled");
         self.mark_upstream_cancelled(id);
         if !actions.contains(&AbortAction::Cancel(0)) {
             return;
         }
-        for (index, attempt) in live {
-            let LiveAttempt { machine, number } = attempt;
+        for (index, LiveAttempt { machine, number }) in live {
             self.stop_attempt(id, index, &machine, number, 0);
-            let task = TaskId {
-                job: id.into(),
-                index,
-            };
-            self.queue_kill_order(&machine, task, number);
+            let job = id.into();
+            let task = TaskId { job, index };
+            self.queue_kill_order(&machine, AttemptId { task, number });
         }
     }
 }
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddrV4;
 
 use super::orders::{MAX_ORDERS_PER_ANSWER, stop_order};
-use crate::model::{AttemptId, MachineId, Micros, TaskId};
+use crate::model::{AttemptId, MachineId, Micros};
 use crate::policy::Setting;
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
@@ -30,16 +30,12 @@
 
 impl Cluster {
     /// Queues a kill order for an attempt of a cancelled job, if its worker takes pushes.
-    pub(crate) fn queue_kill_order(&mut self, machine: &MachineId, task: TaskId, attempt: u64) {
+    pub(super) fn queue_kill_order(&mut self, machine: &MachineId, attempt_id: AttemptId) {
         let known = self.machines.get(machine);
         let Some(reachable) = known.filter(|machine| machine.worker.address.is_some()) else {
             return;
         };
-        let key = AttemptId {
-            task,
-            number: attempt,
-        };
-        let Some(attempt) = reachable.attempts.get(&key) else {
+        let Some(attempt) = reachable.attempts.get(&attempt_id) else {
             return;
         };
         let is_unstarted = matches!(
@@ -50,7 +46,7 @@
         order.since = self.now;
         order.has_unstarted |= is_unstarted;
         if order.attempts.len() < MAX_ORDERS_PER_ANSWER {
-            order.attempts.push(key);
+            order.attempts.push(attempt_id);
         }
     }
 
@@ -110,14 +106,12 @@
 
 /// What is pushed to a worker; `None` if all the attempts have ended, or it takes no pushes any more.
 fn delivery_to(machine: &Machine, order: KillOrder) -> Option<KillOrderDelivery> {
-    let is_live = |key: &AttemptId| {
-        let attempt = machine.attempts.get(key);
+    let is_live = |attempt_id: &AttemptId| {
+        let attempt = machine.attempts.get(attempt_id);
         attempt.is_some_and(|attempt| !matches!(attempt.phase, AttemptPhase::Ended(_)))
     };
     let live = order.attempts.into_iter().filter(is_live);
-    let orders: Vec<Order> = live
-        .map(|attempt| stop_order(&attempt.task, attempt.number, 0))
-        .collect();
+    let orders: Vec<Order> = live.map(|id| stop_order(&id.task, id.number, 0)).collect();
     let address = machine.worker.address.filter(|_| !orders.is_empty())?;
     Some(KillOrderDelivery {
         address,
--- a/crates/gannethub-core/src/reconcile/orders.rs
+++ b/crates/gannethub-core/src/reconcile/orders.rs
@@ -21,8 +21,8 @@
         };
         let mut launches = Vec::new();
         let mut orders = Vec::new();
-        for (key, attempt) in &machine.attempts {
-            match self.order_for(machine, key, attempt) {
+        for (attempt_id, attempt) in &machine.attempts {
+            match self.order_for(machine, attempt_id, attempt) {
                 Some(launch @ Order::Start { .. }) => launches.push(launch),
                 Some(order) => orders.push(order),
                 None => {}
@@ -37,14 +37,19 @@
     }
 
     /// What a worker is to do with one attempt, if anything.
-    fn order_for(&self, machine: &Machine, key: &AttemptId, attempt: &Attempt) -> Option<Order> {
-        let (task, number) = (&key.task, key.number);
+    fn order_for(
+        &self,
+        machine: &Machine,
+        attempt_id: &AttemptId,
+        attempt: &Attempt,
+    ) -> Option<Order> {
+        let (task, number) = (&attempt_id.task, attempt_id.number);
         let job = self.jobs.get(&task.job);
         // An attempt of no live job has to end.
         let stop_grace = job.map_or(Some(0), |_| attempt.stop_grace);
         match (attempt.phase, stop_grace) {
             (AttemptPhase::Ended(reason), _) => (is_durable(job, task.index, reason)
-                && self.is_usage_settled(machine, key))
+                && self.is_usage_settled(machine, attempt_id))
             .then(|| forget_order(task, number)),
             // It is saving its progress already, which is what the grace is for.
             (AttemptPhase::Saving, Some(grace)) if grace > 0 => None,
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -102,9 +102,7 @@
             self.store_writes.stale_keys.push(key);
             return;
         }
-        let MachineTransferRecord {
-            machine_type, zone, ..
-        } = record;
+        let (machine_type, zone) = (&record.machine_type, &record.zone);
         self.machine_or_adopt(machine, machine_type, zone, record.spot, now);
         let member = ShardMember::from(record.clone());
         self.shard.add(machine, member, None);
--- a/crates/gannethub-core/src/state/writes.rs
+++ b/crates/gannethub-core/src/state/writes.rs
@@ -8,7 +8,7 @@
 /// What has to be remembered about writes to the state service, beside the state that is written.
 #[derive(Debug)]
 pub struct StoreWrites {
-    /// The keys of the shard's owner, which guards every transaction, and of its last term.
+    /// The owner key guards every transaction.
     pub assignment_keys: AssignmentKeys,
     /// Keys that nothing needs any more. They are deleted as transactions have room for it.
     pub(crate) stale_keys: Vec<String>,
