--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -16,8 +16,8 @@
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Seconds from the wire as microseconds. What is no time, as a negative or infinite number, becomes zero; huge values
-/// saturate.
+/// Seconds from the wire as microseconds. What is no time, as a negative or infinite number, becomes zero; huge
+/// values saturate.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     if seconds.is_finite() && seconds > 0.0 {
         (seconds * SECOND as f64).round() as Micros
@@ -174,8 +174,8 @@
 /// A limit of this amount is no limit.
 pub const UNLIMITED: i64 = i64::MAX / 4;
 
-/// A team's guarantee and limit, which count CPUs and GPUs only. A guarantee of zero is no guarantee, and a team without a
-/// limit has one of [`UNLIMITED`].
+/// A team's guarantee and limit, which count CPUs and GPUs only. A guarantee of zero is no guarantee, and a team
+/// without a limit has one of [`UNLIMITED`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     pub name: String,
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -11,7 +11,7 @@
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
 use crate::state::shard::ShardMember;
-use crate::state::shard_transfers::OutgoingTransfer;
+use crate::state::shard_transfers::{OutgoingTransfer, RecentTransfer};
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{self, MachineTransferRecord};
 
@@ -70,7 +70,10 @@
                 .recent
                 .entry(transfer.to_shard)
                 .or_default()
-                .push((counts_until, transfer.record));
+                .push(RecentTransfer {
+                    record: transfer.record,
+                    counts_until,
+                });
         }
     }
 
@@ -122,8 +125,11 @@
             record.machine_type == machine_type && record.zone == zone && record.spot == spot
         };
         let recent = self.transfers.recent.entry(shard).or_default();
-        recent.retain(|(counts_until, _)| now < *counts_until);
-        let arriving = recent.iter().filter(|(_, record)| is_same(record)).count();
+        recent.retain(|transfer| now < transfer.counts_until);
+        let arriving = recent
+            .iter()
+            .filter(|transfer| is_same(&transfer.record))
+            .count();
         let outgoing = self.transfers.outgoing.values();
         let leaving = outgoing
             .filter(|transfer| transfer.to_shard == shard && is_same(&transfer.record))
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -1,9 +1,9 @@
 //! Nested sagas, after Garcia-Molina et al., "Coordinating Multi-Transaction Activities".
 //!
-//! A saga holds elements, each a child saga. It commits when all of them have, and a vital child's abort aborts it: active
-//! elements are cancelled, committed ones compensated in reverse commit order. A non-vital child's abort cancels only what
-//! waits for it. A pipeline is a saga of jobs; a gang attempt is a saga of tasks, non-vital to its job, so that a lost
-//! attempt is repeated.
+//! A saga holds elements, each a child saga. It commits when all of them have, and a vital child's abort aborts
+//! it: active elements are cancelled, committed ones compensated in reverse commit order. A non-vital child's
+//! abort cancels only what waits for it. A pipeline is a saga of jobs; a gang attempt is a saga of tasks,
+//! non-vital to its job, so that a lost attempt is repeated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -104,8 +104,8 @@
         })
     }
 
-    /// Adds an element that is released when every element of `upstream` has committed. Upstream elements that are not known
-    /// yet are taken to be active, and may be added later.
+    /// Adds an element that is released when every element of `upstream` has committed. Upstream elements that are
+    /// not known yet are taken to be active, and may be added later.
     pub fn add(&mut self, key: K, vital: bool, upstream: &[K]) {
         let mut open_upstream = BTreeSet::new();
         for upstream_key in upstream {
--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -23,8 +23,8 @@
 
 /// One start of a task, on one machine.
 ///
-/// Attempts are kept under [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer reports
-/// them, which is after their resources were given back.
+/// Attempts are kept under [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer
+/// reports them, which is after their resources were given back.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub phase: AttemptPhase,
@@ -55,7 +55,8 @@
 pub struct GangAttempt {
     /// The attempt number that all tasks of the gang share.
     pub attempt: u64,
-    /// The attempt's own saga: every task is vital to it. The attempt is not vital to its job, so a lost one is repeated.
+    /// The attempt's own saga: every task is vital to it. The attempt is not vital to its job, so a lost one is
+    /// repeated.
     pub saga: Saga<u32>,
     /// At least one task has been reported as running. Until then a lost task is replaced within the same attempt.
     pub running: bool,
--- a/crates/gannethub-core/src/state/capacity_index.rs
+++ b/crates/gannethub-core/src/state/capacity_index.rs
@@ -1,9 +1,9 @@
 //! Index of machines by free capacity: machines in buckets of like kind, and within a bucket by their free CPU.
 //!
-//! A pass, a heartbeat or a plan asks for free capacity of some size, and must not look at every machine to find it: the
-//! cost of deciding would then grow with the square of the cluster. The index only says where to look. What is found there
-//! is still checked against the machine itself, so a machine that has fallen silent since then costs one look and breaks
-//! nothing.
+//! A pass, a heartbeat or a plan asks for free capacity of some size, and must not look at every machine to find
+//! it: the cost of deciding would then grow with the square of the cluster. The index only says where to look.
+//! What is found there is still checked against the machine itself, so a machine that has fallen silent since then
+//! costs one look and breaks nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -51,7 +51,8 @@
     }
 }
 
-/// The buckets of all kinds there are or have been. A machine keeps the index of its bucket, so buckets are never removed.
+/// The buckets of all kinds there are or have been. A machine keeps the index of its bucket, so buckets are never
+/// removed.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     pub buckets: Vec<CapacityBucket>,
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -1,7 +1,7 @@
 //! The leader's view of jobs and machines, kept true by heartbeats and by the state service.
 //!
-//! Everything that could be on a machine counts as there: tasks whose launch may still arrive, tasks that fetch, run, save
-//! or wait, and tasks of machines that cannot be reached.
+//! Everything that could be on a machine counts as there: tasks whose launch may still arrive, tasks that fetch,
+//! run, save or wait, and tasks of machines that cannot be reached.
 
 mod attempts;
 mod capacity;
@@ -39,16 +39,21 @@
 
 /// All that the owner of a shard knows of it.
 ///
-/// Part of it is owned by the types of its fields, each of which says who changes it. What still spans several parts is
-/// written here, in the methods of this module, and nowhere else:
+/// Much of it is owned by the types of its fields, each of which says who changes it. What still spans several of
+/// them, and has to be changed together:
 ///
-/// - the use of machines and teams and the capacity index, which have to agree with the attempts on the machines
-///   (`adjust_usage`, `reindex_machine`);
-/// - the attempts of a job and those on its machines, which name each other (`place_task`).
+/// - the attempts on machines, what machines and teams use, and the capacity index. [`Cluster::adjust_usage`] changes
+///   the latter three for every attempt that takes or gives back capacity; only `reconcile::configuration` adds to
+///   [`QuotaState::team_usage`] beside it, when a team becomes known;
+/// - the live attempts of a job and those on its machines, which name each other. [`Cluster::place_task`] adds to
+///   both, `reconcile::attempts` adopts and removes;
+/// - `passes.needed`, which whoever changes what a pass decides by has to set.
 ///
-/// The folders above this one add methods of their own: `scheduling` decides and changes `queue`, `passes`, `fleet` and the
-/// reservations on machines; `reconcile` takes in heartbeats, records and answers of the cloud, and with them changes jobs,
-/// machines and pipelines; `controller` only sets flags and calls methods.
+/// The folders above this one add methods of their own. `scheduling` decides: it changes the queue, the passes, the
+/// fleet's calls, and what [`JobScheduling`](super::job::JobScheduling) and
+/// [`PlacementState`](super::machine::PlacementState) keep. `reconcile` takes in heartbeats, stored records and
+/// answers of the cloud, and with them changes jobs, machines and pipelines. `controller` calls methods, and sets
+/// only `starts_paused`, `watermarks.not_required` and what other shards tell.
 #[derive(Debug)]
 pub struct Cluster {
     /// The term under which this controller owns the shard: the fencing token of all that it sends.
@@ -216,8 +221,8 @@
         })
     }
 
-    /// How many changes a transaction may have. What the state service has rejected as too large is tried again in smaller
-    /// transactions.
+    /// How many changes a transaction may have. What the state service has rejected as too large is tried again in
+    /// smaller transactions.
     pub fn max_transaction_changes(&self) -> usize {
         let halvings = self.store_writes.transaction_rejections.min(8);
         (self.settings.txn_ops >> halvings).max(MIN_TRANSACTION_CHANGES)
--- a/crates/gannethub-core/src/state/deadline.rs
+++ b/crates/gannethub-core/src/state/deadline.rs
@@ -7,7 +7,8 @@
 pub struct DownstreamDemand {
     /// The highest priority of all jobs that wait for it, directly or through others.
     pub priority: Priority,
-    /// For each deadline objective: when this job has to be done, so that what is to run after it can meet the objective.
+    /// For each deadline objective: when this job has to be done, so that what is to run after it can meet the
+    /// objective.
     pub deadlines: Vec<Option<Deadline>>,
 }
 
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -1,7 +1,7 @@
 //! Which job waits for which others, and what follows from their ends.
 //!
-//! All live jobs that wait, and those they wait for, are non-vital children of one open-ended [`Saga`]: a job is released
-//! when every job upstream has committed, and cancelled with any of them.
+//! All live jobs that wait, and those they wait for, are non-vital children of one open-ended [`Saga`]: a job is
+//! released when every job upstream has committed, and cancelled with any of them.
 
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -84,8 +84,8 @@
 
     pub(crate) refusals: HashMap<Offer, OfferRefusal>,
     pub provisioning_times: ProvisioningTimes,
-    /// Machines confirmed as deleted, and when: a lagging list may still show them, and heartbeats that were held back in
-    /// the network may come minutes later.
+    /// Machines confirmed as deleted, and when: a lagging list may still show them, and heartbeats that were held
+    /// back in the network may come minutes later.
     pub deleted_machines: HashMap<String, Micros>,
 }
 
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -31,8 +31,8 @@
     pub ready_at: u64,
     /// Its user has cancelled it. Nothing of it starts from then on.
     pub cancelled: bool,
-    /// The job's own saga, with one element. [`Pipelines`](super::pipeline::Pipelines) holds the one that it shares with
-    /// the jobs that wait for it.
+    /// The job's own saga, with one element. [`Pipelines`](super::pipeline::Pipelines) holds the one that it
+    /// shares with the jobs that wait for it.
     pub saga: Saga<u32>,
     pub failure_tracking: FailureTracking,
     pub tasks: JobTasks,
@@ -49,7 +49,8 @@
     pub done: TaskSet,
     /// Tasks that wait to be placed.
     pub pending: TaskSet,
-    /// Those of `pending` that an earlier leader may have launched on a machine which has not confirmed this term yet.
+    /// Those of `pending` that an earlier leader may have launched on a machine which has not confirmed this term
+    /// yet.
     pub unconfirmed: TaskSet,
     /// The attempt of every task that is placed.
     pub live_attempts: HashMap<u32, LiveAttempt>,
@@ -115,8 +116,8 @@
 }
 
 impl Job {
-    /// A job as its stored record shows it. `possibly_launched`: tasks below this number may be on machines that have not
-    /// confirmed this term yet.
+    /// A job as its stored record shows it. `possibly_launched`: tasks below this number may be on machines that
+    /// have not confirmed this term yet.
     pub fn from_record(
         id: JobId,
         record: JobRecord,
@@ -204,8 +205,8 @@
                 || failures.failed_machines.len() >= CRASH_LOOP_MACHINES)
     }
 
-    /// How many of its tasks may be placed at this time, as far as its failures go: one probe at a time, or one whole gang,
-    /// of a job that is crash looping.
+    /// How many of its tasks may be placed at this time, as far as its failures go: one probe at a time, or one
+    /// whole gang, of a job that is crash looping.
     pub fn allowed_probes(&self, now: Micros) -> i64 {
         if !self.is_crash_looping() {
             return i64::MAX;
@@ -219,8 +220,8 @@
         }
     }
 
-    /// How many of its tasks a machine may be provisioned for. The next probe of a crash-looping job uses capacity that is
-    /// there; only when none came free for long would it never be cleared without a new machine.
+    /// How many of its tasks a machine may be provisioned for. The next probe of a crash-looping job uses capacity
+    /// that is there; only when none came free for long would it never be cleared without a new machine.
     pub fn tasks_worth_provisioning(&self, now: Micros) -> i64 {
         let provision_from = self.failure_tracking.next_probe_at + PROBE_PROVISIONING_DELAY;
         if self.is_crash_looping() && now < provision_from {
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -1,9 +1,10 @@
 //! A controller's copy of what the state service holds of jobs, which lets one read answer any number of queries.
 //!
-//! The copy has every live job. Before queries are answered it is brought up to the present with one read of what has
-//! changed; a query that comes while that read is under way waits for the next one. So an answer is never older than its
-//! question, and nobody is told less than another controller has said already, in a takeover or after a partition as well.
-//! Of jobs that are over only the answers given or seen lately are kept, as an end never changes.
+//! The copy has every live job. Before queries are answered it is brought up to the present with one read of what
+//! has changed; a query that comes while that read is under way waits for the next one. So an answer is never
+//! older than its question, and nobody is told less than another controller has said already, in a takeover or
+//! after a partition as well. Of jobs that are over only the answers given or seen lately are kept, as an end
+//! never changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Jobs that have become known to be cancelled since this was last called. Users are told from here on, so the shards
-    /// owned by this process must not be the last to know.
+    /// Jobs that have become known to be cancelled since this was last called. Users are told from here on, so the
+    /// shards owned by this process must not be the last to know.
     pub fn take_new_cancellations(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.new_cancellations)
     }
@@ -137,8 +138,8 @@
             .map(|(id, _)| id)
     }
 
-    /// The job was neither live nor over at this version. That holds until a change shows it, if all later changes are
-    /// still to come.
+    /// The job was neither live nor over at this version. That holds until a change shows it, if all later changes
+    /// are still to come.
     pub fn record_absent(&mut self, id: JobId, version: u64) {
         if self.version.is_none_or(|known| known > version) {
             return;
@@ -175,8 +176,8 @@
         })
     }
 
-    /// What is known of a job that another one waits for. All but [`DependencyOutcome::Unknown`] shows that it was accepted,
-    /// and an end never changes.
+    /// What is known of a job that another one waits for. All but [`DependencyOutcome::Unknown`] shows that it was
+    /// accepted, and an end never changes.
     pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
         match recorded_outcome(&self.over, &self.live, id) {
             DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
@@ -292,8 +293,8 @@
         }
     }
 
-    /// The record of a job goes when it is over, in one transaction with the one that creates its end: what it said last
-    /// tells which end that is.
+    /// The record of a job goes when it is over, in one transaction with the one that creates its end: what it
+    /// said last tells which end that is.
     fn apply_deletion(&mut self, id: JobId) {
         self.never_submitted.remove(&id);
         match self.live.remove_entry(&id) {
--- a/crates/gannethub-core/src/state/job_replica/tests.rs
+++ b/crates/gannethub-core/src/state/job_replica/tests.rs
@@ -9,54 +9,56 @@
 }
 
 #[test]
-fn a_copy_follows_every_change_and_tells_ends_apart() {
-    let mut m = JobReplica::default();
-    let (a, b) = (record("0-1", false), record("", true));
+fn a_replica_follows_every_change_and_tells_ends_apart() {
+    let mut replica = JobReplica::default();
+    let (pending, cancelled) = (record("0-1", false), record("", true));
     let page = format!(
-        r#"{{"items":[{{"k":"gh/live/j-1","v":{a},"stamp":3}}],"truncated":true,"ledger_no":7}}"#
+        r#"{{"items":[{{"k":"gh/live/j-1","v":{pending},"stamp":3}}],"truncated":true,"ledger_no":7}}"#
     );
     assert_eq!(
-        m.apply_listing_page(&listing(&page)).as_deref(),
+        replica.apply_listing_page(&listing(&page)).as_deref(),
         Some("gh/live/j-1")
     );
-    assert_eq!(m.version(), None);
+    assert_eq!(replica.version(), None);
     let page = format!(
-        r#"{{"items":[{{"k":"gh/live/j-2","v":{a},"stamp":9}}],"truncated":false,"ledger_no":9}}"#
+        r#"{{"items":[{{"k":"gh/live/j-2","v":{pending},"stamp":9}}],"truncated":false,"ledger_no":9}}"#
     );
-    assert_eq!(m.apply_listing_page(&listing(&page)), None);
+    assert_eq!(replica.apply_listing_page(&listing(&page)), None);
     assert_eq!(
-        m.version(),
+        replica.version(),
         Some(7),
         "changes between the pages are read again"
     );
-    assert!(matches!(m.lookup("j-1"), JobLookup::Job(v) if v.done == 2));
-    assert_eq!(m.lookup("j-3"), JobLookup::NotLive);
-    m.record_absent("j-3".into(), 6);
+    assert!(matches!(replica.lookup("j-1"), JobLookup::Job(view) if view.done == 2));
+    assert_eq!(replica.lookup("j-3"), JobLookup::NotLive);
+    replica.record_absent("j-3".into(), 6);
     assert_eq!(
-        m.lookup("j-3"),
+        replica.lookup("j-3"),
         JobLookup::NotLive,
         "a later change may have shown it"
     );
-    m.record_absent("j-3".into(), 9);
-    assert_eq!(m.lookup("j-3"), JobLookup::NeverSubmitted);
+    replica.record_absent("j-3".into(), 9);
+    assert_eq!(replica.lookup("j-3"), JobLookup::NeverSubmitted);
     let log = format!(
-        r#"{{"ledger_no":12,"log":[{{"write":"gh/live/j-2","v":{b},"stamp":10}},
+        r#"{{"ledger_no":12,"log":[{{"write":"gh/live/j-2","v":{cancelled},"stamp":10}},
         {{"delete":"gh/live/j-1","stamp":11}},{{"delete":"gh/live/j-2","stamp":11}},
-        {{"write":"gh/live/j-3","v":{a},"stamp":12}}]}}"#
+        {{"write":"gh/live/j-3","v":{pending},"stamp":12}}]}}"#
     );
-    m.apply_changes(&serde_json::from_str(&log).unwrap());
-    assert_eq!(m.version(), Some(12));
+    replica.apply_changes(&serde_json::from_str(&log).unwrap());
+    assert_eq!(replica.version(), Some(12));
     assert!(
-        matches!(m.lookup("j-1"), JobLookup::Job(v) if v.status == JobStatus::Done && v.done == 4)
+        matches!(replica.lookup("j-1"), JobLookup::Job(view) if view.status == JobStatus::Done && view.done == 4)
     );
-    assert!(matches!(m.lookup("j-2"), JobLookup::Job(v) if v.status == JobStatus::Cancelled));
     assert!(
-        matches!(m.lookup("j-3"), JobLookup::Job(_)),
+        matches!(replica.lookup("j-2"), JobLookup::Job(view) if view.status == JobStatus::Cancelled)
+    );
+    assert!(
+        matches!(replica.lookup("j-3"), JobLookup::Job(_)),
         "it is not absent any more"
     );
-    m.reset();
+    replica.reset();
     assert!(
-        m.version().is_none() && m.final_view("j-1").is_some(),
+        replica.version().is_none() && replica.final_view("j-1").is_some(),
         "an end holds at any time"
     );
 }
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -22,7 +22,7 @@
     pub machine_type: Option<usize>,
     pub capacity: Resources,
     pub zone: Arc<str>,
-    /// It was rented on the spot market and may be taken away at short notice.
+    /// It is a spot machine: the cloud may take it back at short notice.
     pub spot: bool,
     /// Everything that is or may still be on the machine, by task and number.
     pub attempts: BTreeMap<AttemptId, Attempt>,
@@ -35,8 +35,8 @@
 
 /// What is known of the worker on a machine: its heartbeats and its lease.
 ///
-/// A worker that gets no answer for the length of its lease kills everything it runs. So an unanswered machine is known
-/// to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed since
+/// A worker that gets no answer for the length of its lease kills everything it runs. So an unanswered machine is
+/// known to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed since
 /// [`WorkerState::last_answered_at`].
 #[derive(Debug)]
 pub struct WorkerState {
@@ -59,22 +59,22 @@
     pub address: Option<SocketAddrV4>,
     /// How many incarnations in a row ended although their heartbeats were answered: the answers do not arrive.
     pub unanswered_incarnations: u32,
-    /// Hash of the tasks in the last heartbeat, unless they were told something since: a heartbeat with the same tasks
-    /// changes nothing.
+    /// Hash of the tasks in the last heartbeat, unless they were told something since: a heartbeat with the same
+    /// tasks changes nothing.
     pub heartbeat_digest: Option<u64>,
 }
 
-/// Where a machine is between being rented and being returned.
+/// Where a machine is between its provisioning and its deletion.
 ///
-/// The flags are independent of one another: a spot machine under notice may be draining and be on its way to deletion at
-/// the same time, and each is decided by a different event.
+/// The flags are independent of one another: a spot machine under notice may be draining and be on its way to
+/// deletion at the same time, and each is decided by a different event.
 #[derive(Debug)]
 pub struct MachineLifecycle {
     /// It is on its shard's durable record. Nothing may be launched on it before.
     pub recorded: bool,
     /// When this leader first knew of it.
     pub known_since: Micros,
-    /// When it was rented, as far as is known.
+    /// When it was provisioned, as far as is known.
     pub provisioned_at: Micros,
     /// Its worker has sent a heartbeat at all.
     pub is_up: bool,
@@ -192,9 +192,9 @@
         self.attempts.values().any(|attempt| attempt.holds_capacity)
     }
 
-    /// The incarnation that its worker replaces by a new one ended within a lease of a heartbeat that was answered, so
-    /// the answers do not arrive. Heartbeats that were held back and came together are no sign of that: their answers
-    /// came too late.
+    /// The incarnation that its worker replaces by a new one ended within a lease of a heartbeat that was
+    /// answered, so the answers do not arrive. Heartbeats that were held back and came together are no sign of
+    /// that: their answers came too late.
     pub(crate) fn ended_unanswered(&self, now: Micros, lease: Micros) -> bool {
         let (Some(last), Some(previous)) = (
             self.worker.last_heartbeat_at,
@@ -212,8 +212,9 @@
         self.worker.unanswered_incarnations > 0 && now < self.placement.unschedulable_until
     }
 
-    /// Whether it may hold tasks of an earlier term that this leader does not know of: it is on its shard's record, has not
-    /// confirmed this term, and its lease may not have run out. `lease_bound`: how long that takes at most.
+    /// Whether it may hold tasks of an earlier term that this leader does not know of: it is on its shard's
+    /// record, has not confirmed this term, and its lease may not have run out. `lease_bound`: how long that takes
+    /// at most.
     pub fn is_unconfirmed(&self, now: Micros, lease_bound: Micros) -> bool {
         self.lifecycle.recorded
             && !self.worker.confirmed
--- a/crates/gannethub-core/src/state/mod.rs
+++ b/crates/gannethub-core/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a controller remembers, without any decision: decisions are made in `scheduling`, and what comes in from outside
-//! is taken in by `reconcile`.
+//! What a controller remembers, without any decision: decisions are made in `scheduling`, and what comes in from
+//! outside is taken in by `reconcile`.
 //!
 //! | modules | what they have |
 //! | --- | --- |
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -4,8 +4,8 @@
 
 use crate::model::{JobId, Micros};
 
-/// The scheduler's state between passes. It is changed by the folder `scheduling`; others only set the flags that ask for
-/// a pass.
+/// The scheduler's state between passes. It is changed by the folder `scheduling`; others only set the flags that
+/// ask for a pass.
 #[derive(Debug)]
 pub struct PassState {
     /// Something changed that a pass over the whole queue should see.
@@ -27,8 +27,8 @@
     pub gang_requests_deferred: bool,
     /// When gang placement was last tried for all gangs that wait.
     pub gang_round_at: Micros,
-    /// Steps taken so far: machines, jobs and forecasts that were looked at. It paces passes and plans by what they cost,
-    /// and is a cell as read-only helpers count as well.
+    /// Steps taken so far: machines, jobs and forecasts that were looked at. It paces passes and plans by what
+    /// they cost, and is a cell as read-only helpers count as well.
     pub steps: Cell<u64>,
     /// What passes and plans have cost since that was last logged.
     pub cost: SchedulingCost,
--- a/crates/gannethub-core/src/state/pipeline.rs
+++ b/crates/gannethub-core/src/state/pipeline.rs
@@ -1,14 +1,14 @@
 //! Pipelines of several jobs, as the leader keeps them.
 //!
-//! Releases and cancellations follow from what the state service holds and from nothing else, so every controller comes to
-//! the same answer, whoever leads and whether or not the leader has written it down yet:
+//! Releases and cancellations follow from what the state service holds and from nothing else, so every controller
+//! comes to the same answer, whoever leads and whether or not the leader has written it down yet:
 //!
 //! - a job is done when its `over` record says so, and that never changes;
-//! - a job is cancelled when its own record says so, live or over, or when one it waits for is cancelled. A cancelled job is
-//!   never done, so this never changes either;
-//! - a waiting job has another kind of record than one that was released. Only the leader rewrites the one into the other,
-//!   after it has read or written the ends of all jobs upstream, and only what it keeps among its jobs, which no waiting job
-//!   is, can be placed on a machine.
+//! - a job is cancelled when its own record says so, live or over, or when one it waits for is cancelled. A
+//!   cancelled job is never done, so this never changes either;
+//! - a waiting job has another kind of record than one that was released. Only the leader rewrites the one into
+//!   the other, after it has read or written the ends of all jobs upstream, and only what it keeps among its jobs,
+//!   which no waiting job is, can be placed on a machine.
 //!
 //! Of a job that another one waits for and that is not live, the end is read.
 
--- a/crates/gannethub-core/src/state/provisioning_times.rs
+++ b/crates/gannethub-core/src/state/provisioning_times.rs
@@ -1,8 +1,8 @@
 //! How long machines take to boot, learned for each type and zone from what is observed.
 //!
-//! The cloud states a usual time. Some machines take several times as long, some nights all of a type do in a zone, or
-//! never come up; at other times they are up at once. What was observed counts in full at first and fades with time, so
-//! that a bad hour does not keep a zone out for the day.
+//! The cloud states a usual time. Some machines take several times as long, some nights all of a type do in a
+//! zone, or never come up; at other times they are up at once. What was observed counts in full at first and fades
+//! with time, so that a bad hour does not keep a zone out for the day.
 
 use std::collections::HashMap;
 
@@ -10,8 +10,8 @@
 
 /// An observation loses half its weight in this time.
 const HALF_LIFE: Micros = 120 * SECOND;
-/// The weight of one machine that came up, one that is overdue, and one that never came up. Of a burst the overdue ones
-/// are seen last and alone: a few of them must not count for the whole.
+/// The weight of one machine that came up, one that is overdue, and one that never came up. Of a burst the overdue
+/// ones are seen last and alone: a few of them must not count for the whole.
 const BOOTED_WEIGHT: f64 = 0.15;
 const OVERDUE_WEIGHT: f64 = 0.025;
 const LOST_WEIGHT: f64 = 0.03;
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Like [`ProvisioningTimes::estimate`], but without the ordinary spread: else the choice among zones that are as good
-    /// as one another would wander, and gangs that need one zone would find half their capacity in each.
+    /// Like [`ProvisioningTimes::estimate`], but without the ordinary spread: else the choice among zones that are
+    /// as good as one another would wander, and gangs that need one zone would find half their capacity in each.
     fn significant_estimate(&self, machine_type: usize, zone: &str, now: Micros) -> Estimate {
         let mut estimate = self.estimate(machine_type, zone, now);
         if (estimate.factor - 1.0).abs() < ORDINARY_DEVIATION {
@@ -141,8 +141,8 @@
         });
     }
 
-    /// By which factor boots make a machine dearer than its price: what is paid for longer boots, and for machines that are
-    /// given up after `max_boot_time`.
+    /// By which factor boots make a machine dearer than its price: what is paid for longer boots, and for machines
+    /// that are given up after `max_boot_time`.
     pub fn price_factor(
         &self,
         machine_type: usize,
--- a/crates/gannethub-core/src/state/queue.rs
+++ b/crates/gannethub-core/src/state/queue.rs
@@ -13,10 +13,11 @@
     pub(crate) is_above_guarantee: bool,
     /// Jobs that can no longer be in time come last.
     pub(crate) is_too_late: bool,
-    /// The policy's `queue_share`, in thousandths: how much the job's team has had of late, where policy asks for that.
+    /// The policy's `queue_share`, in thousandths: how much the job's team has had of late, where policy asks for
+    /// that.
     pub(crate) share: i64,
-    /// The policy's `queue_weight`, in thousandths: usually the time left until a task has to start, lengthened by the work
-    /// that the job brings.
+    /// The policy's `queue_weight`, in thousandths: usually the time left until a task has to start, lengthened by
+    /// the work that the job brings.
     pub(crate) weight: i64,
     /// Time of day at which the job became ready.
     pub(crate) ready_at: u64,
--- a/crates/gannethub-core/src/state/shard.rs
+++ b/crates/gannethub-core/src/state/shard.rs
@@ -1,7 +1,8 @@
 //! Shards of machines: which machines a controller may place on, and under which lease.
 //!
-//! A shard's machines are kept in the state service in chunks, so that no value outgrows its limit. A machine is written
-//! there before the first launch on it: whoever takes the shard over reads every machine that may hold tasks.
+//! A shard's machines are kept in the state service in chunks, so that no value outgrows its limit. A machine is
+//! written there before the first launch on it: whoever takes the shard over reads every machine that may hold
+//! tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -73,8 +74,8 @@
     has_additions: bool,
     /// Machines removed since it was last written: their record only costs a successor time.
     removals: usize,
-    /// Chunks that have taken over machines from this one. As long as they are not written, the stored value of this one is
-    /// the only record of those machines, so it must not be written.
+    /// Chunks that have taken over machines from this one. As long as they are not written, the stored value of
+    /// this one is the only record of those machines, so it must not be written.
     waits_for: BTreeSet<usize>,
 }
 
@@ -112,8 +113,8 @@
 }
 
 impl Shard {
-    /// A shard of which nothing has been read yet. `max_value_bytes`: the size that a value in the state service may have.
-    /// `chunk_size`: how many machines a chunk may have.
+    /// A shard of which nothing has been read yet. `max_value_bytes`: the size that a value in the state service
+    /// may have. `chunk_size`: how many machines a chunk may have.
     pub fn new(
         id: u32,
         term: u64,
@@ -146,8 +147,8 @@
         (chunk < MAX_CHUNKS).then_some(chunk)
     }
 
-    /// Takes over what a stored chunk holds. A machine that another chunk holds as well was on its way from one to the
-    /// other; it stays where it was seen first, and is removed here.
+    /// Takes over what a stored chunk holds. A machine that another chunk holds as well was on its way from one to
+    /// the other; it stays where it was seen first, and is removed here.
     pub fn load_chunk(&mut self, index: usize, record: ChunkRecord, version: u64) {
         while self.chunks.len() <= index {
             self.chunks.push(Chunk::default());
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Everything has been loaded. Chunks that an owner wrote under larger limits could not be written again: what is too
-    /// much for them moves to others, which are written first.
+    /// Everything has been loaded. Chunks that an owner wrote under larger limits could not be written again: what
+    /// is too much for them moves to others, which are written first.
     pub fn finish_loading(&mut self) {
         for index in 0..self.chunks.len() {
             for (name, member) in self.take_excess(index) {
@@ -271,8 +272,8 @@
         self.chunks[index].has_additions = true;
     }
 
-    /// The outcome of a chunk's write is unknown: it is written again on top of the version that the state service holds
-    /// now.
+    /// The outcome of a chunk's write is unknown: it is written again on top of the version that the state service
+    /// holds now.
     pub fn mark_write_unknown(&mut self, index: usize, version: u64) {
         self.chunks[index].version = version;
         self.chunks[index].has_additions = true;
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -22,10 +22,11 @@
     pub machine_demand: Vec<(Offer, u32)>,
 }
 
-/// The home shard of a new job, of those below `shard_count`: the one with the smallest backlog, which grows by the job.
+/// The home shard of a new job, of those below `shard_count`: the one with the smallest backlog, which grows by
+/// the job.
 ///
-/// Gangs all go to shard 0: what they need at once, several shards would each have a part of. So does everything as long as
-/// the owner of shard 0 is not known to distribute machines and limits.
+/// Gangs all go to shard 0: what they need at once, several shards would each have a part of. So does everything
+/// as long as the owner of shard 0 is not known to distribute machines and limits.
 pub fn choose_home_shard(loads: &mut [ShardLoad], shard_count: u32, spec: &JobSpec) -> u32 {
     if loads.iter().all(|load| load.shard != 0) {
         return 0;
--- a/crates/gannethub-core/src/state/shard_transfers.rs
+++ b/crates/gannethub-core/src/state/shard_transfers.rs
@@ -17,8 +17,8 @@
     pub outgoing: BTreeMap<String, OutgoingTransfer>,
     /// Provisioning requests, by name, and the shards that their machines are for.
     pub provisioning_for_shard: BTreeMap<String, u32>,
-    /// What has lately been transferred to each shard, and until when it counts as on its way there.
-    pub(crate) recent: BTreeMap<u32, Vec<(Micros, MachineTransferRecord)>>,
+    /// What has lately been transferred to each shard.
+    pub(crate) recent: BTreeMap<u32, Vec<RecentTransfer>>,
     /// Machines that are being taken into this shard and are not on its durable record yet.
     pub incoming: HashSet<String>,
 }
@@ -32,6 +32,14 @@
     pub write_in_flight: bool,
 }
 
+/// A machine that was transferred to another shard.
+#[derive(Debug)]
+pub(crate) struct RecentTransfer {
+    pub record: MachineTransferRecord,
+    /// Until when the machine counts as on its way.
+    pub counts_until: Micros,
+}
+
 /// What is known of the other shards. Only the owner of shard 0 keeps track of their machines and jobs.
 #[derive(Debug, Default)]
 pub struct OtherShards {
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -8,7 +8,8 @@
 pub struct Takeover {
     /// When this leader took over, on this process's clock. Leases of recorded machines are counted from here.
     pub(crate) at: Micros,
-    /// Every machine of the shard has confirmed this term or its lease has run out, so nothing is unconfirmed any more.
+    /// Every machine of the shard has confirmed this term or its lease has run out, so nothing is unconfirmed any
+    /// more.
     pub settled: bool,
     /// What may be on the machines of which neither is true yet.
     pub unconfirmed: Unconfirmed,
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -1,7 +1,7 @@
 //! The leader's side of the usage ledger: which attempts are charged, and to whom.
 //!
-//! What charges, writes and decays is [`gannethub_ledger`]; here the cluster's events meet it. Where no ledger is kept, every
-//! call of these modules does nothing.
+//! What charges, writes and decays is [`gannethub_ledger`]; here the cluster's events meet it. Where no ledger is
+//! kept, every call of these modules does nothing.
 //!
 //! | module | what it has |
 //! | --- | --- |
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -106,8 +106,8 @@
                 missed: worker.missed_heartbeats,
             };
         }
-        // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer in it;
-        // of a machine that is silent nobody knows.
+        // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer
+        // in it; of a machine that is silent nobody knows.
         match worker.last_heartbeat_at {
             Some(at) if at == now => News::Silence {
                 heard: worker.previous_heartbeat_at,
@@ -190,8 +190,8 @@
             Some(ChargeState::Charged(ticket)) => ledger.book.is_written(ticket),
             Some(ChargeState::Open | ChargeState::OwnerUnknown) => false,
         };
-        // An end that is still shown would get the next start of the task here refused; and a heartbeat must not outgrow
-        // its limit. Then this leader's memory has to do.
+        // An end that is still shown would get the next start of the task here refused; and a heartbeat must not
+        // outgrow its limit. Then this leader's memory has to do.
         is_durable || is_replaced(machine, attempt) || has_too_many_ends(machine)
     }
 }
--- a/crates/gannethub-core/src/state/usage/ledger.rs
+++ b/crates/gannethub-core/src/state/usage/ledger.rs
@@ -17,7 +17,8 @@
     pub book: Book,
     /// Attempts that earlier leaders charged, as far as they may be met again.
     pub(super) charged_before: HashSet<Key>,
-    /// Ends that an earlier leader had charged but not made durable, and the tickets under which this one has charged them.
+    /// Ends that an earlier leader had charged but not made durable, and the tickets under which this one has
+    /// charged them.
     pub(super) inherited_tickets: HashMap<Key, u64>,
     /// The copy of the earlier leader's records that this one took over was complete.
     pub(super) replica_was_complete: bool,
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// A worker has shown all that it holds to this leader for the first time: orphans that it has not shown are over.
+    /// A worker has shown all that it holds to this leader for the first time: orphans that it has not shown are
+    /// over.
     pub(crate) fn charge_orphans_not_shown(
         &mut self,
         id: &MachineId,
@@ -173,8 +174,8 @@
             .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
     }
 
-    /// Charges the orphans of a machine that `is_over` says of. `likely_duration`: how long they most likely went on after
-    /// they were last known.
+    /// Charges the orphans of a machine that `is_over` says of. `likely_duration`: how long they most likely went
+    /// on after they were last known.
     fn charge_orphans_where(
         &mut self,
         id: &MachineId,
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -41,16 +41,16 @@
             .for_each(log_damaged_page);
         let peer_count = self.settings.siblings.len();
         self.usage_ledger = Some(Box::new(UsageLedger::new(opened, peer_count)));
-        let (records, is_complete) = replica.take_records(self.term - 1);
-        self.take_over_usage(records, now);
+        let inherited = replica.take_records(self.term - 1);
+        self.take_over_usage(inherited.records, now);
         let takeover = Took {
             term: self.term,
             holder: self.settings.name.clone(),
             at: self.unix_time,
-            complete: is_complete,
+            complete: inherited.is_complete,
         };
         if let Some(ledger) = &mut self.usage_ledger {
-            ledger.replica_was_complete = is_complete;
+            ledger.replica_was_complete = inherited.is_complete;
             ledger.book.note(Body::Took(takeover), now);
         }
     }
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -129,8 +129,8 @@
         messages
     }
 
-    /// Launches go out that no peer has been told of: one that is lost with its machine just after this leader would else be
-    /// known to nobody, and a successor would take its copy for complete.
+    /// Launches go out that no peer has been told of: one that is lost with its machine just after this leader
+    /// would else be known to nobody, and a successor would take its copy for complete.
     pub fn has_urgent_usage(&self) -> bool {
         self.usage_ledger
             .as_ref()
@@ -189,7 +189,8 @@
     }
 }
 
-/// Splits what a peer is told into messages below the size limit. One that is told of all records gets at least one message.
+/// Splits what a peer is told into messages below the size limit. One that is told of all records gets at least
+/// one message.
 fn split_message(
     records: &[OpenUsageRecord],
     closed_keys: &[AttemptKey],
--- a/crates/gannethub-core/src/state/usage_replica.rs
+++ b/crates/gannethub-core/src/state/usage_replica.rs
@@ -1,9 +1,9 @@
 //! A peer's copy of what a leader has not charged yet, or not made durable.
 //!
-//! A worker remembers an attempt until it is told to forget it, and that is enough while machines live. What was on a
-//! machine that is lost together with the leader is known to nobody else; so the leader sends its open usage records to its
-//! peers, and the one that succeeds it goes on with them. Messages may be lost: a copy that has missed one asks for all
-//! records, and says of itself that it is not complete.
+//! A worker remembers an attempt until it is told to forget it, and that is enough while machines live. What was
+//! on a machine that is lost together with the leader is known to nobody else; so the leader sends its open usage
+//! records to its peers, and the one that succeeds it goes on with them. Messages may be lost: a copy that has
+//! missed one asks for all records, and says of itself that it is not complete.
 
 use std::collections::BTreeMap;
 
@@ -25,6 +25,14 @@
     pub current_until: Micros,
 }
 
+/// What a new leader goes on with.
+#[derive(Debug)]
+pub struct InheritedRecords {
+    pub records: Vec<ReplicatedRecord>,
+    /// No record of the leader before is missing.
+    pub is_complete: bool,
+}
+
 /// What is known of a leader's open usage records.
 #[derive(Debug, Default)]
 pub struct UsageReplica {
@@ -125,9 +133,9 @@
         }
     }
 
-    /// What the leader of `term` left open, and whether that is all. A record of which it sent no news had not changed while
-    /// the leader was heard.
-    pub fn take_records(&mut self, term: u64) -> (Vec<ReplicatedRecord>, bool) {
+    /// What the leader of `term` left open, and whether that is all. A record of which it sent no news had not
+    /// changed while the leader was heard.
+    pub fn take_records(&mut self, term: u64) -> InheritedRecords {
         let replica = std::mem::take(self);
         let records = replica
             .records
@@ -136,10 +144,10 @@
                 current_until: record.current_until.max(replica.leader_heard_at),
                 ..record
             });
-        (
-            records.collect(),
-            replica.is_complete && replica.term == term,
-        )
+        InheritedRecords {
+            records: records.collect(),
+            is_complete: replica.is_complete && replica.term == term,
+        }
     }
 }
 
--- a/crates/gannethub-core/src/state/watermarks.rs
+++ b/crates/gannethub-core/src/state/watermarks.rs
@@ -1,7 +1,7 @@
 //! Launch watermarks: what lets a new leader know which tasks an earlier one may have launched.
 //!
-//! A job's watermark is a task number that is durable before any task below it is launched. The leader raises it ahead of
-//! its launches, so that they seldom wait for the write.
+//! A job's watermark is a task number that is durable before any task below it is launched. The leader raises it
+//! ahead of its launches, so that they seldom wait for the write.
 
 use crate::model::{Micros, SECOND};
 
--- a/crates/gannethub-core/src/state/writes.rs
+++ b/crates/gannethub-core/src/state/writes.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// A change that a transaction on its way to the state service carries, with what has to be done once its outcome is known.
+/// A change that a transaction on its way to the state service carries, with what has to be done once its outcome
+/// is known.
 #[derive(Debug, Clone)]
 pub enum BatchedWrite {
     /// The record of a job, with parts of its set of finished tasks.
--- a/crates/gannethub-core/src/state/zones.rs
+++ b/crates/gannethub-core/src/state/zones.rs
@@ -11,8 +11,8 @@
 
 /// Zones whose machines have all fallen silent while others are heard.
 ///
-/// A machine that is provisioned there would not be heard either, so the autoscaler leaves these zones alone. A heartbeat
-/// from such a zone takes it out again.
+/// A machine that is provisioned there would not be heard either, so the autoscaler leaves these zones alone. A
+/// heartbeat from such a zone takes it out again.
 #[derive(Debug, Default)]
 pub struct ZoneReachability {
     /// The zones, and when each was last found to be silent.
@@ -32,8 +32,8 @@
 }
 
 impl ZoneReachability {
-    /// Looks for zones that have become unreachable. Where none of the zones is heard, this controller is the one that is
-    /// cut off, and nothing is concluded.
+    /// Looks for zones that have become unreachable. Where none of the zones is heard, this controller is the one
+    /// that is cut off, and nothing is concluded.
     pub fn detect<'a>(
         &mut self,
         machines: impl Iterator<Item = &'a Machine>,
