--- a/crates/gannethub-core/src/reconcile/mod.rs
+++ b/crates/gannethub-core/src/reconcile/mod.rs
@@ -8,6 +8,7 @@
 mod job_writes;
 pub mod kill_delivery;
 pub mod lease_expiry;
+mod machine_listing;
 pub mod orders;
 pub mod pipelines;
 pub mod provisioning;
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -1,11 +1,18 @@
-//! The cloud, as it appears on the wire.
+//! The cloud, as it appears on the wire: machine types, and machines that are provisioned, listed and deleted.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::http::{CallResult, Method};
+use crate::http::{Answer, CallResult, Method};
 use crate::model::{MachineType, Resources, micros_from_seconds};
 
+/// Machines in one page of a listing.
+const PAGE_MACHINES: u32 = 500;
+/// What a machine fetches in a second where the cloud does not say.
+const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
+/// Amounts from this one on make no sense.
+const MAX_AMOUNT: f64 = 1e9;
+
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CloudRequest {
@@ -15,75 +22,92 @@
 }
 
 impl CloudRequest {
+    /// Reads the machine types.
     pub fn machine_types() -> CloudRequest {
-        CloudRequest {
-            method: Method::Get,
-            path: "/flavors".into(),
-            body: Bytes::new(),
-        }
+        CloudRequest::get("/flavors".into())
     }
 
+    /// Lists machines, from the one after `after` on; from the first if that is empty.
     pub fn list(after: &str) -> CloudRequest {
-        let path = if after.is_empty() {
-            "/rentals?page=500".to_string()
+        CloudRequest::get(if after.is_empty() {
+            format!("/rentals?page={PAGE_MACHINES}")
         } else {
-            format!("/rentals?from={after}&page=500")
-        };
-        CloudRequest {
-            method: Method::Get,
-            path,
-            body: Bytes::new(),
-        }
+            format!("/rentals?from={after}&page={PAGE_MACHINES}")
+        })
     }
 
-    pub fn provision(name: &str, flavor: &str, zone: &str, spot: bool, count: u32) -> CloudRequest {
+    /// Provisions `count` machines. A request is carried out once under one name, however often it is sent.
+    pub fn provision(
+        name: &str,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        count: u32,
+    ) -> CloudRequest {
         #[derive(Serialize)]
-        struct Rent<'a> {
-            hire: &'a str,
-            rig: &'a str,
-            yard: &'a str,
-            loaners: bool,
-            how_many: u32,
+        struct Body<'a> {
+            #[serde(rename = "hire")]
+            name: &'a str,
+            #[serde(rename = "rig")]
+            machine_type: &'a str,
+            #[serde(rename = "yard")]
+            zone: &'a str,
+            #[serde(rename = "loaners")]
+            spot: bool,
+            #[serde(rename = "how_many")]
+            count: u32,
         }
-        let body = Rent {
-            hire: name,
-            rig: flavor,
-            yard: zone,
-            loaners: spot,
-            how_many: count,
+        let body = Body {
+            name,
+            machine_type,
+            zone,
+            spot,
+            count,
         };
         CloudRequest::post("/rentals", &body)
     }
 
+    /// Deletes machines.
     pub fn delete(machines: &[String]) -> CloudRequest {
         #[derive(Serialize)]
-        struct Delete<'a> {
-            hosts: &'a [String],
+        struct Body<'a> {
+            #[serde(rename = "hosts")]
+            machines: &'a [String],
+        }
+        CloudRequest::post("/rentals/delete", &Body { machines })
+    }
+
+    fn get(path: String) -> CloudRequest {
+        CloudRequest {
+            method: Method::Get,
+            path,
+            body: Bytes::new(),
         }
-        CloudRequest::post("/rentals/delete", &Delete { hosts: machines })
     }
 
     fn post(path: &str, body: &impl Serialize) -> CloudRequest {
-        let body = serde_json::to_vec(body).unwrap_or_default().into();
         CloudRequest {
             method: Method::Post,
             path: path.into(),
-            body,
+            body: serde_json::to_vec(body).unwrap_or_default().into(),
         }
     }
 }
 
 #[derive(Deserialize)]
 struct MachineTypesAnswer {
-    rigs: Vec<MachineTypeEntry>,
+    #[serde(rename = "rigs")]
+    machine_types: Vec<MachineTypeEntry>,
 }
 
 #[derive(Deserialize)]
 struct MachineTypeEntry {
-    label: String,
-    vcpus: f64,
-    #[serde(default)]
-    cards: f64,
+    #[serde(rename = "label")]
+    name: String,
+    #[serde(rename = "vcpus")]
+    cpus: f64,
+    #[serde(rename = "cards", default)]
+    gpus: f64,
     mem_gb: f64,
     #[serde(default)]
     fetch_gb_per_s: f64,
@@ -92,8 +116,37 @@
     spot_price: f64,
     #[serde(default)]
     boot_s: f64,
-    #[serde(default)]
-    yards: Vec<String>,
+    #[serde(rename = "yards", default)]
+    zones: Vec<String>,
+}
+
+impl MachineTypeEntry {
+    fn makes_sense(&self) -> bool {
+        [
+            self.cpus,
+            self.gpus,
+            self.mem_gb,
+            self.price,
+            self.spot_price,
+        ]
+        .into_iter()
+        .all(|amount| amount.is_finite() && (0.0..MAX_AMOUNT).contains(&amount))
+    }
+}
+
+impl From<MachineTypeEntry> for MachineType {
+    fn from(entry: MachineTypeEntry) -> MachineType {
+        let or_default = |amount: f64, default: f64| if amount > 0.0 { amount } else { default };
+        MachineType {
+            size: Resources::new(entry.cpus, entry.gpus, entry.mem_gb),
+            name: entry.name.into(),
+            price: entry.price,
+            spot_price: or_default(entry.spot_price, entry.price),
+            boot_time: micros_from_seconds(entry.boot_s),
+            fetch_gb_per_s: or_default(entry.fetch_gb_per_s, DEFAULT_FETCH_GB_PER_S),
+            zones: entry.zones,
+        }
+    }
 }
 
 /// The machine types of an answer; `None` if there is none, or it has none that can be used.
@@ -102,45 +155,39 @@
     parse_machine_types(&answer.body)
 }
 
-/// Reads the machine types; `None` if the answer makes no sense.
+/// Reads the machine types; `None` if none of them makes sense.
 pub fn parse_machine_types(body: &[u8]) -> Option<Vec<MachineType>> {
-    let raw: MachineTypesAnswer = serde_json::from_slice(body).ok()?;
-    let sane = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
-    let flavors: Vec<MachineType> = raw
-        .rigs
-        .into_iter()
-        .filter(|f| {
-            [f.vcpus, f.cards, f.mem_gb, f.price, f.spot_price]
-                .into_iter()
-                .all(sane)
-        })
-        .map(|f| MachineType {
-            size: Resources::new(f.vcpus, f.cards, f.mem_gb),
-            name: f.label.into(),
-            price: f.price,
-            spot_price: if f.spot_price > 0.0 {
-                f.spot_price
-            } else {
-                f.price
-            },
-            boot_time: micros_from_seconds(f.boot_s),
-            fetch_gb_per_s: if f.fetch_gb_per_s > 0.0 {
-                f.fetch_gb_per_s
-            } else {
-                1.0
-            },
-            zones: f.yards,
-        })
+    let answer: MachineTypesAnswer = serde_json::from_slice(body).ok()?;
+    let entries = answer.machine_types.into_iter();
+    let machine_types: Vec<MachineType> = entries
+        .filter(MachineTypeEntry::makes_sense)
+        .map(MachineType::from)
         .collect();
-    (!flavors.is_empty()).then_some(flavors)
+    (!machine_types.is_empty()).then_some(machine_types)
 }
 
+/// The answer to a provisioning request: the machines' names, fewer than were asked for where there are no more.
 #[derive(Deserialize)]
 pub struct ProvisionAnswer {
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
+/// Whether the cloud has no machine of the kind that was asked for. It answers 503 to that, as it does when it is
+/// overloaded.
+pub fn is_out_of_capacity(result: &CallResult) -> bool {
+    #[derive(Deserialize)]
+    struct Body {
+        #[serde(default)]
+        error: String,
+    }
+    let unavailable = result.as_ref().ok().filter(|answer| answer.status == 503);
+    unavailable
+        .and_then(Answer::decode::<Body>)
+        .is_some_and(|body| body.error == "no capacity")
+}
+
+/// One machine of a listing.
 #[derive(Deserialize, Debug, Clone)]
 pub struct ListedMachine {
     pub id: String,
@@ -152,14 +199,24 @@
     pub spot: bool,
     #[serde(default)]
     pub status: String,
+    /// For how long it has been rented.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
 
+impl ListedMachine {
+    /// Whether it will never come up, or never again.
+    pub fn has_failed(&self) -> bool {
+        self.status == "failed"
+    }
+}
+
+/// One page of a listing.
 #[derive(Deserialize)]
 pub struct MachineList {
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
+    /// More machines follow.
     #[serde(default)]
     pub truncated: bool,
 }
