--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -108,7 +108,7 @@
 fn delivery_to(machine: &Machine, order: KillOrder) -> Option<KillOrderDelivery> {
     let is_live = |attempt_id: &AttemptId| {
         let attempt = machine.attempts.get(attempt_id);
-        attempt.is_some_and(|attempt| !matches!(attempt.phase, AttemptPhase::Ended(_)))
+        attempt.is_some_and(|attempt| !attempt.phase.is_ended())
     };
     let live = order.attempts.into_iter().filter(is_live);
     let orders: Vec<Order> = live.map(|id| stop_order(&id.task, id.number, 0)).collect();
--- a/crates/gannethub-core/src/reconcile/mod.rs
+++ b/crates/gannethub-core/src/reconcile/mod.rs
@@ -1,6 +1,7 @@
 //! Events are applied to the state: heartbeats, answers of the cloud and of the state service, stored records. What
 //! follows from them is written down and sent on; decisions are left to [`crate::scheduling`].
 
+pub mod attempt_end;
 pub mod attempts;
 pub mod cancellation;
 pub mod configuration;
--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -3,7 +3,7 @@
 use super::usage::record::UsageRecord;
 use crate::model::{MachineId, Micros, Resources};
 use crate::saga::Saga;
-use crate::wire::worker::ExitReason;
+use crate::wire::worker::{ExitReason, ReportedTask, TaskState};
 
 /// How far an attempt has come, as its worker last reported it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -21,6 +21,25 @@
     Ended(ExitReason),
 }
 
+impl AttemptPhase {
+    /// Whether the task has exited.
+    pub fn is_ended(self) -> bool {
+        matches!(self, AttemptPhase::Ended(_))
+    }
+}
+
+impl From<&ReportedTask<'_>> for AttemptPhase {
+    fn from(task: &ReportedTask<'_>) -> AttemptPhase {
+        match task.state {
+            TaskState::Fetching => AttemptPhase::Fetching,
+            TaskState::Waiting => AttemptPhase::Waiting,
+            TaskState::Running => AttemptPhase::Running,
+            TaskState::Saving => AttemptPhase::Saving,
+            TaskState::Exited => AttemptPhase::Ended(task.exit_reason.unwrap_or(ExitReason::Other)),
+        }
+    }
+}
+
 /// One start of a task, on one machine.
 ///
 /// Attempts are kept under [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer reports
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -40,9 +40,9 @@
         ExitReason::PeersGone => Reason::PeersGone,
         ExitReason::Alone => Reason::Alone,
         ExitReason::Error => Reason::Error,
-        ExitReason::NoRoom => Reason::NoRoom,
-        ExitReason::Busy => Reason::Busy,
-        ExitReason::Unknown => Reason::Unknown,
+        ExitReason::InsufficientResources => Reason::NoRoom,
+        ExitReason::OtherAttemptPresent => Reason::Busy,
+        ExitReason::UnknownTask => Reason::Unknown,
         ExitReason::Other => Reason::Other,
     }
 }
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -37,9 +37,11 @@
         AttemptPhase::Running => Stage::Running,
         AttemptPhase::Saving => Stage::Saving,
         // What it did before it was found is put down to what it most likely did last.
-        AttemptPhase::Ended(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
-            Stage::Starting
-        }
+        AttemptPhase::Ended(
+            ExitReason::InsufficientResources
+            | ExitReason::OtherAttemptPresent
+            | ExitReason::UnknownTask,
+        ) => Stage::Starting,
         AttemptPhase::Ended(ExitReason::Alone) => Stage::Waiting,
         AttemptPhase::Ended(_) => Stage::Running,
     }
--- a/crates/gannethub-core/src/wire/worker.rs
+++ b/crates/gannethub-core/src/wire/worker.rs
@@ -90,13 +90,13 @@
     Error,
     /// The launch was refused: the machine has not enough free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// The launch was refused: the task is on this machine with another attempt.
     #[serde(rename = "in_use")]
-    Busy,
+    OtherAttemptPresent,
     /// The launch was refused: there is no such task.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// A reason that this release does not know: the attempt is over, and was not done.
     #[serde(other)]
     Other,
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -840,9 +840,9 @@
         ("mates_gone", ExitReason::PeersGone),
         ("alone", ExitReason::Alone),
         ("error", ExitReason::Error),
-        ("full", ExitReason::NoRoom),
-        ("in_use", ExitReason::Busy),
-        ("no_such", ExitReason::Unknown),
+        ("full", ExitReason::InsufficientResources),
+        ("in_use", ExitReason::OtherAttemptPresent),
+        ("no_such", ExitReason::UnknownTask),
         ("of a later release", ExitReason::Other),
     ];
     for (text, reason) in reasons {
