--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -77,6 +77,13 @@
     pub number: u64,
 }
 
+impl AttemptId {
+    pub fn new(job: JobId, index: u32, number: u64) -> AttemptId {
+        let task = TaskId { job, index };
+        AttemptId { task, number }
+    }
+}
+
 /// Amounts of CPU, GPU and memory, in thousandths of a CPU, of a GPU and of a GB.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default, Serialize, Deserialize)]
 pub struct Resources {
--- a/crates/gannethub-core/src/reconcile/attempt_end.rs
+++ b/crates/gannethub-core/src/reconcile/attempt_end.rs
@@ -219,7 +219,8 @@
             let job = self.jobs.get(id);
             let live = job.and_then(|job| job.tasks.live_attempts.get(&index).cloned());
             if let Some(live) = live {
-                self.stop_attempt(id, index, &live.machine, live.number, 0);
+                let attempt = AttemptId::new(id.clone(), index, live.number);
+                self.stop_attempt(&live.machine, &attempt, 0);
             }
         }
     }
--- a/crates/gannethub-core/src/reconcile/cancellation.rs
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -1,6 +1,6 @@
 //! Cancellations by users.
 
-use crate::model::{AttemptId, TaskId, TaskSet};
+use crate::model::{AttemptId, TaskSet};
 use crate::saga::AbortAction;
 use crate::state::attempt::LiveAttempt;
 use crate::state::cluster::Cluster;
@@ -42,10 +42,9 @@
             return;
         }
         for (index, LiveAttempt { machine, number }) in live {
-            self.stop_attempt(id, index, &machine, number, 0);
-            let job = id.into();
-            let task = TaskId { job, index };
-            self.queue_kill_order(&machine, AttemptId { task, number });
+            let attempt = AttemptId::new(id.into(), index, number);
+            self.stop_attempt(&machine, &attempt, 0);
+            self.queue_kill_order(&machine, attempt);
         }
     }
 }
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -11,8 +11,8 @@
 
 use crate::configuration::OverLimit;
 use crate::model::{
-    JobId, JobSpec, MachineId, Micros, Priority, Resources, SECOND, Shape, TaskId, UNLIMITED,
-    micros_from_seconds, seconds_from_micros,
+    AttemptId, JobId, JobSpec, MachineId, Micros, Priority, Resources, SECOND, Shape, TaskId,
+    UNLIMITED, micros_from_seconds, seconds_from_micros,
 };
 use crate::policy::Value;
 use crate::saga::Saga;
@@ -561,8 +561,8 @@
         let tasks: Vec<u32> = job.tasks.pending.iter().filter(ready).take(found).collect();
         let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
         for (index, machine) in tasks.into_iter().zip(places) {
-            let attempt = self.next_attempt_number();
-            self.place_task(id, index, machine, attempt, now);
+            let attempt = AttemptId::new(id.clone(), index, self.next_attempt_number());
+            self.place_task(attempt, machine, now);
         }
         wanted - found
     }
@@ -800,7 +800,8 @@
             }
             let places = seats.iter().flat_map(|(m, n)| std::iter::repeat_n(m, *n));
             for (index, machine) in missing.iter().copied().zip(places) {
-                self.place_task(id, index, machine, attempt, now);
+                let attempt = AttemptId::new(id.clone(), index, attempt);
+                self.place_task(attempt, machine, now);
             }
             return;
         }
--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -12,24 +12,12 @@
 
 impl Cluster {
     /// Tells one attempt to stop. A shorter grace replaces a longer one.
-    pub(crate) fn stop_attempt(
-        &mut self,
-        job: &str,
-        index: u32,
-        machine: &str,
-        attempt: u64,
-        grace: Micros,
-    ) {
+    pub(crate) fn stop_attempt(&mut self, machine: &MachineId, id: &AttemptId, grace: Micros) {
         let Some(machine) = self.machines.get_mut(machine) else {
             return;
         };
         machine.worker.heartbeat_digest = None;
-        let job = job.into();
-        let key = AttemptId {
-            task: TaskId { job, index },
-            number: attempt,
-        };
-        if let Some(attempt) = machine.attempts.get_mut(&key) {
+        if let Some(attempt) = machine.attempts.get_mut(id) {
             let shortest = attempt.stop_grace.map_or(grace, |known| known.min(grace));
             attempt.stop_grace = Some(shortest);
         }
@@ -59,7 +47,8 @@
             .filter_map(|index| Some((index, live_attempts.get(&index)?.clone())))
             .collect();
         for (index, live) in live {
-            self.stop_attempt(job_id, index, &live.machine, live.number, grace);
+            let attempt = AttemptId::new(job_id.clone(), index, live.number);
+            self.stop_attempt(&live.machine, &attempt, grace);
         }
     }
 
@@ -84,27 +73,21 @@
     }
 
     /// Puts a task on a machine; the launch goes out with the answer to the machine's next heartbeat.
-    pub fn place_task(
-        &mut self,
-        job_id: &JobId,
-        index: u32,
-        machine_id: &MachineId,
-        attempt: u64,
-        now: Micros,
-    ) {
-        let usage_record = self.open_usage_record(job_id, index, machine_id, attempt, now);
+    pub fn place_task(&mut self, id: AttemptId, machine_id: &MachineId, now: Micros) {
+        let usage_record = self.open_usage_record(&id, machine_id, now);
+        let TaskId { job: job_id, index } = &id.task;
         let job = self.jobs.get_mut(job_id);
         let machine = self.machines.get_mut(machine_id);
         let (Some(job), Some(machine)) = (job, machine) else {
             return;
         };
-        job.tasks.pending.remove(index);
+        job.tasks.pending.remove(*index);
         let live_attempt = LiveAttempt {
             machine: machine_id.clone(),
-            number: attempt,
+            number: id.number,
         };
-        job.tasks.live_attempts.insert(index, live_attempt);
-        job.request_watermark(index + 1);
+        job.tasks.live_attempts.insert(*index, live_attempt);
+        job.request_watermark(*index + 1);
         self.watermarks.launch_rate.record_placed();
         let (team, resources) = (job.team, job.spec.need);
         if job.effective_priority() >= Priority::High {
@@ -122,14 +105,7 @@
             holds_capacity: true,
             usage_record,
         };
-        let job = job_id.clone();
-        machine.attempts.insert(
-            AttemptId {
-                task: TaskId { job, index },
-                number: attempt,
-            },
-            entry,
-        );
+        machine.attempts.insert(id, entry);
         self.adjust_usage(machine_id, team, resources, now);
     }
 
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -6,7 +6,7 @@
 
 use super::ends::job_owner;
 use super::record::{ChargeState, MachineRate, OrphanedAttempt, UsageRecord, ledger_key};
-use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, TaskId};
+use crate::model::{AttemptId, MachineId, Micros, SECOND};
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
 use crate::state::machine::Machine;
@@ -51,20 +51,13 @@
     /// The record of an attempt that is placed now.
     pub(crate) fn open_usage_record(
         &mut self,
-        job: &JobId,
-        index: u32,
+        attempt: &AttemptId,
         machine: &MachineId,
-        number: u64,
         now: Micros,
     ) -> Option<Box<UsageRecord>> {
         let ledger = self.usage_ledger.as_mut()?;
-        let job = self.jobs.get(job)?;
-        let task = TaskId {
-            job: job.id.clone(),
-            index,
-        };
-        let attempt = AttemptId { task, number };
-        ledger.replication.mark_changed(machine, &attempt);
+        let job = self.jobs.get(&attempt.task.job)?;
+        ledger.replication.mark_changed(machine, attempt);
         Some(Box::new(UsageRecord {
             meter: Meter::placed(now),
             owner: Some(Arc::new(job_owner(job))),
