--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -400,7 +400,7 @@
         }
         let most = self.tasks_within_quota(job).clamp(0, 1000) as usize;
         // Enough room may be being made already.
-        let kept = job.scheduling.reservable_until > now;
+        let kept = job.scheduling.reserved_until > now;
         let making: i64 = if kept && !gang {
             let kept = self
                 .machines
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -571,7 +571,7 @@
     fn has_reservation(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.scheduling.reservable_until > self.now)
+            .is_some_and(|j| j.scheduling.reserved_until > self.now)
     }
 
     /// The zone with the most room for a job.
@@ -747,7 +747,7 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(&kept.job) {
-            job.scheduling.reservable_until = job.scheduling.reservable_until.max(kept.expires_at);
+            job.scheduling.reserved_until = job.scheduling.reserved_until.max(kept.expires_at);
         }
         m.placement.reservation = Some(kept);
     }
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -86,8 +86,8 @@
     pub gang_placement_tried: bool,
     /// When other work was last preempted for it.
     pub preempted_for_at: Option<Micros>,
-    /// Capacity may be reserved for it until then.
-    pub reservable_until: Micros,
+    /// When the last of its reservations expires: no capacity is reserved for it after that.
+    pub reserved_until: Micros,
     /// The last scheduling pass that found it in the queue with tasks to place.
     pub last_queued_pass: u64,
 }
