--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -137,9 +137,9 @@
         let gang = self.rng.random_bool(0.45);
         let mut job = if gang {
             JobSpec {
-                estimate: 100 * SECOND,
-                checkpoint_every: 15 * SECOND,
-                save: 3 * SECOND,
+                run_time_estimate: 100 * SECOND,
+                checkpoint_interval: 15 * SECOND,
+                save_time: 3 * SECOND,
                 ..spec(Shape::Gang, team, self.rng.random_range(1..4), 30.0)
             }
         } else {
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -31,7 +31,7 @@
     f.submit(
         "j-1",
         JobSpec {
-            checkpoint_every: SECOND,
+            checkpoint_interval: SECOND,
             ..spec(Shape::Array, "blue", 7 * machines as u32, 1.0)
         },
     );
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -430,7 +430,7 @@
     let amount = |cpu: i64, gpu: i64| Resources {
         cpu: cpu.max(0),
         gpu: gpu.max(0),
-        mem: 0,
+        memory: 0,
     };
     let teams = b.teams.iter();
     let teams = teams
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -89,7 +89,8 @@
 pub struct Resources {
     pub cpu: i64,
     pub gpu: i64,
-    pub mem: i64,
+    #[serde(rename = "mem")]
+    pub memory: i64,
 }
 
 impl Resources {
@@ -99,13 +100,13 @@
         Resources {
             cpu: milli(cpus),
             gpu: milli(gpus),
-            mem: milli(mem_gb),
+            memory: milli(mem_gb),
         }
     }
 
     /// Whether `self` fits into `free`.
     pub fn fits(&self, free: &Resources) -> bool {
-        self.cpu <= free.cpu && self.gpu <= free.gpu && self.mem <= free.mem
+        self.cpu <= free.cpu && self.gpu <= free.gpu && self.memory <= free.memory
     }
 
     /// How many of `self` fit into `free`: `i64::MAX` if `self` is nothing at all.
@@ -116,7 +117,7 @@
         };
         count(self.cpu, free.cpu)
             .min(count(self.gpu, free.gpu))
-            .min(count(self.mem, free.mem))
+            .min(count(self.memory, free.memory))
     }
 
     /// So many times the amounts. A negative factor gives them back, huge results saturate.
@@ -124,7 +125,7 @@
         Resources {
             cpu: self.cpu.saturating_mul(factor),
             gpu: self.gpu.saturating_mul(factor),
-            mem: self.mem.saturating_mul(factor),
+            memory: self.memory.saturating_mul(factor),
         }
     }
 }
@@ -133,7 +134,7 @@
     fn add_assign(&mut self, other: Resources) {
         self.cpu += other.cpu;
         self.gpu += other.gpu;
-        self.mem += other.mem;
+        self.memory += other.memory;
     }
 }
 
@@ -141,7 +142,7 @@
     fn sub_assign(&mut self, other: Resources) {
         self.cpu -= other.cpu;
         self.gpu -= other.gpu;
-        self.mem -= other.mem;
+        self.memory -= other.memory;
     }
 }
 
@@ -219,7 +220,7 @@
     Production,
 }
 
-/// What a user submitted. The names of its fields are those of the stored record.
+/// What a user submitted, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The kind of work, as its user names it: jobs of a class are expected to behave alike.
@@ -230,25 +231,32 @@
     /// How many tasks it has.
     pub tasks: u32,
     /// What each task needs.
-    pub need: Resources,
+    #[serde(rename = "need")]
+    pub resources: Resources,
     pub image: String,
-    pub image_gb: f64,
+    #[serde(rename = "image_gb")]
+    pub image_size_gb: f64,
     /// The machine types that its tasks may run on. `None`: any.
-    pub types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    pub machine_types: Option<Vec<String>>,
     /// The zone that its tasks have to run in. `None`: any.
     pub zone: Option<String>,
     /// All tasks have to run in the same zone.
-    pub one_zone: bool,
+    #[serde(rename = "one_zone")]
+    pub single_zone: bool,
     /// No zone may have more than half of the tasks.
     pub spread: bool,
     /// It may run on spot machines.
     pub spot: bool,
     /// How long a task runs, as its user estimates.
-    pub estimate: Micros,
+    #[serde(rename = "estimate")]
+    pub run_time_estimate: Micros,
     /// How often a task saves its progress. Zero: it cannot.
-    pub checkpoint_every: Micros,
+    #[serde(rename = "checkpoint_every")]
+    pub checkpoint_interval: Micros,
     /// How long a task takes to save its progress.
-    pub save: Micros,
+    #[serde(rename = "save")]
+    pub save_time: Micros,
     /// How long after its acceptance the job has to be done.
     pub deadline: Option<Micros>,
 }
@@ -259,12 +267,12 @@
         let allows_type = |types: &Vec<String>| types.iter().any(|allowed| allowed == machine_type);
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|allowed| allowed == zone)
-            && self.types.as_ref().is_none_or(allows_type)
+            && self.machine_types.as_ref().is_none_or(allows_type)
     }
 
     /// Whether it matters to the zones of its other tasks where one of its tasks is.
     pub fn is_zone_constrained(&self) -> bool {
-        self.one_zone || self.spread
+        self.single_zone || self.spread
     }
 
     /// The most tasks that may share a zone.
--- a/crates/gannethub-core/src/reconcile/attempt_end.rs
+++ b/crates/gannethub-core/src/reconcile/attempt_end.rs
@@ -52,12 +52,12 @@
                 .insert(job.spec.image.clone());
             machine.placement.failures_by_job.clear();
         }
-        if run_time == 0 || job.spec.estimate == 0 {
+        if run_time == 0 || job.spec.run_time_estimate == 0 {
             return;
         }
         let run_time = run_time + job.tasks.saved_progress.remove(&task.index).unwrap_or(0);
         let (least, most) = RUNTIME_RATIO_RANGE;
-        let ratio = (run_time as f64 / job.spec.estimate as f64).clamp(least, most);
+        let ratio = (run_time as f64 / job.spec.run_time_estimate as f64).clamp(least, most);
         let learned = self
             .runtime_ratios
             .entry(job.spec.class.clone())
--- a/crates/gannethub-core/src/reconcile/attempts.rs
+++ b/crates/gannethub-core/src/reconcile/attempts.rs
@@ -113,7 +113,7 @@
         let usage_record = self.adopt_usage_record(id, &attempt_id, phase);
         let job = self.jobs.get(&attempt_id.task.job);
         let (resources, team) = job.map_or((Resources::default(), None), |job| {
-            (job.spec.need, job.team)
+            (job.spec.resources, job.team)
         });
         let stop_grace = self.adopt_into_job(id, &attempt_id, phase, now);
         let attempt = Attempt {
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -434,19 +434,22 @@
         let spec = &self.jobs.get(&task.job)?.spec;
         let may = |to: &MachineId| {
             self.passes.add_steps(1);
-            let free = room.free.get(to).is_some_and(|free| spec.need.fits(free));
+            let free = room
+                .free
+                .get(to)
+                .is_some_and(|free| spec.resources.fits(free));
             let m = self.machines.get(to).filter(|_| free);
             m.is_some_and(|m| self.can_host(m, &task.job, spec, &ZoneTaskCounts::new(), now))
         };
         let none: MachineId = Arc::from("");
         let mut roomy = room
             .by_cpu
-            .range((spec.need.cpu, none)..)
+            .range((spec.resources.cpu, none)..)
             .take(MAX_HOSTS_EXAMINED);
         let to = roomy.find(|(_, to)| may(to))?.1.clone();
         let free = room.remove(&to)?;
-        room.insert(to.clone(), free - spec.need);
-        Some((to, spec.need))
+        room.insert(to.clone(), free - spec.resources);
+        Some((to, spec.resources))
     }
 
     /// Whether stopping a task here and going on with it elsewhere costs little against the time
@@ -456,10 +459,10 @@
             return false;
         };
         let spec = &job.spec;
-        let cost = spec.save + self.fetch_time(spec) + MOVE_OVERHEAD;
+        let cost = spec.save_time + self.fetch_time(spec) + MOVE_OVERHEAD;
         spec.shape == Shape::Array
             && !spec.is_zone_constrained()
-            && spec.checkpoint_every > 0
+            && spec.checkpoint_interval > 0
             && attempt.phase == AttemptPhase::Running
             && attempt.stop_grace.is_none()
             && now > attempt.phase_since + MIN_RUN_TIME_BEFORE_MOVE
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -25,7 +25,7 @@
         let fits = |kind: &Option<MachineKind>| match kind {
             Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
             Some(kind) => spec
-                .need
+                .resources
                 .count_in(&self.machine_types[kind.machine_type].size),
             None => i64::MAX,
         };
@@ -75,7 +75,7 @@
             if let Some(t) = job.team {
                 held[t] += job
                     .submitted_spec
-                    .need
+                    .resources
                     .scaled_by(most.min(i64::from(job.tasks.unconfirmed.len())));
             }
         }
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -88,20 +88,20 @@
     fn reserve_tasks(&mut self, w: &mut PendingWork, start: Micros) {
         self.version += 1;
         while let Some((at, _, room)) = self.releases.last().copied() {
-            if at > start || w.spec.need.fits(&self.free) {
+            if at > start || w.spec.resources.fits(&self.free) {
                 break;
             }
             self.releases.pop();
             self.free += room;
         }
         self.available_at = self.available_at.max(start);
-        let mut most = w.spec.need.count_in(&self.free).min(w.tasks);
+        let mut most = w.spec.resources.count_in(&self.free).min(w.tasks);
         if w.spec.spread {
             let here = w.zones.get(&self.zone).copied().unwrap_or(0);
             most = most.min(i64::from(w.spec.max_tasks_per_zone().saturating_sub(here)));
         }
         let most = most.max(1);
-        let all = w.spec.need.scaled_by(most);
+        let all = w.spec.resources.scaled_by(most);
         self.free -= all;
         // Replicas do not end, and the tasks of a gang need all their room at the same time: one
         // must not be planned to follow another.
@@ -146,7 +146,7 @@
     Resources {
         cpu: coarse(need.cpu),
         gpu: coarse(need.gpu),
-        mem: coarse(need.mem),
+        memory: coarse(need.memory),
     }
 }
 
@@ -254,7 +254,7 @@
                 // One that never has room for this job may have some for the next of its shape: it is
                 // put back with the others.
                 let start = self.machines[i]
-                    .earliest_start(&w.spec.need, self.now)
+                    .earliest_start(&w.spec.resources, self.now)
                     .max(w.earliest_start);
                 mine.push(Reverse((start, i, least)));
             }
@@ -342,10 +342,10 @@
             if pending == 0 {
                 continue;
             }
-            spare[t].mem = UNLIMITED;
+            spare[t].memory = UNLIMITED;
             let need = Resources {
-                mem: 0,
-                ..job.spec.need
+                memory: 0,
+                ..job.spec.resources
             };
             let backing = job
                 .tasks
@@ -401,7 +401,7 @@
     fn add_upcoming_work(&self, out: &mut Vec<PendingWork>, spare: &mut [Resources], now: Micros) {
         // The boot of the cheapest room that a task fits into: most likely it is what will be rented.
         let boot = |spec: &JobSpec| {
-            let fits = |f: &usize| spec.need.fits(&self.machine_types[*f].size);
+            let fits = |f: &usize| spec.resources.fits(&self.machine_types[*f].size);
             let price = |f: &usize| self.price_per_millicpu(*f, spec.spot);
             let f = (0..self.machine_types.len())
                 .filter(fits)
@@ -429,10 +429,10 @@
             let Some(t) = self.settings.team(&w.spec.team) else {
                 continue;
             };
-            spare[t].mem = UNLIMITED;
+            spare[t].memory = UNLIMITED;
             let need = Resources {
-                mem: 0,
-                ..w.spec.need
+                memory: 0,
+                ..w.spec.resources
             };
             let all = i64::from(w.spec.tasks);
             let mut tasks = all.min(need.count_in(&spare[t]));
@@ -474,18 +474,18 @@
         }
         let mut future = self.forecast(now);
         let offers = self.available_offers(now);
-        let mut least = waiting[0].spec.need;
+        let mut least = waiting[0].spec.resources;
         for w in &waiting {
-            let need = &w.spec.need;
+            let need = &w.spec.resources;
             least = Resources {
                 cpu: least.cpu.min(need.cpu),
                 gpu: least.gpu.min(need.gpu),
-                mem: least.mem.min(need.mem),
+                memory: least.memory.min(need.memory),
             };
         }
         // Of few shapes each has a book of its own: what is too little for one job is then not read
         // again by all others of its shape.
-        let needs: HashSet<Resources> = waiting.iter().map(|w| w.spec.need).collect();
+        let needs: HashSet<Resources> = waiting.iter().map(|w| w.spec.resources).collect();
         let exact = needs.len() <= MAX_EXACT_SHAPES;
         let mut budget = BASE_STEPS + STEPS_PER_MACHINE * future.machines.len();
         let mut awaited: HashSet<MachineId> = HashSet::new();
@@ -496,13 +496,14 @@
             let (head, rest) = waiting.split_at_mut(i + 1);
             let w = &mut head[i];
             let key = if exact {
-                w.spec.need
+                w.spec.resources
             } else {
-                coarse_shape(&w.spec.need)
+                coarse_shape(&w.spec.resources)
             };
             let allows = |line: &MachineGroup| {
                 let flavor = &self.machine_types[line.flavor];
-                w.spec.need.fits(&flavor.size) && w.spec.allows(&flavor.name, &line.zone, line.spot)
+                w.spec.resources.fits(&flavor.size)
+                    && w.spec.allows(&flavor.name, &line.zone, line.spot)
             };
             let mut allowed: Vec<usize> = (0..future.groups.len())
                 .filter(|l| allows(&future.groups[*l]))
@@ -558,7 +559,7 @@
                 *wanted.entry(found.offer.clone()).or_default() += 1;
                 // As long as its own tasks fill a whole machine, another one is as good.
                 if !w.spec.is_zone_constrained()
-                    && w.tasks >= w.spec.need.count_in(&self.machine_types[*flavor].size)
+                    && w.tasks >= w.spec.resources.count_in(&self.machine_types[*flavor].size)
                 {
                     offer = Some(Some(found));
                 }
@@ -620,7 +621,7 @@
                 spot,
             } = &priced.offer;
             let flavor = &self.machine_types[*flavor];
-            if !first.spec.need.fits(&flavor.size)
+            if !first.spec.resources.fits(&flavor.size)
                 || !first.spec.allows(&flavor.name, zone, *spot)
                 || !is_zone_allowed(&first.spec, &first.zones, zone)
             {
@@ -634,9 +635,9 @@
                 }
                 self.passes.add_steps(1);
                 if w.spec.allows(&flavor.name, zone, *spot) {
-                    let n = w.spec.need.count_in(&free).min(w.tasks);
-                    free -= w.spec.need.scaled_by(n);
-                    used += w.spec.need.cpu.max(1) * n;
+                    let n = w.spec.resources.count_in(&free).min(w.tasks);
+                    free -= w.spec.resources.scaled_by(n);
+                    used += w.spec.resources.cpu.max(1) * n;
                 }
             }
             let score = priced.price / used.max(1) as f64;
--- a/crates/gannethub-core/src/scheduling/forecast/tests.rs
+++ b/crates/gannethub-core/src/scheduling/forecast/tests.rs
@@ -9,17 +9,17 @@
         shape,
         priority: Priority::Normal,
         tasks,
-        need,
+        resources: need,
         image: "img".into(),
-        image_gb: 1.0,
-        types: None,
+        image_size_gb: 1.0,
+        machine_types: None,
         zone: None,
-        one_zone: false,
+        single_zone: false,
         spread: false,
         spot: true,
-        estimate: SECOND,
-        checkpoint_every: 0,
-        save: 0,
+        run_time_estimate: SECOND,
+        checkpoint_interval: 0,
+        save_time: 0,
         deadline: None,
     })
 }
@@ -42,14 +42,14 @@
         let mut free = Resources {
             cpu: SIZES[*line],
             gpu: 0,
-            mem: SIZES[*line],
+            memory: SIZES[*line],
         };
         let mut releases = Vec::new();
         for (end, cpu) in busy {
             let need = Resources {
                 cpu: *cpu,
                 gpu: 0,
-                mem: *cpu,
+                memory: *cpu,
             };
             if need.fits(&free) {
                 free -= need;
@@ -91,7 +91,7 @@
         let mut future = future(&lanes);
         let now = future.now;
         for (cpu, tasks, limit, from, gang) in jobs {
-            let need = Resources { cpu, gpu: 0, mem: cpu };
+            let need = Resources { cpu, gpu: 0, memory: cpu };
             let shape_of = if gang { Shape::Gang } else { Shape::Array };
             let from = if from < 15 { now } else { now + from * SECOND };
             let mut w = PendingWork {
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -43,8 +43,8 @@
 impl PlacementConstraints {
     fn of(spec: &JobSpec) -> PlacementConstraints {
         let JobSpec {
-            need,
-            types,
+            resources: need,
+            machine_types: types,
             zone,
             spot,
             ..
@@ -99,9 +99,9 @@
             && (self.team, self.within) == (other.team, other.within)
             && a.shape == b.shape
             && a.priority == b.priority
-            && a.need.fits(&b.need)
-            && (&a.types, &a.zone, a.spot) == (&b.types, &b.zone, b.spot)
-            && (a.one_zone, a.spread) == (b.one_zone, b.spread)
+            && a.resources.fits(&b.resources)
+            && (&a.machine_types, &a.zone, a.spot) == (&b.machine_types, &b.zone, b.spot)
+            && (a.single_zone, a.spread) == (b.single_zone, b.spread)
     }
 }
 
@@ -275,7 +275,7 @@
             }
             firsts.push((zone, mine));
         }
-        if spec.one_zone && zones.is_empty() {
+        if spec.single_zone && zones.is_empty() {
             // The first zone that has room for all.
             let full = firsts.iter().filter(|f| f.1.len() == tasks);
             let (zone, _) = full.min_by_key(|f| f.1.back().map(|l| (l.0, &l.1)))?;
@@ -312,7 +312,10 @@
 
     /// When a machine will have room for the first, the second, ... of a job's tasks.
     fn capacity_times(&self, m: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
-        let most = spec.need.count_in(&m.capacity).min(MAX_TASKS_PER_MACHINE) as usize;
+        let most = spec
+            .resources
+            .count_in(&m.capacity)
+            .min(MAX_TASKS_PER_MACHINE) as usize;
         if !m.lifecycle.is_up {
             let at = self
                 .expected_up_at(m, now)
@@ -333,14 +336,14 @@
         let (mut free, mut at) = (m.free(), now);
         let mut times = Vec::new();
         for _ in 0..most {
-            while !spec.need.fits(&free) {
+            while !spec.resources.fits(&free) {
                 let Some((end, need)) = ends.next() else {
                     return times;
                 };
                 free += need;
                 at = end;
             }
-            free -= spec.need;
+            free -= spec.resources;
             times.push(at);
         }
         times
@@ -468,7 +471,7 @@
             };
             let mut free = m.free_after_stops();
             for v in made.victims.remove(machine).into_iter().flatten() {
-                if spec.need.scaled_by(*n).fits(&free) {
+                if spec.resources.scaled_by(*n).fits(&free) {
                     break;
                 }
                 if let Some(t) = v.team {
@@ -482,7 +485,7 @@
                 stops.push(v.task);
             }
             // Half of a gang's room is of no use to it: then nothing is stopped.
-            if gang && !spec.need.scaled_by(*n).fits(&free) {
+            if gang && !spec.resources.scaled_by(*n).fits(&free) {
                 return;
             }
         }
@@ -552,7 +555,7 @@
                         && !j.scheduling.within_guarantee
                         && j.team != job.team
                         && (!guests_only
-                            || self.has_no_guarantee(j) && j.spec.checkpoint_every > 0)
+                            || self.has_no_guarantee(j) && j.spec.checkpoint_interval > 0)
                         && a.team.is_some_and(|t| {
                             Team::within(&borrowed[t], &Resources::default(), &a.resources)
                         });
@@ -564,8 +567,8 @@
                         } else {
                             0
                         };
-                        let loss = if j.spec.checkpoint_every > 0 {
-                            ran.min(j.spec.save)
+                        let loss = if j.spec.checkpoint_interval > 0 {
+                            ran.min(j.spec.save_time)
                         } else {
                             ran
                         };
@@ -581,10 +584,14 @@
                 victims.sort_by_key(|v| (v.loss, v.task.index));
                 let mut loss = 0;
                 let mut used = victims.iter();
-                for _ in 0..spec.need.count_in(&m.capacity).min(MAX_TASKS_PER_MACHINE) {
+                for _ in 0..spec
+                    .resources
+                    .count_in(&m.capacity)
+                    .min(MAX_TASKS_PER_MACHINE)
+                {
                     let before = loss;
                     let mut enough = true;
-                    while !spec.need.fits(&free) {
+                    while !spec.resources.fits(&free) {
                         let Some(v) = used.next() else {
                             enough = false;
                             break;
@@ -597,7 +604,7 @@
                     if !enough || (!gang && loss == before) {
                         break;
                     }
-                    free -= spec.need;
+                    free -= spec.resources;
                     list.push_back((loss - before, m.id.clone()));
                 }
                 made.victims.insert(m.id.clone(), victims);
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -23,7 +23,7 @@
     };
     let all = job
         .spec
-        .need
+        .resources
         .scaled_by(i64::from(job.spec.tasks - job.tasks.done.len()));
     let within = Team::within(&left[t], &Resources::default(), &all);
     left[t] -= all;
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -28,7 +28,7 @@
     Resources {
         cpu: r.cpu.max(0),
         gpu: r.gpu.max(0),
-        mem: 0,
+        memory: 0,
     }
 }
 
@@ -83,7 +83,7 @@
             let more = Resources {
                 cpu: share(left.cpu, lack.cpu, all.cpu),
                 gpu: share(left.gpu, lack.gpu, all.gpu),
-                mem: 0,
+                memory: 0,
             };
             if more == Resources::default() {
                 continue;
@@ -116,7 +116,7 @@
         .map(|(p, (used, waiting))| Resources {
             cpu: keep(p.cpu, used.cpu, waiting.cpu),
             gpu: keep(p.gpu, used.gpu, waiting.gpu),
-            mem: 0,
+            memory: 0,
         })
         .collect();
     (lowered != part).then_some(lowered)
@@ -139,19 +139,19 @@
             .map(|(used, doubted)| {
                 let mut all = *used;
                 all += *doubted;
-                (Resources { mem: 0, ..all }, Resources::default())
+                (Resources { memory: 0, ..all }, Resources::default())
             })
             .collect();
         for job in self.jobs.values().filter(|j| !j.cancelled) {
             let waiting = job.placeable_count() as i64;
             load.backlog_cpu +=
-                job.spec.need.cpu * i64::from(job.spec.tasks - job.tasks.done.len());
-            load.waiting_cpu += job.spec.need.cpu * waiting;
+                job.spec.resources.cpu * i64::from(job.spec.tasks - job.tasks.done.len());
+            load.waiting_cpu += job.spec.resources.cpu * waiting;
             if let Some(t) = job.team.filter(|_| waiting > 0) {
                 // No more than it could start soon, however long its queue.
                 load.teams[t].1 += Resources {
-                    mem: 0,
-                    ..job.spec.need.scaled_by(waiting)
+                    memory: 0,
+                    ..job.spec.resources.scaled_by(waiting)
                 };
             }
         }
@@ -249,7 +249,7 @@
             if leave.len() >= MAX_JOBS_MOVED_AT_ONCE {
                 break;
             }
-            let need = job.spec.need.cpu * job.placeable_count() as i64;
+            let need = job.spec.resources.cpu * job.placeable_count() as i64;
             leave.extend(best(need).map(|to| (job.id.clone(), to)));
         }
         if !leave.is_empty() {
--- a/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
@@ -5,7 +5,7 @@
     Resources {
         cpu: n,
         gpu: 0,
-        mem: 0,
+        memory: 0,
     }
 }
 
--- a/crates/gannethub-core/src/scheduling/scheduler.rs
+++ b/crates/gannethub-core/src/scheduling/scheduler.rs
@@ -65,11 +65,11 @@
     fn is_known_unplaceable(&self, spec: &JobSpec, wanted: usize) -> bool {
         self.unplaceable.iter().any(|(other, least)| {
             wanted >= *least
-                && other.need.fits(&spec.need)
+                && other.resources.fits(&spec.resources)
                 && (other.spot || !spec.spot)
                 && (other.zone.is_none() || other.zone == spec.zone)
-                && (other.types.is_none() || other.types == spec.types)
-                && (!other.one_zone || spec.one_zone)
+                && (other.machine_types.is_none() || other.machine_types == spec.machine_types)
+                && (!other.single_zone || spec.single_zone)
                 && (!other.spread || (spec.spread && spec.tasks <= other.tasks))
         })
     }
@@ -99,7 +99,7 @@
             Value::Text(priority),
             Value::Number(f64::from(spec.tasks)),
             Value::Number(f64::from(job.tasks.done.len())),
-            Value::Number(spec.need.cpu as f64 / 1000.0),
+            Value::Number(spec.resources.cpu as f64 / 1000.0),
             number(self.unix_time.saturating_sub(job.ready_at)),
             number(latest.unwrap_or(0).saturating_sub(self.unix_time)),
             number(self.remaining_work_at_quota(job)),
@@ -115,7 +115,7 @@
     /// tasks of its class have shown.
     pub fn expected_run(&self, spec: &JobSpec) -> Micros {
         let pace = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
-        (spec.estimate as f64 * pace) as Micros
+        (spec.run_time_estimate as f64 * pace) as Micros
     }
 
     /// How long a machine without the job's image takes to fetch it.
@@ -123,9 +123,9 @@
         let fits = self
             .machine_types
             .iter()
-            .filter(|f| spec.need.fits(&f.size));
+            .filter(|f| spec.resources.fits(&f.size));
         let rate = fits.map(|f| f.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
-        micros_from_seconds(spec.image_gb / rate)
+        micros_from_seconds(spec.image_size_gb / rate)
     }
 
     /// The time of day by which the job's tasks have to start to meet the next objective that can
@@ -183,7 +183,7 @@
         // No team can use more than there is.
         let part =
             |need: i64, limit: i64, all: i64| need as f64 / limit.min(all.max(need)).max(1) as f64;
-        let need = &job.spec.need;
+        let need = &job.spec.resources;
         let each = part(need.cpu, limit.cpu, self.total_capacity.cpu).max(part(
             need.gpu,
             limit.gpu,
@@ -227,10 +227,10 @@
             return 0;
         };
         let mut free = self.remaining_quota(t);
-        free.mem = UNLIMITED;
+        free.memory = UNLIMITED;
         let need = Resources {
-            mem: 0,
-            ..job.spec.need
+            memory: 0,
+            ..job.spec.resources
         };
         need.count_in(&free)
     }
@@ -388,7 +388,7 @@
             offered.filter(|job| {
                 job.placeable_count() > 0
                     && !job.cancelled
-                    && job.spec.need.fits(&free)
+                    && job.spec.resources.fits(&free)
                     && self.is_eligible_machine(machine, &job.spec)
             })
         };
@@ -400,7 +400,7 @@
                 .jobs
                 .get(&kept.job)
                 .filter(|j| j.spec.shape == Shape::Array);
-            return match array.map(|j| (j.id.clone(), j.spec.need.fits(&free))) {
+            return match array.map(|j| (j.id.clone(), j.spec.resources.fits(&free))) {
                 Some((holder, true)) => {
                     self.place_tasks(&holder, &mut SchedulingPass::default(), Some(id), now);
                 }
@@ -437,7 +437,7 @@
                 && !j.cancelled
                 && j.spec.shape != Shape::Gang
                 && !j.spec.is_zone_constrained()
-                && j.spec.need.fits(&m.free())
+                && j.spec.resources.fits(&m.free())
                 && self.tasks_within_quota(j) > 0
             {
                 let job = j.id.clone();
@@ -457,13 +457,13 @@
             let better = theirs * SIMILAR_PRICE < price
                 || (self.machine_types[shelf.kind.machine_type].size.cpu < size
                     && theirs <= price * SIMILAR_PRICE);
-            let mut open = shelf.with_cpu(spec.need.cpu);
+            let mut open = shelf.with_cpu(spec.resources.cpu);
             better
                 && self.is_eligible_bucket(spec, &shelf.kind)
                 && open.any(|id| {
                     self.passes.add_steps(1);
                     self.machines.get(id).is_some_and(|m| {
-                        spec.need.fits(&m.free())
+                        spec.resources.fits(&m.free())
                             && m.active_reservation(now).is_none()
                             && m.is_schedulable(now, self.settings.report)
                     })
@@ -474,7 +474,7 @@
     /// Whether machines of a kind may run the job's tasks at all.
     pub fn is_eligible_bucket(&self, spec: &JobSpec, kind: &MachineKind) -> bool {
         let flavor = &self.machine_types[kind.machine_type];
-        spec.need.fits(&flavor.size) && spec.allows(&flavor.name, &kind.zone, kind.spot)
+        spec.resources.fits(&flavor.size) && spec.allows(&flavor.name, &kind.zone, kind.spot)
     }
 
     /// How many of a job's tasks may be placed on a machine now.
@@ -497,10 +497,10 @@
         if let Some(kept) = m.active_reservation(now).filter(|k| k.job != *id)
             && let Some(holder) = self.jobs.get(&kept.job)
         {
-            free -= holder.spec.need.scaled_by(kept.tasks);
+            free -= holder.spec.resources.scaled_by(kept.tasks);
         }
-        if spec.need.fits(&free) {
-            spec.need.count_in(&free)
+        if spec.resources.fits(&free) {
+            spec.resources.count_in(&free)
         } else {
             0
         }
@@ -539,7 +539,7 @@
             return wanted;
         }
         let mut zones = self.zones_in_use(job);
-        if spec.one_zone && zones.is_empty() {
+        if spec.single_zone && zones.is_empty() {
             let Some(zone) = self.zone_with_most_capacity(id, &spec, only, now) else {
                 return wanted;
             };
@@ -589,7 +589,7 @@
             .iter()
             .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
-            let open = shelf.with_cpu(spec.need.cpu);
+            let open = shelf.with_cpu(spec.resources.cpu);
             for m in open.filter_map(|m| self.machines.get(m)) {
                 if only.is_none_or(|o| *o == m.id) {
                     *room.entry(&m.zone).or_default() +=
@@ -661,7 +661,7 @@
                     continue;
                 }
                 let open = shelf
-                    .with_cpu(spec.need.cpu)
+                    .with_cpu(spec.resources.cpu)
                     .filter_map(|m| self.machines.get(m));
                 let seen = found.len() + CANDIDATES_PER_BUCKET + CANDIDATES_PER_TASK * left;
                 for m in open {
@@ -715,7 +715,7 @@
         {
             for m in shelf.with_cpu(1).filter_map(|m| self.machines.get(m)) {
                 self.passes.add_steps(1);
-                if !spec.need.fits(&m.free())
+                if !spec.resources.fits(&m.free())
                     && m.active_reservation(now).is_none()
                     && self.can_host(m, id, &spec, &ZoneTaskCounts::new(), now)
                 {
@@ -831,7 +831,9 @@
             .iter()
             .filter(|s| self.is_eligible_bucket(spec, &s.kind))
         {
-            let open = shelf.with_cpu(spec.need.cpu).take(CANDIDATES_PER_BUCKET);
+            let open = shelf
+                .with_cpu(spec.resources.cpu)
+                .take(CANDIDATES_PER_BUCKET);
             for m in open.filter_map(|m| self.machines.get(m)) {
                 let other = m.active_reservation(now).is_some_and(|k| k.job != *id);
                 let most = if other {
@@ -881,7 +883,7 @@
         now: Micros,
     ) -> Option<Placements> {
         let mut choices: Vec<Option<Arc<str>>> = vec![None];
-        if spec.one_zone && zones.is_empty() {
+        if spec.single_zone && zones.is_empty() {
             let open = self
                 .capacity_index
                 .buckets
--- a/crates/gannethub-core/src/scheduling/zones.rs
+++ b/crates/gannethub-core/src/scheduling/zones.rs
@@ -15,7 +15,7 @@
 
 /// How many more tasks the job's zone rules let into `zone`.
 pub fn zone_allowance(spec: &JobSpec, zones: &ZoneTaskCounts, zone: &str) -> u32 {
-    if spec.one_zone && zones.keys().any(|z| **z != *zone) {
+    if spec.single_zone && zones.keys().any(|z| **z != *zone) {
         return 0;
     }
     spec.max_tasks_per_zone()
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -288,7 +288,7 @@
     Resources {
         cpu: none(limit.cpu),
         gpu: none(limit.gpu),
-        mem: 0,
+        memory: 0,
     }
 }
 
--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -28,9 +28,9 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        let saves_progress = job.spec.checkpoint_every > 0;
+        let saves_progress = job.spec.checkpoint_interval > 0;
         let grace = match saves_progress {
-            true => job.spec.save + SAVE_MARGIN,
+            true => job.spec.save_time + SAVE_MARGIN,
             false => 0,
         };
         let targets: Vec<u32> = match &mut job.tasks.gang_attempt {
@@ -66,7 +66,7 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            if job.spec.checkpoint_every > 0 || job.spec.shape == Shape::Service {
+            if job.spec.checkpoint_interval > 0 || job.spec.shape == Shape::Service {
                 self.preempt(&task.job, task.index);
             }
         }
@@ -89,7 +89,7 @@
         job.tasks.live_attempts.insert(*index, live_attempt);
         job.request_watermark(*index + 1);
         self.watermarks.launch_rate.record_placed();
-        let (team, resources) = (job.team, job.spec.need);
+        let (team, resources) = (job.team, job.spec.resources);
         if job.effective_priority() >= Priority::High {
             machine.placement.high_priority_placed_at = Some(now);
         }
--- a/crates/gannethub-core/src/state/quota.rs
+++ b/crates/gannethub-core/src/state/quota.rs
@@ -31,12 +31,16 @@
 pub(super) fn partition_teams(cluster_teams: &[Team], teams: &mut [Team], limits: &[Resources]) {
     let whole_and_limit = cluster_teams.iter().zip(limits);
     for (team, (whole, limit)) in teams.iter_mut().zip(whole_and_limit) {
-        let Resources { cpu, gpu, mem } = whole.guarantee;
+        let Resources {
+            cpu,
+            gpu,
+            memory: mem,
+        } = whole.guarantee;
         team.limit = *limit;
         team.guarantee = Resources {
             cpu: in_proportion(limit.cpu, whole.limit.cpu, cpu),
             gpu: in_proportion(limit.gpu, whole.limit.gpu, gpu),
-            mem,
+            memory: mem,
         };
     }
 }
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -31,7 +31,7 @@
     if loads.iter().all(|load| load.shard != 0) {
         return 0;
     }
-    let work = spec.need.cpu.saturating_mul(i64::from(spec.tasks));
+    let work = spec.resources.cpu.saturating_mul(i64::from(spec.tasks));
     if spec.shape == Shape::Gang {
         let first_shard = loads.iter_mut().filter(|load| load.shard == 0);
         first_shard.for_each(|load| load.backlog_cpu += work);
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -27,7 +27,7 @@
     JobOwner {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
-        resources: job.spec.need,
+        resources: job.spec.resources,
         is_service: job.spec.shape == Shape::Service,
     }
 }
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -98,7 +98,7 @@
     Need(
         amount(resources.cpu),
         amount(resources.gpu),
-        amount(resources.mem),
+        amount(resources.memory),
     )
 }
 
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -283,7 +283,11 @@
 }
 
 fn write_owner(owner: &JobOwner) -> UsageOwner {
-    let Resources { cpu, gpu, mem } = owner.resources;
+    let Resources {
+        cpu,
+        gpu,
+        memory: mem,
+    } = owner.resources;
     UsageOwner {
         team: owner.team.clone(),
         class: owner.class.clone(),
@@ -299,7 +303,11 @@
     JobOwner {
         team: owner.team.clone(),
         class: owner.class.clone(),
-        resources: Resources { cpu, gpu, mem },
+        resources: Resources {
+            cpu,
+            gpu,
+            memory: mem,
+        },
         is_service: owner.is_service,
     }
 }
--- a/crates/gannethub-core/src/wire/api/admission.rs
+++ b/crates/gannethub-core/src/wire/api/admission.rs
@@ -25,7 +25,7 @@
     let fitting = fitting_machine_types(spec, machine_types)?;
     check_team_limit(spec, team)?;
     check_spread(spec, &fitting)?;
-    if let Some(types) = &mut spec.types {
+    if let Some(types) = &mut spec.machine_types {
         types.retain(|name| fitting.iter().any(|fitting| *fitting.name == **name));
         types.sort();
         types.dedup();
@@ -38,7 +38,7 @@
     spec: &JobSpec,
     machine_types: &'a [MachineType],
 ) -> Result<Vec<&'a MachineType>, Refusal> {
-    let is_named = |machine_type: &&MachineType| match &spec.types {
+    let is_named = |machine_type: &&MachineType| match &spec.machine_types {
         Some(names) => names.iter().any(|name| **name == *machine_type.name),
         None => true,
     };
@@ -52,11 +52,11 @@
     if allowed.is_empty() {
         return impossible("yard", "no allowed machine type is in that zone");
     }
-    let fits = |machine_type: &&&MachineType| spec.need.fits(&machine_type.size);
+    let fits = |machine_type: &&&MachineType| spec.resources.fits(&machine_type.size);
     let fitting: Vec<&MachineType> = allowed.iter().filter(fits).copied().collect();
     if fitting.is_empty() {
         let sizes: Vec<&Resources> = allowed.iter().map(|allowed| &allowed.size).collect();
-        let field = exceeded_field(&spec.need, &sizes);
+        let field = exceeded_field(&spec.resources, &sizes);
         return impossible(field, "a task fits no allowed machine type");
     }
     Ok(fitting)
@@ -72,12 +72,12 @@
 
 fn check_team_limit(spec: &JobSpec, team: &Team) -> Result<(), Refusal> {
     let fits = |need: &Resources| Team::within(&team.limit, &Resources::default(), need);
-    if !fits(&spec.need) {
-        let field = exceeded_field(&spec.need, &[&team.limit]);
+    if !fits(&spec.resources) {
+        let field = exceeded_field(&spec.resources, &[&team.limit]);
         return impossible(field, "a task needs more than its team's limit");
     }
     let at_once = i64::from(tasks_at_once(spec));
-    if !fits(&spec.need.scaled_by(at_once)) {
+    if !fits(&spec.resources.scaled_by(at_once)) {
         return impossible("pieces", "the job needs more than its team's limit");
     }
     Ok(())
@@ -93,7 +93,7 @@
         .flat_map(|machine_type| &machine_type.zones)
         .filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone))
         .collect();
-    if spec.one_zone || zones.len() < 2 {
+    if spec.single_zone || zones.len() < 2 {
         let reason = "the job's tasks cannot all run at the same time in one zone";
         return impossible("scatter", reason);
     }
@@ -110,7 +110,7 @@
         "vcpus"
     } else if need.gpu > largest(|size| size.gpu) {
         "cards"
-    } else if need.mem > largest(|size| size.mem) {
+    } else if need.memory > largest(|size| size.memory) {
         "mem_gb"
     } else {
         "vcpus, cards, mem_gb"
--- a/crates/gannethub-core/src/wire/api/submission.rs
+++ b/crates/gannethub-core/src/wire/api/submission.rs
@@ -135,21 +135,21 @@
         shape,
         priority,
         tasks,
-        need: Resources::new(
+        resources: Resources::new(
             fields.amount("vcpus")?,
             fields.amount("cards")?,
             fields.amount("mem_gb")?,
         ),
         image: fields.text("build")?,
-        image_gb: fields.amount("size_gb")?,
-        types,
+        image_size_gb: fields.amount("size_gb")?,
+        machine_types: types,
         zone,
-        one_zone: fields.flag("together")?,
+        single_zone: fields.flag("together")?,
         spread: fields.flag("scatter")?,
         spot: fields.flag("loaners")?,
-        estimate: fields.duration("guess_s")?,
-        checkpoint_every: fields.duration("stamp_every_s")?,
-        save: fields.duration("stamp_s")?,
+        run_time_estimate: fields.duration("guess_s")?,
+        checkpoint_interval: fields.duration("stamp_every_s")?,
+        save_time: fields.duration("stamp_s")?,
         deadline,
     })
 }
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -34,9 +34,9 @@
 #[test]
 fn a_submission_is_read_and_its_unknown_types_are_dropped() {
     let spec = check(JOB).unwrap();
-    assert_eq!(spec.types, Some(vec!["g8".to_string()]));
+    assert_eq!(spec.machine_types, Some(vec!["g8".to_string()]));
     assert_eq!(spec.deadline, Some(900_000_000));
-    assert_eq!(spec.need, Resources::new(4.0, 1.0, 64.0));
+    assert_eq!(spec.resources, Resources::new(4.0, 1.0, 64.0));
     assert!(
         check(&JOB.replace(",\"due_s\":900.0", "")).is_ok(),
         "null may be omitted"
--- a/crates/gannethub-core/tests/formats.rs
+++ b/crates/gannethub-core/tests/formats.rs
@@ -70,17 +70,17 @@
         shape: Shape::Gang,
         priority: Priority::High,
         tasks: 8,
-        need: Resources::new(4.0, 1.0, 64.0),
+        resources: Resources::new(4.0, 1.0, 64.0),
         image: "img-07".into(),
-        image_gb: 6.2,
-        types: Some(vec!["g8".into()]),
+        image_size_gb: 6.2,
+        machine_types: Some(vec!["g8".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
-        estimate: 240 * SECOND,
-        checkpoint_every: 30 * SECOND,
-        save: 4 * SECOND,
+        run_time_estimate: 240 * SECOND,
+        checkpoint_interval: 30 * SECOND,
+        save_time: 4 * SECOND,
         deadline: Some(900 * SECOND),
     }
 }
@@ -156,7 +156,7 @@
 #[test]
 fn store_record_live_job_as_accepted() {
     let mut spec = spec();
-    (spec.types, spec.zone, spec.deadline) = (None, None, None);
+    (spec.machine_types, spec.zone, spec.deadline) = (None, None, None);
     (spec.shape, spec.priority) = (Shape::Array, Priority::Normal);
     pin_live(
         LiveRecord::Job(JobRecord::new(spec, 17)),
@@ -1059,7 +1059,7 @@
         limit: Resources {
             cpu: UNLIMITED,
             gpu: UNLIMITED,
-            mem: 0,
+            memory: 0,
         },
         ..team.clone()
     };
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -153,9 +153,9 @@
     f.submit(
         "j-2",
         JobSpec {
-            estimate: 400 * SECOND,
-            checkpoint_every: 30 * SECOND,
-            save,
+            run_time_estimate: 400 * SECOND,
+            checkpoint_interval: 30 * SECOND,
+            save_time: save,
             ..long
         },
     );
@@ -266,8 +266,8 @@
 #[test]
 fn guests_that_save_make_way_for_work_within_a_guarantee_and_for_no_more() {
     let saving = |team: &str| JobSpec {
-        checkpoint_every: 30 * SECOND,
-        save: 3 * SECOND,
+        checkpoint_interval: 30 * SECOND,
+        save_time: 3 * SECOND,
         ..spec(Shape::Array, team, 80, 1.0)
     };
     let stopped = |f: &LeaderView| {
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -230,7 +230,7 @@
     let mut f = LeaderView::new();
     f.machines("up", 1, "small", "a");
     let long = JobSpec {
-        estimate: 60 * SECOND,
+        run_time_estimate: 60 * SECOND,
         ..spec(Shape::Array, "blue", 1, 4.0)
     };
     f.submit("j-1", long);
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -24,7 +24,7 @@
     f.submit(
         "j-1",
         JobSpec {
-            checkpoint_every: SECOND,
+            checkpoint_interval: SECOND,
             ..spec(Shape::Array, "blue", 7 * n as u32, 1.0)
         },
     );
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -126,8 +126,8 @@
                 gang: spec.shape == Shape::Gang,
                 service: spec.shape == Shape::Service,
                 broken: false,
-                save: spec.save,
-                estimate: spec.estimate,
+                save: spec.save_time,
+                estimate: spec.run_time_estimate,
             };
             self.facts.entry(id.to_string()).or_insert(facts);
         }
