--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -1,5 +1,5 @@
 //! Answers of the cloud to requests for machine types and machines. Those to listings are in
-//! [`super::machine_listing`].
+//! `machine_listing`.
 
 use std::sync::Arc;
 
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The value as it is stored. A job of another shard than 0 has a form of its own ([`ShardedJobRecord`]).
+    /// The value as it is stored. A job of another shard than 0 has a form of its own.
     pub fn to_value(&self) -> Box<RawValue> {
         match self.shard {
             0 => to_raw_value(self),
