--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -10,6 +10,7 @@
 use super::transaction::TransactionBuilder;
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
+use crate::state::fleet::PendingProvision;
 use crate::state::shard::ShardMember;
 use crate::state::shard_transfers::{OutgoingTransfer, RecentTransfer};
 use crate::state::writes::BatchedWrite;
@@ -140,12 +141,12 @@
             .iter()
             .filter(|(_, to_shard)| **to_shard == shard)
             .filter_map(|(request, _)| self.fleet.pending_provisions.get(request))
-            .filter(|(offer, _)| {
+            .filter(|PendingProvision { offer, .. }| {
                 *self.machine_types[offer.machine_type].name == *machine_type
                     && offer.zone == zone
                     && offer.spot == spot
             })
-            .map(|(_, count)| count)
+            .map(|pending| pending.count)
             .sum();
         arriving as u32 + leaving as u32 + requested
     }
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -11,7 +11,7 @@
 use crate::scheduling::zones::ZoneTaskCounts;
 use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::Cluster;
-use crate::state::fleet::{CloudCall, Offer};
+use crate::state::fleet::{CloudCall, Offer, PendingProvision};
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 use crate::state::pass_state::SchedulingCost;
@@ -159,9 +159,11 @@
         let name = format!("r-{}-{}", self.fleet.term, self.fleet.request_count);
         tracing::info!(%name, flavor = %self.machine_types[offer.machine_type].name, zone = %offer.zone,
             spot = offer.spot, count, "renting");
-        self.fleet
-            .pending_provisions
-            .insert(name.clone(), (offer.clone(), count));
+        let pending = PendingProvision {
+            offer: offer.clone(),
+            count,
+        };
+        self.fleet.pending_provisions.insert(name.clone(), pending);
         CloudCall::Provision {
             name,
             offer,
@@ -489,7 +491,7 @@
                     .fleet
                     .pending_provisions
                     .values()
-                    .any(|r| r.0.zone == offer.zone);
+                    .any(|pending| pending.offer.zone == offer.zone);
             if tried || now < at + UNREACHABLE_ZONE_RETRY {
                 return true;
             }
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -16,7 +16,7 @@
 use crate::scheduling::autoscaler::max_boot_time;
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed};
 use crate::state::cluster::Cluster;
-use crate::state::fleet::Offer;
+use crate::state::fleet::{Offer, PendingProvision};
 
 /// Steps of a plan, in queue order, and so many more for each machine there is: else a large cluster's
 /// plan would end among the machines it has, and never come to what has to be rented. A plan is made
@@ -707,7 +707,7 @@
             lane.releases.sort_by_key(|r| Reverse(r.0));
             future.add_machine(lane);
         }
-        for (offer, count) in self.fleet.pending_provisions.values() {
+        for PendingProvision { offer, count } in self.fleet.pending_provisions.values() {
             let ready = self.expected_boot_end(offer, now);
             let zone: Arc<str> = offer.zone.as_str().into();
             let price = self.price_per_millicpu(offer.machine_type, offer.spot);
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -18,6 +18,13 @@
     pub spot: bool,
 }
 
+/// Machines that have been asked for and that the cloud has not answered for.
+#[derive(Clone, Debug)]
+pub struct PendingProvision {
+    pub offer: Offer,
+    pub count: u32,
+}
+
 /// The cloud had no machine for an offer.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferRefusal {
@@ -58,7 +65,7 @@
     /// Provisioning requests so far, which names them together with the term.
     pub(crate) request_count: u64,
     /// Provisioning requests under way, by name.
-    pub pending_provisions: BTreeMap<String, (Offer, u32)>,
+    pub pending_provisions: BTreeMap<String, PendingProvision>,
     /// Calls that are to be sent again as they are.
     pub(crate) calls_to_retry: Vec<CloudCall>,
     pub(crate) delete_in_flight: bool,
