--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -62,6 +62,27 @@
     pub usage_record: Option<Box<UsageRecord>>,
 }
 
+impl Attempt {
+    /// An attempt that is placed now. It holds capacity from here on.
+    pub fn starting(
+        resources: Resources,
+        team: Option<usize>,
+        usage_record: Option<Box<UsageRecord>>,
+        now: Micros,
+    ) -> Attempt {
+        Attempt {
+            phase: AttemptPhase::Starting,
+            phase_since: now,
+            reported: false,
+            stop_grace: None,
+            resources,
+            team,
+            holds_capacity: true,
+            usage_record,
+        }
+    }
+}
+
 /// Where a task is placed, and the number of that attempt.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LiveAttempt {
--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -1,7 +1,7 @@
 //! Placing tasks on machines and stopping them.
 
 use crate::model::{AttemptId, JobId, MachineId, Micros, Priority, SECOND, Shape, TaskId};
-use crate::state::attempt::{Attempt, AttemptPhase, LiveAttempt};
+use crate::state::attempt::{Attempt, LiveAttempt};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 
@@ -95,17 +95,8 @@
         }
         machine.placement.use_reservation(job_id);
         machine.worker.heartbeat_digest = None;
-        let entry = Attempt {
-            phase: AttemptPhase::Starting,
-            phase_since: now,
-            reported: false,
-            stop_grace: None,
-            resources,
-            team,
-            holds_capacity: true,
-            usage_record,
-        };
-        machine.attempts.insert(id, entry);
+        let attempt = Attempt::starting(resources, team, usage_record, now);
+        machine.attempts.insert(id, attempt);
         self.adjust_usage(machine_id, team, resources, now);
     }
 
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -209,7 +209,7 @@
     let ended = machine
         .attempts
         .values()
-        .filter(|entry| matches!(entry.phase, AttemptPhase::Ended(_)));
+        .filter(|entry| entry.phase.is_ended());
     ended.count() > MAX_ENDED_ATTEMPTS
 }
 
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -99,7 +99,7 @@
         let mut record = orphan.record;
         let meter = &mut record.meter;
         meter.wait(orphan.transit_time);
-        if matches!(phase, AttemptPhase::Ended(_)) {
+        if phase.is_ended() {
             // It may have ended at any time since it was told of: in the middle, on average.
             let unseen = now.saturating_sub(orphan.last_known_at);
             meter.since = meter.since.max(orphan.last_known_at + unseen / 2);
@@ -129,7 +129,7 @@
             age,
             mut uncertainty,
         } = self.estimate_age(attempt.number, ready_at);
-        let has_ended = matches!(phase, AttemptPhase::Ended(_));
+        let has_ended = phase.is_ended();
         let key = ledger_key(id, attempt);
         let charge = match ledger.inherited_tickets.get(&key) {
             Some(ticket) => ChargeState::Charged(*ticket),
@@ -196,7 +196,7 @@
         phase: AttemptPhase,
         now: Micros,
     ) {
-        if matches!(phase, AttemptPhase::Ended(_)) {
+        if phase.is_ended() {
             return;
         }
         let Some(ledger) = &mut self.usage_ledger else {
