--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -78,6 +78,7 @@
 }
 
 impl AttemptId {
+    /// The attempt of this number at a job's task of this index.
     pub fn new(job: JobId, index: u32, number: u64) -> AttemptId {
         let task = TaskId { job, index };
         AttemptId { task, number }
@@ -159,6 +160,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: Arc<str>,
+    /// The capacity of each of its machines.
     pub size: Resources,
     /// The price of an hour on demand.
     pub price: f64,
@@ -187,7 +189,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     pub name: String,
+    /// What the team gets before others that are above their guarantees.
     pub guarantee: Resources,
+    /// What the team may use at most.
     pub limit: Resources,
     /// It was removed: it gets no new jobs, and those it has finish within its last limit.
     pub closed: bool,
@@ -233,6 +237,7 @@
     /// What each task needs.
     #[serde(rename = "need")]
     pub resources: Resources,
+    /// The image that each task runs.
     pub image: String,
     #[serde(rename = "image_gb")]
     pub image_size_gb: f64,
--- a/crates/gannethub-core/src/model/task_set.rs
+++ b/crates/gannethub-core/src/model/task_set.rs
@@ -24,6 +24,7 @@
         range.is_some_and(|&(first, last)| (first..=last).contains(&task))
     }
 
+    /// Whether `task` is in the set.
     pub fn contains(&self, task: u32) -> bool {
         self.range_contains(self.position(task), task)
     }
@@ -71,11 +72,13 @@
         true
     }
 
+    /// How many numbers the set has.
     pub fn len(&self) -> u32 {
         let lengths = self.0.iter().map(|&(first, last)| last - first + 1);
         lengths.sum()
     }
 
+    /// Whether the set has no number.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -12,8 +12,11 @@
 pub enum SagaState {
     /// Waits for upstream elements to commit.
     Waiting,
+    /// Running, or free to run.
     Active,
+    /// Ended well. It is undone only if the whole saga aborts.
     Committed,
+    /// Cancelled or compensated.
     Aborted,
 }
 
--- a/crates/gannethub-core/src/state/capacity_index.rs
+++ b/crates/gannethub-core/src/state/capacity_index.rs
@@ -55,6 +55,7 @@
 /// removed.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
+    /// A machine's bucket is at the index that [`CapacityIndex::insert`] returned.
     pub buckets: Vec<CapacityBucket>,
     bucket_numbers: BTreeMap<MachineKind, usize>,
 }
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -73,6 +73,7 @@
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that wait for others.
     pub pipelines: Pipelines,
+    /// All machines of the shard that are known, also those that are not up yet or cannot be reached.
     pub machines: BTreeMap<MachineId, Machine>,
     /// The same machines by their free capacity.
     pub capacity_index: CapacityIndex,
@@ -87,23 +88,31 @@
 
     /// All jobs in the order in which they are served.
     pub queue: Queue,
+    /// What scheduling passes leave for the next ones.
     pub passes: PassState,
+    /// What teams may use and do use.
     pub quota: QuotaState,
     /// How long tasks of a class run, as a ratio to their users' estimates: a moving average.
     pub runtime_ratios: HashMap<String, f64>,
+    /// How far the takeover from an earlier term has come.
     pub takeover: Takeover,
+    /// How far the jobs' launch watermarks can be relied on.
     pub watermarks: LaunchWatermarks,
 
     /// Calls to the cloud.
     pub fleet: Fleet,
     /// Machines that this shard's provisioning plan asks for.
     pub machine_demand: BTreeMap<Offer, u32>,
+    /// Zones that cannot be reached.
     pub zones: ZoneReachability,
+    /// Machines on their way between shards.
     pub transfers: ShardTransfers,
+    /// What is known of the other shards.
     pub other_shards: OtherShards,
 
     /// Attempts of cancelled jobs that their workers are to be told of at once.
     pub(crate) kill_orders: KillOrders,
+    /// What has to be remembered about writes to the state service.
     pub store_writes: StoreWrites,
     /// Usage that is metered and charged. `None`: no usage ledger is kept.
     pub usage_ledger: Option<Box<UsageLedger>>,
--- a/crates/gannethub-core/src/state/deadline.rs
+++ b/crates/gannethub-core/src/state/deadline.rs
@@ -24,7 +24,9 @@
 /// How long a job takes from its start to its end.
 #[derive(Clone, Copy, Debug)]
 pub struct StageDuration {
+    /// How long it may well take.
     pub expected: Micros,
+    /// How long it takes at the least.
     pub minimum: Micros,
 }
 
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -11,8 +11,11 @@
 /// What is known of a job that another one waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DependencyOutcome {
+    /// It has not ended.
     Live,
+    /// All its tasks are done.
     Done,
+    /// It is cancelled, by its user or with a job that it waits for.
     Cancelled,
     /// Not live as far as is known; its end has not been read.
     Unknown,
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -34,6 +34,7 @@
     /// The job's own saga, with one element. [`Pipelines`](super::pipeline::Pipelines) holds the one that it
     /// shares with the jobs that wait for it.
     pub saga: Saga<u32>,
+    /// What the failures of its tasks say about it.
     pub failure_tracking: FailureTracking,
     pub tasks: JobTasks,
     pub scheduling: JobScheduling,
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -63,6 +63,7 @@
     NotLive,
     /// It waits for others, and the end of one that somebody waits for has not been read yet.
     DependencyUnknown,
+    /// Nobody has submitted a job of this id.
     NeverSubmitted,
 }
 
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -20,6 +20,7 @@
     pub id: MachineId,
     /// Index into the list of machine types. `None`: its type is unknown, and nothing may be placed on it.
     pub machine_type: Option<usize>,
+    /// The resources of the whole machine.
     pub capacity: Resources,
     pub zone: Arc<str>,
     /// It is a spot machine: the cloud may take it back at short notice.
@@ -121,6 +122,7 @@
 #[derive(Debug, Clone)]
 pub struct Reservation {
     pub job: JobId,
+    /// How many tasks are still to be placed in it.
     pub tasks: i64,
     /// It lapses at this time unless it is renewed.
     pub expires_at: Micros,
