--- a/crates/gannethub-core/src/reconcile/machine_listing.rs
+++ b/crates/gannethub-core/src/reconcile/machine_listing.rs
@@ -21,22 +21,22 @@
 impl Cluster {
     /// Applies one page of a listing, and the whole listing with its last page.
     pub(super) fn apply_machine_listing(&mut self, answer: &CallResult, now: Micros) {
-        self.fleet.listing_in_flight = false;
+        self.fleet.listing.in_flight = false;
         let Some(page) = decode_ok::<MachineList>(answer) else {
-            self.fleet.listing_cursor.clear();
-            self.fleet.listing_entries.clear();
-            self.fleet.next_listing_at = now + LISTING_RETRY;
+            self.fleet.listing.cursor.clear();
+            self.fleet.listing.entries.clear();
+            self.fleet.listing.next_at = now + LISTING_RETRY;
             return;
         };
         let last = page.machines.last().map(|machine| machine.id.clone());
-        self.fleet.listing_entries.extend(page.machines);
+        self.fleet.listing.entries.extend(page.machines);
         if let (true, Some(last)) = (page.truncated, last) {
-            self.fleet.listing_cursor = last;
+            self.fleet.listing.cursor = last;
             return;
         }
-        self.fleet.listing_cursor.clear();
-        self.fleet.next_listing_at = now + LISTING_INTERVAL;
-        let listed = std::mem::take(&mut self.fleet.listing_entries);
+        self.fleet.listing.cursor.clear();
+        self.fleet.listing.next_at = now + LISTING_INTERVAL;
+        let listed = std::mem::take(&mut self.fleet.listing.entries);
         self.forget_gone_machines(&listed, now);
         self.apply_listed_machines(&listed, now);
     }
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -35,7 +35,7 @@
             .as_ref()
             .is_ok_and(|answer| matches!(answer.status, 429 | 503));
         if is_overloaded && !is_out_of_capacity(answer) {
-            self.fleet.paused_until = now + OVERLOAD_PAUSE;
+            self.fleet.budget.paused_until = now + OVERLOAD_PAUSE;
         }
         match call {
             CloudCall::MachineTypes => self.apply_machine_types(answer, now),
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -60,17 +60,11 @@
     /// The calls to make to the cloud now.
     pub fn plan_cloud_calls(&mut self, now: Micros) -> Vec<CloudCall> {
         let before = self.passes.steps.get();
-        let earned = now.saturating_sub(self.fleet.refilled_at) as f64 / SECOND as f64;
-        self.fleet.rate_tokens = (self.fleet.rate_tokens + earned * self.fleet.rate)
-            .min((self.fleet.rate * 2.0).max(1.0));
-        self.fleet.refilled_at = now;
+        // While the cloud has asked for a pause nothing can be asked for; what is there is still planned with.
+        self.fleet.budget.refill(now);
         let mut calls = Vec::new();
-        if now < self.fleet.paused_until {
-            // Nothing can be asked for; what is there is still planned with.
-            self.fleet.rate_tokens = 0.0;
-        }
         while let Some(call) = self.fleet.calls_to_retry.pop() {
-            if !self.fleet.try_take_token(0.0) {
+            if !self.fleet.budget.try_take(0.0) {
                 self.fleet.calls_to_retry.push(call);
                 break;
             }
@@ -103,22 +97,22 @@
             .filter(|m| m.lifecycle.deleting)
             .map(|m| m.id.to_string())
             .collect();
-        if !doomed.is_empty() && !self.fleet.delete_in_flight && self.fleet.try_take_token(0.0) {
+        if !doomed.is_empty() && !self.fleet.delete_in_flight && self.fleet.budget.try_take(0.0) {
             self.fleet.delete_in_flight = true;
             let machines = doomed.into_iter().take(MAX_MACHINES_PER_DELETION).collect();
             calls.push(CloudCall::Delete { machines });
         }
         if leads
-            && !self.fleet.listing_in_flight
-            && now >= self.fleet.next_listing_at
-            && self.fleet.try_take_token(1.0)
+            && !self.fleet.listing.in_flight
+            && now >= self.fleet.listing.next_at
+            && self.fleet.budget.try_take(1.0)
         {
-            self.fleet.listing_in_flight = true;
+            self.fleet.listing.in_flight = true;
             calls.push(CloudCall::List {
-                after: self.fleet.listing_cursor.clone(),
+                after: self.fleet.listing.cursor.clone(),
             });
         }
-        if leads && now >= self.fleet.next_machine_types_at && self.fleet.try_take_token(1.0) {
+        if leads && now >= self.fleet.next_machine_types_at && self.fleet.budget.try_take(1.0) {
             self.fleet.next_machine_types_at = now + 30 * SECOND;
             calls.push(CloudCall::MachineTypes);
         }
@@ -137,7 +131,7 @@
         while !wanted.is_empty() {
             let mut rest = BTreeMap::new();
             for (offer, count) in wanted {
-                if !self.fleet.try_take_token(0.0) {
+                if !self.fleet.budget.try_take(0.0) {
                     return;
                 }
                 // One machine is enough to try a zone that was cut off.
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -188,7 +188,7 @@
                 if count == 0 || self.is_offer_blocked(&offer, now) {
                     continue;
                 }
-                if !self.fleet.try_take_token(0.0) {
+                if !self.fleet.budget.try_take(0.0) {
                     return;
                 }
                 let call = self.rent(offer, count);
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -3,11 +3,13 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::provisioning_times::ProvisioningTimes;
-use crate::model::{MachineType, Micros};
+use crate::model::{MachineType, Micros, SECOND};
 use crate::wire::cloud::{CloudRequest, ListedMachine};
 
 /// The share of the cloud's request rate that the leader uses: peers may ask for the machine types now and then.
 const LEADER_RATE_SHARE: f64 = 0.85;
+/// Calls that were not made are made up for as far as the rate of this many seconds.
+const MAX_SAVED_SECONDS: f64 = 2.0;
 
 /// A kind of machine that can be asked for.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
@@ -56,6 +58,31 @@
     Delete { machines: Vec<String> },
 }
 
+/// A token bucket that keeps the calls below the cloud's request rate.
+#[derive(Debug)]
+pub(crate) struct CallBudget {
+    /// How many calls may be sent now.
+    tokens: f64,
+    /// How many tokens are added in a second.
+    rate: f64,
+    refilled_at: Micros,
+    /// The cloud has asked for a pause until then.
+    pub paused_until: Micros,
+}
+
+/// The list of all machines that the cloud knows of, which is read in pages.
+#[derive(Debug, Default)]
+pub(crate) struct MachineListing {
+    /// A page has been asked for.
+    pub in_flight: bool,
+    /// When the next page is asked for.
+    pub next_at: Micros,
+    /// The machine after which the next page begins.
+    pub cursor: String,
+    /// What the pages so far have shown.
+    pub entries: Vec<ListedMachine>,
+}
+
 /// The state of the calls to the cloud, and what has been learned from them.
 ///
 /// Calls are decided by `scheduling::autoscaler`; their answers are taken in by `reconcile::provisioning`.
@@ -70,19 +97,8 @@
     pub(crate) calls_to_retry: Vec<CloudCall>,
     pub(crate) delete_in_flight: bool,
 
-    /// Token bucket for calls: how many may be sent now, how many are added in a second, and when that was last done.
-    pub(crate) rate_tokens: f64,
-    pub(crate) rate: f64,
-    pub(crate) refilled_at: Micros,
-    /// The cloud has asked for a pause until then.
-    pub(crate) paused_until: Micros,
-
-    /// The list of machines is read in pages: where the next one begins, and what the ones before have shown.
-    pub(crate) listing_in_flight: bool,
-    pub(crate) listing_cursor: String,
-    pub(crate) listing_entries: Vec<ListedMachine>,
-
-    pub(crate) next_listing_at: Micros,
+    pub(crate) budget: CallBudget,
+    pub(crate) listing: MachineListing,
     pub(crate) next_machine_types_at: Micros,
     /// When the summary of the fleet is next logged.
     pub(crate) next_summary_at: Micros,
@@ -105,14 +121,8 @@
             pending_provisions: BTreeMap::new(),
             calls_to_retry: Vec::new(),
             delete_in_flight: false,
-            rate_tokens: request_rate,
-            rate: request_rate * LEADER_RATE_SHARE,
-            refilled_at: 0,
-            paused_until: 0,
-            listing_in_flight: false,
-            listing_cursor: String::new(),
-            listing_entries: Vec::new(),
-            next_listing_at: 0,
+            budget: CallBudget::new(request_rate),
+            listing: MachineListing::default(),
             next_machine_types_at: 0,
             next_summary_at: 0,
             next_move_at: 0,
@@ -121,12 +131,34 @@
             deleted_machines: HashMap::new(),
         }
     }
+}
+
+impl CallBudget {
+    fn new(request_rate: f64) -> CallBudget {
+        CallBudget {
+            tokens: request_rate,
+            rate: request_rate * LEADER_RATE_SHARE,
+            refilled_at: 0,
+            paused_until: 0,
+        }
+    }
+
+    /// Adds the tokens earned since this was last done. There are none during a pause.
+    pub fn refill(&mut self, now: Micros) {
+        let earned = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64 * self.rate;
+        let max_tokens = (self.rate * MAX_SAVED_SECONDS).max(1.0);
+        self.tokens = (self.tokens + earned).min(max_tokens);
+        self.refilled_at = now;
+        if now < self.paused_until {
+            self.tokens = 0.0;
+        }
+    }
 
     /// Takes a token for one call, if that leaves `reserve` tokens for more urgent calls.
-    pub(crate) fn try_take_token(&mut self, reserve: f64) -> bool {
-        let has_token = self.rate_tokens >= 1.0 + reserve;
+    pub fn try_take(&mut self, reserve: f64) -> bool {
+        let has_token = self.tokens >= 1.0 + reserve;
         if has_token {
-            self.rate_tokens -= 1.0;
+            self.tokens -= 1.0;
         }
         has_token
     }
