--- /dev/null
+++ b/crates/gannethub-core/src/controller/cancellations.rs
@@ -0,0 +1,71 @@
+//! Cancellations: they are stored in the job's live record, and only then are their users told so. The shard's owner finds
+//! them there.
+
+use super::job_api::{JobApi, JobChange, LookupReason, LookupWaiter, committed_version};
+use super::job_lookups::LiveJob;
+use super::outbox::Outbox;
+use super::pending_request::JobApiRequest;
+use crate::http::CallResult;
+use crate::model::JobId;
+use crate::wire::api::{self, JobStatus, JobView};
+use crate::wire::budget::Urgency;
+use crate::wire::store::{self, Transaction};
+
+impl JobApi {
+    /// Stores the cancellation of a live job, on the condition that it has not changed since it was read.
+    pub fn send_cancellation(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        live: LiveJob,
+        connections: Vec<u64>,
+        done: u32,
+    ) {
+        let key = format!("{}{job}", store::LIVE_JOB_PREFIX);
+        let value = live
+            .record
+            .into_cancelled_value(outbox.settings.value_bytes);
+        let mut transaction = Transaction::default();
+        transaction.guard(&key, live.version);
+        transaction.put(&key, value, None);
+        let pending = JobApiRequest::CancelJob {
+            job,
+            connections,
+            view: JobView::new(JobStatus::Cancelled, done),
+        };
+        outbox.send_to_store(Urgency::User, transaction.to_request(), pending);
+    }
+
+    /// Takes in whether a cancellation was stored.
+    pub fn handle_cancel_answer(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        connections: Vec<u64>,
+        view: &JobView,
+        answer: &CallResult,
+    ) {
+        if answer.as_ref().is_ok_and(|answer| answer.is_ok()) {
+            let version = committed_version(answer);
+            self.job_replica.record_end(job.clone(), view.clone());
+            self.job_replica.record_cancellation(job.clone(), version);
+            for connection in connections {
+                outbox.reply(connection, api::job_response(200, &job, view));
+            }
+            return self.job_changes.push(JobChange { job, version });
+        }
+        // The job changed meanwhile, or nothing is certain: only looking again tells.
+        let is_open = match answer {
+            Ok(answer) => answer.status == 409,
+            Err(_) => true,
+        };
+        for connection in connections {
+            if is_open && outbox.awaits_reply(connection) {
+                let waiter = LookupWaiter::new(connection, LookupReason::Cancel);
+                self.look_up_live_job(outbox, job.clone(), waiter);
+            } else {
+                outbox.reply_unavailable(connection);
+            }
+        }
+    }
+}
--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -1,109 +1,106 @@
-//! What follows from a new version of the configuration in all roles of a controller, and what is told of it.
+//! What follows from a new version of the configuration in all parts of a controller, and what users are shown of it.
 
 use serde::Serialize;
 
 use super::Controller;
 use super::config_watch::{ConfigurationRead, NewSettings};
-use super::outbox::PendingRequest;
 use crate::http::{CallResult, Response};
+use crate::model::Micros;
 use crate::wire::budget::Urgency;
 
+/// Ages are shown in milliseconds.
+const MICROS_PER_MS: Micros = 1000;
+
 /// The answer to `GET /api/config`.
 #[derive(Serialize)]
 struct ConfigurationStatus<'a> {
     /// The version in force here; 0: the platform's settings alone.
     version: u64,
-    /// The newest version that was seen, and why it is not in force if it cannot be used.
+    /// The newest version that was seen in the state service, and why it is not in force if it cannot be used.
     newest: u64,
     refused: Option<&'a str>,
-    /// It may be acted on now, and when it was last known to be the newest.
+    /// Whether it may be acted on now, and how long ago it was last known to be the newest.
     fresh: bool,
     known_ms_ago: Option<u64>,
     nodes: Vec<NodeStatus<'a>>,
 }
 
-/// What a controller knows of another one.
+/// What this controller knows of one controller, itself among them.
 #[derive(Serialize)]
 struct NodeStatus<'a> {
     name: &'a str,
-    /// It was heard within the last seconds.
+    /// Whether it was heard within the last seconds.
     heard: bool,
     /// The version in force there; null where its release knows of none, or nothing was ever heard.
     version: Option<u64>,
 }
 
 impl Controller {
-    /// Asks for what is to be read of the configuration, if anything.
+    /// Sends what is to be read of the configuration, if anything is.
     pub(super) fn send_configuration_read(&mut self) {
-        let port = &mut self.outbox;
-        if let Some((what, request)) = port.configuration.next_read(port.clock.now) {
-            port.send_to_store(
-                Urgency::Renewal,
-                request,
-                PendingRequest::Configuration(what),
-            );
+        let outbox = &mut self.outbox;
+        if let Some((read, request)) = outbox.configuration.next_read(outbox.clock.now) {
+            outbox.send_to_store(Urgency::Renewal, request, read);
         }
     }
 
+    /// Takes in what was read of the configuration, and reads on if there is more.
     pub(super) fn handle_configuration_answer(
         &mut self,
-        what: ConfigurationRead,
-        answer: CallResult,
+        read: ConfigurationRead,
+        answer: &CallResult,
     ) {
-        let port = &mut self.outbox;
-        let (running, now) = (port.settings.clone(), port.clock.now);
-        if let Some(new) = port
+        let outbox = &mut self.outbox;
+        let (running, now) = (outbox.settings.clone(), outbox.clock.now);
+        let new_settings = outbox
             .configuration
-            .handle_answer(what, answer, &running, now)
-        {
-            self.activate_settings(new);
+            .handle_answer(read, answer, &running, now);
+        if let Some(new_settings) = new_settings {
+            self.activate_settings(new_settings);
         }
         self.send_configuration_read();
     }
 
-    /// Puts settings in force in this process, in all of its roles at once.
-    fn activate_settings(&mut self, new: NewSettings) {
+    /// Puts settings in force in this process, in all of its parts at once.
+    fn activate_settings(&mut self, new_settings: NewSettings) {
         let NewSettings {
             settings,
             over_limit,
-        } = new;
+        } = new_settings;
         let now = self.outbox.clock.now;
         self.outbox.settings = settings.clone();
-        for holder in self.shard_owners.values_mut() {
-            holder.cluster.apply_settings(&settings, over_limit, now);
-            holder.update_start_hold(&self.outbox);
+        for owner in self.shard_owners.values_mut() {
+            owner.cluster.apply_settings(&settings, over_limit, now);
+            owner.update_start_hold(&self.outbox);
         }
         self.job_api.handle_new_configuration();
         self.membership.send_heartbeats_soon(now);
     }
 
-    pub(super) fn show_configuration(&mut self, conn: u64) {
-        let (port, standing) = (&self.outbox, &self.membership);
-        let (configuring, now) = (&port.configuration, port.clock.now);
+    /// Answers `GET /api/config`.
+    pub(super) fn show_configuration(&mut self, connection: u64) {
+        let (outbox, membership) = (&self.outbox, &self.membership);
+        let (configuration, now) = (&outbox.configuration, outbox.clock.now);
         let own = NodeStatus {
-            name: &port.settings.name,
+            name: &outbox.settings.name,
             heard: true,
-            version: Some(configuring.version()),
+            version: Some(configuration.version()),
         };
-        let siblings = port
-            .settings
-            .siblings
-            .iter()
-            .enumerate()
-            .map(|(i, s)| NodeStatus {
-                name: &s.name,
-                heard: standing.is_heard(port, i),
-                version: standing.peers[i].configuration_version,
-            });
-        let told = ConfigurationStatus {
-            version: configuring.version(),
-            newest: configuring.newest_version(),
-            refused: configuring.rejection(),
-            fresh: configuring.is_fresh(now),
-            known_ms_ago: configuring.age(now).map(|age| age / 1000),
-            nodes: std::iter::once(own).chain(siblings).collect(),
+        let peers = outbox.settings.siblings.iter().enumerate();
+        let peers = peers.map(|(peer, settings)| NodeStatus {
+            name: &settings.name,
+            heard: membership.is_heard(outbox, peer),
+            version: membership.peers[peer].configuration_version,
+        });
+        let status = ConfigurationStatus {
+            version: configuration.version(),
+            newest: configuration.newest_version(),
+            refused: configuration.rejection(),
+            fresh: configuration.is_fresh(now),
+            known_ms_ago: configuration.age(now).map(|age| age / MICROS_PER_MS),
+            nodes: std::iter::once(own).chain(peers).collect(),
         };
-        let response = Response::json(200, &told);
-        self.outbox.reply(conn, response);
+        let response = Response::json(200, &status);
+        self.outbox.reply(connection, response);
     }
 }
--- /dev/null
+++ b/crates/gannethub-core/src/controller/dependency_outcomes.rs
@@ -0,0 +1,81 @@
+//! Reading how jobs ended that other jobs wait for. A job that is not live is finished or was never accepted; only its
+//! record says which, and whether those that wait for it may run.
+
+use std::collections::BTreeSet;
+
+use super::job_api::JobApi;
+use super::job_views::finished_job_view_of_read;
+use super::key_read::KeyRead;
+use super::outbox::Outbox;
+use super::pending_request::JobApiRequest;
+use super::shard_owner::ShardOwner;
+use crate::http::CallResult;
+use crate::model::{JobId, Micros, SECOND};
+use crate::wire::api::JobStatus;
+use crate::wire::budget::Urgency;
+use crate::wire::store::{self, StoreRequest};
+
+/// Ends that are read at once.
+const MAX_OUTCOME_READS: usize = 20;
+/// A read without an answer is made again after this time.
+const OUTCOME_READ_TIMEOUT: Micros = 3 * SECOND;
+/// A job that is not finished, or of which nothing could be read, is read again after this time.
+const OUTCOME_RETRY_INTERVAL: Micros = SECOND / 2;
+
+impl JobApi {
+    /// Reads the ends that the replica lacks, and those that the leader lacks, if it is this controller.
+    pub fn read_dependency_outcomes(&mut self, outbox: &mut Outbox, leader: Option<&ShardOwner>) {
+        let now = outbox.clock.now;
+        let leader_is_complete =
+            leader.is_none_or(|leader| leader.cluster.pipelines.dependencies.is_complete());
+        if leader_is_complete && self.job_replica.dependencies.is_complete() {
+            return;
+        }
+        self.outcome_reads.retain(|_, until| now < *until);
+        for job in self.wanted_outcomes(leader) {
+            let request = StoreRequest::get(&format!("{}{job}", store::FINISHED_JOB_PREFIX));
+            self.outcome_reads
+                .insert(job.clone(), now + OUTCOME_READ_TIMEOUT);
+            let pending = JobApiRequest::ReadDependency { job };
+            outbox.send_to_store(Urgency::Transaction, request, pending);
+        }
+    }
+
+    /// The jobs whose ends are to be read now. While the replica or the state is being read, what is not known yet may
+    /// still turn up there.
+    fn wanted_outcomes(&self, leader: Option<&ShardOwner>) -> Vec<JobId> {
+        let mut unknown: BTreeSet<&JobId> = BTreeSet::new();
+        if let Some(leader) = leader.filter(|leader| leader.is_loaded()) {
+            unknown.extend(leader.cluster.pipelines.dependencies.unknown_outcomes());
+        }
+        if self.job_replica.version().is_some() {
+            unknown.extend(self.job_replica.dependencies.unknown_outcomes());
+        }
+        let wanted = unknown
+            .into_iter()
+            .filter(|job| !self.outcome_reads.contains_key(*job));
+        wanted.take(MAX_OUTCOME_READS).cloned().collect()
+    }
+
+    /// Takes in how a job ended that others wait for.
+    pub fn handle_dependency_answer(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        answer: &CallResult,
+        leader: Option<&mut ShardOwner>,
+    ) {
+        let now = outbox.clock.now;
+        let Some(view) = finished_job_view_of_read(&KeyRead::from(answer)) else {
+            self.outcome_reads.insert(job, now + OUTCOME_RETRY_INTERVAL);
+            return;
+        };
+        self.outcome_reads.remove(&job);
+        if let Some(leader) = leader.filter(|leader| leader.is_loaded()) {
+            let is_cancelled = view.status == JobStatus::Cancelled;
+            leader.cluster.mark_upstream_ended(&job, Some(is_cancelled));
+        }
+        self.job_replica.record_upstream_end(job, view);
+        self.refresh(outbox);
+    }
+}
--- a/crates/gannethub-core/src/controller/election.rs
+++ b/crates/gannethub-core/src/controller/election.rs
@@ -1,157 +1,76 @@
-//! Who leads: grants, terms, and promises that bridge an outage of the state service.
+//! Whether this controller may take over a shard; shard 0 is the leader's.
 //!
-//! A leader acts only while its authority is provably valid on its own steady clock. Its grant is
-//! counted from when the renewal was *sent*, less clock drift and a margin. When the state service
-//! is down, all siblings together can extend its authority by promising not to take over for a
-//! bounded time. Whoever takes over needs the leader's key gone and none of its own promises alive;
-//! a process that has just started may have forgotten one, so it first keeps quiet that long.
-
-use std::collections::HashSet;
+//! Whoever takes over needs the owner's key in the state service gone, and none of its own votes alive. A process that has
+//! just started may have forgotten a vote, so it first waits for as long as one lasts.
+//!
+//! Every takeover raises the term, which workers see as the fencing token.
 
+use super::lease_validity::{CLOCK_DRIFT_DIVISOR, CLOCK_MARGIN, VOTE_DURATION, VOTE_TIMEOUT};
 use crate::model::{Micros, SECOND};
 use crate::wire::store::LeaseRecord;
 
-/// How long a promise lasts.
-pub const VOTE_DURATION: Micros = 8 * SECOND;
-/// A grant that may not have been given back is given back again after this time.
+/// A lease in the state service that may not have been revoked is revoked again after this time.
 const REVOKE_RETRY_INTERVAL: Micros = SECOND;
-const CLOCK_MARGIN: Micros = 150_000;
-/// A promise that comes later than this after it was asked for counts for nothing. So what a process promised
-/// before it was restarted is of no use to anyone once it is back for so long.
-const VOTE_TIMEOUT: Micros = 2 * SECOND;
+/// Votes that a process gave before it was started are of no use to anyone this long after its start.
 const FORGOTTEN_VOTE_LIFETIME: Micros = VOTE_TIMEOUT + SECOND / 2;
-/// A process that does not know whether marks hold asks this often.
+/// A process that does not know whether a term's watermarks hold asks its peers this often.
 const WATERMARK_QUERY_INTERVAL: Micros = SECOND;
 
-/// The end, on our clock, of something that lasts `d` from `from` on any clock that may run 0.05%
-/// faster, less a margin.
-fn safe_expiry(from: Micros, d: Micros) -> Micros {
-    from + d - d / 1000 - CLOCK_MARGIN
+/// A record of who owns a shard, as the state service holds it.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct StoredLease {
+    pub record: LeaseRecord,
+    /// The version of its key.
+    pub version: u64,
 }
 
-/// When a grant asked for or renewed at `sent` must be taken to end.
-pub fn store_lease_expiry(sent: Micros, ttl: Micros) -> Micros {
-    safe_expiry(sent, ttl)
+/// What a takeover is conditional on.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TakeoverConditions {
+    /// Versions of the owner's key and the term's key; 0: there is none.
+    pub owner_key_version: u64,
+    pub term_key_version: u64,
+    /// The last term in which the shard was owned.
+    pub last_term: u64,
 }
 
-/// A leader's right to act.
+/// This controller's own chances of owning a shard.
 #[derive(Debug)]
-pub struct LeaseValidity {
-    ttl: Micros,
-    store_lease_until: Micros,
-    votes_until: Micros,
-    round: u64,
-    round_started_at: Micros,
-    votes_needed: usize,
-    voters: HashSet<usize>,
-    /// Those whose promise told all that they know of cancellations.
-    informed_voters: HashSet<usize>,
-    extended_by_votes: bool,
-}
-
-impl LeaseValidity {
-    /// The authority of a grant of `ttl` that was asked for at `sent`.
-    pub fn new(sent: Micros, ttl: Micros) -> LeaseValidity {
-        LeaseValidity {
-            ttl,
-            store_lease_until: store_lease_expiry(sent, ttl),
-            votes_until: 0,
-            round: 0,
-            round_started_at: 0,
-            votes_needed: 0,
-            voters: HashSet::new(),
-            informed_voters: HashSet::new(),
-            extended_by_votes: false,
-        }
-    }
-
-    pub fn is_valid(&self, now: Micros) -> bool {
-        now < self.store_lease_until.max(self.votes_until)
-    }
-
-    /// The grant has missed a renewal or two.
-    pub fn is_running_low(&self, now: Micros) -> bool {
-        now + self.ttl / 2 > self.store_lease_until
-    }
-
-    pub fn store_lease_renewed(&mut self, sent: Micros) {
-        self.store_lease_until = self
-            .store_lease_until
-            .max(store_lease_expiry(sent, self.ttl));
-    }
-
-    /// Begins a round of asking all `siblings`; answers to earlier rounds no longer count.
-    pub fn start_vote_round(&mut self, now: Micros, siblings: usize) -> u64 {
-        self.round += 1;
-        self.round_started_at = now;
-        self.votes_needed = siblings;
-        self.voters.clear();
-        self.informed_voters.clear();
-        self.round
-    }
-
-    /// A sibling has told with its promise all that it knows of cancellations. Once all have in one round, nothing that
-    /// any of them had told its users by the time that the round began is unknown here: that time.
-    pub fn record_informed_voter(&mut self, round: u64, sibling: usize) -> Option<Micros> {
-        if round != self.round {
-            return None;
-        }
-        self.informed_voters.insert(sibling);
-        (self.votes_needed > 0 && self.informed_voters.len() >= self.votes_needed)
-            .then_some(self.round_started_at)
-    }
-
-    /// A sibling promised. Only all of them together extend the authority.
-    pub fn record_vote(&mut self, round: u64, sibling: usize, now: Micros) {
-        if round != self.round || now > self.round_started_at + VOTE_TIMEOUT {
-            return;
-        }
-        self.voters.insert(sibling);
-        if self.votes_needed > 0 && self.voters.len() >= self.votes_needed {
-            self.votes_until = self
-                .votes_until
-                .max(safe_expiry(self.round_started_at, VOTE_DURATION));
-            self.extended_by_votes = true;
-        }
-    }
-
-    /// All siblings have promised in one round at some time in this term: none of them goes by its marks any
-    /// more ([`Candidacy::trusts`]), so launches need none, as in the outage there is no writing them.
-    pub fn was_extended_by_votes(&self) -> bool {
-        self.extended_by_votes
-    }
-}
-
-/// A controller's own chances of leading.
-#[derive(Debug)]
-pub struct Election {
+pub(super) struct Election {
+    /// This controller's name.
     name: String,
+    /// Until when votes of an earlier process of this name may be alive.
     quiet_until: Micros,
+    /// Until when its own vote binds it.
     vote_until: Micros,
+    /// Until when it leaves a takeover to others.
     abstain_until: Micros,
-    /// A takeover that had no answer may still be carried out under this grant, and when that is to be given back again.
+    /// A takeover that had no answer may still be carried out under this lease in the state service, until that is known
+    /// to be revoked.
     unresolved_store_lease: Option<u64>,
     revoke_at: Micros,
-    /// The last term when this process began: what it promised of later ones it knows.
+    /// The last term when this process began: what it voted in later ones it remembers.
     term_at_start: Option<u64>,
-    /// The highest term that it has promised anything to, or bridged an outage in.
+    /// The highest term that it has voted in, or launched without watermarks in.
     highest_voted_term: u64,
-    /// The last term of which it was told, in this life, that nothing had been launched without marks in it.
+    /// The last term of which a peer told this process that nothing had been launched without watermarks in it.
     reliable_watermarks_term: u64,
     started_at: Micros,
     watermark_query_at: Micros,
+    /// A takeover is under way.
     pub attempt_in_progress: bool,
-    /// What the last look at the state service showed.
+    /// The records below are what a read of the state service has shown since the last takeover.
     has_observed_store: bool,
-    leader_record: Option<(LeaseRecord, u64)>,
-    term_record: Option<(LeaseRecord, u64)>,
+    owner: Option<StoredLease>,
+    last_term: Option<StoredLease>,
 }
 
 impl Election {
+    /// The chances of a process that begins now.
     pub fn new(name: &str, now: Micros) -> Election {
         Election {
             name: name.into(),
-            quiet_until: now + VOTE_DURATION + VOTE_DURATION / 1000 + CLOCK_MARGIN,
+            quiet_until: now + with_drift(VOTE_DURATION) + CLOCK_MARGIN,
             vote_until: 0,
             abstain_until: 0,
             unresolved_store_lease: None,
@@ -163,75 +82,72 @@
             watermark_query_at: 0,
             attempt_in_progress: false,
             has_observed_store: false,
-            leader_record: None,
-            term_record: None,
+            owner: None,
+            last_term: None,
         }
     }
 
-    /// Takes in what the state service says of the leader and of the last term.
-    pub fn observe(
-        &mut self,
-        holder: Option<(LeaseRecord, u64)>,
-        term: Option<(LeaseRecord, u64)>,
-    ) {
+    /// Takes in what the state service says of the shard's owner and of its last term.
+    pub fn observe(&mut self, owner: Option<StoredLease>, last_term: Option<StoredLease>) {
         self.has_observed_store = true;
         self.term_at_start
-            .get_or_insert(term.as_ref().map_or(0, |t| t.0.term));
-        self.leader_record = holder;
-        self.term_record = term;
+            .get_or_insert(last_term.as_ref().map_or(0, |last| last.record.term));
+        self.owner = owner;
+        self.last_term = last_term;
+    }
+
+    /// Whether the shard was ever owned, as far as was seen.
+    pub fn has_known_term(&self) -> bool {
+        self.last_term.is_some()
     }
 
-    /// Whether it knows that nothing has been launched without marks in a term so far. That takes a promise of
-    /// *every* sibling of its leader, so one that remembers to have given none is enough. What a process promised
-    /// before it began it does not remember, but somebody else may have told it since.
+    // ---- Launch watermarks ----
+
+    /// Whether this process knows that nothing has been launched without watermarks in a term so far. Such a launch takes a
+    /// vote of *every* peer of the term's owner, so one that remembers to have given none is enough. What a process voted
+    /// before it began it does not remember, but a peer may have told it since.
     pub fn knows_watermarks_hold(&self, term: u64) -> bool {
-        let remembers = self.term_at_start.is_some_and(|first| first < term)
+        let remembers = self.term_at_start.is_some_and(|start| start < term)
             || self.reliable_watermarks_term == term;
         remembers && self.highest_voted_term < term
     }
 
-    /// Whether a successor to the last term may go by the jobs' marks.
+    /// Whether a successor to the last term may go by the jobs' watermarks.
     pub fn watermarks_reliable(&self) -> bool {
-        // If nobody ever led, nothing was launched.
-        self.term_record.as_ref().is_none_or(|(last, _)| {
-            last.watermarks_reliable && self.knows_watermarks_hold(last.term)
+        // If the shard was never owned, nothing was launched.
+        self.last_term.as_ref().is_none_or(|last| {
+            last.record.watermarks_reliable && self.knows_watermarks_hold(last.record.term)
         })
     }
 
-    /// The term that siblings are to be asked about now: only once nothing that this process may have promised
-    /// before it began can be of use to that term's leader any more.
+    /// The term that peers are to be asked about now, if any: only once nothing that this process may have voted before it
+    /// began can be of use to that term's owner any more.
     pub fn watermark_query_due(&mut self, now: Micros) -> Option<u64> {
-        let term = self
-            .term_record
-            .as_ref()
-            .filter(|t| t.0.watermarks_reliable)
-            .map(|t| t.0.term)?;
-        let due = now
-            >= self
-                .watermark_query_at
-                .max(self.started_at + FORGOTTEN_VOTE_LIFETIME);
-        if !due || self.highest_voted_term >= term || self.knows_watermarks_hold(term) {
+        let last = &self.last_term.as_ref()?.record;
+        let term = Some(last.term).filter(|_| last.watermarks_reliable)?;
+        let query_at = self
+            .watermark_query_at
+            .max(self.started_at + FORGOTTEN_VOTE_LIFETIME);
+        if now < query_at || self.highest_voted_term >= term || self.knows_watermarks_hold(term) {
             return None;
         }
         self.watermark_query_at = now + WATERMARK_QUERY_INTERVAL;
         Some(term)
     }
 
-    /// Somebody who knows says so, in answer to this process.
+    /// A peer that knows says, in answer to this process, that the term's watermarks hold.
     pub fn confirm_watermarks(&mut self, term: u64) {
         self.reliable_watermarks_term = self.reliable_watermarks_term.max(term);
     }
 
-    /// This controller led in that term, and launched without marks.
+    /// This controller owned the shard in that term, and launched without watermarks.
     pub fn launched_without_watermarks(&mut self, term: u64) {
         self.highest_voted_term = self.highest_voted_term.max(term);
     }
 
-    /// There has been such a lease at some time, as far as was seen.
-    pub fn has_known_term(&self) -> bool {
-        self.term_record.is_some()
-    }
+    // ---- Taking over ----
 
+    /// Whether a takeover may be tried now.
     pub fn may_campaign(&self, now: Micros) -> bool {
         !self.attempt_in_progress && self.unresolved_store_lease.is_none() && self.is_eligible(now)
     }
@@ -241,73 +157,87 @@
         if !self.has_observed_store || now < self.vote_until || now < self.abstain_until {
             return false;
         }
-        let mine =
-            |r: &Option<(LeaseRecord, u64)>| r.as_ref().is_some_and(|r| r.0.owner == self.name);
-        // Nobody ever led, or the last to lead was this controller itself, before it was
-        // restarted: then no promise to another can be alive.
-        let quiet =
-            now < self.quiet_until && self.term_record.is_some() && !mine(&self.term_record);
-        !quiet && (self.leader_record.is_none() || mine(&self.leader_record))
-    }
-
-    /// Versions of the leader's and the term's key, and the last term.
-    pub fn versions(&self) -> (u64, u64, u64) {
-        let stamp = |r: &Option<(LeaseRecord, u64)>| r.as_ref().map_or(0, |r| r.1);
-        (
-            stamp(&self.leader_record),
-            stamp(&self.term_record),
-            self.term_record.as_ref().map_or(0, |r| r.0.term),
-        )
-    }
-
-    /// Promises not to take over, if that can be kept.
-    pub fn vote(&mut self, term: u64, now: Micros, micros: Micros) -> bool {
-        let newer = self.term_record.as_ref().is_some_and(|t| t.0.term > term);
-        if self.attempt_in_progress || self.unresolved_store_lease.is_some() || newer {
-            return false;
+        let is_own = |lease: &StoredLease| lease.record.owner == self.name;
+        // If the shard was never owned, or its last owner was this controller itself before it was restarted, no vote for
+        // another can be alive.
+        let was_others = self.last_term.as_ref().is_some_and(|last| !is_own(last));
+        let must_wait = now < self.quiet_until && was_others;
+        !must_wait && self.owner.as_ref().is_none_or(is_own)
+    }
+
+    /// What a takeover is conditional on, as last observed.
+    pub fn conditions(&self) -> TakeoverConditions {
+        let version = |lease: &Option<StoredLease>| lease.as_ref().map_or(0, |l| l.version);
+        TakeoverConditions {
+            owner_key_version: version(&self.owner),
+            term_key_version: version(&self.last_term),
+            last_term: self.last_term.as_ref().map_or(0, |last| last.record.term),
         }
-        self.vote_until = self.vote_until.max(now + micros + micros / 1000);
-        self.highest_voted_term = self.highest_voted_term.max(term);
-        true
     }
 
+    /// Leaves a takeover to others until then.
     pub fn abstain(&mut self, until: Micros) {
         self.abstain_until = until;
     }
 
-    /// A takeover under this grant was not carried out, or nothing is known of it. It may then still be carried out; until
-    /// the grant is known to be gone, nobody gets a promise from here.
-    pub fn takeover_failed(&mut self, grant: u64, status: Option<u16>, now: Micros) {
-        if !matches!(status, Some(400 | 409 | 429 | 503)) {
-            self.unresolved_store_lease = Some(grant);
+    /// A takeover under this lease was not carried out, or nothing is known of it; `status` is the answer's, if one came.
+    /// If nothing is known, it may still be carried out: nobody gets a vote from here until the lease is known to be gone.
+    pub fn takeover_failed(&mut self, store_lease: u64, status: Option<u16>, now: Micros) {
+        let was_refused = matches!(status, Some(400 | 409 | 429 | 503));
+        if !was_refused {
+            self.unresolved_store_lease = Some(store_lease);
             self.revoke_at = now + REVOKE_RETRY_INTERVAL;
             self.has_observed_store = false;
         }
     }
 
-    /// A grant that is to be given back once more, since nothing is known of that yet. Asked for but once, a refusal left the
-    /// controller unsure for ever, and where that met all of them nobody led again.
+    /// A lease in the state service that is to be revoked once more, since nothing is known of that yet. Asked for but
+    /// once, a refusal left the controller without a vote or a takeover for ever, and where that met all of them nobody led
+    /// again.
     pub fn store_lease_to_revoke(&mut self, now: Micros) -> Option<u64> {
-        let grant = self
+        let store_lease = self
             .unresolved_store_lease
             .filter(|_| now >= self.revoke_at)?;
         self.revoke_at = now + REVOKE_RETRY_INTERVAL;
-        Some(grant)
+        Some(store_lease)
     }
 
-    /// This grant is gone, whichever it was.
-    pub fn store_lease_revoked(&mut self, grant: u64) {
+    /// This lease in the state service is gone, whichever it was.
+    pub fn store_lease_revoked(&mut self, store_lease: u64) {
         self.unresolved_store_lease
-            .take_if(|unsure| *unsure == grant);
+            .take_if(|unresolved| *unresolved == store_lease);
     }
 
-    /// The takeover succeeded.
-    pub fn takeover_succeeded(&mut self, record: LeaseRecord, stamp: u64) {
-        self.leader_record = Some((record.clone(), stamp));
-        self.term_record = Some((record, stamp));
-        // What is known now is out of date once leadership has been lost.
+    /// The takeover was carried out in this version of the state service.
+    pub fn takeover_succeeded(&mut self, record: LeaseRecord, version: u64) {
+        let lease = StoredLease { record, version };
+        self.owner = Some(lease.clone());
+        self.last_term = Some(lease);
+        // What is known now is out of date once the shard has been lost.
         self.has_observed_store = false;
     }
+
+    // ---- Voting ----
+
+    /// Votes for the owner in this term, which binds this controller not to take over for `duration`. False: it cannot keep
+    /// to that, and gives no vote.
+    pub fn vote(&mut self, term: u64, now: Micros, duration: Micros) -> bool {
+        let knows_newer = self
+            .last_term
+            .as_ref()
+            .is_some_and(|last| last.record.term > term);
+        if self.attempt_in_progress || self.unresolved_store_lease.is_some() || knows_newer {
+            return false;
+        }
+        self.vote_until = self.vote_until.max(now + with_drift(duration));
+        self.highest_voted_term = self.highest_voted_term.max(term);
+        true
+    }
+}
+
+/// A duration that is no shorter on any peer's clock.
+fn with_drift(duration: Micros) -> Micros {
+    duration + duration / CLOCK_DRIFT_DIVISOR
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/gannethub-core/src/controller/job_lookups.rs
@@ -0,0 +1,205 @@
+//! Looking up single jobs in the state service: for queries that the replica cannot answer, and before cancellations and
+//! repeated submissions.
+
+use super::job_api::{
+    JobApi, LookupReason, LookupWaiter, QUERY_TIMEOUT, QueuedSubmission, RefreshWaiter,
+};
+use super::job_views::{ProgressLookup, finished_job_view, live_job_view};
+use super::key_read::KeyRead;
+use super::outbox::Outbox;
+use super::pending_request::JobApiRequest;
+use crate::http::{CallResult, Response};
+use crate::model::JobId;
+use crate::wire::api::{self, JobStatus, JobView};
+use crate::wire::budget::Urgency;
+use crate::wire::store::{self, LiveRecord, StoreRequest, StoredValue};
+
+/// A live job's record, and the version of its key.
+pub(super) struct LiveJob {
+    pub record: LiveRecord,
+    pub version: u64,
+}
+
+impl JobApi {
+    /// Reads a job's record: its live one, and if there is none, what is kept of it once it is finished.
+    pub fn look_up_live_job(&mut self, outbox: &mut Outbox, job: JobId, waiter: LookupWaiter) {
+        self.look_up_job(outbox, job, waiter, false);
+    }
+
+    /// Reads whether a job is finished that is known not to be live.
+    pub fn look_up_finished_job(&mut self, outbox: &mut Outbox, job: JobId, waiter: LookupWaiter) {
+        self.look_up_job(outbox, job, waiter, true);
+    }
+
+    fn look_up_job(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        waiter: LookupWaiter,
+        finished: bool,
+    ) {
+        if let Some(view) = self.job_replica.final_view(&job) {
+            let response = api::job_response(200, &job, view);
+            return outbox.reply(waiter.connection, response);
+        }
+        let wait = outbox.budget.query_wait();
+        if wait > QUERY_TIMEOUT && !self.lookups.contains_key(&job) {
+            // The answer would come too late, and reads that nobody waits for any more would keep submissions out.
+            return outbox.reply_overloaded(waiter.connection, wait);
+        }
+        let lookup = self.lookups.entry(job.clone()).or_default();
+        if !lookup.current.is_empty() {
+            lookup.next.push(waiter);
+            return;
+        }
+        lookup.current.push(waiter);
+        send_lookup(outbox, job, finished);
+    }
+
+    /// Takes in a job's record. `finished`: it was the record of finished jobs that was read.
+    pub fn handle_lookup_answer(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        finished: bool,
+        answer: &CallResult,
+        progress: ProgressLookup<'_>,
+    ) {
+        match KeyRead::from(answer) {
+            KeyRead::Found(item) if finished => self.handle_finished_record(outbox, job, &item),
+            KeyRead::Found(item) => self.handle_live_record(outbox, job, &item, progress),
+            KeyRead::Absent { .. } if !finished => send_lookup(outbox, job, true),
+            KeyRead::Absent { version } => {
+                if let Some(version) = version {
+                    self.job_replica.record_absent(job.clone(), version);
+                }
+                self.job_absent(outbox, &job);
+            }
+            KeyRead::Unreadable | KeyRead::Failed => self.lookup_failed(outbox, &job),
+        }
+    }
+
+    fn handle_finished_record(&mut self, outbox: &mut Outbox, job: JobId, item: &StoredValue) {
+        match finished_job_view(item) {
+            Some(view) => self.job_found(outbox, job, &view, None),
+            None => self.lookup_failed(outbox, &job),
+        }
+    }
+
+    fn handle_live_record(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        item: &StoredValue,
+        progress: ProgressLookup<'_>,
+    ) {
+        let Some(record) = item.as_live_record() else {
+            return self.lookup_failed(outbox, &job);
+        };
+        let view = live_job_view(&job, &record, progress);
+        let live = LiveJob {
+            record,
+            version: item.version,
+        };
+        self.job_found(outbox, job, &view, Some(live));
+    }
+
+    /// The job was found: whoever waits is told, and its cancellation is stored if somebody asks for it.
+    fn job_found(
+        &mut self,
+        outbox: &mut Outbox,
+        job: JobId,
+        view: &JobView,
+        live: Option<LiveJob>,
+    ) {
+        if matches!(view.status, JobStatus::Done | JobStatus::Cancelled) {
+            self.job_replica.record_end(job.clone(), view.clone());
+        }
+        if let Some(live) = live.as_ref().filter(|live| live.record.is_cancelled()) {
+            self.job_replica
+                .record_cancellation(job.clone(), live.version);
+        }
+        let live = live.filter(|live| !live.record.is_cancelled());
+        let mut cancelling = Vec::new();
+        for LookupWaiter { connection, reason } in self.take_lookup_waiters(outbox, &job) {
+            match (reason, &live) {
+                (LookupReason::Cancel, Some(_)) => cancelling.push(connection),
+                // Whether it is cancelled with one that it needs, its own record does not tell.
+                (_, Some(live)) if matches!(live.record, LiveRecord::Waiting(_)) => {
+                    self.ask_replica(outbox, connection, &job);
+                }
+                _ => outbox.reply(connection, api::job_response(200, &job, view)),
+            }
+        }
+        self.refresh(outbox);
+        if let Some(live) = live.filter(|_| !cancelling.is_empty()) {
+            self.send_cancellation(outbox, job, live, cancelling, view.done);
+        }
+    }
+
+    fn ask_replica(&mut self, outbox: &mut Outbox, connection: u64, job: &JobId) {
+        if self.job_replica.version().is_none() {
+            return outbox.reply_unavailable(connection);
+        }
+        self.next_refresh_waiters.push(RefreshWaiter::Query {
+            connection,
+            job: job.clone(),
+        });
+    }
+
+    /// The job is neither live nor finished.
+    fn job_absent(&mut self, outbox: &mut Outbox, job: &JobId) {
+        for LookupWaiter { connection, reason } in self.take_lookup_waiters(outbox, job) {
+            match reason {
+                LookupReason::Query | LookupReason::Cancel => {
+                    outbox.reply(connection, Response::error(404, "no such job"));
+                }
+                LookupReason::Submit(Ok(submission)) => {
+                    let queued = QueuedSubmission {
+                        connection,
+                        job: job.clone(),
+                        submission,
+                    };
+                    self.accept(outbox, queued);
+                }
+                LookupReason::Submit(Err(refusal)) => outbox.reply_refusal(connection, &refusal),
+                LookupReason::Confirm => {
+                    let reason = "it is not certain yet that the job was accepted";
+                    let response = Response::error(503, reason).with_retry_after(1);
+                    outbox.reply(connection, response);
+                }
+            }
+        }
+    }
+
+    fn lookup_failed(&mut self, outbox: &mut Outbox, job: &JobId) {
+        for waiter in self.take_lookup_waiters(outbox, job) {
+            outbox.reply_unavailable(waiter.connection);
+        }
+    }
+
+    /// Those whom the finished look-up may answer; starts the next one for the rest.
+    fn take_lookup_waiters(&mut self, outbox: &mut Outbox, job: &JobId) -> Vec<LookupWaiter> {
+        let Some(lookup) = self.lookups.get_mut(job) else {
+            return Vec::new();
+        };
+        let next = std::mem::take(&mut lookup.next);
+        let waiters = std::mem::replace(&mut lookup.current, next);
+        if lookup.current.is_empty() {
+            self.lookups.remove(job);
+        } else {
+            send_lookup(outbox, job.clone(), false);
+        }
+        waiters
+    }
+}
+
+fn send_lookup(outbox: &mut Outbox, job: JobId, finished: bool) {
+    let prefix = match finished {
+        true => store::FINISHED_JOB_PREFIX,
+        false => store::LIVE_JOB_PREFIX,
+    };
+    let request = StoreRequest::get(&format!("{prefix}{job}"));
+    let pending = JobApiRequest::LookUpJob { job, finished };
+    outbox.send_to_store(Urgency::User, request, pending);
+}
--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -1,30 +1,40 @@
-//! What a holder has in its hand: a key of the state service under a grant, the version at which it was taken, its
-//! term, and the authority that these give on this process's own clock.
+//! The lease on a shard: the owner's key in the state service, the lease there that it is under, the version at which it
+//! was taken, the term, and until when all this may be acted on.
 //!
-//! Whoever holds a lease renews it, has promises bridge an outage, and guards every write by the key's version; when the
-//! authority has run out, or the key is gone, nothing more is done in its name. Authority also ends when too long ago was
-//! the last time that its holder provably knew which jobs are cancelled, whoever renews or promises: by its answers the
+//! The owner renews the lease, has votes of its peers bridge an outage of the state service, and guards every write by the
+//! key's version; when the lease has expired, or the key is gone, nothing more is done in its name. The lease also ends
+//! when its owner last provably knew too long ago which jobs are cancelled, whoever renews or votes: by its answers the
 //! tasks of a job that is cancelled elsewhere would run on.
 
-use super::election::{LeaseValidity, VOTE_DURATION};
-use super::outbox::{Outbox, PendingRequest};
+use super::end_reason::EndReason;
+use super::lease_validity::{LeaseValidity, VOTE_DURATION};
+use super::outbox::Outbox;
+use super::pending_request::{AcquiredLease, OwnerRequest, PendingRequest};
 use crate::model::{Micros, SECOND};
 use crate::settings::Settings;
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, VoteRequest};
 use crate::wire::store::StoreRequest;
 
-/// Promises are asked for this often while the grant runs low.
+/// Votes are asked for this often while the lease runs low.
 const VOTE_REQUEST_INTERVAL: Micros = 600_000;
 /// A renewal that failed is tried again after this time.
 const RENEW_RETRY_INTERVAL: Micros = 300_000;
+/// The lease is renewed this many times while it lasts.
+const RENEWALS_PER_TTL: Micros = 4;
+/// A worker's lease may last longer on its own clock than on this process's, by less than this part and this time.
+const WORKER_CLOCK_DRIFT_DIVISOR: Micros = 1000;
+const WORKER_MARGIN: Micros = SECOND / 2;
 
+/// See the [module](self).
 #[derive(Debug)]
 pub(super) struct ShardLease {
     pub shard: u32,
+    /// The term, which is the fencing token that workers see.
     pub term: u64,
+    /// The number of the lease in the state service.
     pub store_lease: u64,
-    /// Version of the holder's key: every write of this holder depends on it.
+    /// The version of the owner's key: every write of this owner depends on it.
     pub key_version: u64,
     pub validity: LeaseValidity,
     renew_at: Micros,
@@ -35,108 +45,108 @@
     max_cancellation_age: Micros,
 }
 
-/// How long a holder may go on answering workers since it last knew which jobs are cancelled. Whoever is told of a
-/// cancellation after that is told at most so long before the holder's last answer, and with a lease from there every
-/// task is gone within `cancel_s`. Where the settings leave no room for that, no more than a grant's time.
+/// How long an owner may go on answering workers since it last knew which jobs are cancelled. Whoever is told of a
+/// cancellation after that is told at most so long before the owner's last answer, and with a worker's lease from there
+/// every task is gone within the time that settings give a cancellation. Where they leave no room for that: no more than
+/// the lease's own time.
 fn max_cancellation_age(settings: &Settings, ttl: Micros) -> Micros {
-    let lease = settings.lease + settings.lease / 1000 + SECOND / 2;
+    let worker_lease = settings.lease + settings.lease / WORKER_CLOCK_DRIFT_DIVISOR + WORKER_MARGIN;
     settings
         .cancel
-        .saturating_sub(lease + settings.cancel / 1000)
+        .saturating_sub(worker_lease + settings.cancel / WORKER_CLOCK_DRIFT_DIVISOR)
         .max(ttl)
 }
 
 impl ShardLease {
-    /// Taken with a grant that was asked for at `sent`.
+    /// A lease that a takeover in this term has just brought; `key_version` is the version that it was carried out at.
     pub fn new(
-        shard: u32,
+        acquired: AcquiredLease,
         term: u64,
-        store_lease: u64,
         key_version: u64,
-        sent: Micros,
-        port: &Outbox,
+        outbox: &Outbox,
     ) -> ShardLease {
-        let validity = LeaseValidity::new(sent, port.store_lease_ttl());
-        let max_cancellation_age = max_cancellation_age(&port.settings, port.store_lease_ttl());
-        let now = port.clock.now;
-        // Until the state has been read, nothing is answered that needs this knowledge.
-        let cancellations_known_at = now;
-        let renew_at = now;
+        let now = outbox.clock.now;
+        let ttl = outbox.store_lease_ttl();
         ShardLease {
-            shard,
+            shard: acquired.shard,
             term,
-            store_lease,
+            store_lease: acquired.store_lease,
             key_version,
-            validity,
-            renew_at,
+            validity: LeaseValidity::new(acquired.requested_at, ttl),
+            renew_at: now,
             vote_request_at: 0,
-            cancellations_known_at,
-            max_cancellation_age,
+            // Until the state has been read, nothing is answered that needs this knowledge.
+            cancellations_known_at: now,
+            max_cancellation_age: max_cancellation_age(&outbox.settings, ttl),
         }
     }
 
-    /// Why it is no more to be acted on, if it is not.
-    pub fn end_reason(&self, now: Micros) -> Option<&'static str> {
+    /// Why it may not be acted on any more, if it may not.
+    pub fn end_reason(&self, now: Micros) -> Option<EndReason> {
         if !self.validity.is_valid(now) {
-            Some("its authority ran out")
+            Some(EndReason::LeaseExpired)
         } else if now >= self.cancellations_known_at + self.max_cancellation_age {
-            Some("what is cancelled was last known too long ago")
+            Some(EndReason::CancellationsUnknown)
         } else {
             None
         }
     }
 
-    /// All that was read at this time has been taken in.
+    /// All cancellations that had been confirmed by this time have been applied.
     pub fn cancellations_known(&mut self, at: Micros) {
         self.cancellations_known_at = self.cancellations_known_at.max(at);
     }
 
-    /// Everything has been read, from this time on.
+    /// Everything has been read from this time on, and nothing is known beyond that.
     pub fn reset_cancellations_known(&mut self, at: Micros) {
         self.cancellations_known_at = at;
     }
 
-    /// It is time to look what has changed, in case the watch hangs or nothing changes.
+    /// Whether it is time to read what has changed, in case the watch hangs or nothing changes.
     pub fn is_catch_up_due(&self, now: Micros) -> bool {
         now >= self.cancellations_known_at + self.max_cancellation_age / 2
     }
 
-    /// Renews the grant in time. When it runs low, the state service may be down for everybody: siblings that see
-    /// that too may promise not to take over.
-    /// All changes of jobs up to `known` have been taken in.
-    pub fn maintain(&mut self, port: &mut Outbox, known: u64) {
-        let now = port.clock.now;
+    /// Renews the lease in time. When it runs low, the state service may be down for everybody: peers that see that too may
+    /// vote for this owner. All changes of jobs up to `known_version` have been applied; 0: that is not known.
+    pub fn maintain(&mut self, outbox: &mut Outbox, known_version: u64) {
+        let now = outbox.clock.now;
         if now >= self.renew_at {
-            self.renew_at = now + port.store_lease_ttl() / 4;
-            let purpose = PendingRequest::RenewStoreLease {
-                sent_at: now,
+            self.renew_at = now + outbox.store_lease_ttl() / RENEWALS_PER_TTL;
+            let pending = PendingRequest::ShardOwner {
                 term: self.term,
+                request: OwnerRequest::RenewLease { sent_at: now },
             };
-            port.send_to_store(
-                Urgency::Renewal,
-                StoreRequest::renew_lease(self.store_lease),
-                purpose,
-            );
+            let request = StoreRequest::renew_lease(self.store_lease);
+            outbox.send_to_store(Urgency::Renewal, request, pending);
         }
-        let siblings = port.settings.siblings.len();
-        if self.validity.is_running_low(now) && now >= self.vote_request_at && siblings > 0 {
-            self.vote_request_at = now + VOTE_REQUEST_INTERVAL;
-            let (round, term) = (self.validity.start_vote_round(now, siblings), self.term);
-            let ask = VoteRequest {
-                round,
-                term,
-                duration: VOTE_DURATION,
-                shard: self.shard,
-                known_version: known,
-            };
-            (0..siblings).for_each(|i| port.send_to_peer(i, Body::VoteRequest(ask.clone())));
+        if self.validity.is_running_low(now) && now >= self.vote_request_at {
+            self.request_votes(outbox, known_version);
+        }
+    }
+
+    fn request_votes(&mut self, outbox: &mut Outbox, known_version: u64) {
+        let now = outbox.clock.now;
+        let peers = outbox.settings.siblings.len();
+        if peers == 0 {
+            return;
         }
+        self.vote_request_at = now + VOTE_REQUEST_INTERVAL;
+        let request = VoteRequest {
+            round: self.validity.start_vote_round(now, peers),
+            term: self.term,
+            duration: VOTE_DURATION,
+            shard: self.shard,
+            known_version,
+        };
+        outbox.send_to_all_peers(&Body::VoteRequest(request));
     }
 
-    /// Takes in the answer to a renewal that was sent then. False: the grant has ended.
-    pub fn handle_renewal(&mut self, sent: Micros, status: Option<u16>, now: Micros) -> bool {
+    /// Takes in the answer to a renewal; `status` is `None` if there was none. False: the lease in the state service has
+    /// ended.
+    pub fn handle_renewal(&mut self, sent_at: Micros, status: Option<u16>, now: Micros) -> bool {
         match status {
-            Some(200) => self.validity.store_lease_renewed(sent),
+            Some(200) => self.validity.store_lease_renewed(sent_at),
             Some(404) => return false,
             _ => self.renew_at = self.renew_at.min(now + RENEW_RETRY_INTERVAL),
         }
--- a/crates/gannethub-core/src/controller/membership/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -3,13 +3,13 @@
 use bytes::BytesMut;
 
 use super::*;
-use crate::controller::outbox::{Clock, Effect};
+use crate::controller::interface::{Clock, Effect};
 use crate::settings::Settings;
 use crate::settings::tests::SAMPLE;
 use crate::wire::peer::{Envelope, MAX_FRAME_BYTES, encode_frame};
 
-/// A copy with so many jobs that are cancelled, from version 10 on.
-fn copy(cancelled: usize) -> JobReplica {
+/// A replica with so many jobs that are cancelled, from version 10 on.
+fn replica_with(cancelled: usize) -> JobReplica {
     let item = |i: usize| {
         let value = r#"{"spec":{"tasks":4},"at":0,"done":"","cancelled":true}"#;
         format!(
@@ -22,88 +22,90 @@
         r#"{{"items":[{}],"truncated":false,"ledger_no":90000}}"#,
         items.join(",")
     );
-    let mut mirror = JobReplica::default();
+    let mut replica = JobReplica::default();
     assert!(
-        mirror
+        replica
             .apply_listing_page(&serde_json::from_str(&text).unwrap())
             .is_none()
     );
-    mirror
+    replica
 }
 
-/// What a controller with this copy answers a sibling that has seen all changes up to `known`.
-fn promise(copy: &JobReplica, known: u64) -> (Vote, usize) {
+/// What a controller with this replica answers a peer that has seen all changes up to `known`.
+fn vote_with(replica: &JobReplica, known: u64) -> (Vote, usize) {
     let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
     let clock = Clock {
         now: 100 * SECOND,
         unix_time: 0,
     };
-    let mut port = Outbox::new(Arc::new(settings), clock);
-    let mut candidacy = Election::new("n0", 0);
-    let ask = VoteRequest {
+    let mut outbox = Outbox::new(Arc::new(settings), clock);
+    let mut election = Election::new("n0", 0);
+    let request = VoteRequest {
         round: 3,
         term: 2,
         duration: VOTE_DURATION,
         shard: 0,
         known_version: known,
     };
-    Membership::handle_vote_request(&mut port, &mut candidacy, copy, 0, &ask);
-    let Some(Effect::PeerMessage { message, .. }) = port.effects.pop() else {
+    Membership::handle_vote_request(&mut outbox, &mut election, replica, 0, &request);
+    let Some(Effect::PeerMessage { message, .. }) = outbox.take_effects().pop() else {
         panic!("it says nothing")
     };
     let mut frame = BytesMut::new();
     encode_frame(&message, &mut frame);
     let Envelope {
-        body: Some(Body::Vote(promise)),
+        body: Some(Body::Vote(vote)),
         ..
     } = message
     else {
-        panic!("it does not promise")
+        panic!("it does not vote")
     };
-    (promise, frame.len())
+    (vote, frame.len())
 }
 
 #[test]
-fn a_promise_tells_what_the_asker_may_not_know() {
-    let (p, _) = promise(&copy(20), 15);
-    assert!(p.knows_cancellations && p.round == 3 && p.term == 2);
-    assert_eq!(p.cancelled_count, 14);
-    assert_eq!(store::decode_job_ids(&p.cancelled_jobs).len(), 14);
-    // A cancellation that was stored here since the copy was last brought up to the present.
-    let mut copy = copy(2);
-    copy.record_cancellation("j-000777".into(), 90_001);
-    let (p, _) = promise(&copy, 90_000);
-    assert!(p.knows_cancellations && p.cancelled_jobs == "6:777" && p.cancelled_count == 1);
+fn a_vote_tells_what_the_asker_may_not_know() {
+    let (vote, _) = vote_with(&replica_with(20), 15);
+    assert!(vote.knows_cancellations && vote.round == 3 && vote.term == 2);
+    assert_eq!(vote.cancelled_count, 14);
+    assert_eq!(store::decode_job_ids(&vote.cancelled_jobs).len(), 14);
+    // A cancellation that was stored here since the replica was last brought up to date.
+    let mut replica = replica_with(2);
+    replica.record_cancellation("j-000777".into(), 90_001);
+    let (vote, _) = vote_with(&replica, 90_000);
+    assert!(
+        vote.knows_cancellations && vote.cancelled_jobs == "6:777" && vote.cancelled_count == 1
+    );
     assert_eq!(
-        promise(&copy, 90_001).0.cancelled_count,
+        vote_with(&replica, 90_001).0.cancelled_count,
         0,
         "the asker has read that one"
     );
 }
 
 #[test]
-fn a_promise_does_not_claim_more_than_it_knows_or_can_say() {
-    let (p, size) = promise(&copy(MAX_CANCELLATIONS_PER_VOTE), 5);
+fn a_vote_does_not_claim_more_than_it_knows_or_can_say() {
+    let (vote, size) = vote_with(&replica_with(MAX_CANCELLATIONS_PER_VOTE), 5);
     assert!(
-        p.knows_cancellations && size < MAX_FRAME_BYTES,
+        vote.knows_cancellations && size < MAX_FRAME_BYTES,
         "{size} bytes"
     );
-    let (p, size) = promise(&copy(MAX_CANCELLATIONS_PER_VOTE + 1), 5);
+    let (vote, size) = vote_with(&replica_with(MAX_CANCELLATIONS_PER_VOTE + 1), 5);
     assert!(
-        !p.knows_cancellations
-            && p.cancelled_count == MAX_CANCELLATIONS_PER_VOTE as u32
+        !vote.knows_cancellations
+            && vote.cancelled_count == MAX_CANCELLATIONS_PER_VOTE as u32
             && size < MAX_FRAME_BYTES,
         "{size} bytes"
     );
-    // Nothing has been read in this life: an earlier one may have confirmed anything.
+    // Nothing has been read in this process: an earlier one may have confirmed anything.
     let mut unread = JobReplica::default();
     unread.record_cancellation("j-000777".into(), 100);
-    let (p, _) = promise(&unread, 5);
+    let (vote, _) = vote_with(&unread, 5);
     assert!(
-        !p.knows_cancellations && p.cancelled_jobs == "6:777",
+        !vote.knows_cancellations && vote.cancelled_jobs == "6:777",
         "what it knows it tells all the same"
     );
     // The version before does not say what it has seen.
-    let (p, _) = promise(&copy(20), 0);
-    assert!(!p.knows_cancellations && p.cancelled_count == 0);
+    let (vote, _) = vote_with(&replica_with(20), 0);
+    assert!(!vote.knows_cancellations && vote.cancelled_count == 0);
 }
--- /dev/null
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -0,0 +1,206 @@
+//! Messages of other controllers, each handed to the part that it is for.
+
+use super::Controller;
+use super::election::Election;
+use super::load_messages::decode_offer;
+use super::membership::Membership;
+use crate::model::{Micros, SECOND, is_valid_job_id};
+use crate::state::fleet::Offer;
+use crate::wire::peer::{
+    Body, Envelope, Heartbeat, JobChanged, OfferAmount, UsageRecords, UsageRecordsRequest, Vote,
+    VoteRequest, WatermarkCheck,
+};
+use crate::wire::store;
+
+/// A message that took no longer than this counts as sent just now, beside what the clocks may be apart.
+const MESSAGE_DELAY_TOLERANCE: Micros = SECOND;
+/// Refusals of the cloud are told in milliseconds.
+const MICROS_PER_MS: Micros = 1000;
+
+impl Controller {
+    /// Takes in a message. One of an unknown sender is dropped.
+    pub(super) fn handle_peer_message(&mut self, message: Envelope) {
+        let now = self.outbox.clock.now;
+        let mut peers = self.outbox.settings.siblings.iter();
+        let Some(peer) = peers.position(|peer| peer.name == message.from) else {
+            tracing::info!(from = %message.from, "a message from a stranger is dropped");
+            return;
+        };
+        self.membership.peers[peer].last_heard_at = Some(now);
+        for owner in self.shard_owners.values_mut() {
+            owner.last_heard_at = Some(now);
+        }
+        match message.body {
+            Some(Body::Heartbeat(heartbeat)) => self.handle_peer_heartbeat(peer, heartbeat),
+            Some(Body::RelayHeartbeat(relay)) => self.handle_relay(peer, relay),
+            Some(Body::RelayAnswer(answer)) => self.handle_relay_answer(peer, answer),
+            Some(Body::VoteRequest(request)) => self.handle_vote_request(peer, &request),
+            Some(Body::Vote(vote)) => self.handle_vote(peer, &vote),
+            Some(Body::JobChanged(change)) => self.handle_job_change(&change),
+            Some(Body::UsageRecords(records)) => self.handle_usage_records(peer, records),
+            Some(Body::UsageRecordsRequest(request)) => self.resend_usage(peer, &request),
+            Some(Body::WatermarkQuery(query)) => self.handle_watermark_query(peer, query),
+            Some(Body::WatermarkConfirmation(confirmation)) => {
+                self.handle_watermark_confirmation(&confirmation);
+            }
+            None => {}
+        }
+    }
+
+    fn handle_peer_heartbeat(&mut self, peer: usize, heartbeat: Heartbeat) {
+        let now = self.outbox.clock.now;
+        self.usage_replica.leader_heard(heartbeat.leading_term, now);
+        if heartbeat.leading_term > 0 {
+            let machine_types = &self.outbox.machine_types;
+            let decode = |told: &OfferAmount| {
+                let offer = decode_offer(machine_types, told)?;
+                Some((offer, told.amount * MICROS_PER_MS))
+            };
+            let refused = heartbeat.refused_offers.iter().filter_map(decode);
+            let refused: Vec<(Offer, Micros)> = refused.collect();
+            let owners = self.shard_owners.values_mut();
+            for owner in owners.filter(|owner| owner.lease.shard > 0) {
+                owner.cluster.apply_refused_offers(refused.clone(), now);
+            }
+        }
+        self.membership
+            .handle_heartbeat(&mut self.outbox, peer, heartbeat);
+    }
+
+    /// A peer has stored a change of a job: an owner looks at the job if its watch does not tell soon.
+    fn handle_job_change(&mut self, change: &JobChanged) {
+        if !is_valid_job_id(&change.job) {
+            return;
+        }
+        for owner in self.shard_owners.values_mut() {
+            owner.expect_change(&self.outbox, &change.job, change.version);
+        }
+    }
+
+    // ---- Votes ----
+
+    /// This controller's chances of owning a shard that is known here.
+    pub(super) fn election_mut(&mut self, shard: u32) -> Option<&mut Election> {
+        match shard {
+            0 => Some(&mut self.membership.election),
+            shard => self.shard_assignments.election_mut(shard),
+        }
+    }
+
+    fn handle_vote_request(&mut self, peer: usize, request: &VoteRequest) {
+        if self.shard_owners.contains_key(&request.shard) {
+            return;
+        }
+        let election = match request.shard {
+            0 => Some(&mut self.membership.election),
+            shard => self.shard_assignments.election_mut(shard),
+        };
+        if let Some(election) = election {
+            let (outbox, replica) = (&mut self.outbox, &self.job_api.job_replica);
+            Membership::handle_vote_request(outbox, election, replica, peer, request);
+        }
+    }
+
+    /// A peer votes for this controller as a shard's owner, and tells it what was cancelled.
+    fn handle_vote(&mut self, peer: usize, vote: &Vote) {
+        let now = self.outbox.clock.now;
+        let owner = self.shard_owners.get_mut(&vote.shard);
+        let Some(owner) = owner.filter(|owner| owner.lease.term == vote.term) else {
+            return;
+        };
+        let cancelled = store::decode_job_ids(&vote.cancelled_jobs);
+        for job in &cancelled {
+            owner.cluster.apply_remote_cancellation(job);
+        }
+        // A newer version than is known here cannot be read now: nothing is started until it can.
+        self.outbox
+            .configuration
+            .record_peer_version(vote.configuration_version);
+        // What cannot be read in full tells nothing for certain.
+        let is_whole = cancelled.len() == vote.cancelled_count as usize;
+        if vote.knows_cancellations
+            && is_whole
+            && let Some(at) = owner.lease.validity.record_informed_voter(vote.round, peer)
+        {
+            // The cancellations of its own users are among those that its replica knows of.
+            let replica = &self.job_api.job_replica;
+            for job in replica.cancelled_since(owner.watched_version) {
+                owner.cluster.apply_remote_cancellation(job);
+            }
+            owner.lease.cancellations_known(at);
+            self.outbox.configuration.confirm_newest(at);
+        }
+        let validity = &mut owner.lease.validity;
+        validity.record_vote(vote.round, peer, now);
+        if validity.was_extended_by_votes() {
+            owner.cluster.launches_without_watermark = true;
+            if let Some(election) = self.election_mut(vote.shard) {
+                election.launched_without_watermarks(vote.term);
+            }
+        }
+        if !is_whole {
+            self.log_malformed_vote(peer, vote, cancelled.len());
+        }
+    }
+
+    /// Logs once for each peer that one of its votes could not be read in full.
+    fn log_malformed_vote(&mut self, peer: usize, vote: &Vote, read: usize) {
+        let status = &mut self.membership.peers[peer];
+        if !std::mem::replace(&mut status.malformed_vote_logged, true) {
+            let from = &self.outbox.settings.siblings[peer].name;
+            let told = vote.cancelled_count;
+            tracing::warn!(%from, told, read, "a vote cannot be read in full");
+        }
+    }
+
+    // ---- Launch watermarks ----
+
+    fn handle_watermark_query(&mut self, peer: usize, query: WatermarkCheck) {
+        let owner = self.shard_owners.get(&query.shard).map(|owner| &**owner);
+        let election = match query.shard {
+            0 => Some(&self.membership.election),
+            shard => self.shard_assignments.election(shard),
+        };
+        if let Some(election) = election {
+            Membership::handle_watermark_query(&mut self.outbox, election, peer, query, owner);
+        }
+    }
+
+    fn handle_watermark_confirmation(&mut self, confirmation: &WatermarkCheck) {
+        // An answer to an earlier process of this name counts for nothing.
+        if confirmation.incarnation != self.membership.incarnation {
+            return;
+        }
+        if let Some(election) = self.election_mut(confirmation.shard) {
+            election.confirm_watermarks(confirmation.term);
+        }
+    }
+
+    // ---- Usage that is not charged yet ----
+
+    /// The leader tells of usage that it has not charged yet. If some of it is missing, all is asked for.
+    fn handle_usage_records(&mut self, peer: usize, records: UsageRecords) {
+        let outbox = &mut self.outbox;
+        let Some(ledger) = &outbox.settings.ledger else {
+            return;
+        };
+        // What two clocks may be apart does not count.
+        let tolerance = ledger.settings.clock_off + MESSAGE_DELAY_TOLERANCE;
+        let age = outbox.clock.unix_time.saturating_sub(records.sent_at);
+        let delay = if age > tolerance { age } else { 0 };
+        let term = records.term;
+        if !self.shard_owners.contains_key(&0)
+            && self.usage_replica.apply(records, outbox.clock.now, delay)
+        {
+            let request = UsageRecordsRequest { term };
+            outbox.send_to_peer(peer, Body::UsageRecordsRequest(request));
+        }
+    }
+
+    /// A peer has missed some of what this controller told of usage.
+    fn resend_usage(&mut self, peer: usize, request: &UsageRecordsRequest) {
+        if let Some(owner) = Controller::owner_of_term(&mut self.shard_owners, request.term) {
+            owner.cluster.resend_all_usage(peer);
+        }
+    }
+}
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -1,26 +1,28 @@
-//! A block's part of the teams' limits, as its holder reads, obeys and writes it. What is decided is in
-//! [`allot`](crate::scheduling::quota_partition).
+//! A shard's part of the teams' limits, as its owner reads, obeys and writes it. What is decided is in
+//! [`quota_partition`](crate::scheduling::quota_partition).
 //!
-//! Nobody goes by more than is written, at any moment. A holder that gives back obeys before its write is sent, and
-//! until it is certain that the write was carried out or never will be: a write without an answer is sent again, guarded
-//! by the same versions, until one of them is answered with yes or no. The same holds for block 0's holder when
-//! it raises the part of another block, since that takes the same from its own.
+//! Nobody goes by more than is written, at any moment. An owner that gives back obeys before its write is sent, and until
+//! it is certain that the write was carried out or never will be: a write without an answer is sent again, guarded by the
+//! same versions, until one of them is answered with yes or no. The same holds for the owner of shard 0 when it raises the
+//! part of another shard, since that takes the same from its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::lease::ShardLease;
-use super::outbox::{Outbox, PendingRequest};
+use super::outbox::Outbox;
+use super::pending_request::{OwnerRequest, PendingRequest};
 use crate::http::{CallResult, decode_ok};
 use crate::model::{Micros, Resources, SECOND, Team};
 use crate::scheduling::quota_partition::{self, ShardQuotas};
 use crate::state::cluster::Cluster;
+use crate::state::shard_load::ShardLoad;
 use crate::wire::budget::Urgency;
 use crate::wire::store::{
     self, Listing, QUOTA_PARTITION_PREFIX, QuotaPartitionRecord, StoreRequest, StoredValue,
     Transaction,
 };
 
-/// Parts are read this often, and this often while nothing asks for it.
+/// Partitions are read this often, and this often while nothing asks for it.
 const READ_INTERVAL: Micros = SECOND / 2;
 const IDLE_READ_INTERVAL: Micros = 2 * SECOND;
 /// What lies idle for so long is given back.
@@ -28,216 +30,300 @@
 /// A write without an answer is sent again after this time.
 const WRITE_RETRY_INTERVAL: Micros = SECOND / 2;
 
+/// A shard's partition, as last read.
+#[derive(Debug)]
+struct StoredPartition {
+    /// In the settings' order of teams.
+    limits: Vec<Resources>,
+    version: u64,
+}
+
+/// A partition that was read before the teams were known.
+#[derive(Debug)]
+struct UnresolvedPartition {
+    shard: u32,
+    record: QuotaPartitionRecord,
+    version: u64,
+}
+
+/// A write whose outcome is not certain.
+#[derive(Debug)]
+struct PendingWrite {
+    quotas: ShardQuotas,
+    transaction: Transaction,
+    is_in_flight: bool,
+    retry_at: Micros,
+}
+
+/// See the [module](self).
 #[derive(Debug, Default)]
 pub(super) struct QuotaPartitioner {
-    /// Each block's part and its version, as last read.
-    partitions: BTreeMap<u32, (Vec<Resources>, u64)>,
+    partitions: BTreeMap<u32, StoredPartition>,
+    unresolved: Vec<UnresolvedPartition>,
     read_in_flight: bool,
     read_at: Micros,
-    /// A write whose fate is not certain: its parts, and its transaction.
-    pending_write: Option<(ShardQuotas, Transaction)>,
-    write_in_flight: bool,
-    retry_at: Micros,
+    pending_write: Option<PendingWrite>,
     /// Since when more lies idle than is to be kept.
     idle_since: Option<Micros>,
-    /// Values that made no sense: nothing is raised while there are any.
+    /// Records that cannot be parsed were read last, and the time before. Nothing is raised while there are any.
     has_damaged_records: bool,
     had_damaged_records: bool,
-    /// What it has read, before teams are known.
-    records: Vec<(u32, QuotaPartitionRecord, u64)>,
 }
 
 impl QuotaPartitioner {
-    /// A part, as the state service holds it.
+    // ---- Reading ----
+
+    /// Takes in a partition as the state service holds it.
     pub fn add_record(&mut self, item: &StoredValue) {
-        let block = item
+        let shard = item
             .key
             .strip_prefix(QUOTA_PARTITION_PREFIX)
-            .and_then(|b| b.parse::<u32>().ok());
-        match (
-            block.filter(|b| *b > 0),
-            item.decode::<QuotaPartitionRecord>(),
-        ) {
-            (Some(block), Some(record)) => self.records.push((block, record, item.version)),
+            .and_then(|shard| shard.parse::<u32>().ok())
+            .filter(|shard| *shard > 0);
+        match (shard, item.decode::<QuotaPartitionRecord>()) {
+            (Some(shard), Some(record)) => self.unresolved.push(UnresolvedPartition {
+                shard,
+                record,
+                version: item.version,
+            }),
             _ => {
                 if !self.had_damaged_records {
-                    tracing::error!(key = %item.key, "what a block may use cannot be read; nothing is given out");
+                    tracing::error!(key = %item.key, "a quota partition cannot be read; nothing is given out");
                 }
                 self.has_damaged_records = true;
             }
         }
     }
 
-    fn decode_records(&mut self, teams: &[Team]) {
-        self.partitions = std::mem::take(&mut self.records)
-            .into_iter()
-            .map(|(block, record, stamp)| {
-                let part = |t: &Team| record.teams.get(&t.name).copied().unwrap_or_default();
-                (block, (teams.iter().map(part).collect(), stamp))
-            })
-            .collect();
+    /// Puts what was read into the order of the teams.
+    fn resolve_records(&mut self, teams: &[Team]) {
+        let read = std::mem::take(&mut self.unresolved).into_iter();
+        let resolved = read.map(|partition| {
+            let limit = |team: &Team| {
+                partition
+                    .record
+                    .teams
+                    .get(&team.name)
+                    .copied()
+                    .unwrap_or_default()
+            };
+            let stored = StoredPartition {
+                limits: teams.iter().map(limit).collect(),
+                version: partition.version,
+            };
+            (partition.shard, stored)
+        });
+        self.partitions = resolved.collect();
     }
 
-    fn partitions(&self) -> ShardQuotas {
-        self.partitions
-            .iter()
-            .map(|(b, p)| (*b, p.0.clone()))
+    fn quotas(&self) -> ShardQuotas {
+        let partitions = self.partitions.iter();
+        partitions
+            .map(|(shard, partition)| (*shard, partition.limits.clone()))
             .collect()
     }
 
-    /// Has the cluster keep to what its block may use.
+    /// Has the cluster keep to what its shard may use.
     pub fn apply_limits(&mut self, cluster: &mut Cluster) {
-        if !self.records.is_empty() {
-            self.decode_records(&cluster.cluster_teams);
-        }
-        let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
-        let own = cluster.shard.id;
-        let mut parts = self.partitions();
-        if let Some((pending, _)) = &self.pending_write {
-            // What may be written already: the more for others, the less for this one.
-            parts.extend(pending.iter().map(|(b, p)| (*b, p.clone())));
+        if !self.unresolved.is_empty() {
+            self.resolve_records(&cluster.cluster_teams);
         }
-        let limits = match own {
-            0 if self.has_damaged_records => whole.iter().map(|_| Resources::default()).collect(),
-            0 if parts.is_empty() => return,
-            0 => quota_partition::remaining_quota(&whole, &parts),
-            b => parts
-                .get(&b)
-                .cloned()
-                .unwrap_or_else(|| vec![Resources::default(); whole.len()]),
+        let Some(limits) = self.limits(cluster) else {
+            return;
         };
-        let now: Vec<Resources> = cluster.settings.teams.iter().map(|t| t.limit).collect();
-        let same = |(a, b): (&Resources, &Resources)| (a.cpu, a.gpu) == (b.cpu, b.gpu);
-        if !now.iter().zip(&limits).all(same) {
+        let present = cluster.settings.teams.iter().map(|team| team.limit);
+        let is_same = |(a, b): (Resources, &Resources)| (a.cpu, a.gpu) == (b.cpu, b.gpu);
+        if !present.zip(&limits).all(is_same) {
             cluster.apply_team_limits(&limits);
         }
     }
 
-    /// Reads parts now and then, and gives back or gives out.
-    pub fn tick(&mut self, port: &mut Outbox, lease: &ShardLease) {
-        let now = port.clock.now;
-        if !port.is_sharded {
+    /// What the cluster's shard may use; `None`: there are no partitions, and shard 0 may use everything.
+    fn limits(&self, cluster: &Cluster) -> Option<Vec<Resources>> {
+        let total = team_limits(cluster);
+        let mut quotas = self.quotas();
+        if let Some(pending) = &self.pending_write {
+            // What may be written already: the more for others, the less for this one.
+            quotas.extend(pending.quotas.clone());
+        }
+        let nothing = vec![Resources::default(); total.len()];
+        match cluster.shard.id {
+            0 if self.has_damaged_records => Some(nothing),
+            0 if quotas.is_empty() => None,
+            0 => Some(quota_partition::remaining_quota(&total, &quotas)),
+            shard => Some(quotas.remove(&shard).unwrap_or(nothing)),
+        }
+    }
+
+    /// Reads the partitions now and then, and sends a write again that had no answer.
+    pub fn tick(&mut self, outbox: &mut Outbox, lease: &ShardLease) {
+        let now = outbox.clock.now;
+        if !outbox.is_sharded {
             return;
         }
-        if let Some((_, commit)) = self
-            .pending_write
-            .as_ref()
-            .filter(|_| !self.write_in_flight && now >= self.retry_at)
-        {
-            self.write_in_flight = true;
-            let purpose = PendingRequest::WriteQuotaPartitions { term: lease.term };
-            port.send_to_store(Urgency::Transaction, commit.to_request(), purpose);
+        if let Some(write) = &mut self.pending_write {
+            if !write.is_in_flight && now >= write.retry_at {
+                write.is_in_flight = true;
+                let request = write.transaction.to_request();
+                send(outbox, lease, request, OwnerRequest::WriteQuotaPartitions);
+            }
             return;
         }
-        if self.read_in_flight || self.pending_write.is_some() || now < self.read_at {
+        if self.read_in_flight || now < self.read_at {
             return;
         }
         self.read_in_flight = true;
-        // Versions of all are needed to give out, and one's own to give back.
-        port.send_to_store(
-            Urgency::Transaction,
-            StoreRequest::list(QUOTA_PARTITION_PREFIX, ""),
-            PendingRequest::ReadQuotaPartitions { term: lease.term },
-        );
+        // The versions of all are needed to give out, and one's own to give back.
+        let request = StoreRequest::list(QUOTA_PARTITION_PREFIX, "");
+        send(outbox, lease, request, OwnerRequest::ReadQuotaPartitions);
     }
 
-    /// Parts have been read.
+    /// Takes in what was read, obeys it, and gives back or gives out.
     pub fn handle_read_answer(
         &mut self,
-        port: &mut Outbox,
+        outbox: &mut Outbox,
         lease: &ShardLease,
         cluster: &mut Cluster,
-        answer: CallResult,
+        answer: &CallResult,
     ) {
-        let now = port.clock.now;
+        let now = outbox.clock.now;
         self.read_in_flight = false;
         self.read_at = now + READ_INTERVAL;
-        let Some(listing) = decode_ok::<Listing>(&answer) else {
+        let Some(listing) = decode_ok::<Listing>(answer) else {
             return;
         };
         self.had_damaged_records = std::mem::replace(&mut self.has_damaged_records, false);
         listing.items.iter().for_each(|item| self.add_record(item));
-        self.decode_records(&cluster.cluster_teams);
+        self.resolve_records(&cluster.cluster_teams);
         self.apply_limits(cluster);
         let load = cluster.shard_load();
-        let raised = match lease.shard {
-            0 if self.has_damaged_records => ShardQuotas::new(),
-            0 => {
-                let whole: Vec<Resources> = cluster.cluster_teams.iter().map(|t| t.limit).collect();
-                let others = port.shard_loads.iter().filter(|l| l.shard > 0);
-                let told = others.map(|l| (l.shard, l.teams.clone())).collect();
-                quota_partition::raised_quotas(&whole, &self.partitions(), &load.teams, &told)
-            }
-            b => {
-                let part = self
-                    .partitions
-                    .get(&b)
-                    .map(|p| p.0.clone())
-                    .unwrap_or_default();
-                let lowered = quota_partition::lowered_quota(&part, &load.teams);
-                let since = *self.idle_since.get_or_insert(now);
-                if lowered.is_none() {
-                    self.idle_since = None;
-                    if load.teams.iter().all(|t| t.1 == Resources::default()) {
-                        self.read_at = now + IDLE_READ_INTERVAL;
-                    }
-                }
-                let lowered = lowered.filter(|_| now >= since + RETURN_DELAY);
-                lowered.into_iter().map(|l| (b, l)).collect()
+        let changed = match lease.shard {
+            0 => self.raised_quotas(outbox, cluster, &load),
+            shard => self.lowered_quotas(shard, &load, now),
+        };
+        if !changed.is_empty() {
+            self.idle_since = None;
+            self.write(outbox, lease, cluster, changed);
+        }
+    }
+
+    // ---- Giving out and giving back ----
+
+    /// What other shards are to get out of what shard 0 has left.
+    fn raised_quotas(&self, outbox: &Outbox, cluster: &Cluster, load: &ShardLoad) -> ShardQuotas {
+        if self.has_damaged_records {
+            return ShardQuotas::new();
+        }
+        let others = outbox.shard_loads.iter().filter(|load| load.shard > 0);
+        let told = others
+            .map(|load| (load.shard, load.teams.clone()))
+            .collect();
+        let total = team_limits(cluster);
+        quota_partition::raised_quotas(&total, &self.quotas(), &load.teams, &told)
+    }
+
+    /// What this shard keeps, if some of what it may use has been idle for a while.
+    fn lowered_quotas(&mut self, shard: u32, load: &ShardLoad, now: Micros) -> ShardQuotas {
+        let partition = self.partitions.get(&shard);
+        let limits = partition.map_or(&[][..], |partition| &partition.limits[..]);
+        let lowered = quota_partition::lowered_quota(limits, &load.teams);
+        let idle_since = *self.idle_since.get_or_insert(now);
+        let Some(lowered) = lowered else {
+            self.idle_since = None;
+            let waits_for_nothing = load
+                .teams
+                .iter()
+                .all(|(_, waiting)| *waiting == Resources::default());
+            if waits_for_nothing {
+                self.read_at = now + IDLE_READ_INTERVAL;
             }
+            return ShardQuotas::new();
         };
-        if raised.is_empty() {
-            return;
+        if now < idle_since + RETURN_DELAY {
+            return ShardQuotas::new();
         }
-        self.idle_since = None;
-        let mut commit = Transaction::default();
-        commit.guard(&cluster.assignment_keys.0, lease.key_version);
-        let mut raised = raised;
-        while raised.len() > cluster.max_transaction_changes() {
-            raised.pop_last();
+        ShardQuotas::from([(shard, lowered)])
+    }
+
+    /// Writes changed partitions, as many as one transaction holds. They are obeyed from before they are sent.
+    fn write(
+        &mut self,
+        outbox: &mut Outbox,
+        lease: &ShardLease,
+        cluster: &mut Cluster,
+        mut quotas: ShardQuotas,
+    ) {
+        while quotas.len() > cluster.max_transaction_changes() {
+            quotas.pop_last();
         }
+        let mut transaction = Transaction::default();
+        transaction.guard(&cluster.assignment_keys.0, lease.key_version);
         // What is given out depends on all that has been; what is given back on this one alone.
-        let guarded: Vec<u32> = match lease.shard {
+        let guarded: BTreeSet<u32> = match lease.shard {
             0 => self
                 .partitions
                 .keys()
-                .chain(raised.keys())
+                .chain(quotas.keys())
                 .copied()
                 .collect(),
-            b => vec![b],
+            shard => BTreeSet::from([shard]),
         };
-        for b in BTreeSet::from_iter(guarded) {
-            commit.guard(
-                &format!("{QUOTA_PARTITION_PREFIX}{b}"),
-                self.partitions.get(&b).map_or(0, |p| p.1),
-            );
+        for shard in guarded {
+            let partition = self.partitions.get(&shard);
+            let version = partition.map_or(0, |partition| partition.version);
+            transaction.guard(&partition_key(shard), version);
         }
-        for (b, part) in &raised {
-            let names = cluster.cluster_teams.iter().map(|t| t.name.clone());
-            let teams = names.zip(part.iter().copied()).collect();
-            commit.put(
-                &format!("{QUOTA_PARTITION_PREFIX}{b}"),
-                store::to_raw_value(&QuotaPartitionRecord { teams }),
-                None,
-            );
+        for (shard, limits) in &quotas {
+            let names = cluster.cluster_teams.iter().map(|team| team.name.clone());
+            let teams = names.zip(limits.iter().copied()).collect();
+            let record = QuotaPartitionRecord { teams };
+            transaction.put(&partition_key(*shard), store::to_raw_value(&record), None);
         }
-        self.pending_write = Some((raised, commit));
-        (self.write_in_flight, self.retry_at) = (false, now);
-        // Obeyed from before it is sent.
+        self.pending_write = Some(PendingWrite {
+            quotas,
+            transaction,
+            is_in_flight: false,
+            retry_at: outbox.clock.now,
+        });
         self.apply_limits(cluster);
-        self.tick(port, lease);
+        self.tick(outbox, lease);
     }
 
-    /// A write of parts was answered, or not.
+    /// Takes in the answer to a write; `status` is `None` if there was none.
     pub fn handle_write_answer(&mut self, now: Micros, status: Option<u16>) {
-        self.write_in_flight = false;
         match status {
             // Carried out now, or never: whichever of its like came first has changed a version.
             Some(200 | 409 | 400) => {
                 self.pending_write = None;
                 self.read_at = now;
             }
-            _ => self.retry_at = now + WRITE_RETRY_INTERVAL,
+            _ => {
+                if let Some(write) = &mut self.pending_write {
+                    write.is_in_flight = false;
+                    write.retry_at = now + WRITE_RETRY_INTERVAL;
+                }
+            }
         }
     }
 }
+
+/// What each team may use in the whole cluster.
+fn team_limits(cluster: &Cluster) -> Vec<Resources> {
+    cluster
+        .cluster_teams
+        .iter()
+        .map(|team| team.limit)
+        .collect()
+}
+
+fn partition_key(shard: u32) -> String {
+    format!("{QUOTA_PARTITION_PREFIX}{shard}")
+}
+
+fn send(outbox: &mut Outbox, lease: &ShardLease, request: StoreRequest, pending: OwnerRequest) {
+    let pending = PendingRequest::ShardOwner {
+        term: lease.term,
+        request: pending,
+    };
+    outbox.send_to_store(Urgency::Transaction, request, pending);
+}
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -1,11 +1,12 @@
-//! Who holds the blocks other than 0: looking for those that nobody holds, taking them in turn, and handing back what
-//! a sibling was lost with.
+//! Who owns the shards other than 0: this controller looks for shards that nobody owns, takes them over in turn with its
+//! peers, and hands shards on to a peer that owns none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::election::Election;
+use super::election::{Election, StoredLease};
 use super::membership::Membership;
-use super::outbox::{Outbox, PROBE_INTERVAL, PendingRequest};
+use super::outbox::{Outbox, PROBE_INTERVAL};
+use super::pending_request::{AcquiredLease, AssignmentRequest, Takeover};
 use super::shard_owner::{ShardOwner, ShardOwners};
 use crate::http::{CallResult, decode_ok};
 use crate::model::{Micros, SECOND};
@@ -13,316 +14,424 @@
 use crate::wire::peer::{Body, WatermarkCheck};
 use crate::wire::store::{
     self, LEADER_PREFIX, LeaseGranted, LeaseRecord, Listing, SHARD_ASSIGNMENT_PREFIX, StoreRequest,
-    TERM_COUNTER_KEY, TERM_KEY, Transaction, assignment_keys,
+    StoredValue, TERM_COUNTER_KEY, TERM_KEY, Transaction, assignment_keys,
 };
 
-/// Where one block is enough, others that are left over are looked for this often.
+/// Where one shard is enough, others that are left over are looked for this often.
 const SURPLUS_PROBE_INTERVAL: Micros = 5 * SECOND;
-/// A block that nobody holds is left to those before this controller for so long, each.
+/// A shard that nobody owns is left for this long to each controller whose turn comes before this one's.
 const TAKEOVER_STAGGER: Micros = 700_000;
-/// A block is handed to the sibling whose turn is first once that has been heard for so long.
+/// A shard is handed on to the peer whose turn is first once that has been heard for so long.
 const PEER_STABLE_TIME: Micros = 8 * SECOND;
-/// Not more than one block is handed on in this time: a sibling may not be able to take it.
+/// No more than one shard is handed on in this time: a peer may not be able to take it.
 const TRANSFER_INTERVAL: Micros = 30 * SECOND;
-/// Who handed a block on does not take it back for so long.
+/// Who handed a shard on, or stepped down since it heard nobody, does not take it back for so long.
 const ABSTAIN_AFTER_TRANSFER: Micros = 6 * SECOND;
 
+/// One shard, as this controller sees its ownership.
 #[derive(Debug)]
 pub(super) struct ShardAssignment {
+    /// This controller's chances of owning it.
     pub election: Election,
+    /// Since when this controller might take it over.
     unowned_since: Option<Micros>,
 }
 
+/// How a controller stops to own a shard.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StepDown {
+    /// The lease has ended.
+    Ended,
+    /// It heard nobody.
+    Isolated,
+    /// A peer is to take the shard.
+    Transferred,
+}
+
+/// All shards other than 0 that the settings or the state service speak of.
 #[derive(Debug, Default)]
 pub(super) struct ShardAssignments {
-    pub assignments: BTreeMap<u32, ShardAssignment>,
+    assignments: BTreeMap<u32, ShardAssignment>,
     probe_in_flight: bool,
     probe_at: Micros,
-    /// Since when each sibling has been heard without a pause.
+    /// Since when each peer has been heard without a pause.
     heard_since: Vec<Option<Micros>>,
-    /// When a block was last handed on.
+    /// When this controller last handed a shard on.
     last_transfer_at: Option<Micros>,
-    /// Keys that make no sense, told of once.
+    /// Keys that cannot be parsed, which are logged once.
     malformed_keys: BTreeSet<String>,
 }
 
+/// The records of one shard's ownership.
+#[derive(Clone, Debug, Default)]
+struct AssignmentRecords {
+    owner: Option<StoredLease>,
+    last_term: Option<StoredLease>,
+}
+
+/// A term and the version of the key that holds it; both 0 where there is none.
+#[derive(Clone, Copy, Debug, Default)]
+struct StoredTerm {
+    term: u64,
+    version: u64,
+}
+
 impl ShardAssignments {
-    fn assignment(&mut self, port: &Outbox, block: u32) -> &mut ShardAssignment {
-        let new = || ShardAssignment {
-            election: Election::new(&port.settings.name, port.clock.now),
-            unowned_since: None,
-        };
-        self.assignments.entry(block).or_insert_with(new)
+    /// This controller's chances of owning a shard that is known here.
+    pub fn election(&self, shard: u32) -> Option<&Election> {
+        Some(&self.assignments.get(&shard)?.election)
     }
 
-    /// This controller's place among those that are heard, in the order in which they take a block: those that hold
-    /// the fewest first, and among them each block begins with another.
-    fn takeover_rank(
-        port: &Outbox,
-        standing: &Membership,
-        holders: &ShardOwners,
-        block: u32,
-    ) -> usize {
-        let siblings = port.settings.siblings.iter().enumerate();
-        let heard = siblings.filter(|(i, _)| standing.is_heard(port, *i));
-        let mut all: Vec<(usize, &str)> = heard
-            .map(|(i, s)| (standing.peers[i].shard_loads.len(), &*s.name))
-            .collect();
-        let own = (holders.len(), &*port.settings.name);
-        all.push(own);
-        all.sort_unstable_by_key(|c| c.1);
-        let first = block as usize % all.len();
-        all.rotate_left(first);
-        all.sort_by_key(|c| c.0);
-        all.iter().position(|c| *c == own).unwrap_or(0)
+    /// The same, to be changed.
+    pub fn election_mut(&mut self, shard: u32) -> Option<&mut Election> {
+        Some(&mut self.assignments.get_mut(&shard)?.election)
+    }
+
+    fn assignment(&mut self, outbox: &Outbox, shard: u32) -> &mut ShardAssignment {
+        self.assignments
+            .entry(shard)
+            .or_insert_with(|| ShardAssignment {
+                election: Election::new(&outbox.settings.name, outbox.clock.now),
+                unowned_since: None,
+            })
     }
 
-    /// Looks for blocks that nobody holds, and takes those whose turn it is.
-    pub fn tick(&mut self, port: &mut Outbox, standing: &Membership, holders: &ShardOwners) {
-        if !port.is_sharded {
+    // ---- Taking over ----
+
+    /// Looks for shards that nobody owns, and takes over those whose turn it is here.
+    pub fn tick(&mut self, outbox: &mut Outbox, membership: &Membership, owners: &ShardOwners) {
+        if !outbox.is_sharded {
             return;
         }
-        let now = port.clock.now;
-        self.heard_since.resize(standing.peers.len(), None);
-        for i in 0..self.heard_since.len() {
-            let heard = standing.is_heard(port, i);
-            self.heard_since[i] = self.heard_since[i].or(Some(now)).filter(|_| heard);
-        }
-        if !self.probe_in_flight && now >= self.probe_at {
-            self.probe_in_flight = true;
-            self.probe_at = now
-                + if self.assignments.is_empty() {
-                    SURPLUS_PROBE_INTERVAL
-                } else {
-                    PROBE_INTERVAL
-                };
-            port.send_to_store(
-                Urgency::Renewal,
-                StoreRequest::list(SHARD_ASSIGNMENT_PREFIX, ""),
-                PendingRequest::ProbeShards,
-            );
+        self.record_heard_peers(outbox, membership);
+        self.probe(outbox);
+        for shard in 1..outbox.shard_count() {
+            self.assignment(outbox, shard);
         }
-        for block in 1..port.shard_count() {
-            self.assignment(port, block);
-        }
-        let led = holders.contains_key(&0) || standing.leading_peer(port).is_some();
-        for (block, seat) in &mut self.assignments {
-            if let Some(term) = seat.election.watermark_query_due(now) {
-                let ask = WatermarkCheck {
-                    term,
-                    incarnation: standing.incarnation,
-                    shard: *block,
-                };
-                let all = 0..standing.peers.len();
-                all.for_each(|i| port.send_to_peer(i, Body::WatermarkQuery(ask.clone())));
-            }
-            if let Some(grant) = seat.election.store_lease_to_revoke(now) {
-                port.revoke_store_lease(*block, grant);
-            }
-            // Only what its settings or its record speak of is taken, and only where somebody gives out machines.
-            let exists = *block < port.shard_count() || seat.election.has_known_term();
-            let free = exists && led && !holders.contains_key(block);
-            if !free || port.machine_types.is_empty() || !seat.election.may_campaign(now) {
-                seat.unowned_since = None;
-                continue;
-            }
-            let since = *seat.unowned_since.get_or_insert(now);
-            let place = ShardAssignments::takeover_rank(port, standing, holders, *block);
-            if now >= since + TAKEOVER_STAGGER * place as Micros {
-                seat.election.attempt_in_progress = true;
-                let purpose = PendingRequest::AcquireShardLease {
-                    shard: *block,
-                    sent_at: now,
-                };
-                port.send_to_store(
-                    Urgency::Renewal,
-                    StoreRequest::acquire_lease(port.store_lease_ttl()),
-                    purpose,
-                );
+        // Shards are of use only where somebody gives out machines.
+        let has_leader = owners.contains_key(&0) || membership.leading_peer(outbox).is_some();
+        for (shard, assignment) in &mut self.assignments {
+            assignment.tick(outbox, membership, *shard);
+            // Only what the settings or the records speak of is taken over.
+            let exists = *shard < outbox.shard_count() || assignment.election.has_known_term();
+            let is_unowned = exists && has_leader && !owners.contains_key(shard);
+            if is_unowned {
+                assignment.campaign(outbox, membership, owners, *shard);
+            } else {
+                assignment.unowned_since = None;
             }
         }
     }
 
-    /// A block to hand on: while this controller holds several, and one that is up for a while and reaches the state
-    /// service holds none. That one takes it, since its turn is first.
-    pub fn shard_to_transfer(
-        &self,
-        port: &Outbox,
-        standing: &Membership,
-        holders: &ShardOwners,
-    ) -> Option<u32> {
-        let now = port.clock.now;
-        if self
-            .last_transfer_at
-            .is_some_and(|t| now < t + TRANSFER_INTERVAL)
-        {
-            return None;
+    fn record_heard_peers(&mut self, outbox: &Outbox, membership: &Membership) {
+        let now = outbox.clock.now;
+        self.heard_since.resize(membership.peers.len(), None);
+        for (peer, since) in self.heard_since.iter_mut().enumerate() {
+            let is_heard = membership.is_heard(outbox, peer);
+            *since = since.or(Some(now)).filter(|_| is_heard);
         }
-        let idle = (0..standing.peers.len()).any(|i| {
-            let steady = self.heard_since.get(i).copied().flatten();
-            let sibling = &standing.peers[i];
-            steady.is_some_and(|t| now > t + PEER_STABLE_TIME)
-                && sibling.store_reachable
-                && sibling.leading_term == 0
-                && sibling.shard_loads.is_empty()
-        });
-        let ready = |h: &ShardOwner| h.is_loaded() && h.cluster.settled;
-        let mut held = holders
-            .iter()
-            .filter(|(b, h)| **b > 0 && ready(h))
-            .map(|(b, _)| *b);
-        held.next().filter(|_| idle && holders.len() > 1)
     }
 
-    /// This controller does not hold the block any more. `handed`: a sibling is to take it; `deaf`: it heard nobody.
-    pub fn handle_step_down(
-        &mut self,
-        port: &mut Outbox,
-        block: u32,
-        grant: u64,
-        handed: bool,
-        deaf: bool,
-    ) {
-        let now = port.clock.now;
-        if handed {
-            self.last_transfer_at = Some(now);
-        }
-        let seat = self.assignment(port, block);
-        if handed || deaf {
-            seat.election.abstain(now + ABSTAIN_AFTER_TRANSFER);
+    fn probe(&mut self, outbox: &mut Outbox) {
+        let now = outbox.clock.now;
+        if self.probe_in_flight || now < self.probe_at {
+            return;
         }
-        self.probe_at = now;
-        port.revoke_store_lease(block, grant);
+        self.probe_in_flight = true;
+        let interval = if self.assignments.is_empty() {
+            SURPLUS_PROBE_INTERVAL
+        } else {
+            PROBE_INTERVAL
+        };
+        self.probe_at = now + interval;
+        let request = StoreRequest::list(SHARD_ASSIGNMENT_PREFIX, "");
+        outbox.send_to_store(Urgency::Renewal, request, AssignmentRequest::Probe);
     }
 
-    pub fn handle_probe_answer(&mut self, port: &Outbox, answer: CallResult) {
+    /// Takes in the records of who owns the shards.
+    pub fn handle_probe_answer(&mut self, outbox: &Outbox, answer: &CallResult) {
         self.probe_in_flight = false;
-        let Some(listing) = decode_ok::<Listing>(&answer) else {
+        let Some(listing) = decode_ok::<Listing>(answer) else {
             return;
         };
-        type Seen = Option<(LeaseRecord, u64)>;
-        let mut seen: BTreeMap<u32, (Seen, Seen)> = BTreeMap::new();
+        let mut records: BTreeMap<u32, AssignmentRecords> = BTreeMap::new();
         for item in &listing.items {
-            let key = item
-                .key
-                .strip_prefix(SHARD_ASSIGNMENT_PREFIX)
-                .and_then(|k| k.split_once('/'));
-            let Some((block, what)) = key.and_then(|(b, w)| Some((b.parse::<u32>().ok()?, w)))
-            else {
-                if self.malformed_keys.insert(item.key.clone()) {
-                    tracing::error!(key = %item.key, "no block's");
-                }
-                continue;
-            };
-            let Some(record) = item.decode::<LeaseRecord>().filter(|_| block > 0) else {
-                continue;
-            };
-            let (holder, term) = seen.entry(block).or_default();
-            match what {
-                "holder" => *holder = Some((record, item.version)),
-                "term" => *term = Some((record, item.version)),
-                _ => {}
-            }
+            self.read_record(item, &mut records);
         }
-        for block in self
+        let known: Vec<u32> = self
             .assignments
             .keys()
-            .chain(seen.keys())
+            .chain(records.keys())
             .copied()
-            .collect::<Vec<_>>()
-        {
-            let (holder, term) = seen.get(&block).cloned().unwrap_or_default();
-            self.assignment(port, block).election.observe(holder, term);
+            .collect();
+        for shard in known {
+            let AssignmentRecords { owner, last_term } =
+                records.get(&shard).cloned().unwrap_or_default();
+            self.assignment(outbox, shard)
+                .election
+                .observe(owner, last_term);
+        }
+    }
+
+    fn read_record(&mut self, item: &StoredValue, records: &mut BTreeMap<u32, AssignmentRecords>) {
+        let Some((shard, kind)) = parse_assignment_key(&item.key) else {
+            if self.malformed_keys.insert(item.key.clone()) {
+                tracing::error!(key = %item.key, "no shard's");
+            }
+            return;
+        };
+        // Shard 0 is the leader's, which has keys of its own.
+        let Some(record) = item.decode::<LeaseRecord>().filter(|_| shard > 0) else {
+            return;
+        };
+        let lease = Some(StoredLease {
+            record,
+            version: item.version,
+        });
+        let records = records.entry(shard).or_default();
+        match kind {
+            "holder" => records.owner = lease,
+            "term" => records.last_term = lease,
+            _ => {}
         }
     }
 
-    /// A grant to take a block with. The terms there are, are read once more: one counter serves all blocks.
-    pub fn handle_store_lease_answer(
+    /// Takes in the answer to a request for a lease. The terms of all shards are read once more before a takeover: one
+    /// counter serves them all.
+    pub fn handle_lease_answer(
         &mut self,
-        port: &mut Outbox,
-        block: u32,
-        sent: Micros,
-        answer: CallResult,
+        outbox: &mut Outbox,
+        shard: u32,
+        requested_at: Micros,
+        answer: &CallResult,
     ) {
-        let granted = decode_ok::<LeaseGranted>(&answer);
-        let seat = self.assignment(port, block);
-        let Some(granted) = granted else {
-            seat.election.attempt_in_progress = false;
+        let Some(granted) = decode_ok::<LeaseGranted>(answer) else {
+            self.assignment(outbox, shard).election.attempt_in_progress = false;
             return;
         };
-        let purpose = PendingRequest::ReadTerms {
-            shard: block,
+        let pending = AssignmentRequest::ReadTerms(AcquiredLease {
+            shard,
             store_lease: granted.lease_id,
-            sent_at: sent,
-        };
-        port.send_to_store(
-            Urgency::Renewal,
-            StoreRequest::list(LEADER_PREFIX, ""),
-            purpose,
-        );
+            requested_at,
+        });
+        let request = StoreRequest::list(LEADER_PREFIX, "");
+        outbox.send_to_store(Urgency::Renewal, request, pending);
     }
 
+    /// Takes in the terms there are, and takes over the shard if that is still allowed.
     pub fn handle_terms_answer(
         &mut self,
-        port: &mut Outbox,
-        block: u32,
-        grant: u64,
-        sent: Micros,
-        answer: CallResult,
+        outbox: &mut Outbox,
+        lease: AcquiredLease,
+        answer: &CallResult,
     ) {
-        let listing = decode_ok::<Listing>(&answer);
-        let now = port.clock.now;
-        let name = port.settings.name.clone();
-        let candidacy = &mut self.assignment(port, block).election;
-        let Some(listing) = listing.filter(|_| candidacy.is_eligible(now)) else {
-            candidacy.attempt_in_progress = false;
-            return port.revoke_store_lease(block, grant);
-        };
-        let find = |key: &str| {
-            let item = listing.items.iter().find(|i| i.key == key);
-            item.and_then(|i| Some((i.decode::<LeaseRecord>()?.term, i.version)))
-                .unwrap_or((0, 0))
-        };
-        let (lead, count) = (find(TERM_KEY), find(TERM_COUNTER_KEY));
-        let (holder, term, last) = candidacy.versions();
-        let marked = candidacy.watermarks_reliable();
-        let next = lead.0.max(count.0).max(last) + 1;
-        let record = LeaseRecord {
-            owner: name,
-            term: next,
-            watermarks_reliable: marked,
+        let now = outbox.clock.now;
+        let election = &mut self.assignment(outbox, lease.shard).election;
+        let listing = decode_ok::<Listing>(answer);
+        let Some(listing) = listing.filter(|_| election.is_eligible(now)) else {
+            election.attempt_in_progress = false;
+            return outbox.revoke_store_lease(lease.shard, lease.store_lease);
         };
-        let keys = assignment_keys(block);
-        let mut commit = Transaction::default();
-        commit.guard(&keys.0, holder);
-        commit.guard(&keys.1, term);
-        commit.guard(TERM_KEY, lead.1);
-        commit.guard(TERM_COUNTER_KEY, count.1);
-        commit.put(&keys.0, store::to_raw_value(&record), Some(grant));
-        commit.put(&keys.1, store::to_raw_value(&record), None);
-        commit.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
-        let purpose = PendingRequest::TakeOverShard {
-            shard: block,
-            record,
-            store_lease: grant,
-            sent_at: sent,
-        };
-        port.send_to_store(Urgency::Renewal, commit.to_request(), purpose);
+        let (record, transaction) = takeover(election, &outbox.settings.name, &lease, &listing);
+        let pending = AssignmentRequest::TakeOver(Takeover { lease, record });
+        outbox.send_to_store(Urgency::Renewal, transaction.to_request(), pending);
     }
 
-    /// A block was not taken, or nothing is known of it.
+    /// A shard was not taken over, or nothing is known of it; `status` is the answer's, if one came.
     pub fn takeover_failed(
         &mut self,
-        port: &mut Outbox,
-        block: u32,
-        grant: u64,
-        answer: Option<u16>,
+        outbox: &mut Outbox,
+        lease: AcquiredLease,
+        status: Option<u16>,
     ) {
-        let now = port.clock.now;
-        self.assignment(port, block)
+        let now = outbox.clock.now;
+        self.assignment(outbox, lease.shard)
             .election
-            .takeover_failed(grant, answer, now);
+            .takeover_failed(lease.store_lease, status, now);
+        self.probe_at = now;
+        outbox.revoke_store_lease(lease.shard, lease.store_lease);
+    }
+
+    // ---- Handing on ----
+
+    /// A shard to hand on: while this controller owns several, and a peer that is up for a while and reaches the state
+    /// service owns none. That one takes it, since its turn is first.
+    pub fn shard_to_transfer(
+        &self,
+        outbox: &Outbox,
+        membership: &Membership,
+        owners: &ShardOwners,
+    ) -> Option<u32> {
+        let now = outbox.clock.now;
+        let was_recent = |at: Micros| now < at + TRANSFER_INTERVAL;
+        if self.last_transfer_at.is_some_and(was_recent) || owners.len() <= 1 {
+            return None;
+        }
+        let mut peers = 0..membership.peers.len();
+        if !peers.any(|peer| self.is_idle(membership, peer, now)) {
+            return None;
+        }
+        let is_settled = |owner: &ShardOwner| owner.is_loaded() && owner.cluster.settled;
+        owners
+            .iter()
+            .find(|(shard, owner)| **shard > 0 && is_settled(owner))
+            .map(|(shard, _)| *shard)
+    }
+
+    /// Whether the peer could own a shard and owns none.
+    fn is_idle(&self, membership: &Membership, peer: usize, now: Micros) -> bool {
+        let heard_since = self.heard_since.get(peer).copied().flatten();
+        let status = &membership.peers[peer];
+        heard_since.is_some_and(|since| now > since + PEER_STABLE_TIME)
+            && status.store_reachable
+            && status.leading_term == 0
+            && status.shard_loads.is_empty()
+    }
+
+    /// This controller does not own the shard any more, and gives its lease back.
+    pub fn handle_step_down(
+        &mut self,
+        outbox: &mut Outbox,
+        shard: u32,
+        store_lease: u64,
+        how: StepDown,
+    ) {
+        let now = outbox.clock.now;
+        if how == StepDown::Transferred {
+            self.last_transfer_at = Some(now);
+        }
+        if how != StepDown::Ended {
+            self.assignment(outbox, shard)
+                .election
+                .abstain(now + ABSTAIN_AFTER_TRANSFER);
+        }
         self.probe_at = now;
-        port.revoke_store_lease(block, grant);
+        outbox.revoke_store_lease(shard, store_lease);
     }
 }
+
+impl ShardAssignment {
+    /// Asks peers about the last term's watermarks and revokes what is left of a failed takeover, as either is due.
+    fn tick(&mut self, outbox: &mut Outbox, membership: &Membership, shard: u32) {
+        let now = outbox.clock.now;
+        if let Some(term) = self.election.watermark_query_due(now) {
+            let query = WatermarkCheck {
+                term,
+                incarnation: membership.incarnation,
+                shard,
+            };
+            outbox.send_to_all_peers(&Body::WatermarkQuery(query));
+        }
+        if let Some(store_lease) = self.election.store_lease_to_revoke(now) {
+            outbox.revoke_store_lease(shard, store_lease);
+        }
+    }
+
+    /// Begins to take over a shard that nobody owns, once it is this controller's turn.
+    fn campaign(
+        &mut self,
+        outbox: &mut Outbox,
+        membership: &Membership,
+        owners: &ShardOwners,
+        shard: u32,
+    ) {
+        let now = outbox.clock.now;
+        if outbox.machine_types.is_empty() || !self.election.may_campaign(now) {
+            self.unowned_since = None;
+            return;
+        }
+        let since = *self.unowned_since.get_or_insert(now);
+        let rank = takeover_rank(outbox, membership, owners, shard);
+        if now >= since + TAKEOVER_STAGGER * rank as Micros {
+            self.election.attempt_in_progress = true;
+            let pending = AssignmentRequest::AcquireLease {
+                shard,
+                requested_at: now,
+            };
+            let request = StoreRequest::acquire_lease(outbox.store_lease_ttl());
+            outbox.send_to_store(Urgency::Renewal, request, pending);
+        }
+    }
+}
+
+/// This controller's place among those that are heard, in the order in which they take over a shard: those that own the
+/// fewest first, and among them each shard begins with another.
+fn takeover_rank(
+    outbox: &Outbox,
+    membership: &Membership,
+    owners: &ShardOwners,
+    shard: u32,
+) -> usize {
+    struct Candidate<'a> {
+        owned_shards: usize,
+        name: &'a str,
+    }
+    let own_name = outbox.settings.name.as_str();
+    let peers = outbox.settings.siblings.iter().enumerate();
+    let heard = peers.filter(|(peer, _)| membership.is_heard(outbox, *peer));
+    let mut candidates: Vec<Candidate<'_>> = heard
+        .map(|(peer, settings)| Candidate {
+            owned_shards: membership.peers[peer].shard_loads.len(),
+            name: &settings.name,
+        })
+        .collect();
+    candidates.push(Candidate {
+        owned_shards: owners.len(),
+        name: own_name,
+    });
+    candidates.sort_unstable_by_key(|candidate| candidate.name);
+    let first = shard as usize % candidates.len();
+    candidates.rotate_left(first);
+    candidates.sort_by_key(|candidate| candidate.owned_shards);
+    let own = |candidate: &Candidate<'_>| candidate.name == own_name;
+    candidates.iter().position(own).unwrap_or(0)
+}
+
+/// The record and transaction that make this controller the owner of a shard.
+fn takeover(
+    election: &Election,
+    own_name: &str,
+    lease: &AcquiredLease,
+    listing: &Listing,
+) -> (LeaseRecord, Transaction) {
+    let (leader, counter) = (
+        stored_term(listing, TERM_KEY),
+        stored_term(listing, TERM_COUNTER_KEY),
+    );
+    let conditions = election.conditions();
+    let highest_term = leader.term.max(counter.term).max(conditions.last_term);
+    let record = LeaseRecord {
+        owner: own_name.to_string(),
+        term: highest_term + 1,
+        watermarks_reliable: election.watermarks_reliable(),
+    };
+    let (owner_key, term_key) = assignment_keys(lease.shard);
+    let mut transaction = Transaction::default();
+    transaction.guard(&owner_key, conditions.owner_key_version);
+    transaction.guard(&term_key, conditions.term_key_version);
+    transaction.guard(TERM_KEY, leader.version);
+    transaction.guard(TERM_COUNTER_KEY, counter.version);
+    let store_lease = Some(lease.store_lease);
+    transaction.put(&owner_key, store::to_raw_value(&record), store_lease);
+    transaction.put(&term_key, store::to_raw_value(&record), None);
+    transaction.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
+    (record, transaction)
+}
+
+fn stored_term(listing: &Listing, key: &str) -> StoredTerm {
+    let item = listing.items.iter().find(|item| item.key == key);
+    let stored = item.and_then(|item| {
+        Some(StoredTerm {
+            term: item.decode::<LeaseRecord>()?.term,
+            version: item.version,
+        })
+    });
+    stored.unwrap_or_default()
+}
+
+/// The shard of a key, and what of it the key holds.
+fn parse_assignment_key(key: &str) -> Option<(u32, &str)> {
+    let rest = key.strip_prefix(SHARD_ASSIGNMENT_PREFIX)?;
+    let (shard, kind) = rest.split_once('/')?;
+    Some((shard.parse().ok()?, kind))
+}
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -1,4 +1,14 @@
-//! Holding: the machines of a block, what runs on them, and what is written of it, under one lease.
+//! Owning a shard: the machines of the shard, what runs on them, and what is written of it, under one lease.
+//!
+//! | part | what it does |
+//! | --- | --- |
+//! | [`recovery`] | reads the shard's state from the state service after a takeover |
+//! | [`watch`] | follows changes of jobs that other controllers make |
+//! | [`writes`] | writes what has changed in memory, and reads back what is in doubt |
+
+mod recovery;
+mod watch;
+mod writes;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,119 +16,124 @@
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
 
+use self::watch::ExpectedChange;
+use super::end_reason::EndReason;
+use super::job_views::JobProgress;
 use super::lease::ShardLease;
-use super::outbox::{Effect, Outbox, PendingRequest};
+use super::load_stage::LoadStage;
+use super::outbox::Outbox;
+use super::pending_request::{OwnerRequest, PendingRequest};
 use super::quota_partitioner::QuotaPartitioner;
-use super::recovery::ALL_LOADED;
-use crate::http::{Answer, CallResult, Response, decode_ok};
+use crate::http::{CallResult, Response};
 use crate::model::{JobId, Micros, SECOND};
 use crate::reconcile::heartbeat::HeartbeatOutcome;
 use crate::reconcile::kill_delivery::KillOrderDelivery;
 use crate::state::cluster::Cluster;
 use crate::state::fleet::CloudCall;
-use crate::state::writes::WriteBatch;
+use crate::state::usage_replica::UsageReplica;
 use crate::wire::budget::Urgency;
-use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::peer::RunningJob;
-use crate::wire::store::{
-    self, ChangeLog, Committed, Conflict, FinishedJobRecord, LiveRecord, StoreRequest, StoredValue,
-};
+use crate::wire::store::StoreRequest;
 use crate::wire::worker::{CommandsRequest, HeartbeatResponse, WorkerHeartbeat};
 
-/// A leader that hears neither workers nor siblings for this long makes way.
+/// An owner that hears neither workers nor peers for this long steps down.
 const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
-/// The watch should have brought a change by this time after it was told of.
-const WATCH_TIMEOUT: Micros = 400_000;
-/// Jobs that a heartbeat tells the progress of.
+/// Jobs whose progress one heartbeat to the peers tells.
 const MAX_RUNNING_JOBS_TOLD: usize = 2000;
+/// Scheduling passes and plans of the fleet are made at most this often.
+const MIN_PASS_INTERVAL: Micros = 100_000;
+const MIN_PLAN_INTERVAL: Micros = 500_000;
+/// A scheduling pass is made at least this often, even if nothing calls for one.
+const MAX_PASS_INTERVAL: Micros = SECOND;
 
+/// The owner of one shard for as long as its lease lasts.
 #[derive(Debug)]
 pub(super) struct ShardOwner {
-    /// The answer to a report that asks for nothing to be done: most are.
-    empty_answer: Bytes,
+    /// The answer to a heartbeat that leads to no order: most do not.
+    empty_response: Response,
     pub lease: ShardLease,
     pub cluster: Cluster,
-    /// Why it has to give its lease back, if it has to.
-    pub end_reason: Option<&'static str>,
-    /// That is because it hears nobody.
-    pub is_isolated: bool,
-    /// When it last heard a worker or a sibling.
+    /// Why it has to step down, if it has to.
+    pub end_reason: Option<EndReason>,
+    /// When it last heard a worker or a peer.
     pub last_heard_at: Option<Micros>,
-    /// The stage of reading the state; past the last one everything is loaded.
-    pub(super) load_stage: usize,
-    pub(super) loaded_once: bool,
-    /// What has been read of the ledger.
-    pub(super) ledger_head: Option<Head>,
-    pub(super) ledger_pages: Vec<(Page, u64)>,
-    pub(super) reload_at: Option<Micros>,
-    pub(super) watched_version: u64,
-    /// When reading everything began.
-    pub(super) load_started_at: Micros,
+    /// What is being read of the shard's state.
+    load_stage: LoadStage,
+    /// Everything has been read once. Later reads are of jobs alone.
+    was_loaded: bool,
+    /// What has been read of the ledger before it can be opened.
+    ledger_head: Option<Head>,
+    ledger_pages: Vec<(Page, u64)>,
+    /// When a read that failed is to be made again.
+    reload_at: Option<Micros>,
+    load_started_at: Micros,
+    /// All changes of jobs up to this version of the state service have been applied.
+    pub watched_version: u64,
     watch_in_flight: bool,
     watch_sent_at: Micros,
-    /// Looking what has changed beside the watch.
+    watch_at: Micros,
     catch_up_in_flight: bool,
     catch_up_at: Micros,
-    watch_at: Micros,
+    /// Changes that peers told of and that the watch has not brought yet, in the order in which they were told.
+    expected_changes: VecDeque<ExpectedChange>,
     write_in_flight: bool,
     write_at: Micros,
+    /// Keys whose stored values are in doubt.
     keys_to_reread: BTreeSet<String>,
     reread_at: Micros,
     rereads_in_flight: usize,
-    /// Changes that siblings told of: when the watch should have brought them, their versions and
-    /// keys. They come in order of time.
-    expected_changes: VecDeque<(Micros, u64, String)>,
     next_pass_at: Micros,
     next_plan_at: Micros,
-    /// Its block's part of the teams' limits.
-    pub quota_partitioner: QuotaPartitioner,
-    /// When it was last looked for machines on their way here.
-    pub(super) transfers_read_at: Micros,
+    /// The shard's part of the teams' limits.
+    quota_partitioner: QuotaPartitioner,
+    /// When it is to be looked again for machines that were given to the shard.
+    transfers_read_at: Micros,
 }
 
-/// What this controller holds, by block.
+/// The shards that this controller owns, by their number. The owner of shard 0 is the leader.
 pub(super) type ShardOwners = BTreeMap<u32, Box<ShardOwner>>;
 
-/// What a report is answered with.
+/// What becomes of a worker's heartbeat at a shard's owner.
 pub(super) enum HeartbeatAnswer {
-    Immediate(u16, Bytes),
-    /// The machine is another block's; which one, block 0's holder knows.
+    /// It is answered.
+    Answered(Response),
+    /// Its machine is another shard's; `None` if it is not known which one.
     OtherShard(Option<u32>),
-    /// Not before the state has been read.
+    /// It can be answered only once the shard's state has been read.
     AfterLoad,
 }
 
 impl ShardOwner {
+    /// The owner of a shard that was just taken over. Nothing of the shard's state has been read yet.
     pub fn new(lease: ShardLease, cluster: Cluster) -> ShardOwner {
-        let nothing = HeartbeatResponse {
+        let no_orders = HeartbeatResponse {
             token: lease.term,
             orders: &[],
         };
         ShardOwner {
-            empty_answer: Response::json(200, &nothing).body,
+            empty_response: Response::json(200, &no_orders),
             lease,
             cluster,
             end_reason: None,
-            is_isolated: false,
             last_heard_at: None,
-            load_stage: 0,
-            loaded_once: false,
+            load_stage: LoadStage::Jobs,
+            was_loaded: false,
             ledger_head: None,
             ledger_pages: Vec::new(),
             reload_at: None,
-            watched_version: 0,
             load_started_at: 0,
+            watched_version: 0,
             watch_in_flight: false,
             watch_sent_at: 0,
+            watch_at: 0,
             catch_up_in_flight: false,
             catch_up_at: 0,
-            watch_at: 0,
+            expected_changes: VecDeque::new(),
             write_in_flight: false,
             write_at: 0,
             keys_to_reread: BTreeSet::new(),
             reread_at: 0,
             rereads_in_flight: 0,
-            expected_changes: VecDeque::new(),
             next_pass_at: 0,
             next_plan_at: 0,
             quota_partitioner: QuotaPartitioner::default(),
@@ -126,20 +141,21 @@
         }
     }
 
-    /// All that was there when it took over has been read.
+    /// Whether all that was stored at the takeover has been read.
     pub fn is_loaded(&self) -> bool {
-        self.load_stage >= ALL_LOADED
+        self.load_stage == LoadStage::Loaded
     }
 
-    /// Jobs with tasks on machines, for siblings to tell users of.
+    /// Whether the machine is this shard's.
+    pub fn owns_machine(&self, machine: &str) -> bool {
+        self.cluster.machines.contains_key(machine)
+    }
+
+    /// Jobs with tasks on machines, for peers to tell users of.
     pub fn running_jobs(&self) -> Vec<RunningJob> {
-        let running = self
-            .cluster
-            .jobs
-            .values()
-            .filter(|j| j.live_count() > 0)
-            .take(MAX_RUNNING_JOBS_TOLD);
-        let told = running.map(|job| RunningJob {
+        let running = self.cluster.jobs.values();
+        let running = running.filter(|job| job.live_count() > 0);
+        let told = running.take(MAX_RUNNING_JOBS_TOLD).map(|job| RunningJob {
             job: job.id.to_string(),
             tasks: job.live_count(),
             done: job.done.len(),
@@ -147,490 +163,219 @@
         told.collect()
     }
 
-    /// What a job has on machines, and has done.
-    pub fn progress(&self, id: &JobId) -> Option<(u32, u32)> {
-        self.cluster
-            .jobs
-            .get(id)
-            .map(|job| (job.live_count(), job.done.len()))
-    }
-
-    /// How a job ended that was no longer alive when it was read.
-    pub fn handle_finished_job_answer(&mut self, key: &str, answer: CallResult) {
-        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
-        let id = key.trim_start_matches(store::FINISHED_JOB_PREFIX);
-        match answer {
-            Ok(Answer { status: 200, body }) => {
-                let item = serde_json::from_slice::<StoredValue>(&body).ok();
-                let end = item.as_ref().and_then(|i| i.decode::<FinishedJobRecord>());
-                let stamp = item.map_or(u64::MAX, |i| i.version);
-                self.cluster
-                    .apply_job_end(id, stamp, end.map(|e| e.cancelled));
-            }
-            Ok(Answer { status: 404, .. }) => {}
-            _ => {
-                self.keys_to_reread
-                    .insert(format!("{}{id}", store::LIVE_JOB_PREFIX));
-            }
-        }
-    }
-
-    /// It is its block's.
-    pub fn owns_machine(&self, machine: &str) -> bool {
-        self.cluster.machines.contains_key(machine)
-    }
-
-    /// Asks the cloud for what the plan wants.
-    fn plan_fleet(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        if now < self.next_plan_at.max(self.cluster.next_plan_at) {
-            return;
-        }
-        self.next_plan_at = now + 500_000;
-        for call in self.cluster.plan_cloud_calls(now) {
-            let request = call.to_request(&self.cluster.machine_types);
-            port.call_cloud(self.lease.term, call, request);
-        }
-    }
-
-    /// Takes in an answer of the cloud.
-    pub fn handle_cloud_answer(&mut self, port: &Outbox, call: CloudCall, answer: CallResult) {
-        let now = port.clock.now;
-        if matches!(call, CloudCall::Provision { .. }) {
-            // A refusal leads to the next best offer without delay.
-            self.next_plan_at = now;
-        }
-        self.cluster.apply_cloud_answer(call, &answer, now);
-        self.cluster.pass_needed = true;
-    }
-
-    /// Reads whose jobs were that were over before an attempt's end was found.
-    pub(super) fn read_job_owners(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        let (term, wanted) = (self.lease.term, self.cluster.owners_to_read(now));
-        for job in wanted {
-            let key = format!("{}{job}", store::FINISHED_JOB_PREFIX);
-            port.send_to_store(
-                Urgency::Background,
-                StoreRequest::get(&key),
-                PendingRequest::ReadJobOwner { term, job },
-            );
-        }
+    /// How far a job of this shard is.
+    pub fn progress(&self, id: &JobId) -> Option<JobProgress> {
+        self.cluster.jobs.get(id).map(|job| JobProgress {
+            running: job.live_count(),
+            done: job.done.len(),
+        })
     }
 
-    pub(super) fn handle_job_owner_answer(
-        &mut self,
-        port: &Outbox,
-        job: &JobId,
-        answer: CallResult,
+    /// Queues a request to the state service whose answer comes back to [`ShardOwner::handle_store_answer`].
+    fn send_to_store(
+        &self,
+        outbox: &mut Outbox,
+        urgency: Urgency,
+        request: StoreRequest,
+        pending: OwnerRequest,
     ) {
-        let now = port.clock.now;
-        match answer {
-            Ok(Answer { status: 200, body }) => {
-                let over = serde_json::from_slice::<StoredValue>(&body).ok();
-                let over = over.and_then(|i| i.decode::<FinishedJobRecord>());
-                self.cluster
-                    .usage_owner_read(job, over.and_then(|o| o.owner), now);
-            }
-            Ok(Answer { status: 404, .. }) => self.cluster.usage_owner_read(job, None, now),
-            // It is asked for again.
-            _ => {}
-        }
-    }
-
-    pub(super) fn watch(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        if self.watch_in_flight || now < self.watch_at {
-            return;
-        }
-        self.watch_in_flight = true;
-        self.watch_sent_at = now;
-        // Bounds how often the watch is opened when much is written.
-        self.watch_at = now + 100_000;
-        let (term, from) = (self.lease.term, self.watched_version);
-        port.send_to_store(
-            Urgency::Transaction,
-            StoreRequest::watch(store::LIVE_JOB_PREFIX, from),
-            PendingRequest::Watch { term },
-        );
-    }
-
-    pub(super) fn write_batch(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        if self.write_in_flight || now < self.write_at {
-            return;
-        }
-        if let Some((commit, batch)) = self.cluster.next_transaction(now, self.lease.key_version) {
-            self.write_in_flight = true;
-            self.write_at = now + 100_000;
-            let term = self.lease.term;
-            port.send_to_store(
-                Urgency::Transaction,
-                commit.to_request(),
-                PendingRequest::Write { term, batch },
-            );
-        }
-    }
-
-    pub(super) fn reread_keys(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        while let Some((due, stamp, _)) = self.expected_changes.front() {
-            let come = self.watched_version >= *stamp;
-            if !come && now < *due {
-                break;
-            }
-            self.keys_to_reread.extend(
-                self.expected_changes
-                    .pop_front()
-                    .filter(|_| !come)
-                    .map(|e| e.2),
-            );
-        }
-        if self.rereads_in_flight > 0 || now < self.reread_at || self.keys_to_reread.is_empty() {
-            return;
-        }
-        self.reread_at = now + 300_000;
-        let keys = std::mem::take(&mut self.keys_to_reread);
-        self.rereads_in_flight = keys.len();
-        let term = self.lease.term;
-        for key in keys {
-            port.send_to_store(
-                Urgency::Transaction,
-                StoreRequest::get(&key),
-                PendingRequest::Reread { term, key },
-            );
-        }
-    }
-
-    pub(super) fn expect_change(&mut self, port: &Outbox, id: &str, stamp: u64) {
-        let due = port.clock.now + WATCH_TIMEOUT;
-        if self.watched_version < stamp {
-            self.expected_changes.push_back((
-                due,
-                stamp,
-                format!("{}{id}", store::LIVE_JOB_PREFIX),
-            ));
-        }
-    }
-
-    /// Looks what has changed, when that has not been known for a while: a watch may hang, and where nothing changes its
-    /// answer is as old as its question.
-    fn catch_up(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        if self.catch_up_in_flight || now < self.catch_up_at || !self.lease.is_catch_up_due(now) {
-            return;
-        }
-        self.catch_up_in_flight = true;
-        self.catch_up_at = now + SECOND;
-        let request = StoreRequest::changes_since(store::LIVE_JOB_PREFIX, self.watched_version);
-        let purpose = PendingRequest::CatchUp {
+        let pending = PendingRequest::ShardOwner {
             term: self.lease.term,
-            sent_at: now,
+            request: pending,
         };
-        port.send_to_store(Urgency::Renewal, request, purpose);
+        outbox.send_to_store(urgency, request, pending);
     }
 
-    pub(super) fn handle_catch_up_answer(
+    /// Takes in the answer to a request of this owner. `usage_replica` is what this controller knows of usage that earlier
+    /// leaders had not charged yet.
+    pub fn handle_store_answer(
         &mut self,
-        port: &mut Outbox,
-        sent: Micros,
+        outbox: &mut Outbox,
+        usage_replica: &mut UsageReplica,
+        request: OwnerRequest,
         answer: CallResult,
     ) {
-        self.catch_up_in_flight = false;
-        // The watch finds out if it is too far behind.
-        if self.is_loaded()
-            && let Some(followed) = decode_ok::<ChangeLog>(&answer)
-        {
-            self.apply_changes(port, followed, sent);
+        match request {
+            OwnerRequest::RenewLease { sent_at } => self.handle_renewal(outbox, sent_at, &answer),
+            OwnerRequest::Load { stage } => {
+                self.handle_load_answer(outbox, usage_replica, stage, &answer);
+            }
+            OwnerRequest::LoadLedgerHead => {
+                self.handle_ledger_head_answer(outbox, usage_replica, &answer);
+            }
+            OwnerRequest::Watch => self.handle_watch_answer(outbox, &answer),
+            OwnerRequest::CatchUp { sent_at } => {
+                self.handle_catch_up_answer(outbox, sent_at, &answer);
+            }
+            OwnerRequest::Write { batch } => self.handle_write_answer(outbox, batch, answer),
+            OwnerRequest::Reread { key } => self.handle_reread_answer(outbox, key, &answer),
+            OwnerRequest::ReadFinishedJob { job } => {
+                self.handle_finished_job_answer(&job, &answer);
+            }
+            OwnerRequest::ReadJobOwner { job } => {
+                self.handle_job_owner_answer(outbox, &job, &answer);
+            }
+            OwnerRequest::ReadTransfers => self.handle_transfers_answer(outbox, &answer),
+            OwnerRequest::ReadQuotaPartitions => self.quota_partitioner.handle_read_answer(
+                outbox,
+                &self.lease,
+                &mut self.cluster,
+                &answer,
+            ),
+            OwnerRequest::WriteQuotaPartitions => {
+                let status = answer.ok().map(|answer| answer.status);
+                self.quota_partitioner
+                    .handle_write_answer(outbox.clock.now, status);
+            }
         }
     }
 
-    /// Tells workers of cancelled tasks at once.
-    pub fn send_kill_orders(&mut self, port: &mut Outbox) {
-        for KillOrderDelivery {
-            address: addr,
-            incarnation: session,
-            orders,
-        } in self.cluster.next_kill_orders(port.clock.now)
-        {
-            let commands = CommandsRequest {
-                token: self.lease.term,
-                incarnation: session,
-                orders: &orders,
-            };
-            let body = Response::json(200, &commands).body;
-            port.effects.push(Effect::WorkerCommands { addr, body });
+    fn handle_renewal(&mut self, outbox: &Outbox, sent_at: Micros, answer: &CallResult) {
+        let status = answer.as_ref().ok().map(|answer| answer.status);
+        let still_held = self.lease.handle_renewal(sent_at, status, outbox.clock.now);
+        if !still_held {
+            self.end_reason = Some(EndReason::StoreLeaseExpired);
         }
     }
 
     /// Starts nothing while there may be a newer configuration than is known here.
-    pub(super) fn update_start_hold(&mut self, port: &Outbox) {
-        self.cluster.starts_paused = port.configuration.must_hold_starts(port.clock.now);
+    pub fn update_start_hold(&mut self, outbox: &Outbox) {
+        self.cluster.starts_paused = outbox.configuration.must_hold_starts(outbox.clock.now);
     }
 
-    /// The leader's answer to a report.
-    pub(super) fn handle_heartbeat(&mut self, port: &Outbox, body: &Bytes) -> HeartbeatAnswer {
-        let now = port.clock.now;
-        let error = |status: u16, why: &str| {
-            HeartbeatAnswer::Immediate(status, Response::error(status, why).body)
-        };
+    // ---- Workers ----
+
+    /// Answers a worker's heartbeat.
+    pub fn handle_heartbeat(&mut self, outbox: &Outbox, body: &Bytes) -> HeartbeatAnswer {
+        let now = outbox.clock.now;
+        let error =
+            |status, reason: &str| HeartbeatAnswer::Answered(Response::error(status, reason));
         self.last_heard_at = Some(now);
-        self.cluster.unix_time = port.clock.unix_time;
-        self.update_start_hold(port);
-        let report: WorkerHeartbeat<'_> = match serde_json::from_slice(body) {
-            Ok(report) => report,
+        self.cluster.unix_time = outbox.clock.unix_time;
+        self.update_start_hold(outbox);
+        let heartbeat: WorkerHeartbeat<'_> = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => {
-                tracing::debug!(error = %e, "a report makes no sense");
+                tracing::debug!(error = %e, "a heartbeat cannot be parsed");
                 return error(400, "not a report");
             }
         };
         if !self.is_loaded() && self.lease.shard != 0 {
-            // Whether the machine is this block's is not known yet.
+            // Whether the machine is this shard's is not known yet.
             return error(503, "the state is being read");
         }
-        if !self.is_loaded() && report.token <= self.lease.term {
+        if !self.is_loaded() && heartbeat.token <= self.lease.term {
             // What it runs may be cancelled, and an answer would renew its lease all the same.
             return HeartbeatAnswer::AfterLoad;
         }
-        match self.cluster.apply_heartbeat(now, &report) {
+        match self.cluster.apply_heartbeat(now, &heartbeat) {
             HeartbeatOutcome::Orders(orders) if orders.is_empty() => {
-                HeartbeatAnswer::Immediate(200, self.empty_answer.clone())
+                HeartbeatAnswer::Answered(self.empty_response.clone())
             }
             HeartbeatOutcome::Orders(orders) => {
                 let body = HeartbeatResponse {
                     token: self.lease.term,
                     orders: &orders,
                 };
-                HeartbeatAnswer::Immediate(200, Response::json(200, &body).body)
+                HeartbeatAnswer::Answered(Response::json(200, &body))
             }
-            HeartbeatOutcome::OtherShard(block) => HeartbeatAnswer::OtherShard(block),
+            HeartbeatOutcome::OtherShard(shard) => HeartbeatAnswer::OtherShard(shard),
             HeartbeatOutcome::Stale => error(503, "an old report"),
             HeartbeatOutcome::Deposed => {
-                self.end_reason = Some("a worker has seen a higher token");
+                self.end_reason = Some(EndReason::HigherToken);
                 error(503, "not leading")
             }
         }
     }
 
-    pub(super) fn handle_watch_answer(&mut self, port: &mut Outbox, answer: CallResult) {
-        let now = port.clock.now;
-        self.watch_in_flight = false;
-        let followed = match answer {
-            Ok(Answer { status: 200, body }) => serde_json::from_slice::<ChangeLog>(&body).ok(),
-            Ok(Answer { status: 410, .. }) => {
-                // Too far behind: read everything live again. What ended is found by reading back.
-                tracing::info!("the watch fell behind; reading all jobs again");
-                let waiting = self.cluster.pipelines.waiting.keys();
-                let known = self.cluster.jobs.keys().chain(waiting);
-                self.keys_to_reread
-                    .extend(known.map(|id| format!("{}{id}", store::LIVE_JOB_PREFIX)));
-                self.watched_version = 0;
-                self.load_stage = 0;
-                return self.load_next(port, "");
-            }
-            _ => None,
-        };
-        let Some(followed) = followed else {
-            self.watch_at = now + 500_000;
-            return;
-        };
-        self.apply_changes(port, followed, self.watch_sent_at);
-    }
-
-    /// Takes in what has changed, as was asked for then. The watch and what is read beside it may overtake each other.
-    fn apply_changes(&mut self, port: &mut Outbox, followed: ChangeLog, sent: Micros) {
-        let now = port.clock.now;
-        port.configuration.apply_changes(&followed.changes);
-        port.configuration.confirm_newest(sent);
-        let jobs = followed
-            .changes
-            .into_iter()
-            .filter(|c| c.key() != Some(CURRENT_VERSION_KEY));
-        for change in jobs.filter(|c| c.version > self.watched_version) {
-            if let Some(id) = change
-                .deleted_key
-                .as_deref()
-                .and_then(|k| k.strip_prefix(store::LIVE_JOB_PREFIX))
-            {
-                self.cluster.apply_job_end(id, change.version, None);
-            }
-            let key = change
-                .written_key
-                .as_deref()
-                .and_then(|k| k.strip_prefix(store::LIVE_JOB_PREFIX));
-            let (Some(id), Some(v)) = (key, &change.value) else {
-                continue;
+    /// Tells workers of cancelled tasks at once, beside the answers to their heartbeats.
+    pub fn send_kill_orders(&mut self, outbox: &mut Outbox) {
+        for delivery in self.cluster.next_kill_orders(outbox.clock.now) {
+            let KillOrderDelivery {
+                address,
+                incarnation,
+                orders,
+            } = delivery;
+            let commands = CommandsRequest {
+                token: self.lease.term,
+                incarnation,
+                orders: &orders,
             };
-            if self
-                .cluster
-                .record_version(id)
-                .is_some_and(|known| known >= change.version)
-            {
-                continue;
-            }
-            match LiveRecord::parse(v.get()) {
-                Ok(record) => {
-                    // New work is planned for at once: a machine takes long enough to boot.
-                    self.next_plan_at = now;
-                    self.cluster.apply_live_record(id, record, change.version);
-                }
-                Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
-            }
-            self.cluster.pass_needed = true;
+            outbox.command_worker(address, Response::json(200, &commands).body);
         }
-        self.watched_version = self.watched_version.max(followed.version);
-        self.cluster.prune_tombstones(self.watched_version);
-        self.lease.cancellations_known(sent);
     }
 
-    pub(super) fn handle_write_answer(
-        &mut self,
-        port: &Outbox,
-        batch: WriteBatch,
-        answer: CallResult,
-    ) {
-        let now = port.clock.now;
-        self.write_in_flight = false;
-        match answer {
-            Ok(Answer { status: 200, body }) => match serde_json::from_slice::<Committed>(&body) {
-                Ok(done) => {
-                    self.cluster.pass_needed = true;
-                    self.cluster.transaction_committed(batch, done.version);
-                }
-                Err(_) => self.write_failed(port, batch),
-            },
-            Ok(Answer { status: 409, body }) => {
-                let conflict = serde_json::from_slice::<Conflict>(&body);
-                if conflict.is_ok_and(|c| c.failed_keys.contains(&self.cluster.assignment_keys.0)) {
-                    self.end_reason = Some("its key is gone");
-                    return;
-                }
-                self.write_failed(port, batch);
-            }
-            Ok(Answer {
-                status: 429 | 503, ..
-            }) => {
-                self.cluster.transaction_failed(&batch, false, now);
-                self.write_at = now + 300_000;
-            }
-            Ok(Answer { status, body }) => {
-                let reason = String::from_utf8_lossy(&body).into_owned();
-                tracing::error!(status, reason, "the state service refuses a transaction");
-                // Smaller ones are tried, and more and more rarely: it may allow less than we know.
-                self.cluster.transaction_rejections += 1;
-                self.write_at = now + (SECOND << self.cluster.transaction_rejections.min(6)) / 2;
-                self.write_failed(port, batch);
-            }
-            Err(_) => self.write_failed(port, batch),
-        }
-    }
-
-    pub(super) fn write_failed(&mut self, port: &Outbox, batch: WriteBatch) {
-        let now = port.clock.now;
-        self.cluster.transaction_failed(&batch, true, now);
-        self.keys_to_reread.extend(batch.keys().iter().cloned());
-        self.reread_at = now;
-    }
+    // ---- The fleet ----
 
-    pub(super) fn handle_reread_answer(
-        &mut self,
-        port: &mut Outbox,
-        key: String,
-        answer: CallResult,
-    ) {
-        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
-        self.cluster.pass_needed = true;
-        let item = match &answer {
-            Ok(Answer { status: 200, body }) => serde_json::from_slice::<StoredValue>(body).ok(),
-            _ => None,
-        };
-        if let Some(chunk) = self.cluster.shard.parse_chunk_key(&key) {
-            match (item, answer) {
-                (Some(item), _) => self.cluster.shard.mark_write_unknown(chunk, item.version),
-                (None, Ok(Answer { status: 404, .. })) => {
-                    self.cluster.shard.mark_write_unknown(chunk, 0)
-                }
-                _ => {
-                    self.keys_to_reread.insert(key);
-                }
-            }
+    /// Makes the calls to the cloud that the plan of the fleet asks for.
+    fn plan_fleet(&mut self, outbox: &mut Outbox) {
+        let now = outbox.clock.now;
+        if now < self.next_plan_at.max(self.cluster.next_plan_at) {
             return;
         }
-        if key.starts_with(store::LEDGER_PAGE_PREFIX) {
-            match (item, answer) {
-                (Some(item), _) => self.cluster.ledger_page_reread(Some(&item)),
-                (None, Ok(Answer { status: 404, .. })) => self.cluster.ledger_page_reread(None),
-                _ => {
-                    self.keys_to_reread.insert(key);
-                }
-            }
-            return;
+        self.next_plan_at = now + MIN_PLAN_INTERVAL;
+        for call in self.cluster.plan_cloud_calls(now) {
+            let request = call.to_request(&self.cluster.machine_types);
+            outbox.call_cloud(Some(self.lease.term), call, request);
         }
-        let id = key.trim_start_matches(store::LIVE_JOB_PREFIX).to_string();
-        match (item, answer) {
-            (Some(item), _) => {
-                if let Some(record) = item.as_live_record() {
-                    self.cluster.apply_live_record(&id, record, item.version);
-                }
-            }
-            (None, Ok(Answer { status: 404, .. })) => {
-                self.rereads_in_flight += 1;
-                let key = format!("{}{id}", store::FINISHED_JOB_PREFIX);
-                let purpose = PendingRequest::ReadFinishedJob {
-                    term: self.lease.term,
-                    key: key.clone(),
-                };
-                port.send_to_store(Urgency::Transaction, StoreRequest::get(&key), purpose);
-            }
-            _ => {
-                self.keys_to_reread.insert(key);
-            }
+    }
+
+    /// Takes in an answer of the cloud.
+    pub fn handle_cloud_answer(&mut self, outbox: &Outbox, call: CloudCall, answer: &CallResult) {
+        let now = outbox.clock.now;
+        if matches!(call, CloudCall::Provision { .. }) {
+            // A refusal leads to the next best offer without delay.
+            self.next_plan_at = now;
         }
+        self.cluster.apply_cloud_answer(call, answer, now);
+        self.cluster.pass_needed = true;
     }
 
-    pub(super) fn tick(&mut self, port: &mut Outbox) {
-        let now = port.clock.now;
-        self.update_start_hold(port);
-        let wall = port.clock.unix_time;
-        let siblings = port.settings.siblings.len();
-        if siblings > 0
-            && self
-                .last_heard_at
-                .is_some_and(|t| now > t + ISOLATION_TIMEOUT)
-        {
-            self.is_isolated = true;
-            self.end_reason = Some("it hears neither workers nor siblings");
+    // ---- Time ----
+
+    /// Does what is due.
+    pub fn tick(&mut self, outbox: &mut Outbox) {
+        let now = outbox.clock.now;
+        self.update_start_hold(outbox);
+        if self.is_isolated(outbox) {
+            self.end_reason = Some(EndReason::Isolated);
             return;
         }
-        self.lease.maintain(
-            port,
-            if self.is_loaded() {
-                self.watched_version
-            } else {
-                0
-            },
-        );
+        let known_version = match self.load_stage {
+            LoadStage::Loaded => self.watched_version,
+            _ => 0,
+        };
+        self.lease.maintain(outbox, known_version);
         if !self.is_loaded() {
-            if self.reload_at.is_some_and(|t| t <= now) {
-                self.reload_at = None;
-                self.load_next(port, "");
-            }
+            self.retry_load(outbox);
             return;
         }
-        self.cluster.tick(now, wall);
-        self.read_transfers(port);
-        self.quota_partitioner.tick(port, &self.lease);
-        let due = self.cluster.pass_needed || now >= self.cluster.last_pass_at + SECOND;
-        // Passes and plans are spaced by what they cost: reports, renewals and users come first.
-        if now >= self.next_pass_at.max(self.cluster.next_pass_at) && due {
-            self.next_pass_at = now + 100_000;
+        self.cluster.tick(now, outbox.clock.unix_time);
+        self.read_transfers(outbox);
+        self.quota_partitioner.tick(outbox, &self.lease);
+        self.schedule(now);
+        self.plan_fleet(outbox);
+        self.send_watch(outbox);
+        self.catch_up(outbox);
+        self.write_batch(outbox);
+        self.reread_keys(outbox);
+        self.read_job_owners(outbox);
+    }
+
+    fn is_isolated(&self, outbox: &Outbox) -> bool {
+        let has_peers = !outbox.settings.siblings.is_empty();
+        let is_silent = |heard_at: Micros| outbox.clock.now > heard_at + ISOLATION_TIMEOUT;
+        has_peers && self.last_heard_at.is_some_and(is_silent)
+    }
+
+    /// Makes a scheduling pass if one is due. Passes are spaced by what they cost: heartbeats, renewals and users come
+    /// first.
+    fn schedule(&mut self, now: Micros) {
+        let is_due =
+            self.cluster.pass_needed || now >= self.cluster.last_pass_at + MAX_PASS_INTERVAL;
+        if is_due && now >= self.next_pass_at.max(self.cluster.next_pass_at) {
+            self.next_pass_at = now + MIN_PASS_INTERVAL;
             self.cluster.run_scheduling_pass(now);
         }
-        self.plan_fleet(port);
-        self.watch(port);
-        self.catch_up(port);
-        self.write_batch(port);
-        self.reread_keys(port);
-        self.read_job_owners(port);
     }
 }
--- /dev/null
+++ b/crates/gannethub-core/src/controller/shard_owner/writes.rs
@@ -0,0 +1,206 @@
+//! Writing what has changed in memory, one transaction at a time, and reading back every key whose stored value is in
+//! doubt after a transaction that failed or had no answer.
+
+use super::ShardOwner;
+use crate::controller::end_reason::EndReason;
+use crate::controller::key_read::KeyRead;
+use crate::controller::outbox::Outbox;
+use crate::controller::pending_request::OwnerRequest;
+use crate::http::{Answer, CallResult};
+use crate::model::{JobId, Micros, SECOND};
+use crate::state::writes::WriteBatch;
+use crate::wire::budget::Urgency;
+use crate::wire::store::{self, Committed, Conflict, FinishedJobRecord, StoreRequest};
+
+/// Transactions are sent at most this often, so that changes that come together are written together.
+const MIN_WRITE_INTERVAL: Micros = 100_000;
+/// A transaction that was refused is tried again after this time.
+const WRITE_RETRY_INTERVAL: Micros = 300_000;
+/// Keys in doubt are read at most this often.
+const MIN_REREAD_INTERVAL: Micros = 300_000;
+/// The pause after a rejected transaction doubles with each one in a row, up to this many.
+const MAX_REJECTION_DOUBLINGS: u32 = 6;
+
+impl ShardOwner {
+    /// Sends the next transaction, unless one is under way.
+    pub(super) fn write_batch(&mut self, outbox: &mut Outbox) {
+        let now = outbox.clock.now;
+        if self.write_in_flight || now < self.write_at {
+            return;
+        }
+        let next = self.cluster.next_transaction(now, self.lease.key_version);
+        if let Some((transaction, batch)) = next {
+            self.write_in_flight = true;
+            self.write_at = now + MIN_WRITE_INTERVAL;
+            let request = transaction.to_request();
+            let pending = OwnerRequest::Write { batch };
+            self.send_to_store(outbox, Urgency::Transaction, request, pending);
+        }
+    }
+
+    pub(super) fn handle_write_answer(
+        &mut self,
+        outbox: &Outbox,
+        batch: WriteBatch,
+        answer: CallResult,
+    ) {
+        let now = outbox.clock.now;
+        self.write_in_flight = false;
+        match answer {
+            Ok(answer) if answer.is_ok() => match answer.decode::<Committed>() {
+                Some(committed) => {
+                    self.cluster.pass_needed = true;
+                    self.cluster.transaction_committed(batch, committed.version);
+                }
+                None => self.write_failed(now, batch),
+            },
+            Ok(answer) if answer.status == 409 => self.handle_write_conflict(now, batch, &answer),
+            Ok(Answer {
+                status: 429 | 503, ..
+            }) => {
+                self.cluster.transaction_failed(&batch, false, now);
+                self.write_at = now + WRITE_RETRY_INTERVAL;
+            }
+            Ok(answer) => self.handle_write_rejection(now, batch, &answer),
+            Err(_) => self.write_failed(now, batch),
+        }
+    }
+
+    fn handle_write_conflict(&mut self, now: Micros, batch: WriteBatch, answer: &Answer) {
+        let owner_key = &self.cluster.assignment_keys.0;
+        let conflict = answer.decode::<Conflict>();
+        if conflict.is_some_and(|conflict| conflict.failed_keys.contains(owner_key)) {
+            self.end_reason = Some(EndReason::KeyLost);
+            return;
+        }
+        self.write_failed(now, batch);
+    }
+
+    /// The state service does not take the transaction as it is. Smaller ones are tried, and more and more rarely: it may
+    /// allow less than is known here.
+    fn handle_write_rejection(&mut self, now: Micros, batch: WriteBatch, answer: &Answer) {
+        let (status, reason) = (answer.status, String::from_utf8_lossy(&answer.body));
+        let reason = reason.into_owned();
+        tracing::error!(status, reason, "the state service refuses a transaction");
+        self.cluster.transaction_rejections += 1;
+        let doublings = self
+            .cluster
+            .transaction_rejections
+            .min(MAX_REJECTION_DOUBLINGS);
+        self.write_at = now + (SECOND << doublings) / 2;
+        self.write_failed(now, batch);
+    }
+
+    /// Whether the transaction was carried out is not known: all of its keys are read back.
+    fn write_failed(&mut self, now: Micros, batch: WriteBatch) {
+        self.cluster.transaction_failed(&batch, true, now);
+        self.keys_to_reread.extend(batch.keys().iter().cloned());
+        self.reread_at = now;
+    }
+
+    // ---- Keys in doubt ----
+
+    /// Reads all keys that are in doubt, once those read before have been answered.
+    pub(super) fn reread_keys(&mut self, outbox: &mut Outbox) {
+        let now = outbox.clock.now;
+        self.check_expected_changes(now);
+        if self.rereads_in_flight > 0 || now < self.reread_at || self.keys_to_reread.is_empty() {
+            return;
+        }
+        self.reread_at = now + MIN_REREAD_INTERVAL;
+        let keys = std::mem::take(&mut self.keys_to_reread);
+        self.rereads_in_flight = keys.len();
+        for key in keys {
+            let request = StoreRequest::get(&key);
+            let pending = OwnerRequest::Reread { key };
+            self.send_to_store(outbox, Urgency::Transaction, request, pending);
+        }
+    }
+
+    pub(super) fn handle_reread_answer(
+        &mut self,
+        outbox: &mut Outbox,
+        key: String,
+        answer: &CallResult,
+    ) {
+        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
+        self.cluster.pass_needed = true;
+        let read = KeyRead::from(answer);
+        if matches!(read, KeyRead::Failed | KeyRead::Unreadable) {
+            self.keys_to_reread.insert(key);
+        } else if let Some(chunk) = self.cluster.shard.parse_chunk_key(&key) {
+            let version = match &read {
+                KeyRead::Found(item) => item.version,
+                _ => 0,
+            };
+            self.cluster.shard.mark_write_unknown(chunk, version);
+        } else if key.starts_with(store::LEDGER_PAGE_PREFIX) {
+            let page = match &read {
+                KeyRead::Found(item) => Some(item),
+                _ => None,
+            };
+            self.cluster.ledger_page_reread(page);
+        } else {
+            let id = JobId::from(key.trim_start_matches(store::LIVE_JOB_PREFIX));
+            self.handle_job_reread(outbox, id, &read);
+        }
+    }
+
+    /// A job whose record was in doubt has been read. One that is not among the live ones is over; how it ended is read
+    /// next.
+    fn handle_job_reread(&mut self, outbox: &mut Outbox, id: JobId, read: &KeyRead) {
+        if let KeyRead::Found(item) = read {
+            if let Some(record) = item.as_live_record() {
+                self.cluster.apply_live_record(&id, record, item.version);
+            }
+            return;
+        }
+        self.rereads_in_flight += 1;
+        let request = StoreRequest::get(&format!("{}{id}", store::FINISHED_JOB_PREFIX));
+        let pending = OwnerRequest::ReadFinishedJob { job: id };
+        self.send_to_store(outbox, Urgency::Transaction, request, pending);
+    }
+
+    pub(super) fn handle_finished_job_answer(&mut self, id: &JobId, answer: &CallResult) {
+        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
+        let (version, end) = match KeyRead::from(answer) {
+            KeyRead::Found(item) => (item.version, item.decode::<FinishedJobRecord>()),
+            KeyRead::Unreadable => (u64::MAX, None),
+            KeyRead::Absent { .. } => return,
+            KeyRead::Failed => {
+                let key = format!("{}{id}", store::LIVE_JOB_PREFIX);
+                self.keys_to_reread.insert(key);
+                return;
+            }
+        };
+        self.cluster
+            .apply_job_end(id, version, end.map(|end| end.cancelled));
+    }
+
+    // ---- Owners of finished jobs ----
+
+    /// Reads whose jobs were that were finished before the end of one of their attempts was found. The ledger charges the
+    /// attempt to them.
+    pub(super) fn read_job_owners(&mut self, outbox: &mut Outbox) {
+        for job in self.cluster.owners_to_read(outbox.clock.now) {
+            let request = StoreRequest::get(&format!("{}{job}", store::FINISHED_JOB_PREFIX));
+            let pending = OwnerRequest::ReadJobOwner { job };
+            self.send_to_store(outbox, Urgency::Background, request, pending);
+        }
+    }
+
+    pub(super) fn handle_job_owner_answer(
+        &mut self,
+        outbox: &Outbox,
+        job: &JobId,
+        answer: &CallResult,
+    ) {
+        let owner = match KeyRead::from(answer) {
+            KeyRead::Found(item) => item.decode::<FinishedJobRecord>().and_then(|end| end.owner),
+            KeyRead::Unreadable | KeyRead::Absent { .. } => None,
+            // It is read again.
+            KeyRead::Failed => return,
+        };
+        self.cluster.usage_owner_read(job, owner, outbox.clock.now);
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/src/controller/ticking.rs
@@ -0,0 +1,164 @@
+//! What a controller does as time passes, and what its parts tell each other then.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::Controller;
+use super::end_reason::EndReason;
+use super::job_api::JobChange;
+use crate::model::{Micros, SECOND};
+use crate::state::fleet::CloudCall;
+use crate::wire::cloud::CloudRequest;
+use crate::wire::peer::{Body, JobChanged};
+
+/// The cloud is asked this often for its machine types until it has told them.
+const MACHINE_TYPES_RETRY_INTERVAL: Micros = 2 * SECOND;
+
+impl Controller {
+    /// Does what is due.
+    pub(super) fn tick(&mut self) {
+        self.refuse_overdue_requests();
+        self.outbox.recover_rate();
+        self.job_api.refresh(&mut self.outbox);
+        self.send_configuration_read();
+        self.read_dependency_outcomes();
+        if self
+            .membership
+            .send_heartbeats(&mut self.outbox, &self.shard_owners)
+        {
+            self.send_usage_records();
+            self.share_shard_loads();
+        }
+        self.request_machine_types();
+        if !self.shard_owners.contains_key(&0) {
+            self.membership.tick(&mut self.outbox);
+        }
+        for owner in self.shard_owners.values_mut() {
+            owner.tick(&mut self.outbox);
+        }
+        self.shard_assignments
+            .tick(&mut self.outbox, &self.membership, &self.shard_owners);
+        let transferred = self.shard_assignments.shard_to_transfer(
+            &self.outbox,
+            &self.membership,
+            &self.shard_owners,
+        );
+        if let Some(shard) = transferred {
+            self.step_down(shard, EndReason::Transferred);
+        }
+    }
+
+    fn refuse_overdue_requests(&mut self) {
+        let now = self.outbox.clock.now;
+        let deadlines = self.outbox.reply_deadlines.iter();
+        let overdue = deadlines.filter(|(_, deadline)| **deadline <= now);
+        let overdue: BTreeSet<u64> = overdue.map(|(connection, _)| *connection).collect();
+        for connection in overdue {
+            self.job_api.abandon(connection);
+            self.outbox.reply_unavailable(connection);
+        }
+        self.heartbeats.forget_overdue(now);
+    }
+
+    fn request_machine_types(&mut self) {
+        let now = self.outbox.clock.now;
+        if self.outbox.machine_types.is_empty() && now >= self.machine_types_request_at {
+            self.machine_types_request_at = now + MACHINE_TYPES_RETRY_INTERVAL;
+            let request = CloudRequest::machine_types();
+            self.outbox
+                .call_cloud(None, CloudCall::MachineTypes, request);
+        }
+    }
+
+    /// Reads how jobs ended that others wait for.
+    pub(super) fn read_dependency_outcomes(&mut self) {
+        let leader = self.shard_owners.get(&0).map(|leader| &**leader);
+        self.job_api
+            .read_dependency_outcomes(&mut self.outbox, leader);
+    }
+
+    /// Tells workers of cancelled tasks at once.
+    pub(super) fn send_kill_orders(&mut self) {
+        let owners = self.shard_owners.values_mut();
+        for owner in owners.filter(|owner| owner.is_loaded()) {
+            owner.send_kill_orders(&mut self.outbox);
+        }
+    }
+
+    /// Tells the peers of usage that the leader has not charged yet.
+    pub(super) fn send_usage_records(&mut self) {
+        let now = self.outbox.clock.now;
+        let Some(leader) = self.shard_owners.get_mut(&0) else {
+            return;
+        };
+        for (peer, records) in leader.cluster.usage_messages(now) {
+            self.outbox.send_to_peer(peer, Body::UsageRecords(records));
+        }
+    }
+
+    // ---- Changes of jobs ----
+
+    /// Tells the shards' owners what users have changed here.
+    pub(super) fn announce_job_changes(&mut self) {
+        for change in std::mem::take(&mut self.job_api.job_changes) {
+            self.announce_job_change(&change);
+        }
+        // Users are told by the replica, which may be ahead of an owner's watch: what they are told is cancelled is not
+        // launched here from then on.
+        for job in self.job_api.job_replica.take_new_cancellations() {
+            for owner in self.shard_owners.values_mut() {
+                owner.cluster.apply_remote_cancellation(&job);
+            }
+        }
+    }
+
+    /// Tells the leader of a change, and where there are several shards all peers, in case the owner's watch does not: that
+    /// may hang in a network partition.
+    fn announce_job_change(&mut self, change: &JobChange) {
+        for owner in self.shard_owners.values_mut() {
+            owner.expect_change(&self.outbox, &change.job, change.version);
+        }
+        let message = Body::JobChanged(JobChanged {
+            job: change.job.to_string(),
+            version: change.version,
+        });
+        if self.outbox.is_sharded {
+            self.outbox.send_to_all_peers(&message);
+        } else if self.shard_owners.is_empty()
+            && let Some(leader) = self.membership.leading_peer(&self.outbox)
+        {
+            self.outbox.send_to_peer(leader, message);
+        }
+    }
+
+    // ---- Loads of shards ----
+
+    /// Gives the loads of all shards to those who go by them: the job API for the shards of new jobs, owners for jobs that
+    /// find no room, and the leader for machines that other shards ask for.
+    fn share_shard_loads(&mut self) {
+        if !self.outbox.is_sharded {
+            return;
+        }
+        let now = self.outbox.clock.now;
+        let mut loads = self.membership.shard_loads(&self.outbox);
+        self.outbox.shard_loads.clone_from(&loads);
+        let mut refused = Vec::new();
+        if let Some(leader) = self.shard_owners.get_mut(&0) {
+            let others = loads.iter().filter(|load| load.shard > 0);
+            let with_demand = others.filter(|load| !load.machine_demand.is_empty());
+            let demand =
+                with_demand.map(|load| (load.shard, load.machine_demand.iter().cloned().collect()));
+            leader.cluster.other_shards_demand = demand.collect::<BTreeMap<_, _>>();
+            refused = leader.cluster.refused_offers();
+        }
+        // A shard that is one too many gets no more work, and passes on what it has.
+        let shard_count = self.outbox.shard_count();
+        loads.retain(|load| load.shard < shard_count);
+        for (shard, owner) in &mut self.shard_owners {
+            if *shard > 0 {
+                owner.cluster.apply_refused_offers(refused.clone(), now);
+            }
+            owner.cluster.shard_loads.clone_from(&loads);
+            owner.cluster.transfer_waiting_jobs(*shard >= shard_count);
+        }
+    }
+}
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -50,6 +50,16 @@
 }
 
 impl Response {
+    /// A response with this body.
+    pub fn new(status: u16, body: Bytes) -> Response {
+        Response {
+            status,
+            body,
+            retry_after: None,
+        }
+    }
+
+    /// A response with a body of JSON.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
         let body = serde_json::to_vec(body).unwrap_or_default();
         Response {
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -472,7 +472,7 @@
 fn where_nothing_was_ever_stored_nothing_more_is_asked() {
     let w = red_runs(55, 4);
     assert!(w.state.keys("gh/config/").is_empty() && w.state.value(CURRENT_VERSION_KEY).is_none());
-    assert!(w.versions().iter().all(|v| v.0 == 0));
+    assert!(w.versions().iter().all(|v| v.version == 0));
     w.finish();
 }
 
@@ -518,7 +518,7 @@
         let version = w.configure(red(4.0), 0);
         w.pause(1_200_000);
         assert!(
-            w.versions().iter().any(|v| v.0 == version),
+            w.versions().iter().any(|v| v.version == version),
             "nobody has heard of it"
         );
         w.state.down = true;
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 
 use gannethub_core::configuration::{Document, TeamEntry};
+use gannethub_core::controller::ConfigurationState;
 use gannethub_core::wire::configuration::{
     CURRENT_VERSION_KEY, HISTORY_KEY, HistoryRecord, VersionRecord, split_document,
 };
@@ -145,7 +146,7 @@
     }
 
     /// The version in force at each controller that is there, and whether it may be acted on.
-    pub fn versions(&self) -> Vec<(u64, bool)> {
+    pub fn versions(&self) -> Vec<ConfigurationState> {
         self.nodes
             .iter()
             .filter_map(|n| Some(n.controller.as_ref()?.configuration()))
@@ -154,13 +155,15 @@
 
     /// This version is in force at all controllers that are there.
     pub fn in_force(&self, version: u64) -> bool {
-        self.versions().into_iter().all(|v| v == (version, true))
+        self.versions()
+            .into_iter()
+            .all(|state| state.version == version && state.is_fresh)
     }
 
     /// No controller that is there would act by another version than this.
     pub fn none_older(&self, version: u64) -> bool {
         self.versions()
             .into_iter()
-            .all(|(v, fresh)| v == version || !fresh)
+            .all(|state| state.version == version || !state.is_fresh)
     }
 }
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -17,7 +17,7 @@
 mod upgrade;
 mod usage_ledger;
 
-use gannethub_core::controller::election::VOTE_DURATION;
+use gannethub_core::controller::VOTE_DURATION;
 use harness::{LEASE, SECOND, World, job};
 use rand::Rng;
 use serde_json::json;
