--- a/crates/gannethub-core/src/controller/acceptance.rs
+++ b/crates/gannethub-core/src/controller/acceptance.rs
@@ -11,7 +11,7 @@
 use super::pending_request::{JobApiRequest, PendingAccept};
 use super::submissions::check_submission;
 use crate::http::{CallResult, Response};
-use crate::state::pipeline::DependencyOutcome;
+use crate::state::dependencies::DependencyOutcome;
 use crate::wire::api::{self, JobStatus, JobView, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT_VERSION_KEY;
--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -5,12 +5,9 @@
 use super::Controller;
 use super::config_watch::{ConfigurationRead, NewSettings};
 use crate::http::{CallResult, Response};
-use crate::model::Micros;
+use crate::model::MILLISECOND;
 use crate::wire::budget::Urgency;
 
-/// Ages are shown in milliseconds.
-const MICROS_PER_MS: Micros = 1000;
-
 /// The answer to `GET /api/config`.
 #[derive(Serialize)]
 struct ConfigurationStatus<'a> {
@@ -97,7 +94,7 @@
             newest: configuration.newest_version(),
             refused: configuration.rejection(),
             fresh: configuration.is_fresh(now),
-            known_ms_ago: configuration.age(now).map(|age| age / MICROS_PER_MS),
+            known_ms_ago: configuration.age(now).map(|age| age / MILLISECOND),
             nodes: std::iter::once(own).chain(peers).collect(),
         };
         let response = Response::json(200, &status);
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_broken_version_leaves_the_last_good_one_and_a_new_process_looks_for_it() {
+fn a_broken_version_leaves_the_last_good_one_in_force() {
     let (mut config, base) = watch();
     config.confirm_newest(100);
     config.apply_listing(&stored(4, 50), true);
@@ -153,6 +153,10 @@
         "{:?}",
         config.rejection()
     );
+}
+
+#[test]
+fn a_new_process_looks_for_the_last_good_version() {
     let (mut config, base) = watch();
     config.confirm_newest(100);
     config.apply_listing(&stored(5, 60), true);
--- a/crates/gannethub-core/src/controller/election.rs
+++ b/crates/gannethub-core/src/controller/election.rs
@@ -191,9 +191,9 @@
         }
     }
 
-    /// A lease in the state service that is to be revoked once more, since nothing is known of that yet. Asked for but
-    /// once, a refusal left the controller without a vote or a takeover for ever, and where that met all of them nobody led
-    /// again.
+    /// A lease in the state service that is to be revoked once more, since it is not known to be gone yet. A single attempt
+    /// is not enough: after a refusal the controller could neither vote nor take over for ever, and where that met all
+    /// controllers nobody led again.
     pub fn store_lease_to_revoke(&mut self, now: Micros) -> Option<u64> {
         let store_lease = self
             .unresolved_store_lease
--- a/crates/gannethub-core/src/controller/end_reason.rs
+++ b/crates/gannethub-core/src/controller/end_reason.rs
@@ -1,4 +1,4 @@
-//! Why a controller stops to own a shard.
+//! Why a controller steps down from a shard.
 
 /// The reason for which a shard's owner steps down. Its text stands in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 
 use super::Controller;
-use super::deferred_heartbeats::{DeferredHeartbeat, HeartbeatSender, RelayedHeartbeat};
+use super::pending_heartbeats::{DeferredHeartbeat, HeartbeatSender, RelayedHeartbeat};
 use super::shard_owner::HeartbeatAnswer;
 use crate::http::Response;
 use crate::model::Micros;
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Nobody who could answer a worker is known. A peer that still hears the leader is told by name, which spares the
-    /// worker the wait before it would try that one itself, and another that may be dead.
+    /// No controller that could answer the worker is known. A peer that still hears the leader is named in the response,
+    /// which spares the worker the wait before it would try that one itself, and another that may be dead.
     fn redirect_worker(&mut self, connection: u64) {
         let outbox = &mut self.outbox;
         let helper = self.membership.peer_accepting_heartbeats(outbox);
--- a/crates/gannethub-core/src/controller/load_stage.rs
+++ b/crates/gannethub-core/src/controller/load_stage.rs
@@ -4,9 +4,10 @@
 
 /// One kind of records to be read. The stages follow each other in the order of the variants, and each may take several
 /// pages.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LoadStage {
     /// Live jobs.
+    #[default]
     Jobs,
     /// Finished tasks that the jobs' own records have no room for.
     DoneParts,
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -1,4 +1,4 @@
-//! This controller among its peers: whom it hears, who leads, and its own chances of leading.
+//! This controller and its peers: which of them are reachable, who leads, and whether this controller may take over.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
 use super::pending_request::{AcquiredLease, MembershipRequest, Takeover};
 use super::shard_owner::{ShardOwner, ShardOwners};
 use crate::http::{CallResult, decode_ok};
-use crate::model::{JobId, Micros, SECOND};
+use crate::model::{JobId, MILLISECOND, Micros, SECOND};
 use crate::state::job_replica::JobReplica;
 use crate::state::shard_load::ShardLoad;
 use crate::wire::budget::Urgency;
@@ -20,17 +20,14 @@
     TERM_COUNTER_KEY, TERM_KEY, Transaction,
 };
 
-/// Peers are told how this controller is doing this often.
+/// Heartbeats are sent to the peers this often.
 const HEARTBEAT_INTERVAL: Micros = 500_000;
 /// A peer that was not heard for this long does not count as reachable.
 const PEER_TIMEOUT: Micros = 1_800_000;
-/// A leader that stepped down since it heard nobody leaves the lead to others for this long.
+/// A leader that stepped down because it heard nobody does not campaign for this long.
 const ABSTAIN_AFTER_ISOLATION: Micros = 12 * SECOND;
 /// Cancellations that one vote tells of: so many fit into a message. With more, it does not claim to tell all.
 const MAX_CANCELLATIONS_PER_VOTE: usize = 10_000;
-/// Refusals of the cloud are told in milliseconds.
-const MICROS_PER_MS: Micros = 1000;
-
 /// A peer, as its last messages tell.
 #[derive(Debug, Default, Clone)]
 pub(super) struct PeerStatus {
@@ -52,7 +49,7 @@
 
 /// See the [module](self).
 pub(super) struct Membership {
-    /// This controller's chances of leading.
+    /// Whether this controller may take over as leader.
     pub election: Election,
     /// Tells this process from an earlier one of the same name.
     pub incarnation: u64,
@@ -143,7 +140,7 @@
 
     // ---- Heartbeats between peers ----
 
-    /// When it has something to send next.
+    /// When it next has a heartbeat or a probe to send.
     pub fn next_due_at(&self) -> Micros {
         if self.probe_in_flight {
             self.heartbeat_at
@@ -152,12 +149,12 @@
         }
     }
 
-    /// Has all peers told without delay.
+    /// Makes the next tick send heartbeats without delay.
     pub fn send_heartbeats_soon(&mut self, now: Micros) {
         self.heartbeat_at = now;
     }
 
-    /// Tells all peers how this controller is doing, every so often. True: it was time to.
+    /// Sends heartbeats to all peers if they are due, and says whether they were.
     pub fn send_heartbeats(&mut self, outbox: &mut Outbox, owners: &ShardOwners) -> bool {
         let now = outbox.clock.now;
         if now < self.heartbeat_at {
@@ -225,7 +222,7 @@
 
     // ---- Leading ----
 
-    /// Looks who leads, and tries to, if nobody does. Only while this controller does not lead.
+    /// Probes who leads, and campaigns if nobody does. Called only while this controller does not lead.
     pub fn tick(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if let Some(term) = self.election.watermark_query_due(now) {
@@ -407,7 +404,7 @@
     ) {
         let owner = owner.filter(|owner| owner.lease.term == query.term);
         let watermarks_hold = match owner {
-            Some(owner) => !owner.cluster.launches_without_watermark,
+            Some(owner) => !owner.cluster.watermarks.not_required,
             None => election.knows_watermarks_hold(query.term),
         };
         if watermarks_hold {
@@ -420,7 +417,7 @@
 fn encode_refused_offers(outbox: &Outbox, leader: &ShardOwner) -> Vec<OfferAmount> {
     let refused = leader.cluster.refused_offers().into_iter();
     let told = refused
-        .map(|(offer, left)| encode_offer(&outbox.machine_types, &offer, left / MICROS_PER_MS));
+        .map(|(offer, left)| encode_offer(&outbox.machine_types, &offer, left / MILLISECOND));
     told.collect()
 }
 
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -88,7 +88,7 @@
     pub shard_loads: Vec<ShardLoad>,
     /// Which version of the configuration is in force.
     pub configuration: ConfigWatch,
-    /// There are several shards, or have been, or are to be. Where not, nothing is asked or told of them.
+    /// There are several shards, or there have been, or there are to be. Otherwise no request or message concerns shards.
     pub is_sharded: bool,
 }
 
--- a/crates/gannethub-core/src/controller/ownership.rs
+++ b/crates/gannethub-core/src/controller/ownership.rs
@@ -133,6 +133,6 @@
     if lease.shard > 0 {
         cluster.assign_shard(lease.shard);
     }
-    cluster.set_watermarks_reliable(watermarks_reliable);
+    cluster.watermarks.set_reliable(watermarks_reliable);
     ShardOwner::new(lease, cluster)
 }
--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -4,7 +4,7 @@
 use super::election::Election;
 use super::load_messages::decode_offer;
 use super::membership::Membership;
-use crate::model::{Micros, SECOND, is_valid_job_id};
+use crate::model::{MILLISECOND, Micros, SECOND, is_valid_job_id};
 use crate::state::fleet::Offer;
 use crate::wire::peer::{
     Body, Envelope, Heartbeat, JobChanged, OfferAmount, UsageRecords, UsageRecordsRequest, Vote,
@@ -14,16 +14,13 @@
 
 /// A message that took no longer than this counts as sent just now, beside what the clocks may be apart.
 const MESSAGE_DELAY_TOLERANCE: Micros = SECOND;
-/// Refusals of the cloud are told in milliseconds.
-const MICROS_PER_MS: Micros = 1000;
-
 impl Controller {
     /// Takes in a message. One of an unknown sender is dropped.
     pub(super) fn handle_peer_message(&mut self, message: Envelope) {
         let now = self.outbox.clock.now;
         let mut peers = self.outbox.settings.siblings.iter();
         let Some(peer) = peers.position(|peer| peer.name == message.from) else {
-            tracing::info!(from = %message.from, "a message from a stranger is dropped");
+            tracing::info!(from = %message.from, "a message of an unknown sender is dropped");
             return;
         };
         self.membership.peers[peer].last_heard_at = Some(now);
@@ -54,7 +51,7 @@
             let machine_types = &self.outbox.machine_types;
             let decode = |told: &OfferAmount| {
                 let offer = decode_offer(machine_types, told)?;
-                Some((offer, told.amount * MICROS_PER_MS))
+                Some((offer, told.amount * MILLISECOND))
             };
             let refused = heartbeat.refused_offers.iter().filter_map(decode);
             let refused: Vec<(Offer, Micros)> = refused.collect();
@@ -133,7 +130,7 @@
         let validity = &mut owner.lease.validity;
         validity.record_vote(vote.round, peer, now);
         if validity.was_extended_by_votes() {
-            owner.cluster.launches_without_watermark = true;
+            owner.cluster.watermarks.not_required = true;
             if let Some(election) = self.election_mut(vote.shard) {
                 election.launched_without_watermarks(vote.term);
             }
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -126,7 +126,7 @@
     /// Has the cluster keep to what its shard may use.
     pub fn apply_limits(&mut self, cluster: &mut Cluster) {
         if !self.unresolved.is_empty() {
-            self.resolve_records(&cluster.cluster_teams);
+            self.resolve_records(&cluster.quota.cluster_teams);
         }
         let Some(limits) = self.limits(cluster) else {
             return;
@@ -194,7 +194,7 @@
         };
         self.had_damaged_records = std::mem::replace(&mut self.has_damaged_records, false);
         listing.items.iter().for_each(|item| self.add_record(item));
-        self.resolve_records(&cluster.cluster_teams);
+        self.resolve_records(&cluster.quota.cluster_teams);
         self.apply_limits(cluster);
         let load = cluster.shard_load();
         let changed = match lease.shard {
@@ -257,7 +257,10 @@
             quotas.pop_last();
         }
         let mut transaction = Transaction::default();
-        transaction.guard(&cluster.assignment_keys.0, lease.key_version);
+        transaction.guard(
+            &cluster.store_writes.assignment_keys.owner,
+            lease.key_version,
+        );
         // What is given out depends on all that has been; what is given back on this one alone.
         let guarded: BTreeSet<u32> = match lease.shard {
             0 => self
@@ -274,7 +277,11 @@
             transaction.guard(&partition_key(shard), version);
         }
         for (shard, limits) in &quotas {
-            let names = cluster.cluster_teams.iter().map(|team| team.name.clone());
+            let names = cluster
+                .quota
+                .cluster_teams
+                .iter()
+                .map(|team| team.name.clone());
             let teams = names.zip(limits.iter().copied()).collect();
             let record = QuotaPartitionRecord { teams };
             transaction.put(&partition_key(*shard), store::to_raw_value(&record), None);
@@ -310,6 +317,7 @@
 /// What each team may use in the whole cluster.
 fn team_limits(cluster: &Cluster) -> Vec<Resources> {
     cluster
+        .quota
         .cluster_teams
         .iter()
         .map(|team| team.limit)
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -1,5 +1,5 @@
-//! Who owns the shards other than 0: this controller looks for shards that nobody owns, takes them over in turn with its
-//! peers, and hands shards on to a peer that owns none.
+//! Ownership of the shards other than 0: this controller probes for shards without an owner, takes them over in an order
+//! that all controllers agree on, and transfers shards to a peer that owns none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,11 +21,11 @@
 const SURPLUS_PROBE_INTERVAL: Micros = 5 * SECOND;
 /// A shard that nobody owns is left for this long to each controller whose turn comes before this one's.
 const TAKEOVER_STAGGER: Micros = 700_000;
-/// A shard is handed on to the peer whose turn is first once that has been heard for so long.
+/// A shard is transferred to a peer only once the peer has been reachable for this long.
 const PEER_STABLE_TIME: Micros = 8 * SECOND;
-/// No more than one shard is handed on in this time: a peer may not be able to take it.
+/// At most one shard is transferred in this time: the peer may not be able to take it over.
 const TRANSFER_INTERVAL: Micros = 30 * SECOND;
-/// Who handed a shard on, or stepped down since it heard nobody, does not take it back for so long.
+/// A controller that transferred a shard, or stepped down because it heard nobody, does not take it back for this long.
 const ABSTAIN_AFTER_TRANSFER: Micros = 6 * SECOND;
 
 /// One shard, as this controller sees its ownership.
@@ -37,7 +37,7 @@
     unowned_since: Option<Micros>,
 }
 
-/// How a controller stops to own a shard.
+/// How a controller ceased to own a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StepDown {
     /// The lease has ended.
@@ -56,7 +56,7 @@
     probe_at: Micros,
     /// Since when each peer has been heard without a pause.
     heard_since: Vec<Option<Micros>>,
-    /// When this controller last handed a shard on.
+    /// When this controller last transferred a shard.
     last_transfer_at: Option<Micros>,
     /// Keys that cannot be parsed, which are logged once.
     malformed_keys: BTreeSet<String>,
@@ -176,7 +176,7 @@
     fn read_record(&mut self, item: &StoredValue, records: &mut BTreeMap<u32, AssignmentRecords>) {
         let Some((shard, kind)) = parse_assignment_key(&item.key) else {
             if self.malformed_keys.insert(item.key.clone()) {
-                tracing::error!(key = %item.key, "no shard's");
+                tracing::error!(key = %item.key, "a key names no shard");
             }
             return;
         };
@@ -252,10 +252,10 @@
         outbox.revoke_store_lease(lease.shard, lease.store_lease);
     }
 
-    // ---- Handing on ----
+    // ---- Transfers ----
 
-    /// A shard to hand on: while this controller owns several, and a peer that is up for a while and reaches the state
-    /// service owns none. That one takes it, since its turn is first.
+    /// A shard to transfer: while this controller owns several, and a peer that has been reachable for a while and reaches
+    /// the state service owns none. That peer takes the shard over, since its turn is first.
     pub fn shard_to_transfer(
         &self,
         outbox: &Outbox,
@@ -271,7 +271,7 @@
         if !peers.any(|peer| self.is_idle(membership, peer, now)) {
             return None;
         }
-        let is_settled = |owner: &ShardOwner| owner.is_loaded() && owner.cluster.settled;
+        let is_settled = |owner: &ShardOwner| owner.is_loaded() && owner.cluster.takeover.settled;
         owners
             .iter()
             .find(|(shard, owner)| **shard > 0 && is_settled(owner))
@@ -354,8 +354,8 @@
     }
 }
 
-/// This controller's place among those that are heard, in the order in which they take over a shard: those that own the
-/// fewest first, and among them each shard begins with another.
+/// This controller's place in the order in which the controllers that are heard take over a shard: those that own the
+/// fewest shards first, and among equals each shard begins with a different one.
 fn takeover_rank(
     outbox: &Outbox,
     membership: &Membership,
@@ -405,15 +405,15 @@
         term: highest_term + 1,
         watermarks_reliable: election.watermarks_reliable(),
     };
-    let (owner_key, term_key) = assignment_keys(lease.shard);
+    let keys = assignment_keys(lease.shard);
     let mut transaction = Transaction::default();
-    transaction.guard(&owner_key, conditions.owner_key_version);
-    transaction.guard(&term_key, conditions.term_key_version);
+    transaction.guard(&keys.owner, conditions.owner_key_version);
+    transaction.guard(&keys.term, conditions.term_key_version);
     transaction.guard(TERM_KEY, leader.version);
     transaction.guard(TERM_COUNTER_KEY, counter.version);
     let store_lease = Some(lease.store_lease);
-    transaction.put(&owner_key, store::to_raw_value(&record), store_lease);
-    transaction.put(&term_key, store::to_raw_value(&record), None);
+    transaction.put(&keys.owner, store::to_raw_value(&record), store_lease);
+    transaction.put(&keys.term, store::to_raw_value(&record), None);
     transaction.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
     (record, transaction)
 }
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -16,7 +16,6 @@
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
 
-use self::watch::ExpectedChange;
 use super::end_reason::EndReason;
 use super::job_views::JobProgress;
 use super::lease::ShardLease;
@@ -57,37 +56,67 @@
     pub end_reason: Option<EndReason>,
     /// When it last heard a worker or a peer.
     pub last_heard_at: Option<Micros>,
-    /// What is being read of the shard's state.
-    load_stage: LoadStage,
+    load: LoadProgress,
+    /// All changes of jobs up to this version of the state service have been applied.
+    pub watched_version: u64,
+    watch: JobWatch,
+    writes: WriteProgress,
+    next_pass_at: Micros,
+    next_plan_at: Micros,
+    /// The shard's part of the teams' limits.
+    quota_partitioner: QuotaPartitioner,
+}
+
+/// How far the reading of the shard's state is.
+#[derive(Debug, Default)]
+struct LoadProgress {
+    /// What is being read.
+    stage: LoadStage,
     /// Everything has been read once. Later reads are of jobs alone.
     was_loaded: bool,
+    started_at: Micros,
+    /// When a read that failed is to be made again.
+    retry_at: Option<Micros>,
     /// What has been read of the ledger before it can be opened.
     ledger_head: Option<Head>,
     ledger_pages: Vec<(Page, u64)>,
-    /// When a read that failed is to be made again.
-    reload_at: Option<Micros>,
-    load_started_at: Micros,
-    /// All changes of jobs up to this version of the state service have been applied.
-    pub watched_version: u64,
-    watch_in_flight: bool,
-    watch_sent_at: Micros,
-    watch_at: Micros,
+    /// When machines that were given to the shard are to be read again.
+    transfers_read_at: Micros,
+}
+
+/// How changes of jobs come in that other controllers make.
+#[derive(Debug, Default)]
+struct JobWatch {
+    in_flight: bool,
+    sent_at: Micros,
+    next_at: Micros,
+    /// A read of changes beside the watch is under way, and when the next one may be made.
     catch_up_in_flight: bool,
     catch_up_at: Micros,
     /// Changes that peers told of and that the watch has not brought yet, in the order in which they were told.
     expected_changes: VecDeque<ExpectedChange>,
-    write_in_flight: bool,
-    write_at: Micros,
-    /// Keys whose stored values are in doubt.
+}
+
+/// A change that a peer told of.
+#[derive(Debug)]
+struct ExpectedChange {
+    /// When the watch should have brought it.
+    due: Micros,
+    /// The version of the state service in which it was stored.
+    version: u64,
+    key: String,
+}
+
+/// How changes in memory get into the state service.
+#[derive(Debug, Default)]
+struct WriteProgress {
+    /// A transaction is under way, and when the next one may be sent.
+    in_flight: bool,
+    next_at: Micros,
+    /// Keys whose stored values are in doubt, and when they may be read.
     keys_to_reread: BTreeSet<String>,
     reread_at: Micros,
     rereads_in_flight: usize,
-    next_pass_at: Micros,
-    next_plan_at: Micros,
-    /// The shard's part of the teams' limits.
-    quota_partitioner: QuotaPartitioner,
-    /// When it is to be looked again for machines that were given to the shard.
-    transfers_read_at: Micros,
 }
 
 /// The shards that this controller owns, by their number. The owner of shard 0 is the leader.
@@ -116,34 +145,19 @@
             cluster,
             end_reason: None,
             last_heard_at: None,
-            load_stage: LoadStage::Jobs,
-            was_loaded: false,
-            ledger_head: None,
-            ledger_pages: Vec::new(),
-            reload_at: None,
-            load_started_at: 0,
+            load: LoadProgress::default(),
             watched_version: 0,
-            watch_in_flight: false,
-            watch_sent_at: 0,
-            watch_at: 0,
-            catch_up_in_flight: false,
-            catch_up_at: 0,
-            expected_changes: VecDeque::new(),
-            write_in_flight: false,
-            write_at: 0,
-            keys_to_reread: BTreeSet::new(),
-            reread_at: 0,
-            rereads_in_flight: 0,
+            watch: JobWatch::default(),
+            writes: WriteProgress::default(),
             next_pass_at: 0,
             next_plan_at: 0,
             quota_partitioner: QuotaPartitioner::default(),
-            transfers_read_at: 0,
         }
     }
 
     /// Whether all that was stored at the takeover has been read.
     pub fn is_loaded(&self) -> bool {
-        self.load_stage == LoadStage::Loaded
+        self.load.stage == LoadStage::Loaded
     }
 
     /// Whether the machine is this shard's.
@@ -158,7 +172,7 @@
         let told = running.take(MAX_RUNNING_JOBS_TOLD).map(|job| RunningJob {
             job: job.id.to_string(),
             tasks: job.live_count(),
-            done: job.done.len(),
+            done: job.tasks.done.len(),
         });
         told.collect()
     }
@@ -167,7 +181,7 @@
     pub fn progress(&self, id: &JobId) -> Option<JobProgress> {
         self.cluster.jobs.get(id).map(|job| JobProgress {
             running: job.live_count(),
-            done: job.done.len(),
+            done: job.tasks.done.len(),
         })
     }
 
@@ -310,7 +324,7 @@
     /// Makes the calls to the cloud that the plan of the fleet asks for.
     fn plan_fleet(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
-        if now < self.next_plan_at.max(self.cluster.next_plan_at) {
+        if now < self.next_plan_at.max(self.cluster.passes.next_plan_at) {
             return;
         }
         self.next_plan_at = now + MIN_PLAN_INTERVAL;
@@ -328,7 +342,7 @@
             self.next_plan_at = now;
         }
         self.cluster.apply_cloud_answer(call, answer, now);
-        self.cluster.pass_needed = true;
+        self.cluster.passes.needed = true;
     }
 
     // ---- Time ----
@@ -341,7 +355,7 @@
             self.end_reason = Some(EndReason::Isolated);
             return;
         }
-        let known_version = match self.load_stage {
+        let known_version = match self.load.stage {
             LoadStage::Loaded => self.watched_version,
             _ => 0,
         };
@@ -372,8 +386,8 @@
     /// first.
     fn schedule(&mut self, now: Micros) {
         let is_due =
-            self.cluster.pass_needed || now >= self.cluster.last_pass_at + MAX_PASS_INTERVAL;
-        if is_due && now >= self.next_pass_at.max(self.cluster.next_pass_at) {
+            self.cluster.passes.needed || now >= self.cluster.passes.last_at + MAX_PASS_INTERVAL;
+        if is_due && now >= self.next_pass_at.max(self.cluster.passes.next_at) {
             self.next_pass_at = now + MIN_PASS_INTERVAL;
             self.cluster.run_scheduling_pass(now);
         }
--- a/crates/gannethub-core/src/controller/shard_owner/recovery.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/recovery.rs
@@ -19,7 +19,7 @@
     self, DonePartRecord, Listing, MachineTransferRecord, StoreRequest, StoredValue,
 };
 
-/// Machines that are given to the shard are looked for this often.
+/// Machines that were given to the shard are read this often.
 const TRANSFERS_READ_INTERVAL: Micros = SECOND;
 /// A read that failed is made again after this time.
 const LOAD_RETRY_INTERVAL: Micros = 300_000;
@@ -29,10 +29,10 @@
     /// are not needed here are left out. When all have been read, the shard's machines are scheduled on.
     pub fn load_next(&mut self, outbox: &mut Outbox, after: &str) {
         self.skip_unneeded_stages(outbox);
-        let stage = self.load_stage;
+        let stage = self.load.stage;
         if let Some(prefix) = stage.listed_prefix() {
             if stage == LoadStage::Jobs && after.is_empty() {
-                self.load_started_at = outbox.clock.now;
+                self.load.started_at = outbox.clock.now;
             }
             let request = StoreRequest::list(prefix, after);
             let pending = OwnerRequest::Load { stage };
@@ -50,18 +50,18 @@
     }
 
     fn skip_unneeded_stages(&mut self, outbox: &Outbox) {
-        if self.load_stage.is_for_several_shards() && !outbox.is_sharded {
-            self.load_stage = LoadStage::LedgerHead;
+        if self.load.stage.is_for_several_shards() && !outbox.is_sharded {
+            self.load.stage = LoadStage::LedgerHead;
         }
         // Later reads find the ledger open already, and whoever keeps none has nothing to read.
-        let needs_ledger = !self.was_loaded && outbox.settings.ledger.is_some();
-        if self.load_stage >= LoadStage::LedgerHead && !needs_ledger {
-            self.load_stage = LoadStage::Loaded;
+        let needs_ledger = !self.load.was_loaded && outbox.settings.ledger.is_some();
+        if self.load.stage >= LoadStage::LedgerHead && !needs_ledger {
+            self.load.stage = LoadStage::Loaded;
         }
     }
 
     fn load_ledger_pages(&mut self, outbox: &mut Outbox, after: &str) {
-        let first_kept = self.ledger_head.as_ref().map_or(0, |head| head.from);
+        let first_kept = self.load.ledger_head.as_ref().map_or(0, |head| head.from);
         let before_first = first_kept
             .checked_sub(1)
             .map(store::ledger_page_key)
@@ -79,12 +79,12 @@
     }
 
     fn finish_load(&mut self, outbox: &mut Outbox) {
-        if !self.was_loaded && outbox.is_sharded {
+        if !self.load.was_loaded && outbox.is_sharded {
             self.quota_partitioner.apply_limits(&mut self.cluster);
         }
-        self.was_loaded = true;
-        self.lease.reset_cancellations_known(self.load_started_at);
-        outbox.configuration.confirm_newest(self.load_started_at);
+        self.load.was_loaded = true;
+        self.lease.reset_cancellations_known(self.load.started_at);
+        outbox.configuration.confirm_newest(self.load.started_at);
         self.update_start_hold(outbox);
         self.cluster.finish_loading(outbox.clock.now);
     }
@@ -92,7 +92,7 @@
     /// Makes a read again that failed some time ago. Reading a page twice does no harm.
     pub(super) fn retry_load(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
-        if self.reload_at.take_if(|at| *at <= now).is_some() {
+        if self.load.retry_at.take_if(|at| *at <= now).is_some() {
             self.load_next(outbox, "");
         }
     }
@@ -106,7 +106,7 @@
     ) {
         let now = outbox.clock.now;
         let Some(listing) = decode_ok::<Listing>(answer) else {
-            self.reload_at = Some(now + LOAD_RETRY_INTERVAL);
+            self.load.retry_at = Some(now + LOAD_RETRY_INTERVAL);
             return;
         };
         if stage == LoadStage::Jobs {
@@ -122,10 +122,10 @@
         if let Some(last_key) = last_key.filter(|_| listing.truncated) {
             return self.load_next(outbox, last_key);
         }
-        self.load_stage = self.load_stage.next();
+        self.load.stage = self.load.stage.next();
         if stage == LoadStage::LedgerPages {
-            let pages = std::mem::take(&mut self.ledger_pages);
-            let head = self.ledger_head.take();
+            let pages = std::mem::take(&mut self.load.ledger_pages);
+            let head = self.load.ledger_head.take();
             self.cluster
                 .open_usage_ledger(head, &pages, usage_replica, now);
         }
@@ -147,11 +147,13 @@
                 }
             }
             LoadStage::LedgerPages => match item.decode::<Page>() {
-                Some(page) => self.ledger_pages.push((page, item.version)),
-                None => tracing::error!(key = %item.key, "kept as it is"),
+                Some(page) => self.load.ledger_pages.push((page, item.version)),
+                None => {
+                    tracing::error!(key = %item.key, "a page of the ledger cannot be read; it is kept as it is")
+                }
             },
             // After the first time the owner knows better: nobody else writes these.
-            _ if self.was_loaded => {}
+            _ if self.load.was_loaded => {}
             LoadStage::Transfers => self.apply_transfer_record(item, now),
             LoadStage::QuotaPartitions => self.quota_partitioner.add_record(item),
             LoadStage::Machines => {
@@ -171,21 +173,21 @@
         answer: &CallResult,
     ) {
         let now = outbox.clock.now;
-        self.ledger_head = match KeyRead::from(answer) {
+        self.load.ledger_head = match KeyRead::from(answer) {
             KeyRead::Found(item) => item.decode::<Head>(),
             KeyRead::Unreadable => None,
             KeyRead::Absent { .. } => {
                 self.cluster
                     .open_usage_ledger(None, &[], usage_replica, now);
-                self.load_stage = LoadStage::Loaded;
+                self.load.stage = LoadStage::Loaded;
                 return self.load_next(outbox, "");
             }
             KeyRead::Failed => {
-                self.reload_at = Some(now + LOAD_RETRY_INTERVAL);
+                self.load.retry_at = Some(now + LOAD_RETRY_INTERVAL);
                 return;
             }
         };
-        self.load_stage = match self.ledger_head {
+        self.load.stage = match self.load.ledger_head {
             Some(_) => LoadStage::LedgerPages,
             None => {
                 // Where the ledger stands is not known: nothing is charged in this term, and nothing overwritten.
@@ -198,14 +200,14 @@
 
     // ---- Machines from other shards ----
 
-    /// Looks now and then for machines that were given to this shard. Shard 0 gives them, and gets none.
+    /// Reads now and then which machines were given to this shard. Shard 0 only gives machines away.
     pub(super) fn read_transfers(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         let shard = self.lease.shard;
-        if shard == 0 || now < self.transfers_read_at {
+        if shard == 0 || now < self.load.transfers_read_at {
             return;
         }
-        self.transfers_read_at = now + TRANSFERS_READ_INTERVAL;
+        self.load.transfers_read_at = now + TRANSFERS_READ_INTERVAL;
         let prefix = format!("{}{shard}/", store::MACHINE_TRANSFER_PREFIX);
         let request = StoreRequest::list(&prefix, "");
         let pending = OwnerRequest::ReadTransfers;
@@ -229,7 +231,7 @@
                 self.cluster.accept_machine_transfer(machine, &record, now);
             }
         } else if self.lease.shard == 0 {
-            let others = &mut self.cluster.machines_in_other_shards;
+            let others = &mut self.cluster.other_shards.machines;
             others.insert(machine.into(), shard);
         }
     }
--- a/crates/gannethub-core/src/controller/shard_owner/watch.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/watch.rs
@@ -3,7 +3,7 @@
 //! The watch alone is not enough. It may hang in a network partition while everything else works, and where nothing
 //! changes its answer is as old as its question; but an owner must know which jobs are cancelled, or step down.
 
-use super::ShardOwner;
+use super::{ExpectedChange, ShardOwner};
 use crate::controller::load_stage::LoadStage;
 use crate::controller::outbox::Outbox;
 use crate::controller::pending_request::OwnerRequest;
@@ -22,38 +22,28 @@
 /// Changes are read beside the watch at most this often.
 const CATCH_UP_INTERVAL: Micros = SECOND;
 
-/// A change that a peer told of.
-#[derive(Debug)]
-pub(super) struct ExpectedChange {
-    /// When the watch should have brought it.
-    due: Micros,
-    /// The version of the state service in which it was stored.
-    version: u64,
-    key: String,
-}
-
 impl ShardOwner {
     /// Opens the watch, unless it is open.
     pub(super) fn send_watch(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
-        if self.watch_in_flight || now < self.watch_at {
+        if self.watch.in_flight || now < self.watch.next_at {
             return;
         }
-        self.watch_in_flight = true;
-        self.watch_sent_at = now;
-        self.watch_at = now + MIN_WATCH_INTERVAL;
+        self.watch.in_flight = true;
+        self.watch.sent_at = now;
+        self.watch.next_at = now + MIN_WATCH_INTERVAL;
         let request = StoreRequest::watch(store::LIVE_JOB_PREFIX, self.watched_version);
         self.send_to_store(outbox, Urgency::Transaction, request, OwnerRequest::Watch);
     }
 
     pub(super) fn handle_watch_answer(&mut self, outbox: &mut Outbox, answer: &CallResult) {
-        self.watch_in_flight = false;
+        self.watch.in_flight = false;
         if matches!(answer, Ok(Answer { status: 410, .. })) {
             return self.reload_jobs(outbox);
         }
         match decode_ok::<ChangeLog>(answer) {
-            Some(log) => self.apply_changes(outbox, log, self.watch_sent_at),
-            None => self.watch_at = outbox.clock.now + WATCH_RETRY_INTERVAL,
+            Some(log) => self.apply_changes(outbox, log, self.watch.sent_at),
+            None => self.watch.next_at = outbox.clock.now + WATCH_RETRY_INTERVAL,
         }
     }
 
@@ -63,21 +53,25 @@
         tracing::info!("the watch fell behind; reading all jobs again");
         let waiting = self.cluster.pipelines.waiting.keys();
         let known = self.cluster.jobs.keys().chain(waiting);
-        self.keys_to_reread
+        self.writes
+            .keys_to_reread
             .extend(known.map(|id| format!("{}{id}", store::LIVE_JOB_PREFIX)));
         self.watched_version = 0;
-        self.load_stage = LoadStage::Jobs;
+        self.load.stage = LoadStage::Jobs;
         self.load_next(outbox, "");
     }
 
     /// Reads what has changed when that has not been known for a while.
     pub(super) fn catch_up(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
-        if self.catch_up_in_flight || now < self.catch_up_at || !self.lease.is_catch_up_due(now) {
+        if self.watch.catch_up_in_flight
+            || now < self.watch.catch_up_at
+            || !self.lease.is_catch_up_due(now)
+        {
             return;
         }
-        self.catch_up_in_flight = true;
-        self.catch_up_at = now + CATCH_UP_INTERVAL;
+        self.watch.catch_up_in_flight = true;
+        self.watch.catch_up_at = now + CATCH_UP_INTERVAL;
         let request = StoreRequest::changes_since(store::LIVE_JOB_PREFIX, self.watched_version);
         let pending = OwnerRequest::CatchUp { sent_at: now };
         self.send_to_store(outbox, Urgency::Renewal, request, pending);
@@ -89,7 +83,7 @@
         sent_at: Micros,
         answer: &CallResult,
     ) {
-        self.catch_up_in_flight = false;
+        self.watch.catch_up_in_flight = false;
         // If it is too far behind, the watch finds that out.
         if self.is_loaded()
             && let Some(log) = decode_ok::<ChangeLog>(answer)
@@ -110,7 +104,9 @@
             self.apply_job_change(change, outbox.clock.now);
         }
         self.watched_version = self.watched_version.max(log.version);
-        self.cluster.prune_tombstones(self.watched_version);
+        self.cluster
+            .store_writes
+            .prune_tombstones(self.watched_version);
         self.lease.cancellations_known(sent_at);
     }
 
@@ -134,14 +130,14 @@
             }
             Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
         }
-        self.cluster.pass_needed = true;
+        self.cluster.passes.needed = true;
     }
 
     /// A peer, or a user of this controller, has changed a job in this version of the state service. The job is read if the
     /// watch does not bring the change soon.
     pub fn expect_change(&mut self, outbox: &Outbox, id: &str, version: u64) {
         if self.watched_version < version {
-            self.expected_changes.push_back(ExpectedChange {
+            self.watch.expected_changes.push_back(ExpectedChange {
                 due: outbox.clock.now + WATCH_TIMEOUT,
                 version,
                 key: format!("{}{id}", store::LIVE_JOB_PREFIX),
@@ -151,13 +147,19 @@
 
     /// Has the jobs read whose changes the watch should have brought by now.
     pub(super) fn check_expected_changes(&mut self, now: Micros) {
-        while let Some(change) = self.expected_changes.front() {
+        while let Some(change) = self.watch.expected_changes.front() {
             let has_come = self.watched_version >= change.version;
             if !has_come && now < change.due {
                 break;
             }
-            let overdue = self.expected_changes.pop_front().filter(|_| !has_come);
-            self.keys_to_reread.extend(overdue.map(|change| change.key));
+            let overdue = self
+                .watch
+                .expected_changes
+                .pop_front()
+                .filter(|_| !has_come);
+            self.writes
+                .keys_to_reread
+                .extend(overdue.map(|change| change.key));
         }
     }
 }
--- a/crates/gannethub-core/src/controller/shard_owner/writes.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/writes.rs
@@ -25,13 +25,13 @@
     /// Sends the next transaction, unless one is under way.
     pub(super) fn write_batch(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
-        if self.write_in_flight || now < self.write_at {
+        if self.writes.in_flight || now < self.writes.next_at {
             return;
         }
         let next = self.cluster.next_transaction(now, self.lease.key_version);
         if let Some((transaction, batch)) = next {
-            self.write_in_flight = true;
-            self.write_at = now + MIN_WRITE_INTERVAL;
+            self.writes.in_flight = true;
+            self.writes.next_at = now + MIN_WRITE_INTERVAL;
             let request = transaction.to_request();
             let pending = OwnerRequest::Write { batch };
             self.send_to_store(outbox, Urgency::Transaction, request, pending);
@@ -45,11 +45,11 @@
         answer: CallResult,
     ) {
         let now = outbox.clock.now;
-        self.write_in_flight = false;
+        self.writes.in_flight = false;
         match answer {
             Ok(answer) if answer.is_ok() => match answer.decode::<Committed>() {
                 Some(committed) => {
-                    self.cluster.pass_needed = true;
+                    self.cluster.passes.needed = true;
                     self.cluster.transaction_committed(batch, committed.version);
                 }
                 None => self.write_failed(now, batch),
@@ -59,7 +59,7 @@
                 status: 429 | 503, ..
             }) => {
                 self.cluster.transaction_failed(&batch, false, now);
-                self.write_at = now + WRITE_RETRY_INTERVAL;
+                self.writes.next_at = now + WRITE_RETRY_INTERVAL;
             }
             Ok(answer) => self.handle_write_rejection(now, batch, &answer),
             Err(_) => self.write_failed(now, batch),
@@ -67,7 +67,7 @@
     }
 
     fn handle_write_conflict(&mut self, now: Micros, batch: WriteBatch, answer: &Answer) {
-        let owner_key = &self.cluster.assignment_keys.0;
+        let owner_key = &self.cluster.store_writes.assignment_keys.owner;
         let conflict = answer.decode::<Conflict>();
         if conflict.is_some_and(|conflict| conflict.failed_keys.contains(owner_key)) {
             self.end_reason = Some(EndReason::KeyLost);
@@ -82,20 +82,23 @@
         let (status, reason) = (answer.status, String::from_utf8_lossy(&answer.body));
         let reason = reason.into_owned();
         tracing::error!(status, reason, "the state service refuses a transaction");
-        self.cluster.transaction_rejections += 1;
+        self.cluster.store_writes.transaction_rejections += 1;
         let doublings = self
             .cluster
+            .store_writes
             .transaction_rejections
             .min(MAX_REJECTION_DOUBLINGS);
-        self.write_at = now + (SECOND << doublings) / 2;
+        self.writes.next_at = now + (SECOND << doublings) / 2;
         self.write_failed(now, batch);
     }
 
     /// Whether the transaction was carried out is not known: all of its keys are read back.
     fn write_failed(&mut self, now: Micros, batch: WriteBatch) {
         self.cluster.transaction_failed(&batch, true, now);
-        self.keys_to_reread.extend(batch.keys().iter().cloned());
-        self.reread_at = now;
+        self.writes
+            .keys_to_reread
+            .extend(batch.keys().iter().cloned());
+        self.writes.reread_at = now;
     }
 
     // ---- Keys in doubt ----
@@ -104,12 +107,15 @@
     pub(super) fn reread_keys(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         self.check_expected_changes(now);
-        if self.rereads_in_flight > 0 || now < self.reread_at || self.keys_to_reread.is_empty() {
+        if self.writes.rereads_in_flight > 0
+            || now < self.writes.reread_at
+            || self.writes.keys_to_reread.is_empty()
+        {
             return;
         }
-        self.reread_at = now + MIN_REREAD_INTERVAL;
-        let keys = std::mem::take(&mut self.keys_to_reread);
-        self.rereads_in_flight = keys.len();
+        self.writes.reread_at = now + MIN_REREAD_INTERVAL;
+        let keys = std::mem::take(&mut self.writes.keys_to_reread);
+        self.writes.rereads_in_flight = keys.len();
         for key in keys {
             let request = StoreRequest::get(&key);
             let pending = OwnerRequest::Reread { key };
@@ -123,11 +129,11 @@
         key: String,
         answer: &CallResult,
     ) {
-        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
-        self.cluster.pass_needed = true;
+        self.writes.rereads_in_flight = self.writes.rereads_in_flight.saturating_sub(1);
+        self.cluster.passes.needed = true;
         let read = KeyRead::from(answer);
         if matches!(read, KeyRead::Failed | KeyRead::Unreadable) {
-            self.keys_to_reread.insert(key);
+            self.writes.keys_to_reread.insert(key);
         } else if let Some(chunk) = self.cluster.shard.parse_chunk_key(&key) {
             let version = match &read {
                 KeyRead::Found(item) => item.version,
@@ -155,21 +161,21 @@
             }
             return;
         }
-        self.rereads_in_flight += 1;
+        self.writes.rereads_in_flight += 1;
         let request = StoreRequest::get(&format!("{}{id}", store::FINISHED_JOB_PREFIX));
         let pending = OwnerRequest::ReadFinishedJob { job: id };
         self.send_to_store(outbox, Urgency::Transaction, request, pending);
     }
 
     pub(super) fn handle_finished_job_answer(&mut self, id: &JobId, answer: &CallResult) {
-        self.rereads_in_flight = self.rereads_in_flight.saturating_sub(1);
+        self.writes.rereads_in_flight = self.writes.rereads_in_flight.saturating_sub(1);
         let (version, end) = match KeyRead::from(answer) {
             KeyRead::Found(item) => (item.version, item.decode::<FinishedJobRecord>()),
             KeyRead::Unreadable => (u64::MAX, None),
             KeyRead::Absent { .. } => return,
             KeyRead::Failed => {
                 let key = format!("{}{id}", store::LIVE_JOB_PREFIX);
-                self.keys_to_reread.insert(key);
+                self.writes.keys_to_reread.insert(key);
                 return;
             }
         };
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -11,7 +11,7 @@
 use super::pending_request::JobApiRequest;
 use crate::http::CallResult;
 use crate::model::{JobId, SECOND};
-use crate::state::pipeline::DependencyOutcome;
+use crate::state::dependencies::DependencyOutcome;
 use crate::wire::api::{self, Refusal, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, StoreRequest};
--- a/crates/gannethub-core/src/controller/ticking.rs
+++ b/crates/gannethub-core/src/controller/ticking.rs
@@ -90,8 +90,9 @@
         let Some(leader) = self.shard_owners.get_mut(&0) else {
             return;
         };
-        for (peer, records) in leader.cluster.usage_messages(now) {
-            self.outbox.send_to_peer(peer, Body::UsageRecords(records));
+        for message in leader.cluster.usage_messages(now) {
+            let records = Body::UsageRecords(message.records);
+            self.outbox.send_to_peer(message.peer, records);
         }
     }
 
@@ -147,7 +148,7 @@
             let with_demand = others.filter(|load| !load.machine_demand.is_empty());
             let demand =
                 with_demand.map(|load| (load.shard, load.machine_demand.iter().cloned().collect()));
-            leader.cluster.other_shards_demand = demand.collect::<BTreeMap<_, _>>();
+            leader.cluster.other_shards.demand = demand.collect::<BTreeMap<_, _>>();
             refused = leader.cluster.refused_offers();
         }
         // A shard that is one too many gets no more work, and passes on what it has.
@@ -157,7 +158,7 @@
             if *shard > 0 {
                 owner.cluster.apply_refused_offers(refused.clone(), now);
             }
-            owner.cluster.shard_loads.clone_from(&loads);
+            owner.cluster.other_shards.loads.clone_from(&loads);
             owner.cluster.transfer_waiting_jobs(*shard >= shard_count);
         }
     }
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -1,20 +1,25 @@
-//! Requests and answers as the controller sees them, whatever carries them.
+//! HTTP requests and responses as a controller sees them, whatever carries them.
+
+use std::fmt::Display;
 
 use bytes::Bytes;
+use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+/// A request method.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Method {
     Get,
     Post,
     Delete,
+    /// One that the service has no use for.
     Other,
 }
 
 impl Method {
-    /// The method of this name; names that the service has no use for are all one.
-    pub fn parse(s: &str) -> Method {
-        match s {
+    /// The method of this name.
+    pub fn parse(name: &str) -> Method {
+        match name {
             "GET" => Method::Get,
             "POST" => Method::Post,
             "DELETE" => Method::Delete,
@@ -22,6 +27,7 @@
         }
     }
 
+    /// The method's name on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -32,15 +38,18 @@
     }
 }
 
+/// A request that came to this process.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub method: Method,
+    /// With its query, if it has one.
     pub path: String,
     pub body: Bytes,
-    /// The client wants the connection closed after the answer.
+    /// The client wants the connection closed after the response.
     pub closes_connection: bool,
 }
 
+/// The response to a request that came to this process. Its body is JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     pub status: u16,
@@ -50,7 +59,7 @@
 }
 
 impl Response {
-    /// A response with this body.
+    /// A response with a body that is JSON already.
     pub fn new(status: u16, body: Bytes) -> Response {
         Response {
             status,
@@ -59,30 +68,24 @@
         }
     }
 
-    /// A response with a body of JSON.
-    pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
+    /// A response with this value as its body.
+    pub fn json(status: u16, body: &impl Serialize) -> Response {
+        // Our bodies have string keys only and finite numbers, so they always serialize.
         let body = serde_json::to_vec(body).unwrap_or_default();
-        Response {
-            status,
-            body: body.into(),
-            retry_after: None,
-        }
+        Response::new(status, body.into())
     }
 
-    /// An error answer with its reason.
-    pub fn error(status: u16, reason: impl std::fmt::Display) -> Response {
-        #[derive(serde::Serialize)]
-        struct Reason {
+    /// An error with its reason.
+    pub fn error(status: u16, reason: impl Display) -> Response {
+        #[derive(Serialize)]
+        struct ErrorBody {
             error: String,
         }
-        Response::json(
-            status,
-            &Reason {
-                error: reason.to_string(),
-            },
-        )
+        let error = reason.to_string();
+        Response::json(status, &ErrorBody { error })
     }
 
+    /// The same response, with the time after which the client may come back.
     pub fn with_retry_after(mut self, seconds: u32) -> Response {
         self.retry_after = Some(seconds);
         self
@@ -97,6 +100,7 @@
 }
 
 impl Answer {
+    /// An answer with this status and body.
     pub fn new(status: u16, body: impl Into<Bytes>) -> Answer {
         Answer {
             status,
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -15,7 +15,7 @@
 use crate::state::cluster::Cluster;
 
 /// Marks are at least so many tasks ahead of what is launched, and one for so many machines, which may all
-/// have room in the same moment; and more where more is launched ([`Pace`](crate::state::unconfirmed::Pace)).
+/// have room in the same moment; and more where more is launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
 const MIN_WATERMARK_LEAD: usize = 32;
 const MACHINES_PER_WATERMARK_STEP: usize = 4;
 
@@ -30,6 +30,7 @@
             None => i64::MAX,
         };
         let each = self
+            .takeover
             .unconfirmed
             .silent_machines
             .iter()
@@ -49,6 +50,7 @@
             .filter(|m| m.is_unconfirmed(now, limit))
         {
             let kind = m
+                .placement
                 .capacity_bucket
                 .map(|n| self.capacity_index.buckets[n].kind.clone());
             *silent.entry(kind).or_default() += 1;
@@ -56,11 +58,15 @@
         }
         let unknown = silent.contains_key(&None);
         let machines = silent.values().sum::<i64>() as usize;
-        self.unconfirmed.silent_machines = silent.into_iter().collect();
-        let mut held = vec![Resources::default(); self.team_usage.len()];
+        self.takeover.unconfirmed.silent_machines = silent.into_iter().collect();
+        let mut held = vec![Resources::default(); self.quota.team_usage.len()];
         let mut clear = Vec::new();
-        for job in self.jobs.values().filter(|j| !j.unconfirmed.is_empty()) {
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| !j.tasks.unconfirmed.is_empty())
+        {
+            self.passes.add_steps(1);
             // As it was submitted: what policy forbids now, another leader may have allowed.
             let most = self.max_unconfirmed_tasks(&job.submitted_spec);
             if most == 0 {
@@ -70,13 +76,13 @@
                 held[t] += job
                     .submitted_spec
                     .need
-                    .scaled_by(most.min(i64::from(job.unconfirmed.len())));
+                    .scaled_by(most.min(i64::from(job.tasks.unconfirmed.len())));
             }
         }
         for id in clear {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.unconfirmed = Default::default();
-                self.pass_needed = true;
+                job.tasks.unconfirmed = Default::default();
+                self.passes.needed = true;
             }
         }
         if !unknown {
@@ -85,23 +91,23 @@
                 h.gpu = h.gpu.min(most.gpu);
             }
         }
-        self.unconfirmed.possible_usage = held;
+        self.takeover.unconfirmed.possible_usage = held;
         machines
     }
 
     /// Raises marks ahead of what is to be launched next, in the order of the last pass.
     pub fn raise_watermarks_ahead(&mut self, now: Micros) {
-        self.launch_rate.measure(now);
+        self.watermarks.launch_rate.measure(now);
         let large = self.machines.len() / MACHINES_PER_WATERMARK_STEP;
         let mut left = MIN_WATERMARK_LEAD
             .max(large)
-            .max(self.launch_rate.tasks_per_second as usize);
-        for i in 0..self.placement_order.len() {
-            let id = self.placement_order[i].clone();
+            .max(self.watermarks.launch_rate.tasks_per_second as usize);
+        for i in 0..self.passes.placement_order.len() {
+            let id = self.passes.placement_order[i].clone();
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+            self.passes.add_steps(1);
             let waiting = job.placeable_count();
             if waiting == 0 || job.cancelled || self.tasks_within_quota(job) <= 0 {
                 continue;
@@ -111,10 +117,14 @@
             } else {
                 waiting.min(left)
             };
-            let covered = job.pending.slice(0, job.requested_watermark).len() as usize;
+            let covered = job
+                .tasks
+                .pending
+                .slice(0, job.persistence.requested_watermark)
+                .len() as usize;
             // A mark that has half of what it should have is raised by all of it.
             if covered < wanted && covered <= wanted / 2 {
-                let last = job.pending.iter().nth(wanted - 1);
+                let last = job.tasks.pending.iter().nth(wanted - 1);
                 if let (Some(last), Some(job)) = (last, self.jobs.get_mut(&id)) {
                     job.request_watermark(last + 1);
                 }
@@ -129,17 +139,17 @@
     /// Every worker that reaches a controller has had the time to report to this leader: what is silent now may
     /// stay so for a lease, and gives no room that can be planned with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
-        now > self.took_over_at + self.settings.report * 5 / 4 + 2 * SECOND
+        now > self.takeover.at + self.settings.report * 5 / 4 + 2 * SECOND
     }
 
     /// Whether all that may be on a machine is below its mark, as the state service holds it: then a successor
     /// can go by them.
     pub fn watermarks_cover_all_launches(&self) -> bool {
-        self.settled
-            && !self.launches_without_watermark
+        self.takeover.settled
+            && !self.watermarks.not_required
             && self
                 .jobs
                 .values()
-                .all(|j| j.requested_watermark <= j.durable_watermark)
+                .all(|j| j.persistence.requested_watermark <= j.persistence.durable_watermark)
     }
 }
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -7,10 +7,14 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::model::{JobId, JobSpec, Micros, Priority, Resources, SECOND, Shape, TaskId, Team};
+use crate::model::{
+    JobId, JobSpec, MachineId, Micros, Priority, Resources, SECOND, Shape, TaskId, Team,
+};
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
+use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
-use crate::state::records::{AttemptPhase, Job, Machine, MachineId, Reservation};
+use crate::state::job::Job;
+use crate::state::machine::{Machine, Reservation};
 
 /// Room kept for gangs is looked over this often, for each machine, and always again before the
 /// room lapses.
@@ -121,13 +125,13 @@
     pub fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
         let every =
             (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
-        let round = now >= self.gang_round_at + every;
+        let round = now >= self.passes.gang_round_at + every;
         if round {
-            self.gang_round_at = now;
+            self.passes.gang_round_at = now;
         }
         let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
-        let until = self.scheduling_steps.get() + steps as u64;
-        let behind = round && std::mem::take(&mut self.gang_requests_deferred);
+        let until = self.passes.steps.get() + steps as u64;
+        let behind = round && std::mem::take(&mut self.passes.gang_requests_deferred);
         GangPass {
             regather_all: round,
             step_limit: until,
@@ -140,7 +144,7 @@
     fn is_still_queued(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.last_queued_pass == self.pass_count)
+            .is_some_and(|j| j.scheduling.last_queued_pass == self.passes.count)
     }
 
     /// Gathers room for a gang that found none, and makes it where waiting would be too late.
@@ -154,15 +158,15 @@
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_crash_looping()) else {
             return;
         };
-        if !gathering.regather_all && job.gang_placement_tried {
+        if !gathering.regather_all && job.scheduling.gang_placement_tried {
             return;
         }
-        job.gang_placement_tried = true;
+        job.scheduling.gang_placement_tried = true;
         // Work is stopped only where waiting for it to end would be too late.
         let soon = self.gather_capacity(id, tasks, gathering, now);
         let Some(job) = self.jobs.get(id) else { return };
         let slack = self
-            .latest_start(job, job.within_guarantee)
+            .latest_start(job, job.scheduling.within_guarantee)
             .map_or(0, |t| t.saturating_sub(self.unix_time));
         if soon.is_none_or(|at| at > now + slack.max(2 * self.settings.report)) {
             self.preempt_for(id, tasks, gathering, now);
@@ -194,6 +198,7 @@
                 continue;
             };
             let until = m
+                .placement
                 .reservation
                 .as_ref()
                 .map_or(0, |k| k.expires_at)
@@ -221,8 +226,7 @@
         {
             let list = book.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.machines.iter().filter_map(|m| self.machines.get(m)) {
-                self.scheduling_steps
-                    .set(self.scheduling_steps.get() + 1 + m.attempts.len() as u64 / 4);
+                self.passes.add_steps(1 + m.attempts.len() as u64 / 4);
                 let times = self.capacity_times(m, spec, now);
                 list.extend(times.into_iter().map(|at| (at, m.id.clone())));
             }
@@ -253,7 +257,7 @@
             let mut i = 0;
             while i < list.len() && mine.len() < tasks {
                 let (at, machine) = &list[i];
-                self.scheduling_steps.set(self.scheduling_steps.get() + 1);
+                self.passes.add_steps(1);
                 let m = self.machines.get(machine);
                 // What is kept for a gang further down the queue can be had: else each of two gangs
                 // may long hold a machine that is ready beside one that is not.
@@ -264,7 +268,7 @@
                     list.remove(i);
                     continue;
                 }
-                if m.is_some_and(|m| !m.failures_by_job.contains_key(id)) {
+                if m.is_some_and(|m| !m.placement.failures_by_job.contains_key(id)) {
                     mine.push_back((*at, machine.clone(), i));
                 }
                 i += 1;
@@ -309,10 +313,10 @@
     /// When a machine will have room for the first, the second, ... of a job's tasks.
     fn capacity_times(&self, m: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
         let most = spec.need.count_in(&m.capacity).min(MAX_TASKS_PER_MACHINE) as usize;
-        if !m.is_up {
+        if !m.lifecycle.is_up {
             let at = self
                 .expected_up_at(m, now)
-                .filter(|_| !m.deleting && !m.quarantined);
+                .filter(|_| !m.lifecycle.deleting && !m.lifecycle.quarantined);
             return at.map_or_else(Vec::new, |at| vec![at; most]);
         }
         if !m.is_schedulable(now, self.settings.report) {
@@ -322,7 +326,7 @@
             .attempts
             .iter()
             .filter(|(_, a)| a.holds_capacity)
-            .map(|((t, _), a)| (self.expected_end(t, a, now), a.resources))
+            .map(|(id, a)| (self.expected_end(&id.task, a, now), a.resources))
             .collect();
         ends.sort_by_key(|e| e.0);
         let mut ends = ends.into_iter();
@@ -350,8 +354,8 @@
 
     /// What each team runs above its guarantee, less what has been told to stop.
     fn borrowed_quota(&self) -> BorrowedQuota {
-        let mut out: BorrowedQuota = Vec::with_capacity(self.team_usage.len());
-        for (used, team) in self.team_usage.iter().zip(&self.settings.teams) {
+        let mut out: BorrowedQuota = Vec::with_capacity(self.quota.team_usage.len());
+        for (used, team) in self.quota.team_usage.iter().zip(&self.settings.teams) {
             out.push(*used - team.guarantee);
         }
         for a in self.machines.values().flat_map(|m| m.attempts.values()) {
@@ -366,7 +370,7 @@
     /// for a job within its team's guarantee by stopping work that other teams run above theirs.
     /// What loses least is stopped first, and the room is kept for the job.
     pub fn preempt_for(&mut self, id: &JobId, tasks: usize, gathering: &mut GangPass, now: Micros) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.settled) else {
+        let Some(job) = self.jobs.get(id).filter(|_| self.takeover.settled) else {
             return;
         };
         let spec = job.spec.clone();
@@ -374,18 +378,19 @@
         let gang = spec.shape == Shape::Gang;
         // An array's tasks find room as others end; stopping as many others only moves the work.
         // Only guests, whose teams have no guarantee at all, make way for them, where they save.
-        if !(urgent || job.within_guarantee) {
+        if !(urgent || job.scheduling.within_guarantee) {
             return;
         }
         if gathering.catching_up
             && job
+                .scheduling
                 .preempted_for_at
                 .is_some_and(|t| now < t + PREEMPTION_RETRY)
         {
             return;
         }
-        if self.scheduling_steps.get() > gathering.step_limit {
-            self.gang_requests_deferred = true;
+        if self.passes.steps.get() > gathering.step_limit {
+            self.passes.gang_requests_deferred = true;
             return;
         }
         let guests_only = !urgent && !gang;
@@ -395,7 +400,7 @@
         }
         let most = self.tasks_within_quota(job).clamp(0, 1000) as usize;
         // Enough room may be being made already.
-        let kept = job.reservable_until > now;
+        let kept = job.scheduling.reservable_until > now;
         let making: i64 = if kept && !gang {
             let kept = self
                 .machines
@@ -417,7 +422,7 @@
         let asks = PreemptionRequest {
             spec: spec.clone(),
             team: job.team,
-            within: job.within_guarantee,
+            within: job.scheduling.within_guarantee,
             tasks: if gang { tasks } else { 1 },
         };
         let fresh = zones.is_empty() && !kept && job.failure_tracking.failed_machines.is_empty();
@@ -437,7 +442,7 @@
             shape: spec.shape,
             priority: spec.priority,
             team: job.team,
-            within: job.within_guarantee,
+            within: job.scheduling.within_guarantee,
         };
         // Jobs that may stop the same work look for it in one book.
         let mut made = match gathering.preemption_plans.remove(&who) {
@@ -484,7 +489,7 @@
         *borrowed = left;
         gathering.preemption_plans.insert(who, made);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.preempted_for_at = Some(now);
+            job.scheduling.preempted_for_at = Some(now);
         }
         for (machine, tasks) in keep {
             self.reserve(
@@ -524,8 +529,7 @@
         {
             let list = made.timeline.entry(shelf.kind.zone.clone()).or_default();
             for m in shelf.machines.iter().filter_map(|m| self.machines.get(m)) {
-                self.scheduling_steps
-                    .set(self.scheduling_steps.get() + 1 + m.attempts.len() as u64 / 4);
+                self.passes.add_steps(1 + m.attempts.len() as u64 / 4);
                 if !m.is_schedulable(now, self.settings.report)
                     || (!gang && m.active_reservation(now).is_some())
                 {
@@ -533,19 +537,19 @@
                 }
                 let mut victims = Vec::new();
                 let mut free = m.free_after_stops();
-                for ((task, _), a) in m
+                for (id, a) in m
                     .attempts
                     .iter()
                     .filter(|(_, a)| a.holds_capacity && a.stop_grace.is_none())
                 {
                     let victim = self
                         .jobs
-                        .get(&task.job)
+                        .get(&id.task.job)
                         .filter(|j| j.spec.shape != Shape::Gang);
                     let Some(j) = victim else { continue };
                     let lower = urgent && j.effective_priority() < spec.priority;
-                    let above = job.within_guarantee
-                        && !j.within_guarantee
+                    let above = job.scheduling.within_guarantee
+                        && !j.scheduling.within_guarantee
                         && j.team != job.team
                         && (!guests_only
                             || self.has_no_guarantee(j) && j.spec.checkpoint_every > 0)
@@ -568,7 +572,7 @@
                         let team = a.team.filter(|_| !lower);
                         victims.push(Victim {
                             loss,
-                            task: task.clone(),
+                            task: id.task.clone(),
                             need: a.resources,
                             team,
                         });
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -75,7 +75,12 @@
     let cluster = w
         .leader()
         .and_then(|l| w.nodes[l].controller.as_ref()?.cluster());
-    let blamed = cluster.map_or(0, |c| c.machines.values().filter(|m| m.quarantined).count());
+    let blamed = cluster.map_or(0, |c| {
+        c.machines
+            .values()
+            .filter(|m| m.lifecycle.quarantined)
+            .count()
+    });
     assert_eq!(blamed, 0);
     assert!(
         machines
@@ -105,7 +110,7 @@
     let mine: Vec<(String, u64)> = f.c.machines["host-0000"]
         .attempts
         .keys()
-        .map(|(t, n)| (t.to_string(), *n))
+        .map(|id| (id.task.to_string(), id.number))
         .collect();
     // It falls silent for longer than its lease and is deleted; the other goes on.
     for _ in 0..6 {
@@ -131,9 +136,10 @@
     assert!(!f.c.machines.contains_key("host-0000"));
     assert!(
         f.c.jobs["j-1"]
+            .tasks
             .live_attempts
             .values()
-            .all(|(m, _)| &**m != "host-0000")
+            .all(|live| &*live.machine != "host-0000")
     );
 }
 
@@ -158,7 +164,9 @@
     // The others end, and each machine is left with one long task.
     for name in &names {
         let attempts = f.c.machines[name.as_str()].attempts.keys();
-        let tasks: Vec<_> = attempts.map(|(t, n)| (t.to_string(), *n)).collect();
+        let tasks: Vec<_> = attempts
+            .map(|id| (id.task.to_string(), id.number))
+            .collect();
         assert_eq!(tasks.len(), 2);
         let ended = |t: &str| t.starts_with("j-1/");
         let tasks: Vec<_> = tasks
@@ -176,7 +184,7 @@
         f.c.plan_cloud_calls(f.now);
         f.c.machines
             .values()
-            .filter(|m| m.draining)
+            .filter(|m| m.lifecycle.draining)
             .map(|m| m.id.to_string())
             .collect::<Vec<_>>()
     };
@@ -196,14 +204,15 @@
     f.report(&leaving[0], "small", "a", &[]);
     f.c.run_scheduling_pass(f.now);
     f.c.plan_cloud_calls(f.now);
-    assert!(f.c.machines[leaving[0].as_str()].deleting);
+    assert!(f.c.machines[leaving[0].as_str()].lifecycle.deleting);
     assert!(
         f.c.jobs["j-2"]
+            .tasks
             .live_attempts
             .values()
-            .all(|(m, _)| **m != *leaving[0])
+            .all(|live| *live.machine != *leaving[0])
     );
-    assert_eq!(f.c.jobs["j-2"].live_attempts.len(), 3);
+    assert_eq!(f.c.jobs["j-2"].tasks.live_attempts.len(), 3);
 }
 
 #[test]
@@ -220,7 +229,9 @@
     w.run_until(8, "another leads", |w| w.leader().is_some_and(|l| l != old));
     let settled = |w: &World| {
         let leader = w.leader().and_then(|l| w.nodes[l].controller.as_ref());
-        leader.and_then(|c| c.cluster()).is_some_and(|c| c.settled)
+        leader
+            .and_then(|c| c.cluster())
+            .is_some_and(|c| c.takeover.settled)
     };
     w.run_until(6, "every machine is accounted for", settled);
     w.finish();
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -265,7 +265,10 @@
             .values()
             .all(|m| m.active_reservation(f.now).is_none())
     );
-    assert!(f.c.placement_order.is_empty(), "it is not in the queue");
+    assert!(
+        f.c.passes.placement_order.is_empty(),
+        "it is not in the queue"
+    );
 }
 
 #[test]
@@ -297,18 +300,21 @@
         let tasks: Vec<(String, u64, bool)> = running
             .iter()
             .enumerate()
-            .map(|(i, (t, a))| (t.to_string(), *a, i < ended))
+            .map(|(i, id)| (id.task.to_string(), id.number, i < ended))
             .collect();
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
         f.pass(1);
         f.report("up-0000", "small", "a", &tasks);
         f.c.run_scheduling_pass(f.now);
         assert_eq!(
-            f.c.jobs["j-1"].live_attempts.len(),
+            f.c.jobs["j-1"].tasks.live_attempts.len(),
             4 - ended,
             "nothing else has started"
         );
-        assert_eq!(f.c.jobs["j-2"].live_attempts.len(), usize::from(ended == 2));
+        assert_eq!(
+            f.c.jobs["j-2"].tasks.live_attempts.len(),
+            usize::from(ended == 2)
+        );
     }
 }
 
