--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -13,6 +13,9 @@
 /// A time or a duration in whole microseconds.
 pub type Micros = u64;
 
+/// One millisecond.
+pub const MILLISECOND: Micros = 1000;
+
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
