--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -1,164 +1,155 @@
-//! The fleet: renting, returning, and noticing machines that have gone bad.
+//! The autoscaler: scale out and in, and the return of machines that are of no use.
+//!
+//! It makes the calls to the cloud, within the cloud's rate; the answers are taken in by
+//! `reconcile::provisioning`. Only the owner of shard 0 provisions machines, for all shards.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
-use std::sync::Arc;
+use std::collections::{BTreeMap, HashMap};
 
-use crate::model::{
-    AttemptId, MachineId, Micros, Resources, SECOND, Shape, TaskId, micros_from_seconds,
-    seconds_from_micros,
-};
+use crate::model::{MachineId, Micros, SECOND, micros_from_seconds, seconds_from_micros};
 use crate::policy::{Setting, Value};
-use crate::scheduling::zones::ZoneTaskCounts;
-use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer, PendingProvision};
-use crate::state::job::Job;
 use crate::state::machine::Machine;
-use crate::state::pass_state::SchedulingCost;
-use crate::state::provisioning_times::OVERDUE_FACTOR;
+use crate::state::provisioning_times::{OVERDUE_FACTOR, ProvisioningTimes};
 
 /// What the cloud charges at least for a machine that is deleted.
 const MIN_BILLED_TIME: Micros = 60 * SECOND;
+
+/// The most machines in one request to the cloud.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
 const MAX_MACHINES_PER_DELETION: usize = 100;
+
+/// How often the types of machines are read again, and how often the fleet is summed up in the log.
+const MACHINE_TYPES_INTERVAL: Micros = 30 * SECOND;
+const SUMMARY_INTERVAL: Micros = 10 * SECOND;
+
+/// The boot time of a machine whose type is not known.
+const UNKNOWN_TYPE_BOOT_TIME: Micros = 60 * SECOND;
+
+/// Stands for "never" where a policy asks how many seconds ago something was.
+const NEVER_S: f64 = 1e9;
+
 /// A zone from which nothing was heard for this long is tried with one machine.
 const UNREACHABLE_ZONE_RETRY: Micros = 30 * SECOND;
-/// How often work is looked over for machines to empty, and what part of those that could be are
-/// emptied at once.
-const CONSOLIDATION_INTERVAL: Micros = 3 * SECOND;
-const CONSOLIDATION_FRACTION: usize = 8;
-/// A task that has run for less is left alone.
-const MIN_RUN_TIME_BEFORE_MOVE: Micros = 35 * SECOND;
-/// What a move takes beside saving and fetching: reports on both sides.
-const MOVE_OVERHEAD: Micros = 5 * SECOND;
-/// Machines that are looked at to find one for a task that is to be moved.
-const MAX_HOSTS_EXAMINED: usize = 50;
 /// How long a refusal is remembered while nothing has been given back.
 const REFUSAL_MEMORY: Micros = 120 * SECOND;
 
-/// Room beside what runs, by machine and by free CPU.
-#[derive(Default)]
-struct SpareCapacity {
-    free: HashMap<MachineId, Resources>,
-    by_cpu: BTreeSet<(i64, MachineId)>,
-}
-
-impl SpareCapacity {
-    fn insert(&mut self, id: MachineId, free: Resources) {
-        self.by_cpu.insert((free.cpu, id.clone()));
-        self.free.insert(id, free);
-    }
-
-    fn remove(&mut self, id: &MachineId) -> Option<Resources> {
-        let free = self.free.remove(id)?;
-        self.by_cpu.remove(&(free.cpu, id.clone()));
-        Some(free)
-    }
-}
-
 impl Cluster {
     /// The calls to make to the cloud now.
     pub fn plan_cloud_calls(&mut self, now: Micros) -> Vec<CloudCall> {
-        let before = self.passes.steps.get();
-        let earned = now.saturating_sub(self.fleet.refilled_at) as f64 / SECOND as f64;
-        self.fleet.rate_tokens = (self.fleet.rate_tokens + earned * self.fleet.rate)
-            .min((self.fleet.rate * 2.0).max(1.0));
-        self.fleet.refilled_at = now;
+        let steps_before = self.passes.steps.get();
         let mut calls = Vec::new();
-        if now < self.fleet.paused_until {
-            // Nothing can be asked for; what is there is still planned with.
-            self.fleet.rate_tokens = 0.0;
-        }
-        while let Some(call) = self.fleet.calls_to_retry.pop() {
-            if !self.fleet.try_take_token(0.0) {
-                self.fleet.calls_to_retry.push(call);
-                break;
-            }
-            calls.push(call);
-        }
+        self.fleet.refill_tokens(now);
+        self.retry_calls(&mut calls);
         if now >= self.fleet.next_summary_at {
-            self.fleet.next_summary_at = now + 10 * SECOND;
+            self.fleet.next_summary_at = now + SUMMARY_INTERVAL;
             self.log_summary(now);
         }
         self.detect_unreachable_zones(now);
         self.return_unhealthy(now);
-        let leads = self.shard.id == 0;
+        let is_leader = self.shard.id == 0;
         if self.takeover.settled || self.all_workers_had_time_to_report(now) {
-            match leads {
-                true => self.scale_out(now, &mut calls),
-                // Block 0's holder rents for all.
-                false => self.machine_demand = self.machines_wanted(now),
+            if is_leader {
+                self.scale_out(now, &mut calls);
+            } else {
+                self.machine_demand = self.machines_wanted(now);
             }
         }
-        if leads {
+        if is_leader {
             self.scale_out_for_shards(now, &mut calls, MAX_MACHINES_PER_RENTAL);
         }
         if self.takeover.settled {
             self.scale_in(now);
             self.consolidate(now);
         }
-        let doomed: Vec<String> = self
+        self.delete_machines(&mut calls);
+        if is_leader {
+            self.read_cloud(now, &mut calls);
+        }
+        let steps = self.passes.steps.get() - steps_before;
+        self.passes.next_plan_at = now + self.pacing_delay(steps);
+        let cost = &mut self.passes.cost;
+        cost.plans += 1;
+        cost.plan_steps += steps;
+        cost.max_steps = cost.max_steps.max(steps);
+        calls
+    }
+
+    /// Repeats calls that had no answer, as far as the cloud's rate allows.
+    fn retry_calls(&mut self, calls: &mut Vec<CloudCall>) {
+        while let Some(call) = self.fleet.calls_to_retry.pop() {
+            if !self.fleet.try_take_token(0.0) {
+                self.fleet.calls_to_retry.push(call);
+                return;
+            }
+            calls.push(call);
+        }
+    }
+
+    /// Asks the cloud to delete machines that are given up.
+    fn delete_machines(&mut self, calls: &mut Vec<CloudCall>) {
+        let deleting = self
             .machines
             .values()
-            .filter(|m| m.lifecycle.deleting)
-            .map(|m| m.id.to_string())
+            .filter(|machine| machine.lifecycle.deleting);
+        let machines: Vec<String> = deleting
+            .take(MAX_MACHINES_PER_DELETION)
+            .map(|machine| machine.id.to_string())
             .collect();
-        if !doomed.is_empty() && !self.fleet.delete_in_flight && self.fleet.try_take_token(0.0) {
+        if !machines.is_empty() && !self.fleet.delete_in_flight && self.fleet.try_take_token(0.0) {
             self.fleet.delete_in_flight = true;
-            let machines = doomed.into_iter().take(MAX_MACHINES_PER_DELETION).collect();
             calls.push(CloudCall::Delete { machines });
         }
-        if leads
-            && !self.fleet.listing_in_flight
-            && now >= self.fleet.next_listing_at
-            && self.fleet.try_take_token(1.0)
-        {
-            self.fleet.listing_in_flight = true;
-            calls.push(CloudCall::List {
-                after: self.fleet.listing_cursor.clone(),
-            });
+    }
+
+    /// Asks the cloud, now and then, what machines there are and of which types they can be.
+    fn read_cloud(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
+        let fleet = &mut self.fleet;
+        if !fleet.listing_in_flight && now >= fleet.next_listing_at && fleet.try_take_token(1.0) {
+            fleet.listing_in_flight = true;
+            let after = fleet.listing_cursor.clone();
+            calls.push(CloudCall::List { after });
         }
-        if leads && now >= self.fleet.next_machine_types_at && self.fleet.try_take_token(1.0) {
-            self.fleet.next_machine_types_at = now + 30 * SECOND;
+        if now >= fleet.next_machine_types_at && fleet.try_take_token(1.0) {
+            fleet.next_machine_types_at = now + MACHINE_TYPES_INTERVAL;
             calls.push(CloudCall::MachineTypes);
         }
-        let steps = self.passes.steps.get() - before;
-        self.passes.next_plan_at = now + self.pacing_delay(steps);
-        self.passes.cost.plans += 1;
-        self.passes.cost.plan_steps += steps;
-        self.passes.cost.max_steps = self.passes.cost.max_steps.max(steps);
-        calls
     }
 
-    /// Asks for what the plan wants, one request for each offer and then more of them, as far as the
-    /// cloud's rate goes: a large cluster's plans are too far apart to ask for the rest next time.
+    /// Asks for the machines that the plan wants, one request for each offer and then more of them, as far as the cloud's
+    /// rate goes: a large cluster's plans are too far apart to ask for the rest next time.
     fn scale_out(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
         let mut wanted = self.machines_wanted(now);
         while !wanted.is_empty() {
-            let mut rest = BTreeMap::new();
+            let mut remaining = BTreeMap::new();
             for (offer, count) in wanted {
                 if !self.fleet.try_take_token(0.0) {
                     return;
                 }
-                // One machine is enough to try a zone that was cut off.
-                let dark = self.zones.unreachable.contains_key(&*offer.zone);
-                let now = count.min(if dark { 1 } else { MAX_MACHINES_PER_RENTAL });
-                if count > now && !dark {
-                    rest.insert(offer.clone(), count - now);
+                // One machine is enough to try a zone that was unreachable.
+                let is_unreachable = self.zones.unreachable.contains_key(&*offer.zone);
+                let max_count = if is_unreachable {
+                    1
+                } else {
+                    MAX_MACHINES_PER_RENTAL
+                };
+                let requested = count.min(max_count);
+                if count > requested && !is_unreachable {
+                    remaining.insert(offer.clone(), count - requested);
                 }
-                calls.push(self.rent(offer, now));
+                calls.push(self.rent(offer, requested));
             }
-            wanted = rest;
+            wanted = remaining;
         }
     }
 
-    /// A request for machines of an offer.
+    /// A request for machines of an offer. The term in its name keeps it from ever being used by another leader.
     pub(crate) fn rent(&mut self, offer: Offer, count: u32) -> CloudCall {
         self.fleet.request_count += 1;
-        // The term in the name keeps it from ever being used by another leader.
         let name = format!("r-{}-{}", self.fleet.term, self.fleet.request_count);
-        tracing::info!(%name, flavor = %self.machine_types[offer.machine_type].name, zone = %offer.zone,
-            spot = offer.spot, count, "renting");
+        let machine_type = &self.machine_types[offer.machine_type].name;
+        let (zone, spot) = (&offer.zone, offer.spot);
+        tracing::info!(%name, %machine_type, %zone, spot, count, "provisioning");
         let pending = PendingProvision {
             offer: offer.clone(),
             count,
@@ -172,339 +163,199 @@
         }
     }
 
-    /// Logs what the machines of each offer are used for, and what deciding has cost.
-    fn log_summary(&mut self, now: Micros) {
-        let SchedulingCost {
-            passes,
-            pass_steps,
-            plans,
-            plan_steps,
-            max_steps: most,
-        } = std::mem::take(&mut self.passes.cost);
-        if !tracing::enabled!(tracing::Level::DEBUG) {
-            return;
-        }
-        let (jobs, machines) = (self.jobs.len(), self.machines.len());
-        tracing::debug!(
-            passes, pass_steps, plans, plan_steps, most, jobs, machines, "deciding"
-        );
-        #[derive(Default)]
-        struct MachineGroupUse {
-            booting: u32,
-            up: u32,
-            idle: u32,
-            kept: u32,
-            cpus: i64,
-            running: i64,
-            fetching: i64,
-        }
-        let mut by_kind: BTreeMap<(usize, bool), MachineGroupUse> = BTreeMap::new();
-        for m in self.machines.values() {
-            let Some(flavor) = m.machine_type else {
-                continue;
-            };
-            let used = by_kind.entry((flavor, m.spot)).or_default();
-            if !m.lifecycle.is_up {
-                used.booting += 1;
-                continue;
-            }
-            used.up += 1;
-            used.idle += u32::from(m.attempts.is_empty());
-            used.kept += u32::from(m.active_reservation(now).is_some());
-            used.cpus += m.capacity.cpu / 1000;
-            for a in m.attempts.values().filter(|a| a.holds_capacity) {
-                match a.phase {
-                    AttemptPhase::Running | AttemptPhase::Saving => {
-                        used.running += a.resources.cpu / 1000
-                    }
-                    _ => used.fetching += a.resources.cpu / 1000,
-                }
-            }
-        }
-        for ((flavor, spot), u) in by_kind {
-            let MachineGroupUse {
-                booting,
-                up,
-                idle,
-                kept,
-                cpus,
-                running,
-                fetching,
-            } = u;
-            let flavor = &self.machine_types[flavor].name;
-            tracing::debug!(%flavor, spot, booting, up, idle, kept, cpus, running, fetching, "fleet");
-        }
-    }
-
-    /// Machines that stay silent, never boot or have been judged faulty are given back.
+    /// Gives back machines that never boot, that stay silent, or that are quarantined, draining or noticed and empty.
     fn return_unhealthy(&mut self, now: Micros) {
-        let limit = self.lease_expiry_bound();
-        let boots = &mut self.fleet.provisioning_times;
-        for m in self.machines.values_mut().filter(|m| !m.lifecycle.deleting) {
-            let usual = m
-                .machine_type
-                .map_or(60 * SECOND, |f| self.machine_types[f].boot_time);
-            let expected = m
-                .machine_type
-                .map(|f| boots.expected_boot_time(f, &m.zone, usual, now));
-            let boot = usual.max(expected.unwrap_or(0));
-            // What boots in a zone that is cut off is of no use, but its first minute is paid.
-            let dark = self.zones.unreachable.contains_key(&m.zone);
-            let most = if dark {
-                MIN_BILLED_TIME.max(2 * boot)
-            } else {
-                max_boot_time(boot)
-            };
-            let age = now.saturating_sub(m.lifecycle.provisioned_at.max(m.lifecycle.known_since));
-            let stuck = !m.lifecycle.is_up && age > most;
-            if let Some(f) = m.machine_type.filter(|_| !m.lifecycle.is_up && !dark) {
-                if stuck {
-                    boots.record_lost(f, &m.zone, now);
-                } else if !m.lifecycle.boot_overdue && age as f64 > OVERDUE_FACTOR * boot as f64 {
-                    m.lifecycle.boot_overdue = true;
-                    boots.record_overdue(f, &m.zone, now);
-                    tracing::debug!(machine = %m.id, age_s = seconds_from_micros(age) as u32, "late to boot");
-                }
-            }
-            // The lease has run out, so nothing is lost with a machine that stays silent.
-            let silent = m.lifecycle.is_up && now > m.worker.last_answered_at + limit;
-            let idle = m.attempts.values().all(|a| !a.holds_capacity);
-            let useless =
-                (m.lifecycle.quarantined || m.lifecycle.preemption_notice || m.lifecycle.draining)
-                    && idle
-                    && m.lifecycle.is_up;
-            if stuck || silent || useless {
-                let why = if stuck {
-                    "it does not boot"
-                } else if silent {
-                    "it is silent"
-                } else if m.lifecycle.quarantined {
-                    "it is faulty"
-                } else if m.lifecycle.draining {
-                    "its work has been moved"
-                } else {
-                    "the cloud takes it back"
-                };
-                tracing::info!(machine = %m.id, why, "returning");
-                m.lifecycle.deleting = true;
+        let lease_expiry = self.lease_expiry_bound();
+        let times = &mut self.fleet.provisioning_times;
+        let machines = self.machines.values_mut();
+        for machine in machines.filter(|machine| !machine.lifecycle.deleting) {
+            let type_index = machine.machine_type;
+            let usual_boot = type_index.map_or(UNKNOWN_TYPE_BOOT_TIME, |index| {
+                self.machine_types[index].boot_time
+            });
+            let is_zone_reachable = !self.zones.unreachable.contains_key(&machine.zone);
+            let is_stuck = !machine.lifecycle.is_up
+                && check_boot(machine, times, usual_boot, is_zone_reachable, now);
+            if let Some(why) = reason_to_return(machine, is_stuck, lease_expiry, now) {
+                tracing::info!(machine = %machine.id, why, "returning");
+                machine.lifecycle.deleting = true;
             }
         }
     }
 
     /// Gives back machines that have been idle for as long as policy keeps them.
     fn scale_in(&mut self, now: Micros) {
-        let empty = |m: &&Machine| {
-            let awaited = now < m.placement.planned_work_until;
-            m.lifecycle.is_up
-                && !m.lifecycle.deleting
-                && m.attempts.is_empty()
-                && m.active_reservation(now).is_none()
-                && !awaited
-        };
         // The shortest idle first: the others have that many spares beside them.
         let mut idle: Vec<(Micros, MachineId)> = self
             .machines
             .values()
-            .filter(empty)
-            .map(|m| (m.placement.idle_since, m.id.clone()))
+            .filter(|machine| is_idle(machine, now))
+            .map(|machine| (machine.placement.idle_since, machine.id.clone()))
             .collect();
         idle.sort_by(|a, b| b.cmp(a));
         let mut spares: HashMap<(usize, bool), u32> = HashMap::new();
-        for (_, id) in idle {
-            let Some(m) = self.machines.get_mut(&id) else {
+        for (idle_since, id) in idle {
+            let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            let Some(f) = m.machine_type else { continue };
-            let others = spares.entry((f, m.spot)).or_default();
-            *others += 1;
-            // The first minute is charged anyway.
-            if now + SECOND <= m.lifecycle.provisioned_at + MIN_BILLED_TIME {
+            let Some(machine_type) = machine.machine_type else {
                 continue;
-            }
-            let flavor = &self.machine_types[f];
-            let boot = self
-                .fleet
-                .provisioning_times
-                .expected_boot_time(f, &m.zone, flavor.boot_time, now)
-                .max(flavor.boot_time);
-            let urgent = m
-                .placement
-                .high_priority_placed_at
-                .map_or(1e9, |t| seconds_from_micros(now.saturating_sub(t)));
-            let facts = [
-                Value::Text(&flavor.name),
-                Value::Text(&m.zone),
-                Value::Bool(m.spot),
-                Value::Number(flavor.size.cpu as f64 / 1000.0),
-                Value::Number(flavor.price_of(m.spot)),
-                Value::Number(seconds_from_micros(boot)),
-                Value::Number(urgent),
-                Value::Number(f64::from(*others - 1)),
-            ];
-            let keep = micros_from_seconds(self.settings.policy.number(Setting::Idle, &facts));
-            if now > m.placement.idle_since + keep {
-                tracing::info!(machine = %m.id, why = "it is idle", "returning");
-                m.lifecycle.deleting = true;
-            }
-        }
-    }
-
-    /// Long tasks that can save are moved together when nothing waits for room: a machine that would
-    /// be held by a few of them for long is emptied and returned.
-    fn consolidate(&mut self, now: Micros) {
-        if now < self.fleet.next_move_at {
-            return;
-        }
-        self.fleet.next_move_at = now + CONSOLIDATION_INTERVAL;
-        let waits =
-            |j: &Job| !j.cancelled && !j.tasks.pending.is_empty() && self.tasks_within_quota(j) > 0;
-        let moving = self
-            .machines
-            .values()
-            .any(|m| m.lifecycle.draining && !m.lifecycle.deleting);
-        if moving || self.jobs.values().any(waits) {
-            return;
-        }
-        // Room beside what runs, on machines that stay.
-        let mut room = SpareCapacity::default();
-        let mut sources: Vec<(f64, MachineId, Vec<TaskId>)> = Vec::new();
-        for m in self.machines.values() {
-            if !m.is_schedulable(now, self.settings.report) || m.attempts.is_empty() {
-                continue;
-            }
-            self.passes.add_steps(1);
-            if m.free().cpu > 0 && m.active_reservation(now).is_none() {
-                room.insert(m.id.clone(), m.free());
-            }
-            let task = |(id, a): (&AttemptId, &Attempt)| {
-                self.is_worth_moving(m, &id.task, a, now)
-                    .then(|| id.task.clone())
             };
-            let tasks: Option<Vec<_>> = m.attempts.iter().map(task).collect();
-            if let (Some(tasks), Some(f)) = (tasks, m.machine_type) {
-                let price = self.machine_types[f].price_of(m.spot);
-                sources.push((price / m.used.cpu.max(1) as f64, m.id.clone(), tasks));
-            }
-        }
-        // What saves most for the work that is moved goes first.
-        sources.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        let most = sources.len().div_ceil(CONSOLIDATION_FRACTION);
-        let mut hosts: HashSet<MachineId> = HashSet::new();
-        let mut leaving = Vec::new();
-        for (_, id, tasks) in sources {
-            if leaving.len() >= most {
-                break;
-            }
-            // One that others are moved to stays.
-            if hosts.contains(&id) {
-                continue;
-            }
-            let own = room.remove(&id);
-            let taken: Vec<_> = tasks
-                .iter()
-                .map_while(|t| self.reserve_host(t, &mut room, now))
-                .collect();
-            if taken.len() == tasks.len() {
-                hosts.extend(taken.into_iter().map(|t| t.0));
-                leaving.push((id, tasks));
+            let other_spares = spares.entry((machine_type, machine.spot)).or_default();
+            let keep_idle = self.max_idle_time(machine, machine_type, *other_spares, now);
+            *other_spares += 1;
+            // The first minute is charged anyway.
+            let is_billed_anyway =
+                now + SECOND <= machine.lifecycle.provisioned_at + MIN_BILLED_TIME;
+            if is_billed_anyway || now <= idle_since + keep_idle {
                 continue;
             }
-            for (to, need) in taken {
-                let free = room.remove(&to).unwrap_or_default();
-                room.insert(to, free - need.scaled_by(-1));
-            }
-            if let Some(free) = own {
-                room.insert(id, free);
-            }
-        }
-        for (id, tasks) in leaving {
-            tracing::info!(machine = %id, tasks = tasks.len(), "moving its work elsewhere");
-            if let Some(m) = self.machines.get_mut(&id) {
-                m.lifecycle.draining = true;
+            tracing::info!(machine = %id, why = "it is idle", "returning");
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.lifecycle.deleting = true;
             }
-            tasks.iter().for_each(|t| self.preempt(&t.job, t.index));
         }
     }
 
-    /// Takes room for a task that is to be moved, where the least is left over.
-    fn reserve_host(
+    /// How long policy keeps an idle machine beside so many others of its type.
+    fn max_idle_time(
         &self,
-        task: &TaskId,
-        room: &mut SpareCapacity,
+        machine: &Machine,
+        type_index: usize,
+        other_spares: u32,
         now: Micros,
-    ) -> Option<(MachineId, Resources)> {
-        let spec = &self.jobs.get(&task.job)?.spec;
-        let may = |to: &MachineId| {
-            self.passes.add_steps(1);
-            let free = room
-                .free
-                .get(to)
-                .is_some_and(|free| spec.resources.fits(free));
-            let m = self.machines.get(to).filter(|_| free);
-            m.is_some_and(|m| self.can_host(m, &task.job, spec, &ZoneTaskCounts::new(), now))
-        };
-        let none: MachineId = Arc::from("");
-        let mut roomy = room
-            .by_cpu
-            .range((spec.resources.cpu, none)..)
-            .take(MAX_HOSTS_EXAMINED);
-        let to = roomy.find(|(_, to)| may(to))?.1.clone();
-        let free = room.remove(&to)?;
-        room.insert(to.clone(), free - spec.resources);
-        Some((to, spec.resources))
-    }
-
-    /// Whether stopping a task here and going on with it elsewhere costs little against the time
-    /// that it still holds its machine.
-    fn is_worth_moving(&self, m: &Machine, task: &TaskId, attempt: &Attempt, now: Micros) -> bool {
-        let (Some(job), Some(f)) = (self.jobs.get(&task.job), m.machine_type) else {
-            return false;
-        };
-        let spec = &job.spec;
-        let cost = spec.save_time + self.fetch_time(spec) + MOVE_OVERHEAD;
-        spec.shape == Shape::Array
-            && !spec.is_zone_constrained()
-            && spec.checkpoint_interval > 0
-            && attempt.phase == AttemptPhase::Running
-            && attempt.stop_grace.is_none()
-            && now > attempt.phase_since + MIN_RUN_TIME_BEFORE_MOVE
-            && self.expected_end(task, attempt, now)
-                > now + 4 * cost + self.machine_types[f].boot_time
+    ) -> Micros {
+        let machine_type = &self.machine_types[type_index];
+        let times = &self.fleet.provisioning_times;
+        let usual_boot = machine_type.boot_time;
+        let boot_time = times
+            .expected_boot_time(type_index, &machine.zone, usual_boot, now)
+            .max(usual_boot);
+        let since_high_priority = machine
+            .placement
+            .high_priority_placed_at
+            .map_or(NEVER_S, |at| seconds_from_micros(now.saturating_sub(at)));
+        let inputs = [
+            Value::Text(&machine_type.name),
+            Value::Text(&machine.zone),
+            Value::Bool(machine.spot),
+            Value::Number(machine_type.size.cpu as f64 / 1000.0),
+            Value::Number(machine_type.price_of(machine.spot)),
+            Value::Number(seconds_from_micros(boot_time)),
+            Value::Number(since_high_priority),
+            Value::Number(f64::from(other_spares)),
+        ];
+        micros_from_seconds(self.settings.policy.number(Setting::Idle, &inputs))
     }
 
-    /// Machines of an offer that are rented now.
+    /// How many machines of an offer there are.
     pub(crate) fn machines_of_offer(&self, offer: &Offer) -> usize {
         self.capacity_index
             .machine_count(offer.machine_type, &offer.zone, offer.spot)
     }
 
-    /// Whether an offer was refused lately. As long as no machine of it has been given back or
-    /// taken since, the cloud most likely still has none.
+    /// Whether an offer was refused lately. As long as no machine of it has been given back or taken since, the cloud most
+    /// likely still has none.
     pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
-        if let Some(at) = self.zones.unreachable.get(&*offer.zone) {
-            // Tried with one machine now and then.
-            let tried = self
-                .machines
-                .values()
-                .any(|m| !m.lifecycle.is_up && *m.zone == *offer.zone)
-                || self
-                    .fleet
-                    .pending_provisions
-                    .values()
-                    .any(|pending| pending.offer.zone == offer.zone);
-            if tried || now < at + UNREACHABLE_ZONE_RETRY {
+        if let Some(unreachable_at) = self.zones.unreachable.get(&*offer.zone) {
+            let may_retry = now >= unreachable_at + UNREACHABLE_ZONE_RETRY;
+            if !may_retry || self.is_provisioning_in(&offer.zone) {
                 return true;
             }
         }
-        self.fleet.refusals.get(offer).is_some_and(|r| {
-            now < r.until
-                || (now < r.at + REFUSAL_MEMORY
-                    && self.machines_of_offer(offer) >= r.machines_held.max(1))
+        self.fleet.refusals.get(offer).is_some_and(|refusal| {
+            let is_unchanged = self.machines_of_offer(offer) >= refusal.machines_held.max(1);
+            now < refusal.until || (now < refusal.at + REFUSAL_MEMORY && is_unchanged)
         })
     }
+
+    /// Whether a machine of a zone boots or has been asked for.
+    fn is_provisioning_in(&self, zone: &str) -> bool {
+        let mut machines = self.machines.values();
+        let mut pending = self.fleet.pending_provisions.values();
+        machines.any(|machine| !machine.lifecycle.is_up && *machine.zone == *zone)
+            || pending.any(|pending| pending.offer.zone == *zone)
+    }
+}
+
+/// Records a boot that takes too long. Returns whether the machine is given up.
+fn check_boot(
+    machine: &mut Machine,
+    times: &mut ProvisioningTimes,
+    usual_boot: Micros,
+    is_zone_reachable: bool,
+    now: Micros,
+) -> bool {
+    let type_index = machine.machine_type;
+    let expected =
+        type_index.map(|index| times.expected_boot_time(index, &machine.zone, usual_boot, now));
+    let boot_time = usual_boot.max(expected.unwrap_or(0));
+    // What boots in an unreachable zone is of no use, but its first minute is paid.
+    let max_age = if is_zone_reachable {
+        max_boot_time(boot_time)
+    } else {
+        MIN_BILLED_TIME.max(2 * boot_time)
+    };
+    let lifecycle = &mut machine.lifecycle;
+    let age = now.saturating_sub(lifecycle.provisioned_at.max(lifecycle.known_since));
+    let is_stuck = age > max_age;
+    let Some(type_index) = type_index.filter(|_| is_zone_reachable) else {
+        return is_stuck;
+    };
+    if is_stuck {
+        times.record_lost(type_index, &machine.zone, now);
+    } else if !lifecycle.boot_overdue && age as f64 > OVERDUE_FACTOR * boot_time as f64 {
+        lifecycle.boot_overdue = true;
+        times.record_overdue(type_index, &machine.zone, now);
+        let age_s = seconds_from_micros(age) as u32;
+        tracing::debug!(machine = %machine.id, age_s, "late to boot");
+    }
+    is_stuck
+}
+
+/// Why a machine is given back, if it is.
+fn reason_to_return(
+    machine: &Machine,
+    is_stuck: bool,
+    lease_expiry: Micros,
+    now: Micros,
+) -> Option<&'static str> {
+    if is_stuck {
+        return Some("it does not boot");
+    }
+    let lifecycle = &machine.lifecycle;
+    if !lifecycle.is_up {
+        return None;
+    }
+    // The lease has expired, so nothing is lost with a machine that stays silent.
+    if now > machine.worker.last_answered_at + lease_expiry {
+        return Some("it is silent");
+    }
+    let mut attempts = machine.attempts.values();
+    if attempts.any(|attempt| attempt.holds_capacity) {
+        return None;
+    }
+    if lifecycle.quarantined {
+        Some("it is faulty")
+    } else if lifecycle.draining {
+        Some("its work has been moved")
+    } else if lifecycle.preemption_notice {
+        Some("the cloud takes it back")
+    } else {
+        None
+    }
+}
+
+/// Whether a machine runs nothing, is reserved for nothing and is in no plan.
+fn is_idle(machine: &Machine, now: Micros) -> bool {
+    machine.lifecycle.is_up
+        && !machine.lifecycle.deleting
+        && machine.attempts.is_empty()
+        && machine.active_reservation(now).is_none()
+        && now >= machine.placement.planned_work_until
 }
 
 /// How long a machine may take to boot before it is given up.
-pub fn max_boot_time(boot: Micros) -> Micros {
-    3 * boot + 20 * SECOND
+pub fn max_boot_time(boot_time: Micros) -> Micros {
+    3 * boot_time + 20 * SECOND
 }
--- /dev/null
+++ b/crates/gannethub-core/src/scheduling/consolidation.rs
@@ -0,0 +1,227 @@
+//! Consolidation: long tasks that save checkpoints are moved together when no job waits for capacity, so that a machine which
+//! a few of them would hold for long can be returned.
+
+use std::collections::{BTreeSet, HashMap, HashSet};
+use std::sync::Arc;
+
+use crate::model::{MachineId, Micros, Resources, SECOND, Shape, TaskId};
+use crate::scheduling::zones::ZoneTaskCounts;
+use crate::state::attempt::{Attempt, AttemptPhase};
+use crate::state::cluster::Cluster;
+use crate::state::job::Job;
+use crate::state::machine::Machine;
+
+/// How often machines are looked for that could be emptied.
+const CONSOLIDATION_INTERVAL: Micros = 3 * SECOND;
+
+/// One in so many of the machines that could be emptied is, at a time.
+const CONSOLIDATION_FRACTION: usize = 8;
+
+/// A task that has run for less is left alone.
+const MIN_RUN_TIME_BEFORE_MOVE: Micros = 35 * SECOND;
+
+/// What a move takes beside saving and fetching the image: heartbeats on both sides.
+const MOVE_OVERHEAD: Micros = 5 * SECOND;
+
+/// A task is moved only if it would still run so many times as long as the move takes.
+const MIN_GAIN_FACTOR: Micros = 4;
+
+/// Machines that are looked at to find one for a task that is to be moved.
+const MAX_HOSTS_EXAMINED: usize = 50;
+
+/// Free capacity of machines that stay, by machine and by free CPU.
+#[derive(Default)]
+struct SpareCapacity {
+    free: HashMap<MachineId, Resources>,
+    by_cpu: BTreeSet<(i64, MachineId)>,
+}
+
+impl SpareCapacity {
+    fn insert(&mut self, machine: MachineId, free: Resources) {
+        self.by_cpu.insert((free.cpu, machine.clone()));
+        self.free.insert(machine, free);
+    }
+
+    fn remove(&mut self, machine: &MachineId) -> Option<Resources> {
+        let free = self.free.remove(machine)?;
+        self.by_cpu.remove(&(free.cpu, machine.clone()));
+        Some(free)
+    }
+
+    /// Gives back what was taken for a task.
+    fn release(&mut self, host: Host) {
+        let free = self.remove(&host.machine).unwrap_or_default();
+        self.insert(host.machine, free - host.taken.scaled_by(-1));
+    }
+}
+
+/// A machine that could be emptied.
+struct MovableMachine {
+    /// What the capacity that its tasks use costs: what is saved for the work that is moved.
+    price_per_used_cpu: f64,
+    machine: MachineId,
+    tasks: Vec<TaskId>,
+}
+
+/// Capacity that was taken for a task that is to be moved.
+struct Host {
+    machine: MachineId,
+    taken: Resources,
+}
+
+impl Cluster {
+    /// Empties machines whose tasks all have long to run and fit elsewhere, if no job waits for capacity.
+    pub(super) fn consolidate(&mut self, now: Micros) {
+        if now < self.fleet.next_move_at {
+            return;
+        }
+        self.fleet.next_move_at = now + CONSOLIDATION_INTERVAL;
+        let is_waiting = |job: &Job| {
+            !job.cancelled && !job.tasks.pending.is_empty() && self.tasks_within_quota(job) > 0
+        };
+        let is_draining =
+            |machine: &Machine| machine.lifecycle.draining && !machine.lifecycle.deleting;
+        if self.machines.values().any(is_draining) || self.jobs.values().any(is_waiting) {
+            return;
+        }
+        let (mut spare, movable) = self.movable_machines(now);
+        for machine in self.choose_machines_to_empty(movable, &mut spare, now) {
+            let tasks = &machine.tasks;
+            tracing::info!(machine = %machine.machine, tasks = tasks.len(), "moving its work elsewhere");
+            if let Some(state) = self.machines.get_mut(&machine.machine) {
+                state.lifecycle.draining = true;
+            }
+            for task in tasks {
+                self.preempt(&task.job, task.index);
+            }
+        }
+    }
+
+    /// The machines that could be emptied, those that save most first, and the free capacity of all that run tasks.
+    fn movable_machines(&self, now: Micros) -> (SpareCapacity, Vec<MovableMachine>) {
+        let mut spare = SpareCapacity::default();
+        let mut movable = Vec::new();
+        for machine in self.machines.values() {
+            if !machine.is_schedulable(now, self.settings.report) || machine.attempts.is_empty() {
+                continue;
+            }
+            self.passes.add_steps(1);
+            if machine.free().cpu > 0 && machine.active_reservation(now).is_none() {
+                spare.insert(machine.id.clone(), machine.free());
+            }
+            let tasks: Option<Vec<TaskId>> = machine
+                .attempts
+                .iter()
+                .map(|(id, attempt)| {
+                    self.is_worth_moving(machine, &id.task, attempt, now)
+                        .then(|| id.task.clone())
+                })
+                .collect();
+            if let (Some(tasks), Some(machine_type)) = (tasks, machine.machine_type) {
+                let price = self.machine_types[machine_type].price_of(machine.spot);
+                movable.push(MovableMachine {
+                    price_per_used_cpu: price / machine.used.cpu.max(1) as f64,
+                    machine: machine.id.clone(),
+                    tasks,
+                });
+            }
+        }
+        movable.sort_by(|a, b| {
+            let by_price = b.price_per_used_cpu.total_cmp(&a.price_per_used_cpu);
+            by_price.then_with(|| a.machine.cmp(&b.machine))
+        });
+        (spare, movable)
+    }
+
+    /// Chooses machines whose tasks all find a host.
+    fn choose_machines_to_empty(
+        &self,
+        movable: Vec<MovableMachine>,
+        spare: &mut SpareCapacity,
+        now: Micros,
+    ) -> Vec<MovableMachine> {
+        let max_machines = movable.len().div_ceil(CONSOLIDATION_FRACTION);
+        let mut hosts: HashSet<MachineId> = HashSet::new();
+        let mut chosen = Vec::new();
+        for machine in movable {
+            if chosen.len() >= max_machines {
+                break;
+            }
+            // One that others are moved to stays.
+            if hosts.contains(&machine.machine) {
+                continue;
+            }
+            let own = spare.remove(&machine.machine);
+            let found: Vec<Host> = machine
+                .tasks
+                .iter()
+                .map_while(|task| self.take_host(task, spare, now))
+                .collect();
+            if found.len() == machine.tasks.len() {
+                hosts.extend(found.into_iter().map(|host| host.machine));
+                chosen.push(machine);
+                continue;
+            }
+            for host in found {
+                spare.release(host);
+            }
+            if let Some(free) = own {
+                spare.insert(machine.machine, free);
+            }
+        }
+        chosen
+    }
+
+    /// Takes capacity for a task that is to be moved, where the least is left over.
+    fn take_host(&self, task: &TaskId, spare: &mut SpareCapacity, now: Micros) -> Option<Host> {
+        let spec = &self.jobs.get(&task.job)?.spec;
+        let can_take = |id: &MachineId| {
+            self.passes.add_steps(1);
+            let free = spare.free.get(id);
+            if !free.is_some_and(|free| spec.resources.fits(free)) {
+                return false;
+            }
+            let no_zones = ZoneTaskCounts::new();
+            self.machines
+                .get(id)
+                .is_some_and(|machine| self.can_host(machine, &task.job, spec, &no_zones, now))
+        };
+        let first_id: MachineId = Arc::from("");
+        let mut candidates = spare
+            .by_cpu
+            .range((spec.resources.cpu, first_id)..)
+            .take(MAX_HOSTS_EXAMINED);
+        let machine = candidates.find(|(_, id)| can_take(id))?.1.clone();
+        let free = spare.remove(&machine)?;
+        spare.insert(machine.clone(), free - spec.resources);
+        Some(Host {
+            machine,
+            taken: spec.resources,
+        })
+    }
+
+    /// Whether stopping a task here and continuing it elsewhere costs little against the time that it still holds its
+    /// machine.
+    fn is_worth_moving(
+        &self,
+        machine: &Machine,
+        task: &TaskId,
+        attempt: &Attempt,
+        now: Micros,
+    ) -> bool {
+        let (Some(job), Some(machine_type)) = (self.jobs.get(&task.job), machine.machine_type)
+        else {
+            return false;
+        };
+        let spec = &job.spec;
+        let move_time = spec.save_time + self.fetch_time(spec) + MOVE_OVERHEAD;
+        let boot_time = self.machine_types[machine_type].boot_time;
+        spec.shape == Shape::Array
+            && !spec.is_zone_constrained()
+            && spec.checkpoint_interval > 0
+            && attempt.phase == AttemptPhase::Running
+            && attempt.stop_grace.is_none()
+            && now > attempt.phase_since + MIN_RUN_TIME_BEFORE_MOVE
+            && self.expected_end(task, attempt, now) > now + MIN_GAIN_FACTOR * move_time + boot_time
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -0,0 +1,200 @@
+//! Estimates that scheduling decisions rest on: run times, deadlines, prices, and when machines and attempts are ready.
+//!
+//! Nothing here changes any state.
+
+use crate::model::{
+    JobSpec, Micros, Priority, SECOND, Shape, TaskId, micros_from_seconds, seconds_from_micros,
+};
+use crate::policy::Value;
+use crate::state::attempt::{Attempt, AttemptPhase};
+use crate::state::cluster::Cluster;
+use crate::state::deadline::DownstreamDemand;
+use crate::state::job::Job;
+use crate::state::machine::Machine;
+
+/// A machine that is overdue to boot is expected no sooner than this from now.
+const MIN_OVERDUE_BOOT: Micros = 2 * SECOND;
+
+/// When a job was accepted and when it was, or will be, released, as times of day.
+#[derive(Clone, Copy, Debug)]
+pub struct JobTimes {
+    /// `deadline` objectives count from here.
+    pub accepted_at: u64,
+    /// All other objectives count from here.
+    pub ready_at: u64,
+}
+
+impl Cluster {
+    /// What a policy expression may know of a job, in the order of [`JOB_FIELDS`](crate::policy::JOB_FIELDS).
+    /// `latest_start` is what [`Cluster::latest_start`] says of it.
+    pub fn policy_inputs<'a>(
+        &self,
+        job: &'a Job,
+        within_guarantee: bool,
+        latest_start: Option<u64>,
+    ) -> [Value<'a>; 14] {
+        let spec = &job.spec;
+        let share = self.team_usage_share(job.team);
+        let duration = |time: Micros| Value::Number(seconds_from_micros(time));
+        [
+            Value::Text(&spec.class),
+            Value::Text(&spec.team),
+            Value::Text(priority_name(job.effective_priority())),
+            Value::Number(f64::from(spec.tasks)),
+            Value::Number(f64::from(job.tasks.done.len())),
+            Value::Number(spec.resources.cpu as f64 / 1000.0),
+            duration(self.unix_time.saturating_sub(job.ready_at)),
+            duration(latest_start.unwrap_or(0).saturating_sub(self.unix_time)),
+            duration(self.remaining_work_at_quota(job)),
+            duration(self.expected_run(spec)),
+            Value::Bool(latest_start.is_none()),
+            Value::Bool(within_guarantee),
+            Value::Number(share.of_total),
+            Value::Number(share.over_due),
+        ]
+    }
+
+    /// How long one of the job's tasks is expected to run: its user's estimate, corrected by what tasks of its class have
+    /// shown.
+    pub fn expected_run(&self, spec: &JobSpec) -> Micros {
+        let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
+        (spec.run_time_estimate as f64 * ratio) as Micros
+    }
+
+    /// How long a machine that does not have the job's image takes to fetch it.
+    pub fn fetch_time(&self, spec: &JobSpec) -> Micros {
+        let large_enough = self
+            .machine_types
+            .iter()
+            .filter(|machine_type| spec.resources.fits(&machine_type.size));
+        let slowest = large_enough
+            .map(|machine_type| machine_type.fetch_gb_per_s)
+            .fold(f64::INFINITY, f64::min);
+        micros_from_seconds(spec.image_size_gb / slowest)
+    }
+
+    /// The time of day by which the job's tasks have to start to meet the next objective that can still be met; `None` if
+    /// none can.
+    pub fn latest_start(&self, job: &Job, within_guarantee: bool) -> Option<u64> {
+        let times = JobTimes {
+            accepted_at: job.accepted_at,
+            ready_at: job.ready_at,
+        };
+        let demand = job.scheduling.downstream_demand.as_ref();
+        self.latest_start_for(&job.spec, times, demand, within_guarantee)
+    }
+
+    /// [`Cluster::latest_start`] for a job that was accepted and is released at these times of day.
+    pub fn latest_start_for(
+        &self,
+        spec: &JobSpec,
+        times: JobTimes,
+        demand: Option<&DownstreamDemand>,
+        within_guarantee: bool,
+    ) -> Option<u64> {
+        // Run times vary: a quarter more is allowed for.
+        let run_time = self.expected_run(spec) * 5 / 4;
+        let fetch_time = self.fetch_time(spec);
+        let own = self.settings.objectives.iter().filter_map(|objective| {
+            if objective
+                .class
+                .as_ref()
+                .is_some_and(|class| *class != spec.class)
+            {
+                return None;
+            }
+            match objective.kind.as_str() {
+                "wait" => Some(times.ready_at + objective.within),
+                "guarantee" if within_guarantee => Some(times.ready_at + objective.within),
+                "finished" => Some((times.ready_at + objective.within).saturating_sub(run_time)),
+                "deadline" => {
+                    let deadline = (spec.deadline? as f64 * objective.times) as Micros;
+                    Some((times.accepted_at + deadline).saturating_sub(run_time))
+                }
+                _ => None,
+            }
+        });
+        let own = own
+            .map(|start| start.saturating_sub(fetch_time))
+            .filter(|start| *start >= self.unix_time);
+        // What waits for this job has to be in time as well.
+        let stage = self.run_time(spec);
+        let downstream = demand
+            .iter()
+            .flat_map(|demand| &demand.deadlines)
+            .flatten()
+            .filter_map(|deadline| deadline.start_by(stage, self.unix_time));
+        own.chain(downstream).min()
+    }
+
+    /// The time that the job's remaining work takes when its team uses all that its limit allows.
+    fn remaining_work_at_quota(&self, job: &Job) -> Micros {
+        let Some(team) = job.team else { return 0 };
+        let limit = &self.settings.teams[team].limit;
+        let total = &self.total_capacity;
+        let need = &job.spec.resources;
+        // No team can use more than there is.
+        let fraction = |need: i64, limit: i64, total: i64| {
+            need as f64 / limit.min(total.max(need)).max(1) as f64
+        };
+        let cpu = fraction(need.cpu, limit.cpu, total.cpu);
+        let gpu = fraction(need.gpu, limit.gpu, total.gpu);
+        let remaining_tasks = f64::from(job.spec.tasks - job.tasks.done.len());
+        (remaining_tasks * cpu.max(gpu) * self.expected_run(&job.spec) as f64) as Micros
+    }
+
+    /// What a thousandth of a CPU of such a machine costs an hour.
+    pub fn price_per_millicpu(&self, machine_type: usize, spot: bool) -> f64 {
+        let machine_type = &self.machine_types[machine_type];
+        machine_type.price_of(spot) / machine_type.size.cpu.max(1) as f64
+    }
+
+    /// When a booting machine is expected to be up. One that is overdue is expected to take as long again as it is late;
+    /// after twice the expected time, or in an unreachable zone, it is no longer counted on.
+    pub fn expected_up_at(&self, machine: &Machine, now: Micros) -> Option<Micros> {
+        if self.zones.unreachable.contains_key(&machine.zone) {
+            return None;
+        }
+        let machine_type = machine.machine_type?;
+        let usual = self.machine_types[machine_type].boot_time;
+        let times = &self.fleet.provisioning_times;
+        let boot_time = times.expected_boot_time(machine_type, &machine.zone, usual, now);
+        let expected_at = machine.lifecycle.provisioned_at + boot_time;
+        let overdue = now.saturating_sub(expected_at);
+        (overdue <= boot_time.max(usual))
+            .then(|| expected_at.max(now + overdue.max(MIN_OVERDUE_BOOT)))
+    }
+
+    /// When an attempt is expected to end.
+    pub fn expected_end(&self, task: &TaskId, attempt: &Attempt, now: Micros) -> Micros {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return now;
+        };
+        if job.spec.shape == Shape::Service {
+            return Micros::MAX;
+        }
+        let saved = job.tasks.saved_progress.get(&task.index).copied();
+        let progress = running_time(attempt, now) + saved.unwrap_or(0);
+        let remaining = self.expected_run(&job.spec).saturating_sub(progress);
+        // What runs longer than expected is expected to run for a while yet.
+        now + remaining.max(progress / 4)
+    }
+}
+
+/// How long an attempt has been running; 0 for one that has not begun or is saving.
+pub(super) fn running_time(attempt: &Attempt, now: Micros) -> Micros {
+    match attempt.phase {
+        AttemptPhase::Running => now.saturating_sub(attempt.phase_since),
+        _ => 0,
+    }
+}
+
+/// The name by which policies know a priority.
+fn priority_name(priority: Priority) -> &'static str {
+    match priority {
+        Priority::Low => "low",
+        Priority::Normal => "normal",
+        Priority::High => "high",
+        Priority::Production => "production",
+    }
+}
--- a/crates/gannethub-core/src/scheduling/forecast/tests.rs
+++ b/crates/gannethub-core/src/scheduling/forecast/tests.rs
@@ -24,25 +24,27 @@
     })
 }
 
-/// Three lines, a cheap one, a dear one and one of large machines.
+/// Three groups of machines: cheap ones, dear ones and large ones.
 const SIZES: [i64; 3] = [4000, 4000, 32_000];
 
-/// Line, seconds until it is ready, and when tasks end that hold so much.
-type Given = (usize, u64, Vec<(u64, i64)>);
+/// A machine: its group, in how many seconds it is available, and when tasks end that hold so much.
+type GivenMachine = (usize, u64, Vec<(u64, i64)>);
 
-fn future(lanes: &[Given]) -> Forecast {
-    let mut future = Forecast {
-        now: 10 * SECOND,
-        ..Forecast::default()
-    };
-    for (i, price) in [0.1, 0.3, 0.2].into_iter().enumerate() {
-        future.group_for(i, &Arc::from("a"), false, price);
+fn forecast(machines: &[GivenMachine]) -> Forecast {
+    let mut forecast = Forecast::new(10 * SECOND);
+    for (machine_type, price) in [0.1, 0.3, 0.2].into_iter().enumerate() {
+        let key = MachineGroupKey {
+            machine_type,
+            zone: "a".into(),
+            spot: false,
+        };
+        forecast.group_for(&key, price);
     }
-    for (line, ready, busy) in lanes {
+    for (group, seconds, busy) in machines {
         let mut free = Resources {
-            cpu: SIZES[*line],
+            cpu: SIZES[*group],
             gpu: 0,
-            memory: SIZES[*line],
+            memory: SIZES[*group],
         };
         let mut releases = Vec::new();
         for (end, cpu) in busy {
@@ -53,33 +55,34 @@
             };
             if need.fits(&free) {
                 free -= need;
-                releases.push((future.now + end * SECOND, 1, need));
+                releases.push(Release {
+                    at: forecast.now + end * SECOND,
+                    tasks: 1,
+                    resources: need,
+                });
             }
         }
-        releases.sort_by_key(|r| Reverse(r.0));
-        let ready = future.now + ready * SECOND;
-        let zone = Arc::from("a");
-        let lane = MachineForecast {
-            group: *line,
-            zone,
+        releases.sort_by_key(|release| Reverse(release.at));
+        forecast.add_machine(MachineForecast {
+            group: *group,
+            zone: "a".into(),
             free,
-            available_at: ready,
+            available_at: forecast.now + seconds * SECOND,
             releases,
             machine: None,
             version: 0,
-        };
-        future.add_machine(lane);
+        });
     }
-    future
+    forecast
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Shared books give every task the start and the price that looking at all machines would.
+    /// A shared index gives every task the start and the price that looking at all machines would.
     #[test]
-    fn a_book_shared_by_many_jobs_misses_no_better_place(
-        lanes in proptest::collection::vec(
+    fn an_index_shared_by_many_jobs_misses_no_better_place(
+        machines in proptest::collection::vec(
             (0..3usize, 0..40u64, proptest::collection::vec((1..90u64, 300..9000i64), 0..12)),
             1..14,
         ),
@@ -88,57 +91,56 @@
             1..12,
         ),
     ) {
-        let mut future = future(&lanes);
-        let now = future.now;
+        let mut forecast = forecast(&machines);
+        let now = forecast.now;
         for (cpu, tasks, limit, from, gang) in jobs {
-            let need = Resources { cpu, gpu: 0, memory: cpu };
-            let shape_of = if gang { Shape::Gang } else { Shape::Array };
+            let resources = Resources { cpu, gpu: 0, memory: cpu };
+            let job_shape = if gang { Shape::Gang } else { Shape::Array };
             let from = if from < 15 { now } else { now + from * SECOND };
-            let mut w = PendingWork {
-                spec: job(shape_of, tasks as u32, need),
+            let mut work = PendingWork {
+                spec: job(job_shape, tasks as u32, resources),
                 tasks,
                 zones: ZoneTaskCounts::new(),
                 run_time: 20 * SECOND,
                 earliest_start: from,
                 latest_start: from + limit * SECOND,
             };
-            let key = coarse_shape(&need);
-            prop_assert!(key.fits(&need));
-            let allowed: Vec<usize> = (0..3).filter(|l| cpu <= SIZES[*l]).collect();
-            let mut read: GroupCandidates = (0..3).map(|_| BinaryHeap::new()).collect();
+            let shape = coarse_shape(&resources);
+            prop_assert!(shape.fits(&resources));
+            let eligible: Vec<usize> = (0..3).filter(|group| cpu <= SIZES[*group]).collect();
+            let mut candidates = Candidates::new(shape, eligible.clone());
+            candidates.resize(3);
             for _ in 0..40 {
-                if w.tasks == 0 {
+                if work.tasks == 0 {
                     break;
                 }
-                let rank = |start: Micros, line: usize| {
-                    let price = future.groups[line].price.to_bits();
-                    let late = start > w.latest_start;
+                let rank = |start: Micros, group: usize| {
+                    let price = forecast.groups[group].price.to_bits();
+                    let late = start > work.latest_start;
                     if late { (late, start, price) } else { (late, price, start) }
                 };
-                let all = future.machines.iter().filter(|l| allowed.contains(&l.group));
-                let starts = all.map(|l| (l.earliest_start(&need, now), l.group));
+                let all = forecast.machines.iter().filter(|m| eligible.contains(&m.group));
+                let starts = all.map(|m| (m.earliest_start(&resources, now), m.group));
                 let naive = starts
                     .filter(|(start, _)| *start < Micros::MAX)
-                    .map(|(start, line)| rank(start.max(from), line))
+                    .map(|(start, group)| rank(start.max(from), group))
                     .min();
-                let mut future_best = None;
+                let mut choice = None;
                 if naive.is_some() {
-                    let rank_of = |c: &PlacementChoice, prices: &[f64]| {
-                        let price = prices[c.line].to_bits();
-                        let late = c.start > w.latest_start;
-                        if late { (late, c.start, price) } else { (late, price, c.start) }
+                    let rank_of = |choice: &PlacementChoice, prices: &[f64]| {
+                        let price = prices[choice.group].to_bits();
+                        let late = choice.start > work.latest_start;
+                        if late { (late, choice.start, price) } else { (late, price, choice.start) }
                     };
-                    let prices: Vec<f64> = future.groups.iter().map(|l| l.price).collect();
-                    future_best = future.best_choice(&w, &key, &allowed, &mut read);
-                    let found = future_best.as_ref().map(|c| rank_of(c, &prices));
+                    let prices: Vec<f64> = forecast.groups.iter().map(|group| group.price).collect();
+                    choice = forecast.best_choice(&work, &mut candidates);
+                    let found = choice.as_ref().map(|choice| rank_of(choice, &prices));
                     prop_assert_eq!(found, naive);
                 }
-                let Some(c) = future_best else { break };
-                read[c.line].pop();
-                future.machines[c.machine].reserve_tasks(&mut w, c.start);
-                future.index_machine(c.machine);
+                let Some(choice) = choice else { break };
+                forecast.take(choice, &mut work, &mut candidates);
             }
-            future.return_candidates(&key, read);
+            forecast.return_candidates(candidates);
         }
     }
 }
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -1,70 +1,83 @@
-//! Teams that are above their limit, since it was lowered: what is not launched after all, and what is stopped.
+//! Teams' limits: what a team may still use, and bringing teams within limits that were lowered.
+
+use std::mem::take;
 
 use crate::configuration::OverLimit;
-use crate::model::{AttemptId, Micros, Resources, TaskId, Team};
-use crate::state::attempt::AttemptPhase;
+use crate::model::{AttemptId, Micros, Resources, TaskId, Team, UNLIMITED};
+use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::Cluster;
+use crate::state::job::Job;
 
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
 struct ExcessAttempt {
-    /// It has run so long; 0 for one that its worker has not shown yet.
+    /// How long it has run; 0 for one that its worker has not reported yet.
     ran: Micros,
     task: TaskId,
-    need: Resources,
+    resources: Resources,
+}
+
+/// What a team has on machines, and which of it may be stopped.
+#[derive(Debug, Default)]
+struct TeamAttempts {
+    held: Resources,
+    stoppable: Vec<ExcessAttempt>,
 }
 
 impl Cluster {
-    /// Brings teams within limits that were lowered: what no worker has shown yet is not launched any more, and what
-    /// runs is stopped if that is the operators' choice.
+    /// What a team may still use, counting all that it may have on machines.
+    pub fn remaining_quota(&self, team: usize) -> Resources {
+        let limit = self.settings.teams[team].limit;
+        let unconfirmed = self.takeover.unconfirmed.possible_usage[team];
+        limit - self.quota.team_usage[team] - unconfirmed
+    }
+
+    /// How many more of the job's tasks its team's limit allows. Memory is not limited.
+    pub fn tasks_within_quota(&self, job: &Job) -> i64 {
+        let Some(team) = job.team.filter(|_| !self.starts_paused) else {
+            return 0;
+        };
+        let free = Resources {
+            memory: UNLIMITED,
+            ..self.remaining_quota(team)
+        };
+        let needed = Resources {
+            memory: 0,
+            ..job.spec.resources
+        };
+        needed.count_in(&free)
+    }
+
+    /// Brings teams within limits that were lowered: what no worker has reported yet is not launched any more, and what runs
+    /// is stopped if that is the operators' choice.
     pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
-            if !Team::within(&limit, &Resources::default(), &self.quota.team_usage[team]) {
+            let usage = &self.quota.team_usage[team];
+            if !Team::within(&limit, &Resources::default(), usage) {
                 self.enforce_team_limit(team, limit, now);
             }
         }
     }
 
     fn enforce_team_limit(&mut self, team: usize, limit: Resources, now: Micros) {
-        let (mut held, mut excess) = (Resources::default(), Vec::new());
-        for machine in self.machines.values() {
-            for (AttemptId { task, .. }, a) in &machine.attempts {
-                if a.team != Some(team) || !a.holds_capacity || a.stop_grace.is_some() {
-                    continue;
-                }
-                held += a.resources;
-                let starting = a.phase == AttemptPhase::Starting && !a.reported;
-                let ran = if starting {
-                    0
-                } else {
-                    1 + now.saturating_sub(a.phase_since)
-                };
-                if starting || self.quota.over_limit == OverLimit::Stop {
-                    excess.push(ExcessAttempt {
-                        ran,
-                        task: task.clone(),
-                        need: a.resources,
-                    });
-                }
-            }
-        }
-        excess.sort_by(|a, b| {
+        let mut attempts = self.team_attempts(team, now);
+        let mut stoppable = take(&mut attempts.stoppable);
+        stoppable.sort_by(|a, b| {
             (a.ran, &a.task.job, a.task.index).cmp(&(b.ran, &b.task.job, b.task.index))
         });
+        let mut held = attempts.held;
         let mut stopped = 0;
-        for ExcessAttempt { task, need, .. } in excess {
+        for attempt in stoppable {
             if Team::within(&limit, &Resources::default(), &held) {
                 break;
             }
-            // A gang is stopped whole: its other tasks are marked with the first.
-            if self.is_stopping(&task) {
-                held -= need;
-                continue;
+            // A gang is stopped whole: its other tasks are stopping since the first was.
+            if !self.is_stopping(&attempt.task) {
+                self.preempt(&attempt.task.job, attempt.task.index);
+                stopped += 1;
             }
-            self.preempt(&task.job, task.index);
-            held -= need;
-            stopped += 1;
+            held -= attempt.resources;
         }
         if stopped > 0 {
             let team = &self.settings.teams[team].name;
@@ -72,21 +85,49 @@
         }
     }
 
+    /// The attempts of a team that have not been told to stop.
+    fn team_attempts(&self, team: usize, now: Micros) -> TeamAttempts {
+        let mut attempts = TeamAttempts::default();
+        for machine in self.machines.values() {
+            for (id, attempt) in &machine.attempts {
+                let is_stopping = attempt.stop_grace.is_some();
+                if attempt.team != Some(team) || !attempt.holds_capacity || is_stopping {
+                    continue;
+                }
+                attempts.held += attempt.resources;
+                let is_unreported = attempt.phase == AttemptPhase::Starting && !attempt.reported;
+                if is_unreported || self.quota.over_limit == OverLimit::Stop {
+                    attempts.stoppable.push(ExcessAttempt {
+                        ran: match is_unreported {
+                            true => 0,
+                            false => 1 + now.saturating_sub(attempt.phase_since),
+                        },
+                        task: id.task.clone(),
+                        resources: attempt.resources,
+                    });
+                }
+            }
+        }
+        attempts
+    }
+
     fn is_stopping(&self, task: &TaskId) -> bool {
+        self.live_attempt(task)
+            .is_some_and(|attempt| attempt.stop_grace.is_some())
+    }
+
+    /// The attempt of a task that is on a machine now.
+    pub(super) fn live_attempt(&self, task: &TaskId) -> Option<&Attempt> {
         let live = self
             .jobs
-            .get(&task.job)
-            .and_then(|j| j.tasks.live_attempts.get(&task.index));
-        live.is_some_and(|live| {
-            let key = AttemptId {
-                task: task.clone(),
-                number: live.number,
-            };
-            let attempt = self
-                .machines
-                .get(&live.machine)
-                .and_then(|m| m.attempts.get(&key));
-            attempt.is_some_and(|a| a.stop_grace.is_some())
-        })
+            .get(&task.job)?
+            .tasks
+            .live_attempts
+            .get(&task.index)?;
+        let id = AttemptId {
+            task: task.clone(),
+            number: live.number,
+        };
+        self.machines.get(&live.machine)?.attempts.get(&id)
     }
 }
--- /dev/null
+++ b/crates/gannethub-core/src/scheduling/placement.rs
@@ -0,0 +1,446 @@
+//! Placement of arrays and services: which machines may run a job's tasks, and first-fit among them.
+//!
+//! The capacity index ([`CapacityIndex`](crate::state::capacity_index::CapacityIndex)) is asked for machines with enough
+//! free CPU. What looking costs is counted in scheduling steps.
+
+use std::cmp::Reverse;
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use crate::model::{AttemptId, JobId, JobSpec, MachineId, Micros, SECOND};
+use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed, zone_allowance};
+use crate::state::capacity_index::{CapacityBucket, MachineKind};
+use crate::state::cluster::Cluster;
+use crate::state::job::Job;
+use crate::state::machine::{Machine, Reservation};
+
+/// In each bucket a job chooses among so many machines with free capacity, and so many more for each of its tasks, the
+/// fullest first: an empty cluster, as after a failover, must not be read whole for every job.
+pub(super) const CANDIDATES_PER_BUCKET: usize = 512;
+const CANDIDATES_PER_TASK: usize = 4;
+
+/// A reservation for a stage of a pipeline expires unless a pass renews it.
+pub(super) const STAGE_RESERVATION: Micros = 2 * SECOND;
+
+/// How many tasks a machine is to take.
+#[derive(Clone, Debug)]
+pub(super) struct Placement {
+    pub machine: MachineId,
+    pub tasks: usize,
+}
+
+/// How many tasks the placements are for together.
+pub(super) fn placed_tasks(placements: &[Placement]) -> usize {
+    placements.iter().map(|placement| placement.tasks).sum()
+}
+
+/// The machine of each task of the placements, one entry a task.
+pub(super) fn machine_per_task(placements: &[Placement]) -> impl Iterator<Item = &MachineId> {
+    placements
+        .iter()
+        .flat_map(|placement| std::iter::repeat_n(&placement.machine, placement.tasks))
+}
+
+/// Jobs that found too little capacity in a pass. During a pass capacity only shrinks, so a job that asks for as much and
+/// may go to no other machines need not look again.
+#[derive(Debug, Default)]
+pub(super) struct UnplaceableJobs(Vec<UnplaceableJob>);
+
+#[derive(Debug)]
+struct UnplaceableJob {
+    spec: Arc<JobSpec>,
+    /// For so many tasks together there was no capacity.
+    tasks: usize,
+}
+
+impl UnplaceableJobs {
+    /// Records that there was no capacity for so many tasks of a job.
+    pub fn record(&mut self, spec: &Arc<JobSpec>, tasks: usize) {
+        let spec = spec.clone();
+        self.0.push(UnplaceableJob { spec, tasks });
+    }
+
+    /// Whether a job that asks for as much and may go to no other machines has found no capacity already.
+    pub fn contains(&self, spec: &JobSpec, tasks: usize) -> bool {
+        self.0.iter().any(|known| {
+            let other = &known.spec;
+            tasks >= known.tasks
+                && other.resources.fits(&spec.resources)
+                && (other.spot || !spec.spot)
+                && (other.zone.is_none() || other.zone == spec.zone)
+                && (other.machine_types.is_none() || other.machine_types == spec.machine_types)
+                && (!other.single_zone || spec.single_zone)
+                && (!other.spread || (spec.spread && spec.tasks <= other.tasks))
+        })
+    }
+}
+
+/// A machine that may take tasks of a job.
+#[derive(Clone, Copy)]
+struct Candidate<'a> {
+    lacks_image: bool,
+    machine: &'a Machine,
+    max_tasks: i64,
+}
+
+impl Cluster {
+    /// Whether machines of a kind may run the job's tasks at all.
+    pub fn is_eligible_bucket(&self, spec: &JobSpec, kind: &MachineKind) -> bool {
+        let machine_type = &self.machine_types[kind.machine_type];
+        spec.resources.fits(&machine_type.size)
+            && spec.allows(&machine_type.name, &kind.zone, kind.spot)
+    }
+
+    /// The buckets of the capacity index whose machines may run the job's tasks.
+    pub(super) fn eligible_buckets(&self, spec: &JobSpec) -> impl Iterator<Item = &CapacityBucket> {
+        self.capacity_index
+            .buckets
+            .iter()
+            .filter(|bucket| self.is_eligible_bucket(spec, &bucket.kind))
+    }
+
+    /// Whether the job's own constraints let its tasks go to a machine, wherever its other tasks are.
+    pub fn is_eligible_machine(&self, machine: &Machine, spec: &JobSpec) -> bool {
+        machine.machine_type.is_some_and(|index| {
+            let name = &self.machine_types[index].name;
+            spec.allows(name, &machine.zone, machine.spot)
+        })
+    }
+
+    /// Whether the job's tasks may go to a machine once it has free capacity.
+    pub fn can_host(
+        &self,
+        machine: &Machine,
+        job: &JobId,
+        spec: &JobSpec,
+        zones: &ZoneTaskCounts,
+        now: Micros,
+    ) -> bool {
+        machine.is_schedulable(now, self.settings.report)
+            && !machine.placement.failures_by_job.contains_key(job)
+            && self.is_eligible_machine(machine, spec)
+            && is_zone_allowed(spec, zones, &machine.zone)
+    }
+
+    /// Where the job's tasks are, tasks that still have to exit included; nothing for a job without zone constraints.
+    pub fn zones_in_use(&self, job: &Job) -> ZoneTaskCounts {
+        let mut zones = ZoneTaskCounts::new();
+        if !job.spec.is_zone_constrained() {
+            return zones;
+        }
+        for live in job.tasks.live_attempts.values() {
+            if let Some(machine) = self.machines.get(&live.machine) {
+                *zones.entry(machine.zone.clone()).or_default() += 1;
+            }
+        }
+        zones
+    }
+
+    /// How many of a job's tasks may be placed on a machine now. Reservations of other jobs count as used.
+    pub(super) fn tasks_that_fit(
+        &self,
+        machine: &Machine,
+        job: &JobId,
+        spec: &JobSpec,
+        crash_looping: bool,
+        now: Micros,
+    ) -> i64 {
+        self.passes.add_steps(1);
+        // A crash-looping job is probed anywhere: it may have met faulty machines only.
+        let failed_here = !crash_looping && machine.placement.failures_by_job.contains_key(job);
+        if failed_here || !machine.is_schedulable(now, self.settings.report) {
+            return 0;
+        }
+        let mut free = machine.free();
+        let reservation = machine.active_reservation(now);
+        if let Some(reservation) = reservation.filter(|reservation| reservation.job != *job)
+            && let Some(other) = self.jobs.get(&reservation.job)
+        {
+            free -= other.spec.resources.scaled_by(reservation.tasks);
+        }
+        if spec.resources.fits(&free) {
+            spec.resources.count_in(&free)
+        } else {
+            0
+        }
+    }
+
+    /// Places as many of a job's tasks as possible, on machine `only` or on all. Returns how many tasks found no capacity.
+    pub(super) fn place_tasks(
+        &mut self,
+        id: &JobId,
+        unplaceable: &mut UnplaceableJobs,
+        only: Option<&MachineId>,
+        now: Micros,
+    ) -> usize {
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
+        let spec = job.spec.clone();
+        if spec.is_zone_constrained() && !job.tasks.unconfirmed.is_empty() {
+            // Where the unconfirmed attempts are decides where the others may go.
+            return 0;
+        }
+        let wanted = self.tasks_to_place(job, now);
+        let is_simple =
+            !spec.is_zone_constrained() && job.failure_tracking.failed_machines.is_empty();
+        let is_hopeless =
+            || is_simple && !self.has_reservation(id) && unplaceable.contains(&spec, 1);
+        if wanted == 0 || is_hopeless() {
+            return wanted;
+        }
+        let mut zones = self.zones_in_use(job);
+        if spec.single_zone && zones.is_empty() {
+            let Some(zone) = self.zone_with_most_capacity(id, &spec, only, now) else {
+                return wanted;
+            };
+            zones.insert(zone, 0);
+        }
+        let placements = match only {
+            Some(machine) => self.fit_on_machine(machine, id, &spec, &mut zones, wanted, now),
+            None => self.first_fit(id, &spec, &mut zones, wanted, now),
+        };
+        let found = placed_tasks(&placements);
+        // An array takes what there is, so only where there was none is there none for the next.
+        if only.is_none() && is_simple && found == 0 {
+            unplaceable.record(&spec, 1);
+        }
+        let tasks: Vec<u32> = startable_tasks(job, now).take(found).collect();
+        for (index, machine) in tasks.into_iter().zip(machine_per_task(&placements)) {
+            let attempt = AttemptId::new(id.clone(), index, self.next_attempt_number());
+            self.place_task(attempt, machine, now);
+        }
+        wanted - found
+    }
+
+    /// How many tasks of a job could be placed now if there were capacity for all. A huge array must cost no more than the
+    /// capacity there is for it, so the tasks themselves are not walked.
+    fn tasks_to_place(&self, job: &Job, now: Micros) -> usize {
+        let live = job.tasks.live_attempts.len() as i64;
+        let probes = job.allowed_probes(now).saturating_sub(live);
+        let limit = self.tasks_within_quota(job).min(probes);
+        let backing_off = job
+            .tasks
+            .backoff
+            .values()
+            .filter(|backoff| backoff.until > now)
+            .count();
+        job.placeable_count()
+            .saturating_sub(backing_off)
+            .min(limit.max(0) as usize)
+    }
+
+    /// The zone with the most free capacity for a job.
+    fn zone_with_most_capacity(
+        &self,
+        id: &JobId,
+        spec: &JobSpec,
+        only: Option<&MachineId>,
+        now: Micros,
+    ) -> Option<Arc<str>> {
+        let mut tasks_by_zone: HashMap<&Arc<str>, i64> = HashMap::new();
+        for bucket in self.eligible_buckets(spec) {
+            let machines = bucket.with_cpu(spec.resources.cpu);
+            for machine in machines.filter_map(|id| self.machines.get(id)) {
+                if only.is_none_or(|only| *only == machine.id) {
+                    let tasks = self.tasks_that_fit(machine, id, spec, false, now);
+                    *tasks_by_zone.entry(&machine.zone).or_default() += tasks;
+                }
+            }
+        }
+        let best = tasks_by_zone
+            .into_iter()
+            .filter(|(_, tasks)| *tasks > 0)
+            .max_by_key(|(zone, tasks)| (*tasks, Reverse(*zone)));
+        best.map(|(zone, _)| zone.clone())
+    }
+
+    /// Takes the capacity that one machine has for up to `wanted` tasks of a job.
+    fn fit_on_machine(
+        &self,
+        machine: &MachineId,
+        id: &JobId,
+        spec: &JobSpec,
+        zones: &mut ZoneTaskCounts,
+        wanted: usize,
+        now: Micros,
+    ) -> Vec<Placement> {
+        let Some(machine) = self.machines.get(machine) else {
+            return Vec::new();
+        };
+        if !self.is_eligible_machine(machine, spec) {
+            return Vec::new();
+        }
+        let crash_looping = self.jobs.get(id).is_some_and(Job::is_crash_looping);
+        let candidate = Candidate {
+            lacks_image: false,
+            machine,
+            max_tasks: self.tasks_that_fit(machine, id, spec, crash_looping, now),
+        };
+        let mut placements = Vec::new();
+        take_candidate(candidate, spec, zones, wanted, &mut placements);
+        placements
+    }
+
+    /// Takes capacity for up to `wanted` tasks of a job, first-fit in the order of tiers; among machines whose capacity costs
+    /// the same, those that hold the job's image come first.
+    pub(super) fn first_fit(
+        &self,
+        id: &JobId,
+        spec: &JobSpec,
+        zones: &mut ZoneTaskCounts,
+        wanted: usize,
+        now: Micros,
+    ) -> Vec<Placement> {
+        let mut placements = Vec::new();
+        let mut remaining = wanted;
+        for tier in &self.passes.bucket_tiers {
+            if remaining == 0 {
+                break;
+            }
+            let mut candidates = self.tier_candidates(tier, id, spec, zones, remaining, now);
+            candidates.sort_unstable_by(|a, b| {
+                (a.lacks_image, &a.machine.id).cmp(&(b.lacks_image, &b.machine.id))
+            });
+            for candidate in candidates {
+                remaining -= take_candidate(candidate, spec, zones, remaining, &mut placements);
+                if remaining == 0 {
+                    break;
+                }
+            }
+        }
+        placements
+    }
+
+    /// The machines of a tier that can take tasks of a job.
+    fn tier_candidates(
+        &self,
+        tier: &[usize],
+        id: &JobId,
+        spec: &JobSpec,
+        zones: &ZoneTaskCounts,
+        wanted: usize,
+        now: Micros,
+    ) -> Vec<Candidate<'_>> {
+        let crash_looping = self.jobs.get(id).is_some_and(Job::is_crash_looping);
+        let mut candidates = Vec::new();
+        for bucket in tier
+            .iter()
+            .map(|index| &self.capacity_index.buckets[*index])
+        {
+            if !self.is_eligible_bucket(spec, &bucket.kind)
+                || !is_zone_allowed(spec, zones, &bucket.kind.zone)
+            {
+                continue;
+            }
+            let enough = candidates.len() + CANDIDATES_PER_BUCKET + CANDIDATES_PER_TASK * wanted;
+            let machines = bucket.with_cpu(spec.resources.cpu);
+            for machine in machines.filter_map(|id| self.machines.get(id)) {
+                let max_tasks = self.tasks_that_fit(machine, id, spec, crash_looping, now);
+                if max_tasks <= 0 {
+                    continue;
+                }
+                candidates.push(Candidate {
+                    lacks_image: !machine.placement.cached_images.contains(&spec.image),
+                    machine,
+                    max_tasks,
+                });
+                if candidates.len() >= enough {
+                    break;
+                }
+            }
+        }
+        candidates
+    }
+
+    /// Whether capacity is reserved for a job somewhere, as far as is known.
+    pub(super) fn has_reservation(&self, id: &JobId) -> bool {
+        self.jobs
+            .get(id)
+            .is_some_and(|job| job.scheduling.reserved_until > self.now)
+    }
+
+    /// Reserves a machine's free capacity for a job.
+    pub fn reserve(&mut self, machine: &MachineId, reservation: Reservation) {
+        let Some(machine) = self.machines.get_mut(machine) else {
+            return;
+        };
+        if let Some(job) = self.jobs.get_mut(&reservation.job) {
+            let reserved_until = &mut job.scheduling.reserved_until;
+            *reserved_until = (*reserved_until).max(reservation.expires_at);
+        }
+        machine.placement.reservation = Some(reservation);
+    }
+
+    /// Reserves machines that have too little free capacity yet for a stage of a pipeline, those where most can end next
+    /// first. Smaller tasks further down the queue would otherwise take all capacity as it comes free, bit by bit, and a task
+    /// that needs more would never find any.
+    pub(super) fn reserve_for_stage(&mut self, id: &JobId, tasks: usize, now: Micros) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.scheduling.downstream_demand.is_none() || job.spec.is_zone_constrained() {
+            return;
+        }
+        let spec = job.spec.clone();
+        let no_zones = ZoneTaskCounts::new();
+        let mut candidates: Vec<(Reverse<usize>, &MachineId)> = Vec::new();
+        for bucket in self.eligible_buckets(&spec) {
+            for machine in bucket.with_cpu(1).filter_map(|id| self.machines.get(id)) {
+                self.passes.add_steps(1);
+                if !spec.resources.fits(&machine.free())
+                    && machine.active_reservation(now).is_none()
+                    && self.can_host(machine, id, &spec, &no_zones, now)
+                {
+                    candidates.push((Reverse(machine.attempts.len()), &machine.id));
+                }
+            }
+        }
+        candidates.sort();
+        let machines: Vec<MachineId> = candidates
+            .into_iter()
+            .take(tasks)
+            .map(|(_, machine)| machine.clone())
+            .collect();
+        for machine in machines {
+            let reservation = Reservation {
+                job: id.clone(),
+                tasks: 1,
+                expires_at: now + STAGE_RESERVATION,
+            };
+            self.reserve(&machine, reservation);
+        }
+    }
+}
+
+/// The pending tasks of a job that may start now: neither backing off nor possibly running on an unconfirmed machine.
+fn startable_tasks(job: &Job, now: Micros) -> impl Iterator<Item = u32> {
+    job.tasks.pending.iter().filter(move |index| {
+        let backoff = job.tasks.backoff.get(index);
+        backoff.is_none_or(|backoff| backoff.until <= now)
+            && !job.tasks.unconfirmed.contains(*index)
+    })
+}
+
+/// Takes a candidate for up to `wanted` tasks, as far as the job's zone constraints allow. Returns for how many.
+fn take_candidate(
+    candidate: Candidate<'_>,
+    spec: &JobSpec,
+    zones: &mut ZoneTaskCounts,
+    wanted: usize,
+    placements: &mut Vec<Placement>,
+) -> usize {
+    let machine = candidate.machine;
+    let tasks = (candidate.max_tasks as usize)
+        .min(wanted)
+        .min(zone_allowance(spec, zones, &machine.zone) as usize);
+    if tasks == 0 {
+        return 0;
+    }
+    if spec.is_zone_constrained() {
+        *zones.entry(machine.zone.clone()).or_default() += tasks as u32;
+    }
+    placements.push(Placement {
+        machine: machine.id.clone(),
+        tasks,
+    });
+    tasks
+}
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::provisioning_times::ProvisioningTimes;
-use crate::model::{MachineType, Micros};
+use crate::model::{MachineType, Micros, SECOND};
 use crate::wire::cloud::{CloudRequest, ListedMachine};
 
 /// The share of the cloud's request rate that the leader uses: peers may ask for the machine types now and then.
@@ -122,6 +122,17 @@
         }
     }
 
+    /// Adds the tokens that came since the last call. While the cloud cannot be called there are none.
+    pub(crate) fn refill_tokens(&mut self, now: Micros) {
+        let seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
+        let capacity = (self.rate * 2.0).max(1.0);
+        self.rate_tokens = (self.rate_tokens + seconds * self.rate).min(capacity);
+        self.refilled_at = now;
+        if now < self.paused_until {
+            self.rate_tokens = 0.0;
+        }
+    }
+
     /// Takes a token for one call, if that leaves `reserve` tokens for more urgent calls.
     pub(crate) fn try_take_token(&mut self, reserve: f64) -> bool {
         let has_token = self.rate_tokens >= 1.0 + reserve;
