--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -1,109 +1,116 @@
-//! What a new leader may decide before it knows all machines, and the marks that let it.
+//! What a new leader may decide before it knows all machines, and the launch watermarks that let it.
 //!
-//! A machine that has reported with this term's token has told all that it holds, so it may be placed on at
-//! once. Every other machine on the block's record counts as holding the most that it can: a task that an
-//! earlier leader may have launched on it stays where it is in doubt, and its team's limit is taken up by it.
-//! Which tasks these are, the jobs' marks say ([`JobRecord::open`](crate::wire::store::JobRecord::open)): a task
-//! at or above its job's mark is on no machine, since the mark is raised, durably and under the guard of the
-//! leader's key, before a launch goes out. Marks are raised ahead of what is about to be launched, so that
-//! launches seldom wait for them, and together with completions, so that they seldom cost a change.
+//! A machine that has sent a heartbeat with this term's fencing token has told all that it holds, so it may be placed on at
+//! once. Every other machine in the shard's record counts as holding the most that it can: a task that an earlier leader may
+//! have launched on it is unconfirmed, is not started elsewhere, and counts against its team's limit. Which tasks these are,
+//! the jobs' launch watermarks say
+//! ([`JobRecord::watermark`](crate::wire::store::JobRecord::watermark)): a task at or above its job's watermark
+//! is on no machine, since the watermark is raised, durably and under the guard of the leader's key, before a launch goes out.
+//! Watermarks are raised ahead of what is about to be launched, so that launches seldom wait for them, and together with
+//! completions, so that they seldom cost a change of their own.
 
 use std::collections::BTreeMap;
 
-use crate::model::{JobSpec, Micros, Resources, SECOND, Shape};
+use crate::model::{JobId, JobSpec, Micros, Resources, SECOND, Shape, TaskSet};
 use crate::state::capacity_index::MachineKind;
 use crate::state::cluster::Cluster;
+use crate::state::job::Job;
 
-/// Marks are at least so many tasks ahead of what is launched, and one for so many machines, which may all
-/// have room in the same moment; and more where more is launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
+/// Watermarks are at least so many tasks ahead of what is launched, and one for so many machines, which may all have capacity
+/// in the same moment; and more where more is launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
 const MIN_WATERMARK_LEAD: usize = 32;
 const MACHINES_PER_WATERMARK_STEP: usize = 4;
 
+/// After a failover every worker that reaches a controller has sent a heartbeat within its interval, a quarter more and this.
+const HEARTBEAT_DELAY: Micros = 2 * SECOND;
+
+/// Machines that are not confirmed yet.
+#[derive(Default)]
+struct UnconfirmedMachines {
+    /// How many there are of each kind; `None` for a type that is not known.
+    by_kind: BTreeMap<Option<MachineKind>, i64>,
+    capacity: Resources,
+}
+
 impl Cluster {
-    /// What is in doubt may only be on a machine that its job allows and that has room for it.
+    /// How many tasks of a job unconfirmed machines can hold: only those that the job may run on and that are large enough.
     fn max_unconfirmed_tasks(&self, spec: &JobSpec) -> i64 {
-        let fits = |kind: &Option<MachineKind>| match kind {
+        let tasks_on = |kind: &Option<MachineKind>| match kind {
             Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
-            Some(kind) => spec
-                .resources
-                .count_in(&self.machine_types[kind.machine_type].size),
+            Some(kind) => {
+                let size = &self.machine_types[kind.machine_type].size;
+                spec.resources.count_in(size)
+            }
             None => i64::MAX,
         };
-        let each = self
-            .takeover
-            .unconfirmed
-            .silent_machines
-            .iter()
-            .map(|(kind, n)| fits(kind).saturating_mul(*n));
-        each.fold(0, i64::saturating_add)
+        let silent = self.takeover.unconfirmed.silent_machines.iter();
+        silent
+            .map(|(kind, machines)| tasks_on(kind).saturating_mul(*machines))
+            .fold(0, i64::saturating_add)
     }
 
-    /// Goes over what is in doubt, as machines have been heard or are known to hold nothing. Returns how many
-    /// may still hold something.
+    /// Reviews what is unconfirmed, as machines have been heard or are known to hold nothing. Returns how many machines may
+    /// still hold something.
     pub fn review_unconfirmed(&mut self, now: Micros) -> usize {
-        let limit = self.lease_expiry_bound();
-        let mut silent: BTreeMap<Option<MachineKind>, i64> = BTreeMap::new();
-        let mut most = Resources::default();
-        for m in self
-            .machines
-            .values()
-            .filter(|m| m.is_unconfirmed(now, limit))
-        {
-            let kind = m
-                .placement
-                .capacity_bucket
-                .map(|n| self.capacity_index.buckets[n].kind.clone());
-            *silent.entry(kind).or_default() += 1;
-            most += m.capacity;
-        }
-        let unknown = silent.contains_key(&None);
-        let machines = silent.values().sum::<i64>() as usize;
-        self.takeover.unconfirmed.silent_machines = silent.into_iter().collect();
-        let mut held = vec![Resources::default(); self.quota.team_usage.len()];
-        let mut clear = Vec::new();
-        for job in self
-            .jobs
-            .values()
-            .filter(|j| !j.tasks.unconfirmed.is_empty())
-        {
+        let machines = self.unconfirmed_machines(now);
+        let count = machines.by_kind.values().sum::<i64>() as usize;
+        let has_unknown_type = machines.by_kind.contains_key(&None);
+        self.takeover.unconfirmed.silent_machines = machines.by_kind.into_iter().collect();
+        let mut possible_usage = vec![Resources::default(); self.quota.team_usage.len()];
+        let mut confirmed: Vec<JobId> = Vec::new();
+        let jobs = self.jobs.values();
+        for job in jobs.filter(|job| !job.tasks.unconfirmed.is_empty()) {
             self.passes.add_steps(1);
             // As it was submitted: what policy forbids now, another leader may have allowed.
-            let most = self.max_unconfirmed_tasks(&job.submitted_spec);
-            if most == 0 {
-                clear.push(job.id.clone());
+            let spec = &job.submitted_spec;
+            let max_tasks = self.max_unconfirmed_tasks(spec);
+            if max_tasks == 0 {
+                confirmed.push(job.id.clone());
             }
-            if let Some(t) = job.team {
-                held[t] += job
-                    .submitted_spec
-                    .resources
-                    .scaled_by(most.min(i64::from(job.tasks.unconfirmed.len())));
+            if let Some(team) = job.team {
+                let tasks = max_tasks.min(i64::from(job.tasks.unconfirmed.len()));
+                possible_usage[team] += spec.resources.scaled_by(tasks);
             }
         }
-        for id in clear {
+        for id in confirmed {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.tasks.unconfirmed = Default::default();
+                job.tasks.unconfirmed = TaskSet::default();
                 self.passes.needed = true;
             }
         }
-        if !unknown {
-            for h in &mut held {
-                h.cpu = h.cpu.min(most.cpu);
-                h.gpu = h.gpu.min(most.gpu);
+        if !has_unknown_type {
+            for usage in &mut possible_usage {
+                usage.cpu = usage.cpu.min(machines.capacity.cpu);
+                usage.gpu = usage.gpu.min(machines.capacity.gpu);
+            }
+        }
+        self.takeover.unconfirmed.possible_usage = possible_usage;
+        count
+    }
+
+    fn unconfirmed_machines(&self, now: Micros) -> UnconfirmedMachines {
+        let lease_expiry = self.lease_expiry_bound();
+        let mut unconfirmed = UnconfirmedMachines::default();
+        for machine in self.machines.values() {
+            if !machine.is_unconfirmed(now, lease_expiry) {
+                continue;
             }
+            let bucket = machine.placement.capacity_bucket;
+            let kind = bucket.map(|index| self.capacity_index.buckets[index].kind.clone());
+            *unconfirmed.by_kind.entry(kind).or_default() += 1;
+            unconfirmed.capacity += machine.capacity;
         }
-        self.takeover.unconfirmed.possible_usage = held;
-        machines
+        unconfirmed
     }
 
-    /// Raises marks ahead of what is to be launched next, in the order of the last pass.
+    /// Raises watermarks ahead of what is to be launched next, in the order of the last pass.
     pub fn raise_watermarks_ahead(&mut self, now: Micros) {
         self.watermarks.launch_rate.measure(now);
-        let large = self.machines.len() / MACHINES_PER_WATERMARK_STEP;
-        let mut left = MIN_WATERMARK_LEAD
-            .max(large)
+        let mut lead = MIN_WATERMARK_LEAD
+            .max(self.machines.len() / MACHINES_PER_WATERMARK_STEP)
             .max(self.watermarks.launch_rate.tasks_per_second as usize);
-        for i in 0..self.passes.placement_order.len() {
-            let id = self.passes.placement_order[i].clone();
+        for position in 0..self.passes.placement_order.len() {
+            let id = self.passes.placement_order[position].clone();
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -112,44 +119,46 @@
             if waiting == 0 || job.cancelled || self.tasks_within_quota(job) <= 0 {
                 continue;
             }
-            let wanted = if job.spec.shape == Shape::Gang {
-                waiting
-            } else {
-                waiting.min(left)
+            let wanted = match job.spec.shape {
+                Shape::Gang => waiting,
+                _ => waiting.min(lead),
             };
-            let covered = job
-                .tasks
-                .pending
-                .slice(0, job.persistence.requested_watermark)
-                .len() as usize;
-            // A mark that has half of what it should have is raised by all of it.
-            if covered < wanted && covered <= wanted / 2 {
-                let last = job.tasks.pending.iter().nth(wanted - 1);
-                if let (Some(last), Some(job)) = (last, self.jobs.get_mut(&id)) {
-                    job.request_watermark(last + 1);
-                }
+            if let Some(watermark) = watermark_to_request(job, wanted)
+                && let Some(job) = self.jobs.get_mut(&id)
+            {
+                job.request_watermark(watermark);
             }
-            left = left.saturating_sub(wanted);
-            if left == 0 {
+            lead = lead.saturating_sub(wanted);
+            if lead == 0 {
                 break;
             }
         }
     }
 
-    /// Every worker that reaches a controller has had the time to report to this leader: what is silent now may
-    /// stay so for a lease, and gives no room that can be planned with.
+    /// Whether every worker that reaches a controller has had the time to send a heartbeat to this leader: what is silent now
+    /// may stay so for a lease, and gives no capacity that can be planned with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
-        now > self.takeover.at + self.settings.report * 5 / 4 + 2 * SECOND
+        now > self.takeover.at + self.settings.report * 5 / 4 + HEARTBEAT_DELAY
     }
 
-    /// Whether all that may be on a machine is below its mark, as the state service holds it: then a successor
-    /// can go by them.
+    /// Whether all that may be on a machine is below its watermark, as the state service holds it: then a successor can go by
+    /// the watermarks.
     pub fn watermarks_cover_all_launches(&self) -> bool {
-        self.takeover.settled
-            && !self.watermarks.not_required
-            && self
-                .jobs
-                .values()
-                .all(|j| j.persistence.requested_watermark <= j.persistence.durable_watermark)
+        let is_covered = |job: &Job| {
+            let persistence = &job.persistence;
+            persistence.requested_watermark <= persistence.durable_watermark
+        };
+        self.takeover.settled && !self.watermarks.not_required && self.jobs.values().all(is_covered)
+    }
+}
+
+/// The watermark that covers the next `wanted` tasks of a job. `None` if the present one covers more than half of them: so
+/// each job's watermark is raised seldom, and by much.
+fn watermark_to_request(job: &Job, wanted: usize) -> Option<u32> {
+    let pending = &job.tasks.pending;
+    let covered = pending.slice(0, job.persistence.requested_watermark).len() as usize;
+    if covered >= wanted || covered > wanted / 2 {
+        return None;
     }
+    pending.iter().nth(wanted - 1).map(|last| last + 1)
 }
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -1,9 +1,8 @@
 //! The order in which jobs are served, kept between passes.
 //!
-//! A job's place depends on the time left to it, so the order changes while nothing happens. It is
-//! worked out anew only as often as its length allows, and in between a job that arrives is put
-//! where it belongs. So a long queue costs a fixed part of the processor, however many passes and
-//! plans read it.
+//! A job's place depends on the time left to it, so the order changes while nothing happens. It is computed again only as
+//! often as its length allows, and in between a job that arrives is inserted where it belongs. So a long queue costs a fixed
+//! part of the processor, however many passes and plans read it.
 
 use std::cmp::Reverse;
 
@@ -11,76 +10,91 @@
 use crate::policy::Setting;
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
-use crate::state::queue::QueueKey;
+use crate::state::queue::{Queue, QueueKey};
 
-/// The order is worked out anew this often, for each job in it.
+/// The order is computed again this often, for each job in it.
 const REORDER_INTERVAL_PER_JOB: Micros = 200;
 
-/// Counts a job against what is left of its team's guarantee; whether it fits there.
-fn charge_guarantee(left: &mut [Resources], job: &Job) -> bool {
-    let Some(t) = job.team.filter(|_| !job.is_crash_looping()) else {
+/// Policy's numbers are compared as whole thousandths, so that the order is total.
+const KEY_PRECISION: f64 = 1000.0;
+
+/// Charges a job to what is left of its team's guarantee. Returns whether it fits there.
+fn charge_guarantee(remaining: &mut [Resources], job: &Job) -> bool {
+    let Some(team) = job.team.filter(|_| !job.is_crash_looping()) else {
         return false;
     };
-    let all = job
-        .spec
-        .resources
-        .scaled_by(i64::from(job.spec.tasks - job.tasks.done.len()));
-    let within = Team::within(&left[t], &Resources::default(), &all);
-    left[t] -= all;
-    within
+    let remaining_tasks = i64::from(job.spec.tasks - job.tasks.done.len());
+    let needed = job.spec.resources.scaled_by(remaining_tasks);
+    let is_within = Team::within(&remaining[team], &Resources::default(), &needed);
+    remaining[team] -= needed;
+    is_within
 }
 
 impl Cluster {
+    fn guarantees(&self) -> Vec<Resources> {
+        let teams = self.settings.teams.iter();
+        teams.map(|team| team.guarantee).collect()
+    }
+
     /// Whether a job alone would fit into its team's guarantee.
     pub fn fits_guarantee(&self, job: &Job) -> bool {
-        let mut left: Vec<Resources> = self.settings.teams.iter().map(|t| t.guarantee).collect();
-        charge_guarantee(&mut left, job)
+        charge_guarantee(&mut self.guarantees(), job)
     }
 
     /// Brings the order up to date.
     pub fn order_queue(&mut self, now: Micros) {
         self.update_usage_shares(now);
         let mut queue = std::mem::take(&mut self.queue);
-        let every = REORDER_INTERVAL_PER_JOB * queue.entries.len() as Micros;
-        if queue.ordered_at.is_none_or(|t| now >= t + every) {
-            queue.ordered_at = Some(now);
-            queue.arrivals.clear();
-            queue.remaining_guarantees = self.settings.teams.iter().map(|t| t.guarantee).collect();
-            let mut ready: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled).collect();
-            ready.sort_by(|a, b| (a.ready_at, &a.id).cmp(&(b.ready_at, &b.id)));
-            let left = &mut queue.remaining_guarantees;
-            let keys = ready
-                .into_iter()
-                .map(|j| self.queue_key(j, charge_guarantee(left, j)));
-            queue.entries = keys.collect();
-            queue.entries.sort_unstable();
-            self.passes.add_steps(queue.entries.len() as u64);
+        let interval = REORDER_INTERVAL_PER_JOB * queue.entries.len() as Micros;
+        if queue.ordered_at.is_none_or(|at| now >= at + interval) {
+            self.reorder(&mut queue, now);
         }
+        self.insert_arrivals(&mut queue);
+        self.queue = queue;
+    }
+
+    /// Computes the order of all jobs. They are charged to their teams' guarantees in the order in which they became ready.
+    fn reorder(&self, queue: &mut Queue, now: Micros) {
+        queue.ordered_at = Some(now);
+        queue.arrivals.clear();
+        queue.remaining_guarantees = self.guarantees();
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| !job.cancelled).collect();
+        jobs.sort_by(|a, b| (a.ready_at, &a.id).cmp(&(b.ready_at, &b.id)));
+        let remaining = &mut queue.remaining_guarantees;
+        let keys = jobs
+            .into_iter()
+            .map(|job| self.queue_key(job, charge_guarantee(remaining, job)));
+        queue.entries = keys.collect();
+        queue.entries.sort_unstable();
+        self.passes.add_steps(queue.entries.len() as u64);
+    }
+
+    /// Inserts jobs that have arrived since the order was computed.
+    fn insert_arrivals(&self, queue: &mut Queue) {
         for id in std::mem::take(&mut queue.arrivals) {
-            let Some(job) = self.jobs.get(&id).filter(|j| !j.cancelled) else {
+            let Some(job) = self.jobs.get(&id).filter(|job| !job.cancelled) else {
                 continue;
             };
-            let within = charge_guarantee(&mut queue.remaining_guarantees, job);
-            let key = self.queue_key(job, within);
-            if let Err(place) = queue.entries.binary_search(&key) {
-                queue.entries.insert(place, key);
+            let within_guarantee = charge_guarantee(&mut queue.remaining_guarantees, job);
+            let key = self.queue_key(job, within_guarantee);
+            if let Err(position) = queue.entries.binary_search(&key) {
+                queue.entries.insert(position, key);
             }
         }
-        self.queue = queue;
     }
 
-    fn queue_key(&self, job: &Job, within: bool) -> QueueKey {
-        let latest = self.latest_start(job, within);
-        let facts = self.policy_inputs(job, within, latest);
-        let weight = self.settings.policy.number(Setting::QueueWeight, &facts);
-        let share = self.settings.policy.number(Setting::QueueShare, &facts);
+    fn queue_key(&self, job: &Job, within_guarantee: bool) -> QueueKey {
+        let latest_start = self.latest_start(job, within_guarantee);
+        let inputs = self.policy_inputs(job, within_guarantee, latest_start);
+        let policy = &self.settings.policy;
+        let weight = policy.number(Setting::QueueWeight, &inputs);
+        let share = policy.number(Setting::QueueShare, &inputs);
         QueueKey {
             priority: Reverse(job.effective_priority()),
-            is_above_guarantee: !within,
-            is_too_late: latest.is_none(),
-            // As whole thousandths, so that the order is total.
-            share: (share * 1000.0) as i64,
-            weight: (weight * 1000.0) as i64,
+            is_above_guarantee: !within_guarantee,
+            is_too_late: latest_start.is_none(),
+            share: (share * KEY_PRECISION) as i64,
+            weight: (weight * KEY_PRECISION) as i64,
             ready_at: job.ready_at,
             job: job.id.clone(),
         }
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -1,10 +1,10 @@
-//! How the cluster is shared out among blocks: what teams may use in each, which machines are rented for whom, and
-//! which jobs go elsewhere before any of their tasks has been launched.
+//! How the cluster is divided among shards: what teams may use in each, which machines are provisioned for which, and which
+//! jobs move to another shard before any of their tasks has been launched.
 //!
-//! A team's limit is never given out twice. What a block other than 0 may use is written under its own key; block 0
-//! has what is left. A block's own holder lowers that, and keeps to it from before it is written; only block 0's
-//! holder raises it, after it has taken the same from itself. So at any moment, whatever is late or lost, the blocks'
-//! parts add up to the limit at most.
+//! A team's limit is never given out twice. What a shard other than 0 may use is stored under a key of its own; shard 0 has
+//! what is left. A shard's own owner lowers its quota, and keeps to that from before it is stored; only the owner of shard 0
+//! raises it, after it has taken the same from itself. So at any moment, whatever is late or lost, the shards' quotas add up
+//! to the limit at most.
 
 use std::collections::BTreeMap;
 
@@ -14,177 +14,192 @@
 use crate::state::job::Job;
 use crate::state::shard_load::ShardLoad;
 
-/// What a block keeps beyond what it uses and waits for, as a part of that.
+/// What a shard keeps beyond what it uses and waits for, as a part of that.
 const HEADROOM_FRACTION: f64 = 0.1;
-/// A job that nothing has been launched of looks for a better place after this time.
+
+/// A quota is lowered only if that returns more than one part in so many: each change costs one of the state service's.
+const MIN_RETURNED_PART: i64 = 8;
+
+/// A job that nothing has been launched of looks for another shard after this time and a heartbeat's interval.
 const MIN_WAIT_BEFORE_MOVE: u64 = 2 * SECOND;
-/// Jobs that go elsewhere at once.
+
+/// Jobs that move to other shards at once.
 const MAX_JOBS_MOVED_AT_ONCE: usize = 4;
 
-/// Amounts of CPU and GPU that teams may use in each block other than 0.
+/// What teams may use in each shard other than 0: CPU and GPU, in the settings' order of teams.
 pub type ShardQuotas = BTreeMap<u32, Vec<Resources>>;
 
-fn without_negatives(r: Resources) -> Resources {
+/// What a team may have on a shard's machines now, and what it waits for there.
+pub type TeamDemand = (Resources, Resources);
+
+fn without_negatives(resources: Resources) -> Resources {
     Resources {
-        cpu: r.cpu.max(0),
-        gpu: r.gpu.max(0),
+        cpu: resources.cpu.max(0),
+        gpu: resources.gpu.max(0),
         memory: 0,
     }
 }
 
-/// What block 0 may use: what is left of the whole limits.
-pub fn remaining_quota(whole: &[Resources], parts: &ShardQuotas) -> Vec<Resources> {
-    let mut rest = whole.to_vec();
-    for part in parts.values() {
-        rest.iter_mut().zip(part).for_each(|(r, p)| *r -= *p);
+/// What shard 0 may use: what is left of the whole limits.
+pub fn remaining_quota(limits: &[Resources], quotas: &ShardQuotas) -> Vec<Resources> {
+    let mut remaining = limits.to_vec();
+    for quota in quotas.values() {
+        for (remaining, used) in remaining.iter_mut().zip(quota) {
+            *remaining -= *used;
+        }
     }
-    rest
+    remaining
 }
 
-/// What the parts of other blocks are raised to. `own`: what each team may have in block 0 now and waits for there;
-/// `told`: the same of other blocks.
+/// What the quotas of other shards are raised to, if they lack something and shard 0 has it to give. `own`: the demand of each
+/// team in shard 0; `demands`: that in other shards.
 pub fn raised_quotas(
-    whole: &[Resources],
-    parts: &ShardQuotas,
-    own: &[(Resources, Resources)],
-    told: &BTreeMap<u32, Vec<(Resources, Resources)>>,
+    limits: &[Resources],
+    quotas: &ShardQuotas,
+    own: &[TeamDemand],
+    demands: &BTreeMap<u32, Vec<TeamDemand>>,
 ) -> ShardQuotas {
     let mut raised = ShardQuotas::new();
-    for (t, (mut left, (held, waits))) in remaining_quota(whole, parts)
-        .into_iter()
-        .zip(own)
-        .enumerate()
-    {
-        left -= *held;
-        let lacks = |block: &u32, teams: &Vec<(Resources, Resources)>| {
-            let part = parts
-                .get(block)
-                .and_then(|p| p.get(t))
-                .copied()
-                .unwrap_or_default();
-            let (used, waiting) = teams.get(t).copied().unwrap_or_default();
-            let mut wish = used;
-            wish += waiting;
-            without_negatives(wish - part)
-        };
-        let lacking: Vec<(u32, Resources)> = told
+    let remaining = remaining_quota(limits, quotas).into_iter();
+    for (team, (remaining, (held, waiting))) in remaining.zip(own).enumerate() {
+        let mut free = remaining;
+        free -= *held;
+        let shortages: Vec<(u32, Resources)> = demands
             .iter()
-            .map(|(b, teams)| (*b, lacks(b, teams)))
+            .map(|(shard, teams)| (*shard, shortage(quotas.get(shard), teams, team)))
             .collect();
-        let mut all = without_negatives(*waits);
-        lacking.iter().for_each(|(_, l)| all += *l);
-        for (block, lack) in lacking {
-            // Each gets its part of what is free, by what it lacks.
-            let share = |free: i64, lack: i64, all: i64| match all {
-                0 => 0,
-                _ if all <= free => lack,
-                _ => (lack as f64 / all as f64 * free.max(0) as f64) as i64,
-            };
+        let mut total = without_negatives(*waiting);
+        for (_, shortage) in &shortages {
+            total += *shortage;
+        }
+        for (shard, shortage) in shortages {
             let more = Resources {
-                cpu: share(left.cpu, lack.cpu, all.cpu),
-                gpu: share(left.gpu, lack.gpu, all.gpu),
+                cpu: proportional_share(free.cpu, shortage.cpu, total.cpu),
+                gpu: proportional_share(free.gpu, shortage.gpu, total.gpu),
                 memory: 0,
             };
             if more == Resources::default() {
                 continue;
             }
-            let part = parts.get(&block).cloned();
-            let none = || vec![Resources::default(); whole.len()];
-            let new = raised
-                .entry(block)
-                .or_insert_with(|| part.unwrap_or_else(none));
-            new[t] += more;
+            let quota = raised.entry(shard).or_insert_with(|| {
+                let present = quotas.get(&shard).cloned();
+                present.unwrap_or_else(|| vec![Resources::default(); limits.len()])
+            });
+            quota[team] += more;
         }
     }
     raised
 }
 
-/// What a block's own part is lowered to, if it has more than it uses and waits for.
-pub fn lowered_quota(
-    part: &[Resources],
-    teams: &[(Resources, Resources)],
-) -> Option<Vec<Resources>> {
-    let keep = |part: i64, used: i64, waiting: i64| {
-        let wish = used + waiting;
-        let most = wish + (wish as f64 * HEADROOM_FRACTION) as i64;
-        // Little is left alone: each change costs one of the state service's.
-        if part > most + part / 8 { most } else { part }
+/// What a team needs in a shard beyond its quota there.
+fn shortage(quota: Option<&Vec<Resources>>, demands: &[TeamDemand], team: usize) -> Resources {
+    let quota = quota.and_then(|quota| quota.get(team));
+    let (held, waiting) = demands.get(team).copied().unwrap_or_default();
+    let mut needed = held;
+    needed += waiting;
+    without_negatives(needed - quota.copied().unwrap_or_default())
+}
+
+/// The share of what is free that goes to one shortage of a total.
+fn proportional_share(free: i64, shortage: i64, total: i64) -> i64 {
+    if total == 0 {
+        0
+    } else if total <= free {
+        shortage
+    } else {
+        (shortage as f64 / total as f64 * free.max(0) as f64) as i64
+    }
+}
+
+/// What a shard's own quota is lowered to, if it has more than it uses and waits for.
+pub fn lowered_quota(quota: &[Resources], demands: &[TeamDemand]) -> Option<Vec<Resources>> {
+    let lower = |quota: i64, held: i64, waiting: i64| {
+        let needed = held + waiting;
+        let kept = needed + (needed as f64 * HEADROOM_FRACTION) as i64;
+        if quota > kept + quota / MIN_RETURNED_PART {
+            kept
+        } else {
+            quota
+        }
     };
-    let lowered: Vec<Resources> = part
+    let lowered: Vec<Resources> = quota
         .iter()
-        .zip(teams)
-        .map(|(p, (used, waiting))| Resources {
-            cpu: keep(p.cpu, used.cpu, waiting.cpu),
-            gpu: keep(p.gpu, used.gpu, waiting.gpu),
+        .zip(demands)
+        .map(|(quota, (held, waiting))| Resources {
+            cpu: lower(quota.cpu, held.cpu, waiting.cpu),
+            gpu: lower(quota.gpu, held.gpu, waiting.gpu),
             memory: 0,
         })
         .collect();
-    (lowered != part).then_some(lowered)
+    (lowered != quota).then_some(lowered)
 }
 
 impl Cluster {
-    /// How this block stands.
+    /// The load of this shard, as its owner tells it.
     pub fn shard_load(&self) -> ShardLoad {
+        let machines = self.machines.values();
+        let schedulable =
+            machines.filter(|machine| machine.is_schedulable(self.now, self.settings.report));
         let mut load = ShardLoad {
             shard: self.shard.id,
             term: self.term,
+            teams: self.team_demands(),
+            free_cpu: schedulable.map(|machine| machine.free().cpu.max(0)).sum(),
+            machine_demand: self
+                .machine_demand
+                .iter()
+                .map(|(offer, count)| (offer.clone(), *count))
+                .collect(),
             ..ShardLoad::default()
         };
-        let held = self
-            .quota
-            .team_usage
-            .iter()
-            .zip(&self.takeover.unconfirmed.possible_usage);
-        load.teams = held
-            .map(|(used, doubted)| {
-                let mut all = *used;
-                all += *doubted;
-                (Resources { memory: 0, ..all }, Resources::default())
+        for job in self.jobs.values().filter(|job| !job.cancelled) {
+            let cpu = job.spec.resources.cpu;
+            load.backlog_cpu += cpu * i64::from(job.spec.tasks - job.tasks.done.len());
+            load.waiting_cpu += cpu * job.placeable_count() as i64;
+        }
+        load
+    }
+
+    /// The demand of each team in this shard: no more than it could start soon, however long its queue.
+    fn team_demands(&self) -> Vec<TeamDemand> {
+        let unconfirmed = &self.takeover.unconfirmed.possible_usage;
+        let usage = self.quota.team_usage.iter().zip(unconfirmed);
+        let mut demands: Vec<TeamDemand> = usage
+            .map(|(used, unconfirmed)| {
+                let mut held = *used;
+                held += *unconfirmed;
+                (Resources { memory: 0, ..held }, Resources::default())
             })
             .collect();
-        for job in self.jobs.values().filter(|j| !j.cancelled) {
+        for job in self.jobs.values().filter(|job| !job.cancelled) {
             let waiting = job.placeable_count() as i64;
-            load.backlog_cpu +=
-                job.spec.resources.cpu * i64::from(job.spec.tasks - job.tasks.done.len());
-            load.waiting_cpu += job.spec.resources.cpu * waiting;
-            if let Some(t) = job.team.filter(|_| waiting > 0) {
-                // No more than it could start soon, however long its queue.
-                load.teams[t].1 += Resources {
+            if let Some(team) = job.team.filter(|_| waiting > 0) {
+                demands[team].1 += Resources {
                     memory: 0,
                     ..job.spec.resources.scaled_by(waiting)
                 };
             }
         }
-        for (t, team) in self.quota.cluster_teams.iter().enumerate() {
-            let (used, waiting) = &mut load.teams[t];
-            waiting.cpu = waiting.cpu.min((team.limit.cpu - used.cpu).max(0));
-            waiting.gpu = waiting.gpu.min((team.limit.gpu - used.gpu).max(0));
+        for (team, (held, waiting)) in self.quota.cluster_teams.iter().zip(&mut demands) {
+            waiting.cpu = waiting.cpu.min((team.limit.cpu - held.cpu).max(0));
+            waiting.gpu = waiting.gpu.min((team.limit.gpu - held.gpu).max(0));
         }
-        let usable = self
-            .machines
-            .values()
-            .filter(|m| m.is_schedulable(self.now, self.settings.report));
-        load.free_cpu = usable.map(|m| m.free().cpu.max(0)).sum();
-        load.machine_demand = self
-            .machine_demand
-            .iter()
-            .map(|(offer, n)| (offer.clone(), *n))
-            .collect();
-        load
+        demands
     }
 
-    /// Asks the cloud for what other blocks' plans lack, each one's in turn.
+    /// Asks the cloud for what other shards' plans lack, each one's in turn.
     pub(crate) fn scale_out_for_shards(
         &mut self,
         now: Micros,
         calls: &mut Vec<CloudCall>,
-        most: u32,
+        max_machines: u32,
     ) {
-        for (block, wants) in std::mem::take(&mut self.other_shards.demand) {
-            for (offer, wanted) in wants {
-                let flavor = self.machine_types[offer.machine_type].name.clone();
-                let coming = self.incoming_machine_count(block, &flavor, &offer.zone, offer.spot);
-                let count = wanted.saturating_sub(coming).min(most);
+        for (shard, demand) in std::mem::take(&mut self.other_shards.demand) {
+            for (offer, wanted) in demand {
+                let machine_type = self.machine_types[offer.machine_type].name.clone();
+                let incoming =
+                    self.incoming_machine_count(shard, &machine_type, &offer.zone, offer.spot);
+                let count = wanted.saturating_sub(incoming).min(max_machines);
                 if count == 0 || self.is_offer_blocked(&offer, now) {
                     continue;
                 }
@@ -193,9 +208,8 @@
                 }
                 let call = self.rent(offer, count);
                 if let CloudCall::Provision { name, .. } = &call {
-                    self.transfers
-                        .provisioning_for_shard
-                        .insert(name.clone(), block);
+                    let provisioning = &mut self.transfers.provisioning_for_shard;
+                    provisioning.insert(name.clone(), shard);
                 }
                 calls.push(call);
             }
@@ -204,67 +218,70 @@
 
     /// Offers that the cloud has refused lately, and for how long they are left alone.
     pub fn refused_offers(&self) -> Vec<(Offer, Micros)> {
-        let refused = self
-            .fleet
-            .refusals
-            .iter()
-            .filter(|(_, r)| r.until > self.now);
-        refused
-            .map(|(offer, r)| (offer.clone(), r.until - self.now))
+        let refusals = self.fleet.refusals.iter();
+        refusals
+            .filter(|(_, refusal)| refusal.until > self.now)
+            .map(|(offer, refusal)| (offer.clone(), refusal.until - self.now))
             .collect()
     }
 
-    /// Sends jobs that nothing was launched of, and that have no room here, to a block that has; all that can go, if
-    /// this block is to be given up.
+    /// Moves jobs that nothing was launched of and that find no capacity here to a shard that has some; all that can move, if
+    /// this shard is to be given up.
     pub fn transfer_waiting_jobs(&mut self, give_up: bool) {
         if !self.takeover.settled || self.other_shards.loads.len() < 2 {
             return;
         }
-        let own = self.shard.id;
-        let best = |need: i64| {
-            let others = self.other_shards.loads.iter().filter(|l| l.shard != own);
-            let roomy = others.filter(|l| give_up || l.free_cpu - l.waiting_cpu >= need);
-            roomy
-                .max_by_key(|l| (l.free_cpu - l.waiting_cpu, l.shard))
-                .map(|l| l.shard)
-        };
-        let waits = |j: &&Job| {
-            let waited = self.unix_time.saturating_sub(j.ready_at)
-                > MIN_WAIT_BEFORE_MOVE + self.settings.report;
-            let moves = give_up || (waited && j.spec.shape != Shape::Gang);
-            j.has_no_launches()
-                && !j.cancelled
-                && !j.persistence.write_in_flight
-                && !j.persistence.version_unknown
-                && moves
-        };
-        let mut leave: Vec<(JobId, u32)> = Vec::new();
-        let queue = self
-            .passes
-            .placement_order
-            .iter()
-            .filter_map(|id| self.jobs.get(id));
+        let queued = self.passes.placement_order.iter();
+        let queued = queued.filter_map(|id| self.jobs.get(id));
         let all = self.jobs.values().filter(|_| give_up);
-        for job in queue.chain(all).filter(waits) {
-            if leave.len() >= MAX_JOBS_MOVED_AT_ONCE {
+        let mut moves: Vec<(JobId, u32)> = Vec::new();
+        for job in queued.chain(all) {
+            if moves.len() >= MAX_JOBS_MOVED_AT_ONCE {
                 break;
             }
-            let need = job.spec.resources.cpu * job.placeable_count() as i64;
-            leave.extend(best(need).map(|to| (job.id.clone(), to)));
+            if self.may_transfer(job, give_up) {
+                let shard = self.roomiest_other_shard(job, give_up);
+                moves.extend(shard.map(|shard| (job.id.clone(), shard)));
+            }
         }
-        if !leave.is_empty() {
+        if !moves.is_empty() {
             self.passes.needed = true;
         }
-        for (id, to) in leave {
+        for (id, shard) in moves {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.scheduling.home_shard = Some(to);
+                job.scheduling.home_shard = Some(shard);
             }
-            // Until the other holder says how it stands now.
-            if let Some(load) = self.other_shards.loads.iter_mut().find(|l| l.shard == to) {
+            // Nothing more goes there until its owner tells its load again.
+            let mut loads = self.other_shards.loads.iter_mut();
+            if let Some(load) = loads.find(|load| load.shard == shard) {
                 load.free_cpu = 0;
             }
         }
     }
+
+    /// Whether a job may move to another shard: nothing was launched of it and its record is not being written.
+    fn may_transfer(&self, job: &Job, give_up: bool) -> bool {
+        let waited = self.unix_time.saturating_sub(job.ready_at);
+        let has_waited = waited > MIN_WAIT_BEFORE_MOVE + self.settings.report;
+        let persistence = &job.persistence;
+        job.has_no_launches()
+            && !job.cancelled
+            && !persistence.write_in_flight
+            && !persistence.version_unknown
+            && (give_up || (has_waited && job.spec.shape != Shape::Gang))
+    }
+
+    /// The other shard with the most free capacity, if that is enough for a job.
+    fn roomiest_other_shard(&self, job: &Job, give_up: bool) -> Option<u32> {
+        let needed_cpu = job.spec.resources.cpu * job.placeable_count() as i64;
+        let unclaimed = |load: &ShardLoad| load.free_cpu - load.waiting_cpu;
+        let loads = self.other_shards.loads.iter();
+        loads
+            .filter(|load| load.shard != self.shard.id)
+            .filter(|load| give_up || unclaimed(load) >= needed_cpu)
+            .max_by_key(|load| (unclaimed(load), load.shard))
+            .map(|load| load.shard)
+    }
 }
 
 #[cfg(test)]
