--- a/crates/gannethub-core/src/controller/load_messages.rs
+++ b/crates/gannethub-core/src/controller/load_messages.rs
@@ -87,6 +87,6 @@
     Resources {
         cpu: cpu.max(0),
         gpu: gpu.max(0),
-        mem: 0,
+        memory: 0,
     }
 }
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -19,8 +19,8 @@
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Seconds from the wire as microseconds. What is no time, as a negative or infinite number, becomes zero; huge values
-/// saturate.
+/// Seconds from the wire as microseconds. What is no time, as a negative or infinite number, becomes zero; huge
+/// values saturate.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     if seconds.is_finite() && seconds > 0.0 {
         (seconds * SECOND as f64).round() as Micros
@@ -80,12 +80,20 @@
     pub number: u64,
 }
 
+impl AttemptId {
+    pub fn new(job: JobId, index: u32, number: u64) -> AttemptId {
+        let task = TaskId { job, index };
+        AttemptId { task, number }
+    }
+}
+
 /// Amounts of CPU, GPU and memory, in thousandths of a CPU, of a GPU and of a GB.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default, Serialize, Deserialize)]
 pub struct Resources {
     pub cpu: i64,
     pub gpu: i64,
-    pub mem: i64,
+    #[serde(rename = "mem")]
+    pub memory: i64,
 }
 
 impl Resources {
@@ -95,13 +103,13 @@
         Resources {
             cpu: milli(cpus),
             gpu: milli(gpus),
-            mem: milli(mem_gb),
+            memory: milli(mem_gb),
         }
     }
 
     /// Whether `self` fits into `free`.
     pub fn fits(&self, free: &Resources) -> bool {
-        self.cpu <= free.cpu && self.gpu <= free.gpu && self.mem <= free.mem
+        self.cpu <= free.cpu && self.gpu <= free.gpu && self.memory <= free.memory
     }
 
     /// How many of `self` fit into `free`: `i64::MAX` if `self` is nothing at all.
@@ -112,7 +120,7 @@
         };
         count(self.cpu, free.cpu)
             .min(count(self.gpu, free.gpu))
-            .min(count(self.mem, free.mem))
+            .min(count(self.memory, free.memory))
     }
 
     /// So many times the amounts. A negative factor gives them back, huge results saturate.
@@ -120,7 +128,7 @@
         Resources {
             cpu: self.cpu.saturating_mul(factor),
             gpu: self.gpu.saturating_mul(factor),
-            mem: self.mem.saturating_mul(factor),
+            memory: self.memory.saturating_mul(factor),
         }
     }
 }
@@ -129,7 +137,7 @@
     fn add_assign(&mut self, other: Resources) {
         self.cpu += other.cpu;
         self.gpu += other.gpu;
-        self.mem += other.mem;
+        self.memory += other.memory;
     }
 }
 
@@ -137,7 +145,7 @@
     fn sub_assign(&mut self, other: Resources) {
         self.cpu -= other.cpu;
         self.gpu -= other.gpu;
-        self.mem -= other.mem;
+        self.memory -= other.memory;
     }
 }
 
@@ -177,8 +185,8 @@
 /// A limit of this amount is no limit.
 pub const UNLIMITED: i64 = i64::MAX / 4;
 
-/// A team's guarantee and limit, which count CPUs and GPUs only. A guarantee of zero is no guarantee, and a team without a
-/// limit has one of [`UNLIMITED`].
+/// A team's guarantee and limit, which count CPUs and GPUs only. A guarantee of zero is no guarantee, and a team
+/// without a limit has one of [`UNLIMITED`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     pub name: String,
@@ -215,7 +223,7 @@
     Production,
 }
 
-/// What a user submitted. The names of its fields are those of the stored record.
+/// What a user submitted, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The kind of work, as its user names it: jobs of a class are expected to behave alike.
@@ -226,25 +234,32 @@
     /// How many tasks it has.
     pub tasks: u32,
     /// What each task needs.
-    pub need: Resources,
+    #[serde(rename = "need")]
+    pub resources: Resources,
     pub image: String,
-    pub image_gb: f64,
+    #[serde(rename = "image_gb")]
+    pub image_size_gb: f64,
     /// The machine types that its tasks may run on. `None`: any.
-    pub types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    pub machine_types: Option<Vec<String>>,
     /// The zone that its tasks have to run in. `None`: any.
     pub zone: Option<String>,
     /// All tasks have to run in the same zone.
-    pub one_zone: bool,
+    #[serde(rename = "one_zone")]
+    pub single_zone: bool,
     /// No zone may have more than half of the tasks.
     pub spread: bool,
     /// It may run on spot machines.
     pub spot: bool,
     /// How long a task runs, as its user estimates.
-    pub estimate: Micros,
+    #[serde(rename = "estimate")]
+    pub run_time_estimate: Micros,
     /// How often a task saves its progress. Zero: it cannot.
-    pub checkpoint_every: Micros,
+    #[serde(rename = "checkpoint_every")]
+    pub checkpoint_interval: Micros,
     /// How long a task takes to save its progress.
-    pub save: Micros,
+    #[serde(rename = "save")]
+    pub save_time: Micros,
     /// How long after its acceptance the job has to be done.
     pub deadline: Option<Micros>,
 }
@@ -255,12 +270,12 @@
         let allows_type = |types: &Vec<String>| types.iter().any(|allowed| allowed == machine_type);
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|allowed| allowed == zone)
-            && self.types.as_ref().is_none_or(allows_type)
+            && self.machine_types.as_ref().is_none_or(allows_type)
     }
 
     /// Whether it matters to the zones of its other tasks where one of its tasks is.
     pub fn is_zone_constrained(&self) -> bool {
-        self.one_zone || self.spread
+        self.single_zone || self.spread
     }
 
     /// The most tasks that may share a zone.
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -10,8 +10,9 @@
 use super::transaction::TransactionBuilder;
 use crate::model::{Micros, SECOND};
 use crate::state::cluster::Cluster;
+use crate::state::fleet::PendingProvision;
 use crate::state::shard::ShardMember;
-use crate::state::shard_transfers::OutgoingTransfer;
+use crate::state::shard_transfers::{OutgoingTransfer, RecentTransfer};
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{self, MachineTransferRecord};
 
@@ -70,7 +71,10 @@
                 .recent
                 .entry(transfer.to_shard)
                 .or_default()
-                .push((counts_until, transfer.record));
+                .push(RecentTransfer {
+                    record: transfer.record,
+                    counts_until,
+                });
         }
     }
 
@@ -122,8 +126,11 @@
             record.machine_type == machine_type && record.zone == zone && record.spot == spot
         };
         let recent = self.transfers.recent.entry(shard).or_default();
-        recent.retain(|(counts_until, _)| now < *counts_until);
-        let arriving = recent.iter().filter(|(_, record)| is_same(record)).count();
+        recent.retain(|transfer| now < transfer.counts_until);
+        let arriving = recent
+            .iter()
+            .filter(|transfer| is_same(&transfer.record))
+            .count();
         let outgoing = self.transfers.outgoing.values();
         let leaving = outgoing
             .filter(|transfer| transfer.to_shard == shard && is_same(&transfer.record))
@@ -134,12 +141,12 @@
             .iter()
             .filter(|(_, to_shard)| **to_shard == shard)
             .filter_map(|(request, _)| self.fleet.pending_provisions.get(request))
-            .filter(|(offer, _)| {
+            .filter(|PendingProvision { offer, .. }| {
                 *self.machine_types[offer.machine_type].name == *machine_type
                     && offer.zone == zone
                     && offer.spot == spot
             })
-            .map(|(_, count)| count)
+            .map(|pending| pending.count)
             .sum();
         arriving as u32 + leaving as u32 + requested
     }
--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -3,7 +3,7 @@
 use super::usage::record::UsageRecord;
 use crate::model::{MachineId, Micros, Resources};
 use crate::saga::Saga;
-use crate::wire::worker::ExitReason;
+use crate::wire::worker::{ExitReason, ReportedTask, TaskState};
 
 /// How far an attempt has come, as its worker last reported it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -21,10 +21,29 @@
     Ended(ExitReason),
 }
 
+impl AttemptPhase {
+    /// Whether the task has exited.
+    pub fn is_ended(self) -> bool {
+        matches!(self, AttemptPhase::Ended(_))
+    }
+}
+
+impl From<&ReportedTask<'_>> for AttemptPhase {
+    fn from(task: &ReportedTask<'_>) -> AttemptPhase {
+        match task.state {
+            TaskState::Fetching => AttemptPhase::Fetching,
+            TaskState::Waiting => AttemptPhase::Waiting,
+            TaskState::Running => AttemptPhase::Running,
+            TaskState::Saving => AttemptPhase::Saving,
+            TaskState::Exited => AttemptPhase::Ended(task.exit_reason.unwrap_or(ExitReason::Other)),
+        }
+    }
+}
+
 /// One start of a task, on one machine.
 ///
-/// Attempts are kept under [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer reports
-/// them, which is after their resources were given back.
+/// Attempts are kept under [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer
+/// reports them, which is after their resources were given back.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub phase: AttemptPhase,
@@ -43,6 +62,27 @@
     pub usage_record: Option<Box<UsageRecord>>,
 }
 
+impl Attempt {
+    /// An attempt that is placed now. It holds capacity from here on.
+    pub fn starting(
+        resources: Resources,
+        team: Option<usize>,
+        usage_record: Option<Box<UsageRecord>>,
+        now: Micros,
+    ) -> Attempt {
+        Attempt {
+            phase: AttemptPhase::Starting,
+            phase_since: now,
+            reported: false,
+            stop_grace: None,
+            resources,
+            team,
+            holds_capacity: true,
+            usage_record,
+        }
+    }
+}
+
 /// Where a task is placed, and the number of that attempt.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LiveAttempt {
@@ -55,7 +95,8 @@
 pub struct GangAttempt {
     /// The attempt number that all tasks of the gang share.
     pub attempt: u64,
-    /// The attempt's own saga: every task is vital to it. The attempt is not vital to its job, so a lost one is repeated.
+    /// The attempt's own saga: every task is vital to it. The attempt is not vital to its job, so a lost one is
+    /// repeated.
     pub saga: Saga<u32>,
     /// At least one task has been reported as running. Until then a lost task is replaced within the same attempt.
     pub running: bool,
--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -1,7 +1,7 @@
 //! Placing tasks on machines and stopping them.
 
 use crate::model::{AttemptId, JobId, MachineId, Micros, Priority, SECOND, Shape, TaskId};
-use crate::state::attempt::{Attempt, AttemptPhase, LiveAttempt};
+use crate::state::attempt::{Attempt, LiveAttempt};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 
@@ -12,24 +12,12 @@
 
 impl Cluster {
     /// Tells one attempt to stop. A shorter grace replaces a longer one.
-    pub(crate) fn stop_attempt(
-        &mut self,
-        job: &str,
-        index: u32,
-        machine: &str,
-        attempt: u64,
-        grace: Micros,
-    ) {
+    pub(crate) fn stop_attempt(&mut self, machine: &MachineId, id: &AttemptId, grace: Micros) {
         let Some(machine) = self.machines.get_mut(machine) else {
             return;
         };
         machine.worker.heartbeat_digest = None;
-        let job = job.into();
-        let key = AttemptId {
-            task: TaskId { job, index },
-            number: attempt,
-        };
-        if let Some(attempt) = machine.attempts.get_mut(&key) {
+        if let Some(attempt) = machine.attempts.get_mut(id) {
             let shortest = attempt.stop_grace.map_or(grace, |known| known.min(grace));
             attempt.stop_grace = Some(shortest);
         }
@@ -40,9 +28,9 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        let saves_progress = job.spec.checkpoint_every > 0;
+        let saves_progress = job.spec.checkpoint_interval > 0;
         let grace = match saves_progress {
-            true => job.spec.save + SAVE_MARGIN,
+            true => job.spec.save_time + SAVE_MARGIN,
             false => 0,
         };
         let targets: Vec<u32> = match &mut job.tasks.gang_attempt {
@@ -59,7 +47,8 @@
             .filter_map(|index| Some((index, live_attempts.get(&index)?.clone())))
             .collect();
         for (index, live) in live {
-            self.stop_attempt(job_id, index, &live.machine, live.number, grace);
+            let attempt = AttemptId::new(job_id.clone(), index, live.number);
+            self.stop_attempt(&live.machine, &attempt, grace);
         }
     }
 
@@ -77,59 +66,37 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            if job.spec.checkpoint_every > 0 || job.spec.shape == Shape::Service {
+            if job.spec.checkpoint_interval > 0 || job.spec.shape == Shape::Service {
                 self.preempt(&task.job, task.index);
             }
         }
     }
 
     /// Puts a task on a machine; the launch goes out with the answer to the machine's next heartbeat.
-    pub fn place_task(
-        &mut self,
-        job_id: &JobId,
-        index: u32,
-        machine_id: &MachineId,
-        attempt: u64,
-        now: Micros,
-    ) {
-        let usage_record = self.open_usage_record(job_id, index, machine_id, attempt, now);
+    pub fn place_task(&mut self, id: AttemptId, machine_id: &MachineId, now: Micros) {
+        let usage_record = self.open_usage_record(&id, machine_id, now);
+        let TaskId { job: job_id, index } = &id.task;
         let job = self.jobs.get_mut(job_id);
         let machine = self.machines.get_mut(machine_id);
         let (Some(job), Some(machine)) = (job, machine) else {
             return;
         };
-        job.tasks.pending.remove(index);
+        job.tasks.pending.remove(*index);
         let live_attempt = LiveAttempt {
             machine: machine_id.clone(),
-            number: attempt,
+            number: id.number,
         };
-        job.tasks.live_attempts.insert(index, live_attempt);
-        job.request_watermark(index + 1);
+        job.tasks.live_attempts.insert(*index, live_attempt);
+        job.request_watermark(*index + 1);
         self.watermarks.launch_rate.record_placed();
-        let (team, resources) = (job.team, job.spec.need);
+        let (team, resources) = (job.team, job.spec.resources);
         if job.effective_priority() >= Priority::High {
             machine.placement.high_priority_placed_at = Some(now);
         }
         machine.placement.use_reservation(job_id);
         machine.worker.heartbeat_digest = None;
-        let entry = Attempt {
-            phase: AttemptPhase::Starting,
-            phase_since: now,
-            reported: false,
-            stop_grace: None,
-            resources,
-            team,
-            holds_capacity: true,
-            usage_record,
-        };
-        let job = job_id.clone();
-        machine.attempts.insert(
-            AttemptId {
-                task: TaskId { job, index },
-                number: attempt,
-            },
-            entry,
-        );
+        let attempt = Attempt::starting(resources, team, usage_record, now);
+        machine.attempts.insert(id, attempt);
         self.adjust_usage(machine_id, team, resources, now);
     }
 
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -18,6 +18,13 @@
     pub spot: bool,
 }
 
+/// Machines that have been asked for and that the cloud has not answered for.
+#[derive(Clone, Debug)]
+pub struct PendingProvision {
+    pub offer: Offer,
+    pub count: u32,
+}
+
 /// The cloud had no machine for an offer.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferRefusal {
@@ -58,7 +65,7 @@
     /// Provisioning requests so far, which names them together with the term.
     pub(crate) request_count: u64,
     /// Provisioning requests under way, by name.
-    pub pending_provisions: BTreeMap<String, (Offer, u32)>,
+    pub pending_provisions: BTreeMap<String, PendingProvision>,
     /// Calls that are to be sent again as they are.
     pub(crate) calls_to_retry: Vec<CloudCall>,
     pub(crate) delete_in_flight: bool,
@@ -84,8 +91,8 @@
 
     pub(crate) refusals: HashMap<Offer, OfferRefusal>,
     pub provisioning_times: ProvisioningTimes,
-    /// Machines confirmed as deleted, and when: a lagging list may still show them, and heartbeats that were held back in
-    /// the network may come minutes later.
+    /// Machines confirmed as deleted, and when: a lagging list may still show them, and heartbeats that were held
+    /// back in the network may come minutes later.
     pub deleted_machines: HashMap<String, Micros>,
 }
 
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -27,7 +27,7 @@
     JobOwner {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
-        resources: job.spec.need,
+        resources: job.spec.resources,
         is_service: job.spec.shape == Shape::Service,
     }
 }
@@ -40,9 +40,9 @@
         ExitReason::PeersGone => Reason::PeersGone,
         ExitReason::Alone => Reason::Alone,
         ExitReason::Error => Reason::Error,
-        ExitReason::NoRoom => Reason::NoRoom,
-        ExitReason::Busy => Reason::Busy,
-        ExitReason::Unknown => Reason::Unknown,
+        ExitReason::InsufficientResources => Reason::NoRoom,
+        ExitReason::OtherAttemptPresent => Reason::Busy,
+        ExitReason::UnknownTask => Reason::Unknown,
         ExitReason::Other => Reason::Other,
     }
 }
@@ -106,8 +106,8 @@
                 missed: worker.missed_heartbeats,
             };
         }
-        // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer in it;
-        // of a machine that is silent nobody knows.
+        // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer
+        // in it; of a machine that is silent nobody knows.
         match worker.last_heartbeat_at {
             Some(at) if at == now => News::Silence {
                 heard: worker.previous_heartbeat_at,
@@ -190,8 +190,8 @@
             Some(ChargeState::Charged(ticket)) => ledger.book.is_written(ticket),
             Some(ChargeState::Open | ChargeState::OwnerUnknown) => false,
         };
-        // An end that is still shown would get the next start of the task here refused; and a heartbeat must not outgrow
-        // its limit. Then this leader's memory has to do.
+        // An end that is still shown would get the next start of the task here refused; and a heartbeat must not
+        // outgrow its limit. Then this leader's memory has to do.
         is_durable || is_replaced(machine, attempt) || has_too_many_ends(machine)
     }
 }
@@ -209,7 +209,7 @@
     let ended = machine
         .attempts
         .values()
-        .filter(|entry| matches!(entry.phase, AttemptPhase::Ended(_)));
+        .filter(|entry| entry.phase.is_ended());
     ended.count() > MAX_ENDED_ATTEMPTS
 }
 
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -6,7 +6,7 @@
 
 use super::ends::job_owner;
 use super::record::{ChargeState, MachineRate, OrphanedAttempt, UsageRecord, ledger_key};
-use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, TaskId};
+use crate::model::{AttemptId, MachineId, Micros, SECOND};
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
 use crate::state::machine::Machine;
@@ -37,9 +37,11 @@
         AttemptPhase::Running => Stage::Running,
         AttemptPhase::Saving => Stage::Saving,
         // What it did before it was found is put down to what it most likely did last.
-        AttemptPhase::Ended(ExitReason::NoRoom | ExitReason::Busy | ExitReason::Unknown) => {
-            Stage::Starting
-        }
+        AttemptPhase::Ended(
+            ExitReason::InsufficientResources
+            | ExitReason::OtherAttemptPresent
+            | ExitReason::UnknownTask,
+        ) => Stage::Starting,
         AttemptPhase::Ended(ExitReason::Alone) => Stage::Waiting,
         AttemptPhase::Ended(_) => Stage::Running,
     }
@@ -49,20 +51,13 @@
     /// The record of an attempt that is placed now.
     pub(crate) fn open_usage_record(
         &mut self,
-        job: &JobId,
-        index: u32,
+        attempt: &AttemptId,
         machine: &MachineId,
-        number: u64,
         now: Micros,
     ) -> Option<Box<UsageRecord>> {
         let ledger = self.usage_ledger.as_mut()?;
-        let job = self.jobs.get(job)?;
-        let task = TaskId {
-            job: job.id.clone(),
-            index,
-        };
-        let attempt = AttemptId { task, number };
-        ledger.replication.mark_changed(machine, &attempt);
+        let job = self.jobs.get(&attempt.task.job)?;
+        ledger.replication.mark_changed(machine, attempt);
         Some(Box::new(UsageRecord {
             meter: Meter::placed(now),
             owner: Some(Arc::new(job_owner(job))),
@@ -104,7 +99,7 @@
         let mut record = orphan.record;
         let meter = &mut record.meter;
         meter.wait(orphan.transit_time);
-        if matches!(phase, AttemptPhase::Ended(_)) {
+        if phase.is_ended() {
             // It may have ended at any time since it was told of: in the middle, on average.
             let unseen = now.saturating_sub(orphan.last_known_at);
             meter.since = meter.since.max(orphan.last_known_at + unseen / 2);
@@ -134,7 +129,7 @@
             age,
             mut uncertainty,
         } = self.estimate_age(attempt.number, ready_at);
-        let has_ended = matches!(phase, AttemptPhase::Ended(_));
+        let has_ended = phase.is_ended();
         let key = ledger_key(id, attempt);
         let charge = match ledger.inherited_tickets.get(&key) {
             Some(ticket) => ChargeState::Charged(*ticket),
@@ -201,7 +196,7 @@
         phase: AttemptPhase,
         now: Micros,
     ) {
-        if matches!(phase, AttemptPhase::Ended(_)) {
+        if phase.is_ended() {
             return;
         }
         let Some(ledger) = &mut self.usage_ledger else {
