--- a/crates/gannethub-core/src/controller/acceptance.rs
+++ b/crates/gannethub-core/src/controller/acceptance.rs
@@ -108,8 +108,8 @@
             outbox.reply(queued.connection, Response::error(400, reason));
             return false;
         }
-        let live_key = format!("{}{}", store::LIVE_JOB_PREFIX, queued.job);
-        let finished_key = format!("{}{}", store::FINISHED_JOB_PREFIX, queued.job);
+        let live_key = store::live_job_key(&queued.job);
+        let finished_key = store::finished_job_key(&queued.job);
         transaction.guard(&live_key, 0);
         transaction.guard(&finished_key, 0);
         transaction.put(&live_key, record.value, None);
--- a/crates/gannethub-core/src/controller/cancellations.rs
+++ b/crates/gannethub-core/src/controller/cancellations.rs
@@ -21,7 +21,7 @@
         connections: Vec<u64>,
         done: u32,
     ) {
-        let key = format!("{}{job}", store::LIVE_JOB_PREFIX);
+        let key = store::live_job_key(&job);
         let value = live
             .record
             .into_cancelled_value(outbox.settings.value_bytes);
--- a/crates/gannethub-core/src/controller/dependency_outcomes.rs
+++ b/crates/gannethub-core/src/controller/dependency_outcomes.rs
@@ -33,7 +33,7 @@
         }
         self.outcome_reads.retain(|_, until| now < *until);
         for job in self.wanted_outcomes(leader) {
-            let request = StoreRequest::get(&format!("{}{job}", store::FINISHED_JOB_PREFIX));
+            let request = StoreRequest::get(&store::finished_job_key(&job));
             self.outcome_reads
                 .insert(job.clone(), now + OUTCOME_READ_TIMEOUT);
             let pending = JobApiRequest::ReadDependency { job };
--- a/crates/gannethub-core/src/controller/job_lookups.rs
+++ b/crates/gannethub-core/src/controller/job_lookups.rs
@@ -195,11 +195,11 @@
 }
 
 fn send_lookup(outbox: &mut Outbox, job: JobId, finished: bool) {
-    let prefix = match finished {
-        true => store::FINISHED_JOB_PREFIX,
-        false => store::LIVE_JOB_PREFIX,
+    let key = match finished {
+        true => store::finished_job_key(&job),
+        false => store::live_job_key(&job),
     };
-    let request = StoreRequest::get(&format!("{prefix}{job}"));
+    let request = StoreRequest::get(&key);
     let pending = JobApiRequest::LookUpJob { job, finished };
     outbox.send_to_store(Urgency::User, request, pending);
 }
--- a/crates/gannethub-core/src/controller/shard_owner/watch.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/watch.rs
@@ -55,7 +55,7 @@
         let known = self.cluster.jobs.keys().chain(waiting);
         self.writes
             .keys_to_reread
-            .extend(known.map(|id| format!("{}{id}", store::LIVE_JOB_PREFIX)));
+            .extend(known.map(|id| store::live_job_key(id)));
         self.watched_version = 0;
         self.load.stage = LoadStage::Jobs;
         self.load_next(outbox, "");
@@ -140,7 +140,7 @@
             self.watch.expected_changes.push_back(ExpectedChange {
                 due: outbox.clock.now + WATCH_TIMEOUT,
                 version,
-                key: format!("{}{id}", store::LIVE_JOB_PREFIX),
+                key: store::live_job_key(id),
             });
         }
     }
--- a/crates/gannethub-core/src/controller/shard_owner/writes.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/writes.rs
@@ -162,7 +162,7 @@
             return;
         }
         self.writes.rereads_in_flight += 1;
-        let request = StoreRequest::get(&format!("{}{id}", store::FINISHED_JOB_PREFIX));
+        let request = StoreRequest::get(&store::finished_job_key(&id));
         let pending = OwnerRequest::ReadFinishedJob { job: id };
         self.send_to_store(outbox, Urgency::Transaction, request, pending);
     }
@@ -174,7 +174,7 @@
             KeyRead::Unreadable => (u64::MAX, None),
             KeyRead::Absent { .. } => return,
             KeyRead::Failed => {
-                let key = format!("{}{id}", store::LIVE_JOB_PREFIX);
+                let key = store::live_job_key(id);
                 self.writes.keys_to_reread.insert(key);
                 return;
             }
@@ -189,7 +189,7 @@
     /// attempt to them.
     pub(super) fn read_job_owners(&mut self, outbox: &mut Outbox) {
         for job in self.cluster.owners_to_read(outbox.clock.now) {
-            let request = StoreRequest::get(&format!("{}{job}", store::FINISHED_JOB_PREFIX));
+            let request = StoreRequest::get(&store::finished_job_key(&job));
             let pending = OwnerRequest::ReadJobOwner { job };
             self.send_to_store(outbox, Urgency::Background, request, pending);
         }
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -102,7 +102,7 @@
         };
         self.dependency_checks.insert(connection, check);
         for job in unknown {
-            let request = StoreRequest::get(&format!("{}{job}", store::FINISHED_JOB_PREFIX));
+            let request = StoreRequest::get(&store::finished_job_key(&job));
             let pending = JobApiRequest::ReadNamedJob { connection, job };
             outbox.send_to_store(Urgency::User, request, pending);
         }
