--- a/crates/gannethub-core/src/controller/load_messages.rs
+++ b/crates/gannethub-core/src/controller/load_messages.rs
@@ -3,7 +3,7 @@
 
 use crate::model::{MachineType, Resources};
 use crate::state::fleet::Offer;
-use crate::state::shard_load::ShardLoad;
+use crate::state::shard_load::{ShardLoad, TeamLoad};
 use crate::wire::peer::{OfferAmount, ShardStatus, TeamStatus};
 
 /// An offer and an amount that goes with it.
@@ -37,11 +37,11 @@
 
 /// The load of a shard that this controller owns.
 pub(super) fn encode_shard_load(machine_types: &[MachineType], load: &ShardLoad) -> ShardStatus {
-    let teams = load.teams.iter().map(|(used, waiting)| TeamStatus {
-        used_cpu: used.cpu,
-        used_gpu: used.gpu,
-        waiting_cpu: waiting.cpu,
-        waiting_gpu: waiting.gpu,
+    let teams = load.teams.iter().map(|team| TeamStatus {
+        used_cpu: team.used.cpu,
+        used_gpu: team.used.gpu,
+        waiting_cpu: team.waiting.cpu,
+        waiting_gpu: team.waiting.gpu,
     });
     let demand = load.machine_demand.iter();
     let demand = demand.map(|(offer, count)| encode_offer(machine_types, offer, u64::from(*count)));
@@ -62,9 +62,9 @@
     told: &ShardStatus,
     peer: usize,
 ) -> ShardLoad {
-    let teams = told.teams.iter().map(|team| {
-        let used = amount(team.used_cpu, team.used_gpu);
-        (used, amount(team.waiting_cpu, team.waiting_gpu))
+    let teams = told.teams.iter().map(|team| TeamLoad {
+        used: amount(team.used_cpu, team.used_gpu),
+        waiting: amount(team.waiting_cpu, team.waiting_gpu),
     });
     let demand = told.machine_demand.iter().filter_map(|told| {
         let count = u32::try_from(told.amount).ok();
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -233,7 +233,7 @@
             let waits_for_nothing = load
                 .teams
                 .iter()
-                .all(|(_, waiting)| *waiting == Resources::default());
+                .all(|team| team.waiting == Resources::default());
             if waits_for_nothing {
                 self.read_at = now + IDLE_READ_INTERVAL;
             }
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -30,8 +30,8 @@
 }
 
 /// Microseconds as seconds, for a wire or a policy.
-pub fn seconds_from_micros(t: Micros) -> f64 {
-    t as f64 / SECOND as f64
+pub fn seconds_from_micros(time: Micros) -> f64 {
+    time as f64 / SECOND as f64
 }
 
 /// A job's id, as its user chose it: see [`is_valid_job_id`].
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -12,7 +12,7 @@
 use crate::state::cluster::Cluster;
 use crate::state::fleet::{CloudCall, Offer};
 use crate::state::job::Job;
-use crate::state::shard_load::ShardLoad;
+use crate::state::shard_load::{ShardLoad, TeamLoad};
 
 /// What a block keeps beyond what it uses and waits for, as a part of that.
 const HEADROOM_FRACTION: f64 = 0.1;
@@ -46,32 +46,32 @@
 pub fn raised_quotas(
     whole: &[Resources],
     parts: &ShardQuotas,
-    own: &[(Resources, Resources)],
-    told: &BTreeMap<u32, Vec<(Resources, Resources)>>,
+    own: &[TeamLoad],
+    told: &BTreeMap<u32, Vec<TeamLoad>>,
 ) -> ShardQuotas {
     let mut raised = ShardQuotas::new();
-    for (t, (mut left, (held, waits))) in remaining_quota(whole, parts)
+    for (t, (mut left, own)) in remaining_quota(whole, parts)
         .into_iter()
         .zip(own)
         .enumerate()
     {
-        left -= *held;
-        let lacks = |block: &u32, teams: &Vec<(Resources, Resources)>| {
+        left -= own.used;
+        let lacks = |block: &u32, teams: &Vec<TeamLoad>| {
             let part = parts
                 .get(block)
                 .and_then(|p| p.get(t))
                 .copied()
                 .unwrap_or_default();
-            let (used, waiting) = teams.get(t).copied().unwrap_or_default();
-            let mut wish = used;
-            wish += waiting;
+            let team = teams.get(t).copied().unwrap_or_default();
+            let mut wish = team.used;
+            wish += team.waiting;
             without_negatives(wish - part)
         };
         let lacking: Vec<(u32, Resources)> = told
             .iter()
             .map(|(b, teams)| (*b, lacks(b, teams)))
             .collect();
-        let mut all = without_negatives(*waits);
+        let mut all = without_negatives(own.waiting);
         lacking.iter().for_each(|(_, l)| all += *l);
         for (block, lack) in lacking {
             // Each gets its part of what is free, by what it lacks.
@@ -100,10 +100,7 @@
 }
 
 /// What a block's own part is lowered to, if it has more than it uses and waits for.
-pub fn lowered_quota(
-    part: &[Resources],
-    teams: &[(Resources, Resources)],
-) -> Option<Vec<Resources>> {
+pub fn lowered_quota(part: &[Resources], teams: &[TeamLoad]) -> Option<Vec<Resources>> {
     let keep = |part: i64, used: i64, waiting: i64| {
         let wish = used + waiting;
         let most = wish + (wish as f64 * HEADROOM_FRACTION) as i64;
@@ -113,9 +110,9 @@
     let lowered: Vec<Resources> = part
         .iter()
         .zip(teams)
-        .map(|(p, (used, waiting))| Resources {
-            cpu: keep(p.cpu, used.cpu, waiting.cpu),
-            gpu: keep(p.gpu, used.gpu, waiting.gpu),
+        .map(|(p, team)| Resources {
+            cpu: keep(p.cpu, team.used.cpu, team.waiting.cpu),
+            gpu: keep(p.gpu, team.used.gpu, team.waiting.gpu),
             memory: 0,
         })
         .collect();
@@ -139,7 +136,10 @@
             .map(|(used, doubted)| {
                 let mut all = *used;
                 all += *doubted;
-                (Resources { memory: 0, ..all }, Resources::default())
+                TeamLoad {
+                    used: Resources { memory: 0, ..all },
+                    waiting: Resources::default(),
+                }
             })
             .collect();
         for job in self.jobs.values().filter(|j| !j.cancelled) {
@@ -149,14 +149,14 @@
             load.waiting_cpu += job.spec.resources.cpu * waiting;
             if let Some(t) = job.team.filter(|_| waiting > 0) {
                 // No more than it could start soon, however long its queue.
-                load.teams[t].1 += Resources {
+                load.teams[t].waiting += Resources {
                     memory: 0,
                     ..job.spec.resources.scaled_by(waiting)
                 };
             }
         }
         for (t, team) in self.quota.cluster_teams.iter().enumerate() {
-            let (used, waiting) = &mut load.teams[t];
+            let TeamLoad { used, waiting } = &mut load.teams[t];
             waiting.cpu = waiting.cpu.min((team.limit.cpu - used.cpu).max(0));
             waiting.gpu = waiting.gpu.min((team.limit.gpu - used.gpu).max(0));
         }
--- a/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
@@ -9,21 +9,25 @@
     }
 }
 
+fn team(used: i64, waiting: i64) -> TeamLoad {
+    TeamLoad {
+        used: cpus(used),
+        waiting: cpus(waiting),
+    }
+}
+
 #[test]
 fn what_is_free_goes_to_those_that_lack_it_and_comes_back_when_it_lies_idle() {
     let whole = [cpus(100)];
-    let told = BTreeMap::from([
-        (1, vec![(cpus(0), cpus(60))]),
-        (2, vec![(cpus(0), cpus(60))]),
-    ]);
-    let parts = raised_quotas(&whole, &ShardQuotas::new(), &[(cpus(20), cpus(0))], &told);
+    let told = BTreeMap::from([(1, vec![team(0, 60)]), (2, vec![team(0, 60)])]);
+    let parts = raised_quotas(&whole, &ShardQuotas::new(), &[team(20, 0)], &told);
     assert_eq!((parts[&1][0].cpu, parts[&2][0].cpu), (40, 40));
     assert_eq!(remaining_quota(&whole, &parts), [cpus(20)]);
     // Nothing is free any more.
-    assert!(raised_quotas(&whole, &parts, &[(cpus(20), cpus(9))], &told).is_empty());
-    assert_eq!(lowered_quota(&parts[&1], &[(cpus(30), cpus(10))]), None);
+    assert!(raised_quotas(&whole, &parts, &[team(20, 9)], &told).is_empty());
+    assert_eq!(lowered_quota(&parts[&1], &[team(30, 10)]), None);
     assert_eq!(
-        lowered_quota(&parts[&1], &[(cpus(10), cpus(0))]),
+        lowered_quota(&parts[&1], &[team(10, 0)]),
         Some(vec![cpus(11)])
     );
 }
@@ -49,7 +53,7 @@
                 // It lowers it, and obeys at once; the write may fail, or its answer be lost.
                 1 | 2 => {
                     let Some((seen, part)) = holds.get(&block).cloned() else { continue };
-                    let Some(low) = lowered_quota(&part, &[(cpus(used), cpus(waiting))]) else { continue };
+                    let Some(low) = lowered_quota(&part, &[team(used, waiting)]) else { continue };
                     holds.insert(block, (seen, low.clone()));
                     let fits = written.get(&block).is_some_and(|w| w.0 == seen);
                     if what == 1 && fits {
@@ -64,9 +68,9 @@
                 _ => {
                     let parts: ShardQuotas =
                         believed.iter().map(|(b, w)| (*b, w.1.clone())).collect();
-                    let told = BTreeMap::from([(block, vec![(cpus(used), cpus(waiting))])]);
+                    let told = BTreeMap::from([(block, vec![team(used, waiting)])]);
                     let free = remaining_quota(&whole, &parts)[0].cpu;
-                    let own = (cpus(free.min(7)), cpus(3));
+                    let own = team(free.min(7), 3);
                     let raised = raised_quotas(&whole, &parts, &[own], &told);
                     if believed != written {
                         continue;
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -16,12 +16,21 @@
     pub waiting_cpu: i64,
     /// CPU that is free on its machines.
     pub free_cpu: i64,
-    /// What each team may have on its machines now, and what it waits for, in the settings' order of teams.
-    pub teams: Vec<(Resources, Resources)>,
+    /// In the settings' order of teams.
+    pub teams: Vec<TeamLoad>,
     /// Machines that its provisioning plan asks for.
     pub machine_demand: Vec<(Offer, u32)>,
 }
 
+/// The CPU and GPU of a team in a shard.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct TeamLoad {
+    /// What the team may have on the shard's machines now.
+    pub used: Resources,
+    /// What its tasks that wait for a machine ask for, as far as its limit allows.
+    pub waiting: Resources,
+}
+
 /// The home shard of a new job, of those below `shard_count`: the one with the smallest backlog, which grows by
 /// the job.
 ///
