--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -3,17 +3,17 @@
 //!
 //! | part | what it is for |
 //! | --- | --- |
-//! | [`interface`](self::interface) | the commands and effects |
-//! | [`outbox`](self::outbox) | what all parts ask of the outside |
-//! | [`job_api`](self::job_api) | users: submissions, queries, cancellations, and the replica of all live jobs |
-//! | [`membership`](self::membership) | peers: who is heard, who leads, and this controller's own chances of leading |
-//! | [`shard_assignment`](self::shard_assignment), [`quota_partitioner`](self::quota_partitioner) | where there are several shards: who owns which, and what teams may use in each |
-//! | [`shard_owner`](self::shard_owner) | under a [`lease`](self::lease): a shard's machines, what runs on them, and what is written of it |
-//! | [`heartbeat_routing`](self::heartbeat_routing) | workers' heartbeats: answered here, or passed on to the owner of the machine's shard |
-//! | [`config_watch`](self::config_watch) | which version of the configuration is in force |
+//! | [`interface`] | the commands and effects |
+//! | [`outbox`] | what all parts ask of the outside |
+//! | [`job_api`] | users: submissions, queries, cancellations, and the replica of all live jobs |
+//! | [`membership`] | peers: who is heard, who leads, and this controller's own chances of leading |
+//! | [`shard_assignment`], [`quota_partitioner`] | where there are several shards: who owns which, and what teams may use in each |
+//! | [`shard_owner`] | under a [`lease`]: a shard's machines, what runs on them, and what is written of it |
+//! | [`heartbeat_routing`] | workers' heartbeats: answered here, or passed on to the owner of the machine's shard |
+//! | [`config_watch`] | which version of the configuration is in force |
 //!
-//! The modules [`ticking`](self::ticking), [`requests`](self::requests), [`peer_messages`](self::peer_messages),
-//! [`store_answers`](self::store_answers) and [`ownership`](self::ownership) hand each input to the part that it is for.
+//! The modules [`ticking`], [`requests`], [`peer_messages`],
+//! [`store_answers`] and [`ownership`] hand each input to the part that it is for.
 
 mod acceptance;
 mod cancellations;
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -1,5 +1,5 @@
 //! A shard's part of the teams' limits, as its owner reads, obeys and writes it. What is decided is in
-//! [`quota_partition`](crate::scheduling::quota_partition).
+//! [`quota_partition`].
 //!
 //! Nobody goes by more than is written, at any moment. An owner that gives back obeys before its write is sent, and until
 //! it is certain that the write was carried out or never will be: a write without an answer is sent again, guarded by the
