--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -48,20 +48,19 @@
     remaining
 }
 
-/// What the quotas of other shards are raised to, if they lack something and shard 0 has it to give. `own`: the demand of each
-/// team in shard 0; `demands`: that in other shards.
+/// What the quotas of other shards are raised to, if they lack something and shard 0 has it to give. `own`: the load of each team
+/// in shard 0; `loads`: that in other shards.
 pub fn raised_quotas(
     limits: &[Resources],
     quotas: &ShardQuotas,
     own: &[TeamLoad],
-    demands: &BTreeMap<u32, Vec<TeamLoad>>,
+    loads: &BTreeMap<u32, Vec<TeamLoad>>,
 ) -> ShardQuotas {
     let mut raised = ShardQuotas::new();
     let remaining = remaining_quota(limits, quotas).into_iter();
-    for (team, (remaining, own)) in remaining.zip(own).enumerate() {
-        let mut free = remaining;
+    for (team, (mut free, own)) in remaining.zip(own).enumerate() {
         free -= own.used;
-        let shortages: Vec<(u32, Resources)> = demands
+        let shortages: Vec<(u32, Resources)> = loads
             .iter()
             .map(|(shard, teams)| (*shard, shortage(quotas.get(shard), teams, team)))
             .collect();
@@ -89,11 +88,11 @@
 }
 
 /// What a team needs in a shard beyond its quota there.
-fn shortage(quota: Option<&Vec<Resources>>, demands: &[TeamLoad], team: usize) -> Resources {
+fn shortage(quota: Option<&Vec<Resources>>, loads: &[TeamLoad], team: usize) -> Resources {
     let quota = quota.and_then(|quota| quota.get(team));
-    let demand = demands.get(team).copied().unwrap_or_default();
-    let mut needed = demand.used;
-    needed += demand.waiting;
+    let load = loads.get(team).copied().unwrap_or_default();
+    let mut needed = load.used;
+    needed += load.waiting;
     without_negatives(needed - quota.copied().unwrap_or_default())
 }
 
@@ -109,9 +108,9 @@
 }
 
 /// What a shard's own quota is lowered to, if it has more than it uses and waits for.
-pub fn lowered_quota(quota: &[Resources], demands: &[TeamLoad]) -> Option<Vec<Resources>> {
-    let lower = |quota: i64, held: i64, waiting: i64| {
-        let needed = held + waiting;
+pub fn lowered_quota(quota: &[Resources], loads: &[TeamLoad]) -> Option<Vec<Resources>> {
+    let lower = |quota: i64, used: i64, waiting: i64| {
+        let needed = used + waiting;
         let kept = needed + (needed as f64 * HEADROOM_FRACTION) as i64;
         if quota > kept + quota / MIN_RETURNED_PART {
             kept
@@ -121,10 +120,10 @@
     };
     let lowered: Vec<Resources> = quota
         .iter()
-        .zip(demands)
-        .map(|(quota, demand)| Resources {
-            cpu: lower(quota.cpu, demand.used.cpu, demand.waiting.cpu),
-            gpu: lower(quota.gpu, demand.used.gpu, demand.waiting.gpu),
+        .zip(loads)
+        .map(|(quota, load)| Resources {
+            cpu: lower(quota.cpu, load.used.cpu, load.waiting.cpu),
+            gpu: lower(quota.gpu, load.used.gpu, load.waiting.gpu),
             memory: 0,
         })
         .collect();
@@ -140,7 +139,7 @@
         let mut load = ShardLoad {
             shard: self.shard.id,
             term: self.term,
-            teams: self.team_demands(),
+            teams: self.team_loads(),
             free_cpu: schedulable.map(|machine| machine.free().cpu.max(0)).sum(),
             machine_demand: self
                 .machine_demand
@@ -157,11 +156,11 @@
         load
     }
 
-    /// The demand of each team in this shard: no more than it could start soon, however long its queue.
-    fn team_demands(&self) -> Vec<TeamLoad> {
+    /// The load of each team in this shard: no more than it could start soon, however long its queue.
+    fn team_loads(&self) -> Vec<TeamLoad> {
         let unconfirmed = &self.takeover.unconfirmed.possible_usage;
         let usage = self.quota.team_usage.iter().zip(unconfirmed);
-        let mut demands: Vec<TeamLoad> = usage
+        let mut loads: Vec<TeamLoad> = usage
             .map(|(used, unconfirmed)| {
                 let mut held = *used;
                 held += *unconfirmed;
@@ -174,18 +173,18 @@
         for job in self.jobs.values().filter(|job| !job.cancelled) {
             let waiting = job.placeable_count() as i64;
             if let Some(team) = job.team.filter(|_| waiting > 0) {
-                demands[team].waiting += Resources {
+                loads[team].waiting += Resources {
                     memory: 0,
                     ..job.spec.resources.scaled_by(waiting)
                 };
             }
         }
-        for (team, demand) in self.quota.cluster_teams.iter().zip(&mut demands) {
-            let TeamLoad { used, waiting } = demand;
+        for (team, load) in self.quota.cluster_teams.iter().zip(&mut loads) {
+            let TeamLoad { used, waiting } = load;
             waiting.cpu = waiting.cpu.min((team.limit.cpu - used.cpu).max(0));
             waiting.gpu = waiting.gpu.min((team.limit.gpu - used.gpu).max(0));
         }
-        demands
+        loads
     }
 
     /// Asks the cloud for what other shards' plans lack, each one's in turn.
