--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -1,4 +1,4 @@
-//! The further meetings of two troubles: a story for every row of the table at the top of `docs/design-meetings.md` that
+//! The further meetings of two troubles: a story for every row of the table at the top of `docs/design-concurrent-failures.md` that
 //! names this module. What must hold in all of them is the checker's: it looks at every machine, answer and launch.
 
 use crate::unseen_cancellation::{begin, id, long, recover, roles};
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -1,4 +1,4 @@
-//! Two troubles meet: a story for every row of `docs/design-meetings.md` but the first, which are in `unheard_of`. Tasks
+//! Two troubles meet: a story for every row of `docs/design-concurrent-failures.md` but the first, which are in `unheard_of`. Tasks
 //! are long, users cancel throughout, and the checker looks at everything every second.
 
 use gannethub_core::configuration::{Document, OverLimit};
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -1,4 +1,4 @@
-//! The first of the meetings in `docs/design-meetings.md`, a cancellation that the old leader never hears of: the state service refuses the leader alone; another controller confirms cancellations; then the state
+//! The first of the meetings in `docs/design-concurrent-failures.md`, a cancellation that the old leader never hears of: the state service refuses the leader alone; another controller confirms cancellations; then the state
 //! service is down for all, for longer than a cancellation has, while workers report to the old leader. The checker counts
 //! from when a user was told, at whichever controller, and looks at every machine every second.
 
