--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -182,7 +182,7 @@
             return;
         };
         // What two clocks may be apart does not count.
-        let tolerance = ledger.settings.clock_off + MESSAGE_DELAY_TOLERANCE;
+        let tolerance = ledger.settings.max_clock_offset + MESSAGE_DELAY_TOLERANCE;
         let age = outbox.clock.unix_time.saturating_sub(records.sent_at);
         let delay = if age > tolerance { age } else { 0 };
         let term = records.term;
--- a/crates/gannethub-core/src/reconcile/transaction.rs
+++ b/crates/gannethub-core/src/reconcile/transaction.rs
@@ -139,12 +139,12 @@
             return;
         };
         let max_changes = builder.remaining_changes();
-        let Some(write) = ledger.book.write(now, self.unix_time, max_changes) else {
+        let Some(write) = ledger.book.next_write(now, self.unix_time, max_changes) else {
             return;
         };
         let key = store::ledger_page_key(write.page);
         builder.add_value_bytes(write.value.len());
-        builder.transaction.guard(&key, write.stamp);
+        builder.transaction.guard(&key, write.version);
         // The page is built as JSON. Were it not, the state service would refuse it, and it would be read again.
         let value = RawValue::from_string(write.value).unwrap_or_default();
         builder.transaction.put(&key, value, None);
@@ -152,7 +152,7 @@
             let value = store::to_raw_value(head);
             builder.transaction.put(store::LEDGER_HEAD_KEY, value, None);
         }
-        for page in write.deletes {
+        for page in write.deleted_pages {
             builder.transaction.delete(&store::ledger_page_key(page));
         }
         builder.batch.push(BatchedWrite::LedgerPage, key);
--- a/crates/gannethub-core/src/reconcile/transaction_outcome.rs
+++ b/crates/gannethub-core/src/reconcile/transaction_outcome.rs
@@ -93,7 +93,7 @@
 
     fn ledger_page_written(&mut self, version: u64) {
         let ledger = self.usage_ledger.as_mut();
-        let tickets = ledger.map_or_else(Vec::new, |ledger| ledger.book.written(version));
+        let tickets = ledger.map_or_else(Vec::new, |ledger| ledger.book.write_succeeded(version));
         self.usage_page_written(tickets);
     }
 
@@ -106,8 +106,8 @@
         let is_unreadable = stored.is_some() && page.is_none();
         let found = page.as_ref().map(|(page, version)| (page, *version));
         let result = match is_unreadable {
-            true => Err(ledger.book.abandon()),
-            false => ledger.book.reread(found),
+            true => Err(ledger.book.abandon_page()),
+            false => ledger.book.handle_reread(found),
         };
         match result {
             Ok(tickets) => self.usage_page_written(tickets),
@@ -137,7 +137,7 @@
                 BatchedWrite::MachineTransfer { machine } => self.machine_transfer_failed(machine),
                 BatchedWrite::LedgerPage => {
                     if let Some(ledger) = &mut self.usage_ledger {
-                        ledger.book.not_written(version_unknown);
+                        ledger.book.write_failed(version_unknown);
                     }
                 }
                 // Should the record say so although no answer told, it says the truth.
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use gannethub_ledger::book::Book;
-use gannethub_ledger::line::{Common, Entry, Reason, Worth};
-use gannethub_ledger::meter::News;
+use gannethub_ledger::line::{ChargeGroup, Entry, Reason, Usefulness};
+use gannethub_ledger::meter::EndObservation;
 
 use super::record::{AttemptEnd, ChargeState, to_need};
 use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, Shape};
@@ -98,10 +98,10 @@
     }
 
     /// How the end of an attempt on a machine came to be known.
-    fn end_news(&self, machine: &Machine, reason: Reason, now: Micros) -> News {
+    fn end_news(&self, machine: &Machine, reason: Reason, now: Micros) -> EndObservation {
         let worker = &machine.worker;
         if !matches!(reason, Reason::Lease | Reason::Machine) {
-            return News::Reported {
+            return EndObservation::Reported {
                 before: worker.previous_heartbeat_at,
                 missed: worker.missed_heartbeats,
             };
@@ -109,11 +109,11 @@
         // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer
         // in it; of a machine that is silent nobody knows.
         match worker.last_heartbeat_at {
-            Some(at) if at == now => News::Silence {
+            Some(at) if at == now => EndObservation::Silence {
                 heard: worker.previous_heartbeat_at,
                 likely: self.settings.lease,
             },
-            heard => News::Silence {
+            heard => EndObservation::Silence {
                 heard,
                 likely: self.settings.report / 2,
             },
@@ -216,33 +216,33 @@
 /// Charges an end. Returns the ticket of the charge.
 fn charge_to(book: &mut Book, owner: &JobOwner, end: &AttemptEnd, now: Micros) -> u64 {
     let worth = match (end.reason, end.saved) {
-        (Reason::Done, _) => Worth::Useful,
-        _ if owner.is_service => Worth::Useful,
-        (_, true) => Worth::Saved,
-        _ => Worth::Lost,
+        (Reason::Done, _) => Usefulness::Useful,
+        _ if owner.is_service => Usefulness::Useful,
+        (_, true) => Usefulness::Saved,
+        _ => Usefulness::Lost,
     };
     let AttemptId { task, number } = &end.id;
     let rate = end.rate.clone();
-    let common = Common {
+    let common = ChargeGroup {
         team: owner.team.clone(),
         class: owner.class.clone(),
         job: task.job.to_string(),
-        need: to_need(owner.resources),
-        flavor: rate.machine_type,
+        resources: to_need(owner.resources),
+        machine_type: rate.machine_type,
         zone: rate.zone,
         spot: rate.spot,
         price: rate.hourly_price,
         reason: end.reason,
-        worth,
+        usefulness: worth,
     };
     let entry = Entry {
         task: task.index,
         attempt: *number,
         machine: end.machine.to_string(),
         begin: end.unix_time.saturating_sub(end.reading.spent.held()),
-        spent: end.reading.spent,
-        bound: end.reading.bound,
-        estimate: end.reading.estimate,
+        stage_times: end.reading.spent,
+        max_error: end.reading.bound,
+        is_estimate: end.reading.estimate,
     };
     book.charge(common, entry, now)
 }
--- a/crates/gannethub-core/src/state/usage/ledger.rs
+++ b/crates/gannethub-core/src/state/usage/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use gannethub_ledger::book::{Book, Key, Opened};
+use gannethub_ledger::book::{Book, ChargedAttempt, OpenedBook};
 
 use super::record::{AttemptEnd, OrphanedAttempt, UsageShare};
 use crate::model::{AttemptId, JobId, MachineId, Micros};
@@ -16,10 +16,10 @@
     /// The accounts, and the pages that are durable or to be written.
     pub book: Book,
     /// Attempts that earlier leaders charged, as far as they may be met again.
-    pub(super) charged_before: HashSet<Key>,
+    pub(super) charged_before: HashSet<ChargedAttempt>,
     /// Ends that an earlier leader had charged but not made durable, and the tickets under which this one has
     /// charged them.
-    pub(super) inherited_tickets: HashMap<Key, u64>,
+    pub(super) inherited_tickets: HashMap<ChargedAttempt, u64>,
     /// The copy of the earlier leader's records that this one took over was complete.
     pub(super) replica_was_complete: bool,
     pub(super) orphans: BTreeMap<MachineId, BTreeMap<AttemptId, OrphanedAttempt>>,
@@ -84,7 +84,7 @@
 
 impl UsageLedger {
     /// The ledger as the state service holds it.
-    pub(super) fn new(opened: Opened, peer_count: usize) -> UsageLedger {
+    pub(super) fn new(opened: OpenedBook, peer_count: usize) -> UsageLedger {
         UsageLedger {
             book: opened.book,
             charged_before: opened.charged,
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -141,8 +141,8 @@
         // How long its launch took to reach the worker is not known: a heartbeat, or another after a lost answer.
         uncertainty += 2 * self.settings.report + LOST_ANSWER_DELAY;
         let meter = match has_ended {
-            true => Meter::found(age / 2, uncertainty + age, stage(phase), self.now),
-            false => Meter::found(age, uncertainty, stage(phase), self.now),
+            true => Meter::adopted(age / 2, uncertainty + age, stage(phase), self.now),
+            false => Meter::adopted(age, uncertainty, stage(phase), self.now),
         };
         Some(UsageRecord {
             meter,
@@ -155,7 +155,7 @@
     /// How long ago an attempt of another term was placed. `ready_at`: when its job was released.
     fn estimate_age(&self, number: u64, ready_at: Micros) -> EstimatedAge {
         let setup = self.settings.ledger.as_ref();
-        let max_clock_offset = setup.map_or(0, |setup| setup.settings.clock_off);
+        let max_clock_offset = setup.map_or(0, |setup| setup.settings.max_clock_offset);
         let ms = number & ((1 << TIME_BITS) - 1);
         let has_time = number >> TIME_BITS > 0;
         let placed_at = has_time.then_some((EPOCH_MS + ms) * 1000);
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gannethub_ledger::line::Reason;
-use gannethub_ledger::meter::{Meter, News, Reading, Stage};
+use gannethub_ledger::meter::{EndObservation, Meter, MeteredUsage, Stage};
 
 use super::record::{AttemptEnd, ChargeState, OrphanedAttempt, UsageRecord, ledger_key};
 use super::replication::{rate_of, read_attempt_key, read_end_reason, read_owner, read_reading};
@@ -49,7 +49,7 @@
         machine: MachineId,
         id: AttemptId,
         replicated: &ReplicatedRecord,
-        reading: Reading,
+        reading: MeteredUsage,
         reason: Reason,
         now: Micros,
     ) -> AttemptEnd {
@@ -93,7 +93,7 @@
         machine: MachineId,
         attempt: AttemptId,
         replicated: &ReplicatedRecord,
-        reading: Reading,
+        reading: MeteredUsage,
     ) {
         let record = &replicated.record;
         let Some(stage) = Stage::from_index(record.stage as usize) else {
@@ -196,7 +196,7 @@
             ledger.orphans.insert(id.clone(), left);
         }
         for (attempt, orphan) in over {
-            let news = News::Silence {
+            let news = EndObservation::Silence {
                 heard: Some(orphan.last_known_at),
                 likely: likely_duration,
             };
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -1,8 +1,8 @@
 //! Opening the ledger, and what is durable of it.
 
 use gannethub_ledger::audit::Page;
-use gannethub_ledger::book::{Book, Damaged, Head};
-use gannethub_ledger::line::{Body, Gap, Took};
+use gannethub_ledger::book::{Book, DamagedPage, Head};
+use gannethub_ledger::line::{LineBody, OwnerChange, UnmeteredInterval};
 
 use super::ledger::UsageLedger;
 use super::replication::attempt_key;
@@ -13,7 +13,7 @@
 use crate::wire::store::{VALUE_SLACK_BYTES, ledger_page_key};
 
 /// A page that is not as it was written is left as it is, and the service goes on.
-pub(crate) fn log_damaged_page(page: Damaged) {
+pub(crate) fn log_damaged_page(page: DamagedPage) {
     let key = ledger_page_key(page.0);
     tracing::error!(
         key,
@@ -34,7 +34,7 @@
             return;
         };
         let value_limit = self.settings.value_bytes - VALUE_SLACK_BYTES;
-        let window = Book::window(self.settings.lease, &setup.settings);
+        let window = Book::duplicate_window(self.settings.lease, &setup.settings);
         let mut opened = Book::open(setup.settings, setup.keys, value_limit, window, head, pages);
         std::mem::take(&mut opened.damaged)
             .into_iter()
@@ -43,15 +43,17 @@
         self.usage_ledger = Some(Box::new(UsageLedger::new(opened, peer_count)));
         let inherited = replica.take_records(self.term - 1);
         self.take_over_usage(inherited.records, now);
-        let takeover = Took {
+        let takeover = OwnerChange {
             term: self.term,
-            holder: self.settings.name.clone(),
+            owner: self.settings.name.clone(),
             at: self.unix_time,
             complete: inherited.is_complete,
         };
         if let Some(ledger) = &mut self.usage_ledger {
             ledger.replica_was_complete = inherited.is_complete;
-            ledger.book.note(Body::Took(takeover), now);
+            ledger
+                .book
+                .queue_line(LineBody::OwnerChanged(takeover), now);
         }
     }
 
@@ -82,7 +84,7 @@
             return;
         };
         let rate = self.machine_rate(machine);
-        let interval = Gap {
+        let interval = UnmeteredInterval {
             machine: id.to_string(),
             flavor: rate.machine_type,
             zone: rate.zone,
@@ -92,7 +94,7 @@
         };
         if let Some(ledger) = &mut self.usage_ledger {
             ledger.unmetered_machines.insert(id.clone());
-            ledger.book.note(Body::Gap(interval), now);
+            ledger.book.queue_line(LineBody::Unmetered(interval), now);
         }
     }
 
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use gannethub_ledger::book::Key;
-use gannethub_ledger::line::{Need, Reason};
-use gannethub_ledger::meter::{Meter, Reading};
+use gannethub_ledger::book::ChargedAttempt;
+use gannethub_ledger::line::{Reason, ResourceAmounts};
+use gannethub_ledger::meter::{Meter, MeteredUsage};
 
 use crate::model::{AttemptId, MachineId, Micros, Resources};
 use crate::wire::store::JobOwner;
@@ -51,7 +51,7 @@
     pub id: AttemptId,
     pub machine: MachineId,
     pub rate: MachineRate,
-    pub reading: Reading,
+    pub reading: MeteredUsage,
     /// When its capacity came free, on this process's clock.
     pub at: Micros,
     /// The same as a time of day.
@@ -93,9 +93,9 @@
 }
 
 /// Resources as the ledger writes them.
-pub(super) fn to_need(resources: Resources) -> Need {
+pub(super) fn to_need(resources: Resources) -> ResourceAmounts {
     let amount = |milli: i64| u64::try_from(milli).unwrap_or(0);
-    Need(
+    ResourceAmounts(
         amount(resources.cpu),
         amount(resources.gpu),
         amount(resources.memory),
@@ -103,7 +103,7 @@
 }
 
 /// The name of an attempt in the ledger.
-pub(super) fn ledger_key(machine: &MachineId, attempt: &AttemptId) -> Key {
+pub(super) fn ledger_key(machine: &MachineId, attempt: &AttemptId) -> ChargedAttempt {
     let AttemptId { task, number } = attempt;
     (
         task.job.to_string(),
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -1,7 +1,7 @@
 //! What peers are told of the open records, so that one of them can go on with them.
 
 use gannethub_ledger::line::Reason;
-use gannethub_ledger::meter::{Reading, Spent};
+use gannethub_ledger::meter::{MeteredUsage, StageTimes};
 
 use super::record::{AttemptEnd, ChargeState, MachineRate, UsageRecord};
 use crate::model::{AttemptId, MachineId, Micros, Resources, TaskId};
@@ -319,10 +319,10 @@
 }
 
 /// The times of a record as a peer told them; `None` if they make no sense.
-pub(super) fn read_reading(record: &OpenUsageRecord) -> Option<Reading> {
+pub(super) fn read_reading(record: &OpenUsageRecord) -> Option<MeteredUsage> {
     let spent: [Micros; 6] = record.stage_times.clone().try_into().ok()?;
-    Some(Reading {
-        spent: Spent(spent),
+    Some(MeteredUsage {
+        spent: StageTimes(spent),
         bound: record.time_uncertainty,
         estimate: record.begin_estimated,
     })
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use gannethub_ledger::audit::{Verified, verify};
-use gannethub_ledger::line::{Body, Entry, Gap, Took};
+use gannethub_ledger::line::{Entry, LineBody, OwnerChange, UnmeteredInterval};
 use serde_json::json;
 
 use crate::harness::{LEASE, SECOND, World, job};
@@ -18,8 +18,8 @@
     verified: Verified,
     /// Entries by machine, task and attempt, with their teams.
     entries: BTreeMap<(String, String, u64), Vec<(String, Entry)>>,
-    gaps: Vec<Gap>,
-    took: Vec<Took>,
+    gaps: Vec<UnmeteredInterval>,
+    took: Vec<OwnerChange>,
     /// From when until when the ledger itself says that it may not know of everything.
     blind: Vec<(u64, u64)>,
 }
@@ -39,21 +39,21 @@
     };
     for (line, _) in pages.iter().flat_map(|p| p.read().expect("verified")) {
         let before = last;
-        last = line.at().unwrap_or(last).max(last);
+        last = line.last_event_at().unwrap_or(last).max(last);
         match line.body {
-            Body::Charge(c) => {
+            LineBody::Charge(c) => {
                 for e in c.entries {
-                    let task = format!("{}/{}", c.common.job, e.task);
+                    let task = format!("{}/{}", c.group.job, e.task);
                     let key = (e.machine.clone(), task, e.attempt);
                     audit
                         .entries
                         .entry(key)
                         .or_default()
-                        .push((c.common.team.clone(), e));
+                        .push((c.group.team.clone(), e));
                 }
             }
-            Body::Gap(g) => audit.gaps.push(g),
-            Body::Took(t) => {
+            LineBody::Unmetered(g) => audit.gaps.push(g),
+            LineBody::OwnerChanged(t) => {
                 if !t.complete {
                     // What ended just before may not have been in writing, and a lease may have run out before
                     // its worker found the new leader.
@@ -105,8 +105,8 @@
         if w.jobs[job].body["crew"] != **team {
             wrong.push(format!("{key:?} is charged to {team}"));
         }
-        let charged: u64 = stints.iter().map(|e| e.spent.at_worker()).sum();
-        let bound: u64 = stints.iter().map(|e| e.bound).sum();
+        let charged: u64 = stints.iter().map(|e| e.stage_times.at_worker()).sum();
+        let bound: u64 = stints.iter().map(|e| e.max_error).sum();
         if charged.abs_diff(real) > bound + SLACK {
             wrong.push(format!(
                 "{key:?} took {real}, charged {charged}: {stints:?} {span:?}"
@@ -116,7 +116,7 @@
         *sums = (sums.0 + real, sums.1 + charged, sums.2 + bound);
     }
     for (key, entries) in &audit.entries {
-        let never = entries.iter().all(|(_, e)| e.spent.at_worker() == 0);
+        let never = entries.iter().all(|(_, e)| e.stage_times.at_worker() == 0);
         if !w.record.spans.contains_key(key) && !never {
             wrong.push(format!("{key:?} is charged and never ran: {entries:?}"));
         }
--- a/crates/gannethub-ledger/src/account.rs
+++ b/crates/gannethub-ledger/src/account.rs
@@ -4,16 +4,16 @@
 
 use crate::Micros;
 use crate::decay::Decayed;
-use crate::line::{Body, Charge, Common, Entry, Line, Part, Worth};
+use crate::line::{BalancePart, Charge, ChargeGroup, Entry, Line, LineBody, Usefulness};
 use crate::meter::STAGES;
 use crate::settings::Settings;
 
 /// Sums of an account: for each stage CPU-, GPU- and memory-time, the same for useful and for lost run time, the
 /// time held, the time at workers, and how far that may be off. Times in microseconds, amounts in thousandths.
-const SUMS: usize = 3 * STAGES.len() + 9;
-const USEFUL: usize = 3 * STAGES.len();
-const LOST: usize = USEFUL + 3;
-const HELD: usize = LOST + 3;
+const SUM_COUNT: usize = 3 * STAGES.len() + 9;
+const USEFUL_OFFSET: usize = 3 * STAGES.len();
+const LOST_OFFSET: usize = USEFUL_OFFSET + 3;
+const HELD_OFFSET: usize = LOST_OFFSET + 3;
 
 /// One team's jobs of one class.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
@@ -26,7 +26,7 @@
 
 impl Account {
     fn add(&mut self, i: usize, amount: u128) {
-        self.sums.resize(SUMS, 0);
+        self.sums.resize(SUM_COUNT, 0);
         self.sums[i] = self.sums[i].saturating_add(amount);
     }
 
@@ -35,27 +35,27 @@
     }
 
     fn charge(&mut self, charge: &Charge, settings: &Settings) {
-        let common = &charge.common;
-        let need = [common.need.0, common.need.1, common.need.2].map(u128::from);
-        let rate = settings.rate(common.need);
+        let common = &charge.group;
+        let need = [common.resources.0, common.resources.1, common.resources.2].map(u128::from);
+        let rate = settings.rate(common.resources);
         let half = settings.half_life(&common.team);
         for e in &charge.entries {
             self.entries += 1;
-            for (stage, time) in e.spent.0.iter().enumerate() {
+            for (stage, time) in e.stage_times.0.iter().enumerate() {
                 for (r, need) in need.iter().enumerate() {
                     self.add(3 * stage + r, need * u128::from(*time));
                 }
             }
-            let run = match common.worth {
-                Worth::Useful | Worth::Saved => USEFUL,
-                Worth::Lost => LOST,
+            let run = match common.usefulness {
+                Usefulness::Useful | Usefulness::Saved => USEFUL_OFFSET,
+                Usefulness::Lost => LOST_OFFSET,
             };
             for (r, need) in need.iter().enumerate() {
-                self.add(run + r, need * u128::from(e.spent.running()));
+                self.add(run + r, need * u128::from(e.stage_times.running()));
             }
-            self.add(HELD, u128::from(e.spent.held()));
-            self.add(HELD + 1, u128::from(e.spent.at_worker()));
-            self.add(HELD + 2, u128::from(e.bound));
+            self.add(HELD_OFFSET, u128::from(e.stage_times.held()));
+            self.add(HELD_OFFSET + 1, u128::from(e.stage_times.at_worker()));
+            self.add(HELD_OFFSET + 2, u128::from(e.max_error));
             self.decayed.add(&half.weigh(rate, e.begin, e.end()));
         }
     }
@@ -72,25 +72,25 @@
 
     /// The same of run time that was worth something, and of run time that was not.
     pub fn useful(&self) -> [u128; 3] {
-        [0, 1, 2].map(|r| self.sum(USEFUL + r))
+        [0, 1, 2].map(|r| self.sum(USEFUL_OFFSET + r))
     }
 
     pub fn lost(&self) -> [u128; 3] {
-        [0, 1, 2].map(|r| self.sum(LOST + r))
+        [0, 1, 2].map(|r| self.sum(LOST_OFFSET + r))
     }
 
     /// Times, whatever was needed: places held, what the workers would say, and how far that may be off.
     pub fn times(&self) -> [u128; 3] {
-        [0, 1, 2].map(|i| self.sum(HELD + i))
+        [0, 1, 2].map(|i| self.sum(HELD_OFFSET + i))
     }
 
     /// Takes out what was added before.
-    fn less(&mut self, other: &Account) {
+    fn subtract(&mut self, other: &Account) {
         self.entries -= other.entries.min(self.entries);
         for (sum, less) in self.sums.iter_mut().zip(&other.sums) {
             *sum = sum.saturating_sub(*less);
         }
-        self.decayed.less(&other.decayed);
+        self.decayed.subtract(&other.decayed);
     }
 }
 
@@ -101,13 +101,13 @@
 impl Accounts {
     /// Takes a line in. Lines come to the same in any order; those of a balance are not taken twice.
     pub fn line(&mut self, line: &Line, settings: &Settings) {
-        if let Body::Charge(c) = &line.body {
+        if let LineBody::Charge(c) = &line.body {
             self.charge(c, settings);
         }
     }
 
     pub fn charge(&mut self, charge: &Charge, settings: &Settings) {
-        let name = (charge.common.team.clone(), charge.common.class.clone());
+        let name = (charge.group.team.clone(), charge.group.class.clone());
         self.0.entry(name).or_default().charge(charge, settings);
     }
 
@@ -116,9 +116,9 @@
     }
 
     /// Takes out what is counted already and is to be written after a balance.
-    pub(crate) fn without(
+    pub(crate) fn subtract_pending(
         &mut self,
-        later: &BTreeMap<Common, Vec<(u64, Entry)>>,
+        later: &BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
         settings: &Settings,
     ) {
         let mut out = Accounts::default();
@@ -126,7 +126,7 @@
             let entries = entries.iter().map(|e| e.1.clone()).collect();
             out.charge(
                 &Charge {
-                    common: common.clone(),
+                    group: common.clone(),
                     entries,
                 },
                 settings,
@@ -134,19 +134,19 @@
         }
         for (name, later) in &out.0 {
             if let Some(account) = self.0.get_mut(name) {
-                account.less(later);
+                account.subtract(later);
             }
         }
         self.0.retain(|_, account| account.entries > 0);
     }
 
     /// The parts of a balance that says what these accounts come to.
-    pub fn parts(&self, settings: &Settings) -> Vec<Part> {
-        let part = |((team, class), a): (&(String, String), &Account)| Part {
+    pub fn parts(&self, settings: &Settings) -> Vec<BalancePart> {
+        let part = |((team, class), a): (&(String, String), &Account)| BalancePart {
             team: team.clone(),
             class: class.clone(),
             entries: a.entries,
-            amounts: (0..SUMS).map(|i| a.sum(i)).collect(),
+            amounts: (0..SUM_COUNT).map(|i| a.sum(i)).collect(),
             half_life: settings.half_life(team).time(),
             decayed: a.decayed.sums().to_vec(),
         };
@@ -156,14 +156,14 @@
     /// What the parts of a balance say. Usage that decayed by another half-life than it does now cannot be
     /// taken over; it starts from nothing.
     pub fn from_parts<'a>(
-        parts: impl IntoIterator<Item = &'a Part>,
+        parts: impl IntoIterator<Item = &'a BalancePart>,
         settings: &Settings,
     ) -> Accounts {
         let mut all = Accounts::default();
         for p in parts {
             let account = all.0.entry((p.team.clone(), p.class.clone())).or_default();
             account.entries += p.entries;
-            for (i, amount) in p.amounts.iter().enumerate().take(SUMS) {
+            for (i, amount) in p.amounts.iter().enumerate().take(SUM_COUNT) {
                 account.add(i, *amount);
             }
             if settings.half_life(&p.team).time() == p.half_life {
--- a/crates/gannethub-ledger/src/account/tests.rs
+++ b/crates/gannethub-ledger/src/account/tests.rs
@@ -8,7 +8,7 @@
     let settings = sample("").unwrap();
     let start = 1_700_000_000 * SECOND;
     let charge = |team: &str, begin: Micros, seconds: u64| Charge {
-        common: common(team, "j-1"),
+        group: common(team, "j-1"),
         entries: vec![entry(0, start + begin, seconds * SECOND)],
     };
     let mut accounts = Accounts::default();
--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -6,8 +6,8 @@
 use serde_json::Value;
 
 use crate::account::Accounts;
-use crate::chain::{KeyRing, Tie};
-use crate::line::{Body, Line, Parts};
+use crate::chain::{KeyRing, LineMac};
+use crate::line::{BalanceAssembler, Line, LineBody};
 use crate::settings::Settings;
 
 /// A page as the state service holds it.
@@ -25,7 +25,7 @@
 
 impl Page {
     /// Its lines and their ties; an error is the place of the first that is none.
-    pub fn read(&self) -> Result<Vec<(Line, Tie)>, usize> {
+    pub fn read(&self) -> Result<Vec<(Line, LineMac)>, usize> {
         let read = |(i, v)| Line::read(v).ok_or(i);
         self.lines.iter().enumerate().map(read).collect()
     }
@@ -33,7 +33,7 @@
 
 /// What is wrong with a ledger.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Wrong {
+pub enum FaultKind {
     /// It is not a line, or not the one that was tied here.
     Altered,
     /// The line before it is missing.
@@ -53,25 +53,27 @@
 pub struct Fault {
     pub page: u64,
     /// The line's place in the page and the number that it should have.
-    pub place: usize,
-    pub seq: u64,
-    pub wrong: Wrong,
+    pub position: usize,
+    pub line: u64,
+    pub kind: FaultKind,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let what = match self.wrong {
-            Wrong::Altered => "was altered",
-            Wrong::Dropped => "is missing",
-            Wrong::Doubled => "stands where another one should: a line appears twice",
-            Wrong::Reordered => "is not in its place: lines were reordered",
-            Wrong::UnknownKey => "cannot be checked: the key of its page is not in the key file",
-            Wrong::Unbalanced => "is part of a balance that the lines before it do not come to",
+        let what = match self.kind {
+            FaultKind::Altered => "was altered",
+            FaultKind::Dropped => "is missing",
+            FaultKind::Doubled => "stands where another one should: a line appears twice",
+            FaultKind::Reordered => "is not in its place: lines were reordered",
+            FaultKind::UnknownKey => {
+                "cannot be checked: the key of its page is not in the key file"
+            }
+            FaultKind::Unbalanced => "is part of a balance that the lines before it do not come to",
         };
         write!(
             f,
             "page {}, line {}: line {} {what}",
-            self.page, self.place, self.seq
+            self.page, self.position, self.line
         )
     }
 }
@@ -87,7 +89,7 @@
     /// The numbers of the first and of the next line, and the tie of the last one.
     pub first: u64,
     pub next: u64,
-    pub head: Tie,
+    pub head: LineMac,
     pub accounts: Accounts,
     /// Lines from the first one on are in the accounts, and those before it by a balance, if one says so.
     pub whole: bool,
@@ -95,7 +97,7 @@
 
 impl Verified {
     /// Nothing yet, before the line with this number and after the one with this tie.
-    fn before(first: u64, head: Tie) -> Verified {
+    fn before(first: u64, head: LineMac) -> Verified {
         Verified {
             pages: 0,
             lines: 0,
@@ -115,77 +117,77 @@
     pages: &[Page],
     keys: &KeyRing,
     settings: &Settings,
-    head: Option<(u64, Tie)>,
+    head: Option<(u64, LineMac)>,
 ) -> Result<Verified, Fault> {
     let fault = |page: u64, place, seq, wrong| {
         Err(Fault {
             page,
-            place,
-            seq,
-            wrong,
+            position: place,
+            line: seq,
+            kind: wrong,
         })
     };
     let mut seen: Option<Verified> = None;
     let mut expected_page = pages.first().map_or(0, |p| p.page);
-    let mut fold = Fold::default();
+    let mut fold = BalanceChecker::default();
     for page in pages {
         let first = seen.as_ref().map_or(page.first, |s| s.next);
         if page.page != expected_page {
             let wrong = match page.page > expected_page {
-                true => Wrong::Dropped,
-                false => Wrong::Doubled,
+                true => FaultKind::Dropped,
+                false => FaultKind::Doubled,
             };
             return fault(page.page, 0, first, wrong);
         }
         expected_page += 1;
         let Some(key) = keys.get(&page.key) else {
-            return fault(page.page, 0, first, Wrong::UnknownKey);
+            return fault(page.page, 0, first, FaultKind::UnknownKey);
         };
-        let Some(prev) = Tie::parse(&page.prev) else {
-            return fault(page.page, 0, first, Wrong::Altered);
+        let Some(prev) = LineMac::parse(&page.prev) else {
+            return fault(page.page, 0, first, FaultKind::Altered);
         };
         let v = seen.get_or_insert_with(|| Verified::before(first, prev));
         if v.head != prev || page.first != v.next {
-            return fault(page.page, 0, v.next, Wrong::Altered);
+            return fault(page.page, 0, v.next, FaultKind::Altered);
         }
         v.pages += 1;
         for (place, value) in page.lines.iter().enumerate() {
             let Some((line, tie)) = Line::read(value) else {
-                return fault(page.page, place, v.next, Wrong::Altered);
+                return fault(page.page, place, v.next, FaultKind::Altered);
             };
-            if line.seq != v.next || v.head.next(key, &line.text()) != tie {
+            if line.number != v.next || v.head.next(key, &line.text()) != tie {
                 let rest = page.lines[place..].iter().filter_map(Line::read);
-                let later = rest.skip(1).any(|(l, _)| l.seq == v.next);
-                let wrong = match line.seq.cmp(&v.next) {
-                    std::cmp::Ordering::Equal => Wrong::Altered,
-                    std::cmp::Ordering::Less => Wrong::Doubled,
-                    std::cmp::Ordering::Greater if later => Wrong::Reordered,
-                    std::cmp::Ordering::Greater => Wrong::Dropped,
+                let later = rest.skip(1).any(|(l, _)| l.number == v.next);
+                let wrong = match line.number.cmp(&v.next) {
+                    std::cmp::Ordering::Equal => FaultKind::Altered,
+                    std::cmp::Ordering::Less => FaultKind::Doubled,
+                    std::cmp::Ordering::Greater if later => FaultKind::Reordered,
+                    std::cmp::Ordering::Greater => FaultKind::Dropped,
                 };
                 return fault(page.page, place, v.next, wrong);
             }
-            if head.is_some_and(|(seq, known)| seq == line.seq && known != tie) {
-                return fault(page.page, place, line.seq, Wrong::Altered);
+            if head.is_some_and(|(seq, known)| seq == line.number && known != tie) {
+                return fault(page.page, place, line.number, FaultKind::Altered);
             }
             if !fold.take(&line, v, settings) {
-                return fault(page.page, place, line.seq, Wrong::Unbalanced);
+                return fault(page.page, place, line.number, FaultKind::Unbalanced);
             }
-            if let Body::Charge(c) = &line.body {
+            if let LineBody::Charge(c) = &line.body {
                 v.charged += c.entries.len() as u64;
             }
             v.accounts.line(&line, settings);
-            (v.head, v.next, v.lines) = (tie, line.seq + 1, v.lines + 1);
+            (v.head, v.next, v.lines) = (tie, line.number + 1, v.lines + 1);
         }
     }
-    let end = seen.unwrap_or_else(|| Verified::before(0, Tie::default()));
+    let end = seen.unwrap_or_else(|| Verified::before(0, LineMac::default()));
     // Lines that an earlier check has seen are missing at the end.
     match head {
-        Some((seq, _)) if seq >= end.next => fault(expected_page, 0, end.next, Wrong::Dropped),
+        Some((seq, _)) if seq >= end.next => fault(expected_page, 0, end.next, FaultKind::Dropped),
         _ if pages.first().is_some_and(|p| p.page > fold.kept) => fault(
             pages[0].page,
             0,
             end.first.saturating_sub(1),
-            Wrong::Dropped,
+            FaultKind::Dropped,
         ),
         _ => Ok(end),
     }
@@ -193,19 +195,19 @@
 
 /// Holds balances against the lines before them.
 #[derive(Default)]
-struct Fold {
+struct BalanceChecker {
     /// Pages before this one may be gone.
     kept: u64,
-    parts: Parts,
+    parts: BalanceAssembler,
 }
 
-impl Fold {
+impl BalanceChecker {
     /// Takes the next line; whether it balances.
     fn take(&mut self, line: &Line, v: &mut Verified, settings: &Settings) -> bool {
-        if let Body::Balance(b) = &line.body {
+        if let LineBody::Balance(b) = &line.body {
             // It speaks of all lines before itself, so its parts can be held against them.
             self.kept = self.kept.max(b.kept);
-            if b.upto != line.seq {
+            if b.upto != line.number {
                 return false;
             }
         }
@@ -214,7 +216,7 @@
         };
         let said = Accounts::from_parts(&parts, settings);
         if v.whole {
-            return sums(&said) == sums(&v.accounts);
+            return account_sums(&said) == account_sums(&v.accounts);
         }
         // What came before the first line that is left is what the balance has more.
         v.accounts = said;
@@ -224,10 +226,10 @@
 }
 
 /// An account's team and class, its entries, what they held and for how long.
-type Sums<'a> = (&'a str, &'a str, u64, [u128; 3], [u128; 3]);
+type AccountSums<'a> = (&'a str, &'a str, u64, [u128; 3], [u128; 3]);
 
 /// What is compared: decayed usage depends on half-lives, which the operator may change.
-fn sums(accounts: &Accounts) -> Vec<Sums<'_>> {
+fn account_sums(accounts: &Accounts) -> Vec<AccountSums<'_>> {
     let sums = accounts
         .iter()
         .map(|((t, c), a)| (&**t, &**c, a.entries, a.held(), a.times()));
--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -13,29 +13,29 @@
 
 use crate::account::Accounts;
 use crate::audit::Page;
-use crate::chain::{KeyRing, Tie};
-use crate::line::{Balance, Body, Charge, Common, Entry, Line, Parts};
+use crate::chain::{KeyRing, LineMac};
+use crate::line::{Balance, BalanceAssembler, Charge, ChargeGroup, Entry, Line, LineBody};
 use crate::settings::Settings;
 use crate::{Micros, SECOND};
 
 /// What a page takes beside its lines.
-const FRAME: usize = 160;
+const PAGE_OVERHEAD_BYTES: usize = 160;
 /// A balance may take one page in so many.
-const BALANCE_SHARE: u64 = 8;
+const MIN_PAGES_PER_BALANCE_PAGE: u64 = 8;
 /// Marks of time in the head, for folding.
-const MARKS: usize = 64;
+const MAX_TIME_MARKS: usize = 64;
 /// Folded pages that are deleted in one transaction.
-const DELETES: usize = 4;
+const MAX_DELETES_PER_WRITE: usize = 4;
 
 /// What a charge's line takes beside what all its attempts have in common: its tie, and the least attempt and
 /// begin.
-const BESIDE: usize = 28 + 40;
+const CHARGE_OVERHEAD_BYTES: usize = 28 + 40;
 
 /// What tells an attempt on a machine from every other: its job, task, number and machine.
-pub type Key = (String, u32, u64, String);
+pub type ChargedAttempt = (String, u32, u64, String);
 
 /// A page in so many brings the head along.
-const HEAD_EVERY: u64 = 8;
+const PAGES_PER_HEAD_WRITE: u64 = 8;
 
 /// About where the ledger stands, in a value of its own; pages after `newest` may be there.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
@@ -54,90 +54,90 @@
 
 /// Part of a transaction. The caller names the keys.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Write {
+pub struct PageWrite {
     pub page: u64,
     /// The version the page has to have; 0: it is new.
-    pub stamp: u64,
+    pub version: u64,
     pub value: String,
     pub head: Option<Head>,
     /// Folded pages to be deleted.
-    pub deletes: Vec<u64>,
+    pub deleted_pages: Vec<u64>,
 }
 
 /// A page of the ledger that is not as its keeper wrote it. It is kept, and another is begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("page {0} of the ledger is not as it was written")]
-pub struct Damaged(pub u64);
+pub struct DamagedPage(pub u64);
 
 /// What a new keeper goes on with.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedBook {
     pub book: Book,
     /// Attempts that the pages charge, as far as they may be met again.
-    pub charged: HashSet<Key>,
+    pub charged: HashSet<ChargedAttempt>,
     /// Pages that are not as they were written.
-    pub damaged: Vec<Damaged>,
+    pub damaged: Vec<DamagedPage>,
 }
 
 /// The page that lines are added to.
 #[derive(Debug)]
-struct Open {
+struct OpenPage {
     page: u64,
-    first: u64,
-    prev: Tie,
-    key: String,
-    stamp: u64,
+    first_line: u64,
+    previous_mac: LineMac,
+    key_id: String,
+    version: u64,
     lines: Vec<String>,
     bytes: usize,
     /// Lines of it that are known to be written.
-    written: usize,
+    confirmed_lines: usize,
 }
 
 #[derive(Debug)]
 pub struct Book {
     settings: Arc<Settings>,
     keys: Arc<KeyRing>,
-    limit: usize,
+    max_value_bytes: usize,
     /// Lines older than this are met no more.
-    window: Micros,
+    duplicate_window: Micros,
     accounts: Accounts,
-    next: u64,
-    tie: Tie,
-    open: Open,
+    next_line: u64,
+    last_mac: LineMac,
+    open_page: OpenPage,
     head: Head,
     /// The head has been written: the number that it names is used, whatever became of the page.
-    begun: bool,
+    has_started: bool,
     /// The newest page when the head was last written.
-    head_at: Option<u64>,
+    head_written_at_page: Option<u64>,
     /// Pages that are full, and when the last line of each was tied.
-    full: VecDeque<(u64, Micros)>,
-    notes: VecDeque<Body>,
-    charges: BTreeMap<Common, Vec<(u64, Entry)>>,
+    full_pages: VecDeque<(u64, Micros)>,
+    queued_lines: VecDeque<LineBody>,
+    charges: BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
     /// When the oldest of what is not tied yet came.
-    waiting: Option<Micros>,
-    tickets: u64,
+    waiting_since: Option<Micros>,
+    last_ticket: u64,
     unwritten: BTreeSet<u64>,
     /// Tickets of lines that are tied and not known to be written, with the lines' numbers.
-    tied: Vec<(u64, u64)>,
-    in_flight: Option<usize>,
+    unconfirmed_lines: Vec<(u64, u64)>,
+    lines_in_flight: Option<usize>,
     in_flight_head: Option<u64>,
-    unsure: bool,
+    outcome_unknown: bool,
     /// The page where the newest balance begins that is written as a whole.
-    balance: Option<u64>,
+    balance_page: Option<u64>,
     /// The one being written: its first page, the number of the line after it, and what it folds.
-    coming: Option<(u64, u64, u64)>,
+    pending_balance: Option<(u64, u64, u64)>,
     /// Where the last balance began, and how many pages it took.
-    began: u64,
-    took: u64,
-    deletes: VecDeque<u64>,
+    balance_began_at_page: u64,
+    balance_page_count: u64,
+    pages_to_delete: VecDeque<u64>,
 }
 
 /// The attempts that a line charges.
-fn keys_of(line: &Line) -> Vec<Key> {
-    let Body::Charge(c) = &line.body else {
+fn attempts_of(line: &Line) -> Vec<ChargedAttempt> {
+    let LineBody::Charge(c) = &line.body else {
         return Vec::new();
     };
-    let key = |e: &Entry| (c.common.job.clone(), e.task, e.attempt, e.machine.clone());
+    let key = |e: &Entry| (c.group.job.clone(), e.task, e.attempt, e.machine.clone());
     c.entries.iter().map(key).collect()
 }
 
@@ -151,52 +151,52 @@
         window: Micros,
         head: Option<Head>,
         pages: &[(Page, u64)],
-    ) -> Opened {
+    ) -> OpenedBook {
         let fresh = head.is_none();
         let mut head = head.unwrap_or_default();
         let told = head.newest;
         head.newest = pages.iter().map(|p| p.0.page).max().unwrap_or(0).max(told);
         let mut damaged = Vec::new();
         let mut book = Book {
-            limit,
-            window,
+            max_value_bytes: limit,
+            duplicate_window: window,
             accounts: Accounts::default(),
-            next: 0,
-            tie: Tie::default(),
-            open: Open {
+            next_line: 0,
+            last_mac: LineMac::default(),
+            open_page: OpenPage {
                 page: head.newest,
-                first: 0,
-                prev: Tie::default(),
-                key: keys.newest().id.clone(),
-                stamp: 0,
+                first_line: 0,
+                previous_mac: LineMac::default(),
+                key_id: keys.newest().id.clone(),
+                version: 0,
                 lines: Vec::new(),
                 bytes: 0,
-                written: 0,
+                confirmed_lines: 0,
             },
-            begun: !fresh,
-            head_at: (!fresh).then_some(told),
-            full: VecDeque::new(),
-            notes: VecDeque::new(),
+            has_started: !fresh,
+            head_written_at_page: (!fresh).then_some(told),
+            full_pages: VecDeque::new(),
+            queued_lines: VecDeque::new(),
             charges: BTreeMap::new(),
-            waiting: None,
-            tickets: 0,
+            waiting_since: None,
+            last_ticket: 0,
             unwritten: BTreeSet::new(),
-            tied: Vec::new(),
-            in_flight: None,
+            unconfirmed_lines: Vec::new(),
+            lines_in_flight: None,
             in_flight_head: None,
-            unsure: false,
-            balance: None,
-            coming: None,
-            began: head.from,
-            took: 1,
-            deletes: VecDeque::new(),
+            outcome_unknown: false,
+            balance_page: None,
+            pending_balance: None,
+            balance_began_at_page: head.from,
+            balance_page_count: 1,
+            pages_to_delete: VecDeque::new(),
             settings,
             keys,
             head,
         };
         let mut charged = HashSet::new();
         let mut after = Vec::new();
-        let mut balance = Parts::default();
+        let mut balance = BalanceAssembler::default();
         let mut last_fine = fresh;
         let by_number: HashMap<u64, &(Page, u64)> = pages.iter().map(|p| (p.0.page, p)).collect();
         let numbers = if fresh {
@@ -207,56 +207,56 @@
         for number in numbers {
             last_fine = false;
             let Some((page, stamp)) = by_number.get(&number) else {
-                damaged.push(Damaged(number));
+                damaged.push(DamagedPage(number));
                 continue;
             };
             let lines = page.read().unwrap_or_default();
             lines
                 .iter()
-                .for_each(|(line, _)| charged.extend(keys_of(line)));
-            if !book.ties(page, &lines) {
-                damaged.push(Damaged(number));
-                book.next = book.next.max(page.first + page.lines.len() as u64);
+                .for_each(|(line, _)| charged.extend(attempts_of(line)));
+            if !book.is_chained(page, &lines) {
+                damaged.push(DamagedPage(number));
+                book.next_line = book.next_line.max(page.first + page.lines.len() as u64);
                 continue;
             }
             last_fine = true;
             let mut at = 0;
             for (line, tie) in lines {
-                (book.next, book.tie) = (line.seq + 1, tie);
-                at = line.at().unwrap_or(at);
-                if let Body::Balance(_) = line.body {
-                    book.began = number;
+                (book.next_line, book.last_mac) = (line.number + 1, tie);
+                at = line.last_event_at().unwrap_or(at);
+                if let LineBody::Balance(_) = line.body {
+                    book.balance_began_at_page = number;
                 }
                 if let Some(parts) = balance.take(&line.body) {
                     book.accounts = Accounts::from_parts(&parts, &book.settings);
-                    book.balance = Some(book.began);
-                    book.took = number - book.began + 1;
+                    book.balance_page = Some(book.balance_began_at_page);
+                    book.balance_page_count = number - book.balance_began_at_page + 1;
                     after.clear();
                 }
                 after.push(line);
             }
-            book.full.push_back((number, at));
+            book.full_pages.push_back((number, at));
             if number == book.head.newest {
-                book.open.first = page.first;
-                book.open.prev = Tie::parse(&page.prev).unwrap_or_default();
-                book.open.key.clone_from(&page.key);
-                book.open.stamp = *stamp;
-                book.open.lines = page.lines.iter().map(ToString::to_string).collect();
-                book.open.bytes = book.open.lines.iter().map(|l| l.len() + 1).sum();
-                book.open.written = book.open.lines.len();
-                book.full.pop_back();
+                book.open_page.first_line = page.first;
+                book.open_page.previous_mac = LineMac::parse(&page.prev).unwrap_or_default();
+                book.open_page.key_id.clone_from(&page.key);
+                book.open_page.version = *stamp;
+                book.open_page.lines = page.lines.iter().map(ToString::to_string).collect();
+                book.open_page.bytes = book.open_page.lines.iter().map(|l| l.len() + 1).sum();
+                book.open_page.confirmed_lines = book.open_page.lines.len();
+                book.full_pages.pop_back();
             }
         }
         after
             .iter()
             .for_each(|line| book.accounts.line(line, &book.settings));
-        if !last_fine || book.open.key != book.keys.newest().id {
-            book.turn(0);
+        if !last_fine || book.open_page.key_id != book.keys.newest().id {
+            book.begin_page(0);
         }
         let folded = book.head.kept;
-        book.deletes
-            .extend(folded.saturating_sub(DELETES as u64)..folded);
-        Opened {
+        book.pages_to_delete
+            .extend(folded.saturating_sub(MAX_DELETES_PER_WRITE as u64)..folded);
+        OpenedBook {
             book,
             charged,
             damaged,
@@ -264,15 +264,15 @@
     }
 
     /// Whether a page's lines are as they were tied, as far as the keys tell. One that cannot be read has none.
-    fn ties(&self, page: &Page, lines: &[(Line, Tie)]) -> bool {
-        let Some(mut tie) = Tie::parse(&page.prev).filter(|_| lines.len() == page.lines.len())
+    fn is_chained(&self, page: &Page, lines: &[(Line, LineMac)]) -> bool {
+        let Some(mut tie) = LineMac::parse(&page.prev).filter(|_| lines.len() == page.lines.len())
         else {
             return false;
         };
         let key = self.keys.get(&page.key);
         (page.first..).zip(lines).all(|(seq, (line, its))| {
             let before = std::mem::replace(&mut tie, *its);
-            line.seq == seq && key.is_none_or(|k| before.next(k, &line.text()) == *its)
+            line.number == seq && key.is_none_or(|k| before.next(k, &line.text()) == *its)
         })
     }
 
@@ -286,27 +286,27 @@
     }
 
     /// Charges an attempt. The ticket tells later whether that is written.
-    pub fn charge(&mut self, common: Common, entry: Entry, now: Micros) -> u64 {
+    pub fn charge(&mut self, common: ChargeGroup, entry: Entry, now: Micros) -> u64 {
         let charge = Charge {
-            common,
+            group: common,
             entries: vec![entry],
         };
         self.accounts.charge(&charge, &self.settings);
-        self.tickets += 1;
-        self.unwritten.insert(self.tickets);
-        self.waiting.get_or_insert(now);
-        let entries = charge.entries.into_iter().map(|e| (self.tickets, e));
+        self.last_ticket += 1;
+        self.unwritten.insert(self.last_ticket);
+        self.waiting_since.get_or_insert(now);
+        let entries = charge.entries.into_iter().map(|e| (self.last_ticket, e));
         self.charges
-            .entry(charge.common)
+            .entry(charge.group)
             .or_default()
             .extend(entries);
-        self.tickets
+        self.last_ticket
     }
 
     /// Writes down something else.
-    pub fn note(&mut self, body: Body, now: Micros) {
-        self.notes.push_back(body);
-        self.waiting.get_or_insert(now);
+    pub fn queue_line(&mut self, body: LineBody, now: Micros) {
+        self.queued_lines.push_back(body);
+        self.waiting_since.get_or_insert(now);
     }
 
     /// Whether the charge with this ticket is known to be written.
@@ -315,85 +315,107 @@
     }
 
     /// Charges that are not known to be written.
-    pub fn open_charges(&self) -> usize {
+    pub fn unwritten_charges(&self) -> usize {
         self.unwritten.len()
     }
 
     /// What is to be written now, if anything is. `at`: the time of day; `room`: the most puts and deletes it
     /// may have. One write is under way at a time.
-    pub fn write(&mut self, now: Micros, at: Micros, room: usize) -> Option<Write> {
+    pub fn next_write(&mut self, now: Micros, at: Micros, room: usize) -> Option<PageWrite> {
         // A page may come with the head.
-        if self.in_flight.is_some() || self.unsure || room < 2 {
+        if self.lines_in_flight.is_some() || self.outcome_unknown || room < 2 {
             return None;
         }
-        let due = self.waiting.is_some_and(|t| now >= t + self.settings.every);
-        let left = self.open.lines.len() > self.open.written;
+        let due = self
+            .waiting_since
+            .is_some_and(|t| now >= t + self.settings.write_interval);
+        let left = self.open_page.lines.len() > self.open_page.confirmed_lines;
         if !due && !left {
             return None;
         }
-        self.compose(at);
-        if self.open.lines.len() == self.open.written {
+        self.fill_page(at);
+        if self.open_page.lines.len() == self.open_page.confirmed_lines {
             // Nothing more went in: the page is full.
-            self.turn(at);
-            self.compose(at);
+            self.begin_page(at);
+            self.fill_page(at);
         }
-        self.in_flight = Some(self.open.lines.len());
-        self.begun = true;
+        self.lines_in_flight = Some(self.open_page.lines.len());
+        self.has_started = true;
         let due = self
-            .head_at
-            .is_none_or(|n| self.open.page >= n + HEAD_EVERY);
-        let tells = self.open.stamp == 0 && due;
+            .head_written_at_page
+            .is_none_or(|n| self.open_page.page >= n + PAGES_PER_HEAD_WRITE);
+        let tells = self.open_page.version == 0 && due;
         let deletes = match tells {
             true => Vec::new(),
             false => self
-                .deletes
-                .drain(..self.deletes.len().min(DELETES).min(room - 1))
+                .pages_to_delete
+                .drain(
+                    ..self
+                        .pages_to_delete
+                        .len()
+                        .min(MAX_DELETES_PER_WRITE)
+                        .min(room - 1),
+                )
                 .collect(),
         };
-        self.in_flight_head = tells.then_some(self.open.page);
-        Some(Write {
-            page: self.open.page,
-            stamp: self.open.stamp,
-            value: self.value(),
+        self.in_flight_head = tells.then_some(self.open_page.page);
+        Some(PageWrite {
+            page: self.open_page.page,
+            version: self.open_page.version,
+            value: self.page_value(),
             head: tells.then(|| self.head.clone()),
-            deletes,
+            deleted_pages: deletes,
         })
     }
 
     /// Begins the next page.
-    fn turn(&mut self, at: Micros) {
-        let stands = self.open.stamp > 0 || !self.open.lines.is_empty();
+    fn begin_page(&mut self, at: Micros) {
+        let stands = self.open_page.version > 0 || !self.open_page.lines.is_empty();
         if stands {
-            self.full.push_back((self.open.page, at));
+            self.full_pages.push_back((self.open_page.page, at));
         }
-        self.open = Open {
-            page: self.open.page + u64::from(stands || self.begun),
-            first: self.next,
-            prev: self.tie,
-            key: self.keys.newest().id.clone(),
-            stamp: 0,
+        self.open_page = OpenPage {
+            page: self.open_page.page + u64::from(stands || self.has_started),
+            first_line: self.next_line,
+            previous_mac: self.last_mac,
+            key_id: self.keys.newest().id.clone(),
+            version: 0,
             lines: Vec::new(),
             bytes: 0,
-            written: 0,
+            confirmed_lines: 0,
         };
-        while self.full.front().is_some_and(|f| f.1 + self.window < at) {
-            self.full.pop_front();
+        while self
+            .full_pages
+            .front()
+            .is_some_and(|f| f.1 + self.duplicate_window < at)
+        {
+            self.full_pages.pop_front();
         }
-        self.head.newest = self.open.page;
-        let met = self.full.front().map_or(self.open.page, |f| f.0);
-        self.head.from = met.min(self.balance.unwrap_or(self.head.from));
-        let since = self.open.page.saturating_sub(self.began);
-        let every = self.settings.balance_pages.max(BALANCE_SHARE * self.took);
-        if at > 0 && self.coming.is_none() && since >= every && self.notes.is_empty() {
-            self.balance_off(at);
+        self.head.newest = self.open_page.page;
+        let met = self.full_pages.front().map_or(self.open_page.page, |f| f.0);
+        self.head.from = met.min(self.balance_page.unwrap_or(self.head.from));
+        let since = self
+            .open_page
+            .page
+            .saturating_sub(self.balance_began_at_page);
+        let every = self
+            .settings
+            .balance_pages
+            .max(MIN_PAGES_PER_BALANCE_PAGE * self.balance_page_count);
+        if at > 0
+            && self.pending_balance.is_none()
+            && since >= every
+            && self.queued_lines.is_empty()
+        {
+            self.queue_balance(at);
         }
     }
 
     /// Puts a balance at the head of what is to be written: it speaks of all lines so far.
-    fn balance_off(&mut self, at: Micros) {
+    fn queue_balance(&mut self, at: Micros) {
         // What waits to be tied is in the accounts already, but comes after the balance.
         let mut before = self.accounts.clone();
-        before.without(&self.charges, &self.settings);
+        before.subtract_pending(&self.charges, &self.settings);
         let parts = before.parts(&self.settings);
         if parts.is_empty() {
             return;
@@ -403,32 +425,33 @@
         let kept = folded.filter(|_| self.settings.retention > 0).unwrap_or(0);
         let kept = kept.max(self.head.kept).min(self.head.from);
         let mark = Balance {
-            upto: self.next,
+            upto: self.next_line,
             parts: parts.len() as u32,
             kept,
             at,
         };
-        self.notes.push_back(Body::Balance(mark));
-        self.notes.extend(parts.into_iter().map(Body::Part));
+        self.queued_lines.push_back(LineBody::Balance(mark));
+        self.queued_lines
+            .extend(parts.into_iter().map(LineBody::Part));
     }
 
     /// Ties what fits into the page.
-    fn compose(&mut self, at: Micros) {
-        while let Some(body) = self.notes.front() {
+    fn fill_page(&mut self, at: Micros) {
+        while let Some(body) = self.queued_lines.front() {
             let line = Line {
-                seq: self.next,
+                number: self.next_line,
                 body: body.clone(),
             };
-            if !self.add(&line) {
+            if !self.append_line(&line) {
                 return;
             }
-            let Some(body) = self.notes.pop_front() else {
+            let Some(body) = self.queued_lines.pop_front() else {
                 return;
             };
-            self.noted(&body, at);
+            self.line_appended(&body, at);
         }
         while let Some((common, mut entries)) = self.charges.pop_first() {
-            let most = self.fitting(&common, &entries);
+            let most = self.entries_that_fit(&common, &entries);
             let rest = entries.split_off(most);
             if !rest.is_empty() {
                 self.charges.insert(common.clone(), rest);
@@ -438,22 +461,30 @@
             }
             let (tickets, entries): (Vec<u64>, Vec<Entry>) = entries.into_iter().unzip();
             let line = Line {
-                seq: self.next,
-                body: Body::Charge(Charge { common, entries }),
+                number: self.next_line,
+                body: LineBody::Charge(Charge {
+                    group: common,
+                    entries,
+                }),
             };
-            self.tied.extend(tickets.into_iter().map(|t| (line.seq, t)));
-            self.add(&line);
+            self.unconfirmed_lines
+                .extend(tickets.into_iter().map(|t| (line.number, t)));
+            self.append_line(&line);
         }
-        self.waiting = None;
+        self.waiting_since = None;
     }
 
-    fn noted(&mut self, body: &Body, at: Micros) {
+    fn line_appended(&mut self, body: &LineBody, at: Micros) {
         match body {
-            Body::Balance(b) => {
-                self.began = self.open.page;
-                self.coming = Some((self.began, self.next + u64::from(b.parts), b.kept));
-                self.head.marks.push((self.open.page, at));
-                if self.head.marks.len() > MARKS {
+            LineBody::Balance(b) => {
+                self.balance_began_at_page = self.open_page.page;
+                self.pending_balance = Some((
+                    self.balance_began_at_page,
+                    self.next_line + u64::from(b.parts),
+                    b.kept,
+                ));
+                self.head.marks.push((self.open_page.page, at));
+                if self.head.marks.len() > MAX_TIME_MARKS {
                     let mut odd = false;
                     self.head.marks.retain(|_| {
                         odd = !odd;
@@ -461,22 +492,26 @@
                     });
                 }
             }
-            Body::Part(_) => self.took = self.open.page - self.began + 1,
+            LineBody::Part(_) => {
+                self.balance_page_count = self.open_page.page - self.balance_began_at_page + 1
+            }
             _ => {}
         }
     }
 
     /// How many of these the page has room for. A page takes one at least.
-    fn fitting(&self, common: &Common, entries: &[(u64, Entry)]) -> usize {
+    fn entries_that_fit(&self, common: &ChargeGroup, entries: &[(u64, Entry)]) -> usize {
         let empty = Charge {
-            common: common.clone(),
+            group: common.clone(),
             entries: Vec::new(),
         };
         let line = Line {
-            seq: self.next,
-            body: Body::Charge(empty),
+            number: self.next_line,
+            body: LineBody::Charge(empty),
         };
-        let mut room = self.room().saturating_sub(line.text().len() + BESIDE);
+        let mut room = self
+            .remaining_bytes()
+            .saturating_sub(line.text().len() + CHARGE_OVERHEAD_BYTES);
         let mut n = 0;
         for (_, e) in entries {
             let bytes = e.most_bytes();
@@ -486,65 +521,69 @@
             room -= bytes;
             n += 1;
         }
-        if self.open.lines.is_empty() {
+        if self.open_page.lines.is_empty() {
             n.max(1)
         } else {
             n
         }
     }
 
-    fn room(&self) -> usize {
-        (self.limit - self.limit.min(FRAME)).saturating_sub(self.open.bytes)
+    fn remaining_bytes(&self) -> usize {
+        (self.max_value_bytes - self.max_value_bytes.min(PAGE_OVERHEAD_BYTES))
+            .saturating_sub(self.open_page.bytes)
     }
 
     /// Ties a line, if the page has room for it.
-    fn add(&mut self, line: &Line) -> bool {
-        let Some(key) = self.keys.get(&self.open.key) else {
+    fn append_line(&mut self, line: &Line) -> bool {
+        let Some(key) = self.keys.get(&self.open_page.key_id) else {
             return false;
         };
-        let (text, tie) = line.seal(key, &self.tie);
-        if text.len() + 1 > self.room() && !self.open.lines.is_empty() {
+        let (text, tie) = line.to_chained_text(key, &self.last_mac);
+        if text.len() + 1 > self.remaining_bytes() && !self.open_page.lines.is_empty() {
             return false;
         }
-        self.open.bytes += text.len() + 1;
-        self.open.lines.push(text);
-        self.tie = tie;
-        self.next += 1;
+        self.open_page.bytes += text.len() + 1;
+        self.open_page.lines.push(text);
+        self.last_mac = tie;
+        self.next_line += 1;
         true
     }
 
     /// The open page as it is kept.
-    fn value(&self) -> String {
-        let o = &self.open;
+    fn page_value(&self) -> String {
+        let o = &self.open_page;
         let lines = o.lines.join(",");
         format!(
             "{{\"page\":{},\"first\":{},\"prev\":\"{}\",\"key\":\"{}\",\"lines\":[{lines}]}}",
-            o.page, o.first, o.prev, o.key
+            o.page, o.first_line, o.previous_mac, o.key_id
         )
     }
 
     /// The write under way was carried out, at this version. Returns the tickets of what is now written.
-    pub fn written(&mut self, stamp: u64) -> Vec<u64> {
-        let Some(lines) = self.in_flight.take() else {
+    pub fn write_succeeded(&mut self, stamp: u64) -> Vec<u64> {
+        let Some(lines) = self.lines_in_flight.take() else {
             return Vec::new();
         };
-        self.open.stamp = stamp;
-        self.head_at = self.head_at.max(self.in_flight_head.take());
-        self.settle(lines)
+        self.open_page.version = stamp;
+        self.head_written_at_page = self.head_written_at_page.max(self.in_flight_head.take());
+        self.confirm_lines(lines)
     }
 
-    fn settle(&mut self, lines: usize) -> Vec<u64> {
-        self.open.written = self.open.written.max(lines);
-        let upto = self.open.first + self.open.written as u64;
-        if let Some((page, _, kept)) = self.coming.take_if(|c| c.1 <= upto) {
+    fn confirm_lines(&mut self, lines: usize) -> Vec<u64> {
+        self.open_page.confirmed_lines = self.open_page.confirmed_lines.max(lines);
+        let upto = self.open_page.first_line + self.open_page.confirmed_lines as u64;
+        if let Some((page, _, kept)) = self.pending_balance.take_if(|c| c.1 <= upto) {
             // Only now may a successor begin with it, and what it folds be deleted.
-            self.balance = Some(page);
-            self.deletes.extend(self.head.kept..kept);
+            self.balance_page = Some(page);
+            self.pages_to_delete.extend(self.head.kept..kept);
             self.head.kept = kept;
             self.head.marks.retain(|m| m.0 >= kept);
         }
-        let (done, left) = self.tied.iter().partition(|(seq, _)| *seq < upto);
-        self.tied = left;
+        let (done, left) = self
+            .unconfirmed_lines
+            .iter()
+            .partition(|(seq, _)| *seq < upto);
+        self.unconfirmed_lines = left;
         let done: Vec<(u64, u64)> = done;
         let tickets: Vec<u64> = done.into_iter().map(|(_, t)| t).collect();
         tickets.iter().for_each(|t| {
@@ -555,69 +594,69 @@
 
     /// The write under way was not carried out. `unsure`: or perhaps it was, or will be; then nothing is written
     /// before the page has been [`reread`](Book::reread).
-    pub fn not_written(&mut self, unsure: bool) {
-        if self.in_flight.take().is_some() {
-            self.unsure = unsure;
+    pub fn write_failed(&mut self, unsure: bool) {
+        if self.lines_in_flight.take().is_some() {
+            self.outcome_unknown = unsure;
         }
     }
 
     /// The page to be read again, if one is.
-    pub fn wants_reread(&self) -> Option<u64> {
-        self.unsure.then_some(self.open.page)
+    pub fn page_to_reread(&self) -> Option<u64> {
+        self.outcome_unknown.then_some(self.open_page.page)
     }
 
     /// The page as it was read, with its version, or that there is none.
-    pub fn reread(&mut self, found: Option<(&Page, u64)>) -> Result<Vec<u64>, Damaged> {
-        if !std::mem::take(&mut self.unsure) {
+    pub fn handle_reread(&mut self, found: Option<(&Page, u64)>) -> Result<Vec<u64>, DamagedPage> {
+        if !std::mem::take(&mut self.outcome_unknown) {
             return Ok(Vec::new());
         }
         let Some((page, stamp)) = found else {
             return Ok(Vec::new());
         };
         let ours = page.read().ok().filter(|lines| {
-            let tied = |n: usize| serde_json::from_str(self.open.lines.get(n)?).ok();
+            let tied = |n: usize| serde_json::from_str(self.open_page.lines.get(n)?).ok();
             let same = |n: usize| tied(n).and_then(|v| Line::read(&v)).as_ref() == lines.last();
-            lines.len() <= self.open.lines.len() && lines.len().checked_sub(1).is_none_or(same)
+            lines.len() <= self.open_page.lines.len() && lines.len().checked_sub(1).is_none_or(same)
         });
         let Some(lines) = ours else {
             // Somebody else has been there. What is written is kept; what is not goes to another page.
-            return Err(self.abandon());
+            return Err(self.abandon_page());
         };
-        self.open.stamp = stamp;
+        self.open_page.version = stamp;
         // The head came with it, if it did.
-        self.head_at = self.head_at.max(self.in_flight_head.take());
-        Ok(self.settle(lines.len()))
+        self.head_written_at_page = self.head_written_at_page.max(self.in_flight_head.take());
+        Ok(self.confirm_lines(lines.len()))
     }
 
     /// Leaves the open page as it is found, and ties what is not known to be written anew on the next.
-    pub fn abandon(&mut self) -> Damaged {
-        self.unsure = false;
-        let damaged = Damaged(self.open.page);
-        let lost: Vec<Line> = self.open.lines[self.open.written..]
+    pub fn abandon_page(&mut self) -> DamagedPage {
+        self.outcome_unknown = false;
+        let damaged = DamagedPage(self.open_page.page);
+        let lost: Vec<Line> = self.open_page.lines[self.open_page.confirmed_lines..]
             .iter()
             .filter_map(|text| Line::read(&serde_json::from_str(text).ok()?))
             .map(|(line, _)| line)
             .collect();
-        let mut tickets: VecDeque<u64> = self.tied.drain(..).map(|t| t.1).collect();
-        self.turn(0);
+        let mut tickets: VecDeque<u64> = self.unconfirmed_lines.drain(..).map(|t| t.1).collect();
+        self.begin_page(0);
         for line in lost {
             match line.body {
-                Body::Charge(c) => {
+                LineBody::Charge(c) => {
                     let again = c
                         .entries
                         .into_iter()
                         .filter_map(|e| Some((tickets.pop_front()?, e)));
-                    self.charges.entry(c.common).or_default().extend(again);
+                    self.charges.entry(c.group).or_default().extend(again);
                 }
-                body => self.notes.push_back(body),
+                body => self.queued_lines.push_back(body),
             }
         }
-        self.waiting.get_or_insert(0);
+        self.waiting_since.get_or_insert(0);
         damaged
     }
 
     /// How long an attempt that was charged may be met again.
-    pub fn window(lease: Micros, settings: &Settings) -> Micros {
-        10 * lease + 2 * settings.clock_off + 30 * SECOND
+    pub fn duplicate_window(lease: Micros, settings: &Settings) -> Micros {
+        10 * lease + 2 * settings.max_clock_offset + 30 * SECOND
     }
 }
--- a/crates/gannethub-ledger/src/chain.rs
+++ b/crates/gannethub-ledger/src/chain.rs
@@ -7,32 +7,32 @@
 
 /// What ties a line to all before it: the first sixteen bytes of a keyed BLAKE3 hash.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tie([u8; 16]);
+pub struct LineMac([u8; 16]);
 
-impl Tie {
+impl LineMac {
     /// Of a line with this text after a line with `self`.
-    pub fn next(&self, key: &Key, text: &str) -> Tie {
+    pub fn next(&self, key: &SigningKey, text: &str) -> LineMac {
         let mut hasher = blake3::Hasher::new_keyed(&key.secret);
         hasher.update(&self.0);
         hasher.update(text.as_bytes());
         let mut tie = [0; 16];
         tie.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        Tie(tie)
+        LineMac(tie)
     }
 
-    pub fn parse(text: &str) -> Option<Tie> {
+    pub fn parse(text: &str) -> Option<LineMac> {
         let bytes = STANDARD_NO_PAD.decode(text).ok()?;
-        Some(Tie(bytes.try_into().ok()?))
+        Some(LineMac(bytes.try_into().ok()?))
     }
 }
 
-impl fmt::Display for Tie {
+impl fmt::Display for LineMac {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&STANDARD_NO_PAD.encode(self.0))
     }
 }
 
-impl fmt::Debug for Tie {
+impl fmt::Debug for LineMac {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
@@ -40,12 +40,12 @@
 
 /// A key and the name it goes by in pages.
 #[derive(Clone)]
-pub struct Key {
+pub struct SigningKey {
     pub id: String,
     secret: [u8; 32],
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for SigningKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Key({})", self.id)
     }
@@ -66,12 +66,12 @@
 
 /// Keys by their ids. New pages use the last one of the file; the others are kept for what they tied.
 #[derive(Clone, Debug)]
-pub struct KeyRing(Vec<Key>);
+pub struct KeyRing(Vec<SigningKey>);
 
 impl KeyRing {
     /// Reads a key file: a line for each key, its id and 64 hexadecimal digits. What follows `#` is ignored.
     pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
-        let mut keys: Vec<Key> = Vec::new();
+        let mut keys: Vec<SigningKey> = Vec::new();
         for (number, line) in (1..).zip(text.lines()) {
             let line = line.split('#').next().unwrap_or("").trim();
             if line.is_empty() {
@@ -85,8 +85,8 @@
             if keys.iter().any(|k| k.id == id) {
                 return Err(KeyError::Twice(number, id.into()));
             }
-            let secret = unhex(hex.trim()).ok_or(KeyError::Malformed(number))?;
-            keys.push(Key {
+            let secret = parse_secret(hex.trim()).ok_or(KeyError::Malformed(number))?;
+            keys.push(SigningKey {
                 id: id.into(),
                 secret,
             });
@@ -105,12 +105,12 @@
     }
 
     /// The key that new pages are tied with.
-    pub fn newest(&self) -> &Key {
+    pub fn newest(&self) -> &SigningKey {
         // There is at least one.
         &self.0[self.0.len() - 1]
     }
 
-    pub fn get(&self, id: &str) -> Option<&Key> {
+    pub fn get(&self, id: &str) -> Option<&SigningKey> {
         self.0.iter().find(|k| k.id == id)
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-fn unhex(text: &str) -> Option<[u8; 32]> {
+fn parse_secret(text: &str) -> Option<[u8; 32]> {
     let mut out = [0; 32];
     if text.len() != 64 || !text.is_ascii() {
         return None;
--- a/crates/gannethub-ledger/src/chain/tests.rs
+++ b/crates/gannethub-ledger/src/chain/tests.rs
@@ -6,9 +6,9 @@
     let ring = KeyRing::parse(&format!("# ours\n{}\n{}", key("k1", 7), key("k2", 9))).unwrap();
     assert_eq!(ring.newest().id, "k2");
     assert!(ring.get("k1").is_some() && ring.get("k3").is_none());
-    let tied = |id: &str| Tie::default().next(ring.get(id).unwrap(), "[1]");
+    let tied = |id: &str| LineMac::default().next(ring.get(id).unwrap(), "[1]");
     assert_ne!(tied("k1"), tied("k2"), "another key makes another tie");
-    assert_eq!(Tie::parse(&tied("k1").to_string()), Some(tied("k1")));
+    assert_eq!(LineMac::parse(&tied("k1").to_string()), Some(tied("k1")));
     for (text, error) in [
         ("\n# none\n".to_string(), KeyError::Empty),
         ("k1 1234".into(), KeyError::Malformed(1)),
--- a/crates/gannethub-ledger/src/decay.rs
+++ b/crates/gannethub-ledger/src/decay.rs
@@ -126,7 +126,7 @@
     }
 
     /// Takes out what was added before, as far as it has not been dropped.
-    pub fn less(&mut self, other: &Decayed) {
+    pub fn subtract(&mut self, other: &Decayed) {
         for (epoch, sum) in &other.0 {
             if let Ok(i) = self.0.binary_search_by_key(epoch, |s| s.0) {
                 self.0[i].1 = self.0[i].1.saturating_sub(*sum);
--- a/crates/gannethub-ledger/src/export.rs
+++ b/crates/gannethub-ledger/src/export.rs
@@ -10,7 +10,7 @@
 use parquet::schema::parser::parse_message_type;
 
 use crate::audit::Page;
-use crate::line::Body;
+use crate::line::LineBody;
 use crate::meter::STAGES;
 
 /// Why a table could not be written.
@@ -89,8 +89,10 @@
     let mut rows = Vec::new();
     for page in pages {
         for (line, _) in page.read().map_err(|_| ExportError::Page(page.page))? {
-            let Body::Charge(c) = line.body else { continue };
-            let k = &c.common;
+            let LineBody::Charge(c) = line.body else {
+                continue;
+            };
+            let k = &c.group;
             if team.is_some_and(|t| t != k.team) {
                 continue;
             }
@@ -98,27 +100,27 @@
                 let text = |t: &String| Cell::Text(t.clone());
                 let mut row = vec![
                     int(page.page),
-                    int(line.seq),
+                    int(line.number),
                     text(&k.team),
                     text(&k.class),
                     text(&k.job),
                     int(u64::from(e.task)),
                     int(e.attempt),
                     text(&e.machine),
-                    text(&k.flavor),
+                    text(&k.machine_type),
                     text(&k.zone),
                     Cell::Flag(k.spot),
                     int(k.price),
                     Cell::Text(name(&k.reason)),
-                    Cell::Text(name(&k.worth)),
-                    int(k.need.0),
-                    int(k.need.1),
-                    int(k.need.2),
+                    Cell::Text(name(&k.usefulness)),
+                    int(k.resources.0),
+                    int(k.resources.1),
+                    int(k.resources.2),
                     int(e.begin),
                     int(e.end()),
                 ];
-                row.extend(e.spent.0.iter().map(|t| int(*t)));
-                row.extend([int(e.bound), Cell::Flag(e.estimate)]);
+                row.extend(e.stage_times.0.iter().map(|t| int(*t)));
+                row.extend([int(e.max_error), Cell::Flag(e.is_estimate)]);
                 rows.push(row);
             }
         }
--- a/crates/gannethub-ledger/src/export/tests.rs
+++ b/crates/gannethub-ledger/src/export/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::chain::{KeyRing, Tie};
+use crate::chain::{KeyRing, LineMac};
 use crate::line::tests::{common, entry};
 use crate::line::{Charge, Line};
 
@@ -7,15 +7,15 @@
     let ring = KeyRing::parse(&KeyRing::write("k", &[3; 32])).unwrap();
     let entries = vec![entry(0, 5_000_000, 6), entry(9, 7_000_000, 8)];
     let line = Line {
-        seq: 4,
-        body: Body::Charge(Charge {
-            common: common("red", "j-7"),
+        number: 4,
+        body: LineBody::Charge(Charge {
+            group: common("red", "j-7"),
             entries,
         }),
     };
-    let (text, _) = line.seal(ring.newest(), &Tie::default());
+    let (text, _) = line.to_chained_text(ring.newest(), &LineMac::default());
     let lines = vec![serde_json::from_str(&text).unwrap()];
-    let prev = Tie::default().to_string();
+    let prev = LineMac::default().to_string();
     Page {
         page: 2,
         first: 4,
--- a/crates/gannethub-ledger/src/line.rs
+++ b/crates/gannethub-ledger/src/line.rs
@@ -8,14 +8,14 @@
 use serde_json::Value;
 
 use crate::Micros;
-use crate::chain::{Key, Tie};
-use crate::meter::Spent;
+use crate::chain::{LineMac, SigningKey};
+use crate::meter::StageTimes;
 
 /// CPUs, GPUs and memory of one task, in thousandths (of a CPU, a GPU and a GB).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Need(pub u64, pub u64, pub u64);
+pub struct ResourceAmounts(pub u64, pub u64, pub u64);
 
 /// Why an attempt's place came free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 /// What an attempt's run was good for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Worth {
+pub enum Usefulness {
     /// It was done, or is a replica: all of its run counts.
     Useful,
     /// Its progress was saved.
@@ -59,10 +59,10 @@
     pub machine: String,
     /// Time of day when its place was taken.
     pub begin: Micros,
-    pub spent: Spent,
+    pub stage_times: StageTimes,
     /// How far the time at its worker may be off.
-    pub bound: Micros,
-    pub estimate: bool,
+    pub max_error: Micros,
+    pub is_estimate: bool,
 }
 
 /// An entry as it is kept: its task, its attempt and begin from the line's least ones on, its machine, its times
@@ -72,7 +72,7 @@
 impl Entry {
     /// Time of day when its place was known to be free.
     pub fn end(&self) -> Micros {
-        self.begin.saturating_add(self.spent.held())
+        self.begin.saturating_add(self.stage_times.held())
     }
 
     /// What it takes in a line, with the comma; less where attempts and begins are kept as differences.
@@ -82,13 +82,13 @@
 
     fn wire(&self, (attempt, begin): (u64, Micros)) -> EntryWire {
         let used = self
-            .spent
+            .stage_times
             .0
             .iter()
             .rposition(|t| *t > 0)
             .map_or(0, |i| i + 1);
-        let spent = self.spent.0[..used].to_vec();
-        let bound = self.bound.saturating_mul(2) | u64::from(self.estimate);
+        let spent = self.stage_times.0[..used].to_vec();
+        let bound = self.max_error.saturating_mul(2) | u64::from(self.is_estimate);
         let machine = self.machine.clone();
         (
             self.task,
@@ -102,49 +102,49 @@
 
     fn read(wire: EntryWire, least: (u64, Micros)) -> Option<Entry> {
         let (task, attempt, machine, begin, times, bound) = wire;
-        let mut spent = Spent::default();
+        let mut spent = StageTimes::default();
         spent.0.get_mut(..times.len())?.copy_from_slice(&times);
         Some(Entry {
             task,
             attempt: attempt.checked_add(least.0)?,
             machine,
             begin: begin.checked_add(least.1)?,
-            spent,
-            bound: bound / 2,
-            estimate: bound % 2 == 1,
+            stage_times: spent,
+            max_error: bound / 2,
+            is_estimate: bound % 2 == 1,
         })
     }
 }
 
 /// What attempts that share a line have in common.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Common {
+pub struct ChargeGroup {
     pub team: String,
     pub class: String,
     pub job: String,
-    pub need: Need,
+    pub resources: ResourceAmounts,
     /// The machine's type, zone and kind.
-    pub flavor: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     /// Its price an hour then, in millionths.
     pub price: u64,
     pub reason: Reason,
-    pub worth: Worth,
+    pub usefulness: Usefulness,
 }
 
 /// Charged attempts of one job that ran on machines of one kind and ended alike.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Charge {
-    pub common: Common,
+    pub group: ChargeGroup,
     pub entries: Vec<Entry>,
 }
 
 /// A controller began to keep the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Took {
+pub struct OwnerChange {
     pub term: u64,
-    pub holder: String,
+    pub owner: String,
     pub at: Micros,
     /// It knew of everything that was open under the leader before it.
     pub complete: bool,
@@ -152,7 +152,7 @@
 
 /// A machine was given up of which nobody knows what it held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gap {
+pub struct UnmeteredInterval {
     pub machine: String,
     pub flavor: String,
     pub zone: String,
@@ -174,7 +174,7 @@
 
 /// What one team's jobs of one class come to, as part of a balance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct BalancePart {
     pub team: String,
     pub class: String,
     pub entries: u64,
@@ -188,22 +188,22 @@
 /// Puts a balance together from the lines that it was written in. Its keeper may have ended amid it: then what
 /// follows is something else, and the next keeper writes another.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct BalanceAssembler {
     missing: u32,
-    parts: Vec<Part>,
+    parts: Vec<BalancePart>,
 }
 
-impl Parts {
+impl BalanceAssembler {
     /// Takes the next line; all parts, once the last one has come.
-    pub fn take(&mut self, body: &Body) -> Option<Vec<Part>> {
+    pub fn take(&mut self, body: &LineBody) -> Option<Vec<BalancePart>> {
         match body {
-            Body::Balance(b) => {
-                *self = Parts {
+            LineBody::Balance(b) => {
+                *self = BalanceAssembler {
                     missing: b.parts,
                     parts: Vec::new(),
                 }
             }
-            Body::Part(p) if self.missing > 0 => {
+            LineBody::Part(p) if self.missing > 0 => {
                 self.parts.push(p.clone());
                 self.missing -= 1;
                 return (self.missing == 0).then(|| std::mem::take(&mut self.parts));
@@ -215,39 +215,39 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum LineBody {
     Charge(Charge),
-    Took(Took),
-    Gap(Gap),
+    OwnerChanged(OwnerChange),
+    Unmetered(UnmeteredInterval),
     Balance(Balance),
-    Part(Part),
+    Part(BalancePart),
 }
 
 /// A line of the ledger, numbered from zero without gaps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    pub seq: u64,
-    pub body: Body,
+    pub number: u64,
+    pub body: LineBody,
 }
 
-type CommonWire = (
+type ChargeGroupWire = (
     String,
     String,
     String,
-    Need,
+    ResourceAmounts,
     String,
     String,
     bool,
     u64,
     Reason,
-    Worth,
+    Usefulness,
 );
 
-fn hex(x: u128) -> String {
+fn to_hex(x: u128) -> String {
     format!("{x:x}")
 }
 
-fn unhex(text: &str) -> Option<u128> {
+fn parse_hex(text: &str) -> Option<u128> {
     u128::from_str_radix(text, 16).ok()
 }
 
@@ -255,43 +255,43 @@
     /// The line without its tie, as it is tied. It always ends with a bracket.
     pub fn text(&self) -> String {
         let text = match &self.body {
-            Body::Charge(c) => {
-                let k = &c.common;
-                let common: CommonWire = (
+            LineBody::Charge(c) => {
+                let k = &c.group;
+                let common: ChargeGroupWire = (
                     k.team.clone(),
                     k.class.clone(),
                     k.job.clone(),
-                    k.need,
-                    k.flavor.clone(),
+                    k.resources,
+                    k.machine_type.clone(),
                     k.zone.clone(),
                     k.spot,
                     k.price,
                     k.reason,
-                    k.worth,
+                    k.usefulness,
                 );
                 let attempt = c.entries.iter().map(|e| e.attempt).min().unwrap_or(0);
                 let begin = c.entries.iter().map(|e| e.begin).min().unwrap_or(0);
                 let least = (attempt, begin);
                 let entries: Vec<EntryWire> = c.entries.iter().map(|e| e.wire(least)).collect();
-                serde_json::to_string(&(self.seq, "charge", common, least, entries))
+                serde_json::to_string(&(self.number, "charge", common, least, entries))
             }
-            Body::Took(t) => {
-                serde_json::to_string(&(self.seq, "took", t.term, &t.holder, t.at, t.complete))
+            LineBody::OwnerChanged(t) => {
+                serde_json::to_string(&(self.number, "took", t.term, &t.owner, t.at, t.complete))
             }
-            Body::Gap(g) => {
+            LineBody::Unmetered(g) => {
                 let machine = (&g.machine, &g.flavor, &g.zone, g.spot);
-                serde_json::to_string(&(self.seq, "gap", machine, g.from, g.to))
+                serde_json::to_string(&(self.number, "gap", machine, g.from, g.to))
             }
-            Body::Balance(b) => {
-                serde_json::to_string(&(self.seq, "balance", b.upto, b.parts, b.kept, b.at))
+            LineBody::Balance(b) => {
+                serde_json::to_string(&(self.number, "balance", b.upto, b.parts, b.kept, b.at))
             }
-            Body::Part(p) => {
-                let amounts: Vec<String> = p.amounts.iter().copied().map(hex).collect();
+            LineBody::Part(p) => {
+                let amounts: Vec<String> = p.amounts.iter().copied().map(to_hex).collect();
                 let decayed: Vec<(u64, String)> =
-                    p.decayed.iter().map(|d| (d.0, hex(d.1))).collect();
+                    p.decayed.iter().map(|d| (d.0, to_hex(d.1))).collect();
                 let name = (&p.team, &p.class);
                 let sums = (p.entries, amounts, p.half_life, decayed);
-                serde_json::to_string(&(self.seq, "part", name, sums))
+                serde_json::to_string(&(self.number, "part", name, sums))
             }
         };
         // Strings, whole numbers and flags always serialize.
@@ -299,38 +299,41 @@
     }
 
     /// Reads a line and its tie. `None`: it is not a line of this version.
-    pub fn read(value: &Value) -> Option<(Line, Tie)> {
+    pub fn read(value: &Value) -> Option<(Line, LineMac)> {
         let items = value.as_array()?;
         let (tie, items) = items.split_last()?;
-        let tie = Tie::parse(tie.as_str()?)?;
+        let tie = LineMac::parse(tie.as_str()?)?;
         let seq = items.first()?.as_u64()?;
         let text = |i: usize| items.get(i).and_then(Value::as_str).map(str::to_string);
         let number = |i: usize| items.get(i).and_then(Value::as_u64);
         let body = match (items.get(1)?.as_str()?, items.len()) {
             ("charge", 5) => {
-                let k: CommonWire = serde_json::from_value(items[2].clone()).ok()?;
+                let k: ChargeGroupWire = serde_json::from_value(items[2].clone()).ok()?;
                 let (team, class, job, need, flavor, zone, spot, price, reason, worth) = k;
                 let least: (u64, Micros) = serde_json::from_value(items[3].clone()).ok()?;
                 let entries: Vec<EntryWire> = serde_json::from_value(items[4].clone()).ok()?;
                 let read = entries.into_iter().map(|e| Entry::read(e, least));
                 let entries = read.collect::<Option<Vec<_>>>()?;
-                let common = Common {
+                let common = ChargeGroup {
                     team,
                     class,
                     job,
-                    need,
-                    flavor,
+                    resources: need,
+                    machine_type: flavor,
                     zone,
                     spot,
                     price,
                     reason,
-                    worth,
+                    usefulness: worth,
                 };
-                Body::Charge(Charge { common, entries })
+                LineBody::Charge(Charge {
+                    group: common,
+                    entries,
+                })
             }
-            ("took", 6) => Body::Took(Took {
+            ("took", 6) => LineBody::OwnerChanged(OwnerChange {
                 term: number(2)?,
-                holder: text(3)?,
+                owner: text(3)?,
                 at: number(4)?,
                 complete: items.get(5)?.as_bool()?,
             }),
@@ -338,7 +341,7 @@
                 let machine: (String, String, String, bool) =
                     serde_json::from_value(items[2].clone()).ok()?;
                 let (machine, flavor, zone, spot) = machine;
-                Body::Gap(Gap {
+                LineBody::Unmetered(UnmeteredInterval {
                     machine,
                     flavor,
                     zone,
@@ -347,7 +350,7 @@
                     to: number(4)?,
                 })
             }
-            ("balance", 6) => Body::Balance(Balance {
+            ("balance", 6) => LineBody::Balance(Balance {
                 upto: number(2)?,
                 parts: u32::try_from(number(3)?).ok()?,
                 kept: number(4)?,
@@ -359,12 +362,15 @@
                 type Sums = (u64, Vec<String>, Micros, Vec<(u64, String)>);
                 let (entries, amounts, half_life, decayed): Sums =
                     serde_json::from_value(items[3].clone()).ok()?;
-                let amounts = amounts.iter().map(|a| unhex(a)).collect::<Option<_>>()?;
+                let amounts = amounts
+                    .iter()
+                    .map(|a| parse_hex(a))
+                    .collect::<Option<_>>()?;
                 let decayed = decayed
                     .iter()
-                    .map(|d| Some((d.0, unhex(&d.1)?)))
+                    .map(|d| Some((d.0, parse_hex(&d.1)?)))
                     .collect::<Option<_>>()?;
-                Body::Part(Part {
+                LineBody::Part(BalancePart {
                     team,
                     class,
                     entries,
@@ -375,11 +381,11 @@
             }
             _ => return None,
         };
-        Some((Line { seq, body }, tie))
+        Some((Line { number: seq, body }, tie))
     }
 
     /// The line as it is kept, tied to the one before, and its tie.
-    pub fn seal(&self, key: &Key, before: &Tie) -> (String, Tie) {
+    pub fn to_chained_text(&self, key: &SigningKey, before: &LineMac) -> (String, LineMac) {
         let mut text = self.text();
         let tie = before.next(key, &text);
         text.truncate(text.len().saturating_sub(1));
@@ -387,13 +393,13 @@
     }
 
     /// When the last of what it tells of happened, if it tells of something that has a time.
-    pub fn at(&self) -> Option<Micros> {
+    pub fn last_event_at(&self) -> Option<Micros> {
         match &self.body {
-            Body::Charge(c) => c.entries.iter().map(Entry::end).max(),
-            Body::Took(t) => Some(t.at),
-            Body::Gap(g) => Some(g.to),
-            Body::Balance(b) => Some(b.at),
-            Body::Part(_) => None,
+            LineBody::Charge(c) => c.entries.iter().map(Entry::end).max(),
+            LineBody::OwnerChanged(t) => Some(t.at),
+            LineBody::Unmetered(g) => Some(g.to),
+            LineBody::Balance(b) => Some(b.at),
+            LineBody::Part(_) => None,
         }
     }
 }
--- a/crates/gannethub-ledger/src/line/tests.rs
+++ b/crates/gannethub-ledger/src/line/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::chain::KeyRing;
 
-pub fn common(team: &str, job: &str) -> Common {
-    Common {
+pub fn common(team: &str, job: &str) -> ChargeGroup {
+    ChargeGroup {
         team: team.into(),
         class: "survey".into(),
         job: job.into(),
-        need: Need(2000, 0, 4000),
-        flavor: "g8".into(),
+        resources: ResourceAmounts(2000, 0, 4000),
+        machine_type: "g8".into(),
         zone: "a \"quoted\" zone".into(),
         spot: true,
         price: 4_500_000,
         reason: Reason::PeersGone,
-        worth: Worth::Lost,
+        usefulness: Usefulness::Lost,
     }
 }
 
@@ -22,9 +22,9 @@
         attempt: (7 << 42) + 5,
         machine: "host-000231".into(),
         begin,
-        spent: Spent([250_000, 1, 0, running, 0, 0]),
-        bound: 3,
-        estimate: false,
+        stage_times: StageTimes([250_000, 1, 0, running, 0, 0]),
+        max_error: 3,
+        is_estimate: false,
     }
 }
 
@@ -32,17 +32,17 @@
 fn lines_come_back_as_they_were_written_and_are_tied_to_their_neighbours() {
     let ring = KeyRing::parse(&KeyRing::write("k", &[3; 32])).unwrap();
     let bodies = [
-        Body::Took(Took {
+        LineBody::OwnerChanged(OwnerChange {
             term: 4,
-            holder: "n\u{e9}".into(),
+            owner: "n\u{e9}".into(),
             at: 9,
             complete: false,
         }),
-        Body::Charge(Charge {
-            common: common("red", "j-7"),
+        LineBody::Charge(Charge {
+            group: common("red", "j-7"),
             entries: vec![entry(0, 5, 6), entry(9, 7, 8)],
         }),
-        Body::Gap(Gap {
+        LineBody::Unmetered(UnmeteredInterval {
             machine: "m".into(),
             flavor: "f".into(),
             zone: "z".into(),
@@ -50,13 +50,13 @@
             from: 1,
             to: 2,
         }),
-        Body::Balance(Balance {
+        LineBody::Balance(Balance {
             upto: 3,
             parts: 1,
             kept: 0,
             at: 11,
         }),
-        Body::Part(Part {
+        LineBody::Part(BalancePart {
             team: "red".into(),
             class: "c".into(),
             entries: 2,
@@ -65,10 +65,10 @@
             decayed: vec![(4, 1 << 100)],
         }),
     ];
-    let mut tie = Tie::default();
+    let mut tie = LineMac::default();
     for (seq, body) in (0..).zip(bodies) {
-        let line = Line { seq, body };
-        let (sealed, next) = line.seal(ring.newest(), &tie);
+        let line = Line { number: seq, body };
+        let (sealed, next) = line.to_chained_text(ring.newest(), &tie);
         let value: Value = serde_json::from_str(&sealed).unwrap();
         let (back, its) = Line::read(&value).unwrap();
         assert_eq!((&back, its), (&line, next));
--- a/crates/gannethub-ledger/src/meter.rs
+++ b/crates/gannethub-ledger/src/meter.rs
@@ -9,11 +9,11 @@
 use crate::{Micros, SECOND};
 
 /// A worker reports no more often than this.
-const SPACING: Micros = SECOND / 2;
+const MIN_HEARTBEAT_SPACING: Micros = SECOND / 2;
 /// A report may have been sent this long before it is heard: then its worker gives up.
-const ON_ITS_WAY: Micros = 4 * SECOND;
+const MAX_TRANSIT_TIME: Micros = 4 * SECOND;
 /// Reports come this much late or early.
-const JITTER: Micros = SECOND / 20;
+const HEARTBEAT_JITTER: Micros = SECOND / 20;
 
 /// What an attempt does with the place that it holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -31,7 +31,7 @@
 pub const STAGES: [&str; 6] = [
     "starting", "fetching", "waiting", "running", "saving", "silent",
 ];
-const SILENT: usize = 5;
+const SILENT_STAGE: usize = 5;
 
 impl Stage {
     /// Its place in [`Spent`].
@@ -53,9 +53,9 @@
 
 /// Time in each stage, in the order of [`STAGES`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spent(pub [Micros; 6]);
+pub struct StageTimes(pub [Micros; 6]);
 
-impl Spent {
+impl StageTimes {
     /// From when the place was taken until it was known to be free.
     pub fn held(&self) -> Micros {
         self.0.iter().sum()
@@ -63,7 +63,7 @@
 
     /// What the worker itself would say that it spent, as far as the leader can tell.
     pub fn at_worker(&self) -> Micros {
-        self.held() - self.0[Stage::Starting.index()] - self.0[SILENT]
+        self.held() - self.0[Stage::Starting.index()] - self.0[SILENT_STAGE]
     }
 
     pub fn running(&self) -> Micros {
@@ -73,7 +73,7 @@
 
 /// How an attempt's end came to be known.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum News {
+pub enum EndObservation {
     /// Its worker reported it. When the worker's report before that came, if one did.
     /// `missed`: it has sent others in between.
     Reported {
@@ -88,10 +88,10 @@
     },
 }
 
-impl Reading {
+impl MeteredUsage {
     /// The silence at its end was longer by this.
-    pub fn quiet(mut self, more: Micros) -> Reading {
-        self.spent.0[SILENT] += more;
+    pub fn quiet(mut self, more: Micros) -> MeteredUsage {
+        self.spent.0[SILENT_STAGE] += more;
         self.bound += more;
         self
     }
@@ -105,7 +105,7 @@
     pub since: Micros,
     /// When the launch was first and last handed out.
     pub sent: Option<(Micros, Micros)>,
-    pub spent: Spent,
+    pub spent: StageTimes,
     /// How far the begin may be off.
     pub unsure: Micros,
     /// The begin was not seen.
@@ -114,8 +114,8 @@
 
 /// What an ended attempt has come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
-    pub spent: Spent,
+pub struct MeteredUsage {
+    pub spent: StageTimes,
     /// How far the time at its worker may be off.
     pub bound: Micros,
     /// Its begin or its end was not seen.
@@ -125,7 +125,7 @@
 impl Meter {
     /// Its place was taken now.
     pub fn placed(now: Micros) -> Meter {
-        let (stage, spent) = (Stage::Starting, Spent::default());
+        let (stage, spent) = (Stage::Starting, StageTimes::default());
         Meter {
             stage,
             since: now,
@@ -139,8 +139,8 @@
     /// An attempt that is shown in this stage and was placed by another leader this long ago, give or take
     /// `unsure`. What it did since then is put down to the stage that it is in. Its age is no time of this
     /// process's clock: that may have begun later.
-    pub fn found(age: Micros, unsure: Micros, stage: Stage, now: Micros) -> Meter {
-        let mut spent = Spent::default();
+    pub fn adopted(age: Micros, unsure: Micros, stage: Stage, now: Micros) -> Meter {
+        let mut spent = StageTimes::default();
         spent.0[stage.index()] = age;
         Meter {
             stage,
@@ -183,14 +183,14 @@
     }
 
     /// It is known to be gone.
-    pub fn end(mut self, now: Micros, news: News) -> Reading {
+    pub fn end(mut self, now: Micros, news: EndObservation) -> MeteredUsage {
         let now = now.max(self.since);
         let (heard, mut bound, mut estimate) = match news {
-            News::Reported { before, missed } => {
-                let gap = before.map_or(SPACING, |t| now.saturating_sub(t));
+            EndObservation::Reported { before, missed } => {
+                let gap = before.map_or(MIN_HEARTBEAT_SPACING, |t| now.saturating_sub(t));
                 // A report that came as soon as it might after the one before was held up by that, and one after
                 // others that were lost tells of any time since: then it ended in the middle, on average.
-                let held = missed || gap <= SPACING + JITTER;
+                let held = missed || gap <= MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER;
                 let late = if held {
                     (gap / 2).min(now - self.since)
                 } else {
@@ -201,14 +201,18 @@
                     if missed {
                         gap
                     } else {
-                        gap.min(SPACING + JITTER)
+                        gap.min(MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER)
                     },
                     false,
                 )
             }
-            News::Silence { heard, likely } => {
+            EndObservation::Silence { heard, likely } => {
                 let heard = heard.unwrap_or(self.since).clamp(self.since, now);
-                ((heard + likely).min(now), now - heard + ON_ITS_WAY, true)
+                (
+                    (heard + likely).min(now),
+                    now - heard + MAX_TRANSIT_TIME,
+                    true,
+                )
             }
         };
         // What was never shown was never at the worker, or its end came before its first report.
@@ -217,9 +221,9 @@
             estimate &= self.sent.is_some();
         }
         self.spent.0[self.stage.index()] += heard - self.since;
-        self.spent.0[SILENT] += now - heard;
+        self.spent.0[SILENT_STAGE] += now - heard;
         estimate |= self.guessed;
-        Reading {
+        MeteredUsage {
             spent: self.spent,
             bound: bound + self.unsure,
             estimate,
--- a/crates/gannethub-ledger/src/meter/tests.rs
+++ b/crates/gannethub-ledger/src/meter/tests.rs
@@ -12,17 +12,20 @@
     m.enter(Stage::Saving, 50 * S);
     let r = m.end(
         54 * S,
-        News::Reported {
+        EndObservation::Reported {
             before: Some(53 * S),
             missed: false,
         },
     );
-    assert_eq!(r.spent, Spent([2 * S, 8 * S, 0, 30 * S, 4 * S, 0]));
-    assert_eq!((r.spent.held(), r.bound), (44 * S, S + SPACING + JITTER));
+    assert_eq!(r.spent, StageTimes([2 * S, 8 * S, 0, 30 * S, 4 * S, 0]));
+    assert_eq!(
+        (r.spent.held(), r.bound),
+        (44 * S, S + MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER)
+    );
     // Right after another report it is later by no more than the time between.
     let r = m.end(
         54 * S,
-        News::Reported {
+        EndObservation::Reported {
             before: Some(54 * S - S / 4),
             missed: false,
         },
@@ -31,7 +34,7 @@
     // Reports before it were lost, and a launch was handed out twice.
     let r = m.end(
         60 * S,
-        News::Reported {
+        EndObservation::Reported {
             before: Some(54 * S),
             missed: true,
         },
@@ -46,17 +49,17 @@
     m.enter(Stage::Running, S);
     let r = m.end(
         30 * S,
-        News::Silence {
+        EndObservation::Silence {
             heard: Some(20 * S),
             likely: S,
         },
     );
-    assert_eq!(r.spent, Spent([0, 0, 0, 21 * S, 0, 9 * S]));
-    assert_eq!((r.bound, r.estimate), (10 * S + ON_ITS_WAY, true));
+    assert_eq!(r.spent, StageTimes([0, 0, 0, 21 * S, 0, 9 * S]));
+    assert_eq!((r.bound, r.estimate), (10 * S + MAX_TRANSIT_TIME, true));
     // It did not go on after it was known to be gone.
     let r = m.end(
         20 * S,
-        News::Silence {
+        EndObservation::Silence {
             heard: Some(20 * S),
             likely: S,
         },
@@ -65,18 +68,18 @@
     // A place that was held for nothing is charged, and there is nothing to estimate.
     let r = Meter::placed(0).end(
         9 * S,
-        News::Silence {
+        EndObservation::Silence {
             heard: None,
             likely: S,
         },
     );
     assert_eq!((r.spent.held(), r.bound, r.estimate), (9 * S, 0, false));
     // Found with an uncertain begin; and no clock that goes back makes time negative.
-    let m = Meter::found(90 * S, S, Stage::Running, 8 * S);
+    let m = Meter::adopted(90 * S, S, Stage::Running, 8 * S);
     assert_eq!(m.age(9 * S), 91 * S);
     let r = m.end(
         7 * S,
-        News::Reported {
+        EndObservation::Reported {
             before: None,
             missed: false,
         },
--- a/crates/gannethub-ledger/src/settings.rs
+++ b/crates/gannethub-ledger/src/settings.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 use crate::decay::HalfLife;
-use crate::line::Need;
+use crate::line::ResourceAmounts;
 use crate::{Micros, SECOND};
 
 /// Why a settings file cannot be used.
@@ -39,15 +39,15 @@
     /// By team, every one of the platform's.
     pub teams: BTreeMap<String, TeamShare>,
     /// What a thousandth of a CPU, of a GPU and of a GB counts in usage, in thousandths.
-    pub cost: Need,
+    pub resource_weights: ResourceAmounts,
     /// Charges are written this often at least.
-    pub every: Micros,
+    pub write_interval: Micros,
     /// Pages are kept at least this long. Zero: for ever.
     pub retention: Micros,
     /// A balance is written after so many pages, or after more if it takes many itself.
     pub balance_pages: u64,
     /// How far two controllers' times of day may be apart.
-    pub clock_off: Micros,
+    pub max_clock_offset: Micros,
 }
 
 mod raw {
@@ -193,7 +193,7 @@
             fine.then_some(weight)
                 .ok_or_else(|| bad(field, format!("{x} is not a usable weight")))
         };
-        let cost = Need(
+        let cost = ResourceAmounts(
             weight("cost.cpu", raw.cost.cpu)?,
             weight("cost.gpu", raw.cost.gpu)?,
             weight("cost.mem_gb", raw.cost.mem_gb)?,
@@ -210,11 +210,11 @@
         Ok(Settings {
             keys: raw.keys,
             teams: shares,
-            cost,
-            every: time("every_s", raw.every_s, 0.1)?,
+            resource_weights: cost,
+            write_interval: time("every_s", raw.every_s, 0.1)?,
             retention: time("retention_s", raw.retention_s, 0.0)?,
             balance_pages: raw.balance_pages,
-            clock_off: time("clock_off_s", raw.clock_off_s, 0.0)?,
+            max_clock_offset: time("clock_off_s", raw.clock_off_s, 0.0)?,
         })
     }
 
@@ -234,11 +234,11 @@
     }
 
     /// What a task that needs this counts in usage while it holds its place.
-    pub fn rate(&self, need: Need) -> u64 {
+    pub fn rate(&self, need: ResourceAmounts) -> u64 {
         let part = |amount: u64, weight: u64| amount.saturating_mul(weight) / 1000;
-        part(need.0, self.cost.0)
-            .saturating_add(part(need.1, self.cost.1))
-            .saturating_add(part(need.2, self.cost.2))
+        part(need.0, self.resource_weights.0)
+            .saturating_add(part(need.1, self.resource_weights.1))
+            .saturating_add(part(need.2, self.resource_weights.2))
     }
 }
 
--- a/crates/gannethub-ledger/src/settings/tests.rs
+++ b/crates/gannethub-ledger/src/settings/tests.rs
@@ -10,7 +10,10 @@
 fn settings_good_and_bad() {
     let s = sample("").unwrap();
     assert_eq!((s.teams["red"].share, s.teams["blue"].share), (0.75, 0.25));
-    assert_eq!(s.rate(Need(2000, 1000, 10_000)), 2000 + 8000 + 1000);
+    assert_eq!(
+        s.rate(ResourceAmounts(2000, 1000, 10_000)),
+        2000 + 8000 + 1000
+    );
     let team = |name: &str, share: &str| format!("[[teams]]\nname = \"{name}\"\nshare = {share}\n");
     let own = team("red", "0.4") + "half_life_s = 60.0\n" + &team("blue", "0.6");
     let s = sample(&own).unwrap();
--- a/crates/gannethub-ledger/tests/formats.rs
+++ b/crates/gannethub-ledger/tests/formats.rs
@@ -8,11 +8,12 @@
 
 use gannethub_ledger::audit::{Page, verify};
 use gannethub_ledger::book::{Book, Head};
-use gannethub_ledger::chain::Tie;
+use gannethub_ledger::chain::LineMac;
 use gannethub_ledger::line::{
-    Balance, Body, Charge, Common, Entry, Gap, Line, Need, Part, Reason, Took, Worth,
+    Balance, BalancePart, Charge, ChargeGroup, Entry, Line, LineBody, OwnerChange, Reason,
+    ResourceAmounts, UnmeteredInterval, Usefulness,
 };
-use gannethub_ledger::meter::Spent;
+use gannethub_ledger::meter::StageTimes;
 use gannethub_ledger::{KeyRing, SECOND, Settings};
 
 /// What is written is the pinned text.
@@ -29,29 +30,29 @@
 }
 
 /// A line is sealed as it is pinned, and comes back from the pinned text.
-fn pin_line(body: Body, pinned: &str) {
-    let (keys, before) = (keys(), Tie::default());
-    let line = Line { seq: 41, body };
-    let (sealed, tie) = line.seal(keys.newest(), &before);
+fn pin_line(body: LineBody, pinned: &str) {
+    let (keys, before) = (keys(), LineMac::default());
+    let line = Line { number: 41, body };
+    let (sealed, tie) = line.to_chained_text(keys.newest(), &before);
     pin(&sealed, pinned);
     let value = serde_json::from_str(pinned).unwrap();
     let (read, read_tie) = Line::read(&value).unwrap();
     assert_eq!((&read, read_tie), (&line, tie));
-    assert_eq!(read.seal(keys.newest(), &before).0, pinned);
+    assert_eq!(read.to_chained_text(keys.newest(), &before).0, pinned);
 }
 
-fn common(reason: Reason, worth: Worth) -> Common {
-    Common {
+fn common(reason: Reason, worth: Usefulness) -> ChargeGroup {
+    ChargeGroup {
         team: "blue".into(),
         class: "train".into(),
         job: "j-7".into(),
-        need: Need(4000, 1000, 64_000),
-        flavor: "g8".into(),
+        resources: ResourceAmounts(4000, 1000, 64_000),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         price: 4_500_000,
         reason,
-        worth,
+        usefulness: worth,
     }
 }
 
@@ -61,20 +62,20 @@
         attempt: 301 + u64::from(task),
         machine: "host-000231".into(),
         begin: 1_700_000_000_000_001 + u64::from(task),
-        spent: Spent([11, 12, 0, 14, 0, 0]),
-        bound: 3,
-        estimate: task == 1,
+        stage_times: StageTimes([11, 12, 0, 14, 0, 0]),
+        max_error: 3,
+        is_estimate: task == 1,
     }
 }
 
 #[test]
 fn line_charge() {
     let charge = Charge {
-        common: common(Reason::PeersGone, Worth::Lost),
+        group: common(Reason::PeersGone, Usefulness::Lost),
         entries: vec![entry(0), entry(1)],
     };
     pin_line(
-        Body::Charge(charge),
+        LineBody::Charge(charge),
         r#"[41,"charge",["blue","train","j-7",[4000,1000,64000],"g8","a",true,4500000,"peers_gone","lost"],[301,1700000000000001],[[0,0,"host-000231",0,[11,12,0,14],6],[1,1,"host-000231",1,[11,12,0,14],7]],"snN3WiM0UYU7vRh++ZW2Xw"]"#,
     );
 }
@@ -95,33 +96,33 @@
         Reason::Lease,
         Reason::Machine,
     ];
-    let worths = [Worth::Useful, Worth::Saved, Worth::Lost];
+    let worths = [Usefulness::Useful, Usefulness::Saved, Usefulness::Lost];
     pin(
         &json(&(reasons, worths)),
         r#"[["done","stopped","peers_gone","alone","error","no_room","busy","unknown","other","missing","lease","machine"],["useful","saved","lost"]]"#,
     );
     let text = json(&(reasons, worths));
-    let read: ([Reason; 12], [Worth; 3]) = serde_json::from_str(&text).unwrap();
+    let read: ([Reason; 12], [Usefulness; 3]) = serde_json::from_str(&text).unwrap();
     assert_eq!(read, (reasons, worths));
 }
 
 #[test]
 fn line_took() {
-    let took = Took {
+    let took = OwnerChange {
         term: 7,
-        holder: "n0".into(),
+        owner: "n0".into(),
         at: 1_700_000_000_000_001,
         complete: true,
     };
     pin_line(
-        Body::Took(took),
+        LineBody::OwnerChanged(took),
         r#"[41,"took",7,"n0",1700000000000001,true,"Vw7UZRBnSYsqf71eJADcXA"]"#,
     );
 }
 
 #[test]
 fn line_gap() {
-    let gap = Gap {
+    let gap = UnmeteredInterval {
         machine: "host-000231".into(),
         flavor: "g8".into(),
         zone: "a".into(),
@@ -130,7 +131,7 @@
         to: 1_700_000_000_000_002,
     };
     pin_line(
-        Body::Gap(gap),
+        LineBody::Unmetered(gap),
         r#"[41,"gap",["host-000231","g8","a",true],1700000000000001,1700000000000002,"DNhfaMw55kXJczaDTA28Nw"]"#,
     );
 }
@@ -144,14 +145,14 @@
         at: 1_700_000_000_000_001,
     };
     pin_line(
-        Body::Balance(balance),
+        LineBody::Balance(balance),
         r#"[41,"balance",40,2,3,1700000000000001,"de/FGvkJ4LfzB/VwSsLIuw"]"#,
     );
 }
 
 #[test]
 fn line_part() {
-    let part = Part {
+    let part = BalancePart {
         team: "blue".into(),
         class: "train".into(),
         entries: 2,
@@ -160,7 +161,7 @@
         decayed: vec![(4, 1 << 100)],
     };
     pin_line(
-        Body::Part(part),
+        LineBody::Part(part),
         r#"[41,"part",["blue","train"],[2,["0","ff","10000000000000000000000000"],60000000,[[4,"10000000000000000000000000"]]],"kqPE6N2kZI0ZsjLfFqaP0w"]"#,
     );
 }
@@ -195,16 +196,18 @@
     let (settings, keys) = (Arc::new(settings()), Arc::new(keys()));
     let opened = Book::open(settings.clone(), keys.clone(), 4096, SECOND, None, &[]);
     let mut book = opened.book;
-    let took = Took {
+    let took = OwnerChange {
         term: 7,
-        holder: "n0".into(),
+        owner: "n0".into(),
         at: 1_700_000_000_000_001,
         complete: true,
     };
-    book.note(Body::Took(took), SECOND);
-    book.charge(common(Reason::Done, Worth::Useful), entry(0), SECOND);
-    let write = book.write(9 * SECOND, 1_700_000_000_000_009, 16).unwrap();
-    assert_eq!((write.page, write.stamp), (0, 0));
+    book.queue_line(LineBody::OwnerChanged(took), SECOND);
+    book.charge(common(Reason::Done, Usefulness::Useful), entry(0), SECOND);
+    let write = book
+        .next_write(9 * SECOND, 1_700_000_000_000_009, 16)
+        .unwrap();
+    assert_eq!((write.page, write.version), (0, 0));
     pin(
         &write.value,
         r#"{"page":0,"first":0,"prev":"AAAAAAAAAAAAAAAAAAAAAA","key":"k-1","lines":[[0,"took",7,"n0",1700000000000001,true,"Cvc4zYrELvAaMNNcLAHVow"],[1,"charge",["blue","train","j-7",[4000,1000,64000],"g8","a",true,4500000,"done","useful"],[301,1700000000000001],[[0,0,"host-000231",0,[11,12,0,14],6]],"lAzcMvT2CVF2651CFjrjXQ"]]}"#,
@@ -255,9 +258,9 @@
 fn settings_file() {
     let settings = settings();
     assert_eq!(settings.keys, "ledger.keys");
-    assert_eq!(settings.cost, Need(1000, 7000, 200));
+    assert_eq!(settings.resource_weights, ResourceAmounts(1000, 7000, 200));
     assert_eq!(
-        (settings.every, settings.clock_off),
+        (settings.write_interval, settings.max_clock_offset),
         (3 * SECOND, SECOND * 3 / 2)
     );
     assert_eq!(
@@ -274,9 +277,9 @@
     let text = "keys = \"ledger.keys\"\nhalf_life_s = 3600.0\n";
     let teams = [("red".to_string(), 30.0), ("blue".to_string(), 10.0)];
     let settings = Settings::parse(text, "ledger.toml", &teams).unwrap();
-    assert_eq!(settings.cost, Need(1000, 8000, 100));
+    assert_eq!(settings.resource_weights, ResourceAmounts(1000, 8000, 100));
     assert_eq!(
-        (settings.every, settings.clock_off),
+        (settings.write_interval, settings.max_clock_offset),
         (2 * SECOND, 2 * SECOND)
     );
     assert_eq!((settings.retention, settings.balance_pages), (0, 8));
--- a/crates/gannethub-ledger/tests/keepers.rs
+++ b/crates/gannethub-ledger/tests/keepers.rs
@@ -3,10 +3,12 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-use gannethub_ledger::audit::{Page, Wrong, verify};
-use gannethub_ledger::book::{Book, Head, Key, Opened, Write};
-use gannethub_ledger::line::{Body, Common, Entry, Line, Need, Reason, Took, Worth};
-use gannethub_ledger::meter::Spent;
+use gannethub_ledger::audit::{FaultKind, Page, verify};
+use gannethub_ledger::book::{Book, ChargedAttempt, Head, OpenedBook, PageWrite};
+use gannethub_ledger::line::{
+    ChargeGroup, Entry, Line, LineBody, OwnerChange, Reason, ResourceAmounts, Usefulness,
+};
+use gannethub_ledger::meter::StageTimes;
 use gannethub_ledger::{Accounts, KeyRing, Micros, SECOND, Settings};
 use proptest::prelude::*;
 
@@ -65,9 +67,9 @@
 }
 
 impl Store {
-    fn commit(&mut self, w: &Write, holder: u64) -> Option<u64> {
+    fn commit(&mut self, w: &PageWrite, holder: u64) -> Option<u64> {
         let stamp = self.pages.get(&w.page).map_or(0, |p| p.1);
-        if !self.unguarded && (holder != self.holder || stamp != w.stamp) {
+        if !self.unguarded && (holder != self.holder || stamp != w.version) {
             return None;
         }
         self.revision += 1;
@@ -75,7 +77,7 @@
         if let Some(head) = &w.head {
             self.head = Some(head.clone());
         }
-        w.deletes.iter().for_each(|n| {
+        w.deleted_pages.iter().for_each(|n| {
             self.pages.remove(n);
         });
         Some(self.revision)
@@ -95,11 +97,11 @@
     term: u64,
     book: Book,
     /// Attempts that the books before this one charged, and those this one did.
-    known: HashSet<Key>,
-    tickets: HashMap<Key, u64>,
+    known: HashSet<ChargedAttempt>,
+    tickets: HashMap<ChargedAttempt, u64>,
     /// What machines still show.
-    shown: BTreeMap<Key, (Common, Entry)>,
-    held: Vec<(Write, u64)>,
+    shown: BTreeMap<ChargedAttempt, (ChargeGroup, Entry)>,
+    held: Vec<(PageWrite, u64)>,
     ended: u32,
     now: Micros,
 }
@@ -150,39 +152,39 @@
         let opened = Book::open(settings, keys, self.limit, WINDOW, head, &pages);
         assert!(opened.damaged.is_empty(), "{:?}", opened.damaged);
         (self.book, self.known) = (opened.book, opened.charged);
-        let took = Took {
+        let took = OwnerChange {
             term: self.term,
-            holder: "n".into(),
+            owner: "n".into(),
             at: self.now,
             complete: true,
         };
-        self.book.note(Body::Took(took), self.now);
+        self.book.queue_line(LineBody::OwnerChanged(took), self.now);
     }
 
     fn end(&mut self) {
         let n = self.ended;
         self.ended += 1;
-        let common = Common {
+        let common = ChargeGroup {
             team: ["red", "blue"][n as usize % 2].into(),
             class: "c".into(),
             job: format!("j-{}", n % 3),
-            need: Need(1000 + u64::from(n % 4) * 500, 0, 2000),
-            flavor: "f".into(),
+            resources: ResourceAmounts(1000 + u64::from(n % 4) * 500, 0, 2000),
+            machine_type: "f".into(),
             zone: "z".into(),
             spot: false,
             price: 7,
             reason: Reason::Done,
-            worth: Worth::Useful,
+            usefulness: Usefulness::Useful,
         };
-        let spent = Spent([1, 2, 3, u64::from(n) * 1000, 5, 6]);
+        let spent = StageTimes([1, 2, 3, u64::from(n) * 1000, 5, 6]);
         let entry = Entry {
             task: n,
             attempt: 9,
             machine: format!("host-{}", n % 7),
             begin: self.now - spent.held(),
-            spent,
-            bound: 0,
-            estimate: false,
+            stage_times: spent,
+            max_error: 0,
+            is_estimate: false,
         };
         let key = (common.job.clone(), n, 9, entry.machine.clone());
         self.shown.insert(key, (common, entry));
@@ -202,32 +204,34 @@
     }
 
     fn write(&mut self, fate: Fate) {
-        let Some(w) = self.book.write(self.now, self.now, 6) else {
+        let Some(w) = self.book.next_write(self.now, self.now, 6) else {
             return;
         };
         match fate {
             Fate::Done => match self.store.commit(&w, self.term) {
                 Some(stamp) => {
-                    self.book.written(stamp);
+                    self.book.write_succeeded(stamp);
                 }
-                None => self.book.not_written(true),
+                None => self.book.write_failed(true),
             },
             Fate::LostReply => {
                 self.store.commit(&w, self.term);
-                self.book.not_written(true);
+                self.book.write_failed(true);
             }
-            Fate::LostRequest => self.book.not_written(true),
+            Fate::LostRequest => self.book.write_failed(true),
             Fate::Held => {
                 self.held.push((w, self.term));
-                self.book.not_written(true);
+                self.book.write_failed(true);
             }
         }
     }
 
     fn reread(&mut self) {
-        if let Some(n) = self.book.wants_reread() {
+        if let Some(n) = self.book.page_to_reread() {
             let found = self.store.page(n);
-            let result = self.book.reread(found.as_ref().map(|(p, s)| (p, *s)));
+            let result = self
+                .book
+                .handle_reread(found.as_ref().map(|(p, s)| (p, *s)));
             assert!(result.is_ok(), "{result:?}");
         }
     }
@@ -267,7 +271,7 @@
             self.now += 3 * SECOND;
             self.write(Fate::Done);
             self.reread();
-            if self.shown.is_empty() && self.book.open_charges() == 0 {
+            if self.shown.is_empty() && self.book.unwritten_charges() == 0 {
                 break;
             }
         }
@@ -298,7 +302,7 @@
         for (common, entry) in world.shown.values() {
             *sums
                 .entry((common.team.clone(), common.class.clone()))
-                .or_default() += entry.spent.held();
+                .or_default() += entry.stage_times.held();
         }
         sums.into_iter().map(|((t, c), s)| (t, c, s)).collect()
     }
@@ -329,10 +333,10 @@
     let mut seen = HashSet::new();
     let lines = pages.iter().flat_map(|p| p.read().expect("verified"));
     for (line, _) in lines {
-        if let Body::Charge(c) = line.body {
+        if let LineBody::Charge(c) = line.body {
             for e in c.entries {
-                if !seen.insert((c.common.job.clone(), e.task)) {
-                    return Err(format!("{}/{} is charged twice", c.common.job, e.task));
+                if !seen.insert((c.group.job.clone(), e.task)) {
+                    return Err(format!("{}/{} is charged twice", c.group.job, e.task));
                 }
             }
         }
@@ -405,27 +409,30 @@
         let mut pages = pages.clone();
         change(&mut pages);
         let fault = check(&pages).unwrap_err();
-        (fault.page, fault.place, fault.wrong)
+        (fault.page, fault.position, fault.kind)
     };
     let altered = wrong(&|p| p[1].lines[place][2][0] = "green".into());
-    assert_eq!(altered, (pages[1].page, place, Wrong::Altered));
+    assert_eq!(altered, (pages[1].page, place, FaultKind::Altered));
     let dropped = wrong(&|p| drop(p[1].lines.remove(place)));
     assert_eq!((dropped.0, dropped.1), (pages[1].page, place));
-    assert!(matches!(dropped.2, Wrong::Dropped | Wrong::Altered));
+    assert!(matches!(dropped.2, FaultKind::Dropped | FaultKind::Altered));
     let doubled = wrong(&|p| {
         let line = p[1].lines[0].clone();
         p[1].lines.insert(1, line);
     });
-    assert_eq!(doubled, (pages[1].page, 1, Wrong::Doubled));
+    assert_eq!(doubled, (pages[1].page, 1, FaultKind::Doubled));
     let reordered = wrong(&|p| p[0].lines.swap(0, 1));
-    assert_eq!(reordered, (pages[0].page, 0, Wrong::Reordered));
-    assert_eq!(wrong(&|p| drop(p.remove(1))).2, Wrong::Dropped);
+    assert_eq!(reordered, (pages[0].page, 0, FaultKind::Reordered));
+    assert_eq!(wrong(&|p| drop(p.remove(1))).2, FaultKind::Dropped);
     assert_eq!(
         wrong(&|p| drop(p.remove(0))).2,
-        Wrong::Dropped,
+        FaultKind::Dropped,
         "it was not folded"
     );
-    assert_eq!(wrong(&|p| p[1].key = "other".into()).2, Wrong::UnknownKey);
+    assert_eq!(
+        wrong(&|p| p[1].key = "other".into()).2,
+        FaultKind::UnknownKey
+    );
     // Lines cut off at the end show only to one who knows that they were there.
     let mut cut = pages.clone();
     cut.last_mut().unwrap().lines.pop();
@@ -433,7 +440,7 @@
     let head = Some((fine.next - 1, fine.head));
     assert!(verify(&pages, &world.keys, &world.settings, head).is_ok());
     let fault = verify(&cut, &world.keys, &world.settings, head).unwrap_err();
-    assert_eq!(fault.wrong, Wrong::Dropped);
+    assert_eq!(fault.kind, FaultKind::Dropped);
     // Another key file does not verify.
     let other = ring(&["kk", "k"]);
     assert!(
@@ -445,8 +452,8 @@
     assert_eq!(
         verify(&pages, &forged, &world.settings, None)
             .unwrap_err()
-            .wrong,
-        Wrong::Altered
+            .kind,
+        FaultKind::Altered
     );
 }
 
@@ -497,26 +504,26 @@
     let (head, keys) = (world.store.head.clone(), world.keys.clone());
     let from = head.as_ref().unwrap().from;
     let found: Vec<(Page, u64)> = (from..newest).filter_map(|n| world.store.page(n)).collect();
-    let Opened {
+    let OpenedBook {
         mut book, damaged, ..
     } = Book::open(world.settings.clone(), keys, 3000, WINDOW, head, &found);
     assert_eq!(damaged.iter().map(|d| d.0).collect::<Vec<_>>(), [newest]);
-    let took = Took {
+    let took = OwnerChange {
         term: 9,
-        holder: "n".into(),
+        owner: "n".into(),
         at: world.now,
         complete: true,
     };
-    book.note(Body::Took(took), world.now);
+    book.queue_line(LineBody::OwnerChanged(took), world.now);
     let w = book
-        .write(world.now + 9 * SECOND, world.now, 2)
+        .next_write(world.now + 9 * SECOND, world.now, 2)
         .expect("the service goes on");
-    assert_eq!((w.page, w.stamp), (newest + 1, 0));
+    assert_eq!((w.page, w.version), (newest + 1, 0));
     let page: Page = serde_json::from_str(&w.value).unwrap();
     assert!(
         page.read()
             .unwrap()
             .iter()
-            .any(|(l, _): &(Line, _)| matches!(l.body, Body::Took(_)))
+            .any(|(l, _): &(Line, _)| matches!(l.body, LineBody::OwnerChanged(_)))
     );
 }
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -18,7 +18,7 @@
 use gannethub_emulators::worker::{JobFacts, step_gangs};
 use gannethub_emulators::{Cloud, Record, Site, Span, State, Worker};
 use gannethub_ledger::audit::verify;
-use gannethub_ledger::line::{Body, Entry};
+use gannethub_ledger::line::{Entry, LineBody};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -578,21 +578,23 @@
     let mut unknown: HashSet<String> = HashSet::new();
     for (line, _) in pages.iter().filter_map(|p| p.read().ok()).flatten() {
         match &line.body {
-            Body::Gap(g) => {
+            LineBody::Unmetered(g) => {
                 println!("gap: nobody knows what {} held", g.machine);
                 unknown.insert(g.machine.clone());
             }
-            Body::Took(t) if !t.complete && t.term > 1 => {
+            LineBody::OwnerChanged(t) if !t.complete && t.term > 1 => {
                 println!(
                     "{} took over and did not know of all that was open",
-                    t.holder
+                    t.owner
                 );
             }
             _ => {}
         }
-        let Body::Charge(c) = line.body else { continue };
+        let LineBody::Charge(c) = line.body else {
+            continue;
+        };
         for e in c.entries {
-            let task = format!("{}/{}", c.common.job, e.task);
+            let task = format!("{}/{}", c.group.job, e.task);
             entries
                 .entry((e.machine.clone(), task, e.attempt))
                 .or_default()
@@ -642,9 +644,9 @@
             ));
             continue;
         }
-        let charged: u64 = stints.iter().map(|e| e.spent.at_worker()).sum();
-        let bound: u64 = stints.iter().map(|e| e.bound).sum();
-        let estimate = stints.iter().any(|e| e.estimate);
+        let charged: u64 = stints.iter().map(|e| e.stage_times.at_worker()).sum();
+        let bound: u64 = stints.iter().map(|e| e.max_error).sum();
+        let estimate = stints.iter().any(|e| e.is_estimate);
         let off = charged.abs_diff(real);
         if off > bound + SLACK {
             wrong.push(format!(
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -12,7 +12,7 @@
 use gannethub_core::settings::LedgerSetup;
 use gannethub_ledger::audit::{Page, Verified, verify};
 use gannethub_ledger::book::Head;
-use gannethub_ledger::chain::Tie;
+use gannethub_ledger::chain::LineMac;
 use gannethub_ledger::export::{self, Cell};
 use gannethub_ledger::meter::STAGES;
 use serde_json::json;
@@ -185,16 +185,16 @@
     }
 }
 
-fn read_head(text: &str) -> Result<(u64, Tie), LedgerError> {
+fn read_head(text: &str) -> Result<(u64, LineMac), LedgerError> {
     let (number, tie) = text.split_once(':').ok_or(LedgerError::Head)?;
     let number = number.parse().map_err(|_| LedgerError::Head)?;
-    Ok((number, Tie::parse(tie).ok_or(LedgerError::Head)?))
+    Ok((number, LineMac::parse(tie).ok_or(LedgerError::Head)?))
 }
 
 fn checked(
     pages: &[Page],
     setup: &LedgerSetup,
-    head: Option<(u64, Tie)>,
+    head: Option<(u64, LineMac)>,
 ) -> Result<Verified, LedgerError> {
     Ok(verify(pages, &setup.keys, &setup.settings, head)?)
 }
