--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -1,5 +1,6 @@
 //! Pages as they are kept, and whether they are as they were written.
 
+use std::cmp::Ordering;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
@@ -80,6 +81,17 @@
 
 impl std::error::Error for Fault {}
 
+impl Fault {
+    fn new(page: u64, position: usize, line: u64, kind: FaultKind) -> Fault {
+        Fault {
+            page,
+            position,
+            line,
+            kind,
+        }
+    }
+}
+
 /// What a ledger that verifies comes to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verified {
@@ -111,7 +123,7 @@
     }
 }
 
-/// Checks pages in the order in which they are given. `head`: a line's number and tie as an earlier check gave
+/// Checks pages in the order in which they are given. `head`: a line's number and MAC as an earlier check gave
 /// them; it has to be there still, or to have been folded since.
 pub fn verify(
     pages: &[Page],
@@ -119,77 +131,104 @@
     settings: &Settings,
     head: Option<(u64, LineMac)>,
 ) -> Result<Verified, Fault> {
-    let fault = |page: u64, place, seq, wrong| {
-        Err(Fault {
-            page,
-            position: place,
-            line: seq,
-            kind: wrong,
-        })
+    let mut verifier = Verifier {
+        keys,
+        settings,
+        head,
+        verified: None,
+        balances: BalanceChecker::default(),
     };
-    let mut seen: Option<Verified> = None;
-    let mut expected_page = pages.first().map_or(0, |p| p.page);
-    let mut fold = BalanceChecker::default();
-    for page in pages {
-        let first = seen.as_ref().map_or(page.first, |s| s.next);
-        if page.page != expected_page {
-            let wrong = match page.page > expected_page {
-                true => FaultKind::Dropped,
-                false => FaultKind::Doubled,
-            };
-            return fault(page.page, 0, first, wrong);
+    let first_page = pages.first().map_or(0, |page| page.page);
+    for (page, expected) in pages.iter().zip(first_page..) {
+        verifier.verify_page(page, expected)?;
+    }
+    let kept = verifier.balances.kept;
+    let nothing = || Verified::before(0, LineMac::default());
+    let end = verifier.verified.unwrap_or_else(nothing);
+    let dropped = |page, line| Fault::new(page, 0, line, FaultKind::Dropped);
+    if head.is_some_and(|(number, _)| number >= end.next) {
+        // Lines that an earlier check has seen are missing at the end.
+        let next_page = first_page + pages.len() as u64;
+        return Err(dropped(next_page, end.next));
+    }
+    if !pages.is_empty() && first_page > kept {
+        return Err(dropped(first_page, end.first.saturating_sub(1)));
+    }
+    Ok(end)
+}
+
+/// Goes through the pages one by one.
+struct Verifier<'a> {
+    keys: &'a KeyRing,
+    settings: &'a Settings,
+    head: Option<(u64, LineMac)>,
+    verified: Option<Verified>,
+    balances: BalanceChecker,
+}
+
+impl Verifier<'_> {
+    fn verify_page(&mut self, page: &Page, expected: u64) -> Result<(), Fault> {
+        let first_line = self.verified.as_ref().map_or(page.first, |seen| seen.next);
+        let fault = |line, kind| Err(Fault::new(page.page, 0, line, kind));
+        match page.page.cmp(&expected) {
+            Ordering::Greater => return fault(first_line, FaultKind::Dropped),
+            Ordering::Less => return fault(first_line, FaultKind::Doubled),
+            Ordering::Equal => {}
         }
-        expected_page += 1;
-        let Some(key) = keys.get(&page.key) else {
-            return fault(page.page, 0, first, FaultKind::UnknownKey);
+        let Some(key) = self.keys.get(&page.key) else {
+            return fault(first_line, FaultKind::UnknownKey);
         };
-        let Some(prev) = LineMac::parse(&page.prev) else {
-            return fault(page.page, 0, first, FaultKind::Altered);
+        let Some(previous) = LineMac::parse(&page.prev) else {
+            return fault(first_line, FaultKind::Altered);
         };
-        let v = seen.get_or_insert_with(|| Verified::before(first, prev));
-        if v.head != prev || page.first != v.next {
-            return fault(page.page, 0, v.next, FaultKind::Altered);
+        let verified = self
+            .verified
+            .get_or_insert_with(|| Verified::before(first_line, previous));
+        if verified.head != previous || page.first != verified.next {
+            return fault(verified.next, FaultKind::Altered);
         }
-        v.pages += 1;
-        for (place, value) in page.lines.iter().enumerate() {
-            let Some((line, tie)) = Line::read(value) else {
-                return fault(page.page, place, v.next, FaultKind::Altered);
-            };
-            if line.number != v.next || v.head.next(key, &line.text()) != tie {
-                let rest = page.lines[place..].iter().filter_map(Line::read);
-                let later = rest.skip(1).any(|(l, _)| l.number == v.next);
-                let wrong = match line.number.cmp(&v.next) {
-                    std::cmp::Ordering::Equal => FaultKind::Altered,
-                    std::cmp::Ordering::Less => FaultKind::Doubled,
-                    std::cmp::Ordering::Greater if later => FaultKind::Reordered,
-                    std::cmp::Ordering::Greater => FaultKind::Dropped,
-                };
-                return fault(page.page, place, v.next, wrong);
+        verified.pages += 1;
+        for (position, value) in page.lines.iter().enumerate() {
+            let expected = verified.next;
+            let fault = |kind| Fault::new(page.page, position, expected, kind);
+            let (line, mac) = Line::read(value).ok_or_else(|| fault(FaultKind::Altered))?;
+            if line.number != expected || verified.head.next(key, &line.text()) != mac {
+                return Err(fault(fault_of_line(
+                    &line,
+                    expected,
+                    &page.lines[position..],
+                )));
             }
-            if head.is_some_and(|(seq, known)| seq == line.number && known != tie) {
-                return fault(page.page, place, line.number, FaultKind::Altered);
+            let is_known_line = |(number, known)| number == line.number && known != mac;
+            if self.head.is_some_and(is_known_line) {
+                return Err(fault(FaultKind::Altered));
             }
-            if !fold.take(&line, v, settings) {
-                return fault(page.page, place, line.number, FaultKind::Unbalanced);
+            if !self.balances.take(&line, verified, self.settings) {
+                return Err(fault(FaultKind::Unbalanced));
             }
-            if let LineBody::Charge(c) = &line.body {
-                v.charged += c.entries.len() as u64;
+            if let LineBody::Charge(charge) = &line.body {
+                verified.charged += charge.entries.len() as u64;
             }
-            v.accounts.line(&line, settings);
-            (v.head, v.next, v.lines) = (tie, line.number + 1, v.lines + 1);
+            verified.accounts.line(&line, self.settings);
+            verified.head = mac;
+            verified.next = line.number + 1;
+            verified.lines += 1;
         }
+        Ok(())
     }
-    let end = seen.unwrap_or_else(|| Verified::before(0, LineMac::default()));
-    // Lines that an earlier check has seen are missing at the end.
-    match head {
-        Some((seq, _)) if seq >= end.next => fault(expected_page, 0, end.next, FaultKind::Dropped),
-        _ if pages.first().is_some_and(|p| p.page > fold.kept) => fault(
-            pages[0].page,
-            0,
-            end.first.saturating_sub(1),
-            FaultKind::Dropped,
-        ),
-        _ => Ok(end),
+}
+
+/// What is wrong with a line that is not the expected one, or not as it was written. `rest`: it and the page's
+/// lines after it.
+fn fault_of_line(line: &Line, expected: u64, rest: &[Value]) -> FaultKind {
+    let mut later = rest.iter().filter_map(Line::read).skip(1);
+    match line.number.cmp(&expected) {
+        Ordering::Equal => FaultKind::Altered,
+        Ordering::Less => FaultKind::Doubled,
+        Ordering::Greater if later.any(|(other, _)| other.number == expected) => {
+            FaultKind::Reordered
+        }
+        Ordering::Greater => FaultKind::Dropped,
     }
 }
 
--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -132,6 +132,15 @@
     pages_to_delete: VecDeque<u64>,
 }
 
+/// What is read of the pages that a book goes on after.
+#[derive(Default)]
+struct PageReader {
+    charged: HashSet<ChargedAttempt>,
+    damaged: Vec<DamagedPage>,
+    balance: BalanceAssembler,
+    lines_since_balance: Vec<Line>,
+}
+
 /// The attempts that a line charges.
 fn attempts_of(line: &Line) -> Vec<ChargedAttempt> {
     let LineBody::Charge(c) = &line.body else {
@@ -142,24 +151,58 @@
 }
 
 impl Book {
-    /// A book that goes on after `pages`: from the head's `from` to its `newest`, with their versions. `limit`:
-    /// the most bytes of a value. `window`: for how long an attempt that was charged may be met again.
+    /// A book that goes on after `pages`: from the head's `from` to its `newest`, with their versions.
+    /// `max_value_bytes`: the most bytes of a value. `duplicate_window`: for how long an attempt that was charged
+    /// may be met again.
     pub fn open(
         settings: Arc<Settings>,
         keys: Arc<KeyRing>,
-        limit: usize,
-        window: Micros,
+        max_value_bytes: usize,
+        duplicate_window: Micros,
         head: Option<Head>,
         pages: &[(Page, u64)],
     ) -> OpenedBook {
-        let fresh = head.is_none();
+        let is_new = head.is_none();
         let mut head = head.unwrap_or_default();
-        let told = head.newest;
-        head.newest = pages.iter().map(|p| p.0.page).max().unwrap_or(0).max(told);
-        let mut damaged = Vec::new();
-        let mut book = Book {
-            max_value_bytes: limit,
-            duplicate_window: window,
+        let head_page = head.newest;
+        let newest_found = pages.iter().map(|(page, _)| page.page).max();
+        head.newest = newest_found.unwrap_or(0).max(head_page);
+        let mut book = Book::new(settings, keys, max_value_bytes, duplicate_window, head);
+        book.has_started = !is_new;
+        book.head_written_at_page = (!is_new).then_some(head_page);
+        let mut reader = PageReader::default();
+        let mut is_newest_intact = true;
+        if !is_new {
+            is_newest_intact = book.read_pages(&mut reader, pages);
+        }
+        for line in &reader.lines_since_balance {
+            book.accounts.line(line, &book.settings);
+        }
+        if !is_newest_intact || book.open_page.key_id != book.keys.newest().id {
+            book.begin_page(0);
+        }
+        // What the last keeper folded may not have been deleted.
+        let folded = book.head.kept;
+        let first_folded = folded.saturating_sub(MAX_DELETES_PER_WRITE as u64);
+        book.pages_to_delete.extend(first_folded..folded);
+        OpenedBook {
+            book,
+            charged: reader.charged,
+            damaged: reader.damaged,
+        }
+    }
+
+    /// A book before any page has been read.
+    fn new(
+        settings: Arc<Settings>,
+        keys: Arc<KeyRing>,
+        max_value_bytes: usize,
+        duplicate_window: Micros,
+        head: Head,
+    ) -> Book {
+        Book {
+            max_value_bytes,
+            duplicate_window,
             accounts: Accounts::default(),
             next_line: 0,
             last_mac: LineMac::default(),
@@ -173,8 +216,8 @@
                 bytes: 0,
                 confirmed_lines: 0,
             },
-            has_started: !fresh,
-            head_written_at_page: (!fresh).then_some(told),
+            has_started: false,
+            head_written_at_page: None,
             full_pages: VecDeque::new(),
             queued_lines: VecDeque::new(),
             charges: BTreeMap::new(),
@@ -193,74 +236,74 @@
             settings,
             keys,
             head,
-        };
-        let mut charged = HashSet::new();
-        let mut after = Vec::new();
-        let mut balance = BalanceAssembler::default();
-        let mut last_fine = fresh;
-        let by_number: HashMap<u64, &(Page, u64)> = pages.iter().map(|p| (p.0.page, p)).collect();
-        let numbers = if fresh {
-            0..0
-        } else {
-            book.head.from..book.head.newest + 1
-        };
-        for number in numbers {
-            last_fine = false;
-            let Some((page, stamp)) = by_number.get(&number) else {
-                damaged.push(DamagedPage(number));
-                continue;
+        }
+    }
+
+    /// Reads the pages from the head's first to its newest. Returns whether the newest is as it was written.
+    fn read_pages(&mut self, reader: &mut PageReader, pages: &[(Page, u64)]) -> bool {
+        let by_number: HashMap<u64, &(Page, u64)> =
+            pages.iter().map(|entry| (entry.0.page, entry)).collect();
+        let mut is_intact = false;
+        for number in self.head.from..=self.head.newest {
+            is_intact = match by_number.get(&number) {
+                Some((page, version)) => self.read_page(reader, page, *version),
+                None => false,
             };
-            let lines = page.read().unwrap_or_default();
-            lines
-                .iter()
-                .for_each(|(line, _)| charged.extend(attempts_of(line)));
-            if !book.is_chained(page, &lines) {
-                damaged.push(DamagedPage(number));
-                book.next_line = book.next_line.max(page.first + page.lines.len() as u64);
-                continue;
+            if !is_intact {
+                reader.damaged.push(DamagedPage(number));
             }
-            last_fine = true;
-            let mut at = 0;
-            for (line, tie) in lines {
-                (book.next_line, book.last_mac) = (line.number + 1, tie);
-                at = line.last_event_at().unwrap_or(at);
-                if let LineBody::Balance(_) = line.body {
-                    book.balance_began_at_page = number;
-                }
-                if let Some(parts) = balance.take(&line.body) {
-                    book.accounts = Accounts::from_parts(&parts, &book.settings);
-                    book.balance_page = Some(book.balance_began_at_page);
-                    book.balance_page_count = number - book.balance_began_at_page + 1;
-                    after.clear();
-                }
-                after.push(line);
+        }
+        is_intact
+    }
+
+    /// Reads a page. False: it is not as it was written.
+    fn read_page(&mut self, reader: &mut PageReader, page: &Page, version: u64) -> bool {
+        let lines = page.read().unwrap_or_default();
+        for (line, _) in &lines {
+            reader.charged.extend(attempts_of(line));
+        }
+        if !self.is_chained(page, &lines) {
+            let line_after = page.first + page.lines.len() as u64;
+            self.next_line = self.next_line.max(line_after);
+            return false;
+        }
+        let mut last_event_at = 0;
+        for (line, mac) in lines {
+            self.next_line = line.number + 1;
+            self.last_mac = mac;
+            last_event_at = line.last_event_at().unwrap_or(last_event_at);
+            if let LineBody::Balance(_) = line.body {
+                self.balance_began_at_page = page.page;
             }
-            book.full_pages.push_back((number, at));
-            if number == book.head.newest {
-                book.open_page.first_line = page.first;
-                book.open_page.previous_mac = LineMac::parse(&page.prev).unwrap_or_default();
-                book.open_page.key_id.clone_from(&page.key);
-                book.open_page.version = *stamp;
-                book.open_page.lines = page.lines.iter().map(ToString::to_string).collect();
-                book.open_page.bytes = book.open_page.lines.iter().map(|l| l.len() + 1).sum();
-                book.open_page.confirmed_lines = book.open_page.lines.len();
-                book.full_pages.pop_back();
+            if let Some(parts) = reader.balance.take(&line.body) {
+                self.accounts = Accounts::from_parts(&parts, &self.settings);
+                self.balance_page = Some(self.balance_began_at_page);
+                self.balance_page_count = page.page - self.balance_began_at_page + 1;
+                reader.lines_since_balance.clear();
             }
+            reader.lines_since_balance.push(line);
         }
-        after
-            .iter()
-            .for_each(|line| book.accounts.line(line, &book.settings));
-        if !last_fine || book.open_page.key_id != book.keys.newest().id {
-            book.begin_page(0);
-        }
-        let folded = book.head.kept;
-        book.pages_to_delete
-            .extend(folded.saturating_sub(MAX_DELETES_PER_WRITE as u64)..folded);
-        OpenedBook {
-            book,
-            charged,
-            damaged,
+        if page.page == self.head.newest {
+            self.continue_page(page, version);
+        } else {
+            self.full_pages.push_back((page.page, last_event_at));
         }
+        true
+    }
+
+    /// Goes on with the newest page.
+    fn continue_page(&mut self, page: &Page, version: u64) {
+        let lines: Vec<String> = page.lines.iter().map(ToString::to_string).collect();
+        self.open_page = OpenPage {
+            page: page.page,
+            first_line: page.first,
+            previous_mac: LineMac::parse(&page.prev).unwrap_or_default(),
+            key_id: page.key.clone(),
+            version,
+            bytes: lines.iter().map(|line| line.len() + 1).sum(),
+            confirmed_lines: lines.len(),
+            lines,
+        };
     }
 
     /// Whether a page's lines are as they were tied, as far as the keys tell. One that cannot be read has none.
--- a/crates/gannethub-ledger/src/line.rs
+++ b/crates/gannethub-ledger/src/line.rs
@@ -298,90 +298,14 @@
         text.unwrap_or_default()
     }
 
-    /// Reads a line and its tie. `None`: it is not a line of this version.
+    /// Reads a line and its MAC. `None`: it is not a line of this version.
     pub fn read(value: &Value) -> Option<(Line, LineMac)> {
-        let items = value.as_array()?;
-        let (tie, items) = items.split_last()?;
-        let tie = LineMac::parse(tie.as_str()?)?;
-        let seq = items.first()?.as_u64()?;
-        let text = |i: usize| items.get(i).and_then(Value::as_str).map(str::to_string);
-        let number = |i: usize| items.get(i).and_then(Value::as_u64);
-        let body = match (items.get(1)?.as_str()?, items.len()) {
-            ("charge", 5) => {
-                let k: ChargeGroupWire = serde_json::from_value(items[2].clone()).ok()?;
-                let (team, class, job, need, flavor, zone, spot, price, reason, worth) = k;
-                let least: (u64, Micros) = serde_json::from_value(items[3].clone()).ok()?;
-                let entries: Vec<EntryWire> = serde_json::from_value(items[4].clone()).ok()?;
-                let read = entries.into_iter().map(|e| Entry::read(e, least));
-                let entries = read.collect::<Option<Vec<_>>>()?;
-                let common = ChargeGroup {
-                    team,
-                    class,
-                    job,
-                    resources: need,
-                    machine_type: flavor,
-                    zone,
-                    spot,
-                    price,
-                    reason,
-                    usefulness: worth,
-                };
-                LineBody::Charge(Charge {
-                    group: common,
-                    entries,
-                })
-            }
-            ("took", 6) => LineBody::OwnerChanged(OwnerChange {
-                term: number(2)?,
-                owner: text(3)?,
-                at: number(4)?,
-                complete: items.get(5)?.as_bool()?,
-            }),
-            ("gap", 5) => {
-                let machine: (String, String, String, bool) =
-                    serde_json::from_value(items[2].clone()).ok()?;
-                let (machine, flavor, zone, spot) = machine;
-                LineBody::Unmetered(UnmeteredInterval {
-                    machine,
-                    flavor,
-                    zone,
-                    spot,
-                    from: number(3)?,
-                    to: number(4)?,
-                })
-            }
-            ("balance", 6) => LineBody::Balance(Balance {
-                upto: number(2)?,
-                parts: u32::try_from(number(3)?).ok()?,
-                kept: number(4)?,
-                at: number(5)?,
-            }),
-            ("part", 4) => {
-                let (team, class): (String, String) =
-                    serde_json::from_value(items[2].clone()).ok()?;
-                type Sums = (u64, Vec<String>, Micros, Vec<(u64, String)>);
-                let (entries, amounts, half_life, decayed): Sums =
-                    serde_json::from_value(items[3].clone()).ok()?;
-                let amounts = amounts
-                    .iter()
-                    .map(|a| parse_hex(a))
-                    .collect::<Option<_>>()?;
-                let decayed = decayed
-                    .iter()
-                    .map(|d| Some((d.0, parse_hex(&d.1)?)))
-                    .collect::<Option<_>>()?;
-                LineBody::Part(BalancePart {
-                    team,
-                    class,
-                    entries,
-                    amounts,
-                    half_life,
-                    decayed,
-                })
-            }
-            _ => return None,
-        };
-        Some((Line { number: seq, body }, tie))
+        let (mac, items) = value.as_array()?.split_last()?;
+        let mac = LineMac::parse(mac.as_str()?)?;
+        let number = items.first()?.as_u64()?;
+        let kind = items.get(1)?.as_str()?;
+        let body = read_body(kind, &items[2..])?;
+        Some((Line { number, body }, mac))
     }
 
     /// The line as it is kept, tied to the one before, and its tie.
@@ -404,5 +328,89 @@
     }
 }
 
+/// Reads what a line of a kind says.
+fn read_body(kind: &str, items: &[Value]) -> Option<LineBody> {
+    match (kind, items) {
+        ("charge", [group, least, entries]) => read_charge(group, least, entries),
+        ("took", [term, owner, at, complete]) => Some(LineBody::OwnerChanged(OwnerChange {
+            term: term.as_u64()?,
+            owner: owner.as_str()?.to_string(),
+            at: at.as_u64()?,
+            complete: complete.as_bool()?,
+        })),
+        ("gap", [machine, from, to]) => {
+            let (machine, flavor, zone, spot) = read_value(machine)?;
+            Some(LineBody::Unmetered(UnmeteredInterval {
+                machine,
+                flavor,
+                zone,
+                spot,
+                from: from.as_u64()?,
+                to: to.as_u64()?,
+            }))
+        }
+        ("balance", [upto, parts, kept, at]) => Some(LineBody::Balance(Balance {
+            upto: upto.as_u64()?,
+            parts: u32::try_from(parts.as_u64()?).ok()?,
+            kept: kept.as_u64()?,
+            at: at.as_u64()?,
+        })),
+        ("part", [names, sums]) => read_balance_part(names, sums),
+        _ => None,
+    }
+}
+
+fn read_value<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
+    T::deserialize(value).ok()
+}
+
+fn read_charge(group: &Value, least: &Value, entries: &Value) -> Option<LineBody> {
+    let group: ChargeGroupWire = read_value(group)?;
+    let (team, class, job, resources, machine_type, zone, spot, price, reason, usefulness) = group;
+    let least: (u64, Micros) = read_value(least)?;
+    let entries: Vec<EntryWire> = read_value(entries)?;
+    let entries: Option<Vec<Entry>> = entries
+        .into_iter()
+        .map(|entry| Entry::read(entry, least))
+        .collect();
+    let group = ChargeGroup {
+        team,
+        class,
+        job,
+        resources,
+        machine_type,
+        zone,
+        spot,
+        price,
+        reason,
+        usefulness,
+    };
+    Some(LineBody::Charge(Charge {
+        group,
+        entries: entries?,
+    }))
+}
+
+/// The sums of a part of a balance as they are kept: entries, amounts, half-life and decayed usage.
+type BalancePartWire = (u64, Vec<String>, Micros, Vec<(u64, String)>);
+
+fn read_balance_part(names: &Value, sums: &Value) -> Option<LineBody> {
+    let (team, class) = read_value(names)?;
+    let (entries, amounts, half_life, decayed): BalancePartWire = read_value(sums)?;
+    let amounts: Option<Vec<u128>> = amounts.iter().map(|amount| parse_hex(amount)).collect();
+    let decayed: Option<Vec<(u64, u128)>> = decayed
+        .iter()
+        .map(|(epoch, sum)| Some((*epoch, parse_hex(sum)?)))
+        .collect();
+    Some(LineBody::Part(BalancePart {
+        team,
+        class,
+        entries,
+        amounts: amounts?,
+        half_life,
+        decayed: decayed?,
+    }))
+}
+
 #[cfg(test)]
 pub(crate) mod tests;
--- a/crates/gannethub-ledger/src/settings.rs
+++ b/crates/gannethub-ledger/src/settings.rs
@@ -1,6 +1,7 @@
 //! The ledger's own settings file: read, checked, and explained when wrong.
 
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 
 use serde::Deserialize;
 
@@ -32,6 +33,12 @@
 /// Shares are given to so many decimals.
 const ROUNDING: f64 = 1e-6;
 
+/// Bounds of what the file may say.
+const MAX_SECONDS: f64 = 1e9;
+const MIN_HALF_LIFE_SECONDS: f64 = 1e-3;
+const MAX_WEIGHT: f64 = 1e4;
+const BALANCE_PAGES: RangeInclusive<u64> = 1..=10_000;
+
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Where the keys are, relative to the place the program runs in.
@@ -107,6 +114,109 @@
     }
 }
 
+/// Checks the fields of one file.
+struct FieldChecker<'a> {
+    file: &'a str,
+}
+
+impl FieldChecker<'_> {
+    fn error(&self, field: &str, reason: impl Into<String>) -> SettingsError {
+        SettingsError::Field {
+            file: self.file.into(),
+            field: field.into(),
+            reason: reason.into(),
+        }
+    }
+
+    fn time(&self, field: &str, seconds: f64, min_seconds: f64) -> Result<Micros, SettingsError> {
+        if seconds.is_finite() && (min_seconds..=MAX_SECONDS).contains(&seconds) {
+            return Ok((seconds * SECOND as f64) as Micros);
+        }
+        Err(self.error(field, format!("{seconds} is not a usable time")))
+    }
+
+    fn half_life(&self, field: &str, seconds: f64) -> Result<HalfLife, SettingsError> {
+        let half_life = HalfLife::new(self.time(field, seconds, MIN_HALF_LIFE_SECONDS)?);
+        half_life.ok_or_else(|| self.error(field, format!("{seconds} s is longer than a year")))
+    }
+
+    fn weight(&self, field: &str, weight: f64) -> Result<u64, SettingsError> {
+        if weight.is_finite() && (0.0..=MAX_WEIGHT).contains(&weight) {
+            return Ok((weight * 1000.0).round() as u64);
+        }
+        Err(self.error(field, format!("{weight} is not a usable weight")))
+    }
+
+    /// The share of each team that the file names.
+    fn named_shares(
+        &self,
+        named: &[raw::Team],
+        teams: &[(String, f64)],
+        default_half_life: HalfLife,
+    ) -> Result<BTreeMap<String, TeamShare>, SettingsError> {
+        let mut shares = BTreeMap::new();
+        for (index, team) in named.iter().enumerate() {
+            let field = |name: &str| format!("teams[{index}].{name}");
+            if !teams.iter().any(|(name, _)| *name == team.name) {
+                let reason = format!("there is no team {:?}", team.name);
+                return Err(self.error(&field("name"), reason));
+            }
+            if !(team.share.is_finite() && (0.0..=1.0).contains(&team.share)) {
+                let reason = format!("{} is not between 0 and 1", team.share);
+                return Err(self.error(&field("share"), reason));
+            }
+            let half_life = match team.half_life_s {
+                Some(seconds) => self.half_life(&field("half_life_s"), seconds)?,
+                None => default_half_life,
+            };
+            let share = TeamShare {
+                share: team.share,
+                half_life,
+            };
+            if shares.insert(team.name.clone(), share).is_some() {
+                let reason = format!("{:?} appears twice", team.name);
+                return Err(self.error(&field("name"), reason));
+            }
+        }
+        self.check_completeness(&shares, teams)?;
+        Ok(shares)
+    }
+
+    fn check_completeness(
+        &self,
+        shares: &BTreeMap<String, TeamShare>,
+        teams: &[(String, f64)],
+    ) -> Result<(), SettingsError> {
+        let sum: f64 = shares.values().map(|team| team.share).sum();
+        if (sum - 1.0).abs() > ROUNDING {
+            let reason = format!("the shares add up to {sum}, not to 1");
+            return Err(self.error("teams", reason));
+        }
+        match teams.iter().find(|(name, _)| !shares.contains_key(name)) {
+            Some((name, _)) => {
+                let reason = format!("team {name:?} is missing; a share may be 0");
+                Err(self.error("teams", reason))
+            }
+            None => Ok(()),
+        }
+    }
+}
+
+/// Shares where the file names no team: as their guarantees are to one another; alike where nobody has one.
+fn default_shares(teams: &[(String, f64)], half_life: HalfLife) -> BTreeMap<String, TeamShare> {
+    let total: f64 = teams.iter().map(|(_, due)| due).sum();
+    let equal_share = 1.0 / teams.len().max(1) as f64;
+    let shares = teams.iter().map(|(name, due)| {
+        let share = if total > 0.0 {
+            due / total
+        } else {
+            equal_share
+        };
+        (name.clone(), TeamShare { share, half_life })
+    });
+    shares.collect()
+}
+
 impl Settings {
     /// Checks a file's text. `teams`: the platform's teams, with what each is due where the file names none.
     pub fn parse(
@@ -118,103 +228,32 @@
             file: file.into(),
             reason: e.to_string().trim_end().to_string(),
         })?;
-        let bad = |field: &str, reason: String| SettingsError::Field {
-            file: file.into(),
-            field: field.into(),
-            reason,
-        };
-        let time = |field: &str, s: f64, least: f64| {
-            let fine = s.is_finite() && (least..=1e9).contains(&s);
-            let time = (s * SECOND as f64) as Micros;
-            fine.then_some(time)
-                .ok_or_else(|| bad(field, format!("{s} is not a usable time")))
-        };
-        let half = |field: &str, s: f64| {
-            let half = HalfLife::new(time(field, s, 1e-3)?);
-            half.ok_or_else(|| bad(field, format!("{s} s is longer than a year")))
-        };
-        let common = half("half_life_s", raw.half_life_s)?;
-        let mut shares = BTreeMap::new();
-        for (i, t) in raw.teams.iter().enumerate() {
-            let at = |f: &str| format!("teams[{i}].{f}");
-            if !teams.iter().any(|(name, _)| *name == t.name) {
-                return Err(bad(&at("name"), format!("there is no team {:?}", t.name)));
-            }
-            if !(t.share.is_finite() && (0.0..=1.0).contains(&t.share)) {
-                return Err(bad(
-                    &at("share"),
-                    format!("{} is not between 0 and 1", t.share),
-                ));
-            }
-            let half_life = t
-                .half_life_s
-                .map(|s| half(&at("half_life_s"), s))
-                .transpose()?;
-            let share = TeamShare {
-                share: t.share,
-                half_life: half_life.unwrap_or(common),
-            };
-            if shares.insert(t.name.clone(), share).is_some() {
-                return Err(bad(&at("name"), format!("{:?} appears twice", t.name)));
-            }
-        }
-        if raw.teams.is_empty() {
-            // As their guarantees are to one another; alike where nobody has one.
-            let all: f64 = teams.iter().map(|t| t.1).sum();
-            let alike = 1.0 / teams.len().max(1) as f64;
-            for (name, due) in teams {
-                let share = if all > 0.0 { due / all } else { alike };
-                shares.insert(
-                    name.clone(),
-                    TeamShare {
-                        share,
-                        half_life: common,
-                    },
-                );
-            }
+        let check = FieldChecker { file };
+        let half_life = check.half_life("half_life_s", raw.half_life_s)?;
+        let shares = if raw.teams.is_empty() {
+            default_shares(teams, half_life)
         } else {
-            let sum: f64 = shares.values().map(|s| s.share).sum();
-            if (sum - 1.0).abs() > ROUNDING {
-                return Err(bad(
-                    "teams",
-                    format!("the shares add up to {sum}, not to 1"),
-                ));
-            }
-            if let Some((name, _)) = teams.iter().find(|t| !shares.contains_key(&t.0)) {
-                return Err(bad(
-                    "teams",
-                    format!("team {name:?} is missing; a share may be 0"),
-                ));
-            }
-        }
-        let weight = |field: &str, x: f64| {
-            let fine = x.is_finite() && (0.0..=1e4).contains(&x);
-            let weight = (x * 1000.0).round() as u64;
-            fine.then_some(weight)
-                .ok_or_else(|| bad(field, format!("{x} is not a usable weight")))
+            check.named_shares(&raw.teams, teams, half_life)?
         };
-        let cost = ResourceAmounts(
-            weight("cost.cpu", raw.cost.cpu)?,
-            weight("cost.gpu", raw.cost.gpu)?,
-            weight("cost.mem_gb", raw.cost.mem_gb)?,
+        let resource_weights = ResourceAmounts(
+            check.weight("cost.cpu", raw.cost.cpu)?,
+            check.weight("cost.gpu", raw.cost.gpu)?,
+            check.weight("cost.mem_gb", raw.cost.mem_gb)?,
         );
         if raw.keys.is_empty() {
-            return Err(bad("keys", "the name of a key file is needed".into()));
+            return Err(check.error("keys", "the name of a key file is needed"));
         }
-        if !(1..=10_000).contains(&raw.balance_pages) {
-            return Err(bad(
-                "balance_pages",
-                "a number from 1 to 10000 is needed".into(),
-            ));
+        if !BALANCE_PAGES.contains(&raw.balance_pages) {
+            return Err(check.error("balance_pages", "a number from 1 to 10000 is needed"));
         }
         Ok(Settings {
             keys: raw.keys,
             teams: shares,
-            resource_weights: cost,
-            write_interval: time("every_s", raw.every_s, 0.1)?,
-            retention: time("retention_s", raw.retention_s, 0.0)?,
+            resource_weights,
+            write_interval: check.time("every_s", raw.every_s, 0.1)?,
+            retention: check.time("retention_s", raw.retention_s, 0.0)?,
             balance_pages: raw.balance_pages,
-            max_clock_offset: time("clock_off_s", raw.clock_off_s, 0.0)?,
+            max_clock_offset: check.time("clock_off_s", raw.clock_off_s, 0.0)?,
         })
     }
 
