--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -83,7 +83,7 @@
             heard: true,
             version: Some(configuration.version()),
         };
-        let peers = outbox.settings.siblings.iter().enumerate();
+        let peers = outbox.settings.peers.iter().enumerate();
         let peers = peers.map(|(peer, settings)| NodeStatus {
             name: &settings.name,
             heard: membership.is_heard(outbox, peer),
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -113,7 +113,7 @@
     fn redirect_worker(&mut self, connection: u64) {
         let outbox = &mut self.outbox;
         let helper = self.membership.peer_accepting_heartbeats(outbox);
-        let controller = helper.map(|peer| outbox.settings.siblings[peer].name.as_str());
+        let controller = helper.map(|peer| outbox.settings.peers[peer].name.as_str());
         let response = Response::json(421, &HeartbeatRedirect { controller });
         outbox.reply(connection, response);
     }
@@ -190,7 +190,7 @@
             HeartbeatRoute::OtherOwner {
                 owner: Some(peer), ..
             } => {
-                let controller = Some(self.outbox.settings.siblings[peer].name.as_str());
+                let controller = Some(self.outbox.settings.peers[peer].name.as_str());
                 Response::json(421, &HeartbeatRedirect { controller })
             }
             HeartbeatRoute::OtherOwner { owner: None, .. } => Response::error(404, "not held here"),
@@ -255,7 +255,7 @@
             ..
         } = relayed;
         let redirect = serde_json::from_slice::<RedirectBody>(body).ok();
-        let mut peers = self.outbox.settings.siblings.iter();
+        let mut peers = self.outbox.settings.peers.iter();
         let owner = redirect.and_then(|redirect| peers.position(|peer| *peer.name == *redirect.to));
         let owner = owner.filter(|owner| *owner != from);
         match owner.zip(machine_of(&heartbeat)) {
--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -50,10 +50,12 @@
 /// every task is gone within the time that settings give a cancellation. Where they leave no room for that: no more than
 /// the lease's own time.
 fn max_cancellation_age(settings: &Settings, ttl: Micros) -> Micros {
-    let worker_lease = settings.lease + settings.lease / WORKER_CLOCK_DRIFT_DIVISOR + WORKER_MARGIN;
+    let worker_lease = settings.lease_duration
+        + settings.lease_duration / WORKER_CLOCK_DRIFT_DIVISOR
+        + WORKER_MARGIN;
     settings
-        .cancel
-        .saturating_sub(worker_lease + settings.cancel / WORKER_CLOCK_DRIFT_DIVISOR)
+        .cancel_timeout
+        .saturating_sub(worker_lease + settings.cancel_timeout / WORKER_CLOCK_DRIFT_DIVISOR)
         .max(ttl)
 }
 
@@ -127,7 +129,7 @@
 
     fn request_votes(&mut self, outbox: &mut Outbox, known_version: u64) {
         let now = outbox.clock.now;
-        let peers = outbox.settings.siblings.len();
+        let peers = outbox.settings.peers.len();
         if peers == 0 {
             return;
         }
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -69,7 +69,7 @@
         Membership {
             election: Election::new(&outbox.settings.name, outbox.clock.now),
             incarnation: outbox.clock.unix_time,
-            peers: vec![PeerStatus::default(); outbox.settings.siblings.len()],
+            peers: vec![PeerStatus::default(); outbox.settings.peers.len()],
             own_loads: Vec::new(),
             term_counter: None,
             probe_in_flight: false,
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -142,7 +142,7 @@
     }
 
     fn update_budget_share(&mut self) {
-        let peers = self.settings.siblings.len() as f64;
+        let peers = self.settings.peers.len() as f64;
         let share = if peers > 0.0 && self.shard_count() > 1 {
             // Where all own shards, all need the same.
             TOTAL_RATE_SHARE / (peers + 1.0)
@@ -273,7 +273,7 @@
 
     /// Sends a message to every peer.
     pub fn send_to_all_peers(&mut self, body: &Body) {
-        for peer in 0..self.settings.siblings.len() {
+        for peer in 0..self.settings.peers.len() {
             self.send_to_peer(peer, body.clone());
         }
     }
--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -18,7 +18,7 @@
     /// Takes in a message. One of an unknown sender is dropped.
     pub(super) fn handle_peer_message(&mut self, message: Envelope) {
         let now = self.outbox.clock.now;
-        let mut peers = self.outbox.settings.siblings.iter();
+        let mut peers = self.outbox.settings.peers.iter();
         let Some(peer) = peers.position(|peer| peer.name == message.from) else {
             tracing::info!(from = %message.from, "a message of an unknown sender is dropped");
             return;
@@ -144,7 +144,7 @@
     fn log_malformed_vote(&mut self, peer: usize, vote: &Vote, read: usize) {
         let status = &mut self.membership.peers[peer];
         if !std::mem::replace(&mut status.malformed_vote_logged, true) {
-            let from = &self.outbox.settings.siblings[peer].name;
+            let from = &self.outbox.settings.peers[peer].name;
             let told = vote.cancelled_count;
             tracing::warn!(%from, told, read, "a vote cannot be read in full");
         }
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -367,7 +367,7 @@
         name: &'a str,
     }
     let own_name = outbox.settings.name.as_str();
-    let peers = outbox.settings.siblings.iter().enumerate();
+    let peers = outbox.settings.peers.iter().enumerate();
     let heard = peers.filter(|(peer, _)| membership.is_heard(outbox, *peer));
     let mut candidates: Vec<Candidate<'_>> = heard
         .map(|(peer, settings)| Candidate {
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -377,7 +377,7 @@
     }
 
     fn is_isolated(&self, outbox: &Outbox) -> bool {
-        let has_peers = !outbox.settings.siblings.is_empty();
+        let has_peers = !outbox.settings.peers.is_empty();
         let is_silent = |heard_at: Micros| outbox.clock.now > heard_at + ISOLATION_TIMEOUT;
         has_peers && self.last_heard_at.is_some_and(is_silent)
     }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -99,9 +99,9 @@
         heartbeat: &WorkerHeartbeat<'_>,
     ) -> Option<MachineChanges> {
         let is_known = self.machines.contains_key(&*heartbeat.machine);
-        let interval = self.settings.report;
+        let interval = self.settings.heartbeat_interval;
         let max_interval = interval + interval / 4 + SECOND / 20;
-        let lease = self.settings.lease;
+        let lease = self.settings.lease_duration;
         let machine = self.machine_or_adopt(
             &heartbeat.machine,
             &heartbeat.machine_type,
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -82,7 +82,8 @@
     /// Drops orders for machines that are lost, that were answered since, or that are about to be.
     fn drop_needless_kill_orders(&mut self, now: Micros) {
         let machines = &self.machines;
-        let answered_within = self.settings.report + self.settings.report / 4;
+        let answered_within =
+            self.settings.heartbeat_interval + self.settings.heartbeat_interval / 4;
         self.kill_orders.pending.retain(|id, order| {
             let is_unanswered = machines.get(id).is_some_and(|machine| {
                 let last = machine.worker.last_heartbeat_at;
--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -82,7 +82,7 @@
     /// and their work goes on: they are waited for.
     fn return_few_silent_machines(&mut self, now: Micros, unconfirmed: usize) {
         let few = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
-        let all_heard_by = self.takeover.at + 2 * self.settings.report + 2 * SECOND;
+        let all_heard_by = self.takeover.at + 2 * self.settings.heartbeat_interval + 2 * SECOND;
         if now <= all_heard_by || unconfirmed > few {
             return;
         }
--- a/crates/gannethub-core/src/scheduling/capacity_timeline.rs
+++ b/crates/gannethub-core/src/scheduling/capacity_timeline.rs
@@ -225,7 +225,7 @@
             let up_at = self.expected_up_at(machine, now).filter(|_| is_usable);
             return up_at.map_or_else(Vec::new, |at| vec![at; max_tasks]);
         }
-        if !machine.is_schedulable(now, self.settings.report) {
+        if !machine.is_schedulable(now, self.settings.heartbeat_interval) {
             return Vec::new();
         }
         let mut ends: Vec<(Micros, Resources)> = machine
--- a/crates/gannethub-core/src/scheduling/consolidation.rs
+++ b/crates/gannethub-core/src/scheduling/consolidation.rs
@@ -102,7 +102,9 @@
         let mut spare = SpareCapacity::default();
         let mut movable = Vec::new();
         for machine in self.machines.values() {
-            if !machine.is_schedulable(now, self.settings.report) || machine.attempts.is_empty() {
+            if !machine.is_schedulable(now, self.settings.heartbeat_interval)
+                || machine.attempts.is_empty()
+            {
                 continue;
             }
             self.passes.add_steps(1);
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -221,7 +221,7 @@
     /// tell, the image, and its tasks at their expected time and a quarter more. At least: a part of that time, with the
     /// image there.
     pub(crate) fn stage_time(&self, spec: &JobSpec) -> StageDuration {
-        let heartbeats = 2 * self.settings.report;
+        let heartbeats = 2 * self.settings.heartbeat_interval;
         let run_time = self.run_time(spec);
         StageDuration {
             expected: run_time.expected + heartbeats,
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -138,7 +138,7 @@
     /// Whether every worker that reaches a controller has had the time to send a heartbeat to this leader: what is silent now
     /// may stay so for a lease, and gives no capacity that can be planned with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
-        now > self.takeover.at + self.settings.report * 5 / 4 + HEARTBEAT_DELAY
+        now > self.takeover.at + self.settings.heartbeat_interval * 5 / 4 + HEARTBEAT_DELAY
     }
 
     /// Whether all that may be on a machine is below its watermark, as the state service holds it: then a successor can go by
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -234,7 +234,7 @@
         let slack = self
             .latest_start(job, job.scheduling.within_guarantee)
             .map_or(0, |start| start.saturating_sub(self.unix_time));
-        let patience = slack.max(2 * self.settings.report);
+        let patience = slack.max(2 * self.settings.heartbeat_interval);
         if complete_at.is_none_or(|at| at > now + patience) {
             self.preempt_for(id, tasks, &mut gangs.preemption, now);
         }
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -195,7 +195,7 @@
         let Some(machine_type) = machine.machine_type else {
             return;
         };
-        if !machine.is_schedulable(now, self.settings.report) {
+        if !machine.is_schedulable(now, self.settings.heartbeat_interval) {
             return;
         }
         let first = self
@@ -294,7 +294,7 @@
             self.machines.get(id).is_some_and(|machine| {
                 spec.resources.fits(&machine.free())
                     && machine.active_reservation(now).is_none()
-                    && machine.is_schedulable(now, self.settings.report)
+                    && machine.is_schedulable(now, self.settings.heartbeat_interval)
             })
         };
         self.capacity_index.buckets.iter().any(|bucket| {
--- a/crates/gannethub-core/src/scheduling/placement.rs
+++ b/crates/gannethub-core/src/scheduling/placement.rs
@@ -116,7 +116,7 @@
         zones: &ZoneTaskCounts,
         now: Micros,
     ) -> bool {
-        machine.is_schedulable(now, self.settings.report)
+        machine.is_schedulable(now, self.settings.heartbeat_interval)
             && !machine.placement.failures_by_job.contains_key(job)
             && self.is_eligible_machine(machine, spec)
             && is_zone_allowed(spec, zones, &machine.zone)
@@ -148,7 +148,7 @@
         self.passes.add_steps(1);
         // A crash-looping job is probed anywhere: it may have met faulty machines only.
         let failed_here = !crash_looping && machine.placement.failures_by_job.contains_key(job);
-        if failed_here || !machine.is_schedulable(now, self.settings.report) {
+        if failed_here || !machine.is_schedulable(now, self.settings.heartbeat_interval) {
             return 0;
         }
         let mut free = machine.free();
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -361,7 +361,7 @@
             {
                 self.count_machine_steps(machine);
                 let is_reserved = machine.active_reservation(now).is_some();
-                if !machine.is_schedulable(now, self.settings.report)
+                if !machine.is_schedulable(now, self.settings.heartbeat_interval)
                     || (!preemptor.is_gang && is_reserved)
                 {
                     continue;
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -134,8 +134,8 @@
     /// The load of this shard, as its owner tells it.
     pub fn shard_load(&self) -> ShardLoad {
         let machines = self.machines.values();
-        let schedulable =
-            machines.filter(|machine| machine.is_schedulable(self.now, self.settings.report));
+        let schedulable = machines
+            .filter(|machine| machine.is_schedulable(self.now, self.settings.heartbeat_interval));
         let mut load = ShardLoad {
             shard: self.shard.id,
             term: self.term,
@@ -262,7 +262,7 @@
     /// Whether a job may move to another shard: nothing was launched of it and its record is not being written.
     fn may_transfer(&self, job: &Job, give_up: bool) -> bool {
         let waited = self.unix_time.saturating_sub(job.ready_at);
-        let has_waited = waited > MIN_WAIT_BEFORE_MOVE + self.settings.report;
+        let has_waited = waited > MIN_WAIT_BEFORE_MOVE + self.settings.heartbeat_interval;
         let persistence = &job.persistence;
         job.has_no_launches()
             && !job.cancelled
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Sibling {
+pub struct Peer {
     pub name: String,
     pub zone: String,
     pub addr: SocketAddrV4,
@@ -61,17 +61,17 @@
     pub zone: String,
     pub listen: SocketAddrV4,
     pub cluster_listen: SocketAddrV4,
-    pub siblings: Vec<Sibling>,
+    pub peers: Vec<Peer>,
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    pub report: Micros,
-    pub lease: Micros,
+    pub heartbeat_interval: Micros,
+    pub lease_duration: Micros,
     pub gang_wait: Micros,
     pub gang_peer: Micros,
-    pub cancel: Micros,
+    pub cancel_timeout: Micros,
     pub state_rates: Rates,
     /// The state service goes over to these without notice.
     pub state_rates_next: Rates,
@@ -81,7 +81,7 @@
     pub list_lag: Micros,
     pub max_connections: usize,
     /// How many bytes this controller may hold.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The share of a processor that this controller has; `None`: it is not told.
     pub cores: Option<f64>,
     /// The operators' own settings.
@@ -360,7 +360,7 @@
             if !names.insert(s.host_name.clone()) {
                 return self.bad(&at("host_name"), format!("{:?} appears twice", s.host_name));
             }
-            siblings.push(Sibling {
+            siblings.push(Peer {
                 name: self.name(&at("host_name"), &s.host_name)?,
                 zone: s.area.clone(),
                 addr: self.addr(&at("peer_addr"), &s.peer_addr)?,
@@ -432,17 +432,17 @@
             zone: raw.area,
             listen: self.addr("bind", &raw.bind)?,
             cluster_listen: self.addr("cluster_listen", &raw.cluster_listen)?,
-            siblings,
+            peers: siblings,
             cloud: self.addr("outside.cloud", &raw.outside.cloud)?,
             state: self.addr("outside.state", &raw.outside.state)?,
             zones: c.zones,
             teams,
             objectives,
-            report: duration(&self, "cluster.workers.report_s", w.report_s)?,
-            lease: duration(&self, "cluster.workers.lease_s", w.lease_s)?,
+            heartbeat_interval: duration(&self, "cluster.workers.report_s", w.report_s)?,
+            lease_duration: duration(&self, "cluster.workers.lease_s", w.lease_s)?,
             gang_wait: duration(&self, "cluster.workers.gang_wait_s", w.gang_wait_s)?,
             gang_peer: duration(&self, "cluster.workers.gang_peer_s", w.gang_peer_s)?,
-            cancel: duration(&self, "cluster.workers.cancel_s", w.cancel_s)?,
+            cancel_timeout: duration(&self, "cluster.workers.cancel_s", w.cancel_s)?,
             state_rates: Rates {
                 requests: both(&self, "rps", state.rps, None)?,
                 changes: both(&self, "write_rps", state.write_rps, None)?,
@@ -461,7 +461,7 @@
             max_connections: self
                 .positive("cluster.quota.max_connections", c.quota.max_connections)?
                 as usize,
-            memory: (self.within("cluster.quota.memory_mb", c.quota.memory_mb, MEGABYTES)?
+            memory_bytes: (self.within("cluster.quota.memory_mb", c.quota.memory_mb, MEGABYTES)?
                 * 1024.0
                 * 1024.0) as usize,
             cores: c
@@ -481,7 +481,7 @@
                 "a takeover writes two keys at once",
             );
         }
-        if settings.cancel < settings.lease {
+        if settings.cancel_timeout < settings.lease_duration {
             self.warnings.push(
                 "cancel_s is below lease_s: a silent machine may keep cancelled tasks too long"
                     .into(),
--- a/crates/gannethub-core/src/settings/tests.rs
+++ b/crates/gannethub-core/src/settings/tests.rs
@@ -34,7 +34,7 @@
 fn a_good_file_loads_and_missing_sections_take_defaults() {
     let (s, warnings) = Settings::parse(SAMPLE, "f").unwrap();
     assert_eq!(warnings, Vec::<String>::new());
-    assert_eq!(s.lease, 10_000_000);
+    assert_eq!(s.lease_duration, 10_000_000);
     assert_eq!(s.value_bytes, 16 * 1024);
     assert_eq!(s.team("blue"), Some(1));
 }
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -195,14 +195,14 @@
 
     /// Looks for zones that have become unreachable.
     pub fn detect_unreachable_zones(&mut self, now: Micros) {
-        let heartbeat_interval = self.settings.report;
+        let heartbeat_interval = self.settings.heartbeat_interval;
         let machines = self.machines.values();
         self.zones.detect(machines, heartbeat_interval, now);
     }
 
     /// After this long without an answer a worker's lease has run out, whatever its clock.
     pub fn lease_expiry_bound(&self) -> Micros {
-        let lease = self.settings.lease;
+        let lease = self.settings.lease_duration;
         lease + lease / MAX_CLOCK_DRIFT + LEASE_MARGIN
     }
 
--- a/crates/gannethub-core/src/state/cluster/capacity.rs
+++ b/crates/gannethub-core/src/state/cluster/capacity.rs
@@ -12,7 +12,7 @@
         let Some(bucket) = machine.placement.capacity_bucket else {
             return;
         };
-        let free_cpu = machine.schedulable_cpu(now, self.settings.report);
+        let free_cpu = machine.schedulable_cpu(now, self.settings.heartbeat_interval);
         let indexed = &mut machine.placement.indexed_free_cpu;
         if free_cpu != *indexed {
             let previous = std::mem::replace(indexed, free_cpu);
@@ -39,7 +39,7 @@
 
     /// Reindexes machines whose state has changed with time alone, as when they fall silent.
     pub fn reindex_changed_machines(&mut self, now: Micros) {
-        let heartbeat_interval = self.settings.report;
+        let heartbeat_interval = self.settings.heartbeat_interval;
         let changed: Vec<MachineId> = self
             .machines
             .values()
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -111,11 +111,11 @@
         match worker.last_heartbeat_at {
             Some(at) if at == now => News::Silence {
                 heard: worker.previous_heartbeat_at,
-                likely: self.settings.lease,
+                likely: self.settings.lease_duration,
             },
             heard => News::Silence {
                 heard,
-                likely: self.settings.report / 2,
+                likely: self.settings.heartbeat_interval / 2,
             },
         }
     }
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -139,7 +139,7 @@
             None => ChargeState::Open,
         };
         // How long its launch took to reach the worker is not known: a heartbeat, or another after a lost answer.
-        uncertainty += 2 * self.settings.report + LOST_ANSWER_DELAY;
+        uncertainty += 2 * self.settings.heartbeat_interval + LOST_ANSWER_DELAY;
         let meter = match has_ended {
             true => Meter::found(age / 2, uncertainty + age, stage(phase), self.now),
             false => Meter::found(age, uncertainty, stage(phase), self.now),
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -145,7 +145,10 @@
             return;
         }
         // The machine is alive: what another incarnation had was lost when its lease ran out.
-        let (lease, heartbeat_interval) = (self.settings.lease, self.settings.report);
+        let (lease, heartbeat_interval) = (
+            self.settings.lease_duration,
+            self.settings.heartbeat_interval,
+        );
         let is_of_another = |orphan: &OrphanedAttempt| orphan.incarnation != incarnation;
         self.charge_orphans_where(id, Reason::Lease, now, lease, is_of_another);
         self.charge_orphans_where(id, Reason::Missing, now, heartbeat_interval / 2, |_| true);
@@ -153,7 +156,7 @@
 
     /// A machine is gone, or its worker's lease is over, and with it all of its orphans.
     pub(crate) fn charge_orphans(&mut self, id: &MachineId, reason: Reason, now: Micros) {
-        let likely_duration = self.settings.report / 2;
+        let likely_duration = self.settings.heartbeat_interval / 2;
         self.charge_orphans_where(id, reason, now, likely_duration, |_| true);
     }
 
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -34,12 +34,12 @@
             return;
         };
         let value_limit = self.settings.value_bytes - VALUE_SLACK_BYTES;
-        let window = Book::window(self.settings.lease, &setup.settings);
+        let window = Book::window(self.settings.lease_duration, &setup.settings);
         let mut opened = Book::open(setup.settings, setup.keys, value_limit, window, head, pages);
         std::mem::take(&mut opened.damaged)
             .into_iter()
             .for_each(log_damaged_page);
-        let peer_count = self.settings.siblings.len();
+        let peer_count = self.settings.peers.len();
         self.usage_ledger = Some(Box::new(UsageLedger::new(opened, peer_count)));
         let inherited = replica.take_records(self.term - 1);
         self.take_over_usage(inherited.records, now);
--- a/crates/gannethub-core/tests/formats/settings.rs
+++ b/crates/gannethub-core/tests/formats/settings.rs
@@ -64,7 +64,7 @@
     assert_eq!((&*settings.name, &*settings.zone), ("n0", "a"));
     assert_eq!(settings.listen.to_string(), "10.0.0.1:8080");
     assert_eq!(settings.cluster_listen.to_string(), "10.0.0.1:8081");
-    let sibling = &settings.siblings[0];
+    let sibling = &settings.peers[0];
     assert_eq!((&*sibling.name, &*sibling.zone), ("n1", "b"));
     assert_eq!(sibling.addr.to_string(), "10.0.0.2:8081");
     assert_eq!(settings.cloud.to_string(), "10.2.0.2:8443");
@@ -86,12 +86,15 @@
         (objective.within, objective.share, objective.times),
         (5 * SECOND, 0.95, 2.0)
     );
-    assert_eq!((settings.report, settings.lease), (SECOND, 10 * SECOND));
+    assert_eq!(
+        (settings.heartbeat_interval, settings.lease_duration),
+        (SECOND, 10 * SECOND)
+    );
     assert_eq!(
         (settings.gang_wait, settings.gang_peer),
         (50 * SECOND, 4 * SECOND)
     );
-    assert_eq!(settings.cancel, 35 * SECOND);
+    assert_eq!(settings.cancel_timeout, 35 * SECOND);
     assert_eq!(
         (settings.state_rates.requests, settings.state_rates.changes),
         (90.0, 30.0)
@@ -101,7 +104,7 @@
     assert_eq!((settings.value_bytes, settings.txn_ops), (4096, 10));
     assert_eq!((settings.cloud_rps, settings.list_lag), (4.0, 6 * SECOND));
     assert_eq!((settings.max_connections, settings.cores), (500, Some(0.5)));
-    assert_eq!(settings.memory, 256 << 20);
+    assert_eq!(settings.memory_bytes, 256 << 20);
 }
 
 #[test]
@@ -109,12 +112,15 @@
     let text = "host_name = \"n0\"\nbind = \"10.0.0.1:8080\"\ncluster_listen = \"10.0.0.1:8081\"\n\
         [outside]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n";
     let (settings, _) = Settings::parse(text, "platform.toml").unwrap();
-    assert_eq!((settings.report, settings.lease), (2 * SECOND, 15 * SECOND));
+    assert_eq!(
+        (settings.heartbeat_interval, settings.lease_duration),
+        (2 * SECOND, 15 * SECOND)
+    );
     assert_eq!(
         (settings.gang_wait, settings.gang_peer),
         (60 * SECOND, 5 * SECOND)
     );
-    assert_eq!(settings.cancel, 40 * SECOND);
+    assert_eq!(settings.cancel_timeout, 40 * SECOND);
     assert_eq!(
         (settings.state_rates.requests, settings.state_rates.changes),
         (100.0, 40.0)
@@ -122,7 +128,7 @@
     assert_eq!((settings.value_bytes, settings.txn_ops), (16_384, 16));
     assert_eq!((settings.cloud_rps, settings.list_lag), (3.0, 5 * SECOND));
     assert_eq!((settings.max_connections, settings.cores), (1000, None));
-    assert_eq!(settings.memory, 512 << 20);
+    assert_eq!(settings.memory_bytes, 512 << 20);
 }
 
 #[test]
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -999,7 +999,7 @@
                     {
                         p.cancelled_jobs = "6:1-;zz:4;x".into();
                     }
-                    let name = self.settings[node].siblings[to].name.clone();
+                    let name = self.settings[node].peers[to].name.clone();
                     let to = self
                         .settings
                         .iter()
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -56,7 +56,7 @@
     let users = TcpListener::bind(SocketAddr::V4(settings.listen)).await?;
     let cluster = TcpListener::bind(SocketAddr::V4(settings.cluster_listen)).await?;
     tracing::info!(name = %settings.name, listen = %settings.listen, "started");
-    let bodies = Bodies::new(settings.memory / BODIES_OF_MEMORY);
+    let bodies = Bodies::new(settings.memory_bytes / BODIES_OF_MEMORY);
     let most = settings.max_connections;
     spawn_local(accept_users(
         users,
@@ -66,9 +66,9 @@
         most,
     ));
     spawn_local(peers::accept(cluster, queue.clone()));
-    let window = Duration::from_micros(settings.report / RELAYS_A_REPORT);
+    let window = Duration::from_micros(settings.heartbeat_interval / RELAYS_A_REPORT);
     let siblings: Vec<mpsc::Sender<Envelope>> = settings
-        .siblings
+        .peers
         .iter()
         .map(|s| peers::connect(SocketAddr::V4(s.addr), window))
         .collect();
