--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,202 +1,323 @@
-//! The process around a controller: sockets, clocks and the queue of commands.
+//! The process around a controller: its sockets, its clocks, and the loop that feeds commands to it and carries out its
+//! effects.
+//!
+//! Everything runs on one thread. [`Daemon::run_loop`] alone owns the [`Controller`]; connections and requests are tasks
+//! beside it, which reach it through one queue of [`Command`]s.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use tokio::net::TcpListener;
+use bytes::Bytes;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::http::{Bodies, Client, Connection, Method, Response};
+use crate::http::{BodyBudget, Client, Connection, Method, Request, Response};
 use crate::peers;
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
 use gannethub_core::settings::Settings;
+use gannethub_core::wire::cloud::CloudRequest;
 use gannethub_core::wire::peer::Envelope;
+use gannethub_core::wire::store::StoreRequest;
 
-const BATCH: usize = 64;
-const QUEUE: usize = 4096;
-/// Direct commands under way at once, and how long one may take.
-const MOST_DIRECT: usize = 16;
-const WORKER_PATIENCE: Duration = Duration::from_secs(2);
-const CLOUD_PATIENCE: Duration = Duration::from_secs(8);
-/// One in so many bytes of the memory that a controller may hold is for large requests.
-const BODIES_OF_MEMORY: usize = 8;
-/// Reports that are passed on go to a sibling at most so often in the time in which each worker reports once.
-const RELAYS_A_REPORT: u64 = 20;
+/// The controller takes up to this many commands in one step.
+const COMMAND_BATCH_SIZE: usize = 64;
+/// Commands that wait for the controller; whoever has another one waits until there is room.
+const COMMAND_QUEUE_CAPACITY: usize = 4096;
+/// Commands that are being sent directly to workers at once.
+const MAX_WORKER_REQUESTS: usize = 16;
+/// How long sending commands to a worker may take.
+const WORKER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long an answer of the cloud is waited for.
+const CLOUD_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long the controller's reply to a request is waited for.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
+/// `Retry-After`, in seconds, of a request whose reply did not come in time.
+const REPLY_RETRY_AFTER: u32 = 2;
+/// This fraction (one in so many bytes) of the memory that a controller may hold is for large request bodies.
+const BODY_BUDGET_DIVISOR: usize = 8;
+/// Relayed heartbeats are written to a peer at most this often during one heartbeat interval of the workers.
+const RELAY_WRITES_PER_HEARTBEAT: u64 = 20;
+/// Of the connections that the settings allow, these are kept for peers, the state service and the cloud.
+const RESERVED_CONNECTIONS: usize = 48;
+/// Users and workers get at least this many connections, whatever the settings allow.
+const MIN_USER_CONNECTIONS: usize = 16;
+/// After a failed accept, such as one without a free file descriptor, the next one is tried after this time.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-type Replies = Rc<RefCell<HashMap<u64, oneshot::Sender<Response>>>>;
-
-/// Runs a controller until the process is killed.
+/// Runs a controller until the process is killed. Returns only if its sockets cannot be opened.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let local = tokio::task::LocalSet::new();
-    // The owner is a task like the others: a future outside of them is polled once in a turn of the runtime, so
-    // that each command would cost a turn, and a look at the sockets, to be taken and another to be answered.
-    let owner = local.spawn_local(serve(Arc::new(settings)));
-    local.block_on(&runtime, owner)?
+    // The loop is a task like the others: a future outside of them is polled once in a turn of the runtime, so that
+    // each command would cost one turn, and one poll of the sockets, to be taken and another to be answered.
+    let daemon = local.spawn_local(serve(Arc::new(settings)));
+    local.block_on(&runtime, daemon)?
 }
 
+/// Opens the sockets, starts the tasks that accept connections, and runs the controller.
 async fn serve(settings: Arc<Settings>) -> std::io::Result<()> {
-    let start = Instant::now();
-    let clock = move || Clock {
-        now: start.elapsed().as_micros() as u64,
-        unix_time: SystemTime::now()
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .map_or(0, |d| d.as_micros() as u64),
-    };
-    let (queue, mut commands) = mpsc::channel(QUEUE);
-    let replies = Replies::default();
-    let users = TcpListener::bind(SocketAddr::V4(settings.listen)).await?;
-    let cluster = TcpListener::bind(SocketAddr::V4(settings.cluster_listen)).await?;
+    let clocks = Clocks::start();
+    let (queue, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    let replies = PendingReplies::default();
+    let user_listener = TcpListener::bind(SocketAddr::V4(settings.listen)).await?;
+    let peer_listener = TcpListener::bind(SocketAddr::V4(settings.cluster_listen)).await?;
     tracing::info!(name = %settings.name, listen = %settings.listen, "started");
-    let bodies = Bodies::new(settings.memory_bytes / BODIES_OF_MEMORY);
-    let most = settings.max_connections;
-    spawn_local(accept_users(
-        users,
-        queue.clone(),
-        replies.clone(),
-        bodies,
-        most,
-    ));
-    spawn_local(peers::accept(cluster, queue.clone()));
-    let window = Duration::from_micros(settings.heartbeat_interval / RELAYS_A_REPORT);
-    let siblings: Vec<mpsc::Sender<Envelope>> = settings
-        .peers
-        .iter()
-        .map(|s| peers::connect(SocketAddr::V4(s.addr), window))
-        .collect();
-    let state = Rc::new(Client::new(settings.state));
-    let cloud = Rc::new(Client::new(settings.cloud));
-    let direct = Arc::new(Semaphore::new(MOST_DIRECT));
-    let mut controller = Controller::new(settings, clock());
-    let mut batch = Vec::with_capacity(BATCH);
-    loop {
-        // The controller keeps its own times, and says when it has to look at them if nothing comes.
-        let pause = Duration::from_micros(controller.max_idle_time());
-        let _ = timeout(pause, commands.recv_many(&mut batch, BATCH)).await;
-        for effect in controller.step(clock(), batch.drain(..)) {
-            match effect {
-                Effect::Reply {
-                    connection: conn,
-                    response,
-                } => {
-                    if let Some(reply) = replies.borrow_mut().remove(&conn) {
-                        // The client may have gone away; then nobody waits for this.
-                        let _ = reply.send(response);
-                    }
-                }
-                Effect::StoreRequest { id, request: r } => {
-                    let (client, queue) = (state.clone(), queue.clone());
-                    spawn_local(async move {
-                        let patience = Duration::from_micros(r.timeout);
-                        let answer = client.call(r.method, &r.path, &r.body, patience).await;
-                        let _ = queue.send(Command::StoreAnswer { id, answer }).await;
-                    });
-                }
-                Effect::CloudRequest { id, request: r } => {
-                    let (client, queue) = (cloud.clone(), queue.clone());
-                    spawn_local(async move {
-                        let answer = client
-                            .call(r.method, &r.path, &r.body, CLOUD_PATIENCE)
-                            .await;
-                        let _ = queue.send(Command::CloudAnswer { id, answer }).await;
-                    });
-                }
-                Effect::WorkerCommands { addr, body } => {
-                    // More at once than there are sockets for are left to the next answers.
-                    let Ok(slot) = direct.clone().try_acquire_owned() else {
-                        continue;
-                    };
-                    spawn_local(async move {
-                        let client = Client::new(addr);
-                        let path = "/commands";
-                        let _ = client
-                            .call(Method::Post, path, &body, WORKER_PATIENCE)
-                            .await;
-                        drop(slot);
-                    });
-                }
-                Effect::PeerMessage { to, message } => {
-                    if let Some(sibling) = siblings.get(to) {
-                        // A full queue means a dead link: messages between siblings may be lost.
-                        let _ = sibling.try_send(message);
-                    }
-                }
-            }
+    let server = UserServer {
+        queue: queue.clone(),
+        replies: replies.clone(),
+        body_budget: BodyBudget::new(settings.memory_bytes / BODY_BUDGET_DIVISOR),
+    };
+    spawn_local(server.accept(user_listener, settings.max_connections));
+    spawn_local(peers::accept(peer_listener, queue.clone()));
+    let daemon = Daemon::new(&settings, queue, replies);
+    let controller = Controller::new(settings, clocks.read());
+    daemon.run_loop(controller, commands, clocks).await
+}
+
+/// The clocks that a controller is driven by.
+struct Clocks {
+    started_at: Instant,
+}
+
+impl Clocks {
+    /// Starts the steady clock at zero.
+    fn start() -> Clocks {
+        Clocks {
+            started_at: Instant::now(),
+        }
+    }
+
+    /// The time of both clocks.
+    fn read(&self) -> Clock {
+        let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+        Clock {
+            now: self.started_at.elapsed().as_micros() as u64,
+            unix_time: since_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64),
         }
     }
 }
 
-async fn accept_users(
-    listener: TcpListener,
+/// Requests of users and workers that wait for the controller's reply, by connection number. A clone is another handle
+/// to the same table.
+#[derive(Clone, Default)]
+struct PendingReplies(Rc<RefCell<HashMap<u64, oneshot::Sender<Response>>>>);
+
+impl PendingReplies {
+    /// Registers a request; its response arrives at the receiver.
+    fn register(&self, connection: u64) -> oneshot::Receiver<Response> {
+        let (sender, receiver) = oneshot::channel();
+        self.0.borrow_mut().insert(connection, sender);
+        receiver
+    }
+
+    /// Forgets a request; a response that comes later is dropped.
+    fn forget(&self, connection: u64) {
+        self.0.borrow_mut().remove(&connection);
+    }
+
+    /// Hands a response to the task that waits for it.
+    fn complete(&self, connection: u64, response: Response) {
+        if let Some(reply) = self.0.borrow_mut().remove(&connection) {
+            // The client may have gone away, and its task with it; then nobody waits for this.
+            let _ = reply.send(response);
+        }
+    }
+}
+
+/// Carries out the effects of a controller.
+struct Daemon {
     queue: mpsc::Sender<Command>,
-    replies: Replies,
-    bodies: Bodies,
-    max: usize,
-) {
-    // Some sockets are kept for siblings, the state service and the cloud.
-    let slots = Arc::new(Semaphore::new(max.saturating_sub(48).max(16)));
-    let ids = Rc::new(Cell::new(1u64));
-    loop {
-        let Ok(slot) = slots.clone().acquire_owned().await else {
-            return;
-        };
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => stream,
-            Err(e) => {
-                tracing::error!(error = %e, "cannot accept connections");
-                sleep(Duration::from_millis(100)).await;
-                continue;
+    replies: PendingReplies,
+    state_service: Rc<Client>,
+    cloud: Rc<Client>,
+    /// One queue for each peer, in the order of the settings.
+    peers: Vec<mpsc::Sender<Envelope>>,
+    worker_slots: Arc<Semaphore>,
+}
+
+impl Daemon {
+    /// Starts the connections to the peers; the others are opened when they are needed.
+    fn new(settings: &Settings, queue: mpsc::Sender<Command>, replies: PendingReplies) -> Daemon {
+        let relay_window =
+            Duration::from_micros(settings.heartbeat_interval / RELAY_WRITES_PER_HEARTBEAT);
+        let connect = |addr: SocketAddrV4| peers::connect(SocketAddr::V4(addr), relay_window);
+        Daemon {
+            queue,
+            replies,
+            state_service: Rc::new(Client::new(settings.state)),
+            cloud: Rc::new(Client::new(settings.cloud)),
+            peers: settings
+                .peers
+                .iter()
+                .map(|peer| connect(peer.addr))
+                .collect(),
+            worker_slots: Arc::new(Semaphore::new(MAX_WORKER_REQUESTS)),
+        }
+    }
+
+    /// Steps the controller on each batch of commands, and when it asks to be stepped without any.
+    async fn run_loop(
+        self,
+        mut controller: Controller,
+        mut commands: mpsc::Receiver<Command>,
+        clocks: Clocks,
+    ) -> std::io::Result<()> {
+        let mut batch = Vec::with_capacity(COMMAND_BATCH_SIZE);
+        loop {
+            // The controller keeps its own timers, and tells how long it may be left alone if nothing comes.
+            let idle_time = Duration::from_micros(controller.max_idle_time());
+            let received = commands.recv_many(&mut batch, COMMAND_BATCH_SIZE);
+            let _ = timeout(idle_time, received).await;
+            for effect in controller.step(clocks.read(), batch.drain(..)) {
+                self.carry_out(effect);
             }
+        }
+    }
+
+    fn carry_out(&self, effect: Effect) {
+        match effect {
+            Effect::Reply {
+                connection,
+                response,
+            } => self.replies.complete(connection, response),
+            Effect::StoreRequest { id, request } => self.call_state_service(id, request),
+            Effect::CloudRequest { id, request } => self.call_cloud(id, request),
+            Effect::WorkerCommands { addr, body } => self.send_to_worker(addr, body),
+            Effect::PeerMessage { to, message } => self.send_to_peer(to, message),
+        }
+    }
+
+    fn call_state_service(&self, id: u64, request: StoreRequest) {
+        let client = self.state_service.clone();
+        let queue = self.queue.clone();
+        spawn_local(async move {
+            let time_limit = Duration::from_micros(request.timeout);
+            let answer = client
+                .call(request.method, &request.path, &request.body, time_limit)
+                .await;
+            let _ = queue.send(Command::StoreAnswer { id, answer }).await;
+        });
+    }
+
+    fn call_cloud(&self, id: u64, request: CloudRequest) {
+        let client = self.cloud.clone();
+        let queue = self.queue.clone();
+        spawn_local(async move {
+            let answer = client
+                .call(request.method, &request.path, &request.body, CLOUD_TIMEOUT)
+                .await;
+            let _ = queue.send(Command::CloudAnswer { id, answer }).await;
+        });
+    }
+
+    /// Sends commands to a worker ahead of its next heartbeat. While all slots are taken they are left to the answer to
+    /// that heartbeat.
+    fn send_to_worker(&self, addr: SocketAddrV4, body: Bytes) {
+        let Ok(slot) = self.worker_slots.clone().try_acquire_owned() else {
+            return;
         };
-        let (queue, replies, ids) = (queue.clone(), replies.clone(), ids.clone());
-        let bodies = bodies.clone();
         spawn_local(async move {
-            let _ = stream.set_nodelay(true);
-            serve_connection(Connection::new(stream, bodies), queue, replies, ids).await;
+            let client = Client::new(addr);
+            let _ = client
+                .call(Method::Post, "/commands", &body, WORKER_TIMEOUT)
+                .await;
             drop(slot);
         });
     }
+
+    fn send_to_peer(&self, peer_index: usize, message: Envelope) {
+        if let Some(peer) = self.peers.get(peer_index) {
+            // A full queue means that the connection is dead: messages between peers may be lost.
+            let _ = peer.try_send(message);
+        }
+    }
 }
 
-async fn serve_connection(
-    mut connection: Connection,
+/// Serves the requests of users and workers. A clone serves with the same queue, replies and body budget.
+#[derive(Clone)]
+struct UserServer {
     queue: mpsc::Sender<Command>,
-    replies: Replies,
-    ids: Rc<Cell<u64>>,
-) {
-    while let Some(request) = connection.next().await {
-        let close = request.closes_connection;
-        let conn = ids.get();
-        ids.set(conn + 1);
-        let (reply, answer) = oneshot::channel();
-        replies.borrow_mut().insert(conn, reply);
-        if queue
-            .send(Command::HttpRequest {
-                connection: conn,
-                request,
-            })
-            .await
-            .is_err()
-        {
-            return;
+    replies: PendingReplies,
+    body_budget: BodyBudget,
+}
+
+impl UserServer {
+    /// Accepts connections until the process ends, as many at once as the settings leave for users and workers.
+    async fn accept(self, listener: TcpListener, max_connections: usize) {
+        let user_connections = max_connections
+            .saturating_sub(RESERVED_CONNECTIONS)
+            .max(MIN_USER_CONNECTIONS);
+        let slots = Arc::new(Semaphore::new(user_connections));
+        let numbers = ConnectionNumbers::default();
+        loop {
+            let Ok(slot) = slots.clone().acquire_owned().await else {
+                return;
+            };
+            let stream = match listener.accept().await {
+                Ok((stream, _)) => stream,
+                Err(error) => {
+                    tracing::error!(%error, "cannot accept connections");
+                    sleep(ACCEPT_RETRY_DELAY).await;
+                    continue;
+                }
+            };
+            let server = self.clone();
+            let numbers = numbers.clone();
+            spawn_local(async move {
+                server.serve_connection(stream, numbers).await;
+                drop(slot);
+            });
         }
-        let response = match timeout(Duration::from_secs(10), answer).await {
-            Ok(Ok(response)) => response,
-            _ => {
-                replies.borrow_mut().remove(&conn);
-                Response::error(503, "no answer in time").with_retry_after(2)
+    }
+
+    /// Answers the requests of one connection, one after the other.
+    async fn serve_connection(self, stream: TcpStream, numbers: ConnectionNumbers) {
+        let _ = stream.set_nodelay(true);
+        let mut connection = Connection::new(stream, self.body_budget.clone());
+        while let Some(request) = connection.next().await {
+            let close = request.closes_connection;
+            let Some(response) = self.answer(request, numbers.next()).await else {
+                return;
+            };
+            if connection.write(&response, close).await.is_err() || close {
+                return;
             }
+        }
+    }
+
+    /// Has a request answered by the controller; `None` if the controller is gone.
+    async fn answer(&self, request: Request, connection: u64) -> Option<Response> {
+        let reply = self.replies.register(connection);
+        let command = Command::HttpRequest {
+            connection,
+            request,
         };
-        if connection.write(&response, close).await.is_err() || close {
-            return;
+        self.queue.send(command).await.ok()?;
+        if let Ok(Ok(response)) = timeout(REPLY_TIMEOUT, reply).await {
+            return Some(response);
         }
+        self.replies.forget(connection);
+        Some(Response::error(503, "no answer in time").with_retry_after(REPLY_RETRY_AFTER))
+    }
+}
+
+/// Counts the requests, so that each has a connection number of its own. A clone counts on the same counter.
+#[derive(Clone, Default)]
+struct ConnectionNumbers(Rc<Cell<u64>>);
+
+impl ConnectionNumbers {
+    /// The next number; the first one is 1.
+    fn next(&self) -> u64 {
+        let number = self.0.get() + 1;
+        self.0.set(number);
+        number
     }
 }
--- a/src/emulators.rs
+++ b/src/emulators.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::http::{Bodies, Connection};
+use crate::http::{BodyBudget, Connection};
 
 /// A request to a stand-in, and where its answer goes.
 pub struct Asked {
@@ -44,7 +44,7 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let connection = Connection::new(stream, Bodies::new(usize::MAX));
+        let connection = Connection::new(stream, BodyBudget::new(usize::MAX));
         spawn_local(serve_connection(connection, queue.clone(), lag, make));
     }
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 use crate::files::{self, FileError};
-use crate::http::{Client, ask_any};
+use crate::http::{Client, NoFinalAnswer, ask_any};
 
 #[derive(Args)]
 pub struct LedgerArgs {
@@ -231,8 +231,8 @@
             status,
             String::from_utf8_lossy(&body).into_owned(),
         )),
-        Err(last) => Err(LedgerError::NoAnswer(
-            last.map_or("nothing".into(), |status| status.to_string()),
+        Err(NoFinalAnswer { last_status }) => Err(LedgerError::NoAnswer(
+            last_status.map_or("nothing".into(), |status| status.to_string()),
         )),
     }
 }
--- a/tests/counted.rs
+++ b/tests/counted.rs
@@ -1,6 +1,6 @@
 //! What connections cost, counted by an allocator: the same on every run.
 
-use gannethub::http::{Bodies, Connection, Response};
+use gannethub::http::{BodyBudget, Connection, Response};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -13,7 +13,7 @@
 async fn serve(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         spawn_local(async move {
-            let mut connection = Connection::new(stream, Bodies::new(0));
+            let mut connection = Connection::new(stream, BodyBudget::new(0));
             while let Some(request) = connection.next().await {
                 let answer = Response {
                     status: 200,
