--- a/crates/gannethub-scale/src/changes.rs
+++ b/crates/gannethub-scale/src/changes.rs
@@ -9,7 +9,7 @@
 use gannethub::config::store::{Author, ConfigError, ConfigStore};
 use gannethub::core::configuration::{Document, TeamEntry};
 use gannethub::core::settings::Settings;
-use gannethub::files::{FileError, settings};
+use gannethub::files::{FileError, read_settings};
 use gannethub::http::{Client, Method};
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -77,7 +77,7 @@
         record: Rc<RefCell<Record>>,
         fetch: u64,
     ) -> Result<Operators, FileError> {
-        let (base, _) = settings(platform)?;
+        let (base, _) = read_settings(platform)?;
         let limits = base
             .teams
             .iter()
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -114,9 +114,9 @@
 }
 
 async fn command(args: ConfigArgs) -> Result<(), CommandError> {
-    let (mut base, _) = files::settings(&args.config)?;
+    let (mut base, _) = files::read_settings(&args.config)?;
     if let Some(file) = &args.policy {
-        base.policy = files::policy(file)?;
+        base.policy = files::read_policy(file)?;
     }
     let controllers = if args.controllers.is_empty() {
         vec![base.listen]
@@ -212,7 +212,7 @@
 
 /// Reads and checks an operators' file.
 fn read(file: &Path, base: &Settings) -> Result<Document, CommandError> {
-    let text = std::fs::read_to_string(file).map_err(|e| FileError::Unreadable(file.into(), e))?;
+    let text = files::read_text(file)?;
     parse(&text, &file.display().to_string(), base)
 }
 
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -570,8 +570,8 @@
     let (reply, spans) = oneshot::channel();
     let _ = queue.send(Command::Record(reply)).await;
     let spans = spans.await.map_err(gone)?;
-    let (platform, _) = files::settings(&controllers.dir.join("n0.toml"))?;
-    let setup = files::ledger(&controllers.dir.join("ledger.toml"), &platform)?;
+    let (platform, _) = files::read_settings(&controllers.dir.join("n0.toml"))?;
+    let setup = files::read_ledger_setup(&controllers.dir.join("ledger.toml"), &platform)?;
     let pages = fetch(addrs).await?;
     let verified = verify(&pages, &setup.keys, &setup.settings, None).map_err(LedgerError::from)?;
     let mut entries: BTreeMap<(String, String, u64), Vec<Entry>> = BTreeMap::new();
--- a/src/files.rs
+++ b/src/files.rs
@@ -1,92 +1,137 @@
-//! The operators' files: read, checked, and explained when wrong.
+//! The files that operators write: settings, policies, and the ledger's settings and keys.
 
+use std::fs::{self, OpenOptions};
+use std::io::{self, Write};
+use std::os::unix::fs::{OpenOptionsExt, PermissionsExt};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use gannethub_core::policy::Policy;
-use gannethub_core::settings::{LedgerSetup, Settings};
+use gannethub_core::policy::{Policy, PolicyError};
+use gannethub_core::settings::{LedgerSetup, Settings, SettingsError};
 use gannethub_ledger::KeyRing;
+use gannethub_ledger::chain::KeyError;
 
-/// What is wrong with a file, in words that name it.
+/// The permissions of a new key file: its owner alone may read and write it.
+const KEY_FILE_MODE: u32 = 0o600;
+/// Any of these permissions opens a key file to other users.
+const OTHER_USERS_MODE: u32 = 0o077;
+const SECRET_BYTES: usize = 32;
+
+/// Why a file cannot be used. The messages name the file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    #[error("{0}: cannot be read: {1}")]
-    Unreadable(PathBuf, std::io::Error),
-    #[error("{0}: {1}")]
-    Wrong(PathBuf, String),
+    #[error("{file}: cannot be read: {source}")]
+    Unreadable { file: PathBuf, source: io::Error },
+    #[error("{file}: {source}")]
+    InvalidPolicy { file: PathBuf, source: PolicyError },
+    #[error("{file}: {source}")]
+    InvalidKeys { file: PathBuf, source: KeyError },
+    /// No random bytes were to be had for a new key.
+    #[error("{file}: {source}")]
+    NoRandomness {
+        file: PathBuf,
+        source: getrandom::Error,
+    },
+    #[error("{0}")]
+    InvalidSettings(#[from] SettingsError),
     #[error("{0}")]
-    Settings(String),
+    InvalidLedgerSettings(#[from] gannethub_ledger::settings::SettingsError),
+    /// Other users than the owner of a key file may read it.
     #[error("{0}: others can read it; chmod 600 it")]
-    Open(PathBuf),
+    KeysExposed(PathBuf),
 }
 
-fn read(file: &Path) -> Result<String, FileError> {
-    std::fs::read_to_string(file).map_err(|e| FileError::Unreadable(file.into(), e))
+impl FileError {
+    /// The error of reading, or of writing, this file.
+    pub fn unreadable(file: &Path) -> impl Fn(io::Error) -> FileError {
+        move |source| FileError::Unreadable {
+            file: file.into(),
+            source,
+        }
+    }
 }
 
-pub fn policy(file: &Path) -> Result<Policy, FileError> {
-    Policy::parse(&read(file)?).map_err(|e| FileError::Wrong(file.into(), e.to_string()))
+/// Reads a text file.
+pub fn read_text(file: &Path) -> Result<String, FileError> {
+    fs::read_to_string(file).map_err(FileError::unreadable(file))
 }
 
-/// The platform's settings, and what is odd but usable in them.
-pub fn settings(file: &Path) -> Result<(Settings, Vec<String>), FileError> {
-    let parsed = Settings::parse(&read(file)?, &file.display().to_string());
-    parsed.map_err(|e| FileError::Settings(e.to_string()))
+/// Reads and checks an operators' policy.
+pub fn read_policy(file: &Path) -> Result<Policy, FileError> {
+    Policy::parse(&read_text(file)?).map_err(|source| FileError::InvalidPolicy {
+        file: file.into(),
+        source,
+    })
 }
 
-/// The ledger's settings and its keys.
-pub fn ledger(file: &Path, platform: &Settings) -> Result<LedgerSetup, FileError> {
+/// Reads and checks the platform's settings. Also returns warnings about what is odd but usable in them.
+pub fn read_settings(file: &Path) -> Result<(Settings, Vec<String>), FileError> {
+    let text = read_text(file)?;
+    Ok(Settings::parse(&text, &file.display().to_string())?)
+}
+
+/// Reads and checks the ledger's settings and the keys that they name.
+pub fn read_ledger_setup(file: &Path, platform: &Settings) -> Result<LedgerSetup, FileError> {
+    let text = read_text(file)?;
     let name = file.display().to_string();
-    let settings = gannethub_ledger::Settings::parse(&read(file)?, &name, &platform.dues());
-    let settings = settings.map_err(|e| FileError::Settings(e.to_string()))?;
-    let keys = keys(Path::new(&settings.keys))?;
+    let settings = gannethub_ledger::Settings::parse(&text, &name, &platform.dues())?;
+    let keys = read_keys(Path::new(&settings.keys))?;
     Ok(LedgerSetup {
         settings: Arc::new(settings),
         keys: Arc::new(keys),
     })
 }
 
-/// A key file. One that others can read is refused.
-pub fn keys(file: &Path) -> Result<KeyRing, FileError> {
-    use std::os::unix::fs::PermissionsExt;
-    let text = read(file)?;
-    let meta = std::fs::metadata(file).map_err(|e| FileError::Unreadable(file.into(), e))?;
-    if meta.permissions().mode() & 0o077 != 0 {
-        return Err(FileError::Open(file.into()));
+/// Reads a key file. One that other users can read is refused.
+pub fn read_keys(file: &Path) -> Result<KeyRing, FileError> {
+    let text = read_text(file)?;
+    let metadata = fs::metadata(file).map_err(FileError::unreadable(file))?;
+    if metadata.permissions().mode() & OTHER_USERS_MODE != 0 {
+        return Err(FileError::KeysExposed(file.into()));
     }
-    KeyRing::parse(&text).map_err(|e| FileError::Wrong(file.into(), e.to_string()))
+    KeyRing::parse(&text).map_err(|source| FileError::InvalidKeys {
+        file: file.into(),
+        source,
+    })
 }
 
-/// Adds a new key to a key file, or makes the file. Where it is there already nothing is changed, unless
-/// `rotate` says that new pages are to use another key. Returns the newest key's id.
+/// Adds a new key to a key file, or makes the file. A file that is there already stays as it is unless `rotate` says
+/// that new pages of the ledger are to use another key. Returns the newest key's id.
 pub fn make_key(file: &Path, rotate: bool) -> Result<String, FileError> {
-    use std::io::Write;
-    use std::os::unix::fs::OpenOptionsExt;
-    let known = match file.exists() {
-        true => Some(keys(file)?),
-        false => None,
+    let existing = if file.exists() {
+        Some(read_keys(file)?)
+    } else {
+        None
     };
-    if let Some(known) = known.as_ref().filter(|_| !rotate) {
-        return Ok(known.newest().id.clone());
+    if let Some(keys) = existing.as_ref().filter(|_| !rotate) {
+        return Ok(keys.newest().id.clone());
     }
-    let unreadable = |e| FileError::Unreadable(file.into(), e);
-    let mut secret = [0; 32];
-    getrandom::fill(&mut secret).map_err(|e| FileError::Wrong(file.into(), e.to_string()))?;
-    let taken = |id: &String| known.as_ref().is_some_and(|k| k.get(id).is_some());
-    let id = (1..)
-        .map(|n| format!("k{n}"))
-        .find(|id| !taken(id))
-        .unwrap_or_default();
-    let mut options = std::fs::OpenOptions::new();
-    let mut out = options
+    let mut secret = [0; SECRET_BYTES];
+    getrandom::fill(&mut secret).map_err(|source| FileError::NoRandomness {
+        file: file.into(),
+        source,
+    })?;
+    let id = unused_key_id(existing.as_ref());
+    append(file, &KeyRing::write(&id, &secret)).map_err(FileError::unreadable(file))?;
+    Ok(id)
+}
+
+/// The first of `k1`, `k2` and so on that no key has.
+fn unused_key_id(existing: Option<&KeyRing>) -> String {
+    let is_used = |id: &str| existing.is_some_and(|keys| keys.get(id).is_some());
+    (1..)
+        .map(|number| format!("k{number}"))
+        .find(|id| !is_used(id))
+        .unwrap_or_default()
+}
+
+fn append(file: &Path, text: &str) -> io::Result<()> {
+    let mut output = OpenOptions::new()
         .append(true)
         .create(true)
-        .mode(0o600)
-        .open(file)
-        .map_err(unreadable)?;
-    out.write_all(KeyRing::write(&id, &secret).as_bytes())
-        .map_err(unreadable)?;
-    Ok(id)
+        .mode(KEY_FILE_MODE)
+        .open(file)?;
+    output.write_all(text.as_bytes())
 }
 
 #[cfg(test)]
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -132,12 +132,12 @@
         .config
         .as_ref()
         .ok_or(LedgerError::Missing("--config"))?;
-    let (platform, _) = files::settings(config)?;
+    let (platform, _) = files::read_settings(config)?;
     let ledger = args
         .ledger
         .as_ref()
         .ok_or(LedgerError::Missing("--ledger"))?;
-    let setup = files::ledger(ledger, &platform)?;
+    let setup = files::read_ledger_setup(ledger, &platform)?;
     let known = |team: &Option<String>| match team {
         Some(t) if platform.team(t).is_none() => Err(LedgerError::Team(t.clone())),
         _ => Ok(()),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,11 +1,21 @@
-use std::path::PathBuf;
+//! The `gannethub` program: its command line, its log, and the exit code of each command.
+
+use std::fmt::Display;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 use tracing::Level;
 
+use gannethub::core::settings::Settings;
+use gannethub::files::FileError;
 use gannethub::{config, daemon, dev, files, ledger};
 
+/// The exit code of a command whose files cannot be used.
+const UNUSABLE_FILES: u8 = 2;
+/// The environment variable that says which events are logged: `error`, `info` or `debug`.
+const LOG_LEVEL: &str = "LOG_LEVEL";
+
 /// A controller of the gannethub cluster scheduler.
 #[derive(Parser)]
 #[command(
@@ -46,17 +56,15 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     start_logging();
-    match run(options) {
-        Ok(code) => code,
-        Err(reason) => {
-            eprintln!("gannethub: {reason}");
-            ExitCode::from(2)
-        }
-    }
+    run(options).unwrap_or_else(|error| {
+        eprintln!("gannethub: {error}");
+        ExitCode::from(UNUSABLE_FILES)
+    })
 }
 
+/// Logs to the standard error output, so that what commands print can be read by programs.
 fn start_logging() {
-    let wanted = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
+    let wanted = std::env::var(LOG_LEVEL).unwrap_or_else(|_| "info".into());
     let level = match wanted.as_str() {
         "error" => Some(Level::ERROR),
         "info" => Some(Level::INFO),
@@ -74,63 +82,68 @@
     }
 }
 
-/// Does what the command line asks; an error is about the files it names.
-fn run(options: Options) -> Result<ExitCode, files::FileError> {
-    match options.command {
-        Some(Command::CheckPolicy { file }) => {
-            for (name, result) in files::policy(&file)?.on_sample() {
-                println!("{name} = {result}");
-            }
-            return Ok(ExitCode::SUCCESS);
-        }
-        Some(Command::Dev(args)) => {
-            return Ok(match dev::run(&args) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("gannethub dev: {e}");
-                    ExitCode::FAILURE
-                }
-            });
-        }
-        Some(Command::Config(args)) => {
-            return Ok(match config::run(args) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("gannethub config: {e}");
-                    ExitCode::FAILURE
-                }
-            });
-        }
-        Some(Command::Ledger(args)) => {
-            return Ok(match ledger::run(args) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("gannethub ledger: {e}");
-                    ExitCode::from(e.code())
-                }
-            });
-        }
-        None => {}
-    }
-    // The command line has been checked for it.
-    let config = options.config.unwrap_or_default();
-    let (mut settings, warnings) = files::settings(&config)?;
-    warnings.iter().for_each(|w| tracing::warn!("{w}"));
-    if let Some(file) = &options.policy {
-        settings.policy = files::policy(file)?;
+/// Does what the command line asks. An error is about the files that it names.
+fn run(mut options: Options) -> Result<ExitCode, FileError> {
+    match options.command.take() {
+        None => run_controller(&options),
+        Some(Command::CheckPolicy { file }) => check_policy(&file),
+        Some(Command::Dev(args)) => Ok(exit_code("dev", dev::run(&args), |_| ExitCode::FAILURE)),
+        Some(Command::Config(args)) => Ok(exit_code("config", config::run(args), |_| {
+            ExitCode::FAILURE
+        })),
+        Some(Command::Ledger(args)) => Ok(exit_code("ledger", ledger::run(args), |error| {
+            ExitCode::from(error.code())
+        })),
     }
-    if let Some(file) = &options.ledger {
-        settings.ledger = Some(files::ledger(file, &settings)?);
+}
+
+/// Prints why a command failed, if it did, and chooses its exit code.
+fn exit_code<E: Display>(
+    command: &str,
+    result: Result<(), E>,
+    failure: impl FnOnce(&E) -> ExitCode,
+) -> ExitCode {
+    let Err(error) = result else {
+        return ExitCode::SUCCESS;
+    };
+    eprintln!("gannethub {command}: {error}");
+    failure(&error)
+}
+
+fn check_policy(file: &Path) -> Result<ExitCode, FileError> {
+    for (name, result) in files::read_policy(file)?.on_sample() {
+        println!("{name} = {result}");
     }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Runs a controller until the process is killed, or only checks its files.
+fn run_controller(options: &Options) -> Result<ExitCode, FileError> {
+    // The parser has refused a command line without a settings file.
+    let config = options.config.as_deref().unwrap_or(Path::new(""));
+    let settings = read_settings(config, options)?;
     if options.check {
         println!("{}: fine", config.display());
         return Ok(ExitCode::SUCCESS);
     }
-    Ok(match daemon::run(settings) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            tracing::error!(error = %e, "cannot serve");
-            ExitCode::FAILURE
-        }
-    })
+    let Err(error) = daemon::run(settings) else {
+        return Ok(ExitCode::SUCCESS);
+    };
+    tracing::error!(%error, "cannot serve");
+    Ok(ExitCode::FAILURE)
+}
+
+/// Reads the settings with the policy and the ledger's settings, where the command line names files for them.
+fn read_settings(config: &Path, options: &Options) -> Result<Settings, FileError> {
+    let (mut settings, warnings) = files::read_settings(config)?;
+    for warning in warnings {
+        tracing::warn!("{warning}");
+    }
+    if let Some(file) = &options.policy {
+        settings.policy = files::read_policy(file)?;
+    }
+    if let Some(file) = &options.ledger {
+        settings.ledger = Some(files::read_ledger_setup(file, &settings)?);
+    }
+    Ok(settings)
 }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use gannethub_core::wire::peer::{Heartbeat, RelayHeartbeat};
 
-fn relay(id: u64) -> Envelope {
+fn relayed_heartbeat(id: u64) -> Envelope {
     Envelope {
         from: "n1".into(),
         body: Some(Body::RelayHeartbeat(RelayHeartbeat {
@@ -11,47 +11,61 @@
     }
 }
 
-fn beat() -> Envelope {
+fn peer_heartbeat() -> Envelope {
     Envelope {
         from: "n1".into(),
         body: Some(Body::Heartbeat(Heartbeat::default())),
     }
 }
 
-/// Writes what `collect` gives, and tells at which millisecond and how many messages.
-async fn written(mut messages: mpsc::Receiver<Envelope>, window: Duration) -> Vec<(u64, usize)> {
-    let (start, mut writes, mut batch) = (Instant::now(), Vec::new(), Vec::new());
-    let mut after = start;
-    while collect(&mut messages, &mut batch, after).await {
-        after = Instant::now() + window;
-        writes.push((start.elapsed().as_millis() as u64, batch.drain(..).count()));
+/// The time of each batch that `collect` gives, in milliseconds, and how many messages are in it.
+async fn collected_batches(
+    mut messages: mpsc::Receiver<Envelope>,
+    relay_window: Duration,
+) -> Vec<(u64, usize)> {
+    let start = Instant::now();
+    let mut batches = Vec::new();
+    let mut batch = Vec::new();
+    let mut relay_at = start;
+    while collect(&mut messages, &mut batch, relay_at).await {
+        relay_at = Instant::now() + relay_window;
+        let at = start.elapsed().as_millis() as u64;
+        batches.push((at, batch.drain(..).count()));
     }
-    writes
+    batches
 }
 
 #[tokio::test(start_paused = true)]
-async fn reports_passed_on_go_together_and_nothing_else_waits() {
-    let (sender, messages) = mpsc::channel(QUEUE);
-    let say = async move {
-        // A report every 5 ms for 100 ms; at 82 ms the sender is heard of for another reason.
+async fn relayed_heartbeats_are_sent_together_and_nothing_else_waits() {
+    let (sender, messages) = mpsc::channel(OUTGOING_QUEUE_CAPACITY);
+    let send = async move {
+        // A heartbeat is relayed every 5 ms for 100 ms; at 82 ms comes a message of another kind.
         for i in 0..20u64 {
-            sender.send(relay(i)).await.unwrap();
+            sender.send(relayed_heartbeat(i)).await.unwrap();
             sleep(Duration::from_millis(5)).await;
             if i == 15 {
                 sleep(Duration::from_millis(2)).await;
-                sender.send(beat()).await.unwrap();
+                sender.send(peer_heartbeat()).await.unwrap();
             }
         }
         sleep(Duration::from_millis(200)).await;
         // After a pause the first one goes at once. Then as many as are written at once come together.
-        sender.send(relay(20)).await.unwrap();
+        sender.send(relayed_heartbeat(20)).await.unwrap();
         sleep(Duration::from_millis(1)).await;
-        for i in 0..BATCH as u64 {
-            sender.send(relay(100 + i)).await.unwrap();
+        for i in 0..WRITE_BATCH_SIZE as u64 {
+            sender.send(relayed_heartbeat(100 + i)).await.unwrap();
         }
         sleep(Duration::from_millis(100)).await;
     };
-    let (writes, ()) = tokio::join!(written(messages, Duration::from_millis(50)), say);
-    let expected = [(0, 1), (50, 9), (82, 8), (132, 3), (302, 1), (303, BATCH)];
-    assert_eq!(writes, expected);
+    let relay_window = Duration::from_millis(50);
+    let (batches, ()) = tokio::join!(collected_batches(messages, relay_window), send);
+    let expected = [
+        (0, 1),
+        (50, 9),
+        (82, 8),
+        (132, 3),
+        (302, 1),
+        (303, WRITE_BATCH_SIZE),
+    ];
+    assert_eq!(batches, expected);
 }
