--- a/crates/gannethub-scale/src/changes.rs
+++ b/crates/gannethub-scale/src/changes.rs
@@ -132,13 +132,11 @@
             limits[team]
         };
         let document = self.document();
-        let (at, nonce) = (self.clock.now(), current.version());
-        let why = format!("{} needs less", team_name(team));
         let author = Author {
-            by: "operators".into(),
-            why,
-            at,
-            nonce,
+            name: "operators".into(),
+            reason: format!("{} needs less", team_name(team)),
+            changed_at: self.clock.now(),
+            nonce: current.version(),
         };
         let record = store.store(&current, document, &author).await?;
         let counts_from = self.clock.now() + EVERYWHERE + ANSWERS + self.fetch;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,22 +1,30 @@
 //! `gannethub config`: operators read and change the configuration while the service runs.
+//!
+//! [`store`] reads and writes versions in the state service, and [`rollout`] asks the controllers which version is in
+//! force. [`document_file`] reads what operators write, and [`show`] prints what holds.
 
+mod document_file;
+mod rollout;
 mod show;
 pub mod store;
-mod wait;
 
 use std::net::SocketAddrV4;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand};
-use gannethub_core::configuration::{Document, DocumentError};
-use gannethub_core::settings::Settings;
+use gannethub_core::configuration::Document;
+use gannethub_core::wire::configuration::VersionRecord;
 
 use crate::files::{self, FileError};
 use crate::http::Client;
 use store::{Author, ConfigError, ConfigStore, Current};
 
+// The doc comments of the arguments are what `--help` prints.
+
+/// The arguments of `gannethub config`.
 #[derive(Args)]
+#[command(about = "Read and change the configuration while the service runs")]
 pub struct ConfigArgs {
     /// The platform's settings file of a controller: where the state service is, and what holds where no version says
     /// otherwise
@@ -76,25 +84,30 @@
     File(#[from] FileError),
     #[error("{0}")]
     Config(#[from] ConfigError),
+    /// A field of the operators' file has a value that cannot be used.
     #[error("{file}:{line}: {field}: {reason}")]
-    Field {
+    InvalidField {
         file: String,
         line: usize,
         field: String,
         reason: String,
     },
-    #[error("{0}: {1}")]
-    Parse(String, Box<toml::de::Error>),
+    #[error("{file}: {source}")]
+    Syntax {
+        file: String,
+        source: Box<toml::de::Error>,
+    },
     #[error("no controller of {0:?} tells which version is in force; nothing was changed")]
     NoController(Vec<SocketAddrV4>),
+    /// These controllers would go on with what they have.
     #[error(
         "{0:?} are of a release that knows of no configuration, or were never heard; nothing was changed"
     )]
-    OldControllers(Vec<String>),
+    UnsupportedControllers(Vec<String>),
     #[error(
         "version {version} is stored, and a controller cannot use it: {reason}; the one before holds"
     )]
-    CannotUse { version: u64, reason: String },
+    Unusable { version: u64, reason: String },
     #[error(
         "version {version} is not known to be in force everywhere after {seconds} s: not at {missing:?}"
     )]
@@ -105,159 +118,116 @@
     },
 }
 
-/// Carries out a command, and prints what comes of it.
+/// Carries out a command and prints its result.
 pub fn run(args: ConfigArgs) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, command(args))
+    tokio::task::LocalSet::new().block_on(&runtime, run_command(args))
 }
 
-async fn command(args: ConfigArgs) -> Result<(), CommandError> {
+async fn run_command(args: ConfigArgs) -> Result<(), CommandError> {
     let (mut base, _) = files::read_settings(&args.config)?;
     if let Some(file) = &args.policy {
         base.policy = files::read_policy(file)?;
     }
-    let controllers = if args.controllers.is_empty() {
-        vec![base.listen]
-    } else {
-        args.controllers
-    };
     let client = Client::new(base.state);
-    let store = ConfigStore {
-        client: &client,
-        base: &base,
+    let operator = Operator {
+        controllers: if args.controllers.is_empty() {
+            vec![base.listen]
+        } else {
+            args.controllers
+        },
+        store: ConfigStore {
+            client: &client,
+            base: &base,
+        },
     };
-    let change = Change {
-        store: &store,
-        controllers: &controllers,
-    };
-    match args.command {
-        ConfigCommand::Check { file } => {
-            let document = read(&file, &base)?;
-            println!("{}: fine, {} teams", file.display(), document.teams.len());
-        }
-        ConfigCommand::Show => print!("{}", show::all(&store.current().await?, &base)),
-        ConfigCommand::Diff { file } => {
-            let (wanted, current) = (read(&file, &base)?, store.current().await?);
-            let next = current.document.followed_by(wanted, &base);
-            print!("{}", show::differences(&current.document, &next, &base));
-        }
-        ConfigCommand::History => print!("{}", show::history(&store.current().await?.history)),
-        ConfigCommand::Apply {
-            file,
-            why,
-            by,
-            wait,
-        } => {
-            let wanted = read(&file, &base)?;
-            change
-                .make(store.current().await?, wanted, author(by, why), wait)
-                .await?;
-        }
-        ConfigCommand::Rollback {
-            version,
-            why,
-            by,
-            wait,
-        } => {
-            let current = store.current().await?;
-            let wanted = store.kept(&current, version).await?;
-            change.make(current, wanted, author(by, why), wait).await?;
-        }
-    }
-    Ok(())
+    operator.run(args.command).await
 }
 
-/// A change that is to be made.
-struct Change<'a> {
-    store: &'a ConfigStore<'a, Client>,
-    controllers: &'a [SocketAddrV4],
+/// What the commands work with.
+struct Operator<'a> {
+    store: ConfigStore<'a, Client>,
+    /// Asked which version is in force.
+    controllers: Vec<SocketAddrV4>,
 }
 
-impl Change<'_> {
-    async fn make(
+impl Operator<'_> {
+    async fn run(&self, command: ConfigCommand) -> Result<(), CommandError> {
+        let base = self.store.base;
+        match command {
+            ConfigCommand::Check { file } => {
+                let document = document_file::read(&file, base)?;
+                println!("{}: fine, {} teams", file.display(), document.teams.len());
+                Ok(())
+            }
+            ConfigCommand::Show => {
+                print!("{}", show::current(&self.store.current().await?, base));
+                Ok(())
+            }
+            ConfigCommand::Diff { file } => {
+                let wanted = document_file::read(&file, base)?;
+                let current = self.store.current().await?;
+                let next = current.document.followed_by(wanted, base);
+                print!("{}", show::differences(&current.document, &next, base));
+                Ok(())
+            }
+            ConfigCommand::History => {
+                print!("{}", show::history(&self.store.current().await?.history));
+                Ok(())
+            }
+            ConfigCommand::Apply {
+                file,
+                why,
+                by,
+                wait,
+            } => {
+                let wanted = document_file::read(&file, base)?;
+                let current = self.store.current().await?;
+                self.change(current, wanted, author(by, why), wait).await
+            }
+            ConfigCommand::Rollback {
+                version,
+                why,
+                by,
+                wait,
+            } => {
+                let current = self.store.current().await?;
+                let wanted = self.store.kept_document(&current, version).await?;
+                self.change(current, wanted, author(by, why), wait).await
+            }
+        }
+    }
+
+    /// Makes a document the next version, and waits until it is in force if that is asked for.
+    async fn change(
         &self,
         current: Current,
         wanted: Document,
         author: Author,
         wait: bool,
     ) -> Result<(), CommandError> {
-        wait::refuse_old(self.controllers).await?;
-        let record = self.store.store(&current, wanted, &author).await?;
-        println!("version {} is stored", record.version);
+        rollout::refuse_unsupported(&self.controllers).await?;
+        let VersionRecord { version, .. } = self.store.store(&current, wanted, &author).await?;
+        println!("version {version} is stored");
         if wait {
-            let took = wait::in_force(self.controllers, record.version).await?;
-            println!(
-                "version {} is in force everywhere after {took:.1} s",
-                record.version
-            );
+            let elapsed = rollout::wait_until_in_force(&self.controllers, version).await?;
+            let seconds = elapsed.as_secs_f64();
+            println!("version {version} is in force everywhere after {seconds:.1} s");
         }
         Ok(())
     }
 }
 
-fn author(by: Option<String>, why: String) -> Author {
+/// The author of a change that is made now: the user who runs the command, unless another is named.
+fn author(name: Option<String>, reason: String) -> Author {
     let user = || std::env::var("USER").unwrap_or_else(|_| "unknown".into());
-    let at = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as u64);
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     Author {
-        by: by.unwrap_or_else(user),
-        why,
-        at,
+        name: name.unwrap_or_else(user),
+        reason,
+        changed_at: since_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64),
         nonce: rand::random(),
     }
 }
-
-/// Reads and checks an operators' file.
-fn read(file: &Path, base: &Settings) -> Result<Document, CommandError> {
-    let text = files::read_text(file)?;
-    parse(&text, &file.display().to_string(), base)
-}
-
-fn parse(text: &str, file: &str, base: &Settings) -> Result<Document, CommandError> {
-    let document: Document =
-        toml::from_str(text).map_err(|e| CommandError::Parse(file.into(), Box::new(e)))?;
-    match document.effective(base, base) {
-        Ok(_) => Ok(document),
-        Err(DocumentError { field, reason }) => {
-            let line = line_of(text, &field);
-            Err(CommandError::Field {
-                file: file.into(),
-                line,
-                field,
-                reason,
-            })
-        }
-    }
-}
-
-/// The line of a field such as `teams[3].cpus`: that of its key, or of the table that it should be in.
-fn line_of(text: &str, field: &str) -> usize {
-    let (table, rest) = field.split_once('[').unwrap_or((field, ""));
-    let (index, key) = rest.split_once("].").unwrap_or(("", table));
-    let header = format!("[[{table}]]");
-    let lines = || text.lines().enumerate();
-    let begins = |line: &str| {
-        let line = line.trim_start();
-        line.strip_prefix(key)
-            .is_some_and(|rest| rest.trim_start().starts_with('='))
-    };
-    let Ok(index) = index.parse::<usize>() else {
-        return lines().find(|(_, l)| begins(l)).map_or(1, |(i, _)| i + 1);
-    };
-    let Some((start, _)) = lines().filter(|(_, l)| l.trim() == header).nth(index) else {
-        return 1;
-    };
-    let inside = lines()
-        .skip(start + 1)
-        .take_while(|(_, l)| !l.trim_start().starts_with('['));
-    inside
-        .into_iter()
-        .find(|(_, l)| begins(l))
-        .map_or(start + 1, |(i, _)| i + 1)
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the configuration.
+//! The configuration as text for operators.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -10,120 +10,115 @@
 
 use super::store::Current;
 
-fn table(head: &[&str]) -> Table {
+/// The origin of values that no version has changed.
+const PLATFORM_FILE: &str = "the platform's file";
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+fn new_table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table
         .load_preset(comfy_table::presets::NOTHING)
-        .set_header(head);
+        .set_header(header);
     table
 }
 
-/// A limit of 0 is none.
-fn limit(x: f64) -> String {
-    if x == 0.0 {
+/// A limit of zero stands for no limit.
+fn limit_text(limit: f64) -> String {
+    if limit == 0.0 {
         "none".into()
     } else {
-        x.to_string()
+        limit.to_string()
     }
 }
 
-fn row(team: &TeamEntry, from: &str) -> [String; 6] {
-    let state = if team.removed { "removed, " } else { "" };
+/// What is shown of a team after its name.
+fn team_values(team: &TeamEntry) -> [String; 4] {
     [
-        team.name.clone(),
         team.cpus.to_string(),
-        limit(team.cpus_max),
+        limit_text(team.cpus_max),
         team.gpus.to_string(),
-        limit(team.gpus_max),
-        format!("{state}{from}"),
+        limit_text(team.gpus_max),
     ]
 }
 
-/// All that holds, and where each value comes from.
-pub fn all(current: &Current, base: &Settings) -> String {
-    let version = match &current.record {
-        Some(r) => format!("version {} by {}: {}", r.version, r.author, r.reason),
-        None => "no version was ever stored: the platform's settings hold".to_string(),
-    };
-    let from_version = format!("version {}", current.version());
+fn team_row(team: &TeamEntry, origin: &str) -> Vec<String> {
+    let state = if team.removed { "removed, " } else { "" };
+    let mut row = vec![team.name.clone()];
+    row.extend(team_values(team));
+    row.push(format!("{state}{origin}"));
+    row
+}
+
+fn team_entry<'a>(document: &'a Document, name: &str) -> Option<&'a TeamEntry> {
+    document.teams.iter().find(|team| team.name == name)
+}
+
+/// All values in force, and where each comes from.
+pub fn current(current: &Current, base: &Settings) -> String {
+    let version_origin = format!("version {}", current.version());
     let document = &current.document;
-    let mut teams = table(&["team", "cpus", "cpus_max", "gpus", "gpus_max", "from"]);
-    let own = |name: &str| document.teams.iter().find(|t| t.name == name);
-    for team in &base.teams {
-        match own(&team.name) {
-            Some(entry) => teams.add_row(row(entry, &from_version)),
-            None => teams.add_row(row(&TeamEntry::of(team), "the platform's file")),
-        };
-    }
-    for entry in document
-        .teams
-        .iter()
-        .filter(|t| base.team(&t.name).is_none())
-    {
-        teams.add_row(row(entry, &from_version));
-    }
-    let from = |there: bool| {
-        if there {
-            from_version.as_str()
-        } else {
-            "the platform's file"
-        }
+    let mut text = match &current.record {
+        Some(record) => format!(
+            "version {} by {}: {}\n",
+            record.version, record.author, record.reason
+        ),
+        None => "no version was ever stored: the platform's settings hold\n".to_string(),
+    };
+    let teams = teams_table(document, base, &version_origin);
+    let _ = writeln!(text, "{teams}");
+    let (objective_count, objectives_origin) = match &document.objectives {
+        Some(objectives) => (objectives.len(), version_origin.as_str()),
+        None => (base.objectives.len(), PLATFORM_FILE),
     };
-    let count = document
-        .objectives
-        .as_ref()
-        .map_or(base.objectives.len(), Vec::len);
-    let mut text = format!("{version}\n{teams}\n");
     let _ = writeln!(
         text,
-        "{count} objectives, from {}",
-        from(document.objectives.is_some())
+        "{objective_count} objectives, from {objectives_origin}"
     );
     match &document.policy {
         Some(policy) => {
-            let _ = writeln!(text, "policy, from {from_version}:\n{}", policy.trim_end());
+            let _ = writeln!(
+                text,
+                "policy, from {version_origin}:\n{}",
+                policy.trim_end()
+            );
         }
         None => text += "policy: as the controllers were started\n",
     }
     text
 }
 
-/// What another document would change.
-pub fn differences(now: &Document, next: &Document, base: &Settings) -> String {
-    let mut text = String::new();
-    let entry = |d: &Document, name: &str| {
-        let own = d.teams.iter().find(|t| t.name == name).cloned();
-        own.or_else(|| base.team(name).map(|i| TeamEntry::of(&base.teams[i])))
-    };
-    let names: BTreeSet<&str> = now
-        .teams
-        .iter()
-        .chain(&next.teams)
-        .map(|t| t.name.as_str())
-        .collect();
-    for name in names {
-        let (before, after) = (entry(now, name), entry(next, name));
-        if before == after {
-            continue;
-        }
-        let told = |team: Option<TeamEntry>| {
-            team.map_or("not there".to_string(), |t| {
-                row(&t, "")[1..].join(" ").trim().to_string()
-            })
+/// The platform's teams, as the document changes them, and those that only the document has.
+fn teams_table(document: &Document, base: &Settings, version_origin: &str) -> Table {
+    let mut table = new_table(&["team", "cpus", "cpus_max", "gpus", "gpus_max", "from"]);
+    for team in &base.teams {
+        let row = match team_entry(document, &team.name) {
+            Some(entry) => team_row(entry, version_origin),
+            None => team_row(&TeamEntry::of(team), PLATFORM_FILE),
         };
-        let _ = writeln!(text, "team {name}: {} -> {}", told(before), told(after));
+        table.add_row(row);
+    }
+    for entry in &document.teams {
+        if base.team(&entry.name).is_none() {
+            table.add_row(team_row(entry, version_origin));
+        }
     }
-    if now.objectives != next.objectives {
+    table
+}
+
+/// What would change if another document became the current one.
+pub fn differences(current: &Document, next: &Document, base: &Settings) -> String {
+    let mut text = team_differences(current, next, base);
+    if current.objectives != next.objectives {
         text += "objectives differ\n";
     }
-    if now.policy != next.policy {
-        let _ = writeln!(text, "policy: {:?} -> {:?}", now.policy, next.policy);
+    if current.policy != next.policy {
+        let _ = writeln!(text, "policy: {:?} -> {:?}", current.policy, next.policy);
     }
-    if now.over_limit != next.over_limit {
+    if current.over_limit != next.over_limit {
         let _ = writeln!(
             text,
             "over_limit: {:?} -> {:?}",
-            now.over_limit, next.over_limit
+            current.over_limit, next.over_limit
         );
     }
     if text.is_empty() {
@@ -132,18 +127,55 @@
     text
 }
 
+/// A line for each team that differs, by name.
+fn team_differences(current: &Document, next: &Document, base: &Settings) -> String {
+    let entry = |document: &Document, name: &str| {
+        let of_platform = || Some(TeamEntry::of(&base.teams[base.team(name)?]));
+        team_entry(document, name).cloned().or_else(of_platform)
+    };
+    let names: BTreeSet<&str> = current
+        .teams
+        .iter()
+        .chain(&next.teams)
+        .map(|team| team.name.as_str())
+        .collect();
+    let mut text = String::new();
+    for name in names {
+        let before = entry(current, name);
+        let after = entry(next, name);
+        if before != after {
+            let _ = writeln!(
+                text,
+                "team {name}: {} -> {}",
+                team_summary(before.as_ref()),
+                team_summary(after.as_ref())
+            );
+        }
+    }
+    text
+}
+
+/// A team's values in one line, if there is such a team.
+fn team_summary(team: Option<&TeamEntry>) -> String {
+    let Some(team) = team else {
+        return "not there".to_string();
+    };
+    let state = if team.removed { " removed," } else { "" };
+    team_values(team).join(" ") + state
+}
+
+/// The versions that are kept, one a line.
 pub fn history(history: &HistoryRecord) -> String {
-    let mut versions = table(&["version", "at (s since 1970)", "by", "why"]);
-    for v in &history.versions {
-        let at = (v.created_at / 1_000_000).to_string();
-        versions.add_row([
-            v.version.to_string(),
-            at,
-            v.author.clone(),
-            v.reason.clone(),
+    let mut table = new_table(&["version", "at (s since 1970)", "by", "why"]);
+    for record in &history.versions {
+        table.add_row([
+            record.version.to_string(),
+            (record.created_at / MICROS_PER_SECOND).to_string(),
+            record.author.clone(),
+            record.reason.clone(),
         ]);
     }
-    format!("{versions}\n")
+    format!("{table}\n")
 }
 
 #[cfg(test)]
--- a/src/config/show/tests.rs
+++ b/src/config/show/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn where_values_come_from_and_what_would_change_is_told() {
+fn origins_of_values_and_differences_are_shown() {
     let base = base();
     let blue = TeamEntry {
         name: "blue".into(),
@@ -19,13 +19,18 @@
         teams: vec![blue],
         ..Document::default()
     };
-    let current = Current {
+    let stored = Current {
         document: document.clone(),
         ..Current::default()
     };
-    let shown = all(&current, &base);
-    let begins = |l: &&str, name: &str| l.trim_start().starts_with(name);
-    let line = |name: &str| shown.lines().find(|l| begins(l, name)).unwrap().to_string();
+    let shown = current(&stored, &base);
+    let line = |name: &str| {
+        let mut lines = shown.lines();
+        lines
+            .find(|line| line.trim_start().starts_with(name))
+            .unwrap()
+            .to_string()
+    };
     assert!(line("red").contains("16") && line("red").contains("the platform's file"));
     assert!(line("blue").contains("none") && line("blue").contains("version 0"));
     let change = differences(&Document::default(), &document, &base);
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -17,110 +17,127 @@
 };
 use tokio::time::sleep;
 
-use crate::http::Client;
+use crate::http::{Client, is_final};
 
-/// How long one request may take, how often one is tried, and the pause between tries.
-const PATIENCE: Duration = Duration::from_secs(5);
-const TRIES: u32 = 30;
-const PAUSE: Duration = Duration::from_secs(1);
+/// How long an answer is waited for.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// A request without a final answer is sent this often.
+const MAX_ATTEMPTS: u32 = 30;
+/// The pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The way to the state service.
+/// A client of the state service. Tests put a service in memory behind it.
 pub trait StateClient {
-    /// Sends one request.
+    /// Sends one request once.
     fn call(&self, method: Method, path: &str, body: &[u8]) -> impl Future<Output = CallResult>;
 }
 
 impl StateClient for Client {
     async fn call(&self, method: Method, path: &str, body: &[u8]) -> CallResult {
-        Client::call(self, method, path, body, PATIENCE).await
+        Client::call(self, method, path, body, REQUEST_TIMEOUT).await
     }
 }
 
 /// Why a version could not be read or stored.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    #[error("the state service does not answer; last: {0:?}")]
-    Silent(Option<u16>),
-    #[error("the state service answers {0} to {1}")]
-    Refused(u16, String),
+    #[error("the state service does not answer; last: {last_status:?}")]
+    NoFinalAnswer { last_status: Option<u16> },
+    #[error("the state service answers {status} to {request}")]
+    Refused { status: u16, request: String },
+    /// What is stored under a key is no record of this kind.
     #[error("{0} holds no version; it was changed by something else")]
-    NotOurs(&'static str),
-    #[error("version {version} by {by} came between: {why}")]
+    MalformedRecord(&'static str),
+    /// Another change became the next version first.
+    #[error("version {version} by {author} came between: {reason}")]
     Conflict {
         version: u64,
-        by: String,
-        why: String,
+        author: String,
+        reason: String,
     },
     #[error("version {0} is not kept any more")]
-    Unknown(u64),
-    #[error("the document of version {0}: {1}")]
-    Stored(u64, StoredDocumentError),
+    NotKept(u64),
+    #[error("the document of version {version}: {source}")]
+    InvalidDocument {
+        version: u64,
+        source: StoredDocumentError,
+    },
+    /// The document that is to be stored cannot be used.
     #[error("{0}")]
-    Document(#[from] DocumentError),
+    Unusable(#[from] DocumentError),
+    /// The document that is to be stored does not fit into the values of the state service.
     #[error("the document: {0}")]
-    Split(StoredDocumentError),
+    CannotSplit(#[source] StoredDocumentError),
 }
 
-/// A version as it stands in the state service, with the versions of its keys there.
+/// The configuration as it is in the state service, with the versions of its keys there. These make a change conditional
+/// on nobody else's having come first.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
-    /// `None`: none was ever stored.
+    /// The version that holds; `None`: none was ever stored.
     pub record: Option<VersionRecord>,
-    pub stamp: u64,
+    /// The version of the key that holds the record; 0 if there is none.
+    pub key_version: u64,
     pub document: Document,
     pub history: HistoryRecord,
-    pub(super) history_stamp: u64,
+    /// The version of the key that holds the history; 0 if there is none.
+    pub(super) history_key_version: u64,
 }
 
 impl Current {
+    /// The number of the version that holds; 0 if none was ever stored.
     pub fn version(&self) -> u64 {
-        self.record.as_ref().map_or(0, |r| r.version)
+        self.record.as_ref().map_or(0, |record| record.version)
     }
 }
 
 /// Who changes something, and why.
 #[derive(Clone, Debug)]
 pub struct Author {
-    pub by: String,
-    pub why: String,
+    pub name: String,
+    pub reason: String,
     /// Time of day in microseconds since 1970.
-    pub at: u64,
-    /// Tells documents apart that were written for the same version.
+    pub changed_at: u64,
+    /// Distinguishes documents that were written for the same version.
     pub nonce: u64,
 }
 
-/// Reads and writes versions.
+/// Reads and writes versions of the configuration.
 pub struct ConfigStore<'a, C> {
+    /// The state service's client.
     pub client: &'a C,
     /// The platform's settings.
     pub base: &'a Settings,
 }
 
 impl<C: StateClient> ConfigStore<'_, C> {
-    /// Asks until there is an answer that asking again would not change.
-    async fn ask(&self, request: &StoreRequest) -> Result<Answer, ConfigError> {
-        let mut last = None;
-        for _ in 0..TRIES {
-            match self
-                .client
-                .call(request.method, &request.path, &request.body)
-                .await
-            {
-                Ok(answer) if answer.status != 429 && answer.status < 500 => return Ok(answer),
-                result => last = result.ok().map(|answer| answer.status).or(last),
+    /// Sends a request until there is an answer that asking again would not change.
+    async fn call(&self, request: &StoreRequest) -> Result<Answer, ConfigError> {
+        let mut last_status = None;
+        for _ in 0..MAX_ATTEMPTS {
+            match self.call_once(request).await {
+                Ok(answer) if is_final(&answer) => return Ok(answer),
+                Ok(answer) => last_status = Some(answer.status),
+                Err(_) => {}
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
-        Err(ConfigError::Silent(last))
+        Err(ConfigError::NoFinalAnswer { last_status })
+    }
+
+    async fn call_once(&self, request: &StoreRequest) -> CallResult {
+        self.client
+            .call(request.method, &request.path, &request.body)
+            .await
     }
 
     /// A key's value and version; `None`: there is none.
     async fn get(&self, key: &str) -> Result<Option<StoredValue>, ConfigError> {
         let request = StoreRequest::get(key);
-        match self.ask(&request).await? {
+        match self.call(&request).await? {
             answer if answer.is_ok() => Ok(answer.decode()),
             answer if answer.status == 404 => Ok(None),
-            answer => Err(ConfigError::Refused(answer.status, request.path)),
+            answer => Err(refused(&answer, request.path)),
         }
     }
 
@@ -128,38 +145,47 @@
     pub async fn current(&self) -> Result<Current, ConfigError> {
         let mut current = Current::default();
         if let Some(item) = self.get(HISTORY_KEY).await? {
-            current.history = item.decode().ok_or(ConfigError::NotOurs(HISTORY_KEY))?;
-            current.history_stamp = item.version;
+            current.history = item
+                .decode()
+                .ok_or(ConfigError::MalformedRecord(HISTORY_KEY))?;
+            current.history_key_version = item.version;
         }
         let Some(item) = self.get(CURRENT_VERSION_KEY).await? else {
             return Ok(current);
         };
         let record: VersionRecord = item
             .decode()
-            .ok_or(ConfigError::NotOurs(CURRENT_VERSION_KEY))?;
-        current.stamp = item.version;
-        current.document = self.document(&record).await?;
+            .ok_or(ConfigError::MalformedRecord(CURRENT_VERSION_KEY))?;
+        current.key_version = item.version;
+        current.document = self.read_document(&record).await?;
         current.record = Some(record);
         Ok(current)
     }
 
     /// The document of a version.
-    pub async fn document(&self, record: &VersionRecord) -> Result<Document, ConfigError> {
+    pub async fn read_document(&self, record: &VersionRecord) -> Result<Document, ConfigError> {
         let request = StoreRequest::list(&record.parts_prefix(), "");
-        match self.ask(&request).await? {
+        match self.call(&request).await? {
             answer if answer.is_ok() => {
                 let listing: Listing = answer
                     .decode()
-                    .ok_or_else(|| ConfigError::Refused(200, request.path.clone()))?;
+                    .ok_or_else(|| refused(&answer, request.path))?;
                 let document = record.assemble(&listing);
-                document.map_err(|e| ConfigError::Stored(record.version, e))
+                document.map_err(|source| ConfigError::InvalidDocument {
+                    version: record.version,
+                    source,
+                })
             }
-            answer => Err(ConfigError::Refused(answer.status, request.path)),
+            answer => Err(refused(&answer, request.path)),
         }
     }
 
-    /// The document of a version that is kept.
-    pub async fn kept(&self, current: &Current, version: u64) -> Result<Document, ConfigError> {
+    /// The document of a version that the history still has; that of version 0 is empty.
+    pub async fn kept_document(
+        &self,
+        current: &Current,
+        version: u64,
+    ) -> Result<Document, ConfigError> {
         if version == 0 {
             return Ok(Document::default());
         }
@@ -167,12 +193,12 @@
             .history
             .versions
             .iter()
-            .find(|v| v.version == version);
-        self.document(record.ok_or(ConfigError::Unknown(version))?)
+            .find(|record| record.version == version);
+        self.read_document(record.ok_or(ConfigError::NotKept(version))?)
             .await
     }
 
-    /// Makes a document the next version after `current`, and returns that.
+    /// Checks a document, makes it the next version after `current`, and returns that version.
     pub async fn store(
         &self,
         current: &Current,
@@ -181,22 +207,24 @@
     ) -> Result<VersionRecord, ConfigError> {
         let document = current.document.followed_by(wanted, self.base);
         document.effective(self.base, self.base)?;
-        let parts = split_document(&document, self.base.value_bytes).map_err(ConfigError::Split)?;
+        let parts =
+            split_document(&document, self.base.value_bytes).map_err(ConfigError::CannotSplit)?;
         let version = current.version() + 1;
         let record = VersionRecord {
             version,
             id: format!("{version}-{:016x}", author.nonce),
             parts: parts.len() as u32,
-            created_at: author.at,
-            author: shortened(&author.by),
-            reason: shortened(&author.why),
+            created_at: author.changed_at,
+            author: truncated(&author.name),
+            reason: truncated(&author.reason),
         };
         self.write_parts(&record, &parts).await?;
-        let dropped = self.switch(current, &record).await?;
-        self.clean_up(&dropped).await;
+        let dropped = self.make_current(current, &record).await?;
+        self.delete_documents(&dropped).await;
         Ok(record)
     }
 
+    /// Writes the parts of a version's document. Nobody reads them before the version is made the current one.
     async fn write_parts(
         &self,
         record: &VersionRecord,
@@ -205,17 +233,17 @@
         let keys: Vec<(String, &Document)> = parts
             .iter()
             .enumerate()
-            .map(|(i, part)| (record.part_key(i), part))
+            .map(|(index, part)| (record.part_key(index), part))
             .collect();
         for batch in keys.chunks(self.base.txn_ops.max(1)) {
-            let mut commit = Transaction::default();
-            batch
-                .iter()
-                .for_each(|(key, part)| commit.put(key, to_raw_value(part), None));
-            let request = commit.to_request();
-            match self.ask(&request).await? {
+            let mut transaction = Transaction::default();
+            for (key, part) in batch {
+                transaction.put(key, to_raw_value(part), None);
+            }
+            let request = transaction.to_request();
+            match self.call(&request).await? {
                 answer if answer.is_ok() => {}
-                answer => return Err(ConfigError::Refused(answer.status, "a part".into())),
+                answer => return Err(refused(&answer, "a part".into())),
             }
         }
         Ok(())
@@ -223,73 +251,78 @@
 
     /// Makes a version the one that holds; returns the versions that are not kept any more. An answer that is lost does
     /// not matter: the same transaction is sent again, and fails where it or another was carried out.
-    async fn switch(
+    async fn make_current(
         &self,
         current: &Current,
         record: &VersionRecord,
     ) -> Result<Vec<VersionRecord>, ConfigError> {
         let mut history = current.history.clone();
         let dropped = history.push(record.clone(), self.base.value_bytes);
-        let mut commit = Transaction::default();
-        commit.guard(CURRENT_VERSION_KEY, current.stamp);
-        commit.guard(HISTORY_KEY, current.history_stamp);
-        commit.put(CURRENT_VERSION_KEY, to_raw_value(record), None);
-        commit.put(HISTORY_KEY, to_raw_value(&history), None);
-        let request = commit.to_request();
-        match self.ask(&request).await? {
+        let mut transaction = Transaction::default();
+        transaction.guard(CURRENT_VERSION_KEY, current.key_version);
+        transaction.guard(HISTORY_KEY, current.history_key_version);
+        transaction.put(CURRENT_VERSION_KEY, to_raw_value(record), None);
+        transaction.put(HISTORY_KEY, to_raw_value(&history), None);
+        let request = transaction.to_request();
+        match self.call(&request).await? {
             answer if answer.decode_ok::<Committed>().is_some() => Ok(dropped),
             answer if answer.status == 409 && answer.decode::<Conflict>().is_some() => {
-                self.came_between(record).await.map(|()| dropped)
+                self.resolve_conflict(record).await.map(|()| dropped)
             }
-            answer => Err(ConfigError::Refused(answer.status, "the switch".into())),
+            answer => Err(refused(&answer, "the switch".into())),
         }
     }
 
-    /// The version that holds is another one than was expected: this one, if the first answer was lost.
-    async fn came_between(&self, record: &VersionRecord) -> Result<(), ConfigError> {
+    /// Finds out why the versions of the keys were not those expected: this version itself was made the current one and
+    /// the answer was lost, which is no error, or another change came first.
+    async fn resolve_conflict(&self, record: &VersionRecord) -> Result<(), ConfigError> {
+        let is_this = |other: &VersionRecord| other.id == record.id;
         let item = self.get(CURRENT_VERSION_KEY).await?;
-        let holds: Option<VersionRecord> = item.and_then(|i| i.decode());
-        // Others may have followed it since.
-        let ours = |v: &VersionRecord| v.id == record.id;
-        let history = self
-            .get(HISTORY_KEY)
-            .await?
-            .and_then(|i| i.decode::<HistoryRecord>());
-        if holds.as_ref().is_some_and(ours) || history.is_some_and(|h| h.versions.iter().any(ours))
-        {
+        let current: Option<VersionRecord> = item.and_then(|item| item.decode());
+        // Other versions may have followed this one since.
+        let item = self.get(HISTORY_KEY).await?;
+        let history: Option<HistoryRecord> = item.and_then(|item| item.decode());
+        let is_in_history = history.is_some_and(|history| history.versions.iter().any(is_this));
+        if current.as_ref().is_some_and(is_this) || is_in_history {
             return Ok(());
         }
-        self.clean_up(std::slice::from_ref(record)).await;
-        match holds {
-            Some(v) => Err(ConfigError::Conflict {
-                version: v.version,
-                by: v.author,
-                why: v.reason,
+        self.delete_documents(std::slice::from_ref(record)).await;
+        match current {
+            Some(other) => Err(ConfigError::Conflict {
+                version: other.version,
+                author: other.author,
+                reason: other.reason,
             }),
-            None => Err(ConfigError::NotOurs(CURRENT_VERSION_KEY)),
+            None => Err(ConfigError::MalformedRecord(CURRENT_VERSION_KEY)),
         }
     }
 
-    /// Deletes the documents of versions that are not kept. What is left over does no harm.
-    async fn clean_up(&self, versions: &[VersionRecord]) {
+    /// Deletes the documents of versions that are not kept. It is tried once: what is left over does no harm.
+    async fn delete_documents(&self, versions: &[VersionRecord]) {
         for version in versions {
             let keys: Vec<String> = (0..version.parts as usize)
-                .map(|i| version.part_key(i))
+                .map(|index| version.part_key(index))
                 .collect();
             for batch in keys.chunks(self.base.txn_ops.max(1)) {
-                let mut commit = Transaction::default();
-                batch.iter().for_each(|key| commit.delete(key));
-                let request = commit.to_request();
-                let _ = self
-                    .client
-                    .call(request.method, &request.path, &request.body)
-                    .await;
+                let mut transaction = Transaction::default();
+                for key in batch {
+                    transaction.delete(key);
+                }
+                let request = transaction.to_request();
+                let _ = self.call_once(&request).await;
             }
         }
     }
 }
 
-/// So much of a text as is kept with a version.
-fn shortened(text: &str) -> String {
+fn refused(answer: &Answer, request: String) -> ConfigError {
+    ConfigError::Refused {
+        status: answer.status,
+        request,
+    }
+}
+
+/// As much of a text as is stored with a version.
+fn truncated(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_TEXT_BYTES.min(text.len()))].to_string()
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -7,7 +7,7 @@
 mod head;
 mod server;
 
-pub use self::client::{Client, NoFinalAnswer, ask_any};
+pub use self::client::{Client, NoFinalAnswer, ask_any, is_final};
 pub use self::server::{BodyBudget, Connection, MAX_BODY_BYTES};
 pub use gannethub_core::http::{
     Answer, CallResult, Method, NoAnswer, Request, Response, decode_ok,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -24,6 +24,9 @@
 /// `No Content`: a response without a body, whatever its headers say.
 const NO_CONTENT: u16 = 204;
 
+/// The status of a server that limits the rate of requests.
+const TOO_MANY_REQUESTS: u16 = 429;
+
 /// How long [`ask_any`] waits for each answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(5);
 /// For how long [`ask_any`] repeats its request.
@@ -111,8 +114,12 @@
     pub last_status: Option<u16>,
 }
 
-/// Asks servers in turn, once a second for a minute, until one gives an answer that asking again would not change:
-/// neither a server error nor "too many requests".
+/// Whether sending the request again would not change the answer: it is neither a server error nor "too many requests".
+pub fn is_final(answer: &Answer) -> bool {
+    answer.status < 500 && answer.status != TOO_MANY_REQUESTS
+}
+
+/// Asks servers in turn, once a second for a minute, until one gives a final answer.
 pub async fn ask_any(
     clients: &[Client],
     method: Method,
@@ -123,7 +130,7 @@
     let mut last_status = None;
     for client in clients.iter().cycle() {
         match client.call(method, path, body, ASK_TIMEOUT).await {
-            Ok(answer) if answer.status < 500 && answer.status != 429 => return Ok(answer),
+            Ok(answer) if is_final(&answer) => return Ok(answer),
             Ok(answer) => last_status = Some(answer.status),
             Err(_) => {}
         }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -10,21 +10,21 @@
 use gannethub_emulators::State;
 use gannethub_emulators::state::Outcome;
 
-/// A state service, and what goes wrong on the way to it.
-struct Store {
+/// A state service in memory, and the faults of the connection to it.
+struct FaultyStateService {
     state: RefCell<State>,
-    /// Answers to so many transactions from now on are lost, though these are carried out.
+    /// The answers to this many transactions are lost from now on, though the transactions are carried out.
     lost: Cell<usize>,
-    /// So many requests are answered 503.
+    /// This many requests are answered 503 from now on.
     refused: Cell<usize>,
 }
 
-impl Store {
-    fn new() -> Store {
+impl FaultyStateService {
+    fn new() -> FaultyStateService {
         let mut state = State::new(4096, 8);
         state.page = 1000;
         let state = RefCell::new(state);
-        Store {
+        FaultyStateService {
             state,
             lost: Cell::new(0),
             refused: Cell::new(0),
@@ -32,15 +32,16 @@
     }
 }
 
-fn used_up(count: &Cell<usize>) -> bool {
+/// Counts down; whether a fault was left to be injected.
+fn take_fault(count: &Cell<usize>) -> bool {
     let left = count.get();
     count.set(left.saturating_sub(1));
-    left == 0
+    left > 0
 }
 
-impl StateClient for Store {
+impl StateClient for FaultyStateService {
     async fn call(&self, method: Method, path: &str, body: &[u8]) -> CallResult {
-        if !used_up(&self.refused) {
+        if take_fault(&self.refused) {
             return Ok(Answer::new(503, Bytes::new()));
         }
         let outcome = self
@@ -50,7 +51,7 @@
         let Outcome::Answer(status, body) = outcome else {
             return Err(NoAnswer::Timeout);
         };
-        if path == "/commit" && !used_up(&self.lost) {
+        if path == "/commit" && take_fault(&self.lost) {
             return Err(NoAnswer::Timeout);
         }
         Ok(Answer::new(status, body.to_string()))
@@ -65,11 +66,11 @@
     Settings::parse(text, "test").expect("it is fine").0
 }
 
-fn author(by: &str, nonce: u64) -> Author {
+fn author(name: &str, nonce: u64) -> Author {
     Author {
-        by: by.into(),
-        why: "a reason".into(),
-        at: 7,
+        name: name.into(),
+        reason: "a reason".into(),
+        changed_at: 7,
         nonce,
     }
 }
@@ -89,7 +90,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn versions_of_three_hundred_teams_follow_one_another_and_come_back() {
-    let (client, base) = (Store::new(), base());
+    let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
         base: &base,
@@ -107,7 +108,7 @@
     let current = store.current().await.expect("read");
     assert_eq!((current.version(), current.document.teams.len()), (3, 300));
     assert_eq!(current.document.teams[7].cpus_max, 30.0);
-    let first = store.kept(&current, 1).await.expect("it is kept");
+    let first = store.kept_document(&current, 1).await.expect("it is kept");
     let record = store
         .store(&current, first, &author("bob", 4))
         .await
@@ -118,8 +119,8 @@
         (4, 10.0)
     );
     assert!(matches!(
-        store.kept(&current, 99).await,
-        Err(ConfigError::Unknown(99))
+        store.kept_document(&current, 99).await,
+        Err(ConfigError::NotKept(99))
     ));
     assert_eq!(client.state.borrow().too_large, 0);
 }
@@ -127,7 +128,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_is_found_out_and_nothing_is_stored_twice() {
     for lost in 1..4 {
-        let (client, base) = (Store::new(), base());
+        let (client, base) = (FaultyStateService::new(), base());
         let store = ConfigStore {
             client: &client,
             base: &base,
@@ -147,7 +148,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn of_two_operators_at_once_the_second_is_told_of_the_first() {
-    let (client, base) = (Store::new(), base());
+    let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
         base: &base,
@@ -163,10 +164,10 @@
     match second {
         Err(ConfigError::Conflict {
             version: 1,
-            by,
-            why,
+            author,
+            reason,
         }) => {
-            assert_eq!((by.as_str(), why.as_str()), ("ada", "a reason"));
+            assert_eq!((author.as_str(), reason.as_str()), ("ada", "a reason"));
         }
         other => panic!("{other:?}"),
     }
@@ -180,7 +181,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_cannot_be_used_is_never_stored() {
-    let (client, base) = (Store::new(), base());
+    let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
         base: &base,
@@ -189,21 +190,21 @@
     let mut wanted = teams(1, 9.0);
     wanted.teams[0].cpus = 10.0;
     let refused = store.store(&current, wanted, &author("ada", 1)).await;
-    assert!(matches!(refused, Err(ConfigError::Document(e)) if e.field == "teams[0].cpus"));
+    assert!(matches!(refused, Err(ConfigError::Unusable(error)) if error.field == "teams[0].cpus"));
     let long = Document {
         policy: Some("# ".repeat(9000)),
         ..Document::default()
     };
     assert!(matches!(
         store.store(&current, long, &author("ada", 1)).await,
-        Err(ConfigError::Split(_))
+        Err(ConfigError::CannotSplit(_))
     ));
     assert!(client.state.borrow().keys("gh/").is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn history_is_bounded_and_documents_beyond_it_are_deleted() {
-    let (client, base) = (Store::new(), base());
+    let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
         base: &base,
