--- a/crates/gannethub-core/src/settings/tests.rs
+++ b/crates/gannethub-core/src/settings/tests.rs
@@ -31,30 +31,30 @@
 "#;
 
 #[test]
-fn a_good_file_loads_and_missing_sections_take_defaults() {
-    let (s, warnings) = Settings::parse(SAMPLE, "f").unwrap();
+fn a_valid_file_is_read_and_missing_sections_take_defaults() {
+    let (settings, warnings) = Settings::parse(SAMPLE, "f").unwrap();
     assert_eq!(warnings, Vec::<String>::new());
-    assert_eq!(s.lease_duration, 10_000_000);
-    assert_eq!(s.value_bytes, 16 * 1024);
-    assert_eq!(s.team("blue"), Some(1));
+    assert_eq!(settings.lease_duration, 10_000_000);
+    assert_eq!(settings.value_bytes, 16 * 1024);
+    assert_eq!(settings.team("blue"), Some(1));
 }
 
 #[test]
-fn what_the_state_service_will_allow_is_known_from_the_start() {
+fn the_next_limits_of_the_state_service_hold_from_the_start() {
     let next = "[cluster.state]\ntxn_ops = 8\nvalue_kb = 4.0\n[cluster.state.next]\n\
         write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\n[cluster.workers]";
     let text = SAMPLE.replace("[cluster.workers]", next);
-    let (s, _) = Settings::parse(&text, "f").unwrap();
-    assert_eq!((s.value_bytes, s.txn_ops), (2048, 8));
+    let (settings, _) = Settings::parse(&text, "f").unwrap();
+    assert_eq!((settings.value_bytes, settings.txn_ops), (2048, 8));
     assert_eq!(
-        s.state_rates,
+        settings.state_rates,
         Rates {
             requests: 100.0,
             changes: 40.0
         }
     );
     assert_eq!(
-        s.state_rates_next,
+        settings.state_rates_next,
         Rates {
             requests: 100.0,
             changes: 18.0
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn impossible_values_are_refused_with_their_field() {
+fn invalid_values_are_refused_with_their_field() {
     let cases = [
         (
             "cpus_max = 16.0",
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn deciding_takes_no_more_than_a_part_of_the_share() {
+fn scheduling_steps_are_bounded_by_the_share_of_a_processor() {
     let steps = |quota: &str| {
         let text = format!("{SAMPLE}\n[cluster.quota]\n{quota}\n");
         Settings::parse(&text, "f").unwrap().0.decide_steps()
@@ -132,7 +132,7 @@
     assert_eq!(
         steps(""),
         50_000.0,
-        "a controller that is told no share goes by policy alone"
+        "without a share the policy alone decides"
     );
     assert_eq!(steps("cores = 0.4"), 50_000.0);
     assert_eq!(steps("cores = 0.02"), 10_000.0);
--- /dev/null
+++ b/crates/gannethub-core/src/settings/validation.rs
@@ -0,0 +1,317 @@
+//! The checks of a settings file. Each error names the field as the file has it.
+
+use std::collections::HashSet;
+use std::net::SocketAddrV4;
+
+use super::file::{self, Cluster, File};
+use super::{Objective, Peer, Rates, Settings, SettingsError, unlimited};
+use crate::model::{Micros, Resources, Team, micros_from_seconds};
+use crate::policy::Policy;
+
+/// A range of numbers, both ends included.
+struct Range {
+    min: f64,
+    max: f64,
+}
+
+/// The share of a processor that a controller may have: with less than a thousandth it would answer nobody in time.
+const CORES: Range = Range {
+    min: 0.001,
+    max: 1024.0,
+};
+/// The memory that a controller may hold: with less there is no room for its sockets and one answer of the state service.
+const MEGABYTES: Range = Range {
+    min: 16.0,
+    max: 1_048_576.0,
+};
+/// No amount is larger.
+const MAX_AMOUNT: f64 = 1e9;
+/// A value of the state service has to hold a job.
+const MIN_VALUE_BYTES: usize = 2048;
+/// A takeover writes two keys at once.
+const MIN_TRANSACTION_OPERATIONS: usize = 2;
+const BYTES_PER_KILOBYTE: f64 = 1024.0;
+
+/// Checks the contents of a settings file. Also returns warnings about what is odd but usable.
+pub(super) fn validate(
+    contents: File,
+    file: &str,
+) -> Result<(Settings, Vec<String>), SettingsError> {
+    let mut validation = Validation {
+        file,
+        warnings: Vec::new(),
+    };
+    let settings = validation.settings(contents)?;
+    Ok((settings, validation.warnings))
+}
+
+struct Validation<'a> {
+    /// The name that errors give the file.
+    file: &'a str,
+    warnings: Vec<String>,
+}
+
+// The checks of single values.
+impl Validation<'_> {
+    fn invalid<T>(&self, field: &str, reason: impl Into<String>) -> Result<T, SettingsError> {
+        Err(SettingsError::Field {
+            file: self.file.to_string(),
+            field: field.to_string(),
+            reason: reason.into(),
+        })
+    }
+
+    fn address(&self, field: &str, text: &str) -> Result<SocketAddrV4, SettingsError> {
+        match text.parse::<SocketAddrV4>() {
+            Ok(address) if address.port() != 0 => Ok(address),
+            _ => self.invalid(
+                field,
+                format!("{text:?} is not an IPv4 address with a port"),
+            ),
+        }
+    }
+
+    fn amount(&self, field: &str, number: f64) -> Result<f64, SettingsError> {
+        if number.is_finite() && (0.0..=MAX_AMOUNT).contains(&number) {
+            Ok(number)
+        } else {
+            self.invalid(field, format!("{number} is not a usable amount"))
+        }
+    }
+
+    fn positive(&self, field: &str, number: f64) -> Result<f64, SettingsError> {
+        if self.amount(field, number)? > 0.0 {
+            Ok(number)
+        } else {
+            self.invalid(field, "must be above zero")
+        }
+    }
+
+    fn duration(&self, field: &str, seconds: f64) -> Result<Micros, SettingsError> {
+        self.positive(field, seconds).map(micros_from_seconds)
+    }
+
+    fn in_range(&self, field: &str, number: f64, range: &Range) -> Result<f64, SettingsError> {
+        let Range { min, max } = range;
+        if (*min..=*max).contains(&number) {
+            Ok(number)
+        } else {
+            self.invalid(field, format!("{number} is not between {min} and {max}"))
+        }
+    }
+
+    fn name(&self, field: &str, name: &str) -> Result<String, SettingsError> {
+        if name.is_empty() {
+            self.invalid(field, "must not be empty")
+        } else {
+            Ok(name.to_string())
+        }
+    }
+
+    /// The smaller one of a limit of the state service and of what it will go over to, if that is known. It goes over
+    /// without notice, so what it would then call too large is never written.
+    fn state_limit(
+        &self,
+        name: &str,
+        current: f64,
+        next: Option<f64>,
+    ) -> Result<f64, SettingsError> {
+        let current = self.positive(&format!("cluster.state.{name}"), current)?;
+        let Some(next) = next else {
+            return Ok(current);
+        };
+        let next = self.positive(&format!("cluster.state.next.{name}"), next)?;
+        Ok(next.min(current))
+    }
+}
+
+// The checks of whole sections, in the order in which their errors are told.
+impl Validation<'_> {
+    fn settings(&mut self, contents: File) -> Result<Settings, SettingsError> {
+        let name = self.name("host_name", &contents.host_name)?;
+        let peers = self.peers(&name, &contents.siblings)?;
+        self.warn_of_unlisted_zones(&contents);
+        let cluster = &contents.cluster;
+        let teams = self.teams(&cluster.teams)?;
+        let objectives = self.objectives(&cluster.objectives)?;
+        let Cluster {
+            workers,
+            state,
+            cloud,
+            quota,
+            ..
+        } = cluster;
+        let next = &state.next;
+        let settings = Settings {
+            name,
+            zone: contents.area,
+            listen: self.address("bind", &contents.bind)?,
+            cluster_listen: self.address("cluster_listen", &contents.cluster_listen)?,
+            peers,
+            cloud: self.address("outside.cloud", &contents.outside.cloud)?,
+            state: self.address("outside.state", &contents.outside.state)?,
+            zones: cluster.zones.clone(),
+            teams,
+            objectives,
+            heartbeat_interval: self.duration("cluster.workers.report_s", workers.report_s)?,
+            lease_duration: self.duration("cluster.workers.lease_s", workers.lease_s)?,
+            gang_wait: self.duration("cluster.workers.gang_wait_s", workers.gang_wait_s)?,
+            gang_peer: self.duration("cluster.workers.gang_peer_s", workers.gang_peer_s)?,
+            cancel_timeout: self.duration("cluster.workers.cancel_s", workers.cancel_s)?,
+            state_rates: self.rates(state, None, None)?,
+            state_rates_next: self.rates(state, next.rps, next.write_rps)?,
+            value_bytes: self.value_bytes(state)?,
+            txn_ops: self.state_limit("txn_ops", state.txn_ops, next.txn_ops)? as usize,
+            cloud_rps: self.positive("cluster.cloud.rps", cloud.rps)?,
+            list_lag: micros_from_seconds(
+                self.amount("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
+            ),
+            max_connections: self
+                .positive("cluster.quota.max_connections", quota.max_connections)?
+                as usize,
+            memory_bytes: self.memory_bytes(quota)?,
+            cores: self.cores(quota)?,
+            policy: Policy::default(),
+            ledger: None,
+        };
+        self.check_together(&settings)?;
+        Ok(settings)
+    }
+
+    fn peers(
+        &self,
+        own_name: &str,
+        siblings: &[file::Sibling],
+    ) -> Result<Vec<Peer>, SettingsError> {
+        let mut names = HashSet::from([own_name]);
+        let mut peers = Vec::new();
+        for (index, sibling) in siblings.iter().enumerate() {
+            let field = |name: &str| format!("siblings[{index}].{name}");
+            let name = sibling.host_name.as_str();
+            if name == own_name {
+                return self.invalid(&field("host_name"), "is this controller's own name");
+            }
+            if !names.insert(name) {
+                return self.invalid(&field("host_name"), format!("{name:?} appears twice"));
+            }
+            peers.push(Peer {
+                name: self.name(&field("host_name"), name)?,
+                zone: sibling.area.clone(),
+                addr: self.address(&field("peer_addr"), &sibling.peer_addr)?,
+            });
+        }
+        Ok(peers)
+    }
+
+    fn warn_of_unlisted_zones(&mut self, contents: &File) {
+        let zones = &contents.cluster.zones;
+        if zones.is_empty() {
+            return;
+        }
+        let own = std::iter::once((&contents.host_name, &contents.area));
+        let siblings = contents.siblings.iter();
+        let controllers = own.chain(siblings.map(|sibling| (&sibling.host_name, &sibling.area)));
+        for (name, zone) in controllers.filter(|(_, zone)| !zones.contains(zone)) {
+            self.warnings.push(format!(
+                "controller {name} is in the unlisted zone {zone:?}"
+            ));
+        }
+    }
+
+    fn teams(&mut self, entries: &[file::Team]) -> Result<Vec<Team>, SettingsError> {
+        let mut teams: Vec<Team> = Vec::new();
+        for (index, entry) in entries.iter().enumerate() {
+            let field = |name: &str| format!("cluster.teams[{index}].{name}");
+            if teams.iter().any(|team| team.name == entry.name) {
+                return self.invalid(&field("name"), format!("{:?} appears twice", entry.name));
+            }
+            let team = Team {
+                name: self.name(&field("name"), &entry.name)?,
+                guarantee: Resources::new(
+                    self.amount(&field("cpus"), entry.cpus)?,
+                    self.amount(&field("gpus"), entry.gpus)?,
+                    0.0,
+                ),
+                limit: unlimited(Resources::new(
+                    self.amount(&field("cpus_max"), entry.cpus_max)?,
+                    self.amount(&field("gpus_max"), entry.gpus_max)?,
+                    0.0,
+                )),
+                closed: false,
+            };
+            if !Team::within(&team.limit, &Resources::default(), &team.guarantee) {
+                let warning = format!("team {}: the guarantee is above the limit", entry.name);
+                self.warnings.push(warning);
+            }
+            teams.push(team);
+        }
+        if teams.is_empty() {
+            let warning = "no teams: every submission will be refused";
+            self.warnings.push(warning.into());
+        }
+        Ok(teams)
+    }
+
+    fn objectives(&self, entries: &[file::Objective]) -> Result<Vec<Objective>, SettingsError> {
+        let mut objectives = Vec::new();
+        for (index, entry) in entries.iter().enumerate() {
+            let field = |name: &str| format!("cluster.objectives[{index}].{name}");
+            objectives.push(Objective {
+                kind: entry.kind.clone(),
+                class: entry.class.clone(),
+                within: micros_from_seconds(self.amount(&field("within_s"), entry.within_s)?),
+                share: self.amount(&field("share"), entry.share)?,
+                times: self.amount(&field("times"), entry.times)?,
+            });
+        }
+        Ok(objectives)
+    }
+
+    fn rates(
+        &self,
+        state: &file::State,
+        next_requests: Option<f64>,
+        next_changes: Option<f64>,
+    ) -> Result<Rates, SettingsError> {
+        Ok(Rates {
+            requests: self.state_limit("rps", state.rps, next_requests)?,
+            changes: self.state_limit("write_rps", state.write_rps, next_changes)?,
+        })
+    }
+
+    fn value_bytes(&self, state: &file::State) -> Result<usize, SettingsError> {
+        let kilobytes = self.state_limit("value_kb", state.value_kb, state.next.value_kb)?;
+        Ok((kilobytes * BYTES_PER_KILOBYTE) as usize)
+    }
+
+    fn memory_bytes(&self, quota: &file::Quota) -> Result<usize, SettingsError> {
+        let megabytes = self.in_range("cluster.quota.memory_mb", quota.memory_mb, &MEGABYTES)?;
+        Ok((megabytes * BYTES_PER_KILOBYTE * BYTES_PER_KILOBYTE) as usize)
+    }
+
+    fn cores(&self, quota: &file::Quota) -> Result<Option<f64>, SettingsError> {
+        quota
+            .cores
+            .map(|cores| self.in_range("cluster.quota.cores", cores, &CORES))
+            .transpose()
+    }
+
+    /// The checks that concern more than one value, or what becomes of a value.
+    fn check_together(&mut self, settings: &Settings) -> Result<(), SettingsError> {
+        if settings.value_bytes < MIN_VALUE_BYTES {
+            return self.invalid("cluster.state.value_kb", "below 2 KiB no job fits");
+        }
+        if settings.txn_ops < MIN_TRANSACTION_OPERATIONS {
+            return self.invalid(
+                "cluster.state.txn_ops",
+                "a takeover writes two keys at once",
+            );
+        }
+        if settings.cancel_timeout < settings.lease_duration {
+            let warning =
+                "cancel_s is below lease_s: a silent machine may keep cancelled tasks too long";
+            self.warnings.push(warning.into());
+        }
+        Ok(())
+    }
+}
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -50,9 +50,16 @@
         "saga",
         "settings",
     ] {
-        let text = std::fs::read_to_string(src.join(format!("{module}.rs"))).expect("a module");
-        read += 1;
-        upward.extend(named(&text).map(|other| format!("{module} names {other}")));
+        let mut paths = vec![src.join(format!("{module}.rs"))];
+        let folder = src.join(module);
+        if folder.is_dir() {
+            paths.extend(source_files(&folder));
+        }
+        for path in paths {
+            let text = std::fs::read_to_string(&path).expect("a module");
+            read += 1;
+            upward.extend(named(&text).map(|other| format!("{} names {other}", path.display())));
+        }
     }
     assert!(read > 25, "{read} files");
     assert_eq!(upward, Vec::<String>::new());
