--- a/crates/gannethub-core/src/wire/api.rs
+++ b/crates/gannethub-core/src/wire/api.rs
@@ -1,6 +1,7 @@
 //! The users' interface, as it appears on the wire: routes, submissions and answers.
 
 mod admission;
+mod refusal;
 mod routes;
 mod submission;
 
@@ -10,6 +11,7 @@
 use crate::model::JobId;
 
 pub use self::admission::admit;
+pub use self::refusal::Refusal;
 pub use self::routes::{Route, route};
 pub use self::submission::{MAX_TASKS, Submission, parse_json_object, parse_submission};
 
@@ -72,22 +74,5 @@
     Response::json(status, &body)
 }
 
-/// Why a submission is refused. The texts are for users, and name fields as users do.
-#[derive(Debug, thiserror::Error, PartialEq)]
-pub enum Refusal {
-    /// A field is missing or makes no sense.
-    #[error("{0}")]
-    Malformed(String),
-    /// The job could never run in this cluster.
-    #[error("{0}")]
-    Impossible(String),
-    /// Whether the job could run cannot be told before the cloud has listed its machine types.
-    #[error("the machine types are not known yet")]
-    MachineTypesUnknown,
-    /// Whether the job could run cannot be told, as there may be a newer configuration than is known here.
-    #[error("the configuration is changing")]
-    ConfigurationChanging,
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/gannethub-core/src/wire/api/admission.rs
+++ b/crates/gannethub-core/src/wire/api/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::Refusal;
+use super::refusal::Refusal;
 use crate::model::{JobSpec, MachineType, Resources, Shape, Team};
 
 fn impossible<T>(field: &str, reason: &str) -> Result<T, Refusal> {
--- a/crates/gannethub-core/src/wire/api/submission.rs
+++ b/crates/gannethub-core/src/wire/api/submission.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use super::Refusal;
+use super::refusal::Refusal;
 use crate::model::{
     JobId, JobSpec, Micros, Priority, Resources, Shape, is_valid_job_id, micros_from_seconds,
 };
--- a/crates/gannethub-core/src/wire/peer/frame.rs
+++ b/crates/gannethub-core/src/wire/peer/frame.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, BufMut, BytesMut};
 use prost::Message;
 
-use super::Envelope;
+use super::message::Envelope;
 
 /// A longer frame is garbage, and ends the connection.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -26,5 +26,6 @@
 pub use self::records::{
     DonePartRecord, FinishedJobRecord, JobOwner, JobRecord, LeaseRecord, LiveRecord,
     MachineTransferRecord, QuotaPartitionRecord, VALUE_SLACK_BYTES, WaitingJobSpec, WaitingRecord,
+    to_raw_value,
 };
-pub use self::requests::{StoreRequest, Transaction, to_raw_value};
+pub use self::requests::{StoreRequest, Transaction};
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -7,9 +7,14 @@
 use serde_json::value::RawValue;
 
 use super::encoding::encode_job_ids;
-use super::requests::to_raw_value;
 use crate::model::{JobId, JobSpec, Resources};
 
+/// A value as it goes into a transaction.
+pub fn to_raw_value(value: &impl Serialize) -> Box<RawValue> {
+    // Our records have string keys only and finite numbers, so they always serialize.
+    serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
+}
+
 /// Values are kept this far below their limit, as the state service may write them less tightly.
 pub const VALUE_SLACK_BYTES: usize = 64;
 
--- a/crates/gannethub-core/src/wire/store/requests.rs
+++ b/crates/gannethub-core/src/wire/store/requests.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 
 use super::keys::{finished_job_key, live_job_key};
-use super::records::FinishedJobRecord;
+use super::records::{FinishedJobRecord, to_raw_value};
 use crate::http::Method;
 use crate::model::{Micros, SECOND};
 
@@ -102,12 +102,6 @@
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// A value as it goes into a transaction.
-pub fn to_raw_value(value: &impl Serialize) -> Box<RawValue> {
-    // Our records have string keys only and finite numbers, so they always serialize.
-    serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
-}
-
 #[derive(Serialize, Debug, Clone)]
 struct Guard {
     #[serde(rename = "k")]
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -1,9 +1,17 @@
-//! Which folder may import which: each one only those below it.
+//! Which module may import which: a folder imports only those below it, and no files import each other in a circle.
 
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
+/// The folders of the core, the lowest first.
 const LAYERS: [&str; 5] = ["wire", "state", "scheduling", "reconcile", "controller"];
 
+/// Where a module is, from the root of the crate on.
+type ModulePath = Vec<String>;
+
+/// The files that each file imports, by the paths of their modules.
+type Imports = BTreeMap<ModulePath, BTreeSet<ModulePath>>;
+
 /// Folders of the core that a file names in a path.
 fn named(text: &str) -> impl Iterator<Item = &str> {
     text.split("crate::").skip(1).filter_map(|rest| {
@@ -28,9 +36,168 @@
     files
 }
 
+fn source_folder() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
+}
+
+/// The module that a file of the core holds; the root of the crate has an empty path.
+fn module_of(file: &Path, src: &Path) -> ModulePath {
+    let relative = file.strip_prefix(src).expect("a file of the core");
+    let path = relative.with_extension("");
+    let mut module: ModulePath = path
+        .iter()
+        .map(|part| part.to_string_lossy().into_owned())
+        .collect();
+    if module.last().is_some_and(|name| name == "mod") || module == ["lib"] {
+        module.pop();
+    }
+    module
+}
+
+/// The text without comments, up to the end of each line.
+fn without_comments(text: &str) -> String {
+    let lines = text
+        .lines()
+        .map(|line| line.split("//").next().unwrap_or(""));
+    lines.collect::<Vec<_>>().join("\n")
+}
+
+/// The text as identifiers, `::` and single characters.
+fn tokens(text: &str) -> Vec<&str> {
+    let is_word = |c: char| c.is_ascii_alphanumeric() || c == '_';
+    let mut rest = text.trim_start();
+    let mut found = Vec::new();
+    while let Some(first) = rest.chars().next() {
+        let length = if is_word(first) {
+            rest.find(|c| !is_word(c)).unwrap_or(rest.len())
+        } else if rest.starts_with("::") {
+            2
+        } else {
+            first.len_utf8()
+        };
+        let (token, after) = rest.split_at(length);
+        found.push(token);
+        rest = after.trim_start();
+    }
+    found
+}
+
+/// Every path in the tokens of a file, with the groups of `use` items resolved: `a::{b, c::d}` is `a::b` and `a::c::d`.
+fn paths(tokens: &[&str]) -> Vec<Vec<String>> {
+    let mut found = Vec::new();
+    let mut prefixes: Vec<Vec<String>> = Vec::new();
+    let mut path: Vec<String> = Vec::new();
+    let mut after_separator = false;
+    for token in tokens {
+        match *token {
+            "::" => after_separator = true,
+            // The group of a `use` item follows `::`; any other brace opens a block of its own.
+            "{" => {
+                let prefix = if after_separator {
+                    std::mem::take(&mut path)
+                } else {
+                    Vec::new()
+                };
+                found.push(std::mem::take(&mut path));
+                prefixes.push(prefix);
+                after_separator = false;
+            }
+            _ => {
+                let is_word = token.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_');
+                if !(is_word && after_separator) {
+                    found.push(std::mem::take(&mut path));
+                }
+                if is_word {
+                    if path.is_empty() {
+                        path = prefixes.last().cloned().unwrap_or_default();
+                    }
+                    path.push(token.to_string());
+                } else if *token == "}" {
+                    prefixes.pop();
+                }
+                after_separator = false;
+            }
+        }
+    }
+    found.push(path);
+    found.retain(|path| path.len() > 1);
+    found
+}
+
+/// A path in a module as one from the root of the crate, if it leads into this crate.
+fn absolute(
+    path: &[String],
+    module: &ModulePath,
+    files: &BTreeSet<ModulePath>,
+) -> Option<Vec<String>> {
+    let (first, rest) = path.split_first()?;
+    match first.as_str() {
+        "crate" => Some(rest.to_vec()),
+        "self" => Some([module, rest].concat()),
+        "super" => {
+            let levels = path.iter().take_while(|part| *part == "super").count();
+            let base = &module[..module.len().checked_sub(levels)?];
+            Some([base, &path[levels..]].concat())
+        }
+        _ => {
+            let child = [module.as_slice(), std::slice::from_ref(first)].concat();
+            let is_child = files.contains(&child);
+            is_child.then(|| [module, path].concat())
+        }
+    }
+}
+
+/// What each file of the core imports, tests aside.
+fn imports() -> Imports {
+    let src = source_folder();
+    let files = source_files(&src);
+    let files = files.iter().filter(|file| !file.ends_with("tests.rs"));
+    let texts: BTreeMap<ModulePath, String> = files
+        .map(|file| {
+            let text = std::fs::read_to_string(file).expect("it is text");
+            (module_of(file, &src), without_comments(&text))
+        })
+        .collect();
+    let modules: BTreeSet<ModulePath> = texts.keys().cloned().collect();
+    let imported_by = |module: &ModulePath, text: &str| {
+        let paths = paths(&tokens(text));
+        let absolute = paths
+            .iter()
+            .filter_map(|path| absolute(path, module, &modules));
+        let files = absolute.map(|mut path| {
+            while !modules.contains(&path) {
+                path.pop();
+            }
+            path
+        });
+        files.filter(|file| file != module).collect()
+    };
+    texts
+        .iter()
+        .map(|(module, text)| (module.clone(), imported_by(module, text)))
+        .collect()
+}
+
+/// What is left of the imports when files that import none of the others, or that none of the others imports, are taken
+/// away until nothing changes: the circles, and what connects them.
+fn in_circles(mut imports: Imports) -> Imports {
+    loop {
+        let before = imports.len();
+        let importing: BTreeSet<ModulePath> = imports.keys().cloned().collect();
+        let imported: BTreeSet<ModulePath> = imports.values().flatten().cloned().collect();
+        for files in imports.values_mut() {
+            files.retain(|file| importing.contains(file));
+        }
+        imports.retain(|file, files| !files.is_empty() && imported.contains(file));
+        if imports.len() == before {
+            return imports;
+        }
+    }
+}
+
 #[test]
 fn modules_import_downwards_only() {
-    let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    let src = source_folder();
     let rank = |layer: &str| LAYERS.iter().position(|l| *l == layer).expect("a layer");
     let (mut read, mut upward) = (0, Vec::new());
     for layer in LAYERS {
@@ -57,3 +224,44 @@
     assert!(read > 25, "{read} files");
     assert_eq!(upward, Vec::<String>::new());
 }
+
+#[test]
+fn no_files_import_each_other_in_a_circle() {
+    let imports = imports();
+    let edges: usize = imports.values().map(BTreeSet::len).sum();
+    assert!(imports.len() > 100, "{} files", imports.len());
+    assert!(edges > 300, "{edges} imports");
+    assert_eq!(in_circles(imports), Imports::new());
+}
+
+#[test]
+fn a_circle_of_imports_is_found() {
+    let module = |name: &str| vec![name.to_string()];
+    let edge = |from: &str, to: &str| (module(from), BTreeSet::from([module(to)]));
+    let chain = Imports::from([
+        edge("a", "b"),
+        edge("b", "c"),
+        (module("c"), BTreeSet::new()),
+    ]);
+    assert_eq!(in_circles(chain), Imports::new());
+    let circle = Imports::from([edge("a", "b"), edge("b", "c"), edge("c", "a")]);
+    assert_eq!(in_circles(circle.clone()), circle);
+    let mut with_others = circle.clone();
+    with_others.extend([edge("above", "a"), edge("below", "none")]);
+    assert_eq!(in_circles(with_others), circle);
+}
+
+#[test]
+fn paths_of_grouped_imports_are_resolved() {
+    let text = "use super::{first::{One, Two}, second::Three}; fn f() { third::run(super::Four) }";
+    let found = paths(&tokens(text));
+    let joined: Vec<String> = found.iter().map(|path| path.join("::")).collect();
+    let expected = [
+        "super::first::One",
+        "super::first::Two",
+        "super::second::Three",
+        "third::run",
+        "super::Four",
+    ];
+    assert_eq!(joined, expected);
+}
