--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -121,16 +121,6 @@
 }
 
 impl Settings {
-    /// Checks the text of a settings file. Also returns warnings about what is odd but usable. `file` is the name that
-    /// errors give the file.
-    pub fn parse(text: &str, file: &str) -> Result<(Settings, Vec<String>), SettingsError> {
-        let contents = toml::from_str(text).map_err(|error| SettingsError::Parse {
-            file: file.to_string(),
-            reason: error.to_string().trim_end().to_string(),
-        })?;
-        validation::validate(contents, file)
-    }
-
     /// The teams, with what each is due in a ledger that names no shares: in proportion to its guarantee.
     pub fn dues(&self) -> Vec<(String, f64)> {
         let due =
--- a/crates/gannethub-core/src/settings/validation.rs
+++ b/crates/gannethub-core/src/settings/validation.rs
@@ -32,11 +32,20 @@
 const MIN_TRANSACTION_OPERATIONS: usize = 2;
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
 
+impl Settings {
+    /// Checks the text of a settings file. Also returns warnings about what is odd but usable. `file` is the name that
+    /// errors give the file.
+    pub fn parse(text: &str, file: &str) -> Result<(Settings, Vec<String>), SettingsError> {
+        let contents = toml::from_str(text).map_err(|error| SettingsError::Parse {
+            file: file.to_string(),
+            reason: error.to_string().trim_end().to_string(),
+        })?;
+        validate(contents, file)
+    }
+}
+
 /// Checks the contents of a settings file. Also returns warnings about what is odd but usable.
-pub(super) fn validate(
-    contents: File,
-    file: &str,
-) -> Result<(Settings, Vec<String>), SettingsError> {
+fn validate(contents: File, file: &str) -> Result<(Settings, Vec<String>), SettingsError> {
     let mut validation = Validation {
         file,
         warnings: Vec::new(),
