--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -62,12 +62,16 @@
                 }
                 // For a while a node is refused, with questions under way.
                 5 => {
-                    w.refused.insert(round as usize % nodes);
+                    w.faults.store_refuses.insert(round as usize % nodes);
                 }
-                _ => w.refused.clear(),
+                _ => w.faults.store_refuses.clear(),
             }
         }
-        assert!(w.looked > 500, "{} looks", w.looked);
+        assert!(
+            w.counters.close_looks > 500,
+            "{} looks",
+            w.counters.close_looks
+        );
         assert!(
             w.state.keeps.is_none() || w.state.forgot > 0,
             "no watch fell behind"
@@ -127,7 +131,7 @@
         w.close_looks = true;
         for round in 0..10 {
             // Now and then all of them, so that reading back and sending again meet the same.
-            w.lost_answers = [0.3, 0.3, 0.9][round as usize % 3];
+            w.faults.lost_commit_answer_rate = [0.3, 0.3, 0.9][round as usize % 3];
             let i = 3 * round + 1;
             w.submit(job(i, 1 + round % 3, json!({"guess_s": 4.0})));
             w.submit(job(i + 1, 2, json!({"shape": "group"})));
@@ -141,7 +145,11 @@
             }
             w.run(2);
         }
-        assert!(w.unanswered_commits > 20, "{} lost", w.unanswered_commits);
+        assert!(
+            w.counters.unanswered_commits > 20,
+            "{} lost",
+            w.counters.unanswered_commits
+        );
         to_the_end(w, seed);
     }
 }
@@ -175,15 +183,15 @@
             .collect();
         let some: Vec<String> = some.into_iter().step_by(2).collect();
         match seed % 4 {
-            0 => w.unheard.extend(some),
+            0 => w.faults.unanswered_workers.extend(some),
             1 => {
                 let until = w.now + [LEASE - SECOND, 2 * LEASE][seed as usize / 4 % 2];
                 some.iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
-            2 => w.mute.extend(some),
+            2 => w.faults.isolated_workers.extend(some),
             _ => (0..3).for_each(|n| {
-                w.deaf.insert((n, "a".into()));
+                w.faults.unreachable_zones.insert((n, "a".into()));
             }),
         }
         w.cloud.no_deletes = seed % 2 == 0;
@@ -240,7 +248,10 @@
                 1 => w.crash(leader, 30 * SECOND),
                 2 => w.crash(leader, SECOND / 5),
                 // It gives its lease back, as it hears nobody.
-                3 => w.deaf.extend([(leader, "a".into()), (leader, "b".into())]),
+                3 => w
+                    .faults
+                    .unreachable_zones
+                    .extend([(leader, "a".into()), (leader, "b".into())]),
                 _ => w.isolate(leader),
             }
         });
@@ -283,9 +294,9 @@
         for round in 0..4 {
             let leader = w.leader();
             match seed % 2 {
-                0 => w.late_commits = 0.4,
+                0 => w.faults.late_commit_rate = 0.4,
                 _ => leader.into_iter().for_each(|l| {
-                    w.slow_commits.insert(l, SECOND * 3 / 2);
+                    w.faults.commit_answer_delays.insert(l, SECOND * 3 / 2);
                 }),
             }
             let before = w.starts;
@@ -301,8 +312,8 @@
             let until = w.now + LEASE - SECOND;
             let busy = w.workers.values_mut().filter(|x| !x.tasks.is_empty());
             busy.step_by(2).for_each(|x| x.hung_until = until);
-            w.late_commits = 0.0;
-            w.slow_commits.clear();
+            w.faults.late_commit_rate = 0.0;
+            w.faults.commit_answer_delays.clear();
             w.run(8);
         }
         recover(w, seed);
@@ -317,7 +328,7 @@
         let mut w = World::new(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.runs = (5 * SECOND, 60 * SECOND);
         w.run(2);
-        w.keep_copies = 0.5;
+        w.faults.kept_copy_rate = 0.5;
         for round in 0..6 {
             w.submit(job(
                 10 * round + 1,
@@ -350,7 +361,11 @@
             w.lose_leader([SECOND / 5, 9 * SECOND][round as usize % 2]);
             w.run(8);
         }
-        assert!(w.kept_came > 100, "{} copies", w.kept_came);
+        assert!(
+            w.counters.kept_copies_sent > 100,
+            "{} copies",
+            w.counters.kept_copies_sent
+        );
         to_the_end(w, seed);
     }
 }
@@ -387,7 +402,8 @@
     for seed in 1..=8 {
         let mut w = long(3, seed);
         let names: Vec<String> = w.workers.keys().cloned().collect();
-        w.mute
+        w.faults
+            .isolated_workers
             .extend(names.into_iter().skip(seed as usize % 3).step_by(2));
         w.cloud.no_deletes = seed % 2 == 0;
         (1..=3).for_each(|i| w.cancel(i));
@@ -395,7 +411,7 @@
         w.run(seed % 4);
         w.lose_leader(SECOND * seed);
         w.run([6, 2 * LEASE / SECOND][seed as usize % 2]);
-        w.mute.clear();
+        w.faults.isolated_workers.clear();
         w.run(3);
         w.lose_leader(SECOND / 2);
         w.cloud.no_deletes = false;
@@ -418,7 +434,7 @@
         let (old, others) = roles(&w, seed);
         for i in 1..=28 {
             if i == 8 {
-                w.refused.insert(old);
+                w.faults.store_refuses.insert(old);
             }
             let at = [old, others[0], others[1]][i as usize % 3];
             w.cancel_at(i, at);
@@ -438,7 +454,7 @@
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
         let (old, others) = roles(&w, seed);
-        w.refused.insert(old);
+        w.faults.store_refuses.insert(old);
         (1..=2).for_each(|i| w.cancel_at(i, others[0]));
         w.pause(seed * SECOND / 5 - SECOND / 10);
         w.state.down = true;
@@ -460,7 +476,7 @@
         let mut w = long(3, seed);
         w.lose_leader(2 * SECOND);
         for _ in 0..9 {
-            w.lost_answers = 1.0;
+            w.faults.lost_commit_answer_rate = 1.0;
             let term = w.state.value(TERM_KEY).cloned();
             let until = w.now + 15 * SECOND;
             let taken = |w: &World| w.state.value(TERM_KEY).cloned() != term || w.now > until;
@@ -486,9 +502,9 @@
         let (old, others) = roles(&w, seed);
         let inside = if seed % 2 == 0 { old } else { others[0] };
         w.isolate(inside);
-        w.deaf.insert((inside, "b".into()));
+        w.faults.unreachable_zones.insert((inside, "b".into()));
         for n in (0..w.nodes.len()).filter(|n| *n != inside) {
-            w.deaf.insert((n, "a".into()));
+            w.faults.unreachable_zones.insert((n, "a".into()));
         }
         w.run(2);
         let outside = (0..w.nodes.len())
@@ -502,9 +518,9 @@
             json!({"guess_s": 30.0, "rigs": ["small"], "yard": "a"}),
         ));
         w.run(LEASE / SECOND * [1, 4][seed as usize / 2 % 2] + 6);
-        w.deaf.clear();
-        w.refused.clear();
-        w.cut.clear();
+        w.faults.unreachable_zones.clear();
+        w.faults.store_refuses.clear();
+        w.faults.partitioned.clear();
         w.run(4);
         (4..=5).for_each(|i| w.cancel(i));
         recover(w, seed);
@@ -599,8 +615,8 @@
         w.cloud.capacity = 6;
         w.runs = (3 * SECOND, 20 * SECOND);
         w.run(2);
-        w.slow_answers = 3 * SECOND;
-        w.slow_state = SECOND;
+        w.faults.max_worker_answer_delay = 3 * SECOND;
+        w.faults.max_store_delay = SECOND;
         for i in 1..=24 {
             let rank = ["urgent", "normal", "low"][i as usize % 3];
             let crew = ["red", "blue"][i as usize % 2];
@@ -609,7 +625,8 @@
                 "stamp_s": save});
             w.submit(job(i, 1 + i % 5, more));
             w.run(2);
-            w.behind
+            w.faults
+                .processor_delays
                 .insert(i as usize % 3, u64::from(i % 5) * SECOND / 8);
             if i % 3 == 0 {
                 w.cancel(i - 1);
@@ -618,7 +635,7 @@
                 w.lose_leader(SECOND / 2);
             }
         }
-        w.behind.clear();
+        w.faults.processor_delays.clear();
         w.cloud.capacity = 12;
         to_the_end(w, seed);
     }
@@ -640,9 +657,9 @@
         let leader = w.leader().expect("one leads");
         match seed {
             1 | 2 => {
-                w.hung_watches.insert(leader);
+                w.faults.hung_watches.insert(leader);
             }
-            _ => w.slow_state = SECOND / 2,
+            _ => w.faults.max_store_delay = SECOND / 2,
         }
         for i in 5..=40 {
             // In the order in which they would be served.
@@ -672,7 +689,7 @@
         w.submit(job(1, 20, json!({"guess_s": 25.0, "rigs": ["small"]})));
         w.run_until(60, "it runs", |w| w.starts >= 20);
         let leader = w.leader().expect("one leads");
-        w.slow_watches = SECOND / 2;
+        w.faults.max_watch_delay = SECOND / 2;
         for i in 2..=30 {
             w.submit(job(i, 3, json!({"rigs": ["small"]})));
             w.run_until(5, "accepted", |w| w.jobs[&id(i)].accepted.is_some());
@@ -697,7 +714,9 @@
     }
     w.run_until(60, "some of it runs", |w| w.starts >= 24);
     let names: Vec<String> = w.workers.keys().cloned().collect();
-    w.mute.extend(names.into_iter().step_by(3));
+    w.faults
+        .isolated_workers
+        .extend(names.into_iter().step_by(3));
     w.run(1);
     (7..=10).for_each(|i| {
         w.submit(job(i, 4, json!({"guess_s": 150.0, "rigs": ["small"]})));
@@ -709,7 +728,11 @@
     w.run_until(30, "some of it is fetched", |w| fetches(w) >= 6);
     (1..=10).for_each(|i| w.cancel(i));
     w.run(LEASE / SECOND + 5);
-    let figures = (w.late_starts, w.ran_on, w.direct);
+    let figures = (
+        w.counters.late_starts,
+        w.counters.cancelled_task_seconds,
+        w.counters.direct_commands,
+    );
     recover(w, seed);
     figures
 }
@@ -741,7 +764,7 @@
 fn a_hang_that_meets_a_cancellation_lets_nothing_run_on() {
     for seed in 1..=12 {
         let mut w = long(3, seed);
-        w.slow_answers = 3 * SECOND;
+        w.faults.max_worker_answer_delay = 3 * SECOND;
         w.run(2 + seed % 3);
         let hang = [SECOND, 3 * SECOND, LEASE - SECOND, LEASE + 2 * SECOND][seed as usize % 4];
         let until = w.now + hang;
@@ -971,14 +994,14 @@
         w.submit(job(i, 2, more));
     }
     // Beside valid ones, with a node refused, answers lost, a leader lost, and slow.
-    w.lost_answers = 0.2;
-    w.refused.insert(1);
+    w.faults.lost_commit_answer_rate = 0.2;
+    w.faults.store_refuses.insert(1);
     w.lose_leader(SECOND);
     // Some come to a controller that has just begun and knows no machine types yet.
     w.pause(SECOND + SECOND / 20);
     all(&mut w, &odd);
     w.run(5);
-    w.slow_state = SECOND / 2;
+    w.faults.max_store_delay = SECOND / 2;
     all(&mut w, &odd);
     w.run(6);
     w.state.down = true;
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -13,7 +13,7 @@
 fn old_reports_of_sessions_and_attempts_that_are_gone_count_for_nothing() {
     for seed in 1..=6 {
         let mut w = long(3, seed);
-        w.copies = 0.8;
+        w.faults.heartbeat_copy_rate = 0.8;
         for round in 0..4 {
             w.submit(job(
                 20 + round,
@@ -35,7 +35,7 @@
             }
             w.run(12);
         }
-        assert!(w.copied > 100, "{} copies", w.copied);
+        assert!(w.counters.copied > 100, "{} copies", w.counters.copied);
         recover(w, seed);
     }
 }
@@ -115,7 +115,7 @@
         w.state.down = true;
         w.run(5);
         assert_eq!(w.leader(), Some(old), "promises carry it");
-        w.refused.insert(old);
+        w.faults.store_refuses.insert(old);
         w.state.down = false;
         w.run(seed % 3);
         others.iter().for_each(|i| w.crash(*i, SECOND / 5));
@@ -132,7 +132,7 @@
 fn commands_that_are_held_up_start_and_end_nothing_late() {
     for seed in 1..=6 {
         let mut w = long(3, seed);
-        w.slow_answers = 4 * SECOND;
+        w.faults.max_worker_answer_delay = 4 * SECOND;
         for round in 0..5 {
             w.submit(job(
                 20 + round,
@@ -148,10 +148,10 @@
             // What a sibling passes on is held up as well, and comes after newer reports.
             let (leader, others) = (w.leader(), w.rng.random_range(0..3));
             leader.into_iter().for_each(|l| {
-                w.cut.insert((others, l));
+                w.faults.partitioned.insert((others, l));
             });
             w.run(4);
-            w.cut.clear();
+            w.faults.partitioned.clear();
             if round % 2 == 0 {
                 w.lose_leader(SECOND);
             }
@@ -180,8 +180,8 @@
             w.run(9);
             match (round + seed) % 3 {
                 0 => w.state.down = !w.state.down,
-                1 => w.late_commits = 0.3,
-                _ => w.late_commits = 0.0,
+                1 => w.faults.late_commit_rate = 0.3,
+                _ => w.faults.late_commit_rate = 0.0,
             }
             w.lose_leader(SECOND * (1 + seed % 5));
         }
@@ -199,7 +199,7 @@
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 12;
-        w.late_commits = 0.25;
+        w.faults.late_commit_rate = 0.25;
         // An array whose first half is done already, so that its ends go to the second of its parts.
         let large = job(
             1,
@@ -247,14 +247,14 @@
         let some: Vec<String> = busy.into_iter().step_by(2).collect();
         w.cloud.no_deletes = seed % 2 == 0;
         match seed % 3 {
-            0 => w.unheard.extend(some),
+            0 => w.faults.unanswered_workers.extend(some),
             1 => {
                 let until = w.now + LEASE - SECOND / 2;
                 some.iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
             _ => (0..3).for_each(|n| {
-                w.deaf.insert((n, "a".into()));
+                w.faults.unreachable_zones.insert((n, "a".into()));
             }),
         }
         w.crash(old, [SECOND / 2, 30 * SECOND][seed as usize % 2]);
@@ -275,16 +275,16 @@
 fn a_state_service_that_is_slow_then_refuses_one_and_then_all_lets_nothing_run_on() {
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
-        w.slow_state = SECOND * (2 + seed % 5) / 4;
+        w.faults.max_store_delay = SECOND * (2 + seed % 5) / 4;
         w.queries = 3;
         for i in 1..=3 {
             w.cancel(i);
             w.run(3);
         }
-        w.slow_state = SECOND / 4;
+        w.faults.max_store_delay = SECOND / 4;
         w.run(3);
         let (old, others) = roles(&w, seed);
-        w.refused.insert(old);
+        w.faults.store_refuses.insert(old);
         (4..=6).for_each(|i| w.cancel_at(i, others[0]));
         w.run_until(3, "the users are told", |w| told(w, &[4, 5, 6]));
         w.state.down = true;
@@ -363,23 +363,35 @@
             }),
             3 | 4 => w.state.down = !w.state.down,
             5 | 6 => {
-                w.refused.insert(leader);
+                w.faults.store_refuses.insert(leader);
             }
             7 => w.isolate(leader),
             8 => {
-                w.refused.clear();
-                w.cut.clear();
+                w.faults.store_refuses.clear();
+                w.faults.partitioned.clear();
+            }
+            9 => {
+                w.faults.late_commit_rate = if w.faults.late_commit_rate > 0.0 {
+                    0.0
+                } else {
+                    0.2
+                }
+            }
+            10 => {
+                w.faults.heartbeat_copy_rate = if w.faults.heartbeat_copy_rate > 0.0 {
+                    0.0
+                } else {
+                    0.4
+                }
             }
-            9 => w.late_commits = if w.late_commits > 0.0 { 0.0 } else { 0.2 },
-            10 => w.copies = if w.copies > 0.0 { 0.0 } else { 0.4 },
             11 => {
                 let names: Vec<String> = w.workers.keys().cloned().collect();
                 let deaf = names.into_iter().filter(|_| w.rng.random_bool(0.3));
                 let deaf: Vec<String> = deaf.collect();
-                if w.unheard.is_empty() {
-                    w.unheard.extend(deaf)
+                if w.faults.unanswered_workers.is_empty() {
+                    w.faults.unanswered_workers.extend(deaf)
                 } else {
-                    w.unheard.clear()
+                    w.faults.unanswered_workers.clear()
                 }
             }
             12 => {
@@ -389,18 +401,30 @@
                     .step_by(2)
                     .for_each(|x| x.hung_until = until);
             }
-            13 => w.slow_state = [0, SECOND, 2 * SECOND][w.rng.random_range(0..3)],
-            14 => w.slow_answers = [0, 4 * SECOND][w.rng.random_range(0..2)],
-            15 => w.lost_answers = if w.lost_answers > 0.0 { 0.0 } else { 0.4 },
-            16 => w.keep_copies = if w.keep_copies > 0.0 { 0.0 } else { 0.3 },
+            13 => w.faults.max_store_delay = [0, SECOND, 2 * SECOND][w.rng.random_range(0..3)],
+            14 => w.faults.max_worker_answer_delay = [0, 4 * SECOND][w.rng.random_range(0..2)],
+            15 => {
+                w.faults.lost_commit_answer_rate = if w.faults.lost_commit_answer_rate > 0.0 {
+                    0.0
+                } else {
+                    0.4
+                }
+            }
+            16 => {
+                w.faults.kept_copy_rate = if w.faults.kept_copy_rate > 0.0 {
+                    0.0
+                } else {
+                    0.3
+                }
+            }
             17 => {
                 let names: Vec<String> = w.workers.keys().cloned().collect();
                 let mute = names.into_iter().filter(|_| w.rng.random_bool(0.3));
                 let mute: Vec<String> = mute.collect();
-                if w.mute.is_empty() {
-                    w.mute.extend(mute)
+                if w.faults.isolated_workers.is_empty() {
+                    w.faults.isolated_workers.extend(mute)
                 } else {
-                    w.mute.clear()
+                    w.faults.isolated_workers.clear()
                 }
             }
             18 => w.close_looks = !w.close_looks,
@@ -419,10 +443,10 @@
                     .for_each(|x| x.hung_until = until);
                 (1..next).step_by(2).for_each(|i| w.cancel(i));
             }
-            22 => w.slow_watches = [0, SECOND][w.rng.random_range(0..2)],
+            22 => w.faults.max_watch_delay = [0, SECOND][w.rng.random_range(0..2)],
             _ => {
                 let until = w.now + w.rng.random_range(SECOND..15 * SECOND);
-                w.frozen.insert(leader, until);
+                w.faults.frozen_until.insert(leader, until);
             }
         }
         if changes && w.rng.random_bool(0.3) && !w.state.down {
@@ -473,7 +497,12 @@
     for seed in seeds.clone() {
         let played = std::panic::catch_unwind(|| {
             let w = met(seed, changes);
-            let figures = (w.unanswered, w.late_starts, w.ran_on, w.overtaken);
+            let figures = (
+                w.unanswered,
+                w.counters.late_starts,
+                w.counters.cancelled_task_seconds,
+                w.counters.overtaken_answers,
+            );
             w.finish();
             figures
         });
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -181,12 +181,12 @@
 fn a_holder_whose_watch_hangs_misses_nothing() {
     let mut w = red_runs(15, 6);
     let leader = w.leader().expect("someone leads");
-    w.hung_watches.insert(leader);
+    w.faults.hung_watches.insert(leader);
     w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
     let version = w.configure(red(8.0), 0);
     w.run_until(EVERYWHERE, "it is in force", |w| w.none_older(version));
     w.run_until(EVERYWHERE, "the leader knows it", |w| w.in_force(version));
-    w.hung_watches.clear();
+    w.faults.hung_watches.clear();
     w.run_until(120, "the array is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
     });
@@ -482,7 +482,7 @@
         let mut w = red_runs(seed, 2);
         let follower = (w.leader().expect("someone leads") + 1) % 3;
         let until = w.now + 9 * SECOND;
-        w.frozen.insert(follower, until);
+        w.faults.frozen_until.insert(follower, until);
         let version = w.configure(teams(vec![team("late", 2.0, 6.0)]), 0);
         w.run(8);
         assert!(w.nodes.len() == 3 && version == 1);
@@ -509,8 +509,8 @@
         let leader = w.leader().expect("someone leads");
         // The leader alone is refused while the others hear of a change, and then all are.
         w.queries = 3;
-        w.refused.insert(leader);
-        w.cut.extend(
+        w.faults.store_refuses.insert(leader);
+        w.faults.partitioned.extend(
             (0..3)
                 .filter(|i| *i != leader)
                 .flat_map(|i| [(i, leader), (leader, i)]),
@@ -522,7 +522,7 @@
             "nobody has heard of it"
         );
         w.state.down = true;
-        w.cut.clear();
+        w.faults.partitioned.clear();
         w.run(25);
         assert!(w.none_older(version), "{:?}", w.versions());
         w.all_well();
--- a/crates/gannethub-core/tests/simulation/constrained_processor.rs
+++ b/crates/gannethub-core/tests/simulation/constrained_processor.rs
@@ -69,7 +69,7 @@
                 .map(|c| c.term)
         };
         let before = term(&w);
-        w.behind.insert(old, SECOND / 2);
+        w.faults.processor_delays.insert(old, SECOND / 2);
         w.run(20);
         assert_eq!(term(&w), before, "it leads on");
         recover(w);
@@ -85,15 +85,15 @@
         for late in [SECOND * 8 / 10, SECOND, SECOND * 12 / 10, 4 * SECOND] {
             let mut w = busy(seed);
             let old = w.leader().expect("one leads");
-            w.behind.insert(old, late);
+            w.faults.processor_delays.insert(old, late);
             let sent = w.now + late + SECOND / 10;
             w.run_until(5, "it renewed its grant", |w| w.now >= sent);
-            w.refused.insert(old);
+            w.faults.store_refuses.insert(old);
             w.run_until(25, "another leads", |w| {
                 w.leader().is_some_and(|l| l != old)
             });
             w.run(10);
-            w.refused.clear();
+            w.faults.store_refuses.clear();
             recover(w);
         }
     }
@@ -112,7 +112,7 @@
 
 /// Nobody is behind any more, and everything ends well.
 fn recover(mut w: World) {
-    w.behind.clear();
+    w.faults.processor_delays.clear();
     w.submit(job(9, 6, json!({})));
     w.run_until(180, "all are over", World::all_over);
     w.finish();
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -192,13 +192,16 @@
         if !told {
             // Nobody answers before the leader is gone.
             for other in (0..3).filter(|o| *o != leader) {
-                w.cut.extend([(leader, other), (other, leader)]);
+                w.faults
+                    .partitioned
+                    .extend([(leader, other), (other, leader)]);
             }
-            w.cut
+            w.faults
+                .partitioned
                 .extend((0..3).flat_map(|a| (0..3).map(move |b| (a, b))));
         }
         w.run(10);
-        w.cut.clear();
+        w.faults.partitioned.clear();
         lose_leader(&mut w);
         assert_eq!(cluster(&w).map(|c| c.watermarks.reliable), Some(told));
         w.run(20);
@@ -327,15 +330,21 @@
                         w.rng.random_range(0..3),
                         w.rng.random_range(SECOND..8 * SECOND),
                     );
-                    w.frozen.insert(node, w.now + long);
+                    w.faults.frozen_until.insert(node, w.now + long);
                 }
                 0 => w.state.down = !w.state.down,
-                1 => w.late_commits = if w.late_commits > 0.0 { 0.0 } else { 0.1 },
+                1 => {
+                    w.faults.late_commit_rate = if w.faults.late_commit_rate > 0.0 {
+                        0.0
+                    } else {
+                        0.1
+                    }
+                }
                 2 => {
                     let pair = (w.rng.random_range(0..3), w.rng.random_range(0..3));
-                    w.cut.insert(pair);
+                    w.faults.partitioned.insert(pair);
                 }
-                3 => w.cut.clear(),
+                3 => w.faults.partitioned.clear(),
                 4 => w.cancel(round + 1),
                 _ => {}
             }
@@ -349,8 +358,8 @@
         }
         terms += cluster(&w).map_or(0, |c| c.term);
         w.state.down = false;
-        w.late_commits = 0.0;
-        w.cut.clear();
+        w.faults.late_commit_rate = 0.0;
+        w.faults.partitioned.clear();
         w.cloud.no_deletes = false;
         w.workers
             .values_mut()
--- /dev/null
+++ b/crates/gannethub-core/tests/simulation/harness/answers.rs
@@ -0,0 +1,184 @@
+//! Answers to users, and the rules that hold for them.
+
+use super::*;
+
+/// What the checker knows of a job, and of the jobs that it depends on, when an answer about it arrives.
+struct JobKnowledge {
+    /// When the request was sent.
+    asked: u64,
+    /// Each of its tasks has completed.
+    is_completed: bool,
+    /// A user has cancelled it, or a job that it depends on.
+    cancel_asked: bool,
+    /// When a user was first told that a job it depends on is cancelled.
+    upstream_cancelled: Option<u64>,
+    /// Every job that it depends on was accepted.
+    upstream_accepted: bool,
+    has_upstream: bool,
+}
+
+impl UserJob {
+    /// Whether its user was told that it is accepted, done, and cancelled.
+    fn milestones(&self) -> [bool; 3] {
+        [
+            self.accepted.is_some(),
+            self.told_done.is_some(),
+            self.told_cancelled.is_some(),
+        ]
+    }
+}
+
+impl World {
+    /// An answer reaches a user.
+    pub(super) fn user_answer(&mut self, id: &str, what: &str, asked: u64, response: &Response) {
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        if self.odd.contains_key(id) {
+            return self.odd_answer(id, &body, response);
+        }
+        let known = self.job_knowledge(id, asked);
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        let before = job.milestones();
+        let accepted = job.accepted;
+        self.check_status(id, what, &body, response, &known);
+        match response.status {
+            200 | 201 => self.job_answer(id, what, &body, &known),
+            404 | 400 | 422 if accepted.is_some_and(|t| t < asked) => {
+                self.broken
+                    .push(format!("forgotten: {id} gets {}", response.status));
+            }
+            404 if accepted.is_some() => self.counters.overtaken_answers += 1,
+            503 if what == "submit" && response.retry_after.is_some() => {
+                self.refusals.push(self.now - asked);
+            }
+            _ => {}
+        }
+        if self.close_looks && before != self.jobs[id].milestones() {
+            self.look_closely(id);
+        }
+    }
+
+    /// A submission that cannot be accepted is refused, and the refusal names the field.
+    fn odd_answer(&mut self, id: &str, body: &Value, response: &Response) {
+        let Some(odd) = self.odd.get_mut(id) else {
+            return;
+        };
+        let why = body["error"].as_str().unwrap_or("");
+        match response.status {
+            400 | 422 if why.contains(odd.field.as_str()) => odd.refused += 1,
+            // Asked again: it cannot be told yet.
+            503 if response.retry_after.is_some() => {}
+            status => {
+                let text = format!("odd: {} gets {status} {why:?}, not {}", odd.body, odd.field);
+                self.broken.push(text);
+            }
+        }
+    }
+
+    fn job_knowledge(&self, id: &str, asked: u64) -> JobKnowledge {
+        let chain = self.upstream(id);
+        let told = |u: &String| self.jobs.get(u).and_then(|j| j.told_cancelled);
+        JobKnowledge {
+            asked,
+            is_completed: self.completed(id),
+            cancel_asked: chain
+                .iter()
+                .any(|u| self.jobs.get(u).is_some_and(|j| j.cancel_asked)),
+            upstream_cancelled: chain.iter().filter(|u| *u != id).filter_map(told).min(),
+            upstream_accepted: chain.iter().all(|u| {
+                self.jobs
+                    .get(u)
+                    .is_some_and(|j| u == id || j.accepted.is_some())
+            }),
+            has_upstream: chain.len() > 1,
+        }
+    }
+
+    /// No valid job is refused, and none outlives a job that it depends on.
+    fn check_status(
+        &mut self,
+        id: &str,
+        what: &str,
+        body: &Value,
+        response: &Response,
+        known: &JobKnowledge,
+    ) {
+        let status = body["status"].as_str().unwrap_or("");
+        if matches!(response.status, 400 | 422) && what == "submit" && !known.has_upstream {
+            self.broken
+                .push(format!("refused: {id} gets {}", response.status));
+        }
+        if response.status == 200 && matches!(status, "pending" | "running") {
+            // It counts from when the user was told, or from this job's acceptance if that is later.
+            let accepted = self.jobs[id].accepted.unwrap_or(self.now);
+            let since = known.upstream_cancelled.map(|t| t.max(accepted));
+            if since.is_some_and(|t| known.asked > t + CANCEL) {
+                self.broken.push(format!("orphaned: {id} is {status}"));
+            }
+        }
+        if response.status == 422 && known.upstream_accepted && known.has_upstream {
+            self.broken
+                .push(format!("forgotten: all that {id} names was accepted"));
+        }
+    }
+
+    /// A user is told the status of a job; it never goes back.
+    fn job_answer(&mut self, id: &str, what: &str, body: &Value, known: &JobKnowledge) {
+        let now = self.now;
+        let status = body["status"].as_str().unwrap_or("").to_string();
+        let Some(j) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let asked_since = self.asked_since.max(j.accepted.unwrap_or(now));
+        self.unanswered = self.unanswered.max(now - j.answered.max(asked_since));
+        j.answered = now;
+        if what == "submit" {
+            j.accepted.get_or_insert(now);
+            if !known.upstream_accepted {
+                self.broken
+                    .push(format!("invented: {id} names a job that nobody submitted"));
+            }
+        }
+        if what == "poll" {
+            let ids = body["waits_on"].as_array().into_iter().flatten();
+            j.waits_on = ids.filter_map(Value::as_str).map(String::from).collect();
+            j.polls += 1;
+        }
+        // Answers may overtake one another: only what was asked after being told counts.
+        let knew = |told: Option<u64>| told.is_some_and(|t| t < known.asked);
+        if (knew(j.told_done) && status != "done")
+            || (knew(j.told_cancelled) && status != "cancelled")
+            || (status == "cancelled" && !known.cancel_asked)
+        {
+            self.broken.push(format!("went_back: {id} is {status}"));
+        } else if (j.told_done.is_some() && status != "done")
+            || (j.told_cancelled.is_some() && status != "cancelled")
+        {
+            self.counters.overtaken_answers += 1;
+        }
+        self.job_end_answer(id, status, known);
+    }
+
+    /// A user is told of a job's end: of the two ends there is one.
+    fn job_end_answer(&mut self, id: &str, status: String, known: &JobKnowledge) {
+        let now = self.now;
+        let Some(j) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if status == "done" {
+            if !known.is_completed {
+                self.broken.push(format!("not_done: {id}"));
+            }
+            j.told_done.get_or_insert(now);
+        }
+        if status == "cancelled" {
+            j.told_cancelled.get_or_insert(now);
+        }
+        // In whatever order they were asked for.
+        if j.told_done.is_some() && j.told_cancelled.is_some() {
+            self.broken.push(format!("two ends: {id}"));
+        }
+        j.status = status;
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/tests/simulation/harness/cloud.rs
@@ -0,0 +1,41 @@
+//! The cloud as controllers reach it.
+
+use super::*;
+
+/// How long the cloud takes for an answer.
+const CLOUD_DELAY: u64 = 20_000;
+
+impl World {
+    /// A request reaches the cloud, which answers it.
+    pub(super) fn handle_cloud_request(
+        &mut self,
+        node: usize,
+        life: u32,
+        id: u64,
+        path: &str,
+        body: &Bytes,
+    ) {
+        let (status, body) = self.ask_cloud(path, body);
+        let answer = Ok(Answer::new(status, body.to_string()));
+        self.at(
+            CLOUD_DELAY,
+            Event::Command {
+                node,
+                life,
+                command: Command::CloudAnswer { id, answer },
+            },
+        );
+    }
+
+    pub(super) fn ask_cloud(&mut self, path: &str, body: &Bytes) -> (u16, Value) {
+        let mut workers = std::mem::take(&mut self.workers);
+        let mut cloud = std::mem::take(&mut self.cloud);
+        let (status, answer, gone) = cloud.handle(path, body, &mut workers, self);
+        (self.workers, self.cloud) = (workers, cloud);
+        for mut w in gone {
+            w.tasks.clear();
+            self.log(&w);
+        }
+        (status, answer)
+    }
+}
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -1,4 +1,4 @@
-//! The checker of the stories: the rules, held against what workers, users and the state service see.
+//! The rules of the cluster, checked against what workers, users and the state service see.
 
 use super::*;
 
@@ -11,9 +11,22 @@
             self.broken.push(format!("unknown job started: {name}"));
             return;
         };
-        let body = &job.body;
+        let told_cancelled = job.told_cancelled;
+        let mut broken = self.start_before_upstream(&id, name);
+        broken.extend(self.start_of_finished_task(&id, w, name));
+        match told_cancelled {
+            Some(t) if self.now > t + CANCEL => broken.push(format!("ran_cancelled: {name}")),
+            Some(_) => self.counters.late_starts += 1,
+            None => {}
+        }
+        broken.extend(self.start_in_wrong_place(&id, w, name));
+        self.broken.extend(broken);
+    }
+
+    /// A task starts after all jobs that its own depends on, and not once a user was told that one of them is cancelled.
+    fn start_before_upstream(&self, id: &str, name: &str) -> Vec<String> {
         let mut broken = Vec::new();
-        for u in self.upstream(&id).iter().filter(|u| **u != id) {
+        for u in self.upstream(id).iter().filter(|u| **u != id) {
             if !self.completed(u) {
                 broken.push(format!("too_early: {name} before {u} is done"));
             }
@@ -22,23 +35,34 @@
                 broken.push(format!("ran_cancelled: {name}, which needs {u}"));
             }
         }
+        broken
+    }
+
+    /// A task starts neither after it is stored as done nor while it runs elsewhere.
+    fn start_of_finished_task(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
+        let mut broken = Vec::new();
         let index = name.split('/').nth(1).and_then(|n| n.parse::<u32>().ok());
-        if index.is_some_and(|index| self.stored(&id, index)) {
+        if index.is_some_and(|index| self.stored(id, index)) {
             broken.push(format!("began again: {name} is stored as done"));
         }
-        let others = || {
-            self.workers
-                .values()
-                .filter(|o| !o.gone(self.now) && o.name != w.name)
-        };
-        if others().any(|o| o.tasks.get(name).is_some_and(|t| t.on_machine())) {
+        let mut others = self.other_workers(w);
+        if others.any(|o| o.tasks.get(name).is_some_and(|t| t.on_machine())) {
             broken.push(format!("ran_twice: {name} on {}", w.name));
         }
-        match job.told_cancelled {
-            Some(t) if self.now > t + CANCEL => broken.push(format!("ran_cancelled: {name}")),
-            Some(_) => self.late_starts += 1,
-            None => {}
-        }
+        broken
+    }
+
+    /// The workers that are there, but for `w`.
+    fn other_workers<'a>(&'a self, w: &'a Worker) -> impl Iterator<Item = &'a Worker> {
+        self.workers
+            .values()
+            .filter(|o| !o.gone(self.now) && o.name != w.name)
+    }
+
+    /// A task starts on a machine and in a zone that its job allows, within its team's limit.
+    fn start_in_wrong_place(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
+        let mut broken = Vec::new();
+        let body = &self.jobs[id].body;
         let allowed = |field: &str, value: &str| match &body[field] {
             Value::Array(list) => list.iter().any(|v| v == value),
             Value::String(s) => s == value,
@@ -50,9 +74,27 @@
         {
             broken.push(format!("wrong_place: {name} on {}", w.name));
         }
+        let (zones, used) = self.zones_and_usage(id, w);
+        if body["together"] == json!(true) && zones.len() > 1 {
+            broken.push(format!("wrong_place: {name} splits its job over zones"));
+        }
+        let half = body["pieces"].as_u64().unwrap_or(0).div_ceil(2);
+        if body["scatter"] == json!(true) && zones.values().any(|n| *n > half) {
+            broken.push(format!("wrong_place: {name} crowds a zone"));
+        }
+        let limit = self.most_allowed(body["crew"].as_str().unwrap_or(""));
+        if used > limit + 1e-6 {
+            broken.push(format!("quota: {} uses {used}", body["crew"]));
+        }
+        broken
+    }
+
+    /// How many tasks of a job are in each zone, and the CPUs that its team uses, with what is on `w`.
+    fn zones_and_usage<'a>(&'a self, id: &str, w: &'a Worker) -> (HashMap<&'a str, u64>, f64) {
+        let team = &self.jobs[id].body["crew"];
         let mut zones: HashMap<&str, u64> = HashMap::new();
         let mut used: f64 = 0.0;
-        for o in others().chain([w]) {
+        for o in self.other_workers(w).chain([w]) {
             for t in o.tasks.values().filter(|t| t.on_machine()) {
                 let other = t.name.split('/').next().unwrap_or("");
                 let Some(j) = self.jobs.get(other) else {
@@ -61,23 +103,12 @@
                 if other == id {
                     *zones.entry(&o.zone).or_default() += 1;
                 }
-                if j.body["crew"] == body["crew"] {
+                if j.body["crew"] == *team {
                     used += j.body["vcpus"].as_f64().unwrap_or(0.0);
                 }
             }
         }
-        if body["together"] == json!(true) && zones.len() > 1 {
-            broken.push(format!("wrong_place: {name} splits its job over zones"));
-        }
-        let half = body["pieces"].as_u64().unwrap_or(0).div_ceil(2);
-        if body["scatter"] == json!(true) && zones.values().any(|n| *n > half) {
-            broken.push(format!("wrong_place: {name} crowds a zone"));
-        }
-        let limit = self.most_allowed(body["crew"].as_str().unwrap_or(""));
-        if used > limit + 1e-6 {
-            broken.push(format!("quota: {} uses {used}", body["crew"]));
-        }
-        self.broken.extend(broken);
+        (zones, used)
     }
 
     /// Whoever has told a user that a job is cancelled launches none of its tasks.
@@ -95,7 +126,7 @@
 
     /// Copies that were kept come to every controller as soon as a new term begins.
     pub(super) fn send_kept_copies(&mut self) {
-        if self.keep_copies == 0.0 && self.kept_copies.is_empty() {
+        if self.faults.kept_copy_rate == 0.0 && self.kept_copies.is_empty() {
             return;
         }
         let term = self
@@ -116,7 +147,7 @@
                         body: body.clone(),
                     },
                 );
-                self.kept_came += 1;
+                self.counters.kept_copies_sent += 1;
             }
         }
     }
@@ -338,7 +369,64 @@
                 }
             }
         }
-        self.ran_on += ran_on;
+        self.counters.cancelled_task_seconds += ran_on;
         self.broken.extend(broken);
     }
+
+    /// A controller's answer obeys the rules for leaders: it answers workers only while nobody can have replaced it, and
+    /// launches nothing that it told its user to be cancelled.
+    pub(super) fn check_reply(
+        &mut self,
+        node: usize,
+        life: u32,
+        response: &Response,
+        leading_term: Option<u64>,
+        owned_terms: &[u64],
+    ) {
+        let last = self.state.value(TERM_KEY).and_then(|v| v["term"].as_u64());
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+        let acts = leading_term.is_some() && body["baton"].as_u64() == leading_term;
+        if response.status == 200 && acts && last > leading_term {
+            let late = format!("acted: {leading_term:?} answered a worker under {last:?}");
+            self.broken.push(late);
+        }
+        // What it passes on was decided by another.
+        if body["baton"]
+            .as_u64()
+            .is_some_and(|term| owned_terms.contains(&term))
+        {
+            self.check_launches(node, life, &body);
+        }
+    }
+
+    /// Ends a story: the rules held, and something ran.
+    pub fn finish(mut self) {
+        self.check_cancelled();
+        assert_eq!(self.broken, Vec::<String>::new());
+        assert!(self.starts > 0, "nothing ran");
+        // Of one that was cancelled at once the end may be the first thing told.
+        let untold = |j: &UserJob| j.accepted.is_none() && j.told_cancelled.is_none();
+        let untold: Vec<&String> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| untold(j))
+            .map(|(id, _)| id)
+            .collect();
+        assert!(untold.is_empty(), "never accepted: {untold:?}");
+        if self.asked_since > 0 {
+            let quiet = |j: &UserJob| self.now - j.answered.max(self.asked_since);
+            let quiet = self
+                .jobs
+                .values()
+                .map(quiet)
+                .max()
+                .unwrap_or(0)
+                .max(self.unanswered);
+            assert!(
+                quiet < 75 * SECOND,
+                "a job was not answered for {} s",
+                quiet / SECOND
+            );
+        }
+    }
 }
--- /dev/null
+++ b/crates/gannethub-core/tests/simulation/harness/setup.rs
@@ -0,0 +1,162 @@
+//! Worlds of a test: how many controllers, with which settings and policy.
+
+use super::*;
+
+/// The settings of the controller `i` of `n`, after `change` has edited the file.
+fn settings(i: usize, n: usize, lease_s: f64, change: &dyn Fn(String) -> String) -> Arc<Settings> {
+    let mut text = format!(
+        "host_name = \"n{i}\"\narea = \"z{i}\"\nbind = \"10.0.0.{i}:80\"\n\
+         cluster_listen = \"10.0.0.{i}:81\"\n[outside]\ncloud = \"10.1.0.1:1\"\n\
+         state = \"10.1.0.2:1\"\n[cluster]\n[cluster.workers]\nreport_s = 1.0\n\
+         lease_s = {lease_s:.1}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = 35.0\n\
+         [cluster.state]\nrps = 200.0\nwrite_rps = 100.0\nvalue_kb = 16.0\ntxn_ops = 8\n\
+         [cluster.cloud]\nrps = 5.0\nlist_lag_s = 2.0\n"
+    );
+    for (name, limit) in [("red", 16.0), ("blue", 40.0)] {
+        text +=
+            &format!("[[cluster.teams]]\nname = \"{name}\"\ncpus = 8.0\ncpus_max = {limit:.1}\n");
+        text += "gpus = 2.0\ngpus_max = 8.0\n";
+    }
+    for j in (0..n).filter(|j| *j != i) {
+        text += &format!("[[siblings]]\nhost_name = \"n{j}\"\narea = \"z{j}\"\n");
+        text += &format!("peer_addr = \"10.0.0.{j}:81\"\n");
+    }
+    Arc::new(
+        Settings::parse(&change(text), "story")
+            .expect("the story's settings are fine")
+            .0,
+    )
+}
+
+impl World {
+    pub fn new(nodes: usize, seed: u64) -> World {
+        World::with_lease(nodes, seed, LEASE as f64 / SECOND as f64)
+    }
+
+    /// Controllers that believe in another lease than the workers'.
+    pub fn with_lease(nodes: usize, seed: u64, believed_s: f64) -> World {
+        World::with_settings(nodes, seed, believed_s, &|text| text)
+    }
+
+    /// Controllers whose settings file is changed.
+    pub fn with_settings(
+        nodes: usize,
+        seed: u64,
+        believed_s: f64,
+        change: &dyn Fn(String) -> String,
+    ) -> World {
+        let mut world = World {
+            now: 0,
+            rng: StdRng::seed_from_u64(seed),
+            nodes: Vec::new(),
+            settings: (0..nodes)
+                .map(|i| settings(i, nodes, believed_s, change))
+                .collect(),
+            state: State::new(16 * 1024, 8),
+            held: Vec::new(),
+            kept_copies: Vec::new(),
+            last_term: 0,
+            close_looks: false,
+            cancel_at_end: 0.0,
+            odd: BTreeMap::new(),
+            told_by: HashSet::new(),
+            faults: Faults::default(),
+            counters: Counters::default(),
+            workers: BTreeMap::new(),
+            cloud: Cloud::default(),
+            events: BinaryHeap::new(),
+            queue: HashMap::new(),
+            seq: 0,
+            watches: Vec::new(),
+            conns: HashMap::new(),
+            jobs: BTreeMap::new(),
+            broken: Vec::new(),
+            refusals: Vec::new(),
+            starts: 0,
+            gang_peer: 5 * SECOND,
+            queries: 0,
+            errors: Vec::new(),
+            patient: false,
+            record: Record::default(),
+            done: HashSet::new(),
+            parts: HashMap::new(),
+            changes: Vec::new(),
+            document: Document::default(),
+            answers_late: config_changes::ANSWER,
+            unanswered: 0,
+            asked_since: 0,
+            runs: (2 * SECOND, 8 * SECOND),
+        };
+        for i in 0..nodes {
+            world.nodes.push(Node {
+                controller: None,
+                life: 0,
+                born: 0,
+                stepped_at: 0,
+                ticks: 0,
+            });
+            world.restart(i);
+        }
+        world
+    }
+
+    /// The same with a ledger that is kept.
+    pub fn with_ledger(nodes: usize, seed: u64, change: &dyn Fn(String) -> String) -> World {
+        let mut world = World::with_settings(nodes, seed, LEASE as f64 / SECOND as f64, change);
+        let keys = KeyRing::parse(&KeyRing::write("k1", &[7; 32])).expect("a key");
+        let text = "keys = \"k\"\nhalf_life_s = 60.0\n";
+        for settings in &mut world.settings {
+            let mut own = (**settings).clone();
+            let ledger = gannethub_ledger::Settings::parse(text, "ledger", &own.dues());
+            own.ledger = Some(LedgerSetup {
+                settings: Arc::new(ledger.expect("the story's settings are fine")),
+                keys: Arc::new(keys.clone()),
+            });
+            *settings = Arc::new(own);
+        }
+        (0..nodes).for_each(|i| world.restart(i));
+        world
+    }
+
+    /// The same with the machines divided into so many blocks.
+    pub fn with_blocks(
+        nodes: usize,
+        seed: u64,
+        blocks: u32,
+        change: &dyn Fn(String) -> String,
+    ) -> World {
+        let mut world = World::with_settings(nodes, seed, LEASE as f64 / SECOND as f64, change);
+        world.set_blocks(blocks);
+        (0..nodes).for_each(|i| world.restart(i));
+        world
+    }
+
+    /// Controllers that start from here on divide the machines into so many blocks.
+    pub fn set_blocks(&mut self, blocks: u32) {
+        self.set_policy(&format!("blocks = {blocks}"));
+    }
+
+    /// Controllers that start from here on go by this policy.
+    pub fn set_policy(&mut self, text: &str) {
+        for settings in &mut self.settings {
+            let mut own = (**settings).clone();
+            own.policy = Policy::parse(text).expect("the story's policy is fine");
+            *settings = Arc::new(own);
+        }
+    }
+
+    /// The ledger's pages, as the state service holds them.
+    pub fn ledger(&self) -> Vec<Page> {
+        let keys = self.state.keys("gh/ledger/page/");
+        let page = |k: &String| {
+            self.state
+                .value(k)
+                .and_then(|v| serde_json::from_value(v.clone()).ok())
+        };
+        keys.iter().filter_map(page).collect()
+    }
+
+    pub fn settings(&self) -> &Settings {
+        &self.settings[0]
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -0,0 +1,187 @@
+//! The state service as controllers reach it: slow, silent, refusing or hanging.
+
+use super::*;
+
+impl World {
+    /// A request reaches the state service.
+    pub(super) fn handle_store_request(
+        &mut self,
+        node: usize,
+        life: u32,
+        id: u64,
+        request: &StoreRequest,
+        asked: u64,
+    ) {
+        let own = self.nodes[node].life == life;
+        if own && self.faults.store_refuses.contains(&node) {
+            return self.store_answer(node, life, id, Some((503, json!({}))));
+        }
+        let outcome = self.state.handle(
+            request.method.as_str(),
+            &request.path,
+            &request.body,
+            self.now,
+        );
+        match outcome {
+            Outcome::Answer(status, body) => {
+                let lost = self.now > asked + request.timeout;
+                let answer = (!lost).then_some((status, body));
+                let late = self.faults.commit_answer_delays.get(&node).copied();
+                match late.filter(|_| request.path == "/commit") {
+                    Some(late) => self.answer_in(late, node, life, id, answer),
+                    None => self.store_answer(node, life, id, answer),
+                }
+            }
+            // A read that does not wait is no watch.
+            Outcome::Wait { until, .. }
+                if until <= self.now && self.faults.hung_watches.contains(&node) =>
+            {
+                let quiet = self.state.quiet();
+                self.store_answer(node, life, id, Some((200, quiet)));
+            }
+            Outcome::Wait {
+                prefix,
+                after,
+                until,
+            } => {
+                self.watches.push((node, life, id, prefix, after, until));
+            }
+        }
+    }
+
+    /// Sends a controller's request; of a transaction the answer may be lost, or it may be carried out late with no answer.
+    pub(super) fn send_store_request(
+        &mut self,
+        delay: u64,
+        node: usize,
+        life: u32,
+        id: u64,
+        request: StoreRequest,
+    ) {
+        let late = request.path == "/commit" && self.rng.random_bool(self.faults.late_commit_rate);
+        let lost = !late
+            && request.path == "/commit"
+            && self.faults.lost_commit_answer_rate > 0.0
+            && self.rng.random_bool(self.faults.lost_commit_answer_rate);
+        if !late && !lost {
+            let asked = self.now;
+            self.at(
+                delay,
+                Event::Store {
+                    node,
+                    life,
+                    id,
+                    request,
+                    asked,
+                },
+            );
+            return;
+        }
+        let long = self.rng.random_range(SECOND..20 * SECOND);
+        let long = if lost { delay } else { long };
+        self.counters.unanswered_commits += usize::from(lost);
+        let patience = request.timeout;
+        self.at(
+            long,
+            Event::Store {
+                node,
+                life: 0,
+                id,
+                request,
+                asked: 0,
+            },
+        );
+        self.time_out(patience, node, life, id);
+    }
+
+    /// A controller gets no answer to its request.
+    fn time_out(&mut self, patience: u64, node: usize, life: u32, id: u64) {
+        let answer = Err(NoAnswer::Timeout);
+        let command = Command::StoreAnswer { id, answer };
+        self.at(
+            patience,
+            Event::Command {
+                node,
+                life,
+                command,
+            },
+        );
+    }
+
+    pub(super) fn store_answer(
+        &mut self,
+        node: usize,
+        life: u32,
+        id: u64,
+        answer: Option<(u16, Value)>,
+    ) {
+        let delay = self.slowness();
+        self.answer_in(delay, node, life, id, answer);
+    }
+
+    /// How long the state service takes for an answer.
+    pub(super) fn slowness(&mut self) -> u64 {
+        let slow = if self.faults.max_store_delay > 0 {
+            self.rng.random_range(0..self.faults.max_store_delay)
+        } else {
+            0
+        };
+        self.jitter() + slow
+    }
+
+    pub(super) fn answer_in(
+        &mut self,
+        delay: u64,
+        node: usize,
+        life: u32,
+        id: u64,
+        answer: Option<(u16, Value)>,
+    ) {
+        let answer = answer
+            .map(|(status, body)| Answer::new(status, body.to_string()))
+            .ok_or(NoAnswer::Timeout);
+        self.at(
+            delay,
+            Event::Command {
+                node,
+                life,
+                command: Command::StoreAnswer { id, answer },
+            },
+        );
+    }
+
+    pub(super) fn wake_watches(&mut self) {
+        if self.state.down {
+            return;
+        }
+        for (node, life, id, prefix, after, until) in std::mem::take(&mut self.watches) {
+            let hangs = self.faults.store_refuses.contains(&node)
+                || self.faults.hung_watches.contains(&node);
+            if hangs && self.nodes[node].life == life {
+                // Its open watches wait, as they would in an outage, until it gives them up.
+                match self.now > until + 3 * SECOND {
+                    true => self.store_answer(node, life, id, None),
+                    false => self.watches.push((node, life, id, prefix, after, until)),
+                }
+                continue;
+            }
+            match self.state.changes(&prefix, after) {
+                Some(changes) => {
+                    let slow = self.faults.max_watch_delay;
+                    let slow = if slow > 0 {
+                        self.rng.random_range(0..slow)
+                    } else {
+                        0
+                    };
+                    let delay = slow + self.slowness();
+                    self.answer_in(delay, node, life, id, Some((200, changes)));
+                }
+                None if until <= self.now => {
+                    let quiet = self.state.quiet();
+                    self.store_answer(node, life, id, Some((200, quiet)));
+                }
+                None => self.watches.push((node, life, id, prefix, after, until)),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/tests/simulation/harness/users.rs
@@ -0,0 +1,237 @@
+//! Users: what they submit, ask and cancel, and what they are told.
+
+use super::*;
+
+/// A job as its user sees it.
+#[derive(Debug)]
+pub struct UserJob {
+    pub body: Value,
+    pub accepted: Option<u64>,
+    pub cancel_asked: bool,
+    pub told_cancelled: Option<u64>,
+    pub told_done: Option<u64>,
+    pub status: String,
+    pub waits_on: Vec<String>,
+    pub polls: usize,
+    /// When a question about it was last answered.
+    pub answered: u64,
+    /// Since when it waits though there is room for it.
+    pub(super) idle_since: Option<u64>,
+}
+
+/// What lacks a field or can never run: whom to ask about it, and the word that the refusal has to name.
+#[derive(Debug)]
+pub struct Odd {
+    pub body: Value,
+    pub field: String,
+    pub refused: usize,
+}
+
+/// A submission's body. `more` overrides fields.
+pub fn job(id: u32, tasks: u32, more: Value) -> Value {
+    let mut body = json!({
+        "id": format!("j-{id:06}"), "jobclass": "c", "crew": "blue", "shape": "array",
+        "rank": "normal", "pieces": tasks, "vcpus": 1.0, "cards": 0.0, "mem_gb": 1.0,
+        "build": "img", "size_gb": 1.0, "rigs": null, "yard": null, "together": false,
+        "scatter": false, "loaners": true, "guess_s": 5.0, "stamp_every_s": 0.0, "stamp_s": 0.0,
+        "due_s": null
+    });
+    if let (Some(body), Some(more)) = (body.as_object_mut(), more.as_object()) {
+        body.extend(more.clone());
+    }
+    body
+}
+
+impl World {
+    pub fn submit(&mut self, body: Value) {
+        let id = body["id"].as_str().unwrap_or("").to_string();
+        self.jobs.insert(
+            id.clone(),
+            UserJob {
+                body,
+                accepted: None,
+                cancel_asked: false,
+                told_cancelled: None,
+                told_done: None,
+                status: String::new(),
+                waits_on: Vec::new(),
+                polls: 0,
+                answered: 0,
+                idle_since: None,
+            },
+        );
+        self.ask(&id, "submit");
+    }
+
+    /// A user submits at this node, once, whatever the answer.
+    pub fn ask_quietly(&mut self, body: Value, node: usize) {
+        let id = body["id"].as_str().unwrap_or("").to_string();
+        let origin = Origin::User {
+            job: format!("quietly {id}"),
+            what: "quietly",
+            asked: self.now,
+        };
+        self.http(
+            origin,
+            node,
+            Method::Post,
+            "/api/jobs",
+            Bytes::from(body.to_string()),
+        );
+    }
+
+    /// A user submits at this node what lacks a field or can never run; the refusal has to name the field.
+    pub fn submit_odd(&mut self, body: Value, field: &str, node: usize) {
+        let id = format!("odd {} {}", field, self.odd.len());
+        let origin = Origin::User {
+            job: id.clone(),
+            what: "odd",
+            asked: self.now,
+        };
+        let text = Bytes::from(body.to_string());
+        self.odd.insert(
+            id,
+            Odd {
+                body,
+                field: field.into(),
+                refused: 0,
+            },
+        );
+        self.http(origin, node, Method::Post, "/api/jobs", text);
+    }
+
+    /// Users look at all nodes, again and again within milliseconds, and repeat what they asked for.
+    pub(super) fn look_closely(&mut self, id: &str) {
+        for node in 0..self.nodes.len() {
+            for what in ["poll", "submit", "poll", "cancel", "poll"] {
+                // Only who has called it off repeats that.
+                if what == "cancel" && !self.jobs.get(id).is_some_and(|j| j.cancel_asked) {
+                    continue;
+                }
+                let soon = self.rng.random_range(0..300_000);
+                self.at(
+                    soon,
+                    Event::Ask {
+                        job: id.into(),
+                        what,
+                        node,
+                    },
+                );
+                self.counters.close_looks += 1;
+            }
+        }
+    }
+
+    pub fn cancel(&mut self, id: u32) {
+        let id = format!("j-{id:06}");
+        if let Some(j) = self.jobs.get_mut(&id) {
+            j.cancel_asked = true;
+        }
+        self.ask(&id, "cancel");
+    }
+
+    /// A user cancels a job at this controller, and goes on asking anywhere until that is answered.
+    pub fn cancel_at(&mut self, id: u32, node: usize) {
+        let id = format!("j-{id:06}");
+        if let Some(j) = self.jobs.get_mut(&id) {
+            j.cancel_asked = true;
+        }
+        self.ask_at(&id, "cancel", node);
+    }
+
+    /// Sends a user's request to some node.
+    pub fn ask(&mut self, id: &str, what: &'static str) {
+        let node = self.rng.random_range(0..self.nodes.len());
+        self.ask_at(id, what, node);
+    }
+
+    /// Sends a user's request to this node.
+    pub fn ask_at(&mut self, id: &str, what: &'static str, node: usize) {
+        let origin = Origin::User {
+            job: id.into(),
+            what,
+            asked: self.now,
+        };
+        let body = match what {
+            "submit" => Bytes::from(self.jobs[id].body.to_string()),
+            _ => Bytes::new(),
+        };
+        let (method, path) = match what {
+            "submit" => (Method::Post, "/api/jobs".to_string()),
+            "cancel" => (Method::Post, format!("/api/jobs/{id}/cancel")),
+            _ => (Method::Get, format!("/api/jobs/{id}")),
+        };
+        self.http(origin, node, method, &path, body);
+    }
+
+    /// Every job is polled, and what has not been answered is asked again.
+    pub(super) fn poll_jobs(&mut self) {
+        if !self.now.is_multiple_of(2 * SECOND) {
+            return;
+        }
+        let ids: Vec<String> = self.jobs.keys().cloned().collect();
+        for id in ids {
+            let j = &self.jobs[&id];
+            if j.accepted.is_none() {
+                self.ask(&id, "submit");
+            } else if j.cancel_asked && j.told_cancelled.is_none() && j.told_done.is_none() {
+                self.ask(&id, "cancel");
+            }
+            if self.jobs[&id].accepted.is_some() {
+                self.ask(&id, "poll");
+            }
+        }
+    }
+
+    /// Requests about random jobs that come on top of the usual polls.
+    pub(super) fn send_random_queries(&mut self) {
+        for _ in 0..self.queries {
+            let accepted = self.jobs.iter().filter(|(_, j)| j.accepted.is_some());
+            let ids: Vec<String> = accepted.map(|(id, _)| id.clone()).collect();
+            let any = self.rng.random_range(0..ids.len().max(1));
+            if let Some(id) = ids.get(any) {
+                self.ask(id, "poll");
+            }
+        }
+    }
+
+    /// The job itself and all that it needs, directly or through others.
+    pub(super) fn upstream(&self, id: &str) -> Vec<String> {
+        let mut all = vec![id.to_string()];
+        let mut next = 0;
+        while let Some(id) = all.get(next).cloned() {
+            next += 1;
+            let named = self.jobs.get(&id).map(|j| &j.body["waits_on"]);
+            for u in named.and_then(Value::as_array).into_iter().flatten() {
+                let u = u.as_str().unwrap_or("").to_string();
+                if !all.contains(&u) {
+                    all.push(u);
+                }
+            }
+        }
+        all
+    }
+
+    /// Whether each of the job's tasks has completed on some machine at some time.
+    pub(super) fn completed(&self, id: &str) -> bool {
+        let n = self
+            .jobs
+            .get(id)
+            .and_then(|j| j.body["pieces"].as_u64())
+            .unwrap_or(0);
+        (0..n).all(|i| self.done.contains(&format!("{id}/{i}")))
+    }
+
+    /// What a job's user was last told that it waits for.
+    pub fn waits_on(&self, id: &str) -> &[String] {
+        &self.jobs[id].waits_on
+    }
+
+    pub fn all_over(&self) -> bool {
+        self.jobs.values().all(|j| {
+            j.told_done.is_some()
+                || j.told_cancelled.is_some()
+                || (j.body["shape"].as_str() == Some("service") && j.accepted.is_some())
+        })
+    }
+}
--- /dev/null
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -0,0 +1,235 @@
+//! Workers on the machines of the cloud, and what they see of the world.
+
+use super::*;
+
+/// How long an answer to a heartbeat waits for a machine that hangs.
+const HUNG_ANSWER: u64 = 4 * SECOND;
+
+impl World {
+    /// Notes what a worker has and no longer has.
+    pub(super) fn log(&mut self, w: &Worker) {
+        if self.settings[0].ledger.is_none() {
+            return;
+        }
+        let now = self.now;
+        self.record.note(w, now);
+    }
+
+    pub(super) fn step_workers(&mut self) {
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        for name in names {
+            let Some(mut w) = self.workers.remove(&name) else {
+                continue;
+            };
+            w.step(self);
+            self.log(&w);
+            self.workers.insert(name, w);
+        }
+        let mut workers = std::mem::take(&mut self.workers);
+        let gang_peer = self.gang_peer;
+        worker::step_gangs(&mut workers, gang_peer, self);
+        self.workers = workers;
+    }
+
+    /// Direct commands reach a worker that reaches no controller, and wait for one that hangs, whoever may lead by then.
+    pub(super) fn command_worker(&mut self, node: usize, addr: String, body: Bytes) {
+        let text: Value = serde_json::from_slice(&body).unwrap_or_default();
+        let verbs = text["orders"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(|o| o["verb"].clone());
+        if verbs.clone().any(|v| v != json!("halt")) {
+            self.broken.push(format!("sent directly: {text}"));
+        }
+        let to = self.workers.values().find(|w| self.addr(&w.name) == addr);
+        let Some(w) = to.filter(|w| !w.dead && !self.faults.unanswered_workers.contains(&w.name))
+        else {
+            return;
+        };
+        if !self.reaches(node, &w.zone) {
+            return;
+        }
+        let late = w.hung_until.saturating_sub(self.now);
+        if late > 0 {
+            if late < 60 * SECOND {
+                self.at(late, Event::Direct { node, addr, body });
+            }
+            return;
+        }
+        let name = w.name.clone();
+        let Some(mut w) = self.workers.remove(&name) else {
+            return;
+        };
+        if !w.hung(self.now) && !w.lease_over(self.now) {
+            w.commanded(self, &body);
+            self.log(&w);
+        }
+        self.workers.insert(name, w);
+    }
+
+    /// The answer to a heartbeat reaches its worker, if anybody there can read it.
+    pub(super) fn worker_answer(
+        &mut self,
+        name: String,
+        sent: u64,
+        node: usize,
+        response: Response,
+    ) {
+        if self.faults.unanswered_workers.contains(&name) {
+            return;
+        }
+        let hung = self.workers.get(&name);
+        if let Some(until) = hung
+            .filter(|w| w.hung(self.now) && !w.dead)
+            .map(|w| w.hung_until)
+        {
+            // It lies there until the machine goes on, if it does within its patience.
+            if until > self.now && until < sent + HUNG_ANSWER {
+                let origin = Origin::Worker { name, sent };
+                self.at(
+                    until - self.now,
+                    Event::Answer {
+                        origin,
+                        node,
+                        response,
+                    },
+                );
+            }
+            return;
+        }
+        let mut worker = self.workers.remove(&name);
+        if let Some(w) = worker.as_mut().filter(|w| !w.hung(self.now)) {
+            w.answered(self, node, sent, response.status, &response.body);
+            self.log(w);
+        }
+        worker.map(|w| self.workers.insert(name, w));
+    }
+}
+
+impl Site for World {
+    fn now(&self) -> u64 {
+        self.now
+    }
+
+    fn draw(&mut self, from: u64, to: u64) -> u64 {
+        self.rng.random_range(from..to)
+    }
+
+    fn chance(&mut self, part: f64) -> bool {
+        self.rng.random_bool(part)
+    }
+
+    fn nodes(&self) -> usize {
+        self.nodes.len()
+    }
+
+    fn lease(&self) -> u64 {
+        LEASE
+    }
+
+    fn job(&self, id: &str) -> Option<JobFacts> {
+        let body = &self.jobs.get(id)?.body;
+        let time = |f: &str| (body[f].as_f64().unwrap_or(0.0) * SECOND as f64) as u64;
+        Some(JobFacts {
+            tasks: body["pieces"].as_u64().unwrap_or(0) as u32,
+            gang: body["shape"] == "group",
+            service: body["shape"] == "service",
+            broken: body["jobclass"] == "broken",
+            save: time("stamp_s"),
+            estimate: time("guess_s"),
+        })
+    }
+
+    fn run_time(&mut self, _: &JobFacts) -> u64 {
+        self.rng.random_range(self.runs.0..self.runs.1)
+    }
+
+    fn is_done(&self, task: &str) -> bool {
+        self.done.contains(task)
+    }
+
+    fn done(&mut self, task: &str) {
+        self.done.insert(task.into());
+        let id = task.split('/').next().unwrap_or("").to_string();
+        if self.cancel_at_end == 0.0 || !self.completed(&id) {
+            return;
+        }
+        if self.rng.random_bool(self.cancel_at_end)
+            && let Some(j) = self.jobs.get_mut(&id)
+        {
+            // From before its worker says so until some time after it was stored.
+            j.cancel_asked = true;
+            let node = self.rng.random_range(0..self.nodes.len());
+            let soon = self.rng.random_range(0..SECOND * 5 / 2);
+            self.at(
+                soon,
+                Event::Ask {
+                    job: id.clone(),
+                    what: "cancel",
+                    node,
+                },
+            );
+        }
+        self.look_closely(&id);
+    }
+
+    fn starts(&mut self, worker: &Worker, task: &str) {
+        self.check_start(worker, task);
+    }
+
+    fn failed(&mut self, task: &str) {
+        self.errors.push((self.now, task.into()));
+    }
+
+    fn forgets(&mut self, task: &str) {
+        let (id, index) = task.split_once('/').unwrap_or((task, ""));
+        let index: u32 = index.parse().unwrap_or(0);
+        let over = self.state.value(&format!("gh/over/{id}")).is_some();
+        let live = self.state.value(&format!("gh/live/{id}"));
+        let cancelled = live.is_some_and(|v| v["cancelled"] == json!(true));
+        if over || cancelled || self.stored(id, index) {
+            return;
+        }
+        self.broken.push(format!(
+            "lost: the end of {task} is forgotten and not stored"
+        ));
+    }
+
+    fn reaches(&self, node: usize, zone: &str) -> bool {
+        !self
+            .faults
+            .unreachable_zones
+            .contains(&(node, zone.to_string()))
+    }
+
+    fn send(&mut self, worker: &str, node: usize, body: String) {
+        if self.faults.heartbeat_copy_rate > 0.0
+            && self.rng.random_bool(self.faults.heartbeat_copy_rate)
+        {
+            let late = self.rng.random_range(2 * SECOND..3 * LEASE);
+            self.at(
+                late,
+                Event::Copy {
+                    node: None,
+                    body: body.clone(),
+                },
+            );
+        }
+        if self.faults.kept_copy_rate > 0.0 && self.rng.random_bool(self.faults.kept_copy_rate) {
+            self.kept_copies.push(body.clone());
+        }
+        if self.faults.isolated_workers.contains(worker) {
+            return;
+        }
+        let origin = Origin::Worker {
+            name: worker.into(),
+            sent: self.now,
+        };
+        self.http(origin, node, Method::Post, "/v1/report", Bytes::from(body));
+    }
+
+    fn named(&self, name: &str) -> Option<usize> {
+        name.strip_prefix('n')?.parse().ok()
+    }
+}
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -127,7 +127,7 @@
 fn a_leader_refused_by_the_state_service_alone_gets_no_promise_and_is_replaced() {
     let mut w = busy(7);
     let old = w.leader().expect("someone leads");
-    w.refused.insert(old);
+    w.faults.store_refuses.insert(old);
     w.run_until(12, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
@@ -155,8 +155,8 @@
     w.submit(job(10, 12, json!({"yard": "a"})));
     w.run(3);
     let leader = w.leader().expect("someone leads");
-    w.deaf.insert((leader, "a".into()));
-    w.deaf.insert((leader, "b".into()));
+    w.faults.unreachable_zones.insert((leader, "a".into()));
+    w.faults.unreachable_zones.insert((leader, "b".into()));
     let lost = w
         .workers
         .values()
@@ -178,9 +178,11 @@
     let leader = w.leader().expect("someone leads");
     let near = (leader + 1) % 3;
     // The workers and one controller are on the far side of a cut.
-    w.cut.extend([(leader, near), (near, leader)]);
-    w.deaf.insert((leader, "a".into()));
-    w.deaf.insert((leader, "b".into()));
+    w.faults
+        .partitioned
+        .extend([(leader, near), (near, leader)]);
+    w.faults.unreachable_zones.insert((leader, "a".into()));
+    w.faults.unreachable_zones.insert((leader, "b".into()));
     let sessions: Vec<(String, u64)> = w
         .workers
         .values()
@@ -192,8 +194,8 @@
         let now = w.workers.get(&name).map(|m| m.session);
         assert!(now.is_none_or(|s| s == session), "{name} lost its lease");
     }
-    w.cut.clear();
-    w.deaf.clear();
+    w.faults.partitioned.clear();
+    w.faults.unreachable_zones.clear();
     w.run_until(120, "all are done", World::all_over);
     w.finish();
 }
@@ -203,18 +205,18 @@
     let mut w = busy(10);
     let old = w.leader().expect("someone leads");
     for other in (0..3).filter(|o| *o != old) {
-        w.cut.insert((old, other));
-        w.cut.insert((other, old));
+        w.faults.partitioned.insert((old, other));
+        w.faults.partitioned.insert((other, old));
     }
-    w.deaf.insert((old, "a".into()));
-    w.deaf.insert((old, "b".into()));
+    w.faults.unreachable_zones.insert((old, "a".into()));
+    w.faults.unreachable_zones.insert((old, "b".into()));
     w.run_until(12, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.run(10);
     // What was held back in the network comes now, long after the takeover.
-    w.cut.clear();
-    w.deaf.clear();
+    w.faults.partitioned.clear();
+    w.faults.unreachable_zones.clear();
     w.run_until(120, "all are done", World::all_over);
     w.finish();
 }
@@ -275,7 +277,7 @@
 fn late_transactions_change_nothing_that_was_told() {
     for seed in 30..34 {
         let mut w = World::new(3, seed);
-        w.late_commits = 0.2;
+        w.faults.late_commit_rate = 0.2;
         w.run(2);
         for i in 0..5 {
             w.submit(job(i, 6, json!({})));
@@ -283,7 +285,7 @@
         w.run(10);
         w.cancel(3);
         w.run(20);
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(200, "all are over", World::all_over);
         w.finish();
     }
@@ -463,9 +465,9 @@
             2 => w.state.down = !w.state.down,
             3 => {
                 let pair = (w.rng.random_range(0..3), w.rng.random_range(0..3));
-                w.cut.insert(pair);
+                w.faults.partitioned.insert(pair);
             }
-            4 => w.cut.clear(),
+            4 => w.faults.partitioned.clear(),
             5 => {
                 let until = w.now + w.rng.random_range(SECOND..20 * SECOND);
                 if let Some(m) = w.workers.values_mut().next() {
@@ -480,10 +482,16 @@
             }
             7 => {
                 let n = w.rng.random_range(0..3);
-                w.deaf.insert((n, "a".into()));
+                w.faults.unreachable_zones.insert((n, "a".into()));
+            }
+            8 => w.faults.unreachable_zones.clear(),
+            9 => {
+                w.faults.late_commit_rate = if w.faults.late_commit_rate > 0.0 {
+                    0.0
+                } else {
+                    0.1
+                }
             }
-            8 => w.deaf.clear(),
-            9 => w.late_commits = if w.late_commits > 0.0 { 0.0 } else { 0.1 },
             10 => {
                 let (least, most) =
                     [(1, 2), (1_000, 4_000), (3_000, 15_000)][w.rng.random_range(0..3)];
@@ -494,8 +502,8 @@
             12 => w.queries = [0, 5][w.rng.random_range(0..2)],
             13 => {
                 let n = w.rng.random_range(0..3);
-                if !w.refused.remove(&n) {
-                    w.refused.insert(n);
+                if !w.faults.store_refuses.remove(&n) {
+                    w.faults.store_refuses.insert(n);
                 }
             }
             14 => {
@@ -514,10 +522,10 @@
         w.check_cancelled();
     }
     w.state.down = false;
-    w.cut.clear();
-    w.deaf.clear();
-    w.late_commits = 0.0;
-    w.refused.clear();
+    w.faults.partitioned.clear();
+    w.faults.unreachable_zones.clear();
+    w.faults.late_commit_rate = 0.0;
+    w.faults.store_refuses.clear();
     w.cloud.never_boot = 0.0;
     w.queries = 0;
     (1..=mistakes).for_each(|i| w.cancel(900 + i));
--- a/crates/gannethub-core/tests/simulation/one_way_partition.rs
+++ b/crates/gannethub-core/tests/simulation/one_way_partition.rs
@@ -22,7 +22,7 @@
 fn nothing_more_is_placed_on_a_machine_that_gets_no_answers_and_it_is_returned() {
     for seed in 1..=6 {
         let (mut w, name) = working(seed);
-        w.unheard.insert(name.clone());
+        w.faults.unanswered_workers.insert(name.clone());
         for i in 2..=9 {
             w.submit(job(i, 8, json!({"rigs": ["small"]})));
             w.run(4);
@@ -46,13 +46,13 @@
             .filter(|x| x.zone == zone)
             .map(|x| x.name.clone())
             .collect();
-        w.unheard.extend(deaf.iter().cloned());
+        w.faults.unanswered_workers.extend(deaf.iter().cloned());
         w.run(14);
         // The first session has ended: what is new, and what was lost, starts on machines that are rented for it.
         w.submit(job(2, 4, json!({"rigs": ["small"]})));
         let before = w.starts;
         w.run_until(20, "new work starts elsewhere", |w| w.starts >= before + 4);
-        w.unheard.clear();
+        w.faults.unanswered_workers.clear();
         w.submit(job(3, 40, json!({"rigs": ["small"], "guess_s": 20.0})));
         w.run_until(180, "all are over", World::all_over);
         w.finish();
@@ -65,7 +65,7 @@
 fn late_copies_of_reports_revive_end_and_free_nothing() {
     for seed in 1..=10 {
         let mut w = World::new(3, seed);
-        w.copies = 0.5;
+        w.faults.heartbeat_copy_rate = 0.5;
         w.run(2);
         for i in 1..=5 {
             w.submit(job(2 * i, 8, json!({"rigs": ["small"]})));
@@ -91,7 +91,7 @@
         w.run_until(240, "all are over", World::all_over);
         // What is still under way comes to a cluster that has nothing left to do.
         w.run(30);
-        assert!(w.copied > 50, "{} copies came", w.copied);
+        assert!(w.counters.copied > 50, "{} copies came", w.counters.copied);
         w.finish();
     }
 }
@@ -104,9 +104,9 @@
         let (mut w, _) = working(seed);
         let old = w.leader().expect("one leads");
         let others: Vec<usize> = (0..w.nodes.len()).filter(|i| *i != old).collect();
-        w.refused.insert(old);
+        w.faults.store_refuses.insert(old);
         for i in &others {
-            w.cut.extend([(old, *i), (*i, old)]);
+            w.faults.partitioned.extend([(old, *i), (*i, old)]);
         }
         w.run_until(15, "another leads", |w| {
             w.leader().is_some_and(|l| l != old)
@@ -126,8 +126,8 @@
             .as_ref()
             .is_some_and(|c| c.cluster().is_some());
         assert!(!acts, "it still leads");
-        w.refused.clear();
-        w.cut.clear();
+        w.faults.store_refuses.clear();
+        w.faults.partitioned.clear();
         w.submit(job(2, 8, json!({"rigs": ["small"]})));
         w.run_until(180, "all are over", World::all_over);
         w.finish();
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -59,12 +59,12 @@
         let mut w = World::new(3, seed);
         w.run(2);
         diamond(&mut w);
-        w.late_commits = 0.15;
+        w.faults.late_commit_rate = 0.15;
         for _ in 0..4 {
             (0..3).for_each(|n| w.crash(n, 3 * SECOND));
             w.run(14);
         }
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(240, "all are done", World::all_over);
         w.finish();
     }
@@ -129,14 +129,14 @@
         w.run(2);
         diamond(&mut w);
         w.run_until(60, "the middle runs", |w| done(w, 1));
-        w.late_commits = 0.3;
+        w.faults.late_commit_rate = 0.3;
         w.cancel(2);
         w.run(3);
         w.state.down = true;
         w.run(6);
         w.state.down = false;
         w.run(10);
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(240, "all are over", World::all_over);
         // Either it was done before the cancellation came through, or it took the last with it.
         assert_eq!(cancelled(&w, 2), cancelled(&w, 4));
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -157,9 +157,9 @@
         w.run(12);
         let victim = node(&w.holds((seed % 3) as u32).expect("held"));
         w.crash(victim, 6 * SECOND);
-        w.late_commits = 0.1;
+        w.faults.late_commit_rate = 0.1;
         w.run(20);
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(300, "all are done", World::all_over);
         w.finish();
     }
@@ -265,7 +265,7 @@
         }
         w.run_until(60, "the arrays run", |w| w.starts >= 40);
         let old = node(&w.holds(block).expect("held"));
-        w.frozen.insert(old, w.now + 9 * SECOND);
+        w.faults.frozen_until.insert(old, w.now + 9 * SECOND);
         w.run_until(9, "another holds it", |w| {
             w.holds(block).is_some_and(|h| node(&h) != old)
         });
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -42,7 +42,7 @@
 
 /// The state service refuses the leader, and users cancel these jobs at one other controller, which tells them so.
 fn refused_and_cancelled(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
-    w.refused.insert(old);
+    w.faults.store_refuses.insert(old);
     jobs.iter().for_each(|i| w.cancel_at(*i, near));
     w.run_until(1, "the users are told", |w| told(w, jobs));
 }
@@ -87,7 +87,7 @@
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        w.silent.extend(others.iter().copied());
+        w.faults.previous_release.extend(others.iter().copied());
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(9);
@@ -104,7 +104,7 @@
     for seed in 1..=3 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        w.garbled.insert(others[0]);
+        w.faults.corrupts_votes.insert(others[0]);
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(27);
@@ -118,7 +118,7 @@
 fn a_leader_that_does_not_say_what_it_knows_gets_its_promises() {
     let mut w = long(3, 7);
     let (old, _) = roles(&w, 7);
-    w.silent.insert(old);
+    w.faults.previous_release.insert(old);
     w.state.down = true;
     w.run(9);
     assert_eq!(w.leader(), Some(old), "longer than its grant");
@@ -132,8 +132,8 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let near = others[0];
-        w.slow_commits.insert(near, SECOND * 19 / 10);
-        w.refused.insert(old);
+        w.faults.commit_answer_delays.insert(near, SECOND * 19 / 10);
+        w.faults.store_refuses.insert(old);
         (1..=4).for_each(|i| w.cancel_at(i, near));
         let stored = |w: &World| {
             (1..=4).all(|i| {
@@ -171,17 +171,17 @@
         let third = others[1];
         match seed % 3 {
             0 => {
-                w.refused.insert(third);
+                w.faults.store_refuses.insert(third);
             }
             1 => {
-                w.frozen.insert(third, w.now + 12 * SECOND);
+                w.faults.frozen_until.insert(third, w.now + 12 * SECOND);
             }
-            _ => w.cut.extend([(old, third), (third, old)]),
+            _ => w.faults.partitioned.extend([(old, third), (third, old)]),
         }
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         if seed > 6 {
             // The one that confirmed cannot tell the leader itself.
-            w.cut.extend([(others[0], old)]);
+            w.faults.partitioned.extend([(others[0], old)]);
         }
         outlast(w, seed);
     }
@@ -238,7 +238,7 @@
             .collect();
         assert!(!names.is_empty());
         match seed % 4 {
-            0 => w.unheard.extend(names),
+            0 => w.faults.unanswered_workers.extend(names),
             1 => {
                 let until = w.now + LEASE - SECOND;
                 names
@@ -246,9 +246,14 @@
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
             // The leader hears its workers through its siblings alone.
-            2 => w.deaf.extend([(old, "a".into()), (old, "b".into())]),
+            2 => w
+                .faults
+                .unreachable_zones
+                .extend([(old, "a".into()), (old, "b".into())]),
             _ => (0..3).for_each(|n| {
-                w.deaf.insert((n, w.workers[&names[0]].zone.clone()));
+                w.faults
+                    .unreachable_zones
+                    .insert((n, w.workers[&names[0]].zone.clone()));
             }),
         }
         w.run(2);
@@ -269,10 +274,10 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         for i in 1..=6 {
-            w.refused.insert(old);
+            w.faults.store_refuses.insert(old);
             w.cancel_at(i, others[i as usize % 2]);
             w.run(1);
-            w.refused.remove(&old);
+            w.faults.store_refuses.remove(&old);
             w.run(1);
         }
         refused_and_cancelled(&mut w, old, others[0], &[7]);
@@ -291,7 +296,7 @@
         w.run(6);
         assert_eq!(w.leader(), Some(old));
         w.state.down = false;
-        w.refused.insert(old);
+        w.faults.store_refuses.insert(old);
         w.run(1);
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         outlast(w, seed);
@@ -329,7 +334,9 @@
         w.run(10);
         let refused: Vec<usize> = (0..3).filter(|i| *i != seed as usize % 3).collect();
         let near = seed as usize % 3;
-        w.refused.extend(&refused[..1 + seed as usize % 2]);
+        w.faults
+            .store_refuses
+            .extend(&refused[..1 + seed as usize % 2]);
         (1..=4).for_each(|i| w.cancel_at(i, near));
         w.run_until(1, "the users are told", |w| told(w, &[1, 2, 3, 4]));
         outlast(w, seed);
@@ -343,9 +350,9 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let term = w.state.value(TERM_KEY).cloned();
-        w.hung_watches.insert(old);
+        w.faults.hung_watches.insert(old);
         others.iter().for_each(|i| {
-            w.lost.insert((*i, old));
+            w.faults.lossy_links.insert((*i, old));
         });
         w.run(10);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -202,10 +202,10 @@
     });
     // Its pages are not written; the ends are known to it and to the workers only.
     let leader = w.leader().expect("one leads");
-    w.late_commits = 1.0;
+    w.faults.late_commit_rate = 1.0;
     w.run(1);
     w.crash(leader, 8 * SECOND);
-    w.late_commits = 0.0;
+    w.faults.late_commit_rate = 0.0;
     w.run_until(200, "all are over", World::all_over);
     w.run(25);
     let audit = audit(&w);
