--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gannethub_ledger::line::Reason;
-use gannethub_ledger::meter::{Meter, News, Reading, Stage};
+use gannethub_ledger::meter::{EndObservation, Meter, MeteredUsage, Stage};
 
 use super::record::{AttemptEnd, ChargeState, OrphanedAttempt, UsageRecord, ledger_key};
 use super::replication::{rate_of, read_attempt_key, read_end_reason, read_owner, read_reading};
@@ -49,7 +49,7 @@
         machine: MachineId,
         id: AttemptId,
         replicated: &ReplicatedRecord,
-        reading: Reading,
+        reading: MeteredUsage,
         reason: Reason,
         now: Micros,
     ) -> AttemptEnd {
@@ -93,7 +93,7 @@
         machine: MachineId,
         attempt: AttemptId,
         replicated: &ReplicatedRecord,
-        reading: Reading,
+        reading: MeteredUsage,
     ) {
         let record = &replicated.record;
         let Some(stage) = Stage::from_index(record.stage as usize) else {
@@ -145,7 +145,10 @@
             return;
         }
         // The machine is alive: what another incarnation had was lost when its lease ran out.
-        let (lease, heartbeat_interval) = (self.settings.lease, self.settings.report);
+        let (lease, heartbeat_interval) = (
+            self.settings.lease_duration,
+            self.settings.heartbeat_interval,
+        );
         let is_of_another = |orphan: &OrphanedAttempt| orphan.incarnation != incarnation;
         self.charge_orphans_where(id, Reason::Lease, now, lease, is_of_another);
         self.charge_orphans_where(id, Reason::Missing, now, heartbeat_interval / 2, |_| true);
@@ -153,7 +156,7 @@
 
     /// A machine is gone, or its worker's lease is over, and with it all of its orphans.
     pub(crate) fn charge_orphans(&mut self, id: &MachineId, reason: Reason, now: Micros) {
-        let likely_duration = self.settings.report / 2;
+        let likely_duration = self.settings.heartbeat_interval / 2;
         self.charge_orphans_where(id, reason, now, likely_duration, |_| true);
     }
 
@@ -196,7 +199,7 @@
             ledger.orphans.insert(id.clone(), left);
         }
         for (attempt, orphan) in over {
-            let news = News::Silence {
+            let news = EndObservation::Silence {
                 heard: Some(orphan.last_known_at),
                 likely: likely_duration,
             };
--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -1,13 +1,14 @@
 //! Pages as they are kept, and whether they are as they were written.
 
+use std::cmp::Ordering;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::account::Accounts;
-use crate::chain::{KeyRing, Tie};
-use crate::line::{Body, Line, Parts};
+use crate::chain::{KeyRing, LineMac};
+use crate::line::{BalanceAssembler, Line, LineBody};
 use crate::settings::Settings;
 
 /// A page as the state service holds it.
@@ -25,7 +26,7 @@
 
 impl Page {
     /// Its lines and their ties; an error is the place of the first that is none.
-    pub fn read(&self) -> Result<Vec<(Line, Tie)>, usize> {
+    pub fn read(&self) -> Result<Vec<(Line, LineMac)>, usize> {
         let read = |(i, v)| Line::read(v).ok_or(i);
         self.lines.iter().enumerate().map(read).collect()
     }
@@ -33,7 +34,7 @@
 
 /// What is wrong with a ledger.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Wrong {
+pub enum FaultKind {
     /// It is not a line, or not the one that was tied here.
     Altered,
     /// The line before it is missing.
@@ -53,31 +54,44 @@
 pub struct Fault {
     pub page: u64,
     /// The line's place in the page and the number that it should have.
-    pub place: usize,
-    pub seq: u64,
-    pub wrong: Wrong,
+    pub position: usize,
+    pub line: u64,
+    pub kind: FaultKind,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let what = match self.wrong {
-            Wrong::Altered => "was altered",
-            Wrong::Dropped => "is missing",
-            Wrong::Doubled => "stands where another one should: a line appears twice",
-            Wrong::Reordered => "is not in its place: lines were reordered",
-            Wrong::UnknownKey => "cannot be checked: the key of its page is not in the key file",
-            Wrong::Unbalanced => "is part of a balance that the lines before it do not come to",
+        let what = match self.kind {
+            FaultKind::Altered => "was altered",
+            FaultKind::Dropped => "is missing",
+            FaultKind::Doubled => "stands where another one should: a line appears twice",
+            FaultKind::Reordered => "is not in its place: lines were reordered",
+            FaultKind::UnknownKey => {
+                "cannot be checked: the key of its page is not in the key file"
+            }
+            FaultKind::Unbalanced => "is part of a balance that the lines before it do not come to",
         };
         write!(
             f,
             "page {}, line {}: line {} {what}",
-            self.page, self.place, self.seq
+            self.page, self.position, self.line
         )
     }
 }
 
 impl std::error::Error for Fault {}
 
+impl Fault {
+    fn new(page: u64, position: usize, line: u64, kind: FaultKind) -> Fault {
+        Fault {
+            page,
+            position,
+            line,
+            kind,
+        }
+    }
+}
+
 /// What a ledger that verifies comes to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verified {
@@ -87,7 +101,7 @@
     /// The numbers of the first and of the next line, and the tie of the last one.
     pub first: u64,
     pub next: u64,
-    pub head: Tie,
+    pub head: LineMac,
     pub accounts: Accounts,
     /// Lines from the first one on are in the accounts, and those before it by a balance, if one says so.
     pub whole: bool,
@@ -95,7 +109,7 @@
 
 impl Verified {
     /// Nothing yet, before the line with this number and after the one with this tie.
-    fn before(first: u64, head: Tie) -> Verified {
+    fn before(first: u64, head: LineMac) -> Verified {
         Verified {
             pages: 0,
             lines: 0,
@@ -109,103 +123,130 @@
     }
 }
 
-/// Checks pages in the order in which they are given. `head`: a line's number and tie as an earlier check gave
+/// Checks pages in the order in which they are given. `head`: a line's number and MAC as an earlier check gave
 /// them; it has to be there still, or to have been folded since.
 pub fn verify(
     pages: &[Page],
     keys: &KeyRing,
     settings: &Settings,
-    head: Option<(u64, Tie)>,
+    head: Option<(u64, LineMac)>,
 ) -> Result<Verified, Fault> {
-    let fault = |page: u64, place, seq, wrong| {
-        Err(Fault {
-            page,
-            place,
-            seq,
-            wrong,
-        })
+    let mut verifier = Verifier {
+        keys,
+        settings,
+        head,
+        verified: None,
+        balances: BalanceChecker::default(),
     };
-    let mut seen: Option<Verified> = None;
-    let mut expected_page = pages.first().map_or(0, |p| p.page);
-    let mut fold = Fold::default();
-    for page in pages {
-        let first = seen.as_ref().map_or(page.first, |s| s.next);
-        if page.page != expected_page {
-            let wrong = match page.page > expected_page {
-                true => Wrong::Dropped,
-                false => Wrong::Doubled,
-            };
-            return fault(page.page, 0, first, wrong);
+    let first_page = pages.first().map_or(0, |page| page.page);
+    for (page, expected) in pages.iter().zip(first_page..) {
+        verifier.verify_page(page, expected)?;
+    }
+    let kept = verifier.balances.kept;
+    let nothing = || Verified::before(0, LineMac::default());
+    let end = verifier.verified.unwrap_or_else(nothing);
+    let dropped = |page, line| Fault::new(page, 0, line, FaultKind::Dropped);
+    if head.is_some_and(|(number, _)| number >= end.next) {
+        // Lines that an earlier check has seen are missing at the end.
+        let next_page = first_page + pages.len() as u64;
+        return Err(dropped(next_page, end.next));
+    }
+    if !pages.is_empty() && first_page > kept {
+        return Err(dropped(first_page, end.first.saturating_sub(1)));
+    }
+    Ok(end)
+}
+
+/// Goes through the pages one by one.
+struct Verifier<'a> {
+    keys: &'a KeyRing,
+    settings: &'a Settings,
+    head: Option<(u64, LineMac)>,
+    verified: Option<Verified>,
+    balances: BalanceChecker,
+}
+
+impl Verifier<'_> {
+    fn verify_page(&mut self, page: &Page, expected: u64) -> Result<(), Fault> {
+        let first_line = self.verified.as_ref().map_or(page.first, |seen| seen.next);
+        let fault = |line, kind| Err(Fault::new(page.page, 0, line, kind));
+        match page.page.cmp(&expected) {
+            Ordering::Greater => return fault(first_line, FaultKind::Dropped),
+            Ordering::Less => return fault(first_line, FaultKind::Doubled),
+            Ordering::Equal => {}
         }
-        expected_page += 1;
-        let Some(key) = keys.get(&page.key) else {
-            return fault(page.page, 0, first, Wrong::UnknownKey);
+        let Some(key) = self.keys.get(&page.key) else {
+            return fault(first_line, FaultKind::UnknownKey);
         };
-        let Some(prev) = Tie::parse(&page.prev) else {
-            return fault(page.page, 0, first, Wrong::Altered);
+        let Some(previous) = LineMac::parse(&page.prev) else {
+            return fault(first_line, FaultKind::Altered);
         };
-        let v = seen.get_or_insert_with(|| Verified::before(first, prev));
-        if v.head != prev || page.first != v.next {
-            return fault(page.page, 0, v.next, Wrong::Altered);
+        let verified = self
+            .verified
+            .get_or_insert_with(|| Verified::before(first_line, previous));
+        if verified.head != previous || page.first != verified.next {
+            return fault(verified.next, FaultKind::Altered);
         }
-        v.pages += 1;
-        for (place, value) in page.lines.iter().enumerate() {
-            let Some((line, tie)) = Line::read(value) else {
-                return fault(page.page, place, v.next, Wrong::Altered);
-            };
-            if line.seq != v.next || v.head.next(key, &line.text()) != tie {
-                let rest = page.lines[place..].iter().filter_map(Line::read);
-                let later = rest.skip(1).any(|(l, _)| l.seq == v.next);
-                let wrong = match line.seq.cmp(&v.next) {
-                    std::cmp::Ordering::Equal => Wrong::Altered,
-                    std::cmp::Ordering::Less => Wrong::Doubled,
-                    std::cmp::Ordering::Greater if later => Wrong::Reordered,
-                    std::cmp::Ordering::Greater => Wrong::Dropped,
-                };
-                return fault(page.page, place, v.next, wrong);
+        verified.pages += 1;
+        for (position, value) in page.lines.iter().enumerate() {
+            let expected = verified.next;
+            let fault = |kind| Fault::new(page.page, position, expected, kind);
+            let (line, mac) = Line::read(value).ok_or_else(|| fault(FaultKind::Altered))?;
+            if line.number != expected || verified.head.next(key, &line.text()) != mac {
+                return Err(fault(fault_of_line(
+                    &line,
+                    expected,
+                    &page.lines[position..],
+                )));
             }
-            if head.is_some_and(|(seq, known)| seq == line.seq && known != tie) {
-                return fault(page.page, place, line.seq, Wrong::Altered);
+            let is_known_line = |(number, known)| number == line.number && known != mac;
+            if self.head.is_some_and(is_known_line) {
+                return Err(fault(FaultKind::Altered));
             }
-            if !fold.take(&line, v, settings) {
-                return fault(page.page, place, line.seq, Wrong::Unbalanced);
+            if !self.balances.take(&line, verified, self.settings) {
+                return Err(fault(FaultKind::Unbalanced));
             }
-            if let Body::Charge(c) = &line.body {
-                v.charged += c.entries.len() as u64;
+            if let LineBody::Charge(charge) = &line.body {
+                verified.charged += charge.entries.len() as u64;
             }
-            v.accounts.line(&line, settings);
-            (v.head, v.next, v.lines) = (tie, line.seq + 1, v.lines + 1);
+            verified.accounts.line(&line, self.settings);
+            verified.head = mac;
+            verified.next = line.number + 1;
+            verified.lines += 1;
         }
+        Ok(())
     }
-    let end = seen.unwrap_or_else(|| Verified::before(0, Tie::default()));
-    // Lines that an earlier check has seen are missing at the end.
-    match head {
-        Some((seq, _)) if seq >= end.next => fault(expected_page, 0, end.next, Wrong::Dropped),
-        _ if pages.first().is_some_and(|p| p.page > fold.kept) => fault(
-            pages[0].page,
-            0,
-            end.first.saturating_sub(1),
-            Wrong::Dropped,
-        ),
-        _ => Ok(end),
+}
+
+/// What is wrong with a line that is not the expected one, or not as it was written. `rest`: it and the page's
+/// lines after it.
+fn fault_of_line(line: &Line, expected: u64, rest: &[Value]) -> FaultKind {
+    let mut later = rest.iter().filter_map(Line::read).skip(1);
+    match line.number.cmp(&expected) {
+        Ordering::Equal => FaultKind::Altered,
+        Ordering::Less => FaultKind::Doubled,
+        Ordering::Greater if later.any(|(other, _)| other.number == expected) => {
+            FaultKind::Reordered
+        }
+        Ordering::Greater => FaultKind::Dropped,
     }
 }
 
 /// Holds balances against the lines before them.
 #[derive(Default)]
-struct Fold {
+struct BalanceChecker {
     /// Pages before this one may be gone.
     kept: u64,
-    parts: Parts,
+    parts: BalanceAssembler,
 }
 
-impl Fold {
+impl BalanceChecker {
     /// Takes the next line; whether it balances.
     fn take(&mut self, line: &Line, v: &mut Verified, settings: &Settings) -> bool {
-        if let Body::Balance(b) = &line.body {
+        if let LineBody::Balance(b) = &line.body {
             // It speaks of all lines before itself, so its parts can be held against them.
             self.kept = self.kept.max(b.kept);
-            if b.upto != line.seq {
+            if b.upto != line.number {
                 return false;
             }
         }
@@ -214,7 +255,7 @@
         };
         let said = Accounts::from_parts(&parts, settings);
         if v.whole {
-            return sums(&said) == sums(&v.accounts);
+            return account_sums(&said) == account_sums(&v.accounts);
         }
         // What came before the first line that is left is what the balance has more.
         v.accounts = said;
@@ -224,10 +265,10 @@
 }
 
 /// An account's team and class, its entries, what they held and for how long.
-type Sums<'a> = (&'a str, &'a str, u64, [u128; 3], [u128; 3]);
+type AccountSums<'a> = (&'a str, &'a str, u64, [u128; 3], [u128; 3]);
 
 /// What is compared: decayed usage depends on half-lives, which the operator may change.
-fn sums(accounts: &Accounts) -> Vec<Sums<'_>> {
+fn account_sums(accounts: &Accounts) -> Vec<AccountSums<'_>> {
     let sums = accounts
         .iter()
         .map(|((t, c), a)| (&**t, &**c, a.entries, a.held(), a.times()));
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -12,13 +12,13 @@
 use gannethub_core::settings::LedgerSetup;
 use gannethub_ledger::audit::{Page, Verified, verify};
 use gannethub_ledger::book::Head;
-use gannethub_ledger::chain::Tie;
+use gannethub_ledger::chain::LineMac;
 use gannethub_ledger::export::{self, Cell};
 use gannethub_ledger::meter::STAGES;
 use serde_json::json;
 
 use crate::files::{self, FileError};
-use crate::http::{Client, ask_any};
+use crate::http::{Client, NoFinalAnswer, ask_any};
 
 #[derive(Args)]
 pub struct LedgerArgs {
@@ -132,12 +132,12 @@
         .config
         .as_ref()
         .ok_or(LedgerError::Missing("--config"))?;
-    let (platform, _) = files::settings(config)?;
+    let (platform, _) = files::read_settings(config)?;
     let ledger = args
         .ledger
         .as_ref()
         .ok_or(LedgerError::Missing("--ledger"))?;
-    let setup = files::ledger(ledger, &platform)?;
+    let setup = files::read_ledger_setup(ledger, &platform)?;
     let known = |team: &Option<String>| match team {
         Some(t) if platform.team(t).is_none() => Err(LedgerError::Team(t.clone())),
         _ => Ok(()),
@@ -185,16 +185,16 @@
     }
 }
 
-fn read_head(text: &str) -> Result<(u64, Tie), LedgerError> {
+fn read_head(text: &str) -> Result<(u64, LineMac), LedgerError> {
     let (number, tie) = text.split_once(':').ok_or(LedgerError::Head)?;
     let number = number.parse().map_err(|_| LedgerError::Head)?;
-    Ok((number, Tie::parse(tie).ok_or(LedgerError::Head)?))
+    Ok((number, LineMac::parse(tie).ok_or(LedgerError::Head)?))
 }
 
 fn checked(
     pages: &[Page],
     setup: &LedgerSetup,
-    head: Option<(u64, Tie)>,
+    head: Option<(u64, LineMac)>,
 ) -> Result<Verified, LedgerError> {
     Ok(verify(pages, &setup.keys, &setup.settings, head)?)
 }
@@ -231,8 +231,8 @@
             status,
             String::from_utf8_lossy(&body).into_owned(),
         )),
-        Err(last) => Err(LedgerError::NoAnswer(
-            last.map_or("nothing".into(), |status| status.to_string()),
+        Err(NoFinalAnswer { last_status }) => Err(LedgerError::NoAnswer(
+            last_status.map_or("nothing".into(), |status| status.to_string()),
         )),
     }
 }
