--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -308,7 +308,7 @@
             }
             if now >= write_at {
                 write_at = now + 100_000;
-                let stamp = &mut self.view.stamp;
+                let stamp = &mut self.view.version;
                 timed(&mut s.rest, &mut s.longest[3], || {
                     if let Some((commit, batch)) = c.next_transaction(now, 1) {
                         s.changes += commit.change_count() as u64;
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -91,7 +91,7 @@
                         .iter()
                         .enumerate()
                         .map(|(i, (t, n))| (t.as_str(), *n, i == 0));
-                    black_box(f.report(&name, "small", "a", &done.collect::<Vec<_>>()))
+                    black_box(f.heartbeat(&name, "small", "a", &done.collect::<Vec<_>>()))
                 },
                 BatchSize::PerIteration,
             );
@@ -129,7 +129,7 @@
     f.c.finish_loading(f.now);
     names
         .iter()
-        .for_each(|n| drop(f.report(n, "small", "a", &[])));
+        .for_each(|n| drop(f.heartbeat(n, "small", "a", &[])));
     f.pass(1);
     assert!(f.c.takeover.settled);
     f.c.run_scheduling_pass(f.now);
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -1,4 +1,4 @@
-//! What a report costs a holder, counted by an allocator: the same on every run.
+//! What a heartbeat costs an owner, counted by an allocator: the same on every run.
 
 #[allow(dead_code)]
 #[path = "simulation/leader_view.rs"]
@@ -12,7 +12,7 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// A report with four tasks, as a worker's bytes.
+/// A heartbeat with four tasks, as a worker's bytes.
 fn bytes(machine: &str, seq: u64, tasks: &[(String, u64)]) -> String {
     let pieces: Vec<String> = tasks
         .iter()
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_report_that_says_nothing_new_asks_for_no_memory() {
+fn a_heartbeat_that_says_nothing_new_asks_for_no_memory() {
     let mut f = LeaderView::new();
     let machine = f.machines("m", 1, "small", "a").remove(0);
     f.submit("j-000001", spec(Shape::Array, "red", 4, 1.0));
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -1,4 +1,4 @@
-//! The further meetings of two troubles: a story for every row of the table at the top of `docs/design-concurrent-failures.md` that
+//! The further meetings of two troubles: a test for every row of the table at the top of `docs/design-concurrent-failures.md` that
 //! names this module. What must hold in all of them is the checker's: it looks at every machine, answer and launch.
 
 use crate::unseen_cancellation::{begin, id, long, recover, roles};
@@ -68,9 +68,9 @@
             }
         }
         assert!(
-            w.counters.close_looks > 500,
+            w.counters.close_look_requests > 500,
             "{} looks",
-            w.counters.close_looks
+            w.counters.close_look_requests
         );
         assert!(
             w.state.keeps.is_none() || w.state.forgot > 0,
@@ -115,14 +115,14 @@
 }
 
 /// Transactions are carried out at once and only their answers are lost, while users look at all nodes and repeat at
-/// others, and leaders end before they read back. Every transaction there is: acceptances, releases, cancellations, marks,
+/// others, and leaders end before they read back. Every transaction there is: acceptances, releases, cancellations, watermarks,
 /// ends, parts of a large array, records of machines, clean-up, takeovers; moves, parts of limits and seats with several
-/// blocks; pages of a ledger.
+/// shards; pages of a ledger.
 #[test]
 fn a_transaction_whose_answer_alone_is_lost_is_done_once() {
     for seed in 1..=9 {
         let mut w = match seed % 3 {
-            0 => World::with_blocks(3, seed, 3, &|text| text),
+            0 => World::with_shards(3, seed, 3, &|text| text),
             1 => World::with_ledger(3, seed, &|text| text),
             _ => World::new(3, seed),
         };
@@ -259,20 +259,20 @@
 }
 
 #[test]
-fn whatever_is_cancelled_while_a_block_changes_hands_is_gone_in_time() {
+fn whatever_is_cancelled_while_a_shard_changes_owners_is_gone_in_time() {
     for seed in 1..=6 {
-        let w = World::with_blocks(3, seed, 3, &|text| text);
+        let w = World::with_shards(3, seed, 3, &|text| text);
         cancelled_at_every_step(w, seed, |w| {
-            let holder = w.holds(seed as u32 % 3).expect("held")[1..]
+            let owner = w.shard_owner(seed as u32 % 3).expect("held")[1..]
                 .parse()
                 .expect("a node");
             match seed {
-                1 | 2 => w.crash(holder, 20 * SECOND),
-                3 | 4 => w.crash(holder, SECOND / 5),
-                5 => w.isolate(holder),
-                // All blocks are to become one: tasks, jobs and machines go to block 0's holder.
+                1 | 2 => w.crash(owner, 20 * SECOND),
+                3 | 4 => w.crash(owner, SECOND / 5),
+                5 => w.isolate(owner),
+                // All shards are to become one: tasks, jobs and machines go to shard 0's owner.
                 _ => {
-                    w.set_blocks(1);
+                    w.set_shard_count(1);
                     (0..3).for_each(|i| w.crash(i, SECOND / 5 + i as u64 * SECOND));
                 }
             }
@@ -320,10 +320,10 @@
     }
 }
 
-/// Copies of reports are kept, and all of them reach every controller as a new leader begins: of sessions that have ended
+/// Copies of heartbeats are kept, and all of them reach every controller as a new leader begins: of sessions that have ended
 /// since, of attempts that were replaced or had not ended, of machines that were returned.
 #[test]
-fn old_reports_that_reach_every_controller_as_a_leader_begins_count_for_nothing() {
+fn old_heartbeats_that_reach_every_controller_as_a_leader_begins_count_for_nothing() {
     for seed in 1..=8 {
         let mut w = World::new(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.runs = (5 * SECOND, 60 * SECOND);
@@ -448,7 +448,7 @@
 }
 
 /// The state service refuses the leader, and up to a second and a half later everybody, for longer than a lease. The grant
-/// has not run out then, and the siblings see the outage in time to promise: no work is lost.
+/// has not run out then, and the peers see the outage in time to vote: no work is lost.
 #[test]
 fn a_refusal_that_becomes_an_outage_loses_no_work() {
     for seed in 1..=8 {
@@ -459,7 +459,7 @@
         w.pause(seed * SECOND / 5 - SECOND / 10);
         w.state.down = true;
         w.run(2 * LEASE / SECOND);
-        assert_eq!(w.leader(), Some(old), "seed {seed}: promises carry it");
+        assert_eq!(w.leader(), Some(old), "seed {seed}: votes carry it");
         assert!(
             w.workers.values().all(|x| x.session == 1),
             "a lease ran out"
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -1,4 +1,4 @@
-//! Two troubles meet: a story for every row of `docs/design-concurrent-failures.md` but the first, which are in `unheard_of`. Tasks
+//! Two troubles meet: a test for every row of `docs/design-concurrent-failures.md` but the first, which are in `unheard_of`. Tasks
 //! are long, users cancel throughout, and the checker looks at everything every second.
 
 use gannethub_core::configuration::{Document, OverLimit};
@@ -7,10 +7,10 @@
 use crate::unseen_cancellation::{id, long, recover, roles, told};
 use crate::*;
 
-/// Copies of reports come up to three leases late: of sessions that have ended, of attempts that have been replaced, under
+/// Copies of heartbeats come up to three leases late: of sessions that have ended, of attempts that have been replaced, under
 /// tokens of leaders that were replaced, and at leaders that never saw the original.
 #[test]
-fn old_reports_of_sessions_and_attempts_that_are_gone_count_for_nothing() {
+fn old_heartbeats_of_sessions_and_attempts_that_are_gone_count_for_nothing() {
     for seed in 1..=6 {
         let mut w = long(3, seed);
         w.faults.heartbeat_copy_rate = 0.8;
@@ -40,7 +40,7 @@
     }
 }
 
-/// The leader is cut from the state service and its siblings while workers and users still reach it, and jobs are
+/// The leader is cut from the state service and its peers while workers and users still reach it, and jobs are
 /// cancelled through the new one.
 #[test]
 fn a_leader_that_only_workers_and_users_reach_runs_nothing_that_its_successor_cancelled() {
@@ -65,7 +65,7 @@
 }
 
 /// Controllers end one after the other, hand over and back, all end, and one returns: within a fraction of a second, in
-/// the middle of elections, takeovers and promises.
+/// the middle of elections, takeovers and votes.
 #[test]
 fn controllers_that_are_back_within_a_second_forget_nothing_that_counts() {
     for seed in 1..=10 {
@@ -82,7 +82,7 @@
                 }
                 // All end; one is back at once, the others somewhat later.
                 2 => (0..n).for_each(|i| w.crash(i, SECOND / 10 + i as u64 * SECOND)),
-                // The same in an outage that just began, with promises given and forgotten.
+                // The same in an outage that just began, with votes given and forgotten.
                 3 => {
                     w.state.down = true;
                     w.run(1 + seed % 4);
@@ -105,16 +105,16 @@
     }
 }
 
-/// A sibling ends within its promise and is back at once, and the state service serves it again while it still refuses the
-/// leader, which acts by that promise.
+/// A peer ends within its vote and is back at once, and the state service serves it again while it still refuses the
+/// leader, which acts by that vote.
 #[test]
-fn a_promise_that_was_forgotten_is_kept() {
+fn a_vote_that_was_forgotten_is_kept() {
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
         let (old, others) = roles(&w, seed);
         w.state.down = true;
         w.run(5);
-        assert_eq!(w.leader(), Some(old), "promises carry it");
+        assert_eq!(w.leader(), Some(old), "votes carry it");
         w.faults.store_refuses.insert(old);
         w.state.down = false;
         w.run(seed % 3);
@@ -145,7 +145,7 @@
             busy.step_by(2).for_each(|x| x.hung_until = until);
             w.cancel(20 + round);
             w.cancel(1 + round);
-            // What a sibling passes on is held up as well, and comes after newer reports.
+            // What a peer passes on is held up as well, and comes after newer heartbeats.
             let (leader, others) = (w.leader(), w.rng.random_range(0..3));
             leader.into_iter().for_each(|l| {
                 w.faults.partitioned.insert((others, l));
@@ -193,7 +193,7 @@
 }
 
 /// Transactions without an answer are carried out up to 20 s later, after newer ones of the same controller: acceptances,
-/// cancellations, ends, parts of large arrays, the block's record, marks, takeovers and clean-up.
+/// cancellations, ends, parts of large arrays, the shard's record, watermarks, takeovers and clean-up.
 #[test]
 fn transactions_that_are_carried_out_after_newer_ones_take_nothing_back() {
     for seed in 1..=6 {
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -119,7 +119,7 @@
 /// Tasks that machines are told to launch now.
 fn launches(f: &mut LeaderView) -> usize {
     let names: Vec<String> = f.c.machines.keys().map(|m| m.to_string()).collect();
-    let orders = names.iter().flat_map(|n| f.report(n, "small", "a", &[]));
+    let orders = names.iter().flat_map(|n| f.heartbeat(n, "small", "a", &[]));
     orders.filter(|o| matches!(o, Order::Start { .. })).count()
 }
 
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_holder_whose_watch_hangs_misses_nothing() {
+fn an_owner_whose_watch_hangs_misses_nothing() {
     let mut w = red_runs(15, 6);
     let leader = w.leader().expect("someone leads");
     w.faults.hung_watches.insert(leader);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_holder_that_is_cut_off_from_the_state_acts_on_no_older_version() {
+fn an_owner_that_is_cut_off_from_the_state_acts_on_no_older_version() {
     for seed in 16..20 {
         let mut w = red_runs(seed, 6);
         let leader = w.leader().expect("someone leads");
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn in_an_outage_work_goes_on_where_all_siblings_know_of_nothing_newer() {
+fn in_an_outage_work_goes_on_where_all_peers_know_of_nothing_newer() {
     let mut w = red_runs(35, 4);
     let version = w.configure(red(20.0), 0);
     w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
@@ -431,8 +431,8 @@
 }
 
 #[test]
-fn with_several_blocks_limits_stay_and_objectives_change() {
-    let mut w = World::with_blocks(3, 54, 3, &|text| text);
+fn with_several_shards_limits_stay_and_objectives_change() {
+    let mut w = World::with_shards(3, 54, 3, &|text| text);
     w.run(12);
     w.submit(job(1, 20, json!({"crew": "red"})));
     let objective = ObjectiveEntry {
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn what_a_sibling_knows_keeps_the_leader_from_starting_in_an_outage() {
+fn what_a_peer_knows_keeps_the_leader_from_starting_in_an_outage() {
     for seed in 60..64 {
         let mut w = red_runs(seed, 4);
         let first = w.configure(red(8.0), 0);
--- a/crates/gannethub-core/tests/simulation/constrained_processor.rs
+++ b/crates/gannethub-core/tests/simulation/constrained_processor.rs
@@ -1,4 +1,4 @@
-//! Stories of controllers on small machines: what they leave undone, and that nothing is late for it.
+//! Tests of controllers on small machines: what they leave undone, and that nothing is late for it.
 
 use crate::*;
 
@@ -78,7 +78,7 @@
 
 /// One that is further behind sends a renewal, is cut off from the state service right after it was carried out, and gets
 /// to the answer late. What it may do counts from when the renewal was sent: with that guard out (from when it got to
-/// the answer) the checker sees it answer workers after a sibling took over.
+/// the answer) the checker sees it answer workers after a peer took over.
 #[test]
 fn a_leader_that_is_behind_never_acts_on_authority_that_ran_out() {
     for seed in 1..=6 {
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -1,4 +1,4 @@
-//! Deciding machine by machine after a loss: what marks, promises and limits allow, and what they forbid.
+//! Deciding machine by machine after a loss: what watermarks, votes and limits allow, and what they forbid.
 
 use gannethub_core::model::Shape;
 use gannethub_core::state::cluster::Cluster;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_checker_sees_a_task_run_twice_when_marks_say_less_than_what_runs() {
+fn the_checker_sees_a_task_run_twice_when_watermarks_say_less_than_what_runs() {
     let mut w = replicas(9, "blue", 12);
     hang(&mut w);
     tamper(&mut w, "gh/live/", |v| v["open"] = json!(0));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn launches_in_an_outage_need_no_marks_and_nobody_goes_by_marks_after_it() {
+fn launches_in_an_outage_need_no_watermarks_and_nobody_goes_by_watermarks_after_it() {
     for seed in 20..26 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 4;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_restarted_controller_is_told_that_marks_hold_and_goes_by_them() {
+fn a_restarted_controller_is_told_that_watermarks_hold_and_goes_by_them() {
     for told in [true, false] {
         let mut w = replicas(30, "blue", 12);
         let leader = w.leader().expect("someone leads");
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn after_a_version_without_marks_nobody_goes_by_them_until_all_is_covered() {
+fn after_a_version_without_watermarks_nobody_goes_by_them_until_all_is_covered() {
     let mut w = replicas(31, "blue", 12);
     // As the version before writes it: without what it does not know of.
     let without = |v: &mut Value| {
@@ -232,7 +232,9 @@
     });
     assert!(cluster(&w).is_some_and(|c| !c.watermarks.reliable));
     assert_eq!(marked(&w), Some(false));
-    w.run_until(30, "it says that marks hold", |w| marked(w) == Some(true));
+    w.run_until(30, "it says that watermarks are reliable", |w| {
+        marked(w) == Some(true)
+    });
     lose_leader(&mut w);
     assert!(cluster(&w).is_some_and(|c| c.watermarks.reliable));
     w.run(20);
@@ -264,7 +266,7 @@
         "six tasks may be on them"
     );
     // The first machine shows two of them, before any tick: two more CPUs are left, and tasks from the mark on.
-    f.report(
+    f.heartbeat(
         "up-1",
         "small",
         "a",
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -56,7 +56,7 @@
         let document = self.document.followed_by(wanted, &base);
         let effective = document
             .effective(&base, &base)
-            .expect("the story's document is fine");
+            .expect("the test's document is valid");
         let parts = split_document(&document, base.value_bytes).expect("it fits");
         let version = self.changes.len() as u64 + 1;
         let record = VersionRecord {
--- a/crates/gannethub-core/tests/simulation/harness/controllers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/controllers.rs
@@ -12,17 +12,17 @@
 }
 
 impl World {
-    /// Who holds a block, as the state service has it.
-    pub fn holds(&self, block: u32) -> Option<String> {
-        let key = assignment_keys(block).owner;
+    /// Who owns a shard, as the state service has it.
+    pub fn shard_owner(&self, shard: u32) -> Option<String> {
+        let key = assignment_keys(shard).owner;
         Some(self.state.value(&key)?["holder"].as_str()?.to_string())
     }
 
-    /// What the holder of a block sees, whoever that is.
-    pub fn block(&self, block: u32) -> Option<&Cluster> {
+    /// What the owner of a shard sees, whoever that is.
+    pub fn shard(&self, shard: u32) -> Option<&Cluster> {
         let all = self.nodes.iter().filter_map(|n| n.controller.as_ref());
         all.flat_map(|c| c.clusters())
-            .filter(|c| c.shard.id == block)
+            .filter(|c| c.shard.id == shard)
             .max_by_key(|c| c.term)
     }
 
--- a/crates/gannethub-core/tests/simulation/harness/events.rs
+++ b/crates/gannethub-core/tests/simulation/harness/events.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Runs until `done` holds; fails the story after `seconds`.
+    /// Runs until `done` holds; fails the test after `seconds`.
     pub fn run_until(&mut self, seconds: u64, what: &str, mut done: impl FnMut(&World) -> bool) {
         let end = self.now + seconds * SECOND;
         while !done(self) {
--- a/crates/gannethub-core/tests/simulation/harness/faults.rs
+++ b/crates/gannethub-core/tests/simulation/harness/faults.rs
@@ -56,7 +56,7 @@
     /// Transactions that were carried out at once, with no answer.
     pub unanswered_commits: usize,
     /// Requests that users sent when they looked closely.
-    pub close_looks: usize,
+    pub close_look_requests: usize,
     /// Tasks that started after their users were told that they are cancelled, by launches made before anybody who
     /// launches knew.
     pub late_starts: usize,
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -272,11 +272,11 @@
             .filter_map(|n| n.controller.as_ref()?.cluster());
         self.broken
             .extend(leading.flat_map(|c| c.index_inconsistencies()));
-        self.check_blocks();
+        self.check_shards();
     }
 
-    /// No machine is in two blocks' records, and parts of a limit add up to no more than it, as is stored.
-    pub(super) fn check_blocks(&mut self) {
+    /// No machine is in two shards' records, and parts of a limit add up to no more than it, as is stored.
+    pub(super) fn check_shards(&mut self) {
         let mut seen: HashMap<String, String> = HashMap::new();
         let block_of = |key: &str| key.split('/').nth(2).unwrap_or("").to_string();
         for key in self.state.keys("gh/block/") {
@@ -399,7 +399,7 @@
         }
     }
 
-    /// Ends a story: the rules held, and something ran.
+    /// Ends a test: the rules held, and something ran.
     pub fn finish(mut self) {
         self.check_cancelled();
         assert_eq!(self.broken, Vec::<String>::new());
--- a/crates/gannethub-core/tests/simulation/harness/setup.rs
+++ b/crates/gannethub-core/tests/simulation/harness/setup.rs
@@ -23,7 +23,7 @@
     }
     Arc::new(
         Settings::parse(&change(text), "story")
-            .expect("the story's settings are fine")
+            .expect("the test's settings are valid")
             .0,
     )
 }
@@ -109,7 +109,7 @@
             let mut own = (**settings).clone();
             let ledger = gannethub_ledger::Settings::parse(text, "ledger", &own.dues());
             own.ledger = Some(LedgerSetup {
-                settings: Arc::new(ledger.expect("the story's settings are fine")),
+                settings: Arc::new(ledger.expect("the test's settings are valid")),
                 keys: Arc::new(keys.clone()),
             });
             *settings = Arc::new(own);
@@ -118,29 +118,29 @@
         world
     }
 
-    /// The same with the machines divided into so many blocks.
-    pub fn with_blocks(
+    /// The same with the machines divided into so many shards.
+    pub fn with_shards(
         nodes: usize,
         seed: u64,
-        blocks: u32,
+        shards: u32,
         change: &dyn Fn(String) -> String,
     ) -> World {
         let mut world = World::with_settings(nodes, seed, LEASE as f64 / SECOND as f64, change);
-        world.set_blocks(blocks);
+        world.set_shard_count(shards);
         (0..nodes).for_each(|i| world.restart(i));
         world
     }
 
-    /// Controllers that start from here on divide the machines into so many blocks.
-    pub fn set_blocks(&mut self, blocks: u32) {
-        self.set_policy(&format!("blocks = {blocks}"));
+    /// Controllers that start from here on divide the machines into so many shards.
+    pub fn set_shard_count(&mut self, shards: u32) {
+        self.set_policy(&format!("blocks = {shards}"));
     }
 
     /// Controllers that start from here on go by this policy.
     pub fn set_policy(&mut self, text: &str) {
         for settings in &mut self.settings {
             let mut own = (**settings).clone();
-            own.policy = Policy::parse(text).expect("the story's policy is fine");
+            own.policy = Policy::parse(text).expect("the test's policy is valid");
             *settings = Arc::new(own);
         }
     }
--- a/crates/gannethub-core/tests/simulation/harness/users.rs
+++ b/crates/gannethub-core/tests/simulation/harness/users.rs
@@ -117,7 +117,7 @@
                         node,
                     },
                 );
-                self.counters.close_looks += 1;
+                self.counters.close_look_requests += 1;
             }
         }
     }
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -1,4 +1,4 @@
-//! Short stories of large clusters: what is rented, kept and stopped, and what it costs to decide.
+//! Short tests of large clusters: what is rented, kept and stopped, and what it costs to decide.
 
 use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
@@ -153,14 +153,14 @@
         f.pass(1);
         heard
             .iter()
-            .for_each(|n| drop(f.report(n, "small", "b", &[])));
+            .for_each(|n| drop(f.heartbeat(n, "small", "b", &[])));
     }
     f.c.plan_cloud_calls(f.now);
     assert!(f.c.zones.unreachable.contains_key("a") && !f.c.zones.unreachable.contains_key("b"));
     f.pass(52);
     heard
         .iter()
-        .for_each(|n| drop(f.report(n, "small", "b", &[])));
+        .for_each(|n| drop(f.heartbeat(n, "small", "b", &[])));
     let rented = f.rent_all();
     assert!(rented.keys().any(|k| k.1 == "b"), "{rented:?}");
     let tried: u32 = rented
@@ -169,12 +169,12 @@
         .map(|(_, n)| n)
         .sum();
     assert!(tried <= 1, "{rented:?}");
-    f.report("new-0000", "small", "a", &[]);
+    f.heartbeat("new-0000", "small", "a", &[]);
     assert!(!f.c.zones.unreachable.contains_key("a"), "heard again");
 }
 
 #[test]
-fn the_work_of_a_report_follows_what_changed() {
+fn the_work_of_a_heartbeat_follows_what_changed() {
     let mut f = LeaderView::new();
     let names = f.machines("host", 400, "small", "a");
     for i in 0..20 {
@@ -194,7 +194,7 @@
         })
         .collect();
     assert!(running.iter().all(|r| r.len() == 4));
-    // Reports without news look at no other machine.
+    // Heartbeats without news look at no other machine.
     let before = f.c.passes.steps.get();
     f.run_all();
     assert_eq!(f.c.passes.steps.get(), before);
@@ -206,7 +206,7 @@
             .enumerate()
             .map(|(i, (t, a))| (t.as_str(), *a, i == 0))
             .collect();
-        let orders = f.report(name, "small", "a", &tasks);
+        let orders = f.heartbeat(name, "small", "a", &tasks);
         let starts = orders
             .iter()
             .filter(|o| matches!(o, Order::Start { .. }))
@@ -214,7 +214,7 @@
         assert_eq!(starts, 1, "the room is used with the same answer");
     }
     let looks = f.c.passes.steps.get() - before;
-    assert!(looks < 100 * 2 * 400, "{looks} looks for 100 reports");
+    assert!(looks < 100 * 2 * 400, "{looks} looks for 100 heartbeats");
     // And a hundred completions of a few jobs are few changes.
     f.pass(3);
     let (calls, changes) = f.write();
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -1,4 +1,4 @@
-//! A leader's view alone, with machines and time in the story's hands. Benchmarks use it as well.
+//! A leader's view alone, with machines and time in the test's hands. Benchmarks use it as well.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -17,11 +17,11 @@
 pub const WALL: u64 = 1_700_000_000 * SECOND;
 pub const TERM: u64 = 1;
 
-/// A leader's view alone, with machines and time in the story's hands.
+/// A leader's view alone, with machines and time in the test's hands.
 pub struct LeaderView {
     pub c: Cluster,
     pub now: u64,
-    pub stamp: u64,
+    pub version: u64,
     seqs: BTreeMap<String, u64>,
 }
 
@@ -46,7 +46,7 @@
     }
     Arc::new(
         Settings::parse(&text, "story")
-            .expect("the story's settings are fine")
+            .expect("the test's settings are valid")
             .0,
     )
 }
@@ -111,7 +111,7 @@
         LeaderView {
             c,
             now,
-            stamp: 10,
+            version: 10,
             seqs: BTreeMap::new(),
         }
     }
@@ -122,26 +122,26 @@
     }
 
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
-        self.stamp += 1;
+        self.version += 1;
         self.c
-            .apply_job_record(id, JobRecord::new(spec, WALL + self.now), self.stamp);
+            .apply_job_record(id, JobRecord::new(spec, WALL + self.now), self.version);
     }
 
-    /// A report with these tasks; the orders it is answered with.
-    pub fn report(
+    /// A heartbeat with these tasks; the orders it is answered with.
+    pub fn heartbeat(
         &mut self,
         name: &str,
         flavor: &str,
         zone: &str,
         tasks: &[(&str, u64, bool)],
     ) -> Vec<Order> {
-        match self.try_report(name, flavor, zone, tasks) {
+        match self.try_heartbeat(name, flavor, zone, tasks) {
             HeartbeatOutcome::Orders(orders) => orders,
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn try_report(
+    pub fn try_heartbeat(
         &mut self,
         name: &str,
         flavor: &str,
@@ -163,7 +163,7 @@
         self.send(name, flavor, zone, false, tasks)
     }
 
-    /// The next report of a machine's worker.
+    /// The next heartbeat of a machine's worker.
     pub fn send(
         &mut self,
         name: &str,
@@ -196,8 +196,8 @@
             assert!(commit.change_count() <= self.c.settings.txn_ops);
             calls += 1;
             changes += commit.change_count();
-            self.stamp += 1;
-            self.c.transaction_committed(batch, self.stamp);
+            self.version += 1;
+            self.c.transaction_committed(batch, self.version);
         }
         (calls, changes)
     }
@@ -213,11 +213,11 @@
         let names: Vec<String> = (0..count).map(|i| format!("{prefix}-{i:04}")).collect();
         names
             .iter()
-            .for_each(|n| drop(self.report(n, flavor, zone, &[])));
+            .for_each(|n| drop(self.heartbeat(n, flavor, zone, &[])));
         self.write();
         names
             .iter()
-            .for_each(|n| drop(self.report(n, flavor, zone, &[])));
+            .for_each(|n| drop(self.heartbeat(n, flavor, zone, &[])));
         names
     }
 
@@ -241,7 +241,7 @@
             .collect();
         for (name, flavor, zone, tasks) in all {
             let tasks: Vec<_> = tasks.iter().map(|(t, a)| (t.as_str(), *a, false)).collect();
-            self.report(&name, flavor, &zone, &tasks);
+            self.heartbeat(&name, flavor, &zone, &tasks);
         }
     }
 
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Short stories: a whole cluster in memory, on a simulated clock, with the rules checked.
+//! Short tests: a whole cluster in memory, on a simulated clock, with the rules checked.
 
 mod cancellation_and_failover;
 mod concurrent_failures;
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn promises_of_all_siblings_carry_the_leader_through_an_outage() {
+fn votes_of_all_peers_carry_the_leader_through_an_outage() {
     let mut w = busy(6);
     let leader = w.leader();
     w.state.down = true;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_leader_refused_by_the_state_service_alone_gets_no_promise_and_is_replaced() {
+fn a_leader_refused_by_the_state_service_alone_gets_no_vote_and_is_replaced() {
     let mut w = busy(7);
     let old = w.leader().expect("someone leads");
     w.faults.store_refuses.insert(old);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_outage_in_which_a_sibling_is_down_ends_the_leaders_authority() {
+fn an_outage_in_which_a_peer_is_down_ends_the_leaders_authority() {
     let mut w = busy(8);
     let leader = w.leader().expect("someone leads");
     w.crash((leader + 1) % 3, 60 * SECOND);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn workers_that_cannot_reach_the_leader_are_relayed_by_a_sibling() {
+fn workers_that_cannot_reach_the_leader_are_relayed_by_a_peer() {
     let mut w = busy(9);
     w.submit(job(10, 12, json!({"yard": "a"})));
     w.run(3);
@@ -166,7 +166,7 @@
     assert_eq!(
         w.leader(),
         Some(leader),
-        "it hears its workers through its siblings"
+        "it hears its workers through its peers"
     );
     assert!(!lost.is_empty());
     w.finish();
@@ -406,14 +406,14 @@
     }
 }
 
-/// What is switched on in a story.
+/// What is switched on in a test.
 #[derive(Clone, Copy)]
 enum Kind {
     Plain,
     /// Controllers are woken as rarely as they allow.
     Patient,
     Ledger,
-    Blocks(u32),
+    Shards(u32),
 }
 
 /// A day of troubles drawn from `seed`, played until all jobs are over.
@@ -426,7 +426,7 @@
         Kind::Plain | Kind::Patient => {
             World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &next_limits)
         }
-        Kind::Blocks(blocks) => World::with_blocks(3, seed, blocks, &next_limits),
+        Kind::Shards(blocks) => World::with_shards(3, seed, blocks, &next_limits),
     };
     w.patient = matches!(kind, Kind::Patient);
     w.run(2);
--- a/crates/gannethub-core/tests/simulation/one_way_partition.rs
+++ b/crates/gannethub-core/tests/simulation/one_way_partition.rs
@@ -1,4 +1,4 @@
-//! Stories of workers whose reports arrive while answers and commands do not reach them, and of copies of reports that
+//! Tests of workers whose heartbeats arrive while answers and commands do not reach them, and of copies of heartbeats that
 //! come late.
 
 use crate::*;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_deaf_zone_makes_nobody_wait_and_is_used_again() {
+fn a_zone_that_answers_do_not_reach_makes_nobody_wait_and_is_used_again() {
     for seed in 1..=6 {
         let (mut w, name) = working(seed);
         let zone = w.workers[&name].zone.clone();
@@ -62,7 +62,7 @@
 /// Copies come after their session ended, their machine was deleted, their leader was replaced, at controllers that never
 /// saw the original, and where nothing is left to compare them with.
 #[test]
-fn late_copies_of_reports_revive_end_and_free_nothing() {
+fn late_copies_of_heartbeats_revive_end_and_free_nothing() {
     for seed in 1..=10 {
         let mut w = World::new(3, seed);
         w.faults.heartbeat_copy_rate = 0.5;
@@ -96,7 +96,7 @@
     }
 }
 
-/// A leader loses the state service and its siblings, but not its workers. It stops with its grant and sends them on; all
+/// A leader loses the state service and its peers, but not its workers. It stops with its grant and sends them on; all
 /// find the successor before their leases end, so that nothing that runs is lost. Back again, it acts on nothing old.
 #[test]
 fn the_workers_of_a_leader_that_has_only_them_find_its_successor_in_time() {
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_report_that_comes_after_its_machine_was_deleted_shows_nothing() {
+fn a_heartbeat_that_comes_after_its_machine_was_deleted_shows_nothing() {
     let mut f = LeaderView::new();
     f.machines("host", 2, "large", "a");
     f.submit("j-1", spec(Shape::Array, "red", 2, 30.0));
@@ -115,7 +115,7 @@
     // It falls silent for longer than its lease and is deleted; the other goes on.
     for _ in 0..6 {
         f.pass(2);
-        f.report("host-0001", "large", "a", &[]);
+        f.heartbeat("host-0001", "large", "a", &[]);
     }
     let calls = f.c.plan_cloud_calls(f.now);
     let delete = calls
@@ -130,7 +130,7 @@
     f.pass(60);
     let tasks: Vec<_> = mine.iter().map(|(t, n)| (t.as_str(), *n, false)).collect();
     assert_eq!(
-        f.try_report("host-0000", "large", "a", &tasks),
+        f.try_heartbeat("host-0000", "large", "a", &tasks),
         HeartbeatOutcome::Stale
     );
     assert!(!f.c.machines.contains_key("host-0000"));
@@ -173,8 +173,8 @@
             .iter()
             .map(|(t, n)| (t.as_str(), *n, ended(t)))
             .collect();
-        f.report(name, "small", "a", &tasks);
-        f.report(name, "small", "a", &tasks[1..]);
+        f.heartbeat(name, "small", "a", &tasks);
+        f.heartbeat(name, "small", "a", &tasks[1..]);
     }
     let wait = |f: &mut LeaderView| {
         for _ in 0..40 {
@@ -201,7 +201,7 @@
     );
     assert!(!m.is_schedulable(f.now, SECOND));
     // Its task has saved: the machine goes, and the task goes on beside another.
-    f.report(&leaving[0], "small", "a", &[]);
+    f.heartbeat(&leaving[0], "small", "a", &[]);
     f.c.run_scheduling_pass(f.now);
     f.c.plan_cloud_calls(f.now);
     assert!(f.c.machines[leaving[0].as_str()].lifecycle.deleting);
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn machines_that_come_late_or_never_are_given_up_and_one_that_reports_first_is_used() {
+fn machines_that_come_late_or_never_are_given_up_and_one_that_sends_a_heartbeat_first_is_used() {
     let mut w = World::new(3, 66);
     w.run(2);
     w.cloud.never_boot = 0.3;
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -1,4 +1,4 @@
-//! Stories of jobs that wait for others.
+//! Tests of jobs that wait for others.
 
 use gannethub_core::model::{JobSpec, Priority, Shape};
 use gannethub_core::state::fleet::CloudCall;
@@ -242,8 +242,8 @@
         false,
         &["j-1".into()],
     );
-    f.stamp += 1;
-    f.c.apply_waiting_job("j-2", held, f.stamp);
+    f.version += 1;
+    f.c.apply_waiting_job("j-2", held, f.version);
     let rents = |f: &mut LeaderView| {
         let calls = f.c.plan_cloud_calls(f.now);
         calls
@@ -284,9 +284,9 @@
         deadline: Some(60 * SECOND),
         ..spec(Shape::Array, "blue", 1, 1.0)
     };
-    f.stamp += 1;
+    f.version += 1;
     let held = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
-    f.c.apply_waiting_job("j-3", held, f.stamp);
+    f.c.apply_waiting_job("j-3", held, f.version);
     f.pass(1);
     f.c.run_scheduling_pass(f.now);
     assert_eq!(
@@ -304,7 +304,7 @@
             .collect();
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
         f.pass(1);
-        f.report("up-0000", "small", "a", &tasks);
+        f.heartbeat("up-0000", "small", "a", &tasks);
         f.c.run_scheduling_pass(f.now);
         assert_eq!(
             f.c.jobs["j-1"].tasks.live_attempts.len(),
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -1,4 +1,4 @@
-//! What it costs to decide must not outgrow the cluster. These stories count looks at machines, jobs and
+//! What it costs to decide must not outgrow the cluster. These tests count looks at machines, jobs and
 //! lanes, at two sizes; none measures time.
 
 use proptest::prelude::*;
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn passes_plans_and_reports_cost_no_more_than_the_cluster_grows() {
-    // In the order: the first pass, which makes room, a pass when nothing can be done, a plan, and reports
+fn passes_plans_and_heartbeats_cost_no_more_than_the_cluster_grows() {
+    // In the order: the first pass, which makes room, a pass when nothing can be done, a plan, and heartbeats
     // that free room.
     let costs = |n: usize| {
         let (mut f, names) = crowded(n);
@@ -77,7 +77,7 @@
                     .iter()
                     .enumerate()
                     .map(|(i, (t, a))| (t.as_str(), *a, i < 2));
-                let orders = f.report(name, "small", "a", &done.collect::<Vec<_>>());
+                let orders = f.heartbeat(name, "small", "a", &done.collect::<Vec<_>>());
                 starts += orders
                     .iter()
                     .filter(|o| matches!(o, Order::Start { .. }))
@@ -88,7 +88,7 @@
         [first, idle, plan, reports]
     };
     let (small, large) = (costs(400), costs(1200));
-    for (what, (small, large)) in ["first pass", "pass", "plan", "reports"]
+    for (what, (small, large)) in ["first pass", "pass", "plan", "heartbeats"]
         .iter()
         .zip(small.iter().zip(&large))
     {
@@ -125,13 +125,13 @@
     f.machines("quiet", 3, "small", "a");
     f.machines("up", 1, "small", "b");
     f.pass(4);
-    f.report("up-0000", "small", "b", &[]);
+    f.heartbeat("up-0000", "small", "b", &[]);
     f.pass(1);
     f.submit("j-1", spec(Shape::Array, "red", 12, 1.0));
     f.c.run_scheduling_pass(f.now);
     let on = |f: &LeaderView, name: &str| f.c.machines[name].attempts.len();
     assert_eq!([on(&f, "up-0000"), on(&f, "quiet-0000")], [4, 0]);
-    f.report("quiet-0001", "small", "a", &[]);
+    f.heartbeat("quiet-0001", "small", "a", &[]);
     f.c.run_scheduling_pass(f.now);
     assert_eq!(
         [on(&f, "quiet-0001"), on(&f, "quiet-0000")],
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -1,5 +1,5 @@
 //! The first of the meetings in `docs/design-concurrent-failures.md`, a cancellation that the old leader never hears of: the state service refuses the leader alone; another controller confirms cancellations; then the state
-//! service is down for all, for longer than a cancellation has, while workers report to the old leader. The checker counts
+//! service is down for all, for longer than a cancellation has, while workers send heartbeats to the old leader. The checker counts
 //! from when a user was told, at whichever controller, and looks at every machine every second.
 
 use crate::*;
@@ -80,10 +80,10 @@
     }
 }
 
-/// Nobody's word is needed: the same with siblings of the version before, which say nothing of what is cancelled. Their
+/// Nobody's word is needed: the same with peers of the version before, which say nothing of what is cancelled. Their
 /// leader gives up when it cannot know for too long.
 #[test]
-fn siblings_that_say_nothing_of_cancellations_carry_a_leader_only_so_far() {
+fn peers_that_say_nothing_of_cancellations_carry_a_leader_only_so_far() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -98,9 +98,9 @@
     }
 }
 
-/// Nor is anything built on promises that cannot be read in full.
+/// Nor is anything built on votes that cannot be read in full.
 #[test]
-fn promises_that_make_no_sense_carry_a_leader_only_so_far() {
+fn votes_that_make_no_sense_carry_a_leader_only_so_far() {
     for seed in 1..=3 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -113,9 +113,9 @@
     }
 }
 
-/// What is asked by a leader of the version before is answered by a new sibling as ever.
+/// What is asked by a leader of the version before is answered by a new peer as ever.
 #[test]
-fn a_leader_that_does_not_say_what_it_knows_gets_its_promises() {
+fn a_leader_that_does_not_say_what_it_knows_gets_its_votes() {
     let mut w = long(3, 7);
     let (old, _) = roles(&w, 7);
     w.faults.previous_release.insert(old);
@@ -125,9 +125,9 @@
     recover(w, 7);
 }
 
-/// The transaction is carried out, its answer is late, and the promise was given in between.
+/// The transaction is carried out, its answer is late, and the vote was given in between.
 #[test]
-fn a_cancellation_that_is_confirmed_after_the_promise_is_carried_out_in_time() {
+fn a_cancellation_that_is_confirmed_after_the_vote_is_carried_out_in_time() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Another controller confirms and the rest promise; one of them is refused as well, halted, or cut off from the leader.
+/// Another controller confirms and the rest vote; one of them is refused as well, halted, or cut off from the leader.
 #[test]
 fn whoever_else_is_in_trouble_the_cancellation_is_carried_out() {
     for seed in 1..=9 {
@@ -218,7 +218,7 @@
     }
 }
 
-/// Machines that hear nothing, hang, or are heard only through a sibling, and a zone that is cut off.
+/// Machines that hear nothing, hang, or are heard only through a peer, and a zone that is cut off.
 #[test]
 fn machines_that_cannot_be_told_lose_what_is_cancelled_with_their_leases() {
     for seed in 1..=8 {
@@ -245,7 +245,7 @@
                     .iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
-            // The leader hears its workers through its siblings alone.
+            // The leader hears its workers through its peers alone.
             2 => w
                 .faults
                 .unreachable_zones
@@ -285,7 +285,7 @@
     }
 }
 
-/// An outage, promises, the state service back for all but the leader, cancellations while the promises last, and the next
+/// An outage, votes, the state service back for all but the leader, cancellations while the votes last, and the next
 /// outage.
 #[test]
 fn what_is_cancelled_between_two_outages_is_known_in_the_second() {
@@ -303,7 +303,7 @@
     }
 }
 
-/// A sibling takes over, and the outage begins before it has read anything. What it cannot know to run on, it does not
+/// A peer takes over, and the outage begins before it has read anything. What it cannot know to run on, it does not
 /// keep: the cancellation was confirmed while nobody led.
 #[test]
 fn an_outage_in_the_middle_of_a_takeover_keeps_nothing_that_is_cancelled() {
@@ -326,11 +326,11 @@
     }
 }
 
-/// The same where there are several blocks, for each holder.
+/// The same where there are several shards, for each owner.
 #[test]
-fn each_holder_of_a_block_learns_what_is_cancelled() {
+fn each_shard_owner_learns_what_is_cancelled() {
     for seed in 1..=4 {
-        let mut w = begin(World::with_blocks(3, seed, 3, &|text| text));
+        let mut w = begin(World::with_shards(3, seed, 3, &|text| text));
         w.run(10);
         let refused: Vec<usize> = (0..3).filter(|i| *i != seed as usize % 3).collect();
         let near = seed as usize % 3;
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -139,12 +139,12 @@
 }
 
 #[test]
-fn the_version_before_answers_for_a_job_of_another_block_and_cannot_start_it() {
+fn the_version_before_answers_for_a_job_of_another_shard_and_cannot_start_it() {
     let LiveRecord::Job(mut r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
         panic!()
     };
     r.watermark = Some(40);
-    // Its leader runs a job of block 0, and a mark is nothing to it; in turn it loses that, and we take all for
+    // Its leader runs a job of shard 0, and a watermark is nothing to it; in turn it loses that, and we take all for
     // launched.
     let old: OldJob = serde_json::from_str(r.to_value().get()).expect("a job to it too");
     assert_eq!(old.done, r.done);
@@ -195,7 +195,7 @@
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(3, 80, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     w.cloud.capacity = 100;
-    // A block of 90 machines in one chunk, all of them gone, and a job that nobody has started.
+    // A shard of 90 machines in one chunk, all of them gone, and a job that nobody has started.
     let machines: serde_json::Map<String, Value> = (0..90)
         .map(|i| {
             (
@@ -220,7 +220,7 @@
     for n in 0..3 {
         w.crash(n, SECOND);
     }
-    w.run_until(120, "the block is small again", |w| {
+    w.run_until(120, "the shard is small again", |w| {
         w.state
             .value("gh/block/0/0")
             .is_some_and(|v| v.to_string().len() < 2048)
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -9,7 +9,7 @@
 use crate::harness::{LEASE, SECOND, World, job};
 use crate::{Kind, troubles};
 
-/// Time of day when a story begins.
+/// Time of day when a test begins.
 const WALL: u64 = 1_700_000_000 * SECOND;
 /// Messages and the worker's own steps take so long at most.
 const SLACK: u64 = SECOND / 4;
@@ -163,7 +163,7 @@
     assert_eq!((audit.took.len(), audit.gaps.len()), (1, 0));
     assert_eq!(audit.verified.charged as usize, audit.entries.len());
     for (team, (real, charged, bound)) in teams {
-        // Ends right after another report are late by a quarter of a second on average.
+        // Ends right after another heartbeat are late by a quarter of a second on average.
         let lag = charged as i64 - real as i64;
         assert!(
             lag.unsigned_abs() <= bound + 2 * SECOND,
