--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Short stories: a whole cluster in memory, on a simulated clock, with the rules checked.
+//! Short tests: a whole cluster in memory, on a simulated clock, with the rules checked.
 
 mod cancellation_and_failover;
 mod concurrent_failures;
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn promises_of_all_siblings_carry_the_leader_through_an_outage() {
+fn votes_of_all_peers_carry_the_leader_through_an_outage() {
     let mut w = busy(6);
     let leader = w.leader();
     w.state.down = true;
@@ -124,10 +124,10 @@
 }
 
 #[test]
-fn a_leader_refused_by_the_state_service_alone_gets_no_promise_and_is_replaced() {
+fn a_leader_refused_by_the_state_service_alone_gets_no_vote_and_is_replaced() {
     let mut w = busy(7);
     let old = w.leader().expect("someone leads");
-    w.refused.insert(old);
+    w.faults.store_refuses.insert(old);
     w.run_until(12, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_outage_in_which_a_sibling_is_down_ends_the_leaders_authority() {
+fn an_outage_in_which_a_peer_is_down_ends_the_leaders_authority() {
     let mut w = busy(8);
     let leader = w.leader().expect("someone leads");
     w.crash((leader + 1) % 3, 60 * SECOND);
@@ -150,13 +150,13 @@
 }
 
 #[test]
-fn workers_that_cannot_reach_the_leader_are_relayed_by_a_sibling() {
+fn workers_that_cannot_reach_the_leader_are_relayed_by_a_peer() {
     let mut w = busy(9);
     w.submit(job(10, 12, json!({"yard": "a"})));
     w.run(3);
     let leader = w.leader().expect("someone leads");
-    w.deaf.insert((leader, "a".into()));
-    w.deaf.insert((leader, "b".into()));
+    w.faults.unreachable_zones.insert((leader, "a".into()));
+    w.faults.unreachable_zones.insert((leader, "b".into()));
     let lost = w
         .workers
         .values()
@@ -166,7 +166,7 @@
     assert_eq!(
         w.leader(),
         Some(leader),
-        "it hears its workers through its siblings"
+        "it hears its workers through its peers"
     );
     assert!(!lost.is_empty());
     w.finish();
@@ -178,9 +178,11 @@
     let leader = w.leader().expect("someone leads");
     let near = (leader + 1) % 3;
     // The workers and one controller are on the far side of a cut.
-    w.cut.extend([(leader, near), (near, leader)]);
-    w.deaf.insert((leader, "a".into()));
-    w.deaf.insert((leader, "b".into()));
+    w.faults
+        .partitioned
+        .extend([(leader, near), (near, leader)]);
+    w.faults.unreachable_zones.insert((leader, "a".into()));
+    w.faults.unreachable_zones.insert((leader, "b".into()));
     let sessions: Vec<(String, u64)> = w
         .workers
         .values()
@@ -192,8 +194,8 @@
         let now = w.workers.get(&name).map(|m| m.session);
         assert!(now.is_none_or(|s| s == session), "{name} lost its lease");
     }
-    w.cut.clear();
-    w.deaf.clear();
+    w.faults.partitioned.clear();
+    w.faults.unreachable_zones.clear();
     w.run_until(120, "all are done", World::all_over);
     w.finish();
 }
@@ -203,18 +205,18 @@
     let mut w = busy(10);
     let old = w.leader().expect("someone leads");
     for other in (0..3).filter(|o| *o != old) {
-        w.cut.insert((old, other));
-        w.cut.insert((other, old));
+        w.faults.partitioned.insert((old, other));
+        w.faults.partitioned.insert((other, old));
     }
-    w.deaf.insert((old, "a".into()));
-    w.deaf.insert((old, "b".into()));
+    w.faults.unreachable_zones.insert((old, "a".into()));
+    w.faults.unreachable_zones.insert((old, "b".into()));
     w.run_until(12, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.run(10);
     // What was held back in the network comes now, long after the takeover.
-    w.cut.clear();
-    w.deaf.clear();
+    w.faults.partitioned.clear();
+    w.faults.unreachable_zones.clear();
     w.run_until(120, "all are done", World::all_over);
     w.finish();
 }
@@ -275,7 +277,7 @@
 fn late_transactions_change_nothing_that_was_told() {
     for seed in 30..34 {
         let mut w = World::new(3, seed);
-        w.late_commits = 0.2;
+        w.faults.late_commit_rate = 0.2;
         w.run(2);
         for i in 0..5 {
             w.submit(job(i, 6, json!({})));
@@ -283,7 +285,7 @@
         w.run(10);
         w.cancel(3);
         w.run(20);
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(200, "all are over", World::all_over);
         w.finish();
     }
@@ -404,14 +406,14 @@
     }
 }
 
-/// What is switched on in a story.
+/// What is switched on in a test.
 #[derive(Clone, Copy)]
 enum Kind {
     Plain,
     /// Controllers are woken as rarely as they allow.
     Patient,
     Ledger,
-    Blocks(u32),
+    Shards(u32),
 }
 
 /// A day of troubles drawn from `seed`, played until all jobs are over.
@@ -424,7 +426,7 @@
         Kind::Plain | Kind::Patient => {
             World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &next_limits)
         }
-        Kind::Blocks(blocks) => World::with_blocks(3, seed, blocks, &next_limits),
+        Kind::Shards(blocks) => World::with_shards(3, seed, blocks, &next_limits),
     };
     w.patient = matches!(kind, Kind::Patient);
     w.run(2);
@@ -463,9 +465,9 @@
             2 => w.state.down = !w.state.down,
             3 => {
                 let pair = (w.rng.random_range(0..3), w.rng.random_range(0..3));
-                w.cut.insert(pair);
+                w.faults.partitioned.insert(pair);
             }
-            4 => w.cut.clear(),
+            4 => w.faults.partitioned.clear(),
             5 => {
                 let until = w.now + w.rng.random_range(SECOND..20 * SECOND);
                 if let Some(m) = w.workers.values_mut().next() {
@@ -480,10 +482,16 @@
             }
             7 => {
                 let n = w.rng.random_range(0..3);
-                w.deaf.insert((n, "a".into()));
+                w.faults.unreachable_zones.insert((n, "a".into()));
+            }
+            8 => w.faults.unreachable_zones.clear(),
+            9 => {
+                w.faults.late_commit_rate = if w.faults.late_commit_rate > 0.0 {
+                    0.0
+                } else {
+                    0.1
+                }
             }
-            8 => w.deaf.clear(),
-            9 => w.late_commits = if w.late_commits > 0.0 { 0.0 } else { 0.1 },
             10 => {
                 let (least, most) =
                     [(1, 2), (1_000, 4_000), (3_000, 15_000)][w.rng.random_range(0..3)];
@@ -494,8 +502,8 @@
             12 => w.queries = [0, 5][w.rng.random_range(0..2)],
             13 => {
                 let n = w.rng.random_range(0..3);
-                if !w.refused.remove(&n) {
-                    w.refused.insert(n);
+                if !w.faults.store_refuses.remove(&n) {
+                    w.faults.store_refuses.insert(n);
                 }
             }
             14 => {
@@ -514,10 +522,10 @@
         w.check_cancelled();
     }
     w.state.down = false;
-    w.cut.clear();
-    w.deaf.clear();
-    w.late_commits = 0.0;
-    w.refused.clear();
+    w.faults.partitioned.clear();
+    w.faults.unreachable_zones.clear();
+    w.faults.late_commit_rate = 0.0;
+    w.faults.store_refuses.clear();
     w.cloud.never_boot = 0.0;
     w.queries = 0;
     (1..=mistakes).for_each(|i| w.cancel(900 + i));
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -1,4 +1,4 @@
-//! Stories of jobs that wait for others.
+//! Tests of jobs that wait for others.
 
 use gannethub_core::model::{JobSpec, Priority, Shape};
 use gannethub_core::state::fleet::CloudCall;
@@ -59,12 +59,12 @@
         let mut w = World::new(3, seed);
         w.run(2);
         diamond(&mut w);
-        w.late_commits = 0.15;
+        w.faults.late_commit_rate = 0.15;
         for _ in 0..4 {
             (0..3).for_each(|n| w.crash(n, 3 * SECOND));
             w.run(14);
         }
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(240, "all are done", World::all_over);
         w.finish();
     }
@@ -129,14 +129,14 @@
         w.run(2);
         diamond(&mut w);
         w.run_until(60, "the middle runs", |w| done(w, 1));
-        w.late_commits = 0.3;
+        w.faults.late_commit_rate = 0.3;
         w.cancel(2);
         w.run(3);
         w.state.down = true;
         w.run(6);
         w.state.down = false;
         w.run(10);
-        w.late_commits = 0.0;
+        w.faults.late_commit_rate = 0.0;
         w.run_until(240, "all are over", World::all_over);
         // Either it was done before the cancellation came through, or it took the last with it.
         assert_eq!(cancelled(&w, 2), cancelled(&w, 4));
@@ -242,8 +242,8 @@
         false,
         &["j-1".into()],
     );
-    f.stamp += 1;
-    f.c.apply_waiting_job("j-2", held, f.stamp);
+    f.version += 1;
+    f.c.apply_waiting_job("j-2", held, f.version);
     let rents = |f: &mut LeaderView| {
         let calls = f.c.plan_cloud_calls(f.now);
         calls
@@ -284,9 +284,9 @@
         deadline: Some(60 * SECOND),
         ..spec(Shape::Array, "blue", 1, 1.0)
     };
-    f.stamp += 1;
+    f.version += 1;
     let held = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
-    f.c.apply_waiting_job("j-3", held, f.stamp);
+    f.c.apply_waiting_job("j-3", held, f.version);
     f.pass(1);
     f.c.run_scheduling_pass(f.now);
     assert_eq!(
@@ -304,7 +304,7 @@
             .collect();
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
         f.pass(1);
-        f.report("up-0000", "small", "a", &tasks);
+        f.heartbeat("up-0000", "small", "a", &tasks);
         f.c.run_scheduling_pass(f.now);
         assert_eq!(
             f.c.jobs["j-1"].tasks.live_attempts.len(),
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -1,5 +1,5 @@
 //! The first of the meetings in `docs/design-concurrent-failures.md`, a cancellation that the old leader never hears of: the state service refuses the leader alone; another controller confirms cancellations; then the state
-//! service is down for all, for longer than a cancellation has, while workers report to the old leader. The checker counts
+//! service is down for all, for longer than a cancellation has, while workers send heartbeats to the old leader. The checker counts
 //! from when a user was told, at whichever controller, and looks at every machine every second.
 
 use crate::*;
@@ -42,7 +42,7 @@
 
 /// The state service refuses the leader, and users cancel these jobs at one other controller, which tells them so.
 fn refused_and_cancelled(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
-    w.refused.insert(old);
+    w.faults.store_refuses.insert(old);
     jobs.iter().for_each(|i| w.cancel_at(*i, near));
     w.run_until(1, "the users are told", |w| told(w, jobs));
 }
@@ -80,14 +80,14 @@
     }
 }
 
-/// Nobody's word is needed: the same with siblings of the version before, which say nothing of what is cancelled. Their
+/// Nobody's word is needed: the same with peers of the version before, which say nothing of what is cancelled. Their
 /// leader gives up when it cannot know for too long.
 #[test]
-fn siblings_that_say_nothing_of_cancellations_carry_a_leader_only_so_far() {
+fn peers_that_say_nothing_of_cancellations_carry_a_leader_only_so_far() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        w.silent.extend(others.iter().copied());
+        w.faults.previous_release.extend(others.iter().copied());
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(9);
@@ -98,13 +98,13 @@
     }
 }
 
-/// Nor is anything built on promises that cannot be read in full.
+/// Nor is anything built on votes that cannot be read in full.
 #[test]
-fn promises_that_make_no_sense_carry_a_leader_only_so_far() {
+fn votes_that_make_no_sense_carry_a_leader_only_so_far() {
     for seed in 1..=3 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        w.garbled.insert(others[0]);
+        w.faults.corrupts_votes.insert(others[0]);
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(27);
@@ -113,27 +113,27 @@
     }
 }
 
-/// What is asked by a leader of the version before is answered by a new sibling as ever.
+/// What is asked by a leader of the version before is answered by a new peer as ever.
 #[test]
-fn a_leader_that_does_not_say_what_it_knows_gets_its_promises() {
+fn a_leader_that_does_not_say_what_it_knows_gets_its_votes() {
     let mut w = long(3, 7);
     let (old, _) = roles(&w, 7);
-    w.silent.insert(old);
+    w.faults.previous_release.insert(old);
     w.state.down = true;
     w.run(9);
     assert_eq!(w.leader(), Some(old), "longer than its grant");
     recover(w, 7);
 }
 
-/// The transaction is carried out, its answer is late, and the promise was given in between.
+/// The transaction is carried out, its answer is late, and the vote was given in between.
 #[test]
-fn a_cancellation_that_is_confirmed_after_the_promise_is_carried_out_in_time() {
+fn a_cancellation_that_is_confirmed_after_the_vote_is_carried_out_in_time() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let near = others[0];
-        w.slow_commits.insert(near, SECOND * 19 / 10);
-        w.refused.insert(old);
+        w.faults.commit_answer_delays.insert(near, SECOND * 19 / 10);
+        w.faults.store_refuses.insert(old);
         (1..=4).for_each(|i| w.cancel_at(i, near));
         let stored = |w: &World| {
             (1..=4).all(|i| {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Another controller confirms and the rest promise; one of them is refused as well, halted, or cut off from the leader.
+/// Another controller confirms and the rest vote; one of them is refused as well, halted, or cut off from the leader.
 #[test]
 fn whoever_else_is_in_trouble_the_cancellation_is_carried_out() {
     for seed in 1..=9 {
@@ -171,17 +171,17 @@
         let third = others[1];
         match seed % 3 {
             0 => {
-                w.refused.insert(third);
+                w.faults.store_refuses.insert(third);
             }
             1 => {
-                w.frozen.insert(third, w.now + 12 * SECOND);
+                w.faults.frozen_until.insert(third, w.now + 12 * SECOND);
             }
-            _ => w.cut.extend([(old, third), (third, old)]),
+            _ => w.faults.partitioned.extend([(old, third), (third, old)]),
         }
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         if seed > 6 {
             // The one that confirmed cannot tell the leader itself.
-            w.cut.extend([(others[0], old)]);
+            w.faults.partitioned.extend([(others[0], old)]);
         }
         outlast(w, seed);
     }
@@ -218,7 +218,7 @@
     }
 }
 
-/// Machines that hear nothing, hang, or are heard only through a sibling, and a zone that is cut off.
+/// Machines that hear nothing, hang, or are heard only through a peer, and a zone that is cut off.
 #[test]
 fn machines_that_cannot_be_told_lose_what_is_cancelled_with_their_leases() {
     for seed in 1..=8 {
@@ -238,17 +238,22 @@
             .collect();
         assert!(!names.is_empty());
         match seed % 4 {
-            0 => w.unheard.extend(names),
+            0 => w.faults.unanswered_workers.extend(names),
             1 => {
                 let until = w.now + LEASE - SECOND;
                 names
                     .iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
-            // The leader hears its workers through its siblings alone.
-            2 => w.deaf.extend([(old, "a".into()), (old, "b".into())]),
+            // The leader hears its workers through its peers alone.
+            2 => w
+                .faults
+                .unreachable_zones
+                .extend([(old, "a".into()), (old, "b".into())]),
             _ => (0..3).for_each(|n| {
-                w.deaf.insert((n, w.workers[&names[0]].zone.clone()));
+                w.faults
+                    .unreachable_zones
+                    .insert((n, w.workers[&names[0]].zone.clone()));
             }),
         }
         w.run(2);
@@ -269,10 +274,10 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         for i in 1..=6 {
-            w.refused.insert(old);
+            w.faults.store_refuses.insert(old);
             w.cancel_at(i, others[i as usize % 2]);
             w.run(1);
-            w.refused.remove(&old);
+            w.faults.store_refuses.remove(&old);
             w.run(1);
         }
         refused_and_cancelled(&mut w, old, others[0], &[7]);
@@ -280,7 +285,7 @@
     }
 }
 
-/// An outage, promises, the state service back for all but the leader, cancellations while the promises last, and the next
+/// An outage, votes, the state service back for all but the leader, cancellations while the votes last, and the next
 /// outage.
 #[test]
 fn what_is_cancelled_between_two_outages_is_known_in_the_second() {
@@ -291,14 +296,14 @@
         w.run(6);
         assert_eq!(w.leader(), Some(old));
         w.state.down = false;
-        w.refused.insert(old);
+        w.faults.store_refuses.insert(old);
         w.run(1);
         refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
         outlast(w, seed);
     }
 }
 
-/// A sibling takes over, and the outage begins before it has read anything. What it cannot know to run on, it does not
+/// A peer takes over, and the outage begins before it has read anything. What it cannot know to run on, it does not
 /// keep: the cancellation was confirmed while nobody led.
 #[test]
 fn an_outage_in_the_middle_of_a_takeover_keeps_nothing_that_is_cancelled() {
@@ -321,15 +326,17 @@
     }
 }
 
-/// The same where there are several blocks, for each holder.
+/// The same where there are several shards, for each owner.
 #[test]
-fn each_holder_of_a_block_learns_what_is_cancelled() {
+fn each_shard_owner_learns_what_is_cancelled() {
     for seed in 1..=4 {
-        let mut w = begin(World::with_blocks(3, seed, 3, &|text| text));
+        let mut w = begin(World::with_shards(3, seed, 3, &|text| text));
         w.run(10);
         let refused: Vec<usize> = (0..3).filter(|i| *i != seed as usize % 3).collect();
         let near = seed as usize % 3;
-        w.refused.extend(&refused[..1 + seed as usize % 2]);
+        w.faults
+            .store_refuses
+            .extend(&refused[..1 + seed as usize % 2]);
         (1..=4).for_each(|i| w.cancel_at(i, near));
         w.run_until(1, "the users are told", |w| told(w, &[1, 2, 3, 4]));
         outlast(w, seed);
@@ -343,9 +350,9 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         let term = w.state.value(TERM_KEY).cloned();
-        w.hung_watches.insert(old);
+        w.faults.hung_watches.insert(old);
         others.iter().for_each(|i| {
-            w.lost.insert((*i, old));
+            w.faults.lossy_links.insert((*i, old));
         });
         w.run(10);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
