--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use gannethub::emulators::{Asked, serve};
+use gannethub::emulators::{EmulatorRequest, serve};
 use gannethub_emulators::{Cloud, JobFacts, Site, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -44,7 +44,7 @@
 
 enum Command {
     Driver(ToCloud),
-    Asked(Asked),
+    Asked(EmulatorRequest),
 }
 
 /// What the model of the cloud asks of its surroundings.
@@ -145,7 +145,7 @@
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
+    fn asked(&mut self, asked: EmulatorRequest) {
         let path = asked.path.split('?').next().unwrap_or("");
         let kind = match path {
             "/rentals" if asked.body.is_empty() => "list",
@@ -243,7 +243,7 @@
         }
     }
 
-    fn count(&mut self, kind: &str, asked: &Asked, status: u16, answer: &Value) {
+    fn count(&mut self, kind: &str, asked: &EmulatorRequest, status: u16, answer: &Value) {
         let count = self.kinds.entry(kind.to_string()).or_default();
         count.count += 1;
         count.bytes_in += (asked.path.len() + asked.body.len()) as u64;
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use gannethub::emulators::{Asked, serve};
+use gannethub::emulators::{EmulatorRequest, serve};
 use gannethub::http::{Answer, CallResult, Client, Method};
 use gannethub_emulators::worker::{Phase, Task, job_of};
 use gannethub_emulators::{JobFacts, Site, Worker};
@@ -78,7 +78,7 @@
         sent: u64,
         answer: CallResult,
     },
-    Direct(String, Asked),
+    Direct(String, EmulatorRequest),
     /// The process of a task has ended by itself.
     Exited {
         host: String,
@@ -455,7 +455,7 @@
         }
     }
 
-    fn commanded(&mut self, host: &str, asked: Asked) {
+    fn commanded(&mut self, host: &str, asked: EmulatorRequest) {
         self.site.counts.direct += 1;
         self.site.counts.direct_bytes += (asked.body.len() + HEAD) as u64;
         let body = asked.body.clone();
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use clap::Args;
-use gannethub::emulators::{Asked, StateService, serve};
+use gannethub::emulators::{EmulatorRequest, EmulatorResponse, StateService, serve};
 use gannethub::http::Method;
 use gannethub_emulators::State;
-use serde_json::{Value, json};
+use serde_json::json;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -47,7 +47,7 @@
 
 enum Command {
     Driver(ToState),
-    Asked(usize, Asked),
+    Asked(usize, EmulatorRequest),
 }
 
 /// Where the state service is for this controller; operators come after the last one.
@@ -120,27 +120,27 @@
     }
 
     /// The same request, whose answer is counted on its way.
-    fn counted(&self, node: usize, asked: Asked) -> Asked {
+    fn counted(&self, node: usize, asked: EmulatorRequest) -> EmulatorRequest {
         let kind = kind(&asked);
         let mut counts = self.counts.borrow_mut();
         *counts.by_node.entry(node).or_default() += 1;
         let count = counts.kinds.entry(kind.to_string()).or_default();
         count.count += 1;
         count.bytes_in += (asked.path.len() + asked.body.len()) as u64;
-        let (reply, answer) = oneshot::channel::<(u16, Value)>();
+        let (reply, answer) = oneshot::channel::<EmulatorResponse>();
         let (to, counts) = (asked.reply, self.counts.clone());
         spawn_local(async move {
-            let Ok((status, body)) = answer.await else {
+            let Ok(response) = answer.await else {
                 return;
             };
             if let Some(count) = counts.borrow_mut().kinds.get_mut(kind) {
-                count.bytes_out += body.to_string().len() as u64;
-                count.refused += u64::from(matches!(status, 429 | 503));
+                count.bytes_out += response.body.to_string().len() as u64;
+                count.refused += u64::from(matches!(response.status, 429 | 503));
             }
             // A client that has gone away hears nothing.
-            let _ = to.send((status, body));
+            let _ = to.send(response);
         });
-        Asked { reply, ..asked }
+        EmulatorRequest { reply, ..asked }
     }
 
     fn measure(&mut self) {
@@ -163,7 +163,7 @@
     }
 }
 
-fn kind(asked: &Asked) -> &'static str {
+fn kind(asked: &EmulatorRequest) -> &'static str {
     match (asked.method, asked.path.as_str()) {
         (_, "/commit") => "commit",
         (Method::Get, path) if path.starts_with("/follow") && path.contains("block_ms=0") => {
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -27,7 +27,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::emulators::{Asked, StateService, free_ports, serve};
+use crate::emulators::{EmulatorRequest, StateService, free_ports, serve};
 use crate::files::{self, FileError};
 use crate::http::{CallResult, Client, ask_any};
 use crate::ledger::{LedgerError, fetch};
@@ -70,10 +70,10 @@
 
 /// What the owner of all stand-ins is told.
 enum Command {
-    State(Asked),
-    Cloud(Asked),
+    State(EmulatorRequest),
+    Cloud(EmulatorRequest),
     /// Commands for a worker, from a controller.
-    Direct(Asked),
+    Direct(EmulatorRequest),
     Answer {
         worker: String,
         node: usize,
--- a/src/emulators.rs
+++ b/src/emulators.rs
@@ -1,6 +1,9 @@
-//! The models of [`gannethub_emulators`] on loopback sockets: what `gannethub dev` and the scale run share.
+//! The models of [`gannethub_emulators`] behind loopback sockets, for `gannethub dev` and the scale run.
+//!
+//! The models themselves have no sockets. One task owns them and works through a queue of commands; [`serve`] turns HTTP
+//! requests into such commands.
 
-use std::net::{Ipv4Addr, TcpListener as Probe};
+use std::net::{Ipv4Addr, TcpListener as StdListener};
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -15,90 +18,106 @@
 
 use crate::http::{BodyBudget, Connection};
 
-/// A request to a stand-in, and where its answer goes.
-pub struct Asked {
+/// After a failed accept the next one is tried after this time.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// A request to an emulated service, and where its response goes.
+pub struct EmulatorRequest {
     pub method: Method,
+    /// With its query, if it has one.
     pub path: String,
     pub body: Bytes,
-    pub reply: oneshot::Sender<(u16, Value)>,
+    pub reply: oneshot::Sender<EmulatorResponse>,
+}
+
+/// The response of an emulated service.
+pub struct EmulatorResponse {
+    pub status: u16,
+    pub body: Value,
 }
 
-impl Asked {
-    /// Answers it. A client that has gone away hears nothing.
+impl EmulatorRequest {
+    /// Answers the request. If the client has gone away the response is dropped.
     pub fn answer(self, status: u16, body: Value) {
-        let _ = self.reply.send((status, body));
+        let _ = self.reply.send(EmulatorResponse { status, body });
     }
 }
 
-/// Serves one of the stand-ins: `make` turns each request into a command for the owner of the models. A request
-/// reaches the owner `lag` after it has arrived.
+/// Serves an emulated service until the process ends: `to_command` turns each request into a command for the owner of
+/// the models. A request reaches the owner `delay` after it has arrived.
 pub async fn serve<C: 'static>(
     listener: TcpListener,
     queue: mpsc::Sender<C>,
-    lag: Duration,
-    make: impl Fn(Asked) -> C + Copy + 'static,
+    delay: Duration,
+    to_command: impl Fn(EmulatorRequest) -> C + Copy + 'static,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(100)).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let connection = Connection::new(stream, BodyBudget::new(usize::MAX));
-        spawn_local(serve_connection(connection, queue.clone(), lag, make));
+        spawn_local(serve_connection(
+            connection,
+            queue.clone(),
+            delay,
+            to_command,
+        ));
     }
 }
 
+/// Answers the requests of one connection, one after the other.
 async fn serve_connection<C: 'static>(
     mut connection: Connection,
     queue: mpsc::Sender<C>,
-    lag: Duration,
-    make: impl Fn(Asked) -> C,
+    delay: Duration,
+    to_command: impl Fn(EmulatorRequest) -> C,
 ) {
     while let Some(request) = connection.next().await {
-        if !lag.is_zero() {
-            sleep(lag).await;
+        if !delay.is_zero() {
+            sleep(delay).await;
         }
+        let close = request.closes_connection;
         let (reply, answer) = oneshot::channel();
-        let asked = Asked {
+        let command = to_command(EmulatorRequest {
             method: request.method,
             path: request.path,
             body: request.body,
             reply,
-        };
-        if queue.send(make(asked)).await.is_err() {
+        });
+        if queue.send(command).await.is_err() {
             return;
         }
-        let Ok((status, body)) = answer.await else {
+        let Ok(answer) = answer.await else {
             return;
         };
-        let response = Response::json(status, &body);
-        if connection
-            .write(&response, request.closes_connection)
-            .await
-            .is_err()
-            || request.closes_connection
-        {
+        let response = Response::json(answer.status, &answer.body);
+        if connection.write(&response, close).await.is_err() || close {
             return;
         }
     }
 }
 
-/// A watch whose answer is still to come.
+/// A watch that waits for a change.
 struct Watch {
+    /// Changes of keys with this prefix end it,
     prefix: String,
+    /// if they come after this revision.
     after: u64,
+    /// It ends without a change at this time.
     until: u64,
-    asked: Asked,
+    request: EmulatorRequest,
 }
 
-/// The state service with the watches that wait for changes.
+/// The emulated state service, with the watches that wait for changes.
 pub struct StateService {
     pub state: State,
     watches: Vec<Watch>,
 }
 
 impl StateService {
+    /// A service with this state and no watches.
     pub fn new(state: State) -> StateService {
         StateService {
             state,
@@ -106,29 +125,26 @@
         }
     }
 
-    /// Answers a request, or keeps it until what it watches has changed.
-    pub fn handle(&mut self, asked: Asked, now: u64) {
-        match self
-            .state
-            .handle(asked.method.as_str(), &asked.path, &asked.body, now)
-        {
-            Outcome::Answer(status, body) => asked.answer(status, body),
+    /// Answers a request, or keeps a watch until there is a change or its time is over.
+    pub fn handle(&mut self, request: EmulatorRequest, now: u64) {
+        let method = request.method.as_str();
+        match self.state.handle(method, &request.path, &request.body, now) {
+            Outcome::Answer(status, body) => request.answer(status, body),
             Outcome::Wait {
                 prefix,
                 after,
                 until,
-            } => {
-                self.watches.push(Watch {
-                    prefix,
-                    after,
-                    until,
-                    asked,
-                });
-            }
+            } => self.watches.push(Watch {
+                prefix,
+                after,
+                until,
+                request,
+            }),
         }
     }
 
-    /// Ends grants that have run out, and answers watches that have something to tell or are over.
+    /// Ends store leases that have run out, and answers watches that have a change to tell or are over. While the
+    /// service is down no watch is answered.
     pub fn tick(&mut self, now: u64) {
         self.state.tick(now);
         if self.state.down {
@@ -136,18 +152,22 @@
         }
         for watch in std::mem::take(&mut self.watches) {
             match self.state.changes(&watch.prefix, watch.after) {
-                Some(changes) => watch.asked.answer(200, changes),
-                None if watch.until <= now => watch.asked.answer(200, self.state.quiet()),
+                Some(changes) => watch.request.answer(200, changes),
+                None if watch.until <= now => watch.request.answer(200, self.state.quiet()),
                 None => self.watches.push(watch),
             }
         }
     }
 }
 
-/// Ports of this machine that nobody uses now.
+/// Finds loopback ports that nobody uses now. Another process may take one before it is bound again.
 pub fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    let probes: Vec<Probe> = (0..count)
-        .map(|_| Probe::bind((Ipv4Addr::LOCALHOST, 0)))
-        .collect::<Result<_, _>>()?;
-    probes.iter().map(|p| Ok(p.local_addr()?.port())).collect()
+    // All are held at once, so that none is found twice.
+    let listeners = (0..count)
+        .map(|_| StdListener::bind((Ipv4Addr::LOCALHOST, 0)))
+        .collect::<Result<Vec<_>, _>>()?;
+    listeners
+        .iter()
+        .map(|listener| Ok(listener.local_addr()?.port()))
+        .collect()
 }
