--- /dev/null
+++ b/src/dev/region.rs
@@ -0,0 +1,370 @@
+//! The emulated state service, cloud and workers on the real clock.
+
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use gannethub_core::http::Method;
+use gannethub_core::model::Shape;
+use gannethub_core::wire::store::LiveRecord;
+use gannethub_emulators::record::SpanKey;
+use gannethub_emulators::worker::{JobFacts, step_gangs};
+use gannethub_emulators::{Cloud, Record, Site, Span, State, Worker};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use serde_json::{Value, json};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::{EmulatorListeners, SECOND, WORKER_LEASE_SECONDS};
+use crate::emulators::{EmulatorRequest, StateService, serve};
+use crate::http::{CallResult, Client};
+
+/// The emulators make a step at least this often.
+const TICK: Duration = Duration::from_millis(10);
+/// Commands that wait for the emulators.
+const QUEUE_CAPACITY: usize = 4096;
+/// The emulators take up to this many commands before they make a step.
+const COMMAND_BATCH_SIZE: usize = 256;
+/// How long a worker waits for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// The members of a gang notice within this time that one of them is gone.
+const GANG_PEER_TIMEOUT: u64 = 5 * SECOND;
+/// The limits of the state service: bytes of a value, operations of a transaction, and items of a page of a listing.
+const STATE_VALUE_BYTES: usize = 16 * 1024;
+const STATE_TRANSACTION_OPERATIONS: usize = 16;
+const STATE_PAGE_ITEMS: usize = 200;
+/// Where the state service keeps who leads, and jobs that are not over.
+const LEADER_KEY: &str = "gh/lead/holder";
+const LIVE_JOB_PREFIX: &str = "gh/live/";
+const CONFLICT: u16 = 409;
+
+/// A command for the owner of the emulators.
+pub(super) enum Command {
+    StateRequest(EmulatorRequest),
+    CloudRequest(EmulatorRequest),
+    /// A controller sends commands to a worker.
+    WorkerRequest(EmulatorRequest),
+    /// A controller has answered a worker's heartbeat, or has not.
+    HeartbeatAnswer {
+        worker: String,
+        node: usize,
+        sent_at: u64,
+        answer: CallResult,
+    },
+    /// The state service refuses everything from now on, or no longer.
+    SetOutage(bool),
+    /// A machine that holds tasks dies.
+    KillBusyWorker,
+    /// Asks for the name of the leader, as the state service has it.
+    Leader(oneshot::Sender<Option<String>>),
+    /// Asks for what the workers recorded of their attempts.
+    Record(oneshot::Sender<BTreeMap<SpanKey, Span>>),
+}
+
+/// The emulators and what they know.
+pub(super) struct Region {
+    started_at: Instant,
+    /// The time of the current command or step, in microseconds since the start: it stands still meanwhile.
+    now: u64,
+    rng: StdRng,
+    state_service: StateService,
+    cloud: Cloud,
+    workers: BTreeMap<String, Worker>,
+    record: Record,
+    jobs: HashMap<String, JobFacts>,
+    done_tasks: HashSet<String>,
+    /// Where all workers take commands.
+    workers_addr: String,
+    /// The controllers, by number.
+    controllers: Vec<Rc<Client>>,
+    queue: mpsc::Sender<Command>,
+}
+
+impl Region {
+    /// Starts the emulators; they run until the process ends. Commands for them go into the returned queue.
+    pub fn start(
+        seed: u64,
+        controllers: &[SocketAddrV4],
+        listeners: EmulatorListeners,
+    ) -> std::io::Result<mpsc::Sender<Command>> {
+        let (queue, commands) = mpsc::channel(QUEUE_CAPACITY);
+        let mut state = State::new(STATE_VALUE_BYTES, STATE_TRANSACTION_OPERATIONS);
+        state.page = STATE_PAGE_ITEMS;
+        let region = Region {
+            started_at: Instant::now(),
+            now: 0,
+            rng: StdRng::seed_from_u64(seed),
+            state_service: StateService::new(state),
+            cloud: Cloud::default(),
+            workers: BTreeMap::new(),
+            record: Record::default(),
+            jobs: HashMap::new(),
+            done_tasks: HashSet::new(),
+            workers_addr: listeners.workers.local_addr()?.to_string(),
+            controllers: controllers
+                .iter()
+                .map(|addr| Rc::new(Client::new(*addr)))
+                .collect(),
+            queue: queue.clone(),
+        };
+        let EmulatorListeners {
+            state_service,
+            cloud,
+            workers,
+        } = listeners;
+        let no_delay = Duration::ZERO;
+        spawn_local(serve(
+            workers,
+            queue.clone(),
+            no_delay,
+            Command::WorkerRequest,
+        ));
+        spawn_local(serve(
+            state_service,
+            queue.clone(),
+            no_delay,
+            Command::StateRequest,
+        ));
+        spawn_local(serve(cloud, queue.clone(), no_delay, Command::CloudRequest));
+        spawn_local(region.run(commands));
+        Ok(queue)
+    }
+
+    async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
+        let mut batch = Vec::new();
+        loop {
+            let received = commands.recv_many(&mut batch, COMMAND_BATCH_SIZE);
+            let _ = timeout(TICK, received).await;
+            for command in batch.drain(..) {
+                self.handle(command);
+            }
+            self.step();
+        }
+    }
+
+    fn handle(&mut self, command: Command) {
+        self.read_clock();
+        match command {
+            Command::StateRequest(request) => {
+                if request.path == "/commit" {
+                    self.learn_jobs(&request.body);
+                }
+                self.state_service.handle(request, self.now);
+            }
+            Command::CloudRequest(request) => self.handle_cloud_request(request),
+            Command::WorkerRequest(request) => self.handle_worker_request(request),
+            Command::HeartbeatAnswer {
+                worker,
+                node,
+                sent_at,
+                answer,
+            } => self.handle_heartbeat_answer(&worker, node, sent_at, answer),
+            Command::SetOutage(is_down) => self.state_service.state.down = is_down,
+            Command::KillBusyWorker => self.kill_busy_worker(),
+            Command::Leader(reply) => drop(reply.send(self.leader())),
+            Command::Record(reply) => drop(reply.send(self.record.spans.clone())),
+        }
+    }
+
+    fn read_clock(&mut self) {
+        self.now = self.started_at.elapsed().as_micros() as u64;
+    }
+
+    /// Keeps the description of submitted jobs: their workers ask for it when they may be over already.
+    fn learn_jobs(&mut self, transaction: &[u8]) {
+        let transaction: Value = serde_json::from_slice(transaction).unwrap_or(Value::Null);
+        for item in transaction["writes"].as_array().into_iter().flatten() {
+            let key = item["write"].as_str();
+            let Some(id) = key.and_then(|key| key.strip_prefix(LIVE_JOB_PREFIX)) else {
+                continue;
+            };
+            let Ok(LiveRecord::Job(record)) = LiveRecord::parse(&item["v"].to_string()) else {
+                continue;
+            };
+            let spec = record.spec;
+            let facts = JobFacts {
+                tasks: spec.tasks,
+                gang: spec.shape == Shape::Gang,
+                service: spec.shape == Shape::Service,
+                broken: false,
+                save: spec.save_time,
+                estimate: spec.run_time_estimate,
+            };
+            self.jobs.entry(id.to_string()).or_insert(facts);
+        }
+    }
+
+    fn handle_cloud_request(&mut self, request: EmulatorRequest) {
+        // Taken out while the cloud calls back into the region.
+        let mut workers = std::mem::take(&mut self.workers);
+        let mut cloud = std::mem::take(&mut self.cloud);
+        let (status, body, returned) =
+            cloud.handle(&request.path, &request.body, &mut workers, self);
+        self.workers = workers;
+        self.cloud = cloud;
+        for mut worker in returned {
+            worker.tasks.clear();
+            self.record.note(&worker, self.now);
+        }
+        request.answer(status, body);
+    }
+
+    /// Hands commands to a worker. All workers are at one address here; the first task that the commands name tells
+    /// which of them is meant, as an attempt is on one of them.
+    fn handle_worker_request(&mut self, request: EmulatorRequest) {
+        let commands: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
+        let task = commands["orders"][0]["piece"].as_str().unwrap_or("");
+        let is_meant = |worker: &&Worker| !worker.hung(self.now) && worker.tasks.contains_key(task);
+        let name = self
+            .workers
+            .values()
+            .find(is_meant)
+            .map(|worker| worker.name.clone());
+        let status = name
+            .and_then(|name| {
+                self.with_worker(&name, |worker, region| {
+                    let status = worker.commanded(region, &request.body);
+                    region.record.note(worker, region.now);
+                    status
+                })
+            })
+            .unwrap_or(CONFLICT);
+        request.answer(status, json!({}));
+    }
+
+    fn handle_heartbeat_answer(
+        &mut self,
+        worker: &str,
+        node: usize,
+        sent_at: u64,
+        answer: CallResult,
+    ) {
+        // Where no answer came the worker finds that out by its own clock.
+        let Ok(answer) = answer else {
+            return;
+        };
+        self.with_worker(worker, |worker, region| {
+            if !worker.hung(region.now) {
+                worker.answered(region, node, sent_at, answer.status, &answer.body);
+                region.record.note(worker, region.now);
+            }
+        });
+    }
+
+    /// Calls a function with a worker, which is taken out of the region meanwhile; `None` if there is no such worker.
+    fn with_worker<T>(
+        &mut self,
+        name: &str,
+        act: impl FnOnce(&mut Worker, &mut Region) -> T,
+    ) -> Option<T> {
+        let mut worker = self.workers.remove(name)?;
+        let result = act(&mut worker, self);
+        self.workers.insert(name.to_string(), worker);
+        Some(result)
+    }
+
+    fn kill_busy_worker(&mut self) {
+        let mut workers = self.workers.values_mut();
+        let busy = workers.rfind(|worker| !worker.dead && !worker.tasks.is_empty());
+        if let Some(worker) = busy {
+            worker.dead = true;
+            worker.tasks.clear();
+            self.record.note(worker, self.now);
+        }
+    }
+
+    /// The name of the leader, as the state service has it.
+    fn leader(&self) -> Option<String> {
+        let record = self.state_service.state.value(LEADER_KEY)?;
+        Some(record["holder"].as_str()?.to_string())
+    }
+
+    /// Lets the time pass for all emulators.
+    fn step(&mut self) {
+        self.read_clock();
+        self.state_service.tick(self.now);
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        for name in names {
+            self.with_worker(&name, |worker, region| {
+                worker.step(region);
+                region.record.note(worker, region.now);
+            });
+        }
+        let mut workers = std::mem::take(&mut self.workers);
+        step_gangs(&mut workers, GANG_PEER_TIMEOUT, self);
+        self.workers = workers;
+    }
+}
+
+impl Site for Region {
+    fn now(&self) -> u64 {
+        self.now
+    }
+
+    fn draw(&mut self, from: u64, to: u64) -> u64 {
+        self.rng.random_range(from..to)
+    }
+
+    fn chance(&mut self, part: f64) -> bool {
+        self.rng.random_bool(part)
+    }
+
+    fn nodes(&self) -> usize {
+        self.controllers.len()
+    }
+
+    fn lease(&self) -> u64 {
+        WORKER_LEASE_SECONDS * SECOND
+    }
+
+    fn job(&self, id: &str) -> Option<JobFacts> {
+        self.jobs.get(id).cloned()
+    }
+
+    fn run_time(&mut self, job: &JobFacts) -> u64 {
+        // The estimates of users are often wrong by half.
+        let estimate = job.estimate.max(SECOND);
+        self.rng.random_range(estimate / 2..estimate + estimate / 2)
+    }
+
+    fn is_done(&self, task: &str) -> bool {
+        self.done_tasks.contains(task)
+    }
+
+    fn done(&mut self, task: &str) {
+        self.done_tasks.insert(task.into());
+    }
+
+    fn send(&mut self, worker: &str, node: usize, body: String) {
+        let Some(client) = self.controllers.get(node).cloned() else {
+            return;
+        };
+        let worker = worker.to_string();
+        let sent_at = self.now;
+        let queue = self.queue.clone();
+        spawn_local(async move {
+            let body = body.as_bytes();
+            let answer = client
+                .call(Method::Post, "/v1/report", body, HEARTBEAT_TIMEOUT)
+                .await;
+            let command = Command::HeartbeatAnswer {
+                worker,
+                node,
+                sent_at,
+                answer,
+            };
+            let _ = queue.send(command).await;
+        });
+    }
+
+    fn addr(&self, _: &str) -> String {
+        self.workers_addr.clone()
+    }
+
+    fn named(&self, name: &str) -> Option<usize> {
+        (0..self.controllers.len()).find(|index| name == format!("n{index}"))
+    }
+}
