--- a/src/dev/load.rs
+++ b/src/dev/load.rs
@@ -17,7 +17,7 @@
 use super::{DevError, WORKER_LEASE_SECONDS};
 use crate::files;
 use crate::http::{Client, ask_any};
-use crate::ledger::fetch;
+use crate::ledger::fetch_pages;
 
 pub(super) const TEAMS: [&str; 2] = ["red", "blue"];
 /// The shapes of the jobs; those that are here twice are drawn twice as often.
@@ -194,7 +194,7 @@
         let recorded = self.ask_emulators(Command::Record).await?;
         let (platform, _) = files::read_settings(&self.controllers.settings(0))?;
         let setup = files::read_ledger_setup(&self.controllers.ledger_settings(), &platform)?;
-        let pages = fetch(self.addrs).await?;
+        let pages = fetch_pages(self.addrs).await?;
         let charged = ChargedAttempts::read(&pages, &setup)?;
         compare(&recorded, &charged, &self.teams)
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -92,7 +92,7 @@
             ExitCode::FAILURE
         })),
         Some(Command::Ledger(args)) => Ok(exit_code("ledger", ledger::run(args), |error| {
-            ExitCode::from(error.code())
+            ExitCode::from(error.exit_code())
         })),
     }
 }
