--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -636,7 +636,7 @@
     }
 
     /// The write under way was not carried out. `unsure`: or perhaps it was, or will be; then nothing is written
-    /// before the page has been [`reread`](Book::reread).
+    /// before the page has been [`reread`](Book::handle_reread).
     pub fn write_failed(&mut self, unsure: bool) {
         if self.lines_in_flight.take().is_some() {
             self.outcome_unknown = unsure;
--- a/crates/gannethub-ledger/src/meter.rs
+++ b/crates/gannethub-ledger/src/meter.rs
@@ -27,14 +27,14 @@
     Saving,
 }
 
-/// The stages in the order in which [`Spent`] holds them, and time in which nothing was heard.
+/// The stages in the order in which [`StageTimes`] holds them, and time in which nothing was heard.
 pub const STAGES: [&str; 6] = [
     "starting", "fetching", "waiting", "running", "saving", "silent",
 ];
 const SILENT_STAGE: usize = 5;
 
 impl Stage {
-    /// Its place in [`Spent`].
+    /// Its place in [`StageTimes`].
     pub fn index(self) -> usize {
         self as usize
     }
