--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -1,43 +1,46 @@
-//! Configuration that operators change while the service runs: a versioned document on top of the platform's settings
-//! file. Here is what a document may say, how it is checked, and what comes of it; controllers follow its versions.
+//! The configuration that operators change while the service runs: a versioned document on top of the platform's
+//! settings file. This module defines what a document may contain, checks it, and applies it to the settings; controllers
+//! follow its versions.
 //!
-//! A document holds the whole of what operators have changed, so one version needs no other to be understood. What it
-//! does not name is as the platform's file has it. What would touch the timing of a safety argument, or needs other
-//! addresses, cannot be said in it.
+//! A document holds everything that operators have changed, so one version can be used without the others. What it does
+//! not name is as the platform's file has it. It has no fields for times that safety depends on, or for addresses.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Resources, Team, micros_from_seconds};
+use crate::model::{Resources, Team, UNLIMITED, micros_from_seconds};
 use crate::policy::{Policy, Setting};
 use crate::settings::{Objective, Settings, unlimited};
 
-/// The most teams that there may be at once, removed ones with jobs left included.
-pub const MOST_TEAMS: usize = 2000;
-const MOST_AMOUNT: f64 = 1e9;
-const MOST_NAME: usize = 128;
+/// The most teams that there may be at once, including removed ones that still have jobs.
+pub const MAX_TEAMS: usize = 2000;
+/// No amount is larger.
+const MAX_AMOUNT: f64 = 1e9;
+const MAX_NAME_BYTES: usize = 128;
 
-/// Policy settings that take a restart, and why.
-const FIXED: [(Setting, &str, &str); 3] = [
-    (
-        Setting::Grant,
-        "grant_s",
-        "leases in use were counted by it",
-    ),
-    (
-        Setting::Blocks,
-        "blocks",
-        "machines would have to change blocks while limits do",
-    ),
-    (
-        Setting::BlockChunk,
-        "block_chunk",
-        "it shapes records that are being written",
-    ),
+/// A policy setting that cannot be changed while the service runs.
+struct FixedSetting {
+    name: &'static str,
+    reason: &'static str,
+}
+
+const FIXED_SETTINGS: [FixedSetting; 3] = [
+    FixedSetting {
+        name: "grant_s",
+        reason: "leases in use were counted by it",
+    },
+    FixedSetting {
+        name: "blocks",
+        reason: "machines would have to change blocks while limits do",
+    },
+    FixedSetting {
+        name: "block_chunk",
+        reason: "it shapes records that are being written",
+    },
 ];
 
-/// What operators have changed, as it is stored and as their files say it.
+/// Everything that operators have changed, in the form in which it is stored and in which they write it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
@@ -50,11 +53,12 @@
     /// Policy settings, in the place of those of the same names.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub policy: Option<String>,
-    /// What becomes of tasks that run above a limit which is lowered.
+    /// What happens to tasks that run above a limit when it is lowered.
     #[serde(skip_serializing_if = "OverLimit::is_run")]
     pub over_limit: OverLimit,
 }
 
+/// What happens to tasks that run above a limit when it is lowered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OverLimit {
@@ -71,7 +75,7 @@
     }
 }
 
-/// A team's guarantee and limit, in processors and cards; a limit of 0 is none.
+/// A team's guarantee and limit in CPUs and GPUs; a limit of 0 stands for no limit.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamEntry {
@@ -85,18 +89,19 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pub gpus_max: f64,
     #[serde(default, skip_serializing_if = "is_false")]
+    /// The team gets no new jobs, and finishes those it has.
     pub removed: bool,
 }
 
-fn is_zero(x: &f64) -> bool {
-    *x == 0.0
+fn is_zero(number: &f64) -> bool {
+    *number == 0.0
 }
 
-fn is_false(x: &bool) -> bool {
-    !x
+fn is_false(flag: &bool) -> bool {
+    !flag
 }
 
-/// What users expect of a class of jobs, as in the platform's file.
+/// A service level objective, as in the platform's file.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectiveEntry {
@@ -119,11 +124,12 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct DocumentError {
+    /// Such as `over_limit` or `teams[3].cpus`.
     pub field: String,
     pub reason: String,
 }
 
-fn wrong<T>(field: impl Into<String>, reason: impl Into<String>) -> Result<T, DocumentError> {
+fn invalid<T>(field: impl Into<String>, reason: impl Into<String>) -> Result<T, DocumentError> {
     Err(DocumentError {
         field: field.into(),
         reason: reason.into(),
@@ -131,115 +137,132 @@
 }
 
 impl Document {
-    /// The document that follows this one when operators want `wanted`: teams that are named no more are removed, unless
-    /// the platform's file has them, and removed ones keep their last limit.
+    /// The document that follows this one when operators want `wanted`: teams that are not named any more are removed,
+    /// unless the platform's file has them, and removed ones keep their last limit.
     pub fn followed_by(&self, mut wanted: Document, base: &Settings) -> Document {
-        let named: BTreeSet<String> = wanted.teams.iter().map(|t| t.name.clone()).collect();
-        let dropped = self.teams.iter().filter(|t| !named.contains(&t.name));
-        let dropped = dropped.filter(|t| base.team(&t.name).is_none());
-        wanted.teams.extend(dropped.map(TeamEntry::removed));
-        for team in wanted.teams.iter_mut().filter(|t| t.removed) {
-            let last = self.teams.iter().find(|t| t.name == team.name);
-            if let Some(last) = last {
-                *team = last.removed();
+        let named: BTreeSet<String> = wanted.teams.iter().map(|team| team.name.clone()).collect();
+        let dropped = self
+            .teams
+            .iter()
+            .filter(|team| !named.contains(&team.name) && base.team(&team.name).is_none());
+        wanted.teams.extend(dropped.map(TeamEntry::to_removed));
+        for team in wanted.teams.iter_mut().filter(|team| team.removed) {
+            if let Some(last) = self.teams.iter().find(|last| last.name == team.name) {
+                *team = last.to_removed();
             } else if let Some(index) = base.team(&team.name) {
-                *team = TeamEntry::of(&base.teams[index]).removed();
+                *team = TeamEntry::of(&base.teams[index]).to_removed();
             }
         }
         wanted
     }
 
-    /// The settings that this document makes of the platform's. `running`: the settings in force, whose teams keep their
-    /// numbers; teams that neither the file nor the document names any more are closed.
+    /// The settings with this document applied to the platform's, `base`. `running` are the settings in force, whose
+    /// teams keep their positions; teams that neither the file nor the document names any more are closed.
     pub fn effective(
         &self,
         base: &Settings,
         running: &Settings,
     ) -> Result<Settings, DocumentError> {
         let mut settings = base.clone();
-        settings.teams = running.teams.clone();
-        for team in &mut settings.teams {
-            match base.teams.iter().find(|t| t.name == team.name) {
-                Some(platforms) => team.clone_from(platforms),
+        settings.teams = self.effective_teams(base, running)?;
+        if let Some(objectives) = &self.objectives {
+            let entries = objectives.iter().enumerate();
+            settings.objectives = entries
+                .map(|(index, entry)| entry.objective(index))
+                .collect::<Result<_, _>>()?;
+        }
+        if let Some(text) = &self.policy {
+            settings.policy = overlay_policy(text, &base.policy)?;
+        }
+        check_teams_are_changeable(base, &settings)?;
+        Ok(settings)
+    }
+
+    fn effective_teams(
+        &self,
+        base: &Settings,
+        running: &Settings,
+    ) -> Result<Vec<Team>, DocumentError> {
+        let mut teams = running.teams.clone();
+        for team in &mut teams {
+            match base.team(&team.name) {
+                Some(index) => team.clone_from(&base.teams[index]),
                 None => team.close(),
             }
         }
         let mut names = BTreeSet::new();
-        for (i, entry) in self.teams.iter().enumerate() {
-            let team = entry.team(&format!("teams[{i}]"))?;
+        for (index, entry) in self.teams.iter().enumerate() {
+            let team = entry.team(&format!("teams[{index}]"))?;
             if !names.insert(entry.name.as_str()) {
-                return wrong(
-                    format!("teams[{i}].name"),
-                    format!("{:?} appears twice", entry.name),
-                );
+                let reason = format!("{:?} appears twice", entry.name);
+                return invalid(format!("teams[{index}].name"), reason);
             }
-            match settings.teams.iter_mut().find(|t| t.name == team.name) {
+            match teams.iter_mut().find(|known| known.name == team.name) {
                 Some(known) => *known = team,
-                None => settings.teams.push(team),
+                None => teams.push(team),
             }
         }
-        if settings.teams.len() > MOST_TEAMS {
-            let count = settings.teams.len();
-            return wrong("teams", format!("{count} are more than {MOST_TEAMS}"));
-        }
-        if let Some(objectives) = &self.objectives {
-            let checked = objectives.iter().enumerate().map(|(i, o)| o.objective(i));
-            settings.objectives = checked.collect::<Result<_, _>>()?;
-        }
-        if let Some(text) = &self.policy {
-            settings.policy = policy(text, &base.policy)?;
+        if teams.len() > MAX_TEAMS {
+            let reason = format!("{} are more than {MAX_TEAMS}", teams.len());
+            return invalid("teams", reason);
         }
-        self.fits_the_service(base, &settings)?;
-        Ok(settings)
+        Ok(teams)
     }
+}
 
-    /// Where limits are divided among blocks, or a ledger is kept, teams are part of what other records say.
-    fn fits_the_service(&self, base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
-        let blocks = base.policy.number(Setting::Blocks, &[]) as u32;
-        if blocks > 1 && settings.teams != base.teams {
-            return wrong(
-                "teams",
-                "limits are divided among blocks; a restart is needed",
-            );
-        }
-        let unknown = |t: &&Team| base.team(&t.name).is_none();
-        if let Some(team) = settings
-            .teams
-            .iter()
-            .find(unknown)
-            .filter(|_| base.ledger.is_some())
-        {
-            let why = format!(
-                "the ledger has no team {:?}; a restart is needed",
-                team.name
-            );
-            return wrong("teams", why);
+/// Refuses changes of teams that need a restart: where limits are divided among shards, or a ledger is kept, other
+/// records depend on the teams.
+fn check_teams_are_changeable(base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
+    let shards = base.policy.number(Setting::Blocks, &[]) as u32;
+    if shards > 1 && settings.teams != base.teams {
+        return invalid(
+            "teams",
+            "limits are divided among blocks; a restart is needed",
+        );
+    }
+    if base.ledger.is_none() {
+        return Ok(());
+    }
+    let mut teams = settings.teams.iter();
+    match teams.find(|team| base.team(&team.name).is_none()) {
+        Some(Team { name, .. }) => {
+            let reason = format!("the ledger has no team {name:?}; a restart is needed");
+            invalid("teams", reason)
         }
+        None => Ok(()),
+    }
+}
+
+fn check_amount(field: &str, amount: f64) -> Result<(), DocumentError> {
+    if (0.0..=MAX_AMOUNT).contains(&amount) {
         Ok(())
+    } else {
+        invalid(field, format!("{amount} is not a usable amount"))
     }
 }
 
 impl TeamEntry {
-    /// A team as it would be written.
+    /// The entry that gives a team the values it has.
     pub fn of(team: &Team) -> TeamEntry {
-        let cpus = |milli: i64| {
-            if milli >= crate::model::UNLIMITED {
+        let amount = |thousandths: i64| {
+            if thousandths >= UNLIMITED {
                 0.0
             } else {
-                milli as f64 / 1e3
+                thousandths as f64 / 1e3
             }
         };
         TeamEntry {
             name: team.name.clone(),
-            cpus: cpus(team.guarantee.cpu),
-            cpus_max: cpus(team.limit.cpu),
-            gpus: cpus(team.guarantee.gpu),
-            gpus_max: cpus(team.limit.gpu),
+            cpus: amount(team.guarantee.cpu),
+            cpus_max: amount(team.limit.cpu),
+            gpus: amount(team.guarantee.gpu),
+            gpus_max: amount(team.limit.gpu),
             removed: team.closed,
         }
     }
 
-    fn removed(&self) -> TeamEntry {
+    /// The same team, removed; it keeps its limit for the jobs it still has.
+    fn to_removed(&self) -> TeamEntry {
         TeamEntry {
             cpus: 0.0,
             gpus: 0.0,
@@ -248,61 +271,47 @@
         }
     }
 
-    fn team(&self, at: &str) -> Result<Team, DocumentError> {
-        if self.name.is_empty() || self.name.len() > MOST_NAME {
-            return wrong(
-                format!("{at}.name"),
-                format!("must have 1 to {MOST_NAME} bytes"),
+    /// Checks the entry, which errors call `path`, and makes the team of it.
+    fn team(&self, path: &str) -> Result<Team, DocumentError> {
+        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
+            return invalid(
+                format!("{path}.name"),
+                format!("must have 1 to {MAX_NAME_BYTES} bytes"),
             );
         }
-        let amounts = [
-            ("cpus", self.cpus, self.cpus_max),
-            ("gpus", self.gpus, self.gpus_max),
-        ];
-        for (field, guarantee, limit) in amounts {
-            for (field, x) in [
-                (field.to_string(), guarantee),
-                (format!("{field}_max"), limit),
-            ] {
-                if !(0.0..=MOST_AMOUNT).contains(&x) {
-                    return wrong(
-                        format!("{at}.{field}"),
-                        format!("{x} is not a usable amount"),
-                    );
-                }
-            }
-            // No limit is above any guarantee.
-            if limit > 0.0 && guarantee > limit {
-                let why = format!("the guarantee {guarantee} is above the limit {limit}");
-                return wrong(format!("{at}.{field}"), why);
-            }
-        }
-        let guarantee = Resources::new(self.cpus, self.gpus, 0.0);
-        let limit = unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0));
-        let team = Team {
+        check_quota(&format!("{path}.cpus"), self.cpus, self.cpus_max)?;
+        check_quota(&format!("{path}.gpus"), self.gpus, self.gpus_max)?;
+        let mut team = Team {
             name: self.name.clone(),
-            guarantee,
-            limit,
+            guarantee: Resources::new(self.cpus, self.gpus, 0.0),
+            limit: unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0)),
             closed: false,
         };
-        Ok(if self.removed { team.closed() } else { team })
+        if self.removed {
+            team.close();
+        }
+        Ok(team)
+    }
+}
+
+/// Checks a team's guarantee and limit of one resource; a limit of zero is above any guarantee.
+fn check_quota(field: &str, guarantee: f64, limit: f64) -> Result<(), DocumentError> {
+    check_amount(field, guarantee)?;
+    check_amount(&format!("{field}_max"), limit)?;
+    if limit > 0.0 && guarantee > limit {
+        let reason = format!("the guarantee {guarantee} is above the limit {limit}");
+        return invalid(field, reason);
     }
+    Ok(())
 }
 
 impl ObjectiveEntry {
+    /// Checks the entry at this position and makes the objective of it.
     fn objective(&self, index: usize) -> Result<Objective, DocumentError> {
-        let amounts = [
-            ("within_s", self.within_s),
-            ("share", self.share),
-            ("times", self.times),
-        ];
-        if let Some((field, x)) = amounts
-            .iter()
-            .find(|(_, x)| !(0.0..=MOST_AMOUNT).contains(x))
-        {
-            let why = format!("{x} is not a usable amount");
-            return wrong(format!("objectives[{index}].{field}"), why);
-        }
+        let field = |name: &str| format!("objectives[{index}].{name}");
+        check_amount(&field("within_s"), self.within_s)?;
+        check_amount(&field("share"), self.share)?;
+        check_amount(&field("times"), self.times)?;
         Ok(Objective {
             kind: self.kind.clone(),
             class: self.class.clone(),
@@ -314,24 +323,19 @@
 }
 
 /// The policy of a document on top of the platform's.
-fn policy(text: &str, base: &Policy) -> Result<Policy, DocumentError> {
+fn overlay_policy(text: &str, base: &Policy) -> Result<Policy, DocumentError> {
     let named = Policy::named(text);
-    for (_, name, why) in FIXED {
-        if named.iter().any(|n| n == name) {
-            return wrong("policy", format!("{name} takes a restart: {why}"));
+    for FixedSetting { name, reason } in FIXED_SETTINGS {
+        if named.iter().any(|setting| setting == name) {
+            return invalid("policy", format!("{name} takes a restart: {reason}"));
         }
     }
     base.overlaid(text)
-        .or_else(|e| wrong("policy", e.to_string()))
+        .or_else(|error| invalid("policy", error.to_string()))
 }
 
 impl Team {
-    /// The same team, removed.
-    fn closed(mut self) -> Team {
-        self.close();
-        self
-    }
-
+    /// Ends the team's guarantee and refuses it new jobs.
     fn close(&mut self) {
         self.closed = true;
         self.guarantee = Resources::default();
