--- a/crates/gannethub-core/src/controller/election.rs
+++ b/crates/gannethub-core/src/controller/election.rs
@@ -1,7 +1,7 @@
-//! Whether this controller may take over a shard; shard 0 is the leader's.
+//! Eligibility of this controller to take over a shard; the owner of shard 0 is the leader.
 //!
-//! Whoever takes over needs the owner's key in the state service gone, and none of its own votes alive. A process that has
-//! just started may have forgotten a vote, so it first waits for as long as one lasts.
+//! A takeover requires that the owner's key in the state service is gone and that no vote of this controller is still
+//! binding. A process that has just started may have forgotten a vote, so it first waits for the duration of a vote.
 //!
 //! Every takeover raises the term, which workers see as the fencing token.
 
@@ -9,68 +9,68 @@
 use crate::model::{Micros, SECOND};
 use crate::wire::store::LeaseRecord;
 
-/// A lease in the state service that may not have been revoked is revoked again after this time.
+/// Delay before a store lease that may not have been revoked is revoked again.
 const REVOKE_RETRY_INTERVAL: Micros = SECOND;
-/// Votes that a process gave before it was started are of no use to anyone this long after its start.
+/// Time after a process's start from which votes given before the start count for no owner.
 const FORGOTTEN_VOTE_LIFETIME: Micros = VOTE_TIMEOUT + SECOND / 2;
-/// A process that does not know whether a term's watermarks hold asks its peers this often.
+/// Interval at which a process asks its peers whether a term's launch watermarks hold, until it knows.
 const WATERMARK_QUERY_INTERVAL: Micros = SECOND;
 
-/// A record of who owns a shard, as the state service holds it.
+/// A shard's lease record, as the state service holds it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct StoredLease {
     pub record: LeaseRecord,
-    /// The version of its key.
+    /// Version of the record's key.
     pub version: u64,
 }
 
-/// What a takeover is conditional on.
+/// Conditions of a takeover transaction.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TakeoverConditions {
-    /// Versions of the owner's key and the term's key; 0: there is none.
+    /// Versions of the owner's key and the term's key; 0 if the key does not exist.
     pub owner_key_version: u64,
     pub term_key_version: u64,
-    /// The last term in which the shard was owned.
+    /// Last term in which the shard was owned.
     pub last_term: u64,
 }
 
-/// This controller's own chances of owning a shard.
+/// Eligibility of this controller to own one shard.
 #[derive(Debug)]
 pub(super) struct Election {
     /// This controller's name.
     name: String,
-    /// Until when votes of an earlier process of this name may be alive.
-    quiet_until: Micros,
-    /// Until when its own vote binds it.
+    /// Time until which votes of an earlier process of this name may still be binding.
+    earlier_votes_until: Micros,
+    /// Time until which this process's own vote binds it.
     vote_until: Micros,
-    /// Until when it leaves a takeover to others.
+    /// Time until which this controller leaves a takeover to others.
     abstain_until: Micros,
-    /// A takeover that had no answer may still be carried out under this lease in the state service, until that is known
+    /// Store lease of a takeover that got no answer. The takeover may still be carried out until this lease is known
     /// to be revoked.
     unresolved_store_lease: Option<u64>,
     revoke_at: Micros,
-    /// The last term when this process began: what it voted in later ones it remembers.
+    /// Last term of the shard at the start of this process, which remembers its votes in all later terms.
     term_at_start: Option<u64>,
-    /// The highest term that it has voted in, or launched without watermarks in.
+    /// Highest term in which this process has voted, or launched without watermarks.
     highest_voted_term: u64,
-    /// The last term of which a peer told this process that nothing had been launched without watermarks in it.
+    /// Last term for which a peer confirmed to this process that nothing was launched without watermarks.
     reliable_watermarks_term: u64,
     started_at: Micros,
     watermark_query_at: Micros,
-    /// A takeover is under way.
+    /// Whether a takeover is under way.
     pub attempt_in_progress: bool,
-    /// The records below are what a read of the state service has shown since the last takeover.
+    /// Whether the records below come from a read of the state service since the last takeover.
     has_observed_store: bool,
     owner: Option<StoredLease>,
     last_term: Option<StoredLease>,
 }
 
 impl Election {
-    /// The chances of a process that begins now.
+    /// Creates the eligibility of a process that starts now.
     pub fn new(name: &str, now: Micros) -> Election {
         Election {
             name: name.into(),
-            quiet_until: now + with_drift(VOTE_DURATION) + CLOCK_MARGIN,
+            earlier_votes_until: now + with_drift(VOTE_DURATION) + CLOCK_MARGIN,
             vote_until: 0,
             abstain_until: 0,
             unresolved_store_lease: None,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes in what the state service says of the shard's owner and of its last term.
+    /// Records the state service's answer about the shard's owner and last term.
     pub fn observe(&mut self, owner: Option<StoredLease>, last_term: Option<StoredLease>) {
         self.has_observed_store = true;
         self.term_at_start
@@ -96,32 +96,33 @@
         self.last_term = last_term;
     }
 
-    /// Whether the shard was ever owned, as far as was seen.
+    /// Whether a read has shown that the shard was ever owned.
     pub fn has_known_term(&self) -> bool {
         self.last_term.is_some()
     }
 
     // ---- Launch watermarks ----
 
-    /// Whether this process knows that nothing has been launched without watermarks in a term so far. Such a launch takes a
-    /// vote of *every* peer of the term's owner, so one that remembers to have given none is enough. What a process voted
-    /// before it began it does not remember, but a peer may have told it since.
+    /// Whether this process knows that nothing has been launched without watermarks in a term so far. Such a launch
+    /// requires the vote of *every* peer of the term's owner, so a single peer that remembers giving no vote is
+    /// sufficient proof. A process does not remember votes from before its start, but a peer may have confirmed the
+    /// term since.
     pub fn knows_watermarks_hold(&self, term: u64) -> bool {
         let remembers = self.term_at_start.is_some_and(|start| start < term)
             || self.reliable_watermarks_term == term;
         remembers && self.highest_voted_term < term
     }
 
-    /// Whether a successor to the last term may go by the jobs' watermarks.
+    /// Whether the successor of the last term's owner may rely on the jobs' launch watermarks.
     pub fn watermarks_reliable(&self) -> bool {
-        // If the shard was never owned, nothing was launched.
+        // A shard that was never owned has launched nothing.
         self.last_term.as_ref().is_none_or(|last| {
             last.record.watermarks_reliable && self.knows_watermarks_hold(last.record.term)
         })
     }
 
-    /// The term that peers are to be asked about now, if any: only once nothing that this process may have voted before it
-    /// began can be of use to that term's owner any more.
+    /// Returns the term for which a watermark query to the peers is due, if any. The query waits until no vote that
+    /// this process may have given before its start can still count for the term's owner.
     pub fn watermark_query_due(&mut self, now: Micros) -> Option<u64> {
         let last = &self.last_term.as_ref()?.record;
         let term = Some(last.term).filter(|_| last.watermarks_reliable)?;
@@ -135,37 +136,37 @@
         Some(term)
     }
 
-    /// A peer that knows says, in answer to this process, that the term's watermarks hold.
+    /// Records the answer of a peer, to a query of this process, that the term's watermarks hold.
     pub fn confirm_watermarks(&mut self, term: u64) {
         self.reliable_watermarks_term = self.reliable_watermarks_term.max(term);
     }
 
-    /// This controller owned the shard in that term, and launched without watermarks.
+    /// Records that this controller owned the shard in this term and launched without watermarks.
     pub fn launched_without_watermarks(&mut self, term: u64) {
         self.highest_voted_term = self.highest_voted_term.max(term);
     }
 
     // ---- Taking over ----
 
-    /// Whether a takeover may be tried now.
+    /// Whether this controller may attempt a takeover now.
     pub fn may_campaign(&self, now: Micros) -> bool {
         !self.attempt_in_progress && self.unresolved_store_lease.is_none() && self.is_eligible(now)
     }
 
-    /// Whether nothing that is known stands against taking over now.
+    /// Whether no known fact forbids a takeover now.
     pub fn is_eligible(&self, now: Micros) -> bool {
         if !self.has_observed_store || now < self.vote_until || now < self.abstain_until {
             return false;
         }
         let is_own = |lease: &StoredLease| lease.record.owner == self.name;
-        // If the shard was never owned, or its last owner was this controller itself before it was restarted, no vote for
-        // another can be alive.
-        let was_others = self.last_term.as_ref().is_some_and(|last| !is_own(last));
-        let must_wait = now < self.quiet_until && was_others;
+        // If the shard was never owned, or its last owner was this controller itself before a restart, no vote for
+        // another owner can still be binding.
+        let had_other_owner = self.last_term.as_ref().is_some_and(|last| !is_own(last));
+        let must_wait = now < self.earlier_votes_until && had_other_owner;
         !must_wait && self.owner.as_ref().is_none_or(is_own)
     }
 
-    /// What a takeover is conditional on, as last observed.
+    /// Returns the conditions of a takeover, as last observed.
     pub fn conditions(&self) -> TakeoverConditions {
         let version = |lease: &Option<StoredLease>| lease.as_ref().map_or(0, |l| l.version);
         TakeoverConditions {
@@ -175,13 +176,14 @@
         }
     }
 
-    /// Leaves a takeover to others until then.
+    /// Leaves a takeover to other controllers until this time.
     pub fn abstain(&mut self, until: Micros) {
         self.abstain_until = until;
     }
 
-    /// A takeover under this lease was not carried out, or nothing is known of it; `status` is the answer's, if one came.
-    /// If nothing is known, it may still be carried out: nobody gets a vote from here until the lease is known to be gone.
+    /// Records that a takeover under this store lease was refused, or that its outcome is unknown; `status` is the
+    /// status of the answer, if one arrived. With an unknown outcome the takeover may still be carried out, so this
+    /// controller votes for nobody until the store lease is known to be gone.
     pub fn takeover_failed(&mut self, store_lease: u64, status: Option<u16>, now: Micros) {
         let was_refused = matches!(status, Some(400 | 409 | 429 | 503));
         if !was_refused {
@@ -191,9 +193,9 @@
         }
     }
 
-    /// A lease in the state service that is to be revoked once more, since it is not known to be gone yet. A single attempt
-    /// is not enough: after a refusal the controller could neither vote nor take over for ever, and where that met all
-    /// controllers nobody led again.
+    /// Returns the store lease to revoke again, if one is not yet known to be gone and the retry is due. A single
+    /// attempt is not enough: after a refused revocation the controller could never again vote or take over, and when
+    /// this happened to all controllers, none of them led again.
     pub fn store_lease_to_revoke(&mut self, now: Micros) -> Option<u64> {
         let store_lease = self
             .unresolved_store_lease
@@ -202,25 +204,25 @@
         Some(store_lease)
     }
 
-    /// This lease in the state service is gone, whichever it was.
+    /// Records that a store lease is gone. Store leases other than the unresolved one are ignored.
     pub fn store_lease_revoked(&mut self, store_lease: u64) {
         self.unresolved_store_lease
             .take_if(|unresolved| *unresolved == store_lease);
     }
 
-    /// The takeover was carried out in this version of the state service.
+    /// Records that the takeover was carried out in this version of the state service.
     pub fn takeover_succeeded(&mut self, record: LeaseRecord, version: u64) {
         let lease = StoredLease { record, version };
         self.owner = Some(lease.clone());
         self.last_term = Some(lease);
-        // What is known now is out of date once the shard has been lost.
+        // The observed records will be out of date by the time this controller loses the shard.
         self.has_observed_store = false;
     }
 
     // ---- Voting ----
 
-    /// Votes for the owner in this term, which binds this controller not to take over for `duration`. False: it cannot keep
-    /// to that, and gives no vote.
+    /// Votes for the owner in this term, which binds this controller not to take over for `duration`. Returns false,
+    /// and gives no vote, if this controller cannot promise that.
     pub fn vote(&mut self, term: u64, now: Micros, duration: Micros) -> bool {
         let knows_newer = self
             .last_term
@@ -235,7 +237,7 @@
     }
 }
 
-/// A duration that is no shorter on any peer's clock.
+/// Returns `duration` extended by the clock drift, so that the period is no shorter on any peer's clock.
 fn with_drift(duration: Micros) -> Micros {
     duration + duration / CLOCK_DRIFT_DIVISOR
 }
--- a/crates/gannethub-core/src/controller/election/tests.rs
+++ b/crates/gannethub-core/src/controller/election/tests.rs
@@ -12,10 +12,13 @@
 }
 
 #[test]
-fn a_takeover_needs_the_key_gone_and_no_vote_alive() {
+fn takeover_requires_absent_owner_key_and_no_binding_vote() {
     let mut election = Election::new("n1", 0);
     let late = 100 * SECOND;
-    assert!(!election.may_campaign(late), "nothing is known yet");
+    assert!(
+        !election.may_campaign(late),
+        "no read of the state service yet"
+    );
     election.observe(stored_lease("n0", 3), stored_lease("n0", 3));
     assert!(!election.may_campaign(late));
     election.observe(None, stored_lease("n0", 3));
@@ -39,7 +42,7 @@
     election.store_lease_revoked(6);
     assert!(
         !election.vote(3, late, VOTE_DURATION),
-        "that was another lease"
+        "a different store lease was revoked"
     );
     assert_eq!(
         election.store_lease_to_revoke(late + REVOKE_RETRY_INTERVAL - 1),
@@ -52,22 +55,22 @@
     assert_eq!(
         election.store_lease_to_revoke(late + REVOKE_RETRY_INTERVAL),
         None,
-        "it is under way"
+        "a revocation was just sent"
     );
     election.store_lease_revoked(7);
     assert!(election.vote(3, late, VOTE_DURATION));
 }
 
 #[test]
-fn a_restarted_process_waits_unless_it_was_the_leader_itself() {
+fn restarted_process_waits_unless_it_was_the_leader() {
     let mut election = Election::new("n1", 0);
     election.observe(None, stored_lease("n0", 3));
     assert!(!election.may_campaign(SECOND) && election.may_campaign(VOTE_DURATION + SECOND));
     election.observe(stored_lease("n1", 4), stored_lease("n1", 4));
     assert!(
         election.may_campaign(SECOND),
-        "its own name: its earlier process is over"
+        "the last owner was an earlier process of the same name"
     );
     election.observe(None, None);
-    assert!(election.may_campaign(SECOND), "nobody ever led");
+    assert!(election.may_campaign(SECOND), "the shard was never owned");
 }
--- a/crates/gannethub-core/src/controller/end_reason.rs
+++ b/crates/gannethub-core/src/controller/end_reason.rs
@@ -1,28 +1,29 @@
-//! Why a controller steps down from a shard.
+//! Reasons for which a controller steps down from a shard.
 
-/// The reason for which a shard's owner steps down. Its text stands in the log.
+/// Reason for which a shard owner steps down. The reason's text appears in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum EndReason {
-    /// Neither renewals nor votes came in time.
-    #[error("its lease expired")]
+    /// Neither renewals nor votes arrived in time.
+    #[error("lease expired")]
     LeaseExpired,
-    /// Which jobs are cancelled was last known too long ago, whoever renewed the lease or voted: by the owner's answers
-    /// the tasks of a job that is cancelled elsewhere would run on.
-    #[error("cancellations were last known too long ago")]
+    /// The owner's knowledge of cancelled jobs is too old, regardless of renewals and votes. If the owner kept
+    /// answering workers, tasks of a job that was cancelled on another controller would keep running.
+    #[error("knowledge of cancelled jobs is too old")]
     CancellationsUnknown,
-    /// The state service says that the lease there has ended.
-    #[error("its lease in the state service ended")]
+    /// The state service answered that the store lease has ended.
+    #[error("store lease ended")]
     StoreLeaseExpired,
-    /// A transaction failed on the owner's key.
-    #[error("its key in the state service is gone")]
+    /// A transaction failed on its guard for the owner's key.
+    #[error("owner key in the state service is gone")]
     KeyLost,
-    /// It hears neither workers nor peers: it may be cut off, and its renewals may get through all the same.
-    #[error("it hears neither workers nor peers")]
+    /// The owner receives messages from neither workers nor peers. It may be cut off while its renewals still get
+    /// through.
+    #[error("no messages from workers or peers")]
     Isolated,
     /// A worker has seen a higher fencing token.
-    #[error("a worker has seen a higher token")]
+    #[error("a worker has seen a higher fencing token")]
     HigherToken,
-    /// A peer that owns no shard is to take this one.
-    #[error("it is transferred to a peer")]
+    /// The shard is transferred to a peer that owns none.
+    #[error("shard transferred to a peer")]
     Transferred,
 }
--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -1,10 +1,11 @@
-//! The lease on a shard: the owner's key in the state service, the lease there that it is under, the version at which it
-//! was taken, the term, and until when all this may be acted on.
+//! The lease on a shard: the owner's key in the state service, the store lease of that key, the key's version, the
+//! term, and the time until which the owner may act on the lease.
 //!
-//! The owner renews the lease, has votes of its peers bridge an outage of the state service, and guards every write by the
-//! key's version; when the lease has expired, or the key is gone, nothing more is done in its name. The lease also ends
-//! when its owner last provably knew too long ago which jobs are cancelled, whoever renews or votes: by its answers the
-//! tasks of a job that is cancelled elsewhere would run on.
+//! The owner renews the lease, bridges an outage of the state service with votes of its peers, and guards every write
+//! by the key's version. When the lease has expired or the key is gone, the owner does nothing more in the lease's
+//! name. The lease also ends, regardless of renewals and votes, when the owner's last provable knowledge of cancelled
+//! jobs is too old: if the owner kept answering workers, tasks of a job that was cancelled on another controller
+//! would keep running.
 
 use super::end_reason::EndReason;
 use super::lease_validity::{LeaseValidity, VOTE_DURATION};
@@ -16,39 +17,41 @@
 use crate::wire::peer::{Body, VoteRequest};
 use crate::wire::store::StoreRequest;
 
-/// Votes are asked for this often while the lease runs low.
+/// Interval between vote requests while the lease runs low.
 const VOTE_REQUEST_INTERVAL: Micros = 600_000;
-/// A renewal that failed is tried again after this time.
+/// Delay before a failed renewal is retried.
 const RENEW_RETRY_INTERVAL: Micros = 300_000;
-/// The lease is renewed this many times while it lasts.
+/// Number of renewals within one TTL of the lease.
 const RENEWALS_PER_TTL: Micros = 4;
-/// A worker's lease may last longer on its own clock than on this process's, by less than this part and this time.
+/// Clock drift of a worker: its lease lasts longer on the worker's clock than on this process's clock by less than the
+/// lease duration divided by this number, plus [`WORKER_MARGIN`].
 const WORKER_CLOCK_DRIFT_DIVISOR: Micros = 1000;
+/// Constant part of the bound that [`WORKER_CLOCK_DRIFT_DIVISOR`] describes.
 const WORKER_MARGIN: Micros = SECOND / 2;
 
-/// See the [module](self).
+/// The owner's lease on one shard.
 #[derive(Debug)]
 pub(super) struct ShardLease {
     pub shard: u32,
-    /// The term, which is the fencing token that workers see.
+    /// The term, which workers see as the fencing token.
     pub term: u64,
-    /// The number of the lease in the state service.
+    /// Number of the store lease.
     pub store_lease: u64,
-    /// The version of the owner's key: every write of this owner depends on it.
+    /// Version of the owner's key. Every write of this owner is guarded by this version.
     pub key_version: u64,
     pub validity: LeaseValidity,
     renew_at: Micros,
     vote_request_at: Micros,
-    /// All cancellations that any controller had confirmed by then are known here.
+    /// Time up to which this owner knows every cancellation that any controller has confirmed.
     cancellations_known_at: Micros,
-    /// How long that may be ago.
+    /// Maximum age of `cancellations_known_at`; the lease ends once that time is older.
     max_cancellation_age: Micros,
 }
 
-/// How long an owner may go on answering workers since it last knew which jobs are cancelled. Whoever is told of a
-/// cancellation after that is told at most so long before the owner's last answer, and with a worker's lease from there
-/// every task is gone within the time that settings give a cancellation. Where they leave no room for that: no more than
-/// the lease's own time.
+/// Returns how long an owner may continue to answer workers after the last time at which it knew all cancelled jobs.
+/// A user whose cancellation is confirmed after that time gets the confirmation at most this long before the owner's
+/// last answer to a worker. A worker's lease runs from that answer, so every task of the job is gone within the
+/// settings' cancel timeout. Where the settings leave less room than one TTL of the store lease, the TTL is returned.
 fn max_cancellation_age(settings: &Settings, ttl: Micros) -> Micros {
     let worker_lease = settings.lease_duration
         + settings.lease_duration / WORKER_CLOCK_DRIFT_DIVISOR
@@ -60,7 +63,8 @@
 }
 
 impl ShardLease {
-    /// A lease that a takeover in this term has just brought; `key_version` is the version that it was carried out at.
+    /// Creates the lease of a takeover that was just carried out in this term; `key_version` is the version of the
+    /// state service at which it was carried out.
     pub fn new(
         acquired: AcquiredLease,
         term: u64,
@@ -77,13 +81,13 @@
             validity: LeaseValidity::new(acquired.requested_at, ttl),
             renew_at: now,
             vote_request_at: 0,
-            // Until the state has been read, nothing is answered that needs this knowledge.
+            // Until the state has been read, the owner gives no answer that depends on known cancellations.
             cancellations_known_at: now,
             max_cancellation_age: max_cancellation_age(&outbox.settings, ttl),
         }
     }
 
-    /// Why it may not be acted on any more, if it may not.
+    /// Returns why the owner may no longer act on the lease, if that is so.
     pub fn end_reason(&self, now: Micros) -> Option<EndReason> {
         if !self.validity.is_valid(now) {
             Some(EndReason::LeaseExpired)
@@ -94,23 +98,24 @@
         }
     }
 
-    /// All cancellations that had been confirmed by this time have been applied.
+    /// Records that all cancellations confirmed by this time have been applied.
     pub fn cancellations_known(&mut self, at: Micros) {
         self.cancellations_known_at = self.cancellations_known_at.max(at);
     }
 
-    /// Everything has been read from this time on, and nothing is known beyond that.
+    /// Records that a full read began at this time: cancellations confirmed later are not known.
     pub fn reset_cancellations_known(&mut self, at: Micros) {
         self.cancellations_known_at = at;
     }
 
-    /// Whether it is time to read what has changed, in case the watch hangs or nothing changes.
+    /// Whether a read of changes is due, in case the watch hangs or there are no changes.
     pub fn is_catch_up_due(&self, now: Micros) -> bool {
         now >= self.cancellations_known_at + self.max_cancellation_age / 2
     }
 
-    /// Renews the lease in time. When it runs low, the state service may be down for everybody: peers that see that too may
-    /// vote for this owner. All changes of jobs up to `known_version` have been applied; 0: that is not known.
+    /// Renews the lease in time, and asks for votes when the lease runs low: the state service may then be down for
+    /// all controllers, and peers that see the outage too may vote for this owner. All changes of jobs up to
+    /// `known_version` have been applied; 0 means that the version is not known.
     pub fn maintain(&mut self, outbox: &mut Outbox, known_version: u64) {
         let now = outbox.clock.now;
         if now >= self.renew_at {
@@ -144,7 +149,7 @@
         outbox.send_to_all_peers(&Body::VoteRequest(request));
     }
 
-    /// Takes in the answer to a renewal; `status` is `None` if there was none. False: the lease in the state service has
+    /// Handles the answer to a renewal; `status` is `None` if no answer arrived. Returns false if the store lease has
     /// ended.
     pub fn handle_renewal(&mut self, sent_at: Micros, status: Option<u16>, now: Micros) -> bool {
         match status {
--- a/crates/gannethub-core/src/controller/lease_validity.rs
+++ b/crates/gannethub-core/src/controller/lease_validity.rs
@@ -1,47 +1,48 @@
-//! Until when a lease may be acted on, by this process's steady clock.
+//! Lease validity: the time until which an owner may act on a lease, by this process's monotonic clock.
 //!
-//! An owner acts only while its lease is provably valid. The lease in the state service is counted from when its renewal
-//! was *sent*, less clock drift and a margin. While the state service is down, the votes of all peers together extend the
-//! lease: each promises not to take over for a bounded time.
+//! An owner acts only while its lease is provably valid. The store lease counts from the time at which its renewal was
+//! *sent*, less clock drift and a margin. While the state service is down, the votes of all peers together extend the
+//! lease: with its vote, each peer promises not to take over for a bounded time.
 
 use std::collections::HashSet;
 
 use crate::model::{Micros, SECOND};
 
-/// How long a vote binds who gave it.
+/// Duration for which a vote binds the voter.
 pub const VOTE_DURATION: Micros = 8 * SECOND;
-/// A vote that comes later than this after it was asked for counts for nothing. So what a process voted before it was
-/// restarted is of no use to anyone once it is back for so long.
+/// Maximum time between a vote request and its vote; a later vote does not count. A vote that a process gave before
+/// its restart therefore counts for no owner once the process has been running again for this time.
 pub(super) const VOTE_TIMEOUT: Micros = 2 * SECOND;
-/// Taken off every duration that is counted on another process's clock, beside the drift.
+/// Margin subtracted, in addition to the drift, from every duration that is counted on another process's clock.
 pub(super) const CLOCK_MARGIN: Micros = 150_000;
-/// Any two clocks drift apart by less than one part in this many; each may be off by half of that.
+/// Bound on clock drift: any two clocks drift apart by less than one part in this number, and each clock may be off by
+/// half of that.
 pub(super) const CLOCK_DRIFT_DIVISOR: Micros = 1000;
 
-/// The end, on this process's clock, of something that lasts `duration` from `from` on any clock that may run 0.05%
-/// faster, less a margin.
+/// Returns the end, on this process's clock, of a period that lasts `duration` from `from` on any clock that may run
+/// 0.05% fast, less [`CLOCK_MARGIN`].
 fn safe_expiry(from: Micros, duration: Micros) -> Micros {
     from + duration - duration / CLOCK_DRIFT_DIVISOR - CLOCK_MARGIN
 }
 
-/// An owner's right to act.
+/// Validity of an owner's lease, from renewals and from votes.
 #[derive(Debug)]
 pub(super) struct LeaseValidity {
     ttl: Micros,
     store_lease_until: Micros,
     votes_until: Micros,
-    /// The present round of asking for votes.
+    /// Number of the current round of vote requests.
     round: u64,
     round_started_at: Micros,
     votes_needed: usize,
     voters: HashSet<usize>,
-    /// Voters that told with their vote all cancellations that they know of.
+    /// Voters that reported, with their vote, all cancellations they know.
     informed_voters: HashSet<usize>,
     extended_by_votes: bool,
 }
 
 impl LeaseValidity {
-    /// The validity of a lease in the state service that lasts `ttl` and was asked for at `requested_at`.
+    /// Creates the validity of a store lease that was requested at `requested_at` and lasts `ttl`.
     pub fn new(requested_at: Micros, ttl: Micros) -> LeaseValidity {
         LeaseValidity {
             ttl,
@@ -56,24 +57,24 @@
         }
     }
 
-    /// Whether the lease may be acted on.
+    /// Whether the owner may act on the lease.
     pub fn is_valid(&self, now: Micros) -> bool {
         now < self.store_lease_until.max(self.votes_until)
     }
 
-    /// Whether the lease in the state service has missed a renewal or two.
+    /// Whether the store lease has less than half of its TTL left, which means one or two missed renewals.
     pub fn is_running_low(&self, now: Micros) -> bool {
         now + self.ttl / 2 > self.store_lease_until
     }
 
-    /// The state service has carried out a renewal that was sent at `sent_at`.
+    /// Records that the state service carried out a renewal that was sent at `sent_at`.
     pub fn store_lease_renewed(&mut self, sent_at: Micros) {
         let until = safe_expiry(sent_at, self.ttl);
         self.store_lease_until = self.store_lease_until.max(until);
     }
 
-    /// Begins a round of asking all peers for their votes, and returns its number. Answers to earlier rounds no longer
-    /// count.
+    /// Begins a round of vote requests to all peers, and returns the round's number. Answers to earlier rounds no
+    /// longer count.
     pub fn start_vote_round(&mut self, now: Micros, peers: usize) -> u64 {
         self.round += 1;
         self.round_started_at = now;
@@ -83,18 +84,19 @@
         self.round
     }
 
-    /// A peer has told with its vote all cancellations that it knows of. Once all have in one round, no cancellation that
-    /// any of them had confirmed to its user by the beginning of the round is unknown here: that time is returned.
+    /// Records that a peer reported, with its vote, all cancellations it knows. Once all peers have done so in one
+    /// round, this owner knows every cancellation that any peer had confirmed to its user by the beginning of the
+    /// round, and the time of that beginning is returned.
     pub fn record_informed_voter(&mut self, round: u64, peer: usize) -> Option<Micros> {
         if round != self.round {
             return None;
         }
         self.informed_voters.insert(peer);
-        let all_told = self.votes_needed > 0 && self.informed_voters.len() >= self.votes_needed;
-        all_told.then_some(self.round_started_at)
+        let all_informed = self.votes_needed > 0 && self.informed_voters.len() >= self.votes_needed;
+        all_informed.then_some(self.round_started_at)
     }
 
-    /// A peer has voted. Only all of them together extend the lease.
+    /// Records a peer's vote. Only the votes of all peers together extend the lease.
     pub fn record_vote(&mut self, round: u64, peer: usize, now: Micros) {
         if round != self.round || now > self.round_started_at + VOTE_TIMEOUT {
             return;
@@ -107,9 +109,9 @@
         }
     }
 
-    /// Whether all peers have voted in one round at some time in this term. Then none of them goes by the term's launch
-    /// watermarks any more ([`Election::watermarks_reliable`](super::election::Election::watermarks_reliable)), so launches
-    /// need none; and while the state service is down, there is no writing them.
+    /// Whether all peers have voted in one round at some time in this term. After such a round no peer relies on the
+    /// term's launch watermarks ([`Election::watermarks_reliable`](super::election::Election::watermarks_reliable)),
+    /// so launches need no watermarks. Watermarks cannot be written while the state service is down.
     pub fn was_extended_by_votes(&self) -> bool {
         self.extended_by_votes
     }
--- a/crates/gannethub-core/src/controller/lease_validity/tests.rs
+++ b/crates/gannethub-core/src/controller/lease_validity/tests.rs
@@ -3,7 +3,7 @@
 const TTL: Micros = 3 * SECOND;
 
 #[test]
-fn a_store_lease_counts_from_when_its_renewal_was_sent() {
+fn store_lease_counts_from_renewal_send_time() {
     let mut validity = LeaseValidity::new(0, TTL);
     assert!(validity.is_valid(TTL - 200_000) && !validity.is_valid(TTL - 100_000));
     validity.store_lease_renewed(SECOND);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn only_the_votes_of_all_peers_in_one_round_extend_a_lease() {
+fn lease_extension_requires_all_votes_in_one_round() {
     let mut validity = LeaseValidity::new(0, TTL);
     let first = validity.start_vote_round(SECOND, 2);
     validity.record_vote(first, 0, SECOND);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn only_what_all_peers_tell_in_one_round_counts_and_from_its_beginning() {
+fn cancellations_known_only_after_all_peers_report_in_one_round() {
     let mut validity = LeaseValidity::new(0, TTL);
     let first = validity.start_vote_round(SECOND, 2);
     assert_eq!(validity.record_informed_voter(first, 0), None);
@@ -35,23 +35,23 @@
     assert_eq!(
         validity.record_informed_voter(first, 1),
         None,
-        "an earlier round"
+        "report for an earlier round"
     );
     assert_eq!(validity.record_informed_voter(second, 1), None);
     assert_eq!(
         validity.record_informed_voter(second, 1),
         None,
-        "the same once more"
+        "second report of the same peer"
     );
     assert_eq!(
         validity.record_informed_voter(second + 1, 0),
         None,
-        "a round that was not asked for"
+        "report for a round that was never started"
     );
     assert_eq!(validity.record_informed_voter(second, 0), Some(2 * SECOND));
     assert_eq!(
         LeaseValidity::new(0, TTL).record_informed_voter(0, 0),
         None,
-        "nobody was asked"
+        "no round was started"
     );
 }
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -1,4 +1,4 @@
-//! This controller and its peers: which of them are reachable, who leads, and whether this controller may take over.
+//! This controller and its peers: reachability of the peers, the leader, and this controller's eligibility to lead.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,44 +20,46 @@
     TERM_COUNTER_KEY, TERM_KEY, Transaction,
 };
 
-/// Heartbeats are sent to the peers this often.
+/// Interval between heartbeats to the peers.
 const HEARTBEAT_INTERVAL: Micros = 500_000;
-/// A peer that was not heard for this long does not count as reachable.
+/// Time without a message from a peer after which the peer does not count as reachable.
 const PEER_TIMEOUT: Micros = 1_800_000;
-/// A leader that stepped down because it heard nobody does not campaign for this long.
+/// Time for which a leader that stepped down because it was isolated does not campaign.
 const ABSTAIN_AFTER_ISOLATION: Micros = 12 * SECOND;
-/// Cancellations that one vote tells of: so many fit into a message. With more, it does not claim to tell all.
+/// Maximum number of cancellations in one vote, which fits into one message. A voter that knows more does not claim
+/// to report all of them.
 const MAX_CANCELLATIONS_PER_VOTE: usize = 10_000;
-/// A peer, as its last messages tell.
+/// State of a peer according to its last messages.
 #[derive(Debug, Default, Clone)]
 pub(super) struct PeerStatus {
     pub last_heard_at: Option<Micros>,
-    /// The term that it leads in; 0: it does not lead.
+    /// Term in which the peer leads; 0 if it does not lead.
     pub leading_term: u64,
-    /// The state service answers it.
+    /// Whether the state service answers the peer.
     pub store_reachable: bool,
-    /// It leads, or can pass workers' heartbeats on to the leader.
+    /// Whether the peer leads or can pass workers' heartbeats on to the leader.
     pub accepts_heartbeats: bool,
     running_jobs: HashMap<String, JobProgress>,
-    /// The loads of the shards that it owns.
+    /// Loads of the shards that the peer owns.
     pub shard_loads: Vec<ShardLoad>,
-    /// The version of the configuration in force there; `None`: its release knows of none.
+    /// Version of the configuration in force on the peer; `None` if the peer's release does not support configuration
+    /// versions.
     pub configuration_version: Option<u64>,
-    /// It has sent a vote that could not be read in full, and that was logged.
+    /// Whether a malformed vote of the peer has been logged.
     pub malformed_vote_logged: bool,
 }
 
-/// See the [module](self).
+/// State of the peers, and this controller's own eligibility to lead.
 pub(super) struct Membership {
     /// Whether this controller may take over as leader.
     pub election: Election,
-    /// Tells this process from an earlier one of the same name.
+    /// Distinguishes this process from an earlier one of the same name.
     pub incarnation: u64,
-    /// In the settings' order.
+    /// Peers in the settings' order.
     pub peers: Vec<PeerStatus>,
-    /// The loads of its own shards when it last told them.
+    /// Loads of this controller's own shards, as last sent to the peers.
     own_loads: Vec<ShardLoad>,
-    /// The highest term of any shard, where there are several.
+    /// Highest term of any shard, if there are several shards.
     term_counter: Option<StoredLease>,
     probe_in_flight: bool,
     probe_at: Micros,
@@ -78,58 +80,60 @@
         }
     }
 
-    // ---- Who is heard ----
+    // ---- Reachable peers ----
 
-    /// Whether the peer was heard lately.
+    /// Whether a message from the peer arrived within [`PEER_TIMEOUT`].
     pub fn is_heard(&self, outbox: &Outbox, peer: usize) -> bool {
         self.peers[peer]
             .last_heard_at
             .is_some_and(|at| outbox.clock.now < at + PEER_TIMEOUT)
     }
 
-    /// Indices of all peers that were heard lately.
-    fn heard_peers(&self, outbox: &Outbox) -> impl Iterator<Item = usize> {
+    /// Returns the indices of all reachable peers.
+    fn reachable_peers(&self, outbox: &Outbox) -> impl Iterator<Item = usize> {
         (0..self.peers.len()).filter(|peer| self.is_heard(outbox, *peer))
     }
 
-    /// The peer that says it leads, if one that is heard does.
+    /// Returns the reachable peer that reports leading in the highest term, if any does.
     pub fn leading_peer(&self, outbox: &Outbox) -> Option<usize> {
-        self.heard_peers(outbox)
+        self.reachable_peers(outbox)
             .filter(|peer| self.peers[*peer].leading_term > 0)
             .max_by_key(|peer| self.peers[*peer].leading_term)
     }
 
-    /// A peer to send a worker to that this controller cannot help.
+    /// Returns a peer to which to redirect a worker whose heartbeat this controller cannot handle.
     pub fn peer_accepting_heartbeats(&self, outbox: &Outbox) -> Option<usize> {
-        self.heard_peers(outbox)
+        self.reachable_peers(outbox)
             .find(|peer| self.peers[*peer].accepts_heartbeats)
     }
 
-    /// Whether users' requests may come here. In an outage that all controllers see, users are better told so than turned
-    /// away; a controller that alone is cut off from the state service must not take requests.
+    /// Whether users' requests may be sent to this controller. In an outage of the state service that all controllers
+    /// see, reporting the outage to users is better than turning them away. A controller that alone is cut off
+    /// from the state service must not take requests.
     pub fn is_ready(&self, outbox: &Outbox) -> bool {
         if outbox.machine_types.is_empty() {
             return false;
         }
-        let mut heard = self.heard_peers(outbox).peekable();
-        let hears_others = heard.peek().is_some();
+        let mut reachable = self.reachable_peers(outbox).peekable();
+        let has_reachable_peers = reachable.peek().is_some();
         outbox.is_store_reachable()
-            || (hears_others && heard.all(|peer| !self.peers[peer].store_reachable))
+            || (has_reachable_peers && reachable.all(|peer| !self.peers[peer].store_reachable))
     }
 
-    /// The progress of jobs as each peer that is heard told it.
+    /// Returns the progress of jobs as reported by each reachable peer.
     pub fn running_jobs<'a>(&'a self, outbox: &Outbox) -> Vec<&'a HashMap<String, JobProgress>> {
-        self.heard_peers(outbox)
+        self.reachable_peers(outbox)
             .map(|peer| &self.peers[peer].running_jobs)
             .collect()
     }
 
-    /// The loads of all shards whose owners are heard; of a shard that two say they own, the one of the later term.
+    /// Returns the loads of all shards whose owners are reachable. If two controllers report owning the same shard,
+    /// the load of the later term counts.
     pub fn shard_loads(&self, outbox: &Outbox) -> Vec<ShardLoad> {
-        let heard = self.heard_peers(outbox);
-        let told = heard.flat_map(|peer| &self.peers[peer].shard_loads);
+        let reachable = self.reachable_peers(outbox);
+        let reported = reachable.flat_map(|peer| &self.peers[peer].shard_loads);
         let mut loads: BTreeMap<u32, ShardLoad> = BTreeMap::new();
-        for load in told.chain(&self.own_loads) {
+        for load in reported.chain(&self.own_loads) {
             let known = loads.get(&load.shard);
             if known.is_none_or(|known| known.term < load.term) {
                 loads.insert(load.shard, load.clone());
@@ -140,7 +144,7 @@
 
     // ---- Heartbeats between peers ----
 
-    /// When it next has a heartbeat or a probe to send.
+    /// Returns the time at which the next heartbeat or probe is due.
     pub fn next_due_at(&self) -> Micros {
         if self.probe_in_flight {
             self.heartbeat_at
@@ -154,7 +158,7 @@
         self.heartbeat_at = now;
     }
 
-    /// Sends heartbeats to all peers if they are due, and says whether they were.
+    /// Sends heartbeats to all peers if they are due, and returns whether they were.
     pub fn send_heartbeats(&mut self, outbox: &mut Outbox, owners: &ShardOwners) -> bool {
         let now = outbox.clock.now;
         if now < self.heartbeat_at {
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Takes in a peer's heartbeat.
+    /// Records the state that a peer's heartbeat reports.
     pub fn handle_heartbeat(&mut self, outbox: &mut Outbox, peer: usize, heartbeat: Heartbeat) {
         outbox.is_sharded |= !heartbeat.shards.is_empty();
         outbox
@@ -222,7 +226,7 @@
 
     // ---- Leading ----
 
-    /// Probes who leads, and campaigns if nobody does. Called only while this controller does not lead.
+    /// Probes for the leader, and campaigns if there is none. Called only while this controller does not lead.
     pub fn tick(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if let Some(term) = self.election.watermark_query_due(now) {
@@ -250,8 +254,8 @@
         }
     }
 
-    /// Takes in the records of who leads. Where one of them cannot be read, nothing is taken in: a takeover would be
-    /// conditional on the wrong versions.
+    /// Records the leader and its term from the answer to a probe. If one of the records cannot be parsed, the whole
+    /// answer is ignored: a takeover would be conditional on the wrong versions.
     pub fn handle_probe_answer(&mut self, outbox: &mut Outbox, answer: &CallResult) {
         self.probe_in_flight = false;
         let Some(listing) = decode_ok::<Listing>(answer) else {
@@ -278,7 +282,7 @@
         self.term_counter = counter;
     }
 
-    /// Takes in the answer to a request for a lease, and takes over with it if that is still allowed.
+    /// Handles the answer to a request for a store lease, and takes over with that lease if this is still allowed.
     pub fn handle_lease_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -313,8 +317,8 @@
         let record = LeaseRecord {
             owner: outbox.settings.name.clone(),
             term: highest_term + 1,
-            // What this leader knows of watermarks, its own successor will: if it does not go by them, nobody is to until
-            // it has covered all that it finds.
+            // This leader's knowledge of watermarks passes to its successor: if this leader does not rely on them, no
+            // successor may until the watermarks cover all launches that this leader finds.
             watermarks_reliable: self.election.watermarks_reliable(),
         };
         let mut transaction = Transaction::default();
@@ -332,7 +336,8 @@
         (record, transaction)
     }
 
-    /// A takeover was not carried out, or nothing is known of it; `status` is the answer's, if one came.
+    /// Handles a takeover that was refused or whose outcome is unknown; `status` is the status of the answer, if one
+    /// arrived.
     pub fn takeover_failed(&mut self, outbox: &mut Outbox, store_lease: u64, status: Option<u16>) {
         let now = outbox.clock.now;
         self.election.takeover_failed(store_lease, status, now);
@@ -340,7 +345,8 @@
         outbox.revoke_store_lease(0, store_lease);
     }
 
-    /// This controller led, and gives its lease back. `was_isolated`: since it heard nobody.
+    /// Revokes this controller's store lease after it led. `was_isolated` tells whether it stepped down because it
+    /// received messages from neither workers nor peers.
     pub fn handle_step_down(&mut self, outbox: &mut Outbox, store_lease: u64, was_isolated: bool) {
         let now = outbox.clock.now;
         if was_isolated {
@@ -352,9 +358,9 @@
 
     // ---- Requests of peers ----
 
-    /// A peer asks not to be replaced for a while. Only an outage that this controller sees too is a reason. With the vote
-    /// goes every cancellation that this controller knows of and the peer may not: whom it carries through an outage has to
-    /// act on them.
+    /// Handles a peer's request for a vote not to replace the peer for a while. This controller votes only in an
+    /// outage of the state service that it sees too. The vote reports every cancellation that this controller knows
+    /// and the peer may not know, because an owner that votes carry through an outage has to act on them.
     pub fn handle_vote_request(
         outbox: &mut Outbox,
         election: &mut Election,
@@ -366,7 +372,7 @@
         if !outbox.is_store_failing() || !election.vote(request.term, outbox.clock.now, duration) {
             return;
         }
-        // A release before does not say which changes the peer has seen.
+        // Version 0: a peer of an earlier release does not report which changes it has seen.
         let known_version = Some(request.known_version).filter(|version| *version > 0);
         let unknown = known_version
             .into_iter()
@@ -375,17 +381,18 @@
             .take(MAX_CANCELLATIONS_PER_VOTE + 1)
             .cloned()
             .collect();
-        let are_all = jobs.len() <= MAX_CANCELLATIONS_PER_VOTE;
+        let is_complete = jobs.len() <= MAX_CANCELLATIONS_PER_VOTE;
         jobs.truncate(MAX_CANCELLATIONS_PER_VOTE);
         jobs.sort_unstable();
         jobs.dedup();
-        // A process that has not read the state does not know what an earlier one of its name has confirmed.
+        // A process that has not read the state does not know the cancellations that an earlier process of its name
+        // has confirmed.
         let has_read_state = replica.version().is_some();
         let vote = Vote {
             round: request.round,
             term: request.term,
             shard: request.shard,
-            knows_cancellations: known_version.is_some() && has_read_state && are_all,
+            knows_cancellations: known_version.is_some() && has_read_state && is_complete,
             cancelled_jobs: store::encode_job_ids(&jobs),
             cancelled_count: jobs.len() as u32,
             configuration_version: outbox.configuration.newest_version(),
@@ -393,8 +400,8 @@
         outbox.send_to_peer(peer, Body::Vote(vote));
     }
 
-    /// A peer that began within a term asks whether the term's watermarks hold. `owner`: the shard's owner, if it is this
-    /// controller.
+    /// Handles the query of a peer that started within a term whether the term's watermarks hold. `owner` is the
+    /// shard's owner, if this controller owns the shard.
     pub fn handle_watermark_query(
         outbox: &mut Outbox,
         election: &Election,
@@ -413,12 +420,12 @@
     }
 }
 
-/// What the cloud refuses the leader, for the owners of other shards.
+/// Encodes the offers that the cloud refuses to the leader, for the owners of other shards.
 fn encode_refused_offers(outbox: &Outbox, leader: &ShardOwner) -> Vec<OfferAmount> {
     let refused = leader.cluster.refused_offers().into_iter();
-    let told = refused
+    let encoded = refused
         .map(|(offer, left)| encode_offer(&outbox.machine_types, &offer, left / MILLISECOND));
-    told.collect()
+    encoded.collect()
 }
 
 #[cfg(test)]
--- a/crates/gannethub-core/src/controller/membership/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -8,7 +8,7 @@
 use crate::settings::tests::SAMPLE;
 use crate::wire::peer::{Envelope, MAX_FRAME_BYTES, encode_frame};
 
-/// A replica with so many jobs that are cancelled, from version 10 on.
+/// Returns a replica with this number of cancelled jobs, whose versions start at 10.
 fn replica_with(cancelled: usize) -> JobReplica {
     let item = |i: usize| {
         let value = r#"{"spec":{"tasks":4},"at":0,"done":"","cancelled":true}"#;
@@ -31,7 +31,8 @@
     replica
 }
 
-/// What a controller with this replica answers a peer that has seen all changes up to `known`.
+/// Returns the vote of a controller with this replica for a peer that has seen all changes up to `known`, and the
+/// vote's frame size in bytes.
 fn vote_with(replica: &JobReplica, known: u64) -> (Vote, usize) {
     let (settings, _) = Settings::parse(SAMPLE, "sample").unwrap();
     let clock = Clock {
@@ -49,7 +50,7 @@
     };
     Membership::handle_vote_request(&mut outbox, &mut election, replica, 0, &request);
     let Some(Effect::PeerMessage { message, .. }) = outbox.take_effects().pop() else {
-        panic!("it says nothing")
+        panic!("no message was sent")
     };
     let mut frame = BytesMut::new();
     encode_frame(&message, &mut frame);
@@ -58,18 +59,18 @@
         ..
     } = message
     else {
-        panic!("it does not vote")
+        panic!("the message is not a vote")
     };
     (vote, frame.len())
 }
 
 #[test]
-fn a_vote_tells_what_the_asker_may_not_know() {
+fn vote_reports_cancellations_the_requester_may_not_know() {
     let (vote, _) = vote_with(&replica_with(20), 15);
     assert!(vote.knows_cancellations && vote.round == 3 && vote.term == 2);
     assert_eq!(vote.cancelled_count, 14);
     assert_eq!(store::decode_job_ids(&vote.cancelled_jobs).len(), 14);
-    // A cancellation that was stored here since the replica was last brought up to date.
+    // A cancellation that this controller stored after the last refresh of the replica.
     let mut replica = replica_with(2);
     replica.record_cancellation("j-000777".into(), 90_001);
     let (vote, _) = vote_with(&replica, 90_000);
@@ -79,12 +80,12 @@
     assert_eq!(
         vote_with(&replica, 90_001).0.cancelled_count,
         0,
-        "the asker has read that one"
+        "the requester has already read the cancellation"
     );
 }
 
 #[test]
-fn a_vote_does_not_claim_more_than_it_knows_or_can_say() {
+fn vote_claims_no_more_cancellations_than_known_or_sent() {
     let (vote, size) = vote_with(&replica_with(MAX_CANCELLATIONS_PER_VOTE), 5);
     assert!(
         vote.knows_cancellations && size < MAX_FRAME_BYTES,
@@ -97,15 +98,15 @@
             && size < MAX_FRAME_BYTES,
         "{size} bytes"
     );
-    // Nothing has been read in this process: an earlier one may have confirmed anything.
+    // This process has read nothing yet: an earlier process may have confirmed any cancellation.
     let mut unread = JobReplica::default();
     unread.record_cancellation("j-000777".into(), 100);
     let (vote, _) = vote_with(&unread, 5);
     assert!(
         !vote.knows_cancellations && vote.cancelled_jobs == "6:777",
-        "what it knows it tells all the same"
+        "known cancellations are still reported"
     );
-    // The version before does not say what it has seen.
+    // A requester of the earlier release does not report which changes it has seen.
     let (vote, _) = vote_with(&replica_with(20), 0);
     assert!(!vote.knows_cancellations && vote.cancelled_count == 0);
 }
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -1,19 +1,19 @@
-//! A controller: one process of the service. [`Controller`] owns all of its state; commands and the time go in, effects come
-//! out, and nothing in here does any input or output itself.
+//! A controller is one process of the service. [`Controller`] owns all state of the process. Its inputs are commands
+//! and the time, its outputs are effects, and no code in this module does any I/O itself.
 //!
-//! | part | what it is for |
+//! | part | purpose |
 //! | --- | --- |
 //! | [`interface`] | the commands and effects |
-//! | [`outbox`] | what all parts ask of the outside |
-//! | [`job_api`] | users: submissions, queries, cancellations, and the replica of all live jobs |
-//! | [`membership`] | peers: who is heard, who leads, and this controller's own chances of leading |
-//! | [`shard_assignment`], [`quota_partitioner`] | where there are several shards: who owns which, and what teams may use in each |
-//! | [`shard_owner`] | under a [`lease`]: a shard's machines, what runs on them, and what is written of it |
+//! | [`outbox`] | all outgoing requests, messages and replies |
+//! | [`job_api`] | users' submissions, queries and cancellations, and the replica of all live jobs |
+//! | [`membership`] | peers: their reachability, the leader, and this controller's eligibility to lead |
+//! | [`shard_assignment`], [`quota_partitioner`] | with several shards: the shards' owners and quota partitions |
+//! | [`shard_owner`] | under a [`lease`]: a shard's machines, the tasks on them, and all writes of their state |
 //! | [`heartbeat_routing`] | workers' heartbeats: answered here, or passed on to the owner of the machine's shard |
-//! | [`config_watch`] | which version of the configuration is in force |
+//! | [`config_watch`] | the version of the configuration in force |
 //!
 //! The modules [`ticking`], [`requests`], [`peer_messages`],
-//! [`store_answers`] and [`ownership`] hand each input to the part that it is for.
+//! [`store_answers`] and [`ownership`] dispatch each input to the part that handles it.
 
 mod acceptance;
 mod cancellations;
@@ -63,40 +63,40 @@
 use crate::state::cluster::Cluster;
 use crate::state::usage_replica::UsageReplica;
 
-/// What is due is done this often.
+/// Interval between ticks. A tick does all periodic work that is due.
 const TICK_INTERVAL: Micros = 50_000;
-/// A controller that waits for nothing but the next heartbeat of its peers looks at its clock at least this often.
+/// Maximum time between two steps of a standby controller, which waits only for the next heartbeat of its peers.
 const MAX_IDLE_TIME: Micros = 4 * TICK_INTERVAL;
 
-/// The configuration as one controller has it.
+/// State of the configuration on one controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationState {
-    /// The version in force; 0: the platform's settings alone.
+    /// Version in force; 0 stands for the platform's settings alone.
     pub version: u64,
-    /// Whether it may be acted on now.
+    /// Whether the controller may act on this version now.
     pub is_fresh: bool,
 }
 
-/// See the [module](self).
+/// All state of one controller process.
 pub struct Controller {
     outbox: Outbox,
     membership: Membership,
     job_api: JobApi,
     shard_assignments: ShardAssignments,
-    /// The shards that this controller owns. The owner of shard 0 is the leader.
+    /// Shards that this controller owns. The owner of shard 0 is the leader.
     shard_owners: ShardOwners,
     heartbeats: PendingHeartbeats,
-    /// Usage that the leader has not charged yet.
+    /// Usage records that the leader has not charged yet.
     usage_replica: UsageReplica,
-    /// When the cloud may be asked again for its machine types.
+    /// Time of the next request to the cloud for its machine types.
     machine_types_request_at: Micros,
     next_tick_at: Micros,
-    /// The state service has answered since the last tick, and what follows from that has not been done.
+    /// Whether the state service has answered since the last tick. The resulting work is then still to be done.
     store_answered: bool,
 }
 
 impl Controller {
-    /// A controller whose process begins now.
+    /// Creates the controller of a process that starts now.
     pub fn new(settings: Arc<Settings>, clock: Clock) -> Controller {
         let outbox = Outbox::new(settings, clock);
         Controller {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Works through a batch of commands, and does what is due.
+    /// Handles a batch of commands, ticks if a tick is due, and returns the resulting effects.
     pub fn step(
         &mut self,
         clock: Clock,
@@ -160,18 +160,18 @@
         }
     }
 
-    /// How long [`Controller::step`] need not be called if no command comes. Each look at the clock is a wake-up of the
-    /// process, and most controllers stand by: one that hears a leader, has nobody waiting and has asked for nothing has
-    /// nothing to do until its next heartbeat or probe.
+    /// Returns how long [`Controller::step`] need not be called if no command arrives. Each call wakes up the
+    /// process, and most controllers are on standby: a controller that has a reachable leader, no waiting user and no
+    /// queued request has nothing to do until its next heartbeat or probe.
     pub fn max_idle_time(&self) -> Micros {
         let outbox = &self.outbox;
-        let stands_by = self.shard_owners.is_empty()
+        let is_standby = self.shard_owners.is_empty()
             && !outbox.is_sharded
             && !self.store_answered
             && outbox.reply_deadlines.is_empty()
             && outbox.budget.queued_requests() == 0
             && self.membership.leading_peer(outbox).is_some();
-        if !stands_by {
+        if !is_standby {
             return TICK_INTERVAL;
         }
         let next_due_at = self.membership.next_due_at();
@@ -180,17 +180,17 @@
             .clamp(TICK_INTERVAL, MAX_IDLE_TIME)
     }
 
-    /// The cluster as the leader sees it; `None` on every other controller.
+    /// Returns the leader's view of the cluster; `None` on every other controller.
     pub fn cluster(&self) -> Option<&Cluster> {
         self.leader().map(|leader| &leader.cluster)
     }
 
-    /// The clusters of all shards that this controller owns.
+    /// Returns the clusters of all shards that this controller owns.
     pub fn clusters(&self) -> impl Iterator<Item = &Cluster> {
         self.shard_owners.values().map(|owner| &owner.cluster)
     }
 
-    /// The configuration as this controller has it.
+    /// Returns the state of the configuration on this controller.
     pub fn configuration(&self) -> ConfigurationState {
         let configuration = &self.outbox.configuration;
         ConfigurationState {
@@ -199,13 +199,13 @@
         }
     }
 
-    /// The owner of shard 0, if it is this controller.
+    /// Returns the owner of shard 0 if this controller leads.
     fn leader(&self) -> Option<&ShardOwner> {
         self.shard_owners.get(&0).map(|leader| &**leader)
     }
 
-    /// The owner of a shard in this term, if it is this controller. Answers to an earlier term of its own are nobody's any
-    /// more.
+    /// Returns the shard owner with this term, if this controller has one. An answer to a request from one of its
+    /// earlier terms has no owner any more and is dropped.
     fn owner_of_term(owners: &mut ShardOwners, term: u64) -> Option<&mut ShardOwner> {
         owners
             .values_mut()
