--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -1,5 +1,6 @@
-//! What all parts of a controller share: the settings and clock, and the way to users, workers, peers, the state service
-//! and the cloud. It knows no part; answers go back to whoever asked by their [`PendingRequest`].
+//! Resources that all parts of a controller share: the settings, the clock, and the sending of requests, messages and
+//! replies to users, workers, peers, the state service and the cloud. The outbox depends on none of the parts: an
+//! answer returns to the part that sent the request by way of the [`PendingRequest`].
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -22,73 +23,74 @@
 use crate::wire::peer::{Body, Envelope};
 use crate::wire::store::StoreRequest;
 
-/// The state service is probed at least this often, and counts as unreachable after [`MISSED_PROBES`] times as long
-/// without an answer.
+/// Maximum interval between probes of the state service, which counts as unreachable after [`MISSED_PROBES`] times
+/// this interval without an answer.
 pub(super) const PROBE_INTERVAL: Micros = 500_000;
-/// Probes that may go without an answer before the state service counts as unreachable.
+/// Number of unanswered probes after which the state service counts as unreachable.
 const MISSED_PROBES: u64 = 3;
-/// After this long without a refusal the request rate is raised by [`RATE_RECOVERY_STEP`].
+/// Time without a refusal after which the request rate's factor is raised by [`RATE_RECOVERY_STEP`].
 const RATE_RECOVERY_INTERVAL: Micros = 5 * SECOND;
 const RATE_RECOVERY_STEP: f64 = 0.05;
-/// A refusal multiplies the request rate by this, down to [`MIN_RATE_FACTOR`].
+/// Factor by which a refusal multiplies the request rate, down to [`MIN_RATE_FACTOR`].
 const RATE_REDUCTION: f64 = 0.9;
 const MIN_RATE_FACTOR: f64 = 0.5;
-/// The part of the state service's rate that all controllers together may use where all need the same.
+/// Share of the state service's rate for all controllers together, if all of them need the same rate.
 const TOTAL_RATE_SHARE: f64 = 0.95;
-/// The part that the leader may use.
+/// Share of the state service's rate for the leader.
 const LEADER_RATE_SHARE: f64 = 0.5;
-/// The part that all other controllers together may use. The leader's part and this one may overlap: not all of them
-/// use theirs at the same time.
+/// Share of the state service's rate for all followers together. This share and the leader's may overlap, because not
+/// all controllers use theirs at the same time.
 const FOLLOWERS_RATE_SHARE: f64 = 0.6;
-/// Bounds of the `Retry-After` that users get when too much is queued, in seconds.
+/// Bounds, in seconds, of the `Retry-After` value in answers to users when too many requests are queued.
 const MIN_RETRY_AFTER_S: u64 = 1;
 const MAX_RETRY_AFTER_S: u64 = 30;
 
-/// A request to the state service that waits until the request rate has room for it.
+/// A request to the state service that waits until the request rate allows it.
 #[derive(Debug)]
 pub(super) struct QueuedRequest {
     id: u64,
     request: StoreRequest,
 }
 
-/// Who made a call to the cloud, and for what.
+/// Origin and purpose of a call to the cloud.
 #[derive(Debug)]
 pub(super) struct PendingCloudCall {
-    /// The term of the shard's owner that made it; `None`: the controller itself.
+    /// Term of the shard owner that made the call; `None` if the controller itself made it.
     pub owner_term: Option<u64>,
     pub call: CloudCall,
 }
 
-/// See the [module](self).
+/// Shared resources and queued output of a controller.
 pub(super) struct Outbox {
     pub settings: Arc<Settings>,
     pub clock: Clock,
-    /// Empty until the cloud has told them.
+    /// Machine types of the cloud; empty until the cloud has listed them.
     pub machine_types: Arc<Vec<MachineType>>,
     pub budget: RequestBudget<QueuedRequest>,
-    /// This controller leads, and needs more of what the state service allows.
+    /// Whether this controller leads, and so needs a larger share of the state service's rate.
     is_leader: bool,
-    /// What the state service is believed to allow, and the part of it that is used after refusals.
+    /// Rates that the state service is assumed to allow.
     store_rates: Rates,
+    /// Factor of the rates that is used after refusals, at most 1.
     rate_factor: f64,
     rate_changed_at: Micros,
-    /// When the state service last answered.
+    /// Time of the state service's last answer.
     pub store_answered_at: Option<Micros>,
-    /// When it last refused a request of this controller.
+    /// Time at which the state service last refused a request of this controller with status 503.
     pub store_refused_at: Option<Micros>,
-    /// Requests to the state service that are not answered yet, by their number.
+    /// Unanswered requests to the state service, by request number.
     pub pending_requests: HashMap<u64, PendingRequest>,
-    /// Calls to the cloud that are not answered yet, by their number.
+    /// Unanswered calls to the cloud, by call number.
     pub pending_cloud_calls: HashMap<u64, PendingCloudCall>,
     last_id: u64,
-    /// Until when the request on each connection is to be answered.
+    /// Deadline for the answer to the request on each connection.
     pub reply_deadlines: HashMap<u64, Micros>,
     effects: Vec<Effect>,
-    /// The loads of all shards, as their owners last told.
+    /// Loads of all shards, as their owners last reported them.
     pub shard_loads: Vec<ShardLoad>,
-    /// Which version of the configuration is in force.
+    /// Tracks the version of the configuration in force.
     pub configuration: ConfigWatch,
-    /// There are several shards, or there have been, or there are to be. Otherwise no request or message concerns shards.
+    /// Whether there are, were or will be several shards. If not, no request or message concerns shards.
     pub is_sharded: bool,
 }
 
@@ -119,13 +121,13 @@
         outbox
     }
 
-    /// A number that no request or relayed heartbeat of this process has had.
+    /// Returns a number that no request or relayed heartbeat of this process has used.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Hands out everything that is to be done now. Requests to the state service beyond its rate stay queued.
+    /// Returns all effects to carry out now. Requests to the state service beyond the request rate stay queued.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         while let Some(QueuedRequest { id, request }) = self.budget.pop(self.clock.now) {
             self.effects.push(Effect::StoreRequest { id, request });
@@ -135,7 +137,7 @@
 
     // ---- The state service's rate ----
 
-    /// Notes that this controller leads from now on, or no longer.
+    /// Sets whether this controller leads, which decides its share of the request rate.
     pub fn set_leader(&mut self, is_leader: bool) {
         self.is_leader = is_leader;
         self.update_budget_share();
@@ -144,7 +146,7 @@
     fn update_budget_share(&mut self) {
         let peers = self.settings.peers.len() as f64;
         let share = if peers > 0.0 && self.shard_count() > 1 {
-            // Where all own shards, all need the same.
+            // With several shards all controllers own shards, and all need the same rate.
             TOTAL_RATE_SHARE / (peers + 1.0)
         } else if peers == 0.0 {
             TOTAL_RATE_SHARE
@@ -159,7 +161,7 @@
             .set_rates(rates.requests * share, rates.changes * share);
     }
 
-    /// Raises the request rate a little again, some time after the last refusal.
+    /// Raises a reduced request rate by one step if [`RATE_RECOVERY_INTERVAL`] has passed since its last change.
     pub fn recover_rate(&mut self) {
         let now = self.clock.now;
         if self.rate_factor < 1.0 && now >= self.rate_changed_at + RATE_RECOVERY_INTERVAL {
@@ -169,8 +171,8 @@
         }
     }
 
-    /// Lowers the request rate: the state service has had too much. Either it has gone over to its next rates, or all
-    /// controllers together ask for more than it allows.
+    /// Lowers the request rate after the state service refused a request as one too many. Either the state service has
+    /// switched to its next rates, or all controllers together send more requests than it allows.
     fn reduce_rate(&mut self) {
         if self.clock.now < self.rate_changed_at + SECOND {
             return;
@@ -179,11 +181,7 @@
         if self.store_rates != self.settings.state_rates_next {
             self.store_rates = self.settings.state_rates_next;
             let Rates { requests, changes } = self.store_rates;
-            tracing::info!(
-                requests,
-                changes,
-                "the state service allows less from now on"
-            );
+            tracing::info!(requests, changes, "state service lowered its rate limits");
         } else {
             self.rate_factor = (self.rate_factor * RATE_REDUCTION).max(MIN_RATE_FACTOR);
         }
@@ -192,8 +190,8 @@
 
     // ---- The state service's health ----
 
-    /// Takes note of an answer's status; `None`: no answer came. An answer to a watch is no sign of health: it may have
-    /// been held back for long.
+    /// Records the status of an answer; `None` if no answer arrived. An answer to a watch is no sign of health,
+    /// because the state service may have held it back for a long time.
     pub fn record_store_status(&mut self, status: Option<u16>, is_watch: bool) {
         let now = self.clock.now;
         if status.is_some_and(|status| status < 500 && status != 429) && !is_watch {
@@ -206,26 +204,28 @@
         }
     }
 
-    /// Whether the state service has answered lately.
+    /// Whether the state service has answered within [`MISSED_PROBES`] probe intervals.
     pub fn is_store_reachable(&self) -> bool {
         self.store_answered_at
             .is_some_and(|answered| self.clock.now < answered + MISSED_PROBES * PROBE_INTERVAL)
     }
 
-    /// Whether it has not answered for a while, or has refused what was asked last. That is enough for a vote, which binds
-    /// nobody but this controller, and cannot wait: a leader that was refused shortly before an outage has a second left.
+    /// Whether the state service has not answered for a while, or has refused the latest request. Either is
+    /// sufficient for a vote, because a vote binds only this controller. A vote also cannot wait: a leader that
+    /// was refused shortly before an outage has one second left.
     pub fn is_store_failing(&self) -> bool {
         !self.is_store_reachable() || self.store_refused_at > self.store_answered_at
     }
 
-    /// How long leases of this controller in the state service last without renewal.
+    /// Returns how long a store lease of this controller lasts without renewal.
     pub fn store_lease_ttl(&self) -> Micros {
         micros_from_seconds(self.settings.policy.number(Setting::Grant, &[]))
     }
 
     // ---- Shards ----
 
-    /// The number of shards that the machines are divided into. A ledger is kept of one shard alone.
+    /// Returns the number of shards among which the machines are divided. A ledger can be kept only with a single
+    /// shard.
     pub fn shard_count(&self) -> u32 {
         if self.settings.ledger.is_some() {
             return 1;
@@ -233,7 +233,7 @@
         self.settings.policy.number(Setting::Blocks, &[]) as u32
     }
 
-    /// The shard that a job accepted now goes to. Its load is raised by the job.
+    /// Chooses the home shard of a job that is accepted now, and adds the job to that shard's load.
     pub fn choose_home_shard(&mut self, spec: &JobSpec) -> u32 {
         let shard_count = self.shard_count();
         shard_load::choose_home_shard(&mut self.shard_loads, shard_count, spec)
@@ -255,7 +255,7 @@
             .push(urgency, changes, QueuedRequest { id, request });
     }
 
-    /// Gives back a lease in the state service that is not needed any more to own the shard.
+    /// Revokes a store lease that is no longer needed to own the shard.
     pub fn revoke_store_lease(&mut self, shard: u32, store_lease: u64) {
         let pending = PendingRequest::RevokeStoreLease { shard, store_lease };
         let request = StoreRequest::revoke_lease(store_lease);
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Makes a call to the cloud, for a shard's owner in this term or for the controller itself.
+    /// Makes a call to the cloud, for the shard owner with this term or for the controller itself.
     pub fn call_cloud(&mut self, owner_term: Option<u64>, call: CloudCall, request: CloudRequest) {
         let id = self.next_id();
         self.pending_cloud_calls
@@ -286,19 +286,19 @@
         self.effects.push(Effect::CloudRequest { id, request });
     }
 
-    /// Sends commands to a worker beside its heartbeats.
-    pub fn command_worker(&mut self, addr: SocketAddrV4, body: Bytes) {
+    /// Sends commands to a worker, besides the answers to its heartbeats.
+    pub fn send_worker_commands(&mut self, addr: SocketAddrV4, body: Bytes) {
         self.effects.push(Effect::WorkerCommands { addr, body });
     }
 
     // ---- Replies to users and workers ----
 
-    /// Whether the request on this connection still waits for its answer.
+    /// Whether the request on this connection still waits for its reply.
     pub fn awaits_reply(&self, connection: u64) -> bool {
         self.reply_deadlines.contains_key(&connection)
     }
 
-    /// Gives a request on this connection until `deadline` to be answered.
+    /// Sets the deadline for the reply to the request on this connection.
     pub fn set_reply_deadline(&mut self, connection: u64, deadline: Micros) {
         self.reply_deadlines.insert(connection, deadline);
     }
@@ -313,17 +313,18 @@
         }
     }
 
-    /// Refuses a request since what is queued for the state service already takes this long.
+    /// Refuses a request because the requests already queued for the state service take `wait` to be sent.
     pub fn reply_overloaded(&mut self, connection: u64, wait: Micros) {
         let seconds = (wait / SECOND).clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S) as u32;
-        let reason = "too many requests are waiting for the state service";
+        let reason = "too many requests are queued for the state service";
         let response = Response::error(503, reason).with_retry_after(seconds);
         self.reply(connection, response);
     }
 
     /// Answers a submission that is not accepted.
     pub fn reply_refusal(&mut self, connection: u64, refusal: &Refusal) {
-        // What can never run by an older configuration may run by a newer one, and its user would not ask again.
+        // A job that can never run under an outdated configuration may run under a newer one, and its user would not
+        // submit it again after a permanent refusal.
         let is_outdated = !self.configuration.is_fresh(self.clock.now);
         let refusal = match refusal {
             Refusal::Impossible(_) if is_outdated => &Refusal::ConfigurationChanging,
@@ -338,7 +339,8 @@
         self.reply(connection, response);
     }
 
-    /// Refuses a request that cannot be answered, with the time to come back: another controller may be able to.
+    /// Refuses a request that this controller cannot answer, with the time after which to retry: another controller
+    /// may be able to answer it.
     pub fn reply_unavailable(&mut self, connection: u64) {
         let response = Response::error(503, "the state service does not answer");
         self.reply(connection, response.with_retry_after(1));
--- a/crates/gannethub-core/src/controller/ownership.rs
+++ b/crates/gannethub-core/src/controller/ownership.rs
@@ -1,11 +1,11 @@
-//! Beginning and ceasing to own shards. The owner of shard 0 is the leader.
+//! Takeover of shards and stepping down from them. The owner of shard 0 is the leader.
 
 use super::Controller;
 use super::end_reason::EndReason;
 use super::lease::ShardLease;
 use super::outbox::Outbox;
 use super::pending_request::Takeover;
-use super::shard_assignment::StepDown;
+use super::shard_assignment::StepDownKind;
 use super::shard_owner::ShardOwner;
 use crate::http::{CallResult, decode_ok};
 use crate::state::cluster::Cluster;
@@ -24,7 +24,7 @@
         self.step_down_ended();
     }
 
-    /// Steps down from every shard whose owner says that it has to.
+    /// Steps down from every shard whose owner has an end reason.
     pub(super) fn step_down_ended(&mut self) {
         while let Some((shard, reason)) = self
             .shard_owners
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Ceases to own a shard.
+    /// Steps down from a shard.
     pub(super) fn step_down(&mut self, shard: u32, reason: EndReason) {
         let Some(owner) = self.shard_owners.remove(&shard) else {
             return;
@@ -44,16 +44,16 @@
         let why = reason.to_string();
         if shard > 0 {
             tracing::info!(shard, term, why, "gives up a shard");
-            let how = match reason {
-                EndReason::Transferred => StepDown::Transferred,
-                EndReason::Isolated => StepDown::Isolated,
-                _ => StepDown::Ended,
+            let kind = match reason {
+                EndReason::Transferred => StepDownKind::Transferred,
+                EndReason::Isolated => StepDownKind::Isolated,
+                _ => StepDownKind::Ended,
             };
             return self.shard_assignments.handle_step_down(
                 &mut self.outbox,
                 shard,
                 store_lease,
-                how,
+                kind,
             );
         }
         tracing::info!(term, why, "no longer leading");
@@ -70,7 +70,7 @@
 
     // ---- Taking over ----
 
-    /// Takes in whether the takeover as leader was carried out.
+    /// Handles the answer to the takeover of shard 0.
     pub(super) fn handle_leader_takeover(&mut self, takeover: Takeover, answer: &CallResult) {
         let outbox = &mut self.outbox;
         let Takeover { lease, record } = takeover;
@@ -95,7 +95,7 @@
         self.tick();
     }
 
-    /// Takes in whether the takeover of another shard was carried out.
+    /// Handles the answer to the takeover of a shard other than 0.
     pub(super) fn handle_shard_takeover(&mut self, takeover: Takeover, answer: &CallResult) {
         let outbox = &mut self.outbox;
         let Takeover { lease, record } = takeover;
@@ -121,7 +121,7 @@
     }
 }
 
-/// The owner of a shard that was just taken over.
+/// Creates the owner of a shard that was just taken over.
 fn new_owner(outbox: &Outbox, lease: ShardLease, watermarks_reliable: bool) -> ShardOwner {
     let mut cluster = Cluster::new(
         lease.term,
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -1,10 +1,11 @@
-//! A shard's part of the teams' limits, as its owner reads, obeys and writes it. What is decided is in
-//! [`quota_partition`].
+//! Quota partition of a shard, which is the shard's part of the teams' limits: its owner reads, applies and writes it.
+//! The decisions on the size of the partitions are made in [`quota_partition`].
 //!
-//! Nobody goes by more than is written, at any moment. An owner that gives back obeys before its write is sent, and until
-//! it is certain that the write was carried out or never will be: a write without an answer is sent again, guarded by the
-//! same versions, until one of them is answered with yes or no. The same holds for the owner of shard 0 when it raises the
-//! part of another shard, since that takes the same from its own.
+//! At any moment, no owner uses more quota than the stored partitions allow. An owner that returns quota applies the
+//! lower limits before it sends the write, and until it is certain that the write was carried out or never will be: a
+//! write without an answer is sent again, guarded by the same versions, until one of the copies is answered as
+//! carried out or refused. The same holds for the owner of shard 0 when it raises the partition of another shard,
+//! because this takes the same amount from its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,23 +23,24 @@
     Transaction,
 };
 
-/// Partitions are read this often, and this often while nothing asks for it.
+/// Interval between reads of the partitions.
 const READ_INTERVAL: Micros = SECOND / 2;
+/// Interval between reads of the partitions while no task of the shard waits for quota.
 const IDLE_READ_INTERVAL: Micros = 2 * SECOND;
-/// What lies idle for so long is given back.
+/// Time for which quota must be idle before it is returned.
 const RETURN_DELAY: Micros = 2 * SECOND;
-/// A write without an answer is sent again after this time.
+/// Delay before a write without an answer is sent again.
 const WRITE_RETRY_INTERVAL: Micros = SECOND / 2;
 
-/// A shard's partition, as last read.
+/// A shard's quota partition, as last read.
 #[derive(Debug)]
 struct StoredPartition {
-    /// In the settings' order of teams.
+    /// Limits in the settings' order of teams.
     limits: Vec<Resources>,
     version: u64,
 }
 
-/// A partition that was read before the teams were known.
+/// A quota partition that was read before the teams are known, with its limits by team name.
 #[derive(Debug)]
 struct UnresolvedPartition {
     shard: u32,
@@ -46,7 +48,7 @@
     version: u64,
 }
 
-/// A write whose outcome is not certain.
+/// A write of quota partitions whose outcome is not certain yet.
 #[derive(Debug)]
 struct PendingWrite {
     quotas: ShardQuotas,
@@ -55,7 +57,7 @@
     retry_at: Micros,
 }
 
-/// See the [module](self).
+/// Reads, applies and writes the quota partitions on behalf of a shard owner.
 #[derive(Debug, Default)]
 pub(super) struct QuotaPartitioner {
     partitions: BTreeMap<u32, StoredPartition>,
@@ -63,17 +65,18 @@
     read_in_flight: bool,
     read_at: Micros,
     pending_write: Option<PendingWrite>,
-    /// Since when more lies idle than is to be kept.
+    /// Time since which more quota is idle than the shard is to keep.
     idle_since: Option<Micros>,
-    /// Records that cannot be parsed were read last, and the time before. Nothing is raised while there are any.
+    /// Whether the last read contained records that cannot be parsed. No partition is raised while there are any.
     has_damaged_records: bool,
+    /// Whether the read before the last contained records that cannot be parsed.
     had_damaged_records: bool,
 }
 
 impl QuotaPartitioner {
     // ---- Reading ----
 
-    /// Takes in a partition as the state service holds it.
+    /// Adds a quota partition record as read from the state service.
     pub fn add_record(&mut self, item: &StoredValue) {
         let shard = item
             .key
@@ -88,14 +91,14 @@
             }),
             _ => {
                 if !self.had_damaged_records {
-                    tracing::error!(key = %item.key, "a quota partition cannot be read; nothing is given out");
+                    tracing::error!(key = %item.key, "cannot parse quota partition; no quota is given out");
                 }
                 self.has_damaged_records = true;
             }
         }
     }
 
-    /// Puts what was read into the order of the teams.
+    /// Converts the records read into limits in the settings' order of teams.
     fn resolve_records(&mut self, teams: &[Team]) {
         let read = std::mem::take(&mut self.unresolved).into_iter();
         let resolved = read.map(|partition| {
@@ -123,7 +126,7 @@
             .collect()
     }
 
-    /// Has the cluster keep to what its shard may use.
+    /// Applies the limits of the cluster's shard to the cluster.
     pub fn apply_limits(&mut self, cluster: &mut Cluster) {
         if !self.unresolved.is_empty() {
             self.resolve_records(&cluster.quota.cluster_teams);
@@ -138,24 +141,25 @@
         }
     }
 
-    /// What the cluster's shard may use; `None`: there are no partitions, and shard 0 may use everything.
+    /// Returns the limits of the cluster's shard; `None` if there are no partitions, so that shard 0 may use the
+    /// whole quota.
     fn limits(&self, cluster: &Cluster) -> Option<Vec<Resources>> {
         let total = team_limits(cluster);
         let mut quotas = self.quotas();
         if let Some(pending) = &self.pending_write {
-            // What may be written already: the more for others, the less for this one.
+            // The pending write may have been carried out already: the more for other shards, the less for this one.
             quotas.extend(pending.quotas.clone());
         }
-        let nothing = vec![Resources::default(); total.len()];
+        let zero_limits = vec![Resources::default(); total.len()];
         match cluster.shard.id {
-            0 if self.has_damaged_records => Some(nothing),
+            0 if self.has_damaged_records => Some(zero_limits),
             0 if quotas.is_empty() => None,
             0 => Some(quota_partition::remaining_quota(&total, &quotas)),
-            shard => Some(quotas.remove(&shard).unwrap_or(nothing)),
+            shard => Some(quotas.remove(&shard).unwrap_or(zero_limits)),
         }
     }
 
-    /// Reads the partitions now and then, and sends a write again that had no answer.
+    /// Reads the partitions when a read is due, and resends a write that got no answer.
     pub fn tick(&mut self, outbox: &mut Outbox, lease: &ShardLease) {
         let now = outbox.clock.now;
         if !outbox.is_sharded {
@@ -173,12 +177,12 @@
             return;
         }
         self.read_in_flight = true;
-        // The versions of all are needed to give out, and one's own to give back.
+        // Raising needs the versions of all partitions, and returning quota needs the version of the shard's own.
         let request = StoreRequest::list(QUOTA_PARTITION_PREFIX, "");
         send(outbox, lease, request, OwnerRequest::ReadQuotaPartitions);
     }
 
-    /// Takes in what was read, obeys it, and gives back or gives out.
+    /// Applies the partitions read, and then returns idle quota or, as owner of shard 0, raises other partitions.
     pub fn handle_read_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -207,22 +211,22 @@
         }
     }
 
-    // ---- Giving out and giving back ----
+    // ---- Raising and returning quota ----
 
-    /// What other shards are to get out of what shard 0 has left.
+    /// Returns the raised partitions of other shards, taken from the quota that shard 0 has left.
     fn raised_quotas(&self, outbox: &Outbox, cluster: &Cluster, load: &ShardLoad) -> ShardQuotas {
         if self.has_damaged_records {
             return ShardQuotas::new();
         }
         let others = outbox.shard_loads.iter().filter(|load| load.shard > 0);
-        let told = others
+        let loads = others
             .map(|load| (load.shard, load.teams.clone()))
             .collect();
         let total = team_limits(cluster);
-        quota_partition::raised_quotas(&total, &self.quotas(), &load.teams, &told)
+        quota_partition::raised_quotas(&total, &self.quotas(), &load.teams, &loads)
     }
 
-    /// What this shard keeps, if some of what it may use has been idle for a while.
+    /// Returns this shard's lowered partition if some of its quota has been idle for at least [`RETURN_DELAY`].
     fn lowered_quotas(&mut self, shard: u32, load: &ShardLoad, now: Micros) -> ShardQuotas {
         let partition = self.partitions.get(&shard);
         let limits = partition.map_or(&[][..], |partition| &partition.limits[..]);
@@ -230,11 +234,11 @@
         let idle_since = *self.idle_since.get_or_insert(now);
         let Some(lowered) = lowered else {
             self.idle_since = None;
-            let waits_for_nothing = load
+            let has_no_demand = load
                 .teams
                 .iter()
                 .all(|team| team.waiting == Resources::default());
-            if waits_for_nothing {
+            if has_no_demand {
                 self.read_at = now + IDLE_READ_INTERVAL;
             }
             return ShardQuotas::new();
@@ -245,7 +249,7 @@
         ShardQuotas::from([(shard, lowered)])
     }
 
-    /// Writes changed partitions, as many as one transaction holds. They are obeyed from before they are sent.
+    /// Writes changed partitions, as many as fit into one transaction. Their limits apply before the write is sent.
     fn write(
         &mut self,
         outbox: &mut Outbox,
@@ -261,7 +265,7 @@
             &cluster.store_writes.assignment_keys.owner,
             lease.key_version,
         );
-        // What is given out depends on all that has been; what is given back on this one alone.
+        // A raise depends on all partitions, and a return of quota on the shard's own partition alone.
         let guarded: BTreeSet<u32> = match lease.shard {
             0 => self
                 .partitions
@@ -296,10 +300,11 @@
         self.tick(outbox, lease);
     }
 
-    /// Takes in the answer to a write; `status` is `None` if there was none.
+    /// Handles the answer to a write; `status` is `None` if no answer arrived.
     pub fn handle_write_answer(&mut self, now: Micros, status: Option<u16>) {
         match status {
-            // Carried out now, or never: whichever of its like came first has changed a version.
+            // The write was carried out or never will be: the first of its copies to be carried out changed a version
+            // that guards the other copies.
             Some(200 | 409 | 400) => {
                 self.pending_write = None;
                 self.read_at = now;
@@ -314,7 +319,7 @@
     }
 }
 
-/// What each team may use in the whole cluster.
+/// Returns each team's limit in the whole cluster.
 fn team_limits(cluster: &Cluster) -> Vec<Resources> {
     cluster
         .quota
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -1,5 +1,5 @@
-//! Ownership of the shards other than 0: this controller probes for shards without an owner, takes them over in an order
-//! that all controllers agree on, and transfers shards to a peer that owns none.
+//! Ownership of the shards other than 0: this controller probes for shards without an owner, takes them over in an
+//! order that all controllers agree on, and transfers shards to a peer that owns none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,59 +17,60 @@
     StoredValue, TERM_COUNTER_KEY, TERM_KEY, Transaction, assignment_keys,
 };
 
-/// Where one shard is enough, others that are left over are looked for this often.
+/// Interval between probes for surplus shards while no shard other than 0 is known.
 const SURPLUS_PROBE_INTERVAL: Micros = 5 * SECOND;
-/// A shard that nobody owns is left for this long to each controller whose turn comes before this one's.
+/// Time for which an unowned shard is left to each controller that precedes this one in the takeover order.
 const TAKEOVER_STAGGER: Micros = 700_000;
-/// A shard is transferred to a peer only once the peer has been reachable for this long.
+/// Time for which a peer must have been reachable before a shard is transferred to it.
 const PEER_STABLE_TIME: Micros = 8 * SECOND;
-/// At most one shard is transferred in this time: the peer may not be able to take it over.
+/// Minimum interval between shard transfers, because the peer may be unable to take over the shard.
 const TRANSFER_INTERVAL: Micros = 30 * SECOND;
-/// A controller that transferred a shard, or stepped down because it heard nobody, does not take it back for this long.
+/// Time for which a controller that transferred a shard, or stepped down because it was isolated, does not take the
+/// shard back.
 const ABSTAIN_AFTER_TRANSFER: Micros = 6 * SECOND;
 
-/// One shard, as this controller sees its ownership.
+/// Ownership of one shard as this controller knows it.
 #[derive(Debug)]
 pub(super) struct ShardAssignment {
-    /// This controller's chances of owning it.
+    /// Eligibility of this controller to own the shard.
     pub election: Election,
-    /// Since when this controller might take it over.
+    /// Time since which this controller has been eligible to take over the shard.
     unowned_since: Option<Micros>,
 }
 
-/// How a controller ceased to own a shard.
+/// Kinds of stepping down from a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StepDown {
-    /// The lease has ended.
+pub(super) enum StepDownKind {
+    /// The owner stepped down for any other reason, such as the end of its lease.
     Ended,
-    /// It heard nobody.
+    /// The owner received no messages from workers or peers.
     Isolated,
-    /// A peer is to take the shard.
+    /// The shard is transferred to a peer.
     Transferred,
 }
 
-/// All shards other than 0 that the settings or the state service speak of.
+/// All shards other than 0 that the settings or the records in the state service name.
 #[derive(Debug, Default)]
 pub(super) struct ShardAssignments {
     assignments: BTreeMap<u32, ShardAssignment>,
     probe_in_flight: bool,
     probe_at: Micros,
-    /// Since when each peer has been heard without a pause.
-    heard_since: Vec<Option<Micros>>,
-    /// When this controller last transferred a shard.
+    /// Time since which each peer has been reachable without interruption, in the settings' order of peers.
+    reachable_since: Vec<Option<Micros>>,
+    /// Time of this controller's last transfer of a shard.
     last_transfer_at: Option<Micros>,
-    /// Keys that cannot be parsed, which are logged once.
+    /// Keys that cannot be parsed. Each is logged once.
     malformed_keys: BTreeSet<String>,
 }
 
-/// The records of one shard's ownership.
+/// Ownership records of one shard.
 #[derive(Clone, Debug, Default)]
 struct AssignmentRecords {
     owner: Option<StoredLease>,
     last_term: Option<StoredLease>,
 }
 
-/// A term and the version of the key that holds it; both 0 where there is none.
+/// A term and the version of its key; both are 0 if the key does not exist.
 #[derive(Clone, Copy, Debug, Default)]
 struct StoredTerm {
     term: u64,
@@ -77,12 +78,12 @@
 }
 
 impl ShardAssignments {
-    /// This controller's chances of owning a shard that is known here.
+    /// Returns this controller's eligibility to own a shard, if the shard is known here.
     pub fn election(&self, shard: u32) -> Option<&Election> {
         Some(&self.assignments.get(&shard)?.election)
     }
 
-    /// The same, to be changed.
+    /// Returns the mutable counterpart of [`Self::election`].
     pub fn election_mut(&mut self, shard: u32) -> Option<&mut Election> {
         Some(&mut self.assignments.get_mut(&shard)?.election)
     }
@@ -98,21 +99,21 @@
 
     // ---- Taking over ----
 
-    /// Looks for shards that nobody owns, and takes over those whose turn it is here.
+    /// Probes for unowned shards, and takes over each once it is this controller's turn.
     pub fn tick(&mut self, outbox: &mut Outbox, membership: &Membership, owners: &ShardOwners) {
         if !outbox.is_sharded {
             return;
         }
-        self.record_heard_peers(outbox, membership);
+        self.record_reachable_peers(outbox, membership);
         self.probe(outbox);
         for shard in 1..outbox.shard_count() {
             self.assignment(outbox, shard);
         }
-        // Shards are of use only where somebody gives out machines.
+        // Shards are useful only while there is a leader that assigns machines.
         let has_leader = owners.contains_key(&0) || membership.leading_peer(outbox).is_some();
         for (shard, assignment) in &mut self.assignments {
             assignment.tick(outbox, membership, *shard);
-            // Only what the settings or the records speak of is taken over.
+            // Only shards that the settings or the records name are taken over.
             let exists = *shard < outbox.shard_count() || assignment.election.has_known_term();
             let is_unowned = exists && has_leader && !owners.contains_key(shard);
             if is_unowned {
@@ -123,10 +124,10 @@
         }
     }
 
-    fn record_heard_peers(&mut self, outbox: &Outbox, membership: &Membership) {
+    fn record_reachable_peers(&mut self, outbox: &Outbox, membership: &Membership) {
         let now = outbox.clock.now;
-        self.heard_since.resize(membership.peers.len(), None);
-        for (peer, since) in self.heard_since.iter_mut().enumerate() {
+        self.reachable_since.resize(membership.peers.len(), None);
+        for (peer, since) in self.reachable_since.iter_mut().enumerate() {
             let is_heard = membership.is_heard(outbox, peer);
             *since = since.or(Some(now)).filter(|_| is_heard);
         }
@@ -148,7 +149,7 @@
         outbox.send_to_store(Urgency::Renewal, request, AssignmentRequest::Probe);
     }
 
-    /// Takes in the records of who owns the shards.
+    /// Records the owners and terms of all shards from the answer to a probe.
     pub fn handle_probe_answer(&mut self, outbox: &Outbox, answer: &CallResult) {
         self.probe_in_flight = false;
         let Some(listing) = decode_ok::<Listing>(answer) else {
@@ -176,11 +177,11 @@
     fn read_record(&mut self, item: &StoredValue, records: &mut BTreeMap<u32, AssignmentRecords>) {
         let Some((shard, kind)) = parse_assignment_key(&item.key) else {
             if self.malformed_keys.insert(item.key.clone()) {
-                tracing::error!(key = %item.key, "a key names no shard");
+                tracing::error!(key = %item.key, "cannot parse shard assignment key");
             }
             return;
         };
-        // Shard 0 is the leader's, which has keys of its own.
+        // Shard 0 belongs to the leader, which has keys of its own.
         let Some(record) = item.decode::<LeaseRecord>().filter(|_| shard > 0) else {
             return;
         };
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Takes in the answer to a request for a lease. The terms of all shards are read once more before a takeover: one
-    /// counter serves them all.
+    /// Handles the answer to a request for a store lease. Before the takeover, the terms are read once more, because
+    /// one counter serves the terms of all shards.
     pub fn handle_lease_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -218,7 +219,7 @@
         outbox.send_to_store(Urgency::Renewal, request, pending);
     }
 
-    /// Takes in the terms there are, and takes over the shard if that is still allowed.
+    /// Handles the answer to a read of the terms, and takes over the shard if this is still allowed.
     pub fn handle_terms_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -237,7 +238,8 @@
         outbox.send_to_store(Urgency::Renewal, transaction.to_request(), pending);
     }
 
-    /// A shard was not taken over, or nothing is known of it; `status` is the answer's, if one came.
+    /// Handles a takeover that was refused or whose outcome is unknown; `status` is the status of the answer, if one
+    /// arrived.
     pub fn takeover_failed(
         &mut self,
         outbox: &mut Outbox,
@@ -254,8 +256,9 @@
 
     // ---- Transfers ----
 
-    /// A shard to transfer: while this controller owns several, and a peer that has been reachable for a while and reaches
-    /// the state service owns none. That peer takes the shard over, since its turn is first.
+    /// Returns a shard to transfer. There is one only while this controller owns several shards, and a peer that owns
+    /// none has been reachable for a while and reaches the state service. That peer takes over the shard, because it
+    /// comes first in the takeover order.
     pub fn shard_to_transfer(
         &self,
         outbox: &Outbox,
@@ -278,29 +281,29 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// Whether the peer could own a shard and owns none.
+    /// Whether the peer owns no shard and is able to own one.
     fn is_idle(&self, membership: &Membership, peer: usize, now: Micros) -> bool {
-        let heard_since = self.heard_since.get(peer).copied().flatten();
+        let reachable_since = self.reachable_since.get(peer).copied().flatten();
         let status = &membership.peers[peer];
-        heard_since.is_some_and(|since| now > since + PEER_STABLE_TIME)
+        reachable_since.is_some_and(|since| now > since + PEER_STABLE_TIME)
             && status.store_reachable
             && status.leading_term == 0
             && status.shard_loads.is_empty()
     }
 
-    /// This controller does not own the shard any more, and gives its lease back.
+    /// Revokes the store lease of a shard that this controller no longer owns.
     pub fn handle_step_down(
         &mut self,
         outbox: &mut Outbox,
         shard: u32,
         store_lease: u64,
-        how: StepDown,
+        kind: StepDownKind,
     ) {
         let now = outbox.clock.now;
-        if how == StepDown::Transferred {
+        if kind == StepDownKind::Transferred {
             self.last_transfer_at = Some(now);
         }
-        if how != StepDown::Ended {
+        if kind != StepDownKind::Ended {
             self.assignment(outbox, shard)
                 .election
                 .abstain(now + ABSTAIN_AFTER_TRANSFER);
@@ -311,7 +314,8 @@
 }
 
 impl ShardAssignment {
-    /// Asks peers about the last term's watermarks and revokes what is left of a failed takeover, as either is due.
+    /// Asks the peers about the last term's watermarks and revokes the store lease of a failed takeover, each when
+    /// due.
     fn tick(&mut self, outbox: &mut Outbox, membership: &Membership, shard: u32) {
         let now = outbox.clock.now;
         if let Some(term) = self.election.watermark_query_due(now) {
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Begins to take over a shard that nobody owns, once it is this controller's turn.
+    /// Begins the takeover of an unowned shard once it is this controller's turn.
     fn campaign(
         &mut self,
         outbox: &mut Outbox,
@@ -354,8 +358,8 @@
     }
 }
 
-/// This controller's place in the order in which the controllers that are heard take over a shard: those that own the
-/// fewest shards first, and among equals each shard begins with a different one.
+/// Returns this controller's rank in the order in which the reachable controllers take over a shard: controllers with
+/// the fewest shards come first, and among equals each shard's order begins with a different controller.
 fn takeover_rank(
     outbox: &Outbox,
     membership: &Membership,
@@ -368,8 +372,8 @@
     }
     let own_name = outbox.settings.name.as_str();
     let peers = outbox.settings.peers.iter().enumerate();
-    let heard = peers.filter(|(peer, _)| membership.is_heard(outbox, *peer));
-    let mut candidates: Vec<Candidate<'_>> = heard
+    let reachable = peers.filter(|(peer, _)| membership.is_heard(outbox, *peer));
+    let mut candidates: Vec<Candidate<'_>> = reachable
         .map(|(peer, settings)| Candidate {
             owned_shards: membership.peers[peer].shard_loads.len(),
             name: &settings.name,
@@ -387,7 +391,7 @@
     candidates.iter().position(own).unwrap_or(0)
 }
 
-/// The record and transaction that make this controller the owner of a shard.
+/// Returns the record and the transaction that make this controller the owner of a shard.
 fn takeover(
     election: &Election,
     own_name: &str,
@@ -429,7 +433,7 @@
     stored.unwrap_or_default()
 }
 
-/// The shard of a key, and what of it the key holds.
+/// Parses a key into its shard and the kind of record that the key holds.
 fn parse_assignment_key(key: &str) -> Option<(u32, &str)> {
     let rest = key.strip_prefix(SHARD_ASSIGNMENT_PREFIX)?;
     let (shard, kind) = rest.split_once('/')?;
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -1,10 +1,10 @@
-//! Owning a shard: the machines of the shard, what runs on them, and what is written of it, under one lease.
+//! Ownership of one shard under one lease: the shard's machines, the tasks on them, and all writes of their state.
 //!
-//! | part | what it does |
+//! | part | purpose |
 //! | --- | --- |
 //! | [`recovery`] | reads the shard's state from the state service after a takeover |
 //! | [`watch`] | follows changes of jobs that other controllers make |
-//! | [`writes`] | writes what has changed in memory, and reads back what is in doubt |
+//! | [`writes`] | writes changes in memory to the state service, and rereads keys whose stored values are in doubt |
 
 mod recovery;
 mod watch;
@@ -35,105 +35,110 @@
 use crate::wire::store::StoreRequest;
 use crate::wire::worker::{CommandsRequest, HeartbeatResponse, WorkerHeartbeat};
 
-/// An owner that hears neither workers nor peers for this long steps down.
+/// Time without a message from any worker or peer after which an owner steps down.
 const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
-/// Jobs whose progress one heartbeat to the peers tells.
-const MAX_RUNNING_JOBS_TOLD: usize = 2000;
-/// Scheduling passes and plans of the fleet are made at most this often.
+/// Maximum number of running jobs of one shard in a heartbeat to the peers.
+const MAX_REPORTED_RUNNING_JOBS: usize = 2000;
+/// Minimum interval between scheduling passes.
 const MIN_PASS_INTERVAL: Micros = 100_000;
+/// Minimum interval between plans of the fleet.
 const MIN_PLAN_INTERVAL: Micros = 500_000;
-/// A scheduling pass is made at least this often, even if nothing calls for one.
+/// Maximum interval between scheduling passes, even if no change requires a pass.
 const MAX_PASS_INTERVAL: Micros = SECOND;
 
-/// The owner of one shard for as long as its lease lasts.
+/// The owner of one shard. Exists only while the lease lasts.
 #[derive(Debug)]
 pub(super) struct ShardOwner {
-    /// The answer to a heartbeat that leads to no order: most do not.
+    /// Answer to a heartbeat that results in no orders, as most heartbeats do.
     empty_response: Response,
     pub lease: ShardLease,
     pub cluster: Cluster,
-    /// Why it has to step down, if it has to.
+    /// Reason for which the owner has to step down, if there is one.
     pub end_reason: Option<EndReason>,
-    /// When it last heard a worker or a peer.
+    /// Time of the last message from a worker or a peer.
     pub last_heard_at: Option<Micros>,
     load: LoadProgress,
-    /// All changes of jobs up to this version of the state service have been applied.
+    /// Version of the state service up to which all changes of jobs have been applied.
     pub watched_version: u64,
     watch: JobWatch,
     writes: WriteProgress,
     next_pass_at: Micros,
     next_plan_at: Micros,
-    /// The shard's part of the teams' limits.
+    /// Maintains the shard's part of the teams' limits.
     quota_partitioner: QuotaPartitioner,
 }
 
-/// How far the reading of the shard's state is.
+/// Progress of reading the shard's state.
 #[derive(Debug, Default)]
 struct LoadProgress {
-    /// What is being read.
+    /// Stage that is being read.
     stage: LoadStage,
-    /// Everything has been read once. Later reads are of jobs alone.
+    /// Whether the whole state has been read once. Later reads concern jobs alone.
     was_loaded: bool,
     started_at: Micros,
-    /// When a read that failed is to be made again.
+    /// Time at which to retry a failed read.
     retry_at: Option<Micros>,
-    /// What has been read of the ledger before it can be opened.
+    /// Head of the ledger, kept until all pages have been read and the ledger can be opened.
     ledger_head: Option<Head>,
+    /// Pages of the ledger with their versions, read so far.
     ledger_pages: Vec<(Page, u64)>,
-    /// When machines that were given to the shard are to be read again.
+    /// Time of the next read of machines that were transferred to the shard.
     transfers_read_at: Micros,
 }
 
-/// How changes of jobs come in that other controllers make.
+/// Progress of following the changes of jobs that other controllers store.
 #[derive(Debug, Default)]
 struct JobWatch {
     in_flight: bool,
     sent_at: Micros,
     next_at: Micros,
-    /// A read of changes beside the watch is under way, and when the next one may be made.
+    /// Whether a read of changes beside the watch is under way.
     catch_up_in_flight: bool,
+    /// Earliest time of the next read of changes beside the watch.
     catch_up_at: Micros,
-    /// Changes that peers told of and that the watch has not brought yet, in the order in which they were told.
+    /// Changes that were announced and that the watch has not brought yet, in the order of their announcement.
     expected_changes: VecDeque<ExpectedChange>,
 }
 
-/// A change that a peer told of.
+/// A change of a job that a peer or a user of this controller announced.
 #[derive(Debug)]
 struct ExpectedChange {
-    /// When the watch should have brought it.
+    /// Time by which the watch should have brought the change.
     due: Micros,
-    /// The version of the state service in which it was stored.
+    /// Version of the state service in which the change was stored.
     version: u64,
     key: String,
 }
 
-/// How changes in memory get into the state service.
+/// Progress of writing changes in memory to the state service.
 #[derive(Debug, Default)]
 struct WriteProgress {
-    /// A transaction is under way, and when the next one may be sent.
+    /// Whether a transaction is under way.
     in_flight: bool,
+    /// Earliest time of the next transaction.
     next_at: Micros,
-    /// Keys whose stored values are in doubt, and when they may be read.
+    /// Keys whose stored values are in doubt.
     keys_to_reread: BTreeSet<String>,
+    /// Earliest time to read the keys in doubt.
     reread_at: Micros,
     rereads_in_flight: usize,
 }
 
-/// The shards that this controller owns, by their number. The owner of shard 0 is the leader.
+/// Owners of the shards that this controller owns, by shard number. The owner of shard 0 is the leader.
 pub(super) type ShardOwners = BTreeMap<u32, Box<ShardOwner>>;
 
-/// What becomes of a worker's heartbeat at a shard's owner.
+/// Outcome of a worker's heartbeat at a shard owner.
 pub(super) enum HeartbeatAnswer {
-    /// It is answered.
+    /// The heartbeat is answered with this response.
     Answered(Response),
-    /// Its machine is another shard's; `None` if it is not known which one.
+    /// The machine belongs to another shard; `None` if that shard is not known.
     OtherShard(Option<u32>),
-    /// It can be answered only once the shard's state has been read.
+    /// The heartbeat can be answered only after the shard's state has been read.
     AfterLoad,
 }
 
 impl ShardOwner {
-    /// The owner of a shard that was just taken over. Nothing of the shard's state has been read yet.
+    /// Creates the owner of a shard that was just taken over, before any of the shard's state has been read.
     pub fn new(lease: ShardLease, cluster: Cluster) -> ShardOwner {
         let no_orders = HeartbeatResponse {
             token: lease.term,
@@ -155,29 +160,31 @@
         }
     }
 
-    /// Whether all that was stored at the takeover has been read.
+    /// Whether the shard's stored state has been read completely.
     pub fn is_loaded(&self) -> bool {
         self.load.stage == LoadStage::Loaded
     }
 
-    /// Whether the machine is this shard's.
+    /// Whether the machine belongs to this shard.
     pub fn owns_machine(&self, machine: &str) -> bool {
         self.cluster.machines.contains_key(machine)
     }
 
-    /// Jobs with tasks on machines, for peers to tell users of.
+    /// Returns the jobs with tasks on machines, so that peers can report their progress to users.
     pub fn running_jobs(&self) -> Vec<RunningJob> {
         let running = self.cluster.jobs.values();
         let running = running.filter(|job| job.live_count() > 0);
-        let told = running.take(MAX_RUNNING_JOBS_TOLD).map(|job| RunningJob {
-            job: job.id.to_string(),
-            tasks: job.live_count(),
-            done: job.tasks.done.len(),
-        });
-        told.collect()
+        let reported = running
+            .take(MAX_REPORTED_RUNNING_JOBS)
+            .map(|job| RunningJob {
+                job: job.id.to_string(),
+                tasks: job.live_count(),
+                done: job.tasks.done.len(),
+            });
+        reported.collect()
     }
 
-    /// How far a job of this shard is.
+    /// Returns the progress of a job of this shard.
     pub fn progress(&self, id: &JobId) -> Option<JobProgress> {
         self.cluster.jobs.get(id).map(|job| JobProgress {
             running: job.live_count(),
@@ -185,7 +192,7 @@
         })
     }
 
-    /// Queues a request to the state service whose answer comes back to [`ShardOwner::handle_store_answer`].
+    /// Queues a request to the state service. Its answer returns to [`ShardOwner::handle_store_answer`].
     fn send_to_store(
         &self,
         outbox: &mut Outbox,
@@ -200,8 +207,8 @@
         outbox.send_to_store(urgency, request, pending);
     }
 
-    /// Takes in the answer to a request of this owner. `usage_replica` is what this controller knows of usage that earlier
-    /// leaders had not charged yet.
+    /// Handles the answer to a request of this owner. `usage_replica` holds this controller's knowledge of usage that
+    /// earlier leaders had not charged yet.
     pub fn handle_store_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -252,7 +259,7 @@
         }
     }
 
-    /// Starts nothing while there may be a newer configuration than is known here.
+    /// Pauses the start of tasks while there may be a newer configuration than the one known here.
     pub fn update_start_hold(&mut self, outbox: &Outbox) {
         self.cluster.starts_paused = outbox.configuration.must_hold_starts(outbox.clock.now);
     }
@@ -270,16 +277,16 @@
         let heartbeat: WorkerHeartbeat<'_> = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => {
-                tracing::debug!(error = %e, "a heartbeat cannot be parsed");
-                return error(400, "not a report");
+                tracing::debug!(error = %e, "cannot parse heartbeat");
+                return error(400, "cannot parse heartbeat");
             }
         };
         if !self.is_loaded() && self.lease.shard != 0 {
-            // Whether the machine is this shard's is not known yet.
-            return error(503, "the state is being read");
+            // The owner does not know yet whether the machine belongs to this shard.
+            return error(503, "the shard's state is still being read");
         }
         if !self.is_loaded() && heartbeat.token <= self.lease.term {
-            // What it runs may be cancelled, and an answer would renew its lease all the same.
+            // The worker's tasks may be cancelled, and an answer would renew the worker's lease nevertheless.
             return HeartbeatAnswer::AfterLoad;
         }
         match self.cluster.apply_heartbeat(now, &heartbeat) {
@@ -294,15 +301,15 @@
                 HeartbeatAnswer::Answered(Response::json(200, &body))
             }
             HeartbeatOutcome::OtherShard(shard) => HeartbeatAnswer::OtherShard(shard),
-            HeartbeatOutcome::Stale => error(503, "an old report"),
+            HeartbeatOutcome::Stale => error(503, "heartbeat is out of date"),
             HeartbeatOutcome::Deposed => {
                 self.end_reason = Some(EndReason::HigherToken);
-                error(503, "not leading")
+                error(503, "this controller no longer owns the shard")
             }
         }
     }
 
-    /// Tells workers of cancelled tasks at once, beside the answers to their heartbeats.
+    /// Sends kill orders for cancelled tasks to workers without delay, besides the answers to their heartbeats.
     pub fn send_kill_orders(&mut self, outbox: &mut Outbox) {
         for delivery in self.cluster.next_kill_orders(outbox.clock.now) {
             let KillOrderDelivery {
@@ -315,13 +322,13 @@
                 incarnation,
                 orders: &orders,
             };
-            outbox.command_worker(address, Response::json(200, &commands).body);
+            outbox.send_worker_commands(address, Response::json(200, &commands).body);
         }
     }
 
     // ---- The fleet ----
 
-    /// Makes the calls to the cloud that the plan of the fleet asks for.
+    /// Plans the fleet if a plan is due, and makes the resulting calls to the cloud.
     fn plan_fleet(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if now < self.next_plan_at.max(self.cluster.passes.next_plan_at) {
@@ -334,11 +341,11 @@
         }
     }
 
-    /// Takes in an answer of the cloud.
+    /// Handles the cloud's answer to a call of this owner.
     pub fn handle_cloud_answer(&mut self, outbox: &Outbox, call: CloudCall, answer: &CallResult) {
         let now = outbox.clock.now;
         if matches!(call, CloudCall::Provision { .. }) {
-            // A refusal leads to the next best offer without delay.
+            // After a refusal, the next best offer is tried without delay.
             self.next_plan_at = now;
         }
         self.cluster.apply_cloud_answer(call, answer, now);
@@ -347,7 +354,7 @@
 
     // ---- Time ----
 
-    /// Does what is due.
+    /// Does all periodic work that is due.
     pub fn tick(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         self.update_start_hold(outbox);
@@ -382,8 +389,8 @@
         has_peers && self.last_heard_at.is_some_and(is_silent)
     }
 
-    /// Makes a scheduling pass if one is due. Passes are spaced by what they cost: heartbeats, renewals and users come
-    /// first.
+    /// Runs a scheduling pass if one is due. Passes are spaced according to their cost, because heartbeats,
+    /// renewals and users' requests take precedence.
     fn schedule(&mut self, now: Micros) {
         let is_due =
             self.cluster.passes.needed || now >= self.cluster.passes.last_at + MAX_PASS_INTERVAL;
--- a/crates/gannethub-core/src/controller/shard_owner/recovery.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/recovery.rs
@@ -1,5 +1,5 @@
-//! Reading what the state service holds for a shard: all of it after a takeover, and machines that are given to the shard
-//! later.
+//! Reading a shard's state from the state service: the whole state after a takeover, and later the machines that are
+//! transferred to the shard.
 
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::Head;
@@ -19,14 +19,15 @@
     self, DonePartRecord, Listing, MachineTransferRecord, StoreRequest, StoredValue,
 };
 
-/// Machines that were given to the shard are read this often.
+/// Interval between reads of machines that were transferred to the shard.
 const TRANSFERS_READ_INTERVAL: Micros = SECOND;
-/// A read that failed is made again after this time.
+/// Delay before a failed read is retried.
 const LOAD_RETRY_INTERVAL: Micros = 300_000;
 
 impl ShardOwner {
-    /// Reads on: the page of the present stage that follows the key `after`, or the first one if that is empty. Stages that
-    /// are not needed here are left out. When all have been read, the shard's machines are scheduled on.
+    /// Requests the page of the current stage that follows the key `after`, or the stage's first page if `after` is
+    /// empty. Unneeded stages are skipped. After the last stage the load is complete, and scheduling on the shard's
+    /// machines can begin.
     pub fn load_next(&mut self, outbox: &mut Outbox, after: &str) {
         self.skip_unneeded_stages(outbox);
         let stage = self.load.stage;
@@ -53,7 +54,7 @@
         if self.load.stage.is_for_several_shards() && !outbox.is_sharded {
             self.load.stage = LoadStage::LedgerHead;
         }
-        // Later reads find the ledger open already, and whoever keeps none has nothing to read.
+        // On later reads the ledger is already open, and a controller that keeps no ledger has none to read.
         let needs_ledger = !self.load.was_loaded && outbox.settings.ledger.is_some();
         if self.load.stage >= LoadStage::LedgerHead && !needs_ledger {
             self.load.stage = LoadStage::Loaded;
@@ -89,7 +90,7 @@
         self.cluster.finish_loading(outbox.clock.now);
     }
 
-    /// Makes a read again that failed some time ago. Reading a page twice does no harm.
+    /// Retries a failed read once its delay is over. Reading a page twice is harmless.
     pub(super) fn retry_load(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.load.retry_at.take_if(|at| *at <= now).is_some() {
@@ -149,10 +150,10 @@
             LoadStage::LedgerPages => match item.decode::<Page>() {
                 Some(page) => self.load.ledger_pages.push((page, item.version)),
                 None => {
-                    tracing::error!(key = %item.key, "a page of the ledger cannot be read; it is kept as it is")
+                    tracing::error!(key = %item.key, "cannot parse ledger page; the stored page is left unchanged")
                 }
             },
-            // After the first time the owner knows better: nobody else writes these.
+            // After the first load the owner's own records are newer, because nobody else writes these.
             _ if self.load.was_loaded => {}
             LoadStage::Transfers => self.apply_transfer_record(item, now),
             LoadStage::QuotaPartitions => self.quota_partitioner.add_record(item),
@@ -190,8 +191,12 @@
         self.load.stage = match self.load.ledger_head {
             Some(_) => LoadStage::LedgerPages,
             None => {
-                // Where the ledger stands is not known: nothing is charged in this term, and nothing overwritten.
-                tracing::error!(key = store::LEDGER_HEAD_KEY, "the ledger cannot be kept");
+                // Without the head, the position in the ledger is unknown: in this term nothing is charged and no
+                // page is overwritten.
+                tracing::error!(
+                    key = store::LEDGER_HEAD_KEY,
+                    "cannot parse ledger head; no usage is charged in this term"
+                );
                 LoadStage::Loaded
             }
         };
@@ -200,7 +205,8 @@
 
     // ---- Machines from other shards ----
 
-    /// Reads now and then which machines were given to this shard. Shard 0 only gives machines away.
+    /// Reads periodically which machines were transferred to this shard. Shard 0 only transfers machines to other
+    /// shards.
     pub(super) fn read_transfers(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         let shard = self.lease.shard;
@@ -221,7 +227,7 @@
         }
     }
 
-    /// A machine that was given to a shard and is in none of its records yet.
+    /// Applies the record of a machine that was transferred to a shard and is in none of the shard's chunks yet.
     fn apply_transfer_record(&mut self, item: &StoredValue, now: Micros) {
         let Some((shard, machine)) = parse_transfer_key(&item.key) else {
             return;
@@ -237,7 +243,7 @@
     }
 }
 
-/// The shard that a machine is given to, and the machine's name.
+/// Returns the shard to which a machine is transferred, and the machine's name.
 fn parse_transfer_key(key: &str) -> Option<(u32, &str)> {
     let rest = key.strip_prefix(store::MACHINE_TRANSFER_PREFIX)?;
     let (shard, machine) = rest.split_once('/')?;
--- a/crates/gannethub-core/src/controller/shard_owner/watch.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/watch.rs
@@ -1,7 +1,9 @@
-//! Following the changes of jobs that other controllers store: by a watch, by reads beside it, and by what peers tell.
+//! Following the changes of jobs that other controllers store: by a watch, by reads beside the watch, and by
+//! announcements of peers.
 //!
-//! The watch alone is not enough. It may hang in a network partition while everything else works, and where nothing
-//! changes its answer is as old as its question; but an owner must know which jobs are cancelled, or step down.
+//! The watch alone is not enough. The watch may hang in a network partition while everything else works, and where
+//! nothing changes, its answer proves knowledge only up to the time of its request. An owner must know which jobs are
+//! cancelled, or step down.
 
 use super::{ExpectedChange, ShardOwner};
 use crate::controller::load_stage::LoadStage;
@@ -13,17 +15,17 @@
 use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::store::{self, Change, ChangeLog, LiveRecord, StoreRequest};
 
-/// The watch should have brought a change by this time after a peer told of it.
+/// Time after a change's announcement by which the watch should have brought the change.
 const WATCH_TIMEOUT: Micros = 400_000;
-/// The watch is opened at most this often, however much is written.
+/// Minimum interval between watch requests, regardless of the write rate.
 const MIN_WATCH_INTERVAL: Micros = 100_000;
-/// A watch that failed is opened again after this time.
+/// Delay before a failed watch is opened again.
 const WATCH_RETRY_INTERVAL: Micros = 500_000;
-/// Changes are read beside the watch at most this often.
+/// Minimum interval between reads of changes beside the watch.
 const CATCH_UP_INTERVAL: Micros = SECOND;
 
 impl ShardOwner {
-    /// Opens the watch, unless it is open.
+    /// Opens the watch, unless the watch is already open or its interval is not over.
     pub(super) fn send_watch(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.watch.in_flight || now < self.watch.next_at {
@@ -47,8 +49,8 @@
         }
     }
 
-    /// The watch is too far behind: the state service does not keep the changes any more. All live jobs are read again;
-    /// those that have ended meanwhile are found by reading back every job that is known here.
+    /// Reads all live jobs again, because the watch is too far behind: the state service no longer keeps the changes.
+    /// Jobs that have ended in the meantime are found by rereading every job known to this owner.
     fn reload_jobs(&mut self, outbox: &mut Outbox) {
         tracing::info!("the watch fell behind; reading all jobs again");
         let waiting = self.cluster.pipelines.waiting.keys();
@@ -61,7 +63,7 @@
         self.load_next(outbox, "");
     }
 
-    /// Reads what has changed when that has not been known for a while.
+    /// Reads changes beside the watch if the owner's knowledge of changes has not been confirmed for a while.
     pub(super) fn catch_up(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.watch.catch_up_in_flight
@@ -84,7 +86,7 @@
         answer: &CallResult,
     ) {
         self.watch.catch_up_in_flight = false;
-        // If it is too far behind, the watch finds that out.
+        // A version too far behind for this read is also noticed and handled by the watch.
         if self.is_loaded()
             && let Some(log) = decode_ok::<ChangeLog>(answer)
         {
@@ -92,15 +94,15 @@
         }
     }
 
-    /// Applies what has changed up to an answer whose request was sent at `sent_at`. The watch and the reads beside it may
-    /// overtake each other, so changes that were applied already are skipped.
+    /// Applies the changes in the answer to a request that was sent at `sent_at`. The watch and the reads beside it
+    /// may overtake each other, so changes that were already applied are skipped.
     fn apply_changes(&mut self, outbox: &mut Outbox, log: ChangeLog, sent_at: Micros) {
         outbox.configuration.apply_changes(&log.changes);
         outbox.configuration.confirm_newest(sent_at);
         let watched_version = self.watched_version;
         let changes = log.changes.iter();
-        let of_jobs = changes.filter(|change| change.key() != Some(CURRENT_VERSION_KEY));
-        for change in of_jobs.filter(|change| change.version > watched_version) {
+        let job_changes = changes.filter(|change| change.key() != Some(CURRENT_VERSION_KEY));
+        for change in job_changes.filter(|change| change.version > watched_version) {
             self.apply_job_change(change, outbox.clock.now);
         }
         self.watched_version = self.watched_version.max(log.version);
@@ -124,17 +126,18 @@
         }
         match LiveRecord::parse(value.get()) {
             Ok(record) => {
-                // New work is planned for at once: a machine takes long enough to boot.
+                // The fleet is planned for new jobs without delay, because the boot of a machine takes long enough
+                // already.
                 self.next_plan_at = now;
                 self.cluster.apply_live_record(id, record, change.version);
             }
-            Err(e) => tracing::error!(job = id, error = %e, "a job's value is not ours"),
+            Err(e) => tracing::error!(job = id, error = %e, "cannot parse job record"),
         }
         self.cluster.passes.needed = true;
     }
 
-    /// A peer, or a user of this controller, has changed a job in this version of the state service. The job is read if the
-    /// watch does not bring the change soon.
+    /// Records the announcement that a peer, or a user of this controller, has changed a job in this version of the
+    /// state service. The job is reread if the watch does not bring the change within [`WATCH_TIMEOUT`].
     pub fn expect_change(&mut self, outbox: &Outbox, id: &str, version: u64) {
         if self.watched_version < version {
             self.watch.expected_changes.push_back(ExpectedChange {
@@ -145,18 +148,18 @@
         }
     }
 
-    /// Has the jobs read whose changes the watch should have brought by now.
+    /// Marks jobs to be reread whose announced changes the watch should have brought by now.
     pub(super) fn check_expected_changes(&mut self, now: Micros) {
         while let Some(change) = self.watch.expected_changes.front() {
-            let has_come = self.watched_version >= change.version;
-            if !has_come && now < change.due {
+            let has_arrived = self.watched_version >= change.version;
+            if !has_arrived && now < change.due {
                 break;
             }
             let overdue = self
                 .watch
                 .expected_changes
                 .pop_front()
-                .filter(|_| !has_come);
+                .filter(|_| !has_arrived);
             self.writes
                 .keys_to_reread
                 .extend(overdue.map(|change| change.key));
@@ -164,7 +167,7 @@
     }
 }
 
-/// The job whose live record is under this key.
+/// Returns the job whose live record is stored under this key.
 fn live_job_id(key: Option<&str>) -> Option<&str> {
     key?.strip_prefix(store::LIVE_JOB_PREFIX)
 }
--- a/crates/gannethub-core/src/controller/shard_owner/writes.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/writes.rs
@@ -1,5 +1,5 @@
-//! Writing what has changed in memory, one transaction at a time, and reading back every key whose stored value is in
-//! doubt after a transaction that failed or had no answer.
+//! Writing changes in memory to the state service, one transaction at a time, and rereading every key whose stored
+//! value is in doubt after a transaction that failed or got no answer.
 
 use super::ShardOwner;
 use crate::controller::end_reason::EndReason;
@@ -12,17 +12,18 @@
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, Committed, Conflict, FinishedJobRecord, StoreRequest};
 
-/// Transactions are sent at most this often, so that changes that come together are written together.
+/// Minimum interval between transactions, so that changes that occur together are written together.
 const MIN_WRITE_INTERVAL: Micros = 100_000;
-/// A transaction that was refused is tried again after this time.
+/// Delay after a transaction that the state service refused with status 429 or 503.
 const WRITE_RETRY_INTERVAL: Micros = 300_000;
-/// Keys in doubt are read at most this often.
+/// Minimum interval between reads of the keys in doubt.
 const MIN_REREAD_INTERVAL: Micros = 300_000;
-/// The pause after a rejected transaction doubles with each one in a row, up to this many.
+/// Maximum number of doublings of the delay after a rejected transaction. The delay doubles with each consecutive
+/// rejection.
 const MAX_REJECTION_DOUBLINGS: u32 = 6;
 
 impl ShardOwner {
-    /// Sends the next transaction, unless one is under way.
+    /// Sends the next transaction, unless one is under way or the interval is not over.
     pub(super) fn write_batch(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.writes.in_flight || now < self.writes.next_at {
@@ -76,12 +77,12 @@
         self.write_failed(now, batch);
     }
 
-    /// The state service does not take the transaction as it is. Smaller ones are tried, and more and more rarely: it may
-    /// allow less than is known here.
+    /// Handles the rejection of a transaction by the state service. Smaller transactions are tried at growing
+    /// intervals, because the limits of the state service may be lower than the limits known here.
     fn handle_write_rejection(&mut self, now: Micros, batch: WriteBatch, answer: &Answer) {
         let (status, reason) = (answer.status, String::from_utf8_lossy(&answer.body));
         let reason = reason.into_owned();
-        tracing::error!(status, reason, "the state service refuses a transaction");
+        tracing::error!(status, reason, "state service rejected transaction");
         self.cluster.store_writes.transaction_rejections += 1;
         let doublings = self
             .cluster
@@ -92,7 +93,7 @@
         self.write_failed(now, batch);
     }
 
-    /// Whether the transaction was carried out is not known: all of its keys are read back.
+    /// Marks all keys of a transaction to be reread, because it is not known whether the transaction was carried out.
     fn write_failed(&mut self, now: Micros, batch: WriteBatch) {
         self.cluster.transaction_failed(&batch, true, now);
         self.writes
@@ -103,7 +104,7 @@
 
     // ---- Keys in doubt ----
 
-    /// Reads all keys that are in doubt, once those read before have been answered.
+    /// Reads all keys that are in doubt, once all earlier reads have been answered.
     pub(super) fn reread_keys(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         self.check_expected_changes(now);
@@ -152,8 +153,8 @@
         }
     }
 
-    /// A job whose record was in doubt has been read. One that is not among the live ones is over; how it ended is read
-    /// next.
+    /// Handles the reread of a job whose record was in doubt. A job without a live record has ended, and its outcome
+    /// is read next.
     fn handle_job_reread(&mut self, outbox: &mut Outbox, id: JobId, read: &KeyRead) {
         if let KeyRead::Found(item) = read {
             if let Some(record) = item.as_live_record() {
@@ -185,8 +186,8 @@
 
     // ---- Owners of finished jobs ----
 
-    /// Reads whose jobs were that were finished before the end of one of their attempts was found. The ledger charges the
-    /// attempt to them.
+    /// Reads the owners of jobs that finished before the end of one of their attempts was found. The ledger charges
+    /// the attempt to the job's owner.
     pub(super) fn read_job_owners(&mut self, outbox: &mut Outbox) {
         for job in self.cluster.owners_to_read(outbox.clock.now) {
             let request = StoreRequest::get(&store::finished_job_key(&job));
@@ -204,7 +205,7 @@
         let owner = match KeyRead::from(answer) {
             KeyRead::Found(item) => item.decode::<FinishedJobRecord>().and_then(|end| end.owner),
             KeyRead::Unreadable | KeyRead::Absent { .. } => None,
-            // It is read again.
+            // The read is repeated by a later tick.
             KeyRead::Failed => return,
         };
         self.cluster.usage_owner_read(job, owner, outbox.clock.now);
--- a/crates/gannethub-core/src/controller/ticking.rs
+++ b/crates/gannethub-core/src/controller/ticking.rs
@@ -1,4 +1,4 @@
-//! What a controller does as time passes, and what its parts tell each other then.
+//! Periodic work of a controller, and the information that its parts share on a tick.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,11 @@
 use crate::wire::cloud::CloudRequest;
 use crate::wire::peer::{Body, JobChanged};
 
-/// The cloud is asked this often for its machine types until it has told them.
+/// Interval between requests to the cloud for its machine types, until the cloud has answered.
 const MACHINE_TYPES_RETRY_INTERVAL: Micros = 2 * SECOND;
 
 impl Controller {
-    /// Does what is due.
+    /// Does all periodic work that is due.
     pub(super) fn tick(&mut self) {
         self.refuse_overdue_requests();
         self.outbox.recover_rate();
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Reads how jobs ended that others wait for.
+    /// Reads the outcomes of finished upstream jobs for which downstream jobs wait.
     pub(super) fn read_dependency_outcomes(&mut self) {
         let leader = self.shard_owners.get(&0).map(|leader| &**leader);
         self.job_api
             .read_dependency_outcomes(&mut self.outbox, leader);
     }
 
-    /// Tells workers of cancelled tasks at once.
+    /// Sends kill orders for cancelled tasks to workers without delay.
     pub(super) fn send_kill_orders(&mut self) {
         let owners = self.shard_owners.values_mut();
         for owner in owners.filter(|owner| owner.is_loaded()) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Tells the peers of usage that the leader has not charged yet.
+    /// Sends to the peers the usage records that the leader has not charged yet.
     pub(super) fn send_usage_records(&mut self) {
         let now = self.outbox.clock.now;
         let Some(leader) = self.shard_owners.get_mut(&0) else {
@@ -98,13 +98,13 @@
 
     // ---- Changes of jobs ----
 
-    /// Tells the shards' owners what users have changed here.
+    /// Announces the changes of jobs that users made through this controller to the shards' owners.
     pub(super) fn announce_job_changes(&mut self) {
         for change in std::mem::take(&mut self.job_api.job_changes) {
             self.announce_job_change(&change);
         }
-        // Users are told by the replica, which may be ahead of an owner's watch: what they are told is cancelled is not
-        // launched here from then on.
+        // Users get their answers from the job replica, which may be ahead of an owner's watch. From the moment users
+        // may be told of a cancellation, this controller must not launch the job.
         for job in self.job_api.job_replica.take_new_cancellations() {
             for owner in self.shard_owners.values_mut() {
                 owner.cluster.apply_remote_cancellation(&job);
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Tells the leader of a change, and where there are several shards all peers, in case the owner's watch does not: that
-    /// may hang in a network partition.
+    /// Announces a change to the leader, or to all peers if there are several shards, in case the owner's watch does
+    /// not bring the change: the watch may hang in a network partition.
     fn announce_job_change(&mut self, change: &JobChange) {
         for owner in self.shard_owners.values_mut() {
             owner.expect_change(&self.outbox, &change.job, change.version);
@@ -133,8 +133,8 @@
 
     // ---- Loads of shards ----
 
-    /// Gives the loads of all shards to those who go by them: the job API for the shards of new jobs, owners for jobs that
-    /// find no room, and the leader for machines that other shards ask for.
+    /// Shares the loads of all shards within the controller: the job API chooses the shards of new jobs by the loads,
+    /// shard owners transfer jobs that find no capacity, and the leader provides machines that other shards request.
     fn share_shard_loads(&mut self) {
         if !self.outbox.is_sharded {
             return;
@@ -151,7 +151,7 @@
             leader.cluster.other_shards.demand = demand.collect::<BTreeMap<_, _>>();
             refused = leader.cluster.refused_offers();
         }
-        // A shard that is one too many gets no more work, and passes on what it has.
+        // A surplus shard gets no more jobs, and transfers the jobs it has to other shards.
         let shard_count = self.outbox.shard_count();
         loads.retain(|load| load.shard < shard_count);
         for (shard, owner) in &mut self.shard_owners {
