--- a/crates/gannethub-core/src/controller/key_read.rs
+++ b/crates/gannethub-core/src/controller/key_read.rs
@@ -3,16 +3,16 @@
 use crate::http::{Answer, CallResult};
 use crate::wire::store::{Committed, StoredValue};
 
-/// What the answer to a read of one key says.
+/// Result of a read of one key, according to the answer.
 #[derive(Debug)]
 pub(super) enum KeyRead {
-    /// The key is there.
+    /// The key exists.
     Found(StoredValue),
-    /// The key is there, and the answer cannot be parsed.
+    /// The key exists, but the answer cannot be parsed.
     Unreadable,
-    /// The key is not there, as of this version of the state service if the answer says so.
+    /// The key does not exist, as of this version of the state service if the answer contains a version.
     Absent { version: Option<u64> },
-    /// Nothing is known: there was no answer, or a refusal.
+    /// The result is unknown: the read got no answer or was refused.
     Failed,
 }
 
--- a/crates/gannethub-core/src/controller/load_messages.rs
+++ b/crates/gannethub-core/src/controller/load_messages.rs
@@ -1,12 +1,12 @@
-//! Loads of shards and offers of the cloud as peers tell them to each other. Machine types go by their names: two
-//! controllers may have them in another order.
+//! Encoding of shard loads and cloud offers in messages between peers. Messages identify machine types by name,
+//! because two controllers may hold the machine types in a different order.
 
 use crate::model::{MachineType, Resources};
 use crate::state::fleet::Offer;
 use crate::state::shard_load::{ShardLoad, TeamLoad};
 use crate::wire::peer::{OfferAmount, ShardStatus, TeamStatus};
 
-/// An offer and an amount that goes with it.
+/// Encodes an offer and its amount.
 pub(super) fn encode_offer(
     machine_types: &[MachineType],
     offer: &Offer,
@@ -23,19 +23,19 @@
     }
 }
 
-/// The offer that a peer means, if its machine type is known here.
-pub(super) fn decode_offer(machine_types: &[MachineType], told: &OfferAmount) -> Option<Offer> {
+/// Decodes a peer's offer, if its machine type is known here.
+pub(super) fn decode_offer(machine_types: &[MachineType], reported: &OfferAmount) -> Option<Offer> {
     let machine_type = machine_types
         .iter()
-        .position(|machine_type| *machine_type.name == *told.machine_type)?;
+        .position(|machine_type| *machine_type.name == *reported.machine_type)?;
     Some(Offer {
         machine_type,
-        zone: told.zone.clone(),
-        spot: told.spot,
+        zone: reported.zone.clone(),
+        spot: reported.spot,
     })
 }
 
-/// The load of a shard that this controller owns.
+/// Encodes the load of a shard that this controller owns.
 pub(super) fn encode_shard_load(machine_types: &[MachineType], load: &ShardLoad) -> ShardStatus {
     let teams = load.teams.iter().map(|team| TeamStatus {
         used_cpu: team.used.cpu,
@@ -56,33 +56,33 @@
     }
 }
 
-/// The load of a shard that the peer with this index owns.
+/// Decodes the load of a shard that the peer with this index owns.
 pub(super) fn decode_shard_load(
     machine_types: &[MachineType],
-    told: &ShardStatus,
+    reported: &ShardStatus,
     peer: usize,
 ) -> ShardLoad {
-    let teams = told.teams.iter().map(|team| TeamLoad {
+    let teams = reported.teams.iter().map(|team| TeamLoad {
         used: amount(team.used_cpu, team.used_gpu),
         waiting: amount(team.waiting_cpu, team.waiting_gpu),
     });
-    let demand = told.machine_demand.iter().filter_map(|told| {
-        let count = u32::try_from(told.amount).ok();
-        decode_offer(machine_types, told).zip(count)
+    let demand = reported.machine_demand.iter().filter_map(|offer| {
+        let count = u32::try_from(offer.amount).ok();
+        decode_offer(machine_types, offer).zip(count)
     });
     ShardLoad {
-        shard: told.shard,
-        term: told.term,
+        shard: reported.shard,
+        term: reported.term,
         owner: Some(peer),
-        backlog_cpu: told.backlog_cpu,
-        waiting_cpu: told.waiting_cpu,
-        free_cpu: told.free_cpu,
+        backlog_cpu: reported.backlog_cpu,
+        waiting_cpu: reported.waiting_cpu,
+        free_cpu: reported.free_cpu,
         teams: teams.collect(),
         machine_demand: demand.collect(),
     }
 }
 
-/// CPU and GPU as a peer told them, and nothing negative.
+/// Returns CPU and GPU amounts as a peer reported them, with negative values replaced by 0.
 fn amount(cpu: i64, gpu: i64) -> Resources {
     Resources {
         cpu: cpu.max(0),
--- a/crates/gannethub-core/src/controller/load_stage.rs
+++ b/crates/gannethub-core/src/controller/load_stage.rs
@@ -1,32 +1,32 @@
-//! The stages in which a shard's owner reads its state from the state service.
+//! Stages in which a shard owner reads its shard's state from the state service.
 
 use crate::wire::store;
 
-/// One kind of records to be read. The stages follow each other in the order of the variants, and each may take several
-/// pages.
+/// One kind of records to read. The stages follow each other in the order of the variants, and each stage may take
+/// several pages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LoadStage {
     /// Live jobs.
     #[default]
     Jobs,
-    /// Finished tasks that the jobs' own records have no room for.
+    /// Finished tasks that do not fit into the jobs' own records.
     DoneParts,
     /// The shard's own machines.
     Machines,
-    /// Machines on their way from one shard to another. Only where there are several shards.
+    /// Machines in transfer from one shard to another. Read only if there are several shards.
     Transfers,
-    /// What each shard may use of the teams' limits. Only where there are several shards.
+    /// Quota partitions of the shards. Read only if there are several shards.
     QuotaPartitions,
-    /// The ledger's head. Only where a ledger is kept.
+    /// Head of the ledger. Read only if a ledger is kept.
     LedgerHead,
-    /// The ledger's last pages.
+    /// Last pages of the ledger.
     LedgerPages,
     /// Everything has been read.
     Loaded,
 }
 
 impl LoadStage {
-    /// The stage that follows.
+    /// Returns the next stage.
     pub fn next(self) -> LoadStage {
         match self {
             LoadStage::Jobs => LoadStage::DoneParts,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whether it is read only where there are several shards.
+    /// Whether the stage is read only if there are several shards.
     pub fn is_for_several_shards(self) -> bool {
         matches!(self, LoadStage::Transfers | LoadStage::QuotaPartitions)
     }
 
-    /// The prefix under which all keys are listed, where the stage is a listing of all of them.
+    /// Returns the prefix of the stage's keys, if the stage lists all keys with one prefix.
     pub fn listed_prefix(self) -> Option<&'static str> {
         match self {
             LoadStage::Jobs => Some(store::LIVE_JOB_PREFIX),
--- a/crates/gannethub-core/src/controller/store_answers.rs
+++ b/crates/gannethub-core/src/controller/store_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the state service and the cloud, each handed to the part that asked.
+//! Dispatch of answers of the state service and the cloud to the part that sent the request.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::wire::cloud;
 
 impl Controller {
-    /// Takes in what became of a request to the state service.
+    /// Handles the outcome of a request to the state service.
     pub(super) fn handle_store_answer(&mut self, id: u64, answer: CallResult) {
         let Some(request) = self.outbox.pending_requests.remove(&id) else {
             return;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes in what became of a call to the cloud.
+    /// Handles the outcome of a call to the cloud.
     pub(super) fn handle_cloud_answer(&mut self, id: u64, answer: &CallResult) {
         let Some(pending) = self.outbox.pending_cloud_calls.remove(&id) else {
             return;
@@ -150,16 +150,18 @@
     }
 }
 
-/// Has queries answered with what this controller's own shards and the peers that are heard tell of the progress of jobs.
+/// Calls `answer_queries` with a lookup of the progress of jobs, which this controller's own shards and the reachable
+/// peers report.
 fn with_progress(
     membership: &Membership,
     owners: &ShardOwners,
     outbox: &mut Outbox,
     answer_queries: impl FnOnce(&mut Outbox, ProgressLookup<'_>),
 ) {
-    let told = membership.running_jobs(outbox);
-    let of_peers = |job: &JobId| told.iter().find_map(|jobs| jobs.get(&**job).copied());
-    let own = |job: &JobId| owners.values().find_map(|owner| owner.progress(job));
-    let progress = |job: &JobId| -> Option<JobProgress> { own(job).or_else(|| of_peers(job)) };
+    let reported = membership.running_jobs(outbox);
+    let peer_progress = |job: &JobId| reported.iter().find_map(|jobs| jobs.get(&**job).copied());
+    let own_progress = |job: &JobId| owners.values().find_map(|owner| owner.progress(job));
+    let progress =
+        |job: &JobId| -> Option<JobProgress> { own_progress(job).or_else(|| peer_progress(job)) };
     answer_queries(outbox, &progress);
 }
