--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -23,8 +23,8 @@
 const RENEW_RETRY_INTERVAL: Micros = 300_000;
 /// Number of renewals within one TTL of the lease.
 const RENEWALS_PER_TTL: Micros = 4;
-/// Clock drift of a worker: its lease lasts longer on the worker's clock than on this process's clock by less than the
-/// lease duration divided by this number, plus [`WORKER_MARGIN`].
+/// Clock drift of a worker: its lease may last longer on the worker's clock than on this process's clock by less than
+/// the lease duration divided by this number, plus [`WORKER_MARGIN`].
 const WORKER_CLOCK_DRIFT_DIVISOR: Micros = 1000;
 /// Constant part of the bound that [`WORKER_CLOCK_DRIFT_DIVISOR`] describes.
 const WORKER_MARGIN: Micros = SECOND / 2;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns why the owner may no longer act on the lease, if that is so.
+    /// Returns why the owner may no longer act on the lease, if it may not.
     pub fn end_reason(&self, now: Micros) -> Option<EndReason> {
         if !self.validity.is_valid(now) {
             Some(EndReason::LeaseExpired)
@@ -103,7 +103,8 @@
         self.cancellations_known_at = self.cancellations_known_at.max(at);
     }
 
-    /// Records that a full read began at this time: cancellations confirmed later are not known.
+    /// Records that a full read began at this time: the owner's knowledge of cancellations reaches up to this time
+    /// only.
     pub fn reset_cancellations_known(&mut self, at: Micros) {
         self.cancellations_known_at = at;
     }
