--- a/crates/gannethub-core/src/reconcile/attempt_end.rs
+++ b/crates/gannethub-core/src/reconcile/attempt_end.rs
@@ -1,4 +1,5 @@
-//! Ends of attempts: what they held is given back, their tasks are done or wait again, and gangs fail as a whole.
+//! Ends of attempts: their capacity is released, their tasks are done or become pending again, and gangs fail as a
+//! whole.
 
 use gannethub_ledger::line::Reason;
 
@@ -9,19 +10,19 @@
 use crate::wire::store::TASKS_PER_PART;
 use crate::wire::worker::ExitReason;
 
-/// A task whose launch was refused is not launched again for this long ...
+/// Delay before a task whose launch was refused may be launched again.
 const REFUSED_LAUNCH_BACKOFF: Micros = SECOND;
-/// ... or for this long if its worker knows no such task.
+/// Delay before a task that its worker refused as unknown may be launched again.
 const UNKNOWN_TASK_BACKOFF: Micros = 5 * SECOND;
-/// Nothing is placed on a machine for this long after it refused a launch.
+/// Time for which no task is placed on a machine after the machine refused a launch.
 const REFUSING_MACHINE_BACKOFF: Micros = 3 * SECOND;
-/// How far one finished task moves its class's ratio of run time to estimate.
+/// Weight of one finished task in the moving average of its class's ratio of run time to estimate.
 const RUNTIME_RATIO_WEIGHT: f64 = 0.05;
-/// Bounds of one task's ratio of run time to estimate.
+/// Lower and upper bound of one task's ratio of run time to estimate.
 const RUNTIME_RATIO_RANGE: (f64, f64) = (0.1, 10.0);
 
 impl Cluster {
-    /// An attempt has ended. `run_time`: how long it ran without a pause before that.
+    /// Applies the end of an attempt. `run_time`: time for which the attempt ran without a pause before its end.
     pub(super) fn attempt_ended(
         &mut self,
         id: &MachineId,
@@ -36,11 +37,11 @@
         }
         self.release_attempt(id, attempt_id, usage::end_reason(reason), now);
         if has_job {
-            self.attempt_gone(attempt_id, id, Some(reason), now);
+            self.remove_live_attempt(attempt_id, id, Some(reason), now);
         }
     }
 
-    /// A task was done: its machine works, and its class's run times are learned from.
+    /// Records the success of a task: clears failures of its machine, and updates the run time ratio of its class.
     fn record_success(&mut self, id: &MachineId, task: &TaskId, run_time: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -56,16 +57,17 @@
             return;
         }
         let run_time = run_time + job.tasks.saved_progress.remove(&task.index).unwrap_or(0);
-        let (least, most) = RUNTIME_RATIO_RANGE;
-        let ratio = (run_time as f64 / job.spec.run_time_estimate as f64).clamp(least, most);
-        let learned = self
+        let (min_ratio, max_ratio) = RUNTIME_RATIO_RANGE;
+        let ratio =
+            (run_time as f64 / job.spec.run_time_estimate as f64).clamp(min_ratio, max_ratio);
+        let class_ratio = self
             .runtime_ratios
             .entry(job.spec.class.clone())
             .or_insert(1.0);
-        *learned += RUNTIME_RATIO_WEIGHT * (ratio - *learned);
+        *class_ratio += RUNTIME_RATIO_WEIGHT * (ratio - *class_ratio);
     }
 
-    /// Charges an attempt and gives back what it held.
+    /// Charges an attempt to the usage ledger and releases the capacity that it held.
     pub(super) fn release_attempt(
         &mut self,
         id: &MachineId,
@@ -91,7 +93,7 @@
         self.adjust_usage(id, team, resources.scaled_by(-1), now);
     }
 
-    /// A task is done: its saga commits, and with the last task the job's saga does.
+    /// Marks a task as done. The task's element of a gang saga commits, and with the last task the job's saga commits.
     pub(super) fn complete_task(&mut self, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -100,7 +102,7 @@
             return;
         }
         let is_first_success = job.tasks.done.is_empty();
-        // The tasks of a gang complete together: one done means every one is.
+        // The tasks of a gang complete together: if one task is done, all are.
         let completed = match job.spec.shape {
             Shape::Gang => 0..job.spec.tasks,
             _ => task.index..task.index + 1,
@@ -125,9 +127,9 @@
         }
     }
 
-    /// An attempt is known to be gone; unless it was done, its task waits for a machine again. `reason`: `None` if it
-    /// vanished, with its machine or without a word.
-    pub(super) fn attempt_gone(
+    /// Removes an attempt that is known to be gone. Its task becomes pending again unless it is done. `reason`: `None`
+    /// if the attempt was lost with its machine, or if its worker stopped reporting it without an end.
+    pub(super) fn remove_live_attempt(
         &mut self,
         attempt_id: &AttemptId,
         id: &MachineId,
@@ -164,7 +166,7 @@
         self.gang_task_lost(task, number, reason);
     }
 
-    /// A worker has refused a launch.
+    /// Backs off the task and the machine of a launch that the worker refused.
     fn back_off_refused_launch(
         &mut self,
         task: &TaskId,
@@ -186,8 +188,8 @@
         }
     }
 
-    /// A task of a gang attempt is gone without being done. Before the gang runs a replacement with the same attempt
-    /// number completes it; afterwards the whole attempt is aborted.
+    /// Handles the loss of a gang attempt's task that was not done. Before the gang runs, a replacement task with the
+    /// same attempt number can complete the gang; afterwards the whole gang attempt is aborted.
     fn gang_task_lost(&mut self, task: &TaskId, number: u64, reason: Option<ExitReason>) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Everything that was on the machine is gone. `why` is for the log.
+    /// Removes all attempts of a machine, which are lost. `why` is for the log.
     pub(super) fn lose_attempts(&mut self, id: &MachineId, now: Micros, reason: Reason, why: &str) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -243,12 +245,12 @@
             let machine = self.machines.get_mut(id);
             let lost = machine.and_then(|machine| machine.attempts.remove(&attempt_id));
             if lost.is_some_and(|attempt| !attempt.phase.is_ended()) {
-                self.attempt_gone(&attempt_id, id, None, now);
+                self.remove_live_attempt(&attempt_id, id, None, now);
             }
         }
     }
 
-    /// Removes a machine: the cloud has confirmed that it is gone, or it can no longer exist. `why` is for the log.
+    /// Removes a machine that the cloud has confirmed as deleted or that can no longer exist. `why` is for the log.
     pub fn remove_machine(&mut self, id: &MachineId, now: Micros, why: &str) {
         self.lose_attempts(id, now, Reason::Machine, why);
         self.charge_orphans(id, Reason::Machine, now);
--- a/crates/gannethub-core/src/reconcile/attempts.rs
+++ b/crates/gannethub-core/src/reconcile/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts are reconciled with those that a worker reports: new ones are adopted, known ones move through their phases,
-//! missing ones are given up. What follows from their ends is in [`super::attempt_end`].
+//! Reconciliation of attempts with those that a worker reports: new attempts are adopted, known ones move through their
+//! phases, missing ones are dropped. The end of an attempt is handled in [`super::attempt_end`].
 
 use std::collections::HashSet;
 
@@ -14,7 +14,7 @@
 use crate::wire::worker::{ExitReason, ReportedTask, WorkerHeartbeat};
 
 impl Cluster {
-    /// Brings the machine's attempts in line with those that its worker reports.
+    /// Reconciles the machine's attempts with those that its worker reports.
     pub(super) fn reconcile_attempts(
         &mut self,
         id: &MachineId,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Drops attempts that the worker does not show any more.
+    /// Drops attempts that the worker no longer reports.
     fn drop_missing_attempts(
         &mut self,
         id: &MachineId,
@@ -69,8 +69,8 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let shown = machine.attempts.keys();
-        let missing: Vec<_> = shown
+        let known = machine.attempts.keys();
+        let missing: Vec<_> = known
             .filter(|attempt_id| !reported.contains(*attempt_id))
             .cloned()
             .collect();
@@ -87,13 +87,13 @@
             return;
         };
         match attempt.phase {
-            // The worker was told to forget it, and did.
+            // The worker was told to forget the attempt, and did.
             AttemptPhase::Ended(_) => {}
-            // The answer with the launch was lost, and workers drop late answers: it is sent again.
+            // The response with the launch was lost, and workers drop late responses: the launch is sent again.
             AttemptPhase::Starting if attempt.stop_grace.is_none() => return,
             _ => {
                 self.release_attempt(id, attempt_id, Reason::Missing, now);
-                self.attempt_gone(attempt_id, id, None, now);
+                self.remove_live_attempt(attempt_id, id, None, now);
             }
         }
         if let Some(machine) = self.machines.get_mut(id) {
@@ -101,8 +101,8 @@
         }
     }
 
-    /// A worker shows an attempt that this leader did not start: an earlier leader did, and it is adopted if its job
-    /// still needs it. What is not needed is told to stop.
+    /// Adopts an attempt that a worker reports and that this leader did not start. An earlier leader started it. If its
+    /// job does not need the attempt any more, the worker is told to stop it.
     fn adopt_attempt(
         &mut self,
         id: &MachineId,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes an adopted attempt into account for its job. Returns the grace to stop it with, if it is not needed.
+    /// Adds an adopted attempt to its job. Returns the grace period for stopping the attempt if it is not needed.
     fn adopt_into_job(
         &mut self,
         id: &MachineId,
@@ -151,7 +151,7 @@
             }
             return None;
         }
-        // An attempt of a job that is not live must end: the job is over.
+        // An attempt whose job is not live has to end, as the job has ended.
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return Some(0);
         };
@@ -176,7 +176,7 @@
         is_of_other_gang_attempt.then_some(0)
     }
 
-    /// An attempt has entered another phase.
+    /// Applies an attempt's change to another phase.
     fn change_phase(
         &mut self,
         id: &MachineId,
@@ -194,7 +194,7 @@
         let old_phase = std::mem::replace(&mut attempt.phase, phase);
         let entered_at = std::mem::replace(&mut attempt.phase_since, now);
         attempt.reported = true;
-        // It shows what it was told to launch, so the answers reach it.
+        // The worker reports an attempt that it was told to launch, so the responses reach it.
         machine.worker.unanswered_incarnations = 0;
         let run_time = match old_phase {
             AttemptPhase::Running => now.saturating_sub(entered_at),
@@ -219,7 +219,7 @@
         }
     }
 
-    /// An attempt waits for its gang or runs: its image is on the machine.
+    /// Records that an attempt's image is on the machine, as the attempt waits for its gang or runs.
     fn image_fetched(&mut self, id: &MachineId, attempt_id: &AttemptId, phase: AttemptPhase) {
         let Some(job) = self.jobs.get_mut(&attempt_id.task.job) else {
             return;
@@ -241,7 +241,7 @@
     }
 }
 
-/// Makes an adopted attempt part of its job's gang attempt, beginning one if there is none. `false`: the job has
+/// Adds an adopted attempt to its job's gang attempt, which is created if there is none. Returns `false` if the job has
 /// another gang attempt.
 fn join_gang_attempt(job: &mut Job, number: u64, phase: AttemptPhase) -> bool {
     let tasks = job.spec.tasks;
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -1,6 +1,6 @@
-//! Worker heartbeats: admission checks, what they say of a machine, and the orders that answer them.
+//! Worker heartbeats: admission checks, machine updates, and the orders in the response.
 //!
-//! The attempts that a heartbeat lists are handled in [`super::attempts`], the answer is put together in
+//! The attempts that a heartbeat lists are handled in [`super::attempts`]; the orders of the response are built in
 //! [`super::orders`].
 
 use std::sync::Arc;
@@ -13,40 +13,40 @@
 use crate::state::shard::ShardMember;
 use crate::wire::worker::{Order, WorkerHeartbeat};
 
-/// After this many consecutive incarnations that ended although their heartbeats were answered, a machine is
-/// quarantined and returned: the answers evidently do not reach its worker.
+/// Number of consecutive incarnations that ended although their heartbeats were answered, after which a machine is
+/// quarantined and returned to the cloud. The responses evidently do not reach its worker.
 const MAX_UNANSWERED_INCARNATIONS: u32 = 3;
 
-/// How a worker's heartbeat is answered.
+/// Outcome of a worker's heartbeat, which determines the response.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// Accepted. The answer renews the worker's lease and carries these orders.
+    /// The heartbeat is accepted. The response renews the worker's lease and carries these orders.
     Orders(Vec<Order>),
-    /// An old message, or one whose answer must not renew the worker's lease.
+    /// The heartbeat is outdated, or its response must not renew the worker's lease.
     Stale,
-    /// The worker has seen a higher token: this controller has been replaced.
+    /// The worker has seen a higher fencing token: this controller has been replaced.
     Deposed,
-    /// The machine belongs to that shard, or to none that is known here.
+    /// The machine belongs to the given shard. `None`: its shard is not known here.
     OtherShard(Option<u32>),
 }
 
-/// What a heartbeat changed about its machine.
+/// Changes of a machine that a heartbeat caused.
 struct MachineChanges {
     id: MachineId,
     zone: Arc<str>,
-    /// The machine has just come up: its type, and the time since it was provisioned. `None` also where nobody
-    /// here knows when that was.
+    /// Type of a machine that has just come up, and the time from its provisioning to this heartbeat. `None` if the
+    /// machine was up before, and also if this controller does not know when the machine was provisioned.
     booted: Option<(usize, Micros)>,
-    /// The worker has started anew since its last heartbeat.
+    /// Whether the worker has restarted since its last heartbeat.
     is_new_incarnation: bool,
-    /// A new incarnation, or the first heartbeat to this leader.
+    /// Whether this is the first heartbeat of an incarnation or the first heartbeat to this leader.
     is_first_contact: bool,
-    /// The cloud has announced that it takes the machine back, and this is the first heartbeat to say so.
+    /// Whether this is the first heartbeat with the cloud's preemption notice for the machine.
     is_preemption_announced: bool,
 }
 
 impl Cluster {
-    /// Applies a worker's heartbeat and returns its answer. The caller has checked that this controller may act,
+    /// Applies a worker's heartbeat and returns its outcome. The caller has checked that this controller may act,
     /// i.e. that its lease is valid.
     pub fn apply_heartbeat(
         &mut self,
@@ -62,15 +62,15 @@
         };
         self.apply_machine_changes(now, heartbeat, &changes);
         if heartbeat.token < self.term {
-            // A heartbeat that was held back in the network may be older than another leader's launches. Only a
-            // worker that has seen this term's token tells us all that it holds.
+            // A heartbeat that was delayed in the network may be older than another leader's launches. Only a worker
+            // that has seen this term's fencing token reports all tasks that it holds.
             return HeartbeatOutcome::Orders(Vec::new());
         }
         self.apply_confirmed_heartbeat(now, heartbeat, &changes);
         HeartbeatOutcome::Orders(self.next_orders(&changes.id))
     }
 
-    /// Why a heartbeat is not for this controller, if it is not.
+    /// Returns the outcome of a heartbeat that this controller refuses, or `None` if it passes these checks.
     fn heartbeat_refusal(&self, heartbeat: &WorkerHeartbeat<'_>) -> Option<HeartbeatOutcome> {
         let is_known = self.machines.contains_key(&*heartbeat.machine);
         if !is_known && self.shard.id != 0 {
@@ -86,13 +86,13 @@
             .fleet
             .deleted_machines
             .contains_key(&*heartbeat.machine);
-        // The machine is known to be gone. Its tasks, shown by a heartbeat that was held back, must not hold up
-        // their successors for another lease.
+        // The machine is known to be deleted. Tasks listed in a delayed heartbeat of the machine must not delay their
+        // successors for another lease duration.
         (!is_known && is_deleted).then_some(HeartbeatOutcome::Stale)
     }
 
-    /// Updates what is known of the machine itself, adopting one that is not known yet. `None`: the heartbeat is
-    /// older than another one, or of an incarnation that counts as lost.
+    /// Updates the state of the machine itself, and adopts a machine that is not known yet. Returns `None` if the
+    /// heartbeat is not newer than an earlier one, or belongs to an incarnation that counts as lost.
     fn update_machine(
         &mut self,
         now: Micros,
@@ -138,7 +138,8 @@
         })
     }
 
-    /// What follows from a heartbeat for the rest of the cluster, whichever leader's token its worker has seen.
+    /// Applies the effects of a heartbeat on the rest of the cluster that do not depend on the fencing token that the
+    /// worker has seen.
     fn apply_machine_changes(
         &mut self,
         now: Micros,
@@ -158,12 +159,13 @@
         }
         self.passes.needed |= changes.is_first_contact;
         if changes.is_new_incarnation {
-            // The worker killed and forgot all it had when its lease ended.
-            self.lose_attempts(&changes.id, now, Reason::Lease, "its worker started anew");
+            // The worker killed and forgot all its tasks when its lease ended.
+            self.lose_attempts(&changes.id, now, Reason::Lease, "worker restarted");
         }
     }
 
-    /// Has a machine recorded in this shard, which has to be durable before anything is placed on it.
+    /// Queues a machine for recording in this shard. The record has to be durable before a task is placed on the
+    /// machine.
     fn add_to_shard(&mut self, heartbeat: &WorkerHeartbeat<'_>, id: &MachineId) {
         let is_unrecorded = self
             .machines
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Applies what only a heartbeat with this term's token tells: what runs on the machine.
+    /// Applies the tasks that a heartbeat lists. Only a heartbeat with this term's fencing token lists all tasks that
+    /// run on the machine.
     fn apply_confirmed_heartbeat(
         &mut self,
         now: Micros,
@@ -191,11 +194,11 @@
             machine.worker.confirmed = true;
         }
         if changes.is_preemption_announced {
-            tracing::info!(machine = %id, "preemption notice");
+            tracing::info!(machine = %id, "preemption notice received");
             self.passes.needed = true;
         }
         if self.zones.unreachable.remove(zone).is_some() {
-            tracing::info!(%zone, "a zone is heard again");
+            tracing::info!(%zone, "zone is reachable again");
         }
         self.reconcile_if_changed(id, now, heartbeat);
         if self
@@ -207,12 +210,13 @@
         }
         self.reindex_machine(id, now);
         if std::mem::take(&mut self.passes.capacity_freed) {
-            // What came free is used at once: the launches go out with this very answer.
+            // Freed capacity is used at once, so that the launches go out with the response to this heartbeat.
             self.use_freed_capacity(id, now);
         }
     }
 
-    /// Reconciles the machine's attempts with the heartbeat, unless it lists the same as the last one.
+    /// Reconciles the machine's attempts with the heartbeat, unless it lists the same attempts in the same states as
+    /// the last heartbeat.
     fn reconcile_if_changed(
         &mut self,
         id: &MachineId,
@@ -231,8 +235,8 @@
     }
 }
 
-/// Marks a machine as up with its first heartbeat. Returns its type and how long it took to boot, where it is known
-/// when it was provisioned.
+/// Marks a machine as up on its first heartbeat. Returns its machine type and boot time if its provisioning time is
+/// known.
 fn mark_up(machine: &mut Machine, is_known: bool, now: Micros) -> Option<(usize, Micros)> {
     if machine.lifecycle.is_up {
         return None;
@@ -242,22 +246,23 @@
     tracing::info!(machine = %machine.id, known = is_known, boot_s, "machine is up");
     machine.lifecycle.is_up = true;
     machine.placement.idle_since = now;
-    // An adopted machine was provisioned by somebody else at an unknown time.
+    // An adopted machine was provisioned by another controller at an unknown time.
     let machine_type = machine.machine_type.filter(|_| is_known)?;
     Some((machine_type, boot_time))
 }
 
-/// Heartbeats arrive from this machine and the answers do not reach it. Whatever is placed there is lost with each
-/// incarnation, and as its capacity may be the cheapest of all, it would be placed there again and again.
+/// Records an incarnation that ended although its heartbeats were answered, and backs off placement on the machine.
+/// Heartbeats arrive from the machine but the responses do not reach it. Tasks placed on the machine are lost with each
+/// incarnation, and as its capacity may be the cheapest of all, they would be placed there again and again.
 fn record_unanswered_incarnation(machine: &mut Machine, now: Micros, lease: Micros) {
     machine.worker.unanswered_incarnations += 1;
     let count = machine.worker.unanswered_incarnations;
     machine.placement.unschedulable_until = now + (lease << count.min(MAX_UNANSWERED_INCARNATIONS));
     machine.lifecycle.quarantined |= count >= MAX_UNANSWERED_INCARNATIONS;
-    tracing::info!(machine = %machine.id, incarnations = count, "its worker gets no answers");
+    tracing::info!(machine = %machine.id, incarnations = count, "responses do not reach worker");
 }
 
-/// Records when a heartbeat came, and whether others were sent since the one before.
+/// Records the arrival time of a heartbeat, and whether the worker sent other heartbeats since the last one received.
 fn record_heartbeat(
     machine: &mut Machine,
     heartbeat: &WorkerHeartbeat<'_>,
@@ -266,7 +271,7 @@
 ) {
     let is_new_incarnation = heartbeat.incarnation > machine.worker.incarnation;
     let is_gap_in_sequence = heartbeat.sequence > machine.worker.sequence + 1;
-    // A late heartbeat was held up while its worker tried another controller.
+    // A late heartbeat was delayed while its worker tried another controller.
     let is_late = machine
         .worker
         .last_heartbeat_at
@@ -278,8 +283,8 @@
     machine.worker.last_answered_at = now;
 }
 
-/// A hash of the attempts that a heartbeat lists and of their states. A heartbeat with the digest of the last one
-/// changes nothing, and most do not.
+/// Returns a hash of the attempts that a heartbeat lists and of their states. A heartbeat with the same digest as the
+/// last one changes no attempt, and most heartbeats change none.
 fn heartbeat_digest(heartbeat: &WorkerHeartbeat<'_>) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -1,13 +1,13 @@
-//! Kill orders that are pushed: tasks of a job that was just cancelled are told to stop by `POST /commands`, beside the
-//! next answer to their machines' heartbeats.
+//! Pushed kill orders: workers are told to stop the tasks of a just cancelled job by `POST /commands`, in addition to
+//! the next response to their heartbeats.
 //!
-//! A push saves what a task would run, or start, within a heartbeat interval, and reaches workers that reach no
-//! controller. Nothing relies on it: it is sent once, its answer is not looked at, and whatever it does not reach is
-//! told by the next answer or ends with its worker's lease.
+//! A push saves the work that a task would do, or the start of a task, within a heartbeat interval, and reaches workers
+//! that cannot reach any controller. Nothing relies on a push: it is sent once and its response is ignored. A worker
+//! that a push does not reach gets the order with its next heartbeat response, or stops the tasks when its lease ends.
 //!
-//! A push may arrive late, minutes after it was sent, and must be harmless then. A kill order is: it names an attempt
-//! that is never used again, of a job that is cancelled for good, under this term's token and the worker's
-//! incarnation. A launch or a `forget` is not, so those are never pushed.
+//! A push may arrive minutes after it was sent, and must be harmless then. A kill order is harmless: it names an
+//! attempt that is never used again, of a job that is cancelled for good, under this term's fencing token and the
+//! worker's incarnation. A launch or a `forget` order is not harmless when late, so neither is ever pushed.
 
 use std::net::SocketAddrV4;
 
@@ -29,7 +29,7 @@
 }
 
 impl Cluster {
-    /// Queues a kill order for an attempt of a cancelled job, if its worker takes pushes.
+    /// Queues a kill order for an attempt of a cancelled job, if the address of its worker is known.
     pub(super) fn queue_kill_order(&mut self, machine: &MachineId, attempt_id: AttemptId) {
         let known = self.machines.get(machine);
         let Some(reachable) = known.filter(|machine| machine.worker.address.is_some()) else {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The pushes to send now, as far as the rate limit goes: first to machines where something would start.
+    /// Returns the pushes to send now, within the rate limit. Machines with tasks that have not started yet come first.
     pub fn next_kill_orders(&mut self, now: Micros) -> Vec<KillOrderDelivery> {
         if self.kill_orders.pending.is_empty() {
             return Vec::new();
@@ -61,10 +61,10 @@
         }
         self.kill_orders.rate_limit.refill(now);
         if self.kill_orders.rate_limit.tokens < 1.0 {
-            // The queue is not gone through at each step for what may not be sent yet.
+            // While the rate limit allows no push, scanning the queue at each step would be wasted work.
             return Vec::new();
         }
-        self.drop_needless_kill_orders(now);
+        self.drop_unneeded_kill_orders(now);
         let mut deliveries = Vec::new();
         for id in self.kill_orders_by_urgency() {
             let order = self.kill_orders.pending.remove(&id);
@@ -79,8 +79,8 @@
         deliveries
     }
 
-    /// Drops orders for machines that are lost, that were answered since, or that are about to be.
-    fn drop_needless_kill_orders(&mut self, now: Micros) {
+    /// Drops orders for machines that are lost, whose heartbeats were answered since, or are about to be answered.
+    fn drop_unneeded_kill_orders(&mut self, now: Micros) {
         let machines = &self.machines;
         let answered_within =
             self.settings.heartbeat_interval + self.settings.heartbeat_interval / 4;
@@ -93,7 +93,7 @@
         });
     }
 
-    /// The machines that may be told now.
+    /// Returns the machines to which a push may be sent now, most urgent first.
     fn kill_orders_by_urgency(&self) -> Vec<MachineId> {
         let pending = self.kill_orders.pending.iter();
         let mut due: Vec<(bool, MachineId)> = pending
@@ -105,7 +105,7 @@
     }
 }
 
-/// What is pushed to a worker; `None` if all the attempts have ended, or it takes no pushes any more.
+/// Returns the push for a worker, or `None` if all the attempts have ended or the worker's address is no longer known.
 fn delivery_to(machine: &Machine, order: KillOrder) -> Option<KillOrderDelivery> {
     let is_live = |attempt_id: &AttemptId| {
         let attempt = machine.attempts.get(attempt_id);
--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone changes: leases of silent machines run out, and a takeover settles.
+//! Changes that passing time alone causes: leases of silent machines expire, and a takeover settles.
 
 use gannethub_ledger::line::Reason;
 
@@ -6,15 +6,17 @@
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 
-/// All machines are scanned this often for each machine there is, so that scanning costs a fixed share of the time ...
+/// Interval between scans of all machines, in microseconds per machine of the cluster. With an interval in proportion
+/// to the number of machines, scanning costs a fixed share of the time.
 const SCAN_INTERVAL_PER_MACHINE: Micros = 50;
-/// ... and at least this often.
+/// Maximum interval between scans of all machines.
 const MAX_SCAN_INTERVAL: Micros = SECOND / 2;
-/// A takeover does not wait for silent machines where at most one in this many is silent.
+/// Number of machines per silent machine at or above which a takeover does not wait for the silent machines.
 const MACHINES_PER_SILENT_ALLOWED: usize = 40;
 
 impl Cluster {
-    /// Expires leases of silent machines, and finds out whether a takeover has settled. `unix_time`: the time of day.
+    /// Expires leases of silent machines, and settles a takeover once all machines are accounted for. `unix_time`: time
+    /// of day in microseconds.
     pub fn tick(&mut self, now: Micros, unix_time: u64) {
         self.unix_time = unix_time;
         self.now = now;
@@ -35,14 +37,15 @@
         self.drop_empty_gang_attempts();
     }
 
-    /// A large cluster is scanned less often, but every tick while placing waits for what a scan may find.
+    /// Whether a scan of all machines is due. A large cluster is scanned less often, but the scan is due at every tick
+    /// until the takeover has settled, as placement waits for the results of the scan.
     fn is_scan_due(&self, now: Micros) -> bool {
         let interval = SCAN_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
         let due_at = self.machines_scanned_at + interval.min(MAX_SCAN_INTERVAL);
         !self.takeover.settled || now >= due_at
     }
 
-    /// Gives up what was on machines whose workers' leases are over.
+    /// Gives up the attempts on machines whose workers' leases have expired.
     fn expire_leases(&mut self, now: Micros) {
         let bound = self.lease_expiry_bound();
         let expired: Vec<MachineId> = self
@@ -53,7 +56,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         for id in expired {
-            self.lose_attempts(&id, now, Reason::Lease, "its lease ran out");
+            self.lose_attempts(&id, now, Reason::Lease, "worker lease expired");
             self.charge_orphans(&id, Reason::Lease, now);
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.worker.lost_incarnation = machine
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Settles the takeover once no machine may hold anything that this leader does not know of.
+    /// Settles the takeover once no machine may hold a task that this leader does not know of.
     fn settle_takeover(&mut self, now: Micros) {
         let unconfirmed = self.review_unconfirmed(now);
         self.return_few_silent_machines(now, unconfirmed);
@@ -75,27 +78,31 @@
         }
     }
 
-    /// Returns machines that hold up a takeover, if they are few.
+    /// Returns silent machines that delay a takeover to the cloud, if they are few.
     ///
-    /// Every worker has had the time to find this leader by then. When only a few are silent, they have most likely
-    /// died, and deleting them is confirmed sooner than their leases end. Of a zone that is cut off more are silent,
-    /// and their work goes on: they are waited for.
+    /// Before machines are returned, every worker has had the time to find this leader. If only a few machines are
+    /// silent, they have most likely failed, and the cloud confirms their deletion before their leases end. If a zone
+    /// is cut off, more machines are silent and their tasks go on: the takeover waits for such machines.
     fn return_few_silent_machines(&mut self, now: Micros, unconfirmed: usize) {
-        let few = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
+        let max_silent = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
         let all_heard_by = self.takeover.at + 2 * self.settings.heartbeat_interval + 2 * SECOND;
-        if now <= all_heard_by || unconfirmed > few {
+        if now <= all_heard_by || unconfirmed > max_silent {
             return;
         }
         let bound = self.lease_expiry_bound();
         for machine in self.machines.values_mut() {
             if machine.is_unconfirmed(now, bound) && !machine.lifecycle.deleting {
-                tracing::info!(machine = %machine.id, why = "it holds up a takeover", "returning");
+                tracing::info!(
+                    machine = %machine.id,
+                    why = "machine delays takeover",
+                    "returning machine"
+                );
                 machine.lifecycle.deleting = true;
             }
         }
     }
 
-    /// The next attempt of a gang is a new one once nothing of the last one is left.
+    /// Drops gang attempts without live attempts, so that the next gang attempt of the job is a new one.
     fn drop_empty_gang_attempts(&mut self) {
         let is_empty =
             |job: &&mut Job| job.tasks.live_attempts.is_empty() && job.tasks.gang_attempt.is_some();
--- a/crates/gannethub-core/src/reconcile/mod.rs
+++ b/crates/gannethub-core/src/reconcile/mod.rs
@@ -1,15 +1,15 @@
-//! Events are applied to the state: heartbeats, answers of the cloud and of the state service, stored records. What
-//! follows from them is written down and sent on; decisions are left to [`crate::scheduling`].
+//! Applies events to the state: heartbeats, responses of the cloud and of the state service, stored records. The
+//! resulting writes and worker orders are prepared here; scheduling decisions are left to [`crate::scheduling`].
 //!
-//! | module | what it applies, or prepares |
+//! | module | events that the module applies, or output that it prepares |
 //! | --- | --- |
-//! | `heartbeat`, `attempts`, `attempt_end` | workers' heartbeats, and what they say of attempts |
-//! | `orders`, `kill_delivery` | orders to workers, with the answer to a heartbeat or pushed |
-//! | `lease_expiry` | what time alone changes |
-//! | `stored_records`, `cancellation`, `pipelines` | records of the state service, as they are read |
-//! | `transaction`, `job_writes`, `transaction_outcome` | what is written there, and whether it was |
-//! | `provisioning`, `machine_listing` | answers of the cloud |
-//! | `shard_transfer` | machines that go from one shard to another |
+//! | `heartbeat`, `attempts`, `attempt_end` | worker heartbeats and the attempts that they report |
+//! | `orders`, `kill_delivery` | orders to workers, sent in heartbeat responses or pushed |
+//! | `lease_expiry` | changes that passing time alone causes, such as lease expiry |
+//! | `stored_records`, `cancellation`, `pipelines` | records read from the state service |
+//! | `transaction`, `job_writes`, `transaction_outcome` | transactions to the state service, and their outcomes |
+//! | `provisioning`, `machine_listing` | responses of the cloud |
+//! | `shard_transfer` | machine transfers between shards |
 //! | `configuration` | new settings |
 
 mod attempt_end;
--- a/crates/gannethub-core/src/reconcile/orders.rs
+++ b/crates/gannethub-core/src/reconcile/orders.rs
@@ -1,7 +1,7 @@
-//! The orders that a worker is sent with the answer to its heartbeat.
+//! Orders that a worker receives with the response to its heartbeat.
 //!
-//! Orders follow from the state alone and are repeated with every answer until the worker shows that it carried them
-//! out, so a lost answer needs no bookkeeping.
+//! Orders are derived from the state alone and are repeated with every response until the worker reports that it
+//! carried them out, so a lost response needs no bookkeeping.
 
 use crate::model::{AttemptId, MachineId, Micros, SECOND, Shape, TaskId};
 use crate::state::attempt::{Attempt, AttemptPhase};
@@ -10,11 +10,11 @@
 use crate::state::machine::Machine;
 use crate::wire::worker::{ExitReason, Order};
 
-/// The most orders in one answer, or in one push: this keeps the body below the 64 KiB that workers read.
+/// Maximum number of orders in one response or push. The maximum keeps the body below the 64 KiB that workers read.
 pub(super) const MAX_ORDERS_PER_ANSWER: usize = 300;
 
 impl Cluster {
-    /// The orders for a machine: first those that end or forget attempts, then launches.
+    /// Returns the orders for a machine: orders that stop or forget attempts come first, then launches.
     pub(super) fn next_orders(&mut self, id: &MachineId) -> Vec<Order> {
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
@@ -36,7 +36,7 @@
         orders
     }
 
-    /// What a worker is to do with one attempt, if anything.
+    /// Returns the order for one attempt, if its worker has to act on the attempt.
     fn order_for(
         &self,
         machine: &Machine,
@@ -45,16 +45,16 @@
     ) -> Option<Order> {
         let (task, number) = (&attempt_id.task, attempt_id.number);
         let job = self.jobs.get(&task.job);
-        // An attempt of no live job has to end.
+        // An attempt whose job is not live has to end.
         let stop_grace = job.map_or(Some(0), |_| attempt.stop_grace);
         match (attempt.phase, stop_grace) {
             (AttemptPhase::Ended(reason), _) => (is_durable(job, task.index, reason)
                 && self.is_usage_settled(machine, attempt_id))
             .then(|| forget_order(task, number)),
-            // It is saving its progress already, which is what the grace is for.
+            // The attempt is saving its progress already, which is the purpose of the grace period.
             (AttemptPhase::Saving, Some(grace)) if grace > 0 => None,
             (_, Some(grace)) if attempt.reported => Some(stop_order(task, number, grace)),
-            // Until the watermark that covers it is durable, the attempt only holds its place.
+            // Until the launch watermark that covers the task is durable, the attempt only holds its capacity.
             (AttemptPhase::Starting, None) => job
                 .is_some_and(|job| self.may_launch(job, task.index))
                 .then(|| start_order(task, number)),
@@ -63,7 +63,8 @@
     }
 }
 
-/// Whether the state service holds all that this end means for the job. The worker keeps a result until then.
+/// Whether the state service holds everything that this end of an attempt changes for the job. Until then the worker
+/// keeps the result.
 fn is_durable(job: Option<&Job>, index: u32, reason: ExitReason) -> bool {
     let Some(job) = job.filter(|_| reason == ExitReason::Done) else {
         return true;
@@ -80,7 +81,7 @@
     }
 }
 
-/// Tells a worker to stop an attempt, with this much time to save its progress.
+/// Returns the order to stop an attempt. `grace`: time that the attempt has to save its progress.
 pub(super) fn stop_order(task: &TaskId, attempt: u64, grace: Micros) -> Order {
     Order::Stop {
         task: task.to_string(),
