--- a/crates/gannethub-core/src/reconcile/cancellation.rs
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -6,8 +6,8 @@
 use crate::state::cluster::Cluster;
 
 impl Cluster {
-    /// Another controller has told its users that the job is cancelled, which the watch here may not show yet. The
-    /// job's record is still read, and applied like any other.
+    /// Applies the cancellation of a job that another controller has confirmed to its users and that the watch here may
+    /// not show yet. The job's record is still read, and is applied like any other record.
     pub fn apply_remote_cancellation(&mut self, id: &str) {
         let is_upstream_only =
             self.pipelines.waiting.contains_key(id) || self.other_shards.jobs.contains_key(id);
@@ -21,7 +21,8 @@
         self.passes.needed = true;
     }
 
-    /// The user cancelled a job: its saga aborts, what runs of it is stopped, and nothing of it starts from here on.
+    /// Cancels a job on behalf of its user: the job's saga aborts, its running tasks are stopped, and none of its tasks
+    /// is started from now on.
     pub(super) fn cancel_job(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -36,7 +37,7 @@
             .iter()
             .map(|(index, attempt)| (*index, attempt.clone()))
             .collect();
-        tracing::info!(job = id, tasks = live.len(), "cancelled");
+        tracing::info!(job = id, tasks = live.len(), "job cancelled");
         self.mark_upstream_cancelled(id);
         if !actions.contains(&AbortAction::Cancel(0)) {
             return;
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -1,4 +1,4 @@
-//! A new version of the configuration is applied by the owner of a shard.
+//! Application of a new configuration version by a shard owner.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 use crate::state::kill_orders::KillOrders;
 
 impl Cluster {
-    /// Goes by these settings from here on. Teams keep their numbers, and new ones come behind them: the caller has
-    /// checked that.
+    /// Applies new settings, which are in force from now on. The caller has checked that existing teams keep their
+    /// positions and that new teams come after them.
     pub fn apply_settings(&mut self, settings: &Arc<Settings>, over_limit: OverLimit, now: Micros) {
         let mut shard_settings = (**settings).clone();
         let has_same_count = self.settings.teams.len() == settings.teams.len();
         if has_same_count && self.quota.cluster_teams == settings.teams {
-            // The shard keeps to its part of limits that have not changed.
+            // The limits of the cluster have not changed, so the shard keeps its quota partition.
             shard_settings.teams.clone_from(&self.settings.teams);
         }
         let teams = shard_settings.teams.len();
@@ -36,7 +36,7 @@
         self.passes.next_plan_at = now;
     }
 
-    /// Limits the rate of kill orders anew if its setting has changed. Pending ones stay.
+    /// Replaces the rate limit of kill orders if its setting has changed. Pending kill orders stay.
     fn apply_kill_order_rate(&mut self, settings: &Settings) {
         let rate = |settings: &Settings| settings.policy.number(Setting::Halts, &[]);
         if rate(settings) != rate(&self.settings) {
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Jobs whose team was not known get theirs, and what they hold on machines counts against it.
+    /// Assigns teams to jobs whose team was not known so far, and counts the capacity that such jobs hold on machines
+    /// as usage of their teams.
     fn resolve_teams(&mut self) {
         for job in self.jobs.values_mut().filter(|job| job.team.is_none()) {
             job.team = self.settings.team(&job.spec.team);
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -1,4 +1,4 @@
-//! Jobs whose records have to be written: ends, watermarks, transfers to other shards, progress.
+//! Writes of job records: ends, launch watermarks, transfers to other shards, progress.
 
 use std::collections::BTreeMap;
 
@@ -14,40 +14,40 @@
     self, DonePartRecord, FinishedJobRecord, JobRecord, TASKS_PER_PART, VALUE_SLACK_BYTES,
 };
 
-/// Progress is written this long after it was made: until then the worker keeps the result.
+/// Delay between progress of a job and its write. Until the write the worker keeps the result.
 const PROGRESS_WRITE_DELAY: Micros = 2 * SECOND;
-/// What the write of a job's record takes in a transaction, about.
+/// Approximate size of the write of a job's record in a transaction.
 pub(super) const JOB_RECORD_BYTES: usize = 1500;
-/// What the write of a job's end takes in a transaction, about.
+/// Approximate size of the write of a job's end in a transaction.
 const JOB_END_BYTES: usize = 400;
 
-/// Why a job's record is to be written, in the order in which that is done.
+/// Reason for writing a job's record. The order of the variants is the order in which writes are made.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WriteReason {
-    /// Launches wait for a higher watermark.
+    /// Launches wait for a higher launch watermark.
     Watermark,
     /// The job moves to another shard.
     Transfer,
-    /// All its tasks are done, and its users wait to be told.
+    /// All tasks of the job are done, and its users wait for its end.
     Finished,
-    /// It was cancelled, which its users know, and nothing of it runs any more.
+    /// The job was cancelled, which its users already know, and none of its tasks runs any more.
     Cancelled,
-    /// Tasks were done.
+    /// Tasks of the job were completed.
     Progress,
 }
 
-/// A job whose record is to be written. Sorts by urgency.
+/// Due write of a job's record. Sorts by urgency.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueWrite {
     reason: WriteReason,
-    /// When the change was made. Among jobs that are written for the same reason those come first that changed first:
-    /// in the order of their ids, one of a high id would wait for as long as more change than may be written.
+    /// Time of the change. Among jobs that are written for the same reason, those that changed first come first. In the
+    /// order of ids, a job with a high id would wait for as long as more jobs change than can be written.
     since: Micros,
     id: JobId,
 }
 
 impl Cluster {
-    /// Adds writes of jobs' records, as far as they fit.
+    /// Adds writes of job records to a transaction, as far as they fit.
     pub(super) fn add_job_writes(&mut self, builder: &mut TransactionBuilder, now: Micros) {
         let jobs = self.jobs.values();
         let writable =
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Why a job's record is to be written now, if it is.
+    /// Returns the write of a job's record that is due now, if any.
     fn due_write(&self, job: &Job, now: Micros) -> Option<DueWrite> {
         let due = |reason, since| {
             let id = job.id.clone();
             Some(DueWrite { reason, since, id })
         };
-        let moves = job
+        let moves_to_other_shard = job
             .scheduling
             .home_shard
             .is_some_and(|home| home != self.shard.id);
-        if moves && job.has_no_launches() {
+        if moves_to_other_shard && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
         }
         if job.is_finished() {
@@ -107,8 +107,8 @@
         due(WriteReason::Progress, dirty_since)
     }
 
-    /// Hands a job over to another shard. Like the other `add_job_` functions, it returns `false` if the write does not
-    /// fit into this transaction.
+    /// Adds the transfer of a job to another shard. Like the other `add_job_` functions, this function returns `false`
+    /// if the write does not fit into the transaction.
     fn add_job_transfer(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
@@ -131,7 +131,7 @@
         true
     }
 
-    /// Moves a job from the live to the finished ones.
+    /// Adds the end of a job, which moves the job from the live to the finished jobs.
     fn add_job_end(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
@@ -159,10 +159,10 @@
         true
     }
 
-    /// Writes a job's record, and those parts of its finished tasks that have keys of their own.
+    /// Adds the write of a job's record, and of those changed parts of its finished tasks that have keys of their own.
     ///
     /// Every write of finished tasks changes the live record and is guarded by its version: a transaction of parts
-    /// alone, carried out late, would take back tasks that were written since.
+    /// alone, carried out late, would overwrite finished tasks that were written since.
     fn add_job_progress(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let value_bytes = self.settings.value_bytes;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -197,7 +197,7 @@
     }
 }
 
-/// A job's record, without finished tasks, as it is written into this shard.
+/// Returns a job's record for `shard`, without finished tasks.
 fn job_record(job: &Job, shard: u32) -> JobRecord {
     let mut record = JobRecord::new((*job.submitted_spec).clone(), job.accepted_at);
     record.ready_at = (job.ready_at != job.accepted_at).then_some(job.ready_at);
@@ -207,8 +207,8 @@
     record
 }
 
-/// The value of a job's record. Its first part of finished tasks is in it, unless that makes it too large: from then
-/// on the job overflows, and the first part has a key of its own like all others.
+/// Returns the value of a job's record. The record contains the first part of the finished tasks, unless that makes the
+/// value too large: from then on the job overflows, and the first part has a key of its own like all other parts.
 fn progress_value(job: &mut Job, shard: u32, value_bytes: usize) -> Box<RawValue> {
     let mut record = job_record(job, shard);
     record.watermark = Some(job.persistence.requested_watermark);
@@ -221,14 +221,14 @@
     if !job.persistence.overflow {
         return value;
     }
-    // Both keys change in one transaction. Whoever reads the parts, earlier releases included, takes part 0 for what
-    // it is.
+    // Both keys change in one transaction. Every reader of the parts, including earlier releases of this software,
+    // handles a part with the number 0.
     record.done.clear();
     record.to_value()
 }
 
-/// Writes up to `max_parts` changed parts of a job's finished tasks. Returns the tasks that the transaction makes
-/// durable, the job's own record included.
+/// Adds up to `max_parts` changed parts of a job's finished tasks. Returns the tasks that the transaction makes
+/// durable, including those in the job's own record, by part.
 fn add_done_parts(
     builder: &mut TransactionBuilder,
     job: &mut Job,
@@ -259,7 +259,7 @@
     written
 }
 
-/// By how many seconds a job that ends now misses its deadline, if it does.
+/// Returns the number of seconds by which a job that ends now misses its deadline, if it does.
 fn deadline_missed_by_s(job: &Job, unix_time: u64) -> Option<u32> {
     let deadline = job.submitted_spec.deadline.filter(|_| !job.cancelled)?;
     let late = unix_time.checked_sub(job.accepted_at + deadline)?;
--- a/crates/gannethub-core/src/reconcile/machine_listing.rs
+++ b/crates/gannethub-core/src/reconcile/machine_listing.rs
@@ -1,4 +1,4 @@
-//! Listings of the cloud's machines: those that are gone, and those that nobody here knows of.
+//! Listings of the cloud's machines: removal of machines that are gone, and adoption of machines that are not known.
 
 use std::collections::HashSet;
 
@@ -7,19 +7,19 @@
 use crate::state::cluster::Cluster;
 use crate::wire::cloud::{ListedMachine, MachineList};
 
-/// No message of a deleted machine arrives later than this after its deletion.
+/// Maximum time after the deletion of a machine at which a message from the machine may still arrive.
 const MAX_MESSAGE_AGE: Micros = 900 * SECOND;
-/// The next listing begins this long after a whole one ...
+/// Delay between the end of a complete listing and the start of the next one.
 const LISTING_INTERVAL: Micros = 4 * SECOND;
-/// ... and this long after one that failed.
+/// Delay before a failed listing is repeated.
 const LISTING_RETRY: Micros = 2 * SECOND;
-/// A machine that has been on none of so many listings in a row may be gone.
-const MISSED_LISTINGS_OF_GONE: u32 = 3;
-/// Added to the time by which listings may lag behind.
+/// Number of consecutive listings without a machine after which the machine may be gone.
+const MIN_MISSED_LISTINGS: u32 = 3;
+/// Margin that is added to the maximum lag of listings.
 const LISTING_LAG_MARGIN: Micros = 2 * SECOND;
 
 impl Cluster {
-    /// Applies one page of a listing, and the whole listing with its last page.
+    /// Collects one page of a listing, and applies the whole listing when its last page arrives.
     pub(super) fn apply_machine_listing(&mut self, answer: &CallResult, now: Micros) {
         self.fleet.listing.in_flight = false;
         let Some(page) = decode_ok::<MachineList>(answer) else {
@@ -37,35 +37,37 @@
         self.fleet.listing.cursor.clear();
         self.fleet.listing.next_at = now + LISTING_INTERVAL;
         let listed = std::mem::take(&mut self.fleet.listing.entries);
-        self.forget_gone_machines(&listed, now);
+        self.remove_gone_machines(&listed, now);
         self.apply_listed_machines(&listed, now);
     }
 
-    /// How much older than its answer a listing may be.
+    /// Returns the maximum age of a listing's data when its response arrives.
     fn max_listing_age(&self) -> Micros {
         2 * self.settings.list_lag
     }
 
-    /// Forgets machines that are gone for certain.
-    fn forget_gone_machines(&mut self, listed: &[ListedMachine], now: Micros) {
+    /// Removes machines that are certain to be gone.
+    fn remove_gone_machines(&mut self, listed: &[ListedMachine], now: Micros) {
         let names: HashSet<&str> = listed.iter().map(|machine| machine.id.as_str()).collect();
         let max_age = self.max_listing_age();
-        // So long after the takeover, what other shards have and no listing shows is gone, however old the listing is.
+        // After this time since the takeover, machines of other shards that the listing does not show are gone, even if
+        // the listing has the maximum age.
         if now > self.takeover.at + max_age + MAX_MESSAGE_AGE {
             let in_other_shards = &mut self.other_shards.machines;
             in_other_shards.retain(|machine, _| names.contains(machine.as_str()));
         }
         for id in self.machines_gone_from_listing(&names, now) {
-            tracing::info!(machine = %id, "machine is gone from the list");
-            self.remove_machine(&id, now, "it is gone");
+            tracing::info!(machine = %id, "machine is missing from cloud listings");
+            self.remove_machine(&id, now, "machine is gone");
         }
         self.fleet
             .deleted_machines
             .retain(|_, deleted_at| now < *deleted_at + MAX_MESSAGE_AGE + max_age);
     }
 
-    /// The machines that count as gone. A listing lags, and may be older than the one before; so a machine counts as gone
-    /// only when it has been silent for long as well, so that nothing can be left on it.
+    /// Returns the machines that count as gone. A listing lags, and its data may be older than that of the listing
+    /// before. Therefore a machine counts as gone only if its worker has also been silent for longer than its lease, so
+    /// that no task can be left on the machine.
     fn machines_gone_from_listing(&mut self, names: &HashSet<&str>, now: Micros) -> Vec<MachineId> {
         let max_age = self.max_listing_age();
         let lease_bound = self.lease_expiry_bound();
@@ -78,7 +80,7 @@
             lifecycle.missed_listings += 1;
             let listed_by = lifecycle.known_since + max_age + LISTING_LAG_MARGIN;
             if now > listed_by
-                && lifecycle.missed_listings >= MISSED_LISTINGS_OF_GONE
+                && lifecycle.missed_listings >= MIN_MISSED_LISTINGS
                 && now > machine.worker.last_answered_at + lease_bound
             {
                 gone.push(machine.id.clone());
@@ -87,7 +89,7 @@
         gone
     }
 
-    /// Applies what a listing says of machines, adopting those that are not known.
+    /// Applies the entries of a listing, and adopts machines that are not known yet.
     fn apply_listed_machines(&mut self, listed: &[ListedMachine], now: Micros) {
         let mut adopted = 0;
         for entry in listed {
@@ -95,7 +97,7 @@
                 continue;
             }
             if !self.machines.contains_key(entry.id.as_str()) {
-                // A listing may still show what was deleted a moment ago.
+                // A listing may still show a machine that was deleted shortly before.
                 if self.fleet.deleted_machines.contains_key(&entry.id) {
                     continue;
                 }
@@ -104,7 +106,7 @@
             self.apply_listed_machine(entry, now);
         }
         if adopted > 0 {
-            tracing::info!(machines = adopted, "adopted from the list");
+            tracing::info!(machines = adopted, "machines adopted from cloud listing");
         }
     }
 
@@ -119,7 +121,7 @@
             lifecycle.provisioned_at = lifecycle.provisioned_at.min(now.saturating_sub(age));
         }
         if entry.has_failed() && !lifecycle.deleting {
-            tracing::info!(machine = %machine.id, why = "it failed", "returning");
+            tracing::info!(machine = %machine.id, why = "machine failed", "returning machine");
             lifecycle.deleting = true;
         }
     }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -1,6 +1,7 @@
-//! Jobs that wait for others: their records, and what follows for them when the jobs that they wait for end.
+//! Waiting jobs, i.e. jobs that wait for upstream jobs: their records, and their release or cancellation when upstream
+//! jobs end.
 //!
-//! Only shard 0's owner does any of this. A waiting job is released to the shard that it is to run in.
+//! Only the owner of shard 0 handles waiting jobs. A waiting job is released into the shard in which it will run.
 
 use std::sync::Arc;
 
@@ -14,24 +15,25 @@
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{self, FinishedJobRecord, JobRecord, WaitingRecord};
 
-/// A released job's watermark: this many of its tasks may be launched without another write, as it is most likely to
-/// start at once.
+/// Launch watermark of a job released into shard 0: number of its tasks that may be launched without another write. A
+/// released job is most likely to start at once.
 const RELEASE_WATERMARK: u32 = 128;
 
-/// What is to be written about a waiting job, in the order in which that is done.
+/// Kind of a pending write for a waiting job. The order of the variants is the order in which writes are made.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WaitingJobWrite {
-    /// All that it waited for is done: work can begin.
+    /// All upstream jobs are done, so the job can start.
     Release,
-    /// It is cancelled with a job that it needs. Its users are told so already. That is recorded before its end is,
-    /// so that whoever follows only the job's own record sees it end as cancelled, earlier releases included.
+    /// The job is cancelled together with an upstream job, and its users are already told so. The cancellation is
+    /// recorded before the end of the job, so that a reader that follows only the job's own record sees the job end as
+    /// cancelled. Earlier releases of this software are such readers.
     Cancellation,
-    /// It is recorded as cancelled, and moves to the finished jobs.
+    /// The job is recorded as cancelled and moves to the finished jobs.
     End,
 }
 
 impl WaitingJobWrite {
-    /// How many puts and deletes it takes.
+    /// Returns the number of puts and deletes that the write takes.
     fn change_count(self) -> usize {
         match self {
             WaitingJobWrite::Release | WaitingJobWrite::Cancellation => 1,
@@ -41,7 +43,7 @@
 }
 
 impl Cluster {
-    /// Applies a waiting job's record of this version.
+    /// Applies the record of a waiting job at `version`.
     pub fn apply_waiting_job(&mut self, id: &str, record: WaitingRecord, version: u64) {
         let id: JobId = id.into();
         if self.shard.id != 0 {
@@ -67,12 +69,12 @@
             let class = &self.pipelines.waiting[&id].spec.class;
             let dependencies = self.pipelines.dependencies.open_dependencies(&id);
             let on = dependencies.join(" ");
-            tracing::info!(job = %id, %class, %on, "waits for others");
+            tracing::info!(job = %id, %class, %on, "job waits for upstream jobs");
         }
         self.queue_pipeline_writes(&id, effects);
     }
 
-    /// Adds a waiting job to the dependency graph, with what is known here of the jobs that it waits for.
+    /// Adds a waiting job to the dependency graph, with the locally known outcomes of its upstream jobs.
     fn add_to_dependencies(
         &mut self,
         id: &JobId,
@@ -93,14 +95,18 @@
             .add_waiting(id, upstream, is_cancelled, outcome)
     }
 
-    /// Has written down, with the next transactions, what a change of the job `cause` leads to.
+    /// Queues the writes that a change of the job `cause` leads to. The next transactions carry them.
     fn queue_pipeline_writes(&mut self, cause: &str, effects: PipelineEffects) {
         let PipelineEffects {
             released,
             cancelled,
         } = effects;
         if !cancelled.is_empty() {
-            tracing::info!(job = cause, jobs = cancelled.len(), "cancelled with it");
+            tracing::info!(
+                job = cause,
+                jobs = cancelled.len(),
+                "waiting jobs cancelled"
+            );
         }
         if !(released.is_empty() && cancelled.is_empty()) {
             self.pipelines.dependencies_changed = true;
@@ -109,13 +115,14 @@
         self.pipelines.pending_writes.extend(cancelled);
     }
 
-    /// A job that others may wait for has been cancelled by its user.
+    /// Records that a user cancelled a job, which may be an upstream job of others.
     pub fn mark_upstream_cancelled(&mut self, id: &str) {
         let effects = self.pipelines.dependencies.cancel(&id.into());
         self.queue_pipeline_writes(id, effects);
     }
 
-    /// A job that others may wait for is finished. `cancelled`: what its finished record says, if that is known.
+    /// Records that a job, which may be an upstream job of others, has finished. `cancelled` is the value in its
+    /// finished record, if known.
     pub fn mark_upstream_ended(&mut self, id: &str, cancelled: Option<bool>) {
         let id: JobId = id.into();
         match cancelled {
@@ -127,7 +134,7 @@
         }
     }
 
-    /// A job's record shows that it waits no more.
+    /// Records that a job's stored record shows the job as released.
     pub fn mark_upstream_released(&mut self, id: &JobId) {
         let pipelines = &mut self.pipelines;
         pipelines.dependencies.mark_live(id);
@@ -138,8 +145,8 @@
         }
     }
 
-    /// Adds releases and cancellations to a transaction, as far as they fit. Those that do not, and those that are in
-    /// flight, are tried again with the next one.
+    /// Adds releases and cancellations to a transaction, as far as they fit. Writes that do not fit, and writes of jobs
+    /// that already have a write in flight, are tried again with the next transaction.
     pub(super) fn add_pipeline_writes(&mut self, builder: &mut TransactionBuilder) {
         for (write, id) in self.due_pipeline_writes() {
             self.pipelines.pending_writes.insert(id.clone());
@@ -187,7 +194,7 @@
         }
     }
 
-    /// What is to be written about waiting jobs, most important first. Empties the list of pending writes.
+    /// Returns the due writes of waiting jobs, most important first. Empties the list of pending writes.
     fn due_pipeline_writes(&mut self) -> Vec<(WaitingJobWrite, JobId)> {
         let pipelines = &mut self.pipelines;
         let mut due = Vec::new();
@@ -204,21 +211,21 @@
             } else if pipelines.dependencies.is_ready(&id) {
                 due.push((WaitingJobWrite::Release, id));
             }
-            // Any other goes on waiting. What happens upstream brings it here again.
+            // Any other job keeps waiting. Events of its upstream jobs add it to the pending writes again.
         }
         due.sort();
         due
     }
 
-    /// A waiting job's release was written at this version.
+    /// Records that a waiting job's release was written at `version`.
     pub(super) fn job_released(&mut self, id: &JobId, record: JobRecord, version: u64) {
         let waited = self.unix_time.saturating_sub(record.accepted_at);
         let waited_s = seconds_from_micros(waited) as u32;
-        tracing::info!(job = %id, class = %record.spec.class, waited_s, "released");
+        tracing::info!(job = %id, class = %record.spec.class, waited_s, "job released");
         self.apply_job_record(id, record, version);
     }
 
-    /// A waiting job's cancellation was written at this version.
+    /// Records that a waiting job's cancellation was written at `version`.
     pub(super) fn waiting_job_cancellation_written(&mut self, id: &JobId, version: u64) {
         if let Some(job) = self.pipelines.waiting.get_mut(id) {
             job.version = job.version.max(version);
@@ -227,7 +234,8 @@
         }
     }
 
-    /// A write about a waiting job was not carried out, or perhaps it was: then its version is unknown.
+    /// Records that a write of a waiting job was not carried out. `version_unknown`: the write may have been carried
+    /// out after all, so the version of the job's record is unknown.
     pub(super) fn waiting_job_write_failed(&mut self, id: &JobId, version_unknown: bool) {
         if let Some(job) = self.pipelines.waiting.get_mut(id) {
             job.write_in_flight = false;
@@ -235,8 +243,8 @@
         }
     }
 
-    /// A waiting job's live record is gone: only a cancelled one ends without a release. Returns whether there was
-    /// such a job.
+    /// Removes a waiting job whose live record was deleted. The job was cancelled, as only a cancelled waiting job ends
+    /// without a release. Returns whether there was such a job.
     pub fn remove_waiting_job(&mut self, id: &str) -> bool {
         if self.pipelines.waiting.remove(id).is_none() {
             return false;
@@ -260,12 +268,12 @@
     }
 }
 
-/// The record of a job that is released into a shard.
+/// Returns the record of a job that is released into `shard`.
 fn released_record(job: &WaitingJob, shard: u32, unix_time: u64) -> JobRecord {
     let mut record = JobRecord::new((*job.spec).clone(), job.accepted_at);
     record.ready_at = Some(unix_time.max(job.accepted_at));
     record.shard = shard;
-    // The owner of another shard may know of jobs that go first.
+    // The owner of another shard may know of jobs that take precedence over this one.
     let watermark = match shard {
         0 => job.spec.tasks.min(RELEASE_WATERMARK),
         _ => 0,
@@ -274,7 +282,7 @@
     record
 }
 
-/// The record of a waiting job that is cancelled with one that it needs.
+/// Returns the record of a waiting job that is cancelled together with an upstream job.
 fn cancelled_record(job: &WaitingJob) -> WaitingRecord {
     let upstream = store::decode_job_ids(&job.upstream_ids);
     WaitingRecord::new((*job.spec).clone(), job.accepted_at, true, &upstream)
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -1,5 +1,5 @@
-//! Answers of the cloud to requests for machine types and machines. Those to listings are in
-//! `machine_listing`.
+//! Responses of the cloud to requests for machine types, machines and deletions. Responses to listing requests are
+//! applied in `machine_listing`.
 
 use std::sync::Arc;
 
@@ -10,17 +10,20 @@
 use crate::wire::cloud::{ProvisionAnswer, decode_machine_types, is_out_of_capacity};
 use crate::wire::store::MachineTransferRecord;
 
-/// Nothing is asked of the cloud for this long after it said that it was asked too much.
+/// Pause of all requests to the cloud after a response that reports overload: status 429, or status 503 for another
+/// reason than missing capacity.
 const OVERLOAD_PAUSE: Micros = SECOND;
-/// A read of the machine types that failed is repeated after this time.
+/// Delay before a failed read of the machine types is repeated.
 const MACHINE_TYPES_RETRY: Micros = 5 * SECOND;
-/// A request without a clear answer is sent this often again before its offer counts as refused.
+/// Number of times that a provisioning request without a clear response is sent again before its offer counts as
+/// refused.
 const MAX_PROVISION_RETRIES: u32 = 4;
-/// A refused offer is not asked for again for this long; twice, then four times as long after further refusals.
+/// Time for which a refused offer is not requested again. The time doubles with each further consecutive refusal, up to
+/// [`MAX_REFUSAL_DOUBLINGS`] times, i.e. to four times this value.
 const REFUSAL_BACKOFF: Micros = 8 * SECOND;
 const MAX_REFUSAL_DOUBLINGS: u32 = 2;
 
-/// A provisioning request, as it was sent.
+/// Provisioning request that was sent to the cloud.
 struct ProvisionCall {
     name: String,
     offer: Offer,
@@ -29,7 +32,7 @@
 }
 
 impl Cluster {
-    /// Applies an answer of the cloud, or that there was none.
+    /// Applies the cloud's response to a call, or the failure of the call.
     pub fn apply_cloud_answer(&mut self, call: CloudCall, answer: &CallResult, now: Micros) {
         let is_overloaded = answer
             .as_ref()
@@ -60,11 +63,11 @@
 
     fn apply_machine_types(&mut self, answer: &CallResult, now: Micros) {
         match decode_machine_types(answer) {
-            // Machines and offers hold indices into the list, so its order and names must not change.
+            // Machines and offers hold indices into the list of machine types, so its order and names must not change.
             Some(types) if has_same_names(&types, &self.machine_types) => {
                 self.machine_types = Arc::new(types);
             }
-            Some(_) => tracing::info!("machine types changed: used after a takeover"),
+            Some(_) => tracing::info!("machine types changed; new ones apply after a takeover"),
             None => self.fleet.next_machine_types_at = now + MACHINE_TYPES_RETRY,
         }
     }
@@ -77,7 +80,7 @@
         for name in machines {
             let id = name.as_str().into();
             self.fleet.deleted_machines.insert(name, now);
-            self.remove_machine(&id, now, "it was returned");
+            self.remove_machine(&id, now, "machine was returned");
         }
     }
 
@@ -88,7 +91,7 @@
         let is_malformed = matches!(answer, Ok(Answer { status: 400, .. }));
         let is_refused = is_out_of_capacity(answer) || call.tries >= MAX_PROVISION_RETRIES;
         if is_malformed && !is_refused {
-            tracing::error!(name = %call.name, "the cloud calls a rental request malformed");
+            tracing::error!(name = %call.name, "cloud rejected provisioning request as malformed");
         }
         if is_malformed || is_refused {
             self.fleet.pending_provisions.remove(&call.name);
@@ -96,7 +99,8 @@
             self.record_offer_refusal(&call.offer, now);
             return;
         }
-        // Perhaps it was carried out. Under the same name it provisions once, however often it is sent.
+        // The request may have been carried out. A request provisions only once under the same name, however often it
+        // is sent.
         self.fleet.calls_to_retry.push(CloudCall::Provision {
             name: call.name,
             offer: call.offer,
@@ -105,7 +109,7 @@
         });
     }
 
-    /// Machines have been provisioned, for this shard or for another.
+    /// Applies the provisioning of machines for this shard or for another one.
     fn apply_provisioned(&mut self, call: ProvisionCall, machines: Vec<String>, now: Micros) {
         let offer = &call.offer;
         self.fleet.pending_provisions.remove(&call.name);
@@ -117,7 +121,7 @@
         let machine_type = self.machine_types[offer.machine_type].name.clone();
         let for_shard = self.transfers.provisioning_for_shard.remove(&call.name);
         for name in machines {
-            // A machine that is known has sent a heartbeat by now, and has been adopted into this shard.
+            // A machine that is already known has sent a heartbeat, and has been adopted into this shard.
             let is_adopted = self.machines.contains_key(name.as_str());
             match for_shard.filter(|_| !is_adopted) {
                 Some(shard) => {
@@ -135,7 +139,8 @@
         }
     }
 
-    /// Shard 0's owner was refused machines of these offers, and does not ask for them for so long.
+    /// Applies refusals that the owner of shard 0 got from the cloud. Each refusal is an offer and the remaining time
+    /// for which that owner does not request the offer.
     pub fn apply_refused_offers(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
         for (offer, backoff) in offers {
             let refusal = OfferRefusal {
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -1,11 +1,12 @@
-//! Machines that go to other shards, and those that come from there.
+//! Shard transfers of machines to and from other shards.
 //!
-//! A machine joins the cluster through shard 0's owner, and is given to another shard before it is up, when nothing can
-//! be on it and its worker has seen no token. That is a saga of two transactions, each guarded by the key of the owner
-//! that sends it: the giver records that the machine is on its way; the taker records it as a member of its shard, and
-//! deletes the transfer record afterwards. At any moment at most one shard's record or one transfer record names the
-//! machine, so at most one owner launches on it. If the taker is lost, its successor reads both; if the giver is lost
-//! before it wrote, the machine is adopted like any that nobody expected.
+//! A machine joins the cluster through the owner of shard 0. A transfer to another shard takes place before the machine
+//! is up, when no task can be on it and its worker has seen no fencing token. The transfer is a saga of two
+//! transactions, each guarded by the key of the shard owner that sends it: the sending owner writes a transfer record;
+//! the receiving owner records the machine as a member of its shard, and deletes the transfer record afterwards. At any
+//! moment at most one shard's record or one transfer record names the machine, so at most one owner launches tasks on
+//! it. If the receiving owner is lost, its successor reads both records; if the sending owner is lost before it wrote
+//! the transfer record, the machine is adopted like any other unexpected machine.
 
 use super::transaction::TransactionBuilder;
 use crate::model::{Micros, SECOND};
@@ -16,14 +17,14 @@
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{self, MachineTransferRecord};
 
-/// A machine that was given to a shard counts as on its way there for this long: by then the shard's owner has read
-/// its record, and no longer asks for the machine.
+/// Time for which a transferred machine counts as on its way to its new shard. By the end of that time the shard's
+/// owner has read the transfer record and no longer asks for the machine.
 const ARRIVAL_TIME: Micros = 4 * SECOND;
-/// What a transfer record takes in a transaction, at most.
+/// Maximum size of a transfer record in a transaction.
 const TRANSFER_RECORD_BYTES: usize = 250;
 
 impl Cluster {
-    /// A request on behalf of another shard has brought a machine.
+    /// Starts the transfer of a machine that was provisioned on behalf of another shard.
     pub fn start_machine_transfer(
         &mut self,
         machine: &str,
@@ -39,7 +40,7 @@
         self.transfers.outgoing.insert(machine.into(), transfer);
     }
 
-    /// Adds machines on their way to other shards to a transaction, until it has `max_changes`.
+    /// Adds the records of outgoing machine transfers to a transaction, until it has `max_changes` changes.
     pub(super) fn add_machine_transfers(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// A transfer was recorded: the machine is the other shard's from here on.
+    /// Records that a transfer record was written. The machine belongs to the other shard from now on.
     pub(super) fn machine_transferred(&mut self, machine: &str) {
         if let Some(transfer) = self.transfers.outgoing.remove(machine) {
             let counts_until = self.now + ARRIVAL_TIME;
@@ -78,15 +79,16 @@
         }
     }
 
-    /// The transaction that records a transfer failed, or perhaps it was carried out. Writing the record once more
-    /// changes nothing then: whoever took the machine knows it already.
+    /// Records that the transaction with a transfer record failed or had no clear outcome. If the transaction was
+    /// carried out after all, writing the record once more changes nothing: the receiving owner already knows the
+    /// machine.
     pub(super) fn machine_transfer_failed(&mut self, machine: &str) {
         if let Some(transfer) = self.transfers.outgoing.get_mut(machine) {
             transfer.write_in_flight = false;
         }
     }
 
-    /// A machine is on its way to this shard.
+    /// Accepts a machine that is on its way to this shard.
     pub fn accept_machine_transfer(
         &mut self,
         machine: &str,
@@ -101,7 +103,7 @@
             .get(machine)
             .is_some_and(|m| m.lifecycle.recorded);
         if is_member || self.fleet.deleted_machines.contains_key(machine) {
-            // It is here already, or was: only the record of its transfer is left over.
+            // The machine is, or was, a member of this shard already: only its transfer record is left over.
             let key = store::machine_transfer_key(self.shard.id, machine);
             self.store_writes.stale_keys.push(key);
             return;
@@ -113,7 +115,7 @@
         self.transfers.incoming.insert(machine.into());
     }
 
-    /// How many machines of an offer are being provisioned for a shard, or are on their way to it.
+    /// Returns the number of machines of an offer that are being provisioned for a shard or are on their way to it.
     pub(crate) fn incoming_machine_count(
         &mut self,
         shard: u32,
@@ -122,18 +124,18 @@
         spot: bool,
     ) -> u32 {
         let now = self.now;
-        let is_same = |record: &MachineTransferRecord| {
+        let matches_offer = |record: &MachineTransferRecord| {
             record.machine_type == machine_type && record.zone == zone && record.spot == spot
         };
         let recent = self.transfers.recent.entry(shard).or_default();
         recent.retain(|transfer| now < transfer.counts_until);
-        let arriving = recent
+        let recent_count = recent
             .iter()
-            .filter(|transfer| is_same(&transfer.record))
+            .filter(|transfer| matches_offer(&transfer.record))
             .count();
         let outgoing = self.transfers.outgoing.values();
-        let leaving = outgoing
-            .filter(|transfer| transfer.to_shard == shard && is_same(&transfer.record))
+        let outgoing_count = outgoing
+            .filter(|transfer| transfer.to_shard == shard && matches_offer(&transfer.record))
             .count();
         let requested: u32 = self
             .transfers
@@ -148,6 +150,6 @@
             })
             .map(|pending| pending.count)
             .sum();
-        arriving as u32 + leaving as u32 + requested
+        recent_count as u32 + outgoing_count as u32 + requested
     }
 }
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -1,7 +1,7 @@
-//! Records that the state service holds are applied to the state: live jobs, their finished tasks, machines of shards.
+//! Application of records from the state service to the state: live jobs, their finished tasks, machines of shards.
 //!
 //! Records arrive while a new leader loads the state, from its watch, and from keys that are read again. They may
-//! arrive late and more than once, so each one is applied only as far as its version is news.
+//! arrive late and more than once, so a record is applied only as far as its version is newer than the known one.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use crate::state::shard::ChunkRecord;
 use crate::wire::store::{self, DonePartRecord, JobRecord, LiveRecord, TASKS_PER_PART};
 
-/// Parts of a job's finished tasks have lower numbers than this; a key with a higher one is damaged.
+/// Exclusive upper bound of the part numbers of a job's finished tasks. A key with a higher part number is damaged.
 const MAX_PARTS: u32 = 100;
 
 impl Cluster {
-    /// Applies a live job's record of this version.
+    /// Applies the record of a live job at `version`.
     pub fn apply_live_record(&mut self, id: &str, record: LiveRecord, version: u64) {
         match record {
             LiveRecord::Job(record) => self.apply_job_record(id, record, version),
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Applies the record of a job that waits for no other: a new job, a cancellation, or what was read again.
+    /// Applies the record of a job that waits for no upstream job. The record is that of a new job, of a cancelled job,
+    /// or one that was read again.
     pub fn apply_job_record(&mut self, id: &str, record: JobRecord, version: u64) {
         if record.shard != self.shard.id {
             return self.apply_foreign_job_record(id, &record, version);
@@ -56,7 +57,7 @@
 
     /// Adds a job that is not known yet.
     fn add_job(&mut self, id: &str, record: JobRecord, version: u64) {
-        // What was there before this term may be on machines of which nothing is known yet.
+        // Tasks of a job from before this term may be on machines that have not been heard from yet.
         let possibly_launched = match self.takeover.unconfirmed.loading {
             true if self.watermarks.reliable => record.effective_watermark(),
             true => record.spec.tasks,
@@ -76,7 +77,7 @@
         self.passes.needed = true;
     }
 
-    /// Whether the operators' policy lets a job use spot machines.
+    /// Whether the operators' policy lets a job use spot instances.
     fn may_use_spot(&self, job: &Job) -> bool {
         let within_guarantee = self.fits_guarantee(job);
         let latest_start = self.latest_start(job, within_guarantee);
@@ -84,11 +85,11 @@
         self.settings.policy.truth(Setting::UseSpot, &inputs)
     }
 
-    /// Applies the record of a job whose tasks run in another shard. Shard 0's owner keeps track of it, for jobs that
-    /// wait for it.
+    /// Applies the record of a job whose tasks run in another shard. The owner of shard 0 keeps track of such a job, as
+    /// other jobs may wait for it.
     fn apply_foreign_job_record(&mut self, id: &str, record: &JobRecord, version: u64) {
         if self.jobs.remove(id).is_some() {
-            tracing::info!(job = id, shard = record.shard, "moves to another shard");
+            tracing::info!(job = id, shard = record.shard, "job moves to another shard");
         }
         if self.shard.id != 0 || self.store_writes.has_tombstone(id, version) {
             return;
@@ -102,14 +103,14 @@
         }
     }
 
-    /// Applies one part of a large array's finished tasks.
+    /// Applies one part of the finished tasks of a large job array.
     pub fn apply_done_part(&mut self, key: &str, record: &DonePartRecord) {
         let Some((id, part)) = store::parse_done_part_key(key) else {
             return;
         };
         match self.jobs.get_mut(id) {
             Some(job) if part < MAX_PARTS => add_durable_part(job, record, part),
-            // A part of no job is left over from one that is finished.
+            // A part without a live job is left over from a job that is finished.
             _ if self.shard.id == 0 && !self.other_shards.jobs.contains_key(id) => {
                 self.store_writes.stale_keys.push(key.to_string());
             }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Applies a chunk of a shard's machines, which may run tasks of an earlier term.
+    /// Applies a chunk of a shard's machine records. The machines may run tasks of an earlier term.
     pub fn apply_shard_chunk(&mut self, key: &str, record: ChunkRecord, version: u64) {
         let Some(index) = self.shard.parse_chunk_key(key) else {
             if let Some(shard) = store::parse_chunk_shard(key) {
@@ -138,8 +139,9 @@
         self.shard.load_chunk(index, record, version);
     }
 
-    /// A job's live key is gone: the job is finished, whoever wrote that. `cancelled`: what its finished record says,
-    /// where that was read or written here; otherwise it is read if another job waits for this one.
+    /// Applies the deletion of a job's live key: the job is finished, whichever controller wrote its end. `cancelled`
+    /// is the value in the job's finished record if this controller has read or written that record. Otherwise the
+    /// finished record is read if another job waits for this one.
     pub fn apply_job_end(&mut self, id: &str, version: u64, cancelled: Option<bool>) {
         let known = self.record_version(id);
         if known.is_some_and(|known| known >= version) {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// All records have been read; leases of recorded machines are counted from here.
+    /// Finishes loading after all records have been read. Worker leases of recorded machines are counted from `now`.
     pub fn finish_loading(&mut self, now: Micros) {
         self.takeover.at = now;
         self.takeover.unconfirmed.loading = false;
@@ -167,12 +169,12 @@
         for machine in self.machines.values_mut() {
             machine.worker.last_answered_at = now;
         }
-        // A heartbeat may come before the next tick, and limits have to count unconfirmed tasks from here on.
+        // A heartbeat may arrive before the next tick, and limits have to count unconfirmed tasks from now on.
         self.review_unconfirmed(now);
     }
 }
 
-/// Adds finished tasks that the state service holds in a part of their own.
+/// Adds finished tasks that the state service holds under a part key of their own.
 fn add_durable_part(job: &mut Job, record: &DonePartRecord, part: u32) {
     job.persistence.overflow |= part == 0;
     let mut done = TaskSet::default();
--- a/crates/gannethub-core/src/reconcile/transaction.rs
+++ b/crates/gannethub-core/src/reconcile/transaction.rs
@@ -1,7 +1,7 @@
-//! The next transaction: what has changed in the state is written to the state service, most important first.
+//! Construction of the next transaction, which writes changes of the state to the state service, most important first.
 //!
-//! Every transaction is guarded by the version of the shard owner's key, so nothing that a deposed owner sends is
-//! carried out, however late it arrives. One is in flight at a time.
+//! Every transaction is guarded by the version of the shard owner's key, so no transaction of a deposed owner is
+//! carried out, however late it arrives. One transaction is in flight at a time.
 
 use serde_json::value::RawValue;
 
@@ -12,19 +12,19 @@
 use crate::state::writes::{BatchedWrite, WriteBatch};
 use crate::wire::store::{self, LeaseRecord, Transaction};
 
-/// A transaction's body is kept to about this many bytes, below the 64 KiB that the state service takes.
+/// Approximate maximum size of a transaction's body, below the 64 KiB that the state service accepts.
 const MAX_BYTES: usize = 40_000;
-/// What a transaction's body has beside its writes, at most.
+/// Maximum size of a transaction's body without its writes.
 const ENVELOPE_BYTES: usize = 512;
-/// What a write's key, guard and frame take, at most.
+/// Maximum size of a write's key, guard and JSON frame.
 const WRITE_OVERHEAD_BYTES: usize = 200;
-/// The same of a deletion, beside its key.
+/// Maximum size of a deletion without its key.
 const DELETION_OVERHEAD_BYTES: usize = 20;
 
-/// A transaction that is being filled, with an estimate of its size.
+/// Transaction under construction, with an estimate of its size.
 pub(super) struct TransactionBuilder {
     pub transaction: Transaction,
-    /// What is in it, for when it was carried out or was not.
+    /// The writes of the transaction, which are needed when its outcome is known.
     pub batch: WriteBatch,
     bytes: usize,
     max_changes: usize,
@@ -40,33 +40,33 @@
         }
     }
 
-    /// Counts a write of about so many bytes.
+    /// Counts a write of about `bytes` bytes.
     pub fn add_bytes(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
 
-    /// Counts a write whose value has so many bytes.
+    /// Counts a write whose value has `bytes` bytes.
     pub fn add_value_bytes(&mut self, bytes: usize) {
         self.bytes += bytes + WRITE_OVERHEAD_BYTES;
     }
 
-    /// How many more changes it may have.
+    /// Returns the number of changes that the transaction can still take.
     pub fn remaining_changes(&self) -> usize {
         self.max_changes
             .saturating_sub(self.transaction.change_count())
     }
 
-    /// Whether so many more changes fit.
+    /// Whether `changes` more changes fit.
     pub fn fits(&self, changes: usize) -> bool {
         changes <= self.remaining_changes() && !self.is_too_large()
     }
 
-    /// Whether its body is too large for anything else.
+    /// Whether the transaction's body is too large for further changes.
     pub fn is_too_large(&self) -> bool {
         self.bytes > MAX_BYTES
     }
 
-    /// Whether changes that can wait may be added.
+    /// Whether the transaction's body has room for changes that can wait.
     fn has_spare_bytes(&self) -> bool {
         self.bytes < MAX_BYTES
     }
@@ -77,8 +77,8 @@
 }
 
 impl Cluster {
-    /// The next transaction, if anything needs to be written, and what is in it. `owner_version`: the version of the
-    /// shard owner's key, which guards it.
+    /// Returns the next transaction and its writes, or `None` if there is nothing to write. `owner_version`: version of
+    /// the shard owner's key, which guards the transaction.
     pub fn next_transaction(
         &mut self,
         now: Micros,
@@ -89,11 +89,11 @@
         builder
             .transaction
             .guard(&self.store_writes.assignment_keys.owner, owner_version);
-        // Machines leave room for the end of a job, which users wait for.
-        let max_for_machines = (max_changes / 2).max(1);
-        self.add_shard_chunks(&mut builder, max_for_machines, false);
+        // Machine records leave room for the end of a job, which users wait for.
+        let max_machine_changes = (max_changes / 2).max(1);
+        self.add_shard_chunks(&mut builder, max_machine_changes, false);
         self.add_ledger_page(&mut builder, now);
-        self.add_machine_transfers(&mut builder, max_for_machines);
+        self.add_machine_transfers(&mut builder, max_machine_changes);
         self.add_pipeline_writes(&mut builder);
         self.add_job_writes(&mut builder, now);
         self.add_watermarks_reliable(&mut builder);
@@ -104,8 +104,8 @@
         (!builder.is_empty()).then_some((builder.transaction, builder.batch))
     }
 
-    /// Adds changed chunks of the shard's machines, until the transaction has `max_changes`. `idle`: also those that
-    /// only lost machines, which can wait.
+    /// Adds changed chunks of the shard's machine records, until the transaction has `max_changes` changes. `idle`:
+    /// there is nothing else to write, so chunks that only lost machines, which can wait, are added as well.
     fn add_shard_chunks(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Adds the ledger's next page, if one is due and fits.
+    /// Adds the next page of the ledger if a page is due and fits.
     fn add_ledger_page(&mut self, builder: &mut TransactionBuilder, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
@@ -145,7 +145,7 @@
         let key = store::ledger_page_key(write.page);
         builder.add_value_bytes(write.value.len());
         builder.transaction.guard(&key, write.version);
-        // The page is built as JSON. Were it not, the state service would refuse it, and it would be read again.
+        // The page is built as JSON. An invalid page would be refused by the state service and then be read again.
         let value = RawValue::from_string(write.value).unwrap_or_default();
         builder.transaction.put(&key, value, None);
         if let Some(head) = &write.head {
@@ -158,7 +158,7 @@
         builder.batch.push(BatchedWrite::LedgerPage, key);
     }
 
-    /// Records for successors that the jobs' watermarks cover all launches, as soon as they do.
+    /// Records for successors that the jobs' launch watermarks cover all launches, as soon as they do.
     fn add_watermarks_reliable(&mut self, builder: &mut TransactionBuilder) {
         if self.watermarks.recorded != ReliabilityRecord::Missing
             || builder.remaining_changes() == 0
@@ -179,7 +179,7 @@
         self.watermarks.recorded = ReliabilityRecord::WriteInFlight;
     }
 
-    /// Deletes keys that are left over, with the changes that are left.
+    /// Adds deletions of stale keys, as far as the transaction has room for them.
     fn add_stale_key_deletions(&mut self, builder: &mut TransactionBuilder) {
         while builder.remaining_changes() > 0 && builder.has_spare_bytes() {
             let Some(key) = self.store_writes.stale_keys.pop() else {
--- a/crates/gannethub-core/src/reconcile/transaction_outcome.rs
+++ b/crates/gannethub-core/src/reconcile/transaction_outcome.rs
@@ -1,4 +1,4 @@
-//! What follows once it is known whether a transaction was carried out.
+//! Application of transaction outcomes: committed, failed or unknown.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::wire::store::{self, StoredValue};
 
 impl Cluster {
-    /// A transaction was carried out at this version.
+    /// Applies the writes of a transaction that was carried out at `version`.
     pub fn transaction_committed(&mut self, batch: WriteBatch, version: u64) {
         self.store_writes.transaction_rejections = 0;
         for write in batch.writes {
@@ -28,8 +28,8 @@
                     deadline_missed_by_s,
                 } => {
                     match deadline_missed_by_s {
-                        Some(late_s) => tracing::info!(job = %id, late_s, "over"),
-                        None => tracing::info!(job = %id, cancelled, "over"),
+                        Some(late_s) => tracing::info!(job = %id, late_s, "job ended late"),
+                        None => tracing::info!(job = %id, cancelled, "job ended"),
                     }
                     self.apply_job_end(&id, version, Some(cancelled));
                 }
@@ -48,7 +48,10 @@
                 BatchedWrite::MachineTransfer { machine } => self.machine_transferred(&machine),
                 BatchedWrite::LedgerPage => self.ledger_page_written(version),
                 BatchedWrite::WatermarksReliable => {
-                    tracing::info!(term = self.term, "a successor can rely on watermarks");
+                    tracing::info!(
+                        term = self.term,
+                        "launch watermarks are reliable for a successor"
+                    );
                     self.watermarks.recorded = ReliabilityRecord::Durable;
                 }
                 BatchedWrite::StaleKeyDeletion => {}
@@ -74,12 +77,12 @@
         }
     }
 
-    /// Machines of a written chunk are recorded: tasks may be placed on them from here on.
+    /// Marks the machines of a written chunk as recorded. Tasks may be placed on them from now on.
     fn shard_chunk_written(&mut self, index: usize, members: Vec<String>, version: u64) {
         self.shard.mark_written(index, version);
         for name in members {
             if self.transfers.incoming.remove(&name) {
-                // Only now that the machine is on this shard's record may the record of its transfer go.
+                // The transfer record may only be deleted now that the machine is on this shard's record.
                 let key = store::machine_transfer_key(self.shard.id, &name);
                 self.store_writes.stale_keys.push(key);
             }
@@ -97,7 +100,8 @@
         self.usage_page_written(tickets);
     }
 
-    /// A page of the ledger has been read again, as its write had no answer. `stored`: `None` if there is no such page.
+    /// Applies a page of the ledger that was read again because its write had no response. `stored`: `None` if there is
+    /// no such page.
     pub fn ledger_page_reread(&mut self, stored: Option<&StoredValue>) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
@@ -115,8 +119,8 @@
         }
     }
 
-    /// A transaction was not carried out. `version_unknown`: perhaps it was, or its versions were wrong. Its keys are
-    /// then to be read again, and nothing is assumed of them until they have been.
+    /// Applies the failure of a transaction. `version_unknown`: the transaction may have been carried out after all, or
+    /// its guards had wrong versions. Its keys then have to be read again, and nothing is assumed about them before.
     pub fn transaction_failed(&mut self, batch: &WriteBatch, version_unknown: bool, now: Micros) {
         for write in &batch.writes {
             match write {
@@ -140,14 +144,14 @@
                         ledger.book.write_failed(version_unknown);
                     }
                 }
-                // Should the record say so although no answer told, it says the truth.
+                // If the record was written although no response arrived, its content is true.
                 BatchedWrite::WatermarksReliable => {
                     self.watermarks.recorded = ReliabilityRecord::Missing
                 }
                 BatchedWrite::ShardChunk { index, .. } if !version_unknown => {
                     self.shard.mark_write_failed(*index);
                 }
-                // A stale key that stays is found and deleted at the next takeover.
+                // A stale key that was not deleted is found and deleted at the next takeover.
                 BatchedWrite::ShardChunk { .. } | BatchedWrite::StaleKeyDeletion => {}
             }
         }
