--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings of the platform, the same for as long as a process runs except for what a version of the configuration
+//! Settings of the platform. They stay the same while a process runs, except for values that a configuration version
 //! changes.
 //!
-//! [`Settings::parse`] reads the text of a settings file: `file` has its form, and `validation` turns that into
-//! [`Settings`] or explains what is wrong.
+//! [`Settings::parse`] reads the text of a settings file: `file` defines the form of the file, and `validation`
+//! converts it to [`Settings`] or reports the first invalid field.
 
 mod file;
 mod validation;
@@ -13,14 +13,14 @@
 use crate::model::{Micros, Resources, Team, UNLIMITED};
 use crate::policy::{Policy, Setting};
 
-/// Scheduling steps that a whole processor makes in a quarter of its time, at half a microsecond each. Scheduling passes
-/// take no more than that part of the controller's share, and planning as much: heartbeats, renewals and users have the
-/// rest.
+/// Number of scheduling steps per second that a whole core makes in a quarter of its time, at 0.5 µs per step.
+/// Scheduling passes take no more than this part of the controller's share of a core, and planning takes as much. The
+/// rest is left for heartbeats, lease renewals and user requests.
 const STEPS_PER_CORE: f64 = 500_000.0;
-/// How many CPUs a GPU counts as where the ledger's settings name no shares.
+/// Number of CPUs that a GPU counts as if the ledger's settings define no shares.
 const CPUS_PER_GPU: f64 = 8.0;
 
-/// Why a settings file cannot be used.
+/// Reason why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     #[error("{file}: {reason}")]
@@ -33,25 +33,25 @@
     },
 }
 
-/// A service level objective: what users expect of a class of jobs, or of the service.
+/// Service level objective that users expect of a class of jobs or of the whole service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
     pub kind: String,
-    /// The class of jobs that it is about; `None`: all.
+    /// Class of jobs that the objective applies to; `None`: all jobs.
     pub class: Option<String>,
-    /// The time that it allows.
+    /// Time limit of the objective.
     pub within: Micros,
-    /// The share of cases, 0 to 1, that have to meet it.
+    /// Share of cases, from 0 to 1, that have to meet the objective.
     pub share: f64,
-    /// For deadlines: how many times the deadline counts as in time.
+    /// For deadline objectives: the multiple of the deadline that still counts as in time.
     pub times: f64,
 }
 
-/// The rates that the state service allows per second, of all controllers together.
+/// Maximum rates per second that the state service allows for all controllers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rates {
     pub requests: f64,
-    /// Puts and deletes.
+    /// Puts and deletes per second.
     pub changes: f64,
 }
 
@@ -60,60 +60,62 @@
 pub struct Peer {
     pub name: String,
     pub zone: String,
-    /// Where it listens for its peers.
+    /// Address at which the controller listens for its peers.
     pub addr: SocketAddrV4,
 }
 
-/// The settings of one controller. Values come checked from [`Settings::parse`].
+/// Settings of one controller. [`Settings::parse`] checks the values.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This controller's name, which no peer has.
+    /// Name of this controller, which differs from the names of all peers.
     pub name: String,
     pub zone: String,
-    /// Where users and workers connect to.
+    /// Address that users and workers connect to.
     pub listen: SocketAddrV4,
-    /// Where peers connect to.
+    /// Address that peers connect to.
     pub cluster_listen: SocketAddrV4,
-    /// The other controllers. Peer messages name them by their position here.
+    /// The other controllers. Peer messages refer to them by their position in this list.
     pub peers: Vec<Peer>,
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    /// A worker sends a heartbeat this often.
+    /// Interval between the heartbeats of a worker.
     pub heartbeat_interval: Micros,
-    /// A worker stops its tasks when it sent its last answered heartbeat longer ago than this.
+    /// Maximum time since a worker sent its last answered heartbeat. When the time is exceeded, the worker stops its
+    /// tasks.
     pub lease_duration: Micros,
-    /// A worker waits this long for the rest of a gang to be placed.
+    /// Maximum time for which a worker waits for the rest of a gang to be placed.
     pub gang_wait: Micros,
-    /// The members of a gang notice within this time that one of them is gone.
+    /// Maximum time until the members of a gang notice that one of them is gone.
     pub gang_peer: Micros,
-    /// The tasks of a cancelled job have ended after this time at the latest, also where a worker cannot be reached.
+    /// Maximum time until the tasks of a cancelled job have ended, even if a worker cannot be reached.
     pub cancel_timeout: Micros,
     pub state_rates: Rates,
-    /// The state service goes over to these without notice.
+    /// Rates that the state service will switch to without notice.
     pub state_rates_next: Rates,
-    /// The largest value that the state service takes now and later.
+    /// Maximum size of a value that the state service accepts, now and after it switches to its next limits.
     pub value_bytes: usize,
-    /// The most operations that the state service takes in one transaction, now and later.
+    /// Maximum number of operations in a transaction that the state service accepts, now and after it switches to its
+    /// next limits.
     pub txn_ops: usize,
-    /// Requests that the cloud allows per second.
+    /// Maximum number of requests per second that the cloud allows.
     pub cloud_rps: f64,
-    /// How old what the cloud's listing says may be.
+    /// Maximum age of the data in the cloud's listings.
     pub list_lag: Micros,
     pub max_connections: usize,
-    /// How many bytes of memory this controller may hold.
+    /// Maximum number of bytes of memory that this controller may hold.
     pub memory_bytes: usize,
-    /// The share of a processor that this controller has; `None`: unknown.
+    /// Number of processor cores, or share of a core, that this controller has; `None`: unknown.
     pub cores: Option<f64>,
-    /// The operators' own settings.
+    /// Policy settings of the operators.
     pub policy: Policy,
-    /// How a ledger is kept, if one is.
+    /// Setup of the usage ledger; `None`: no ledger is kept.
     pub ledger: Option<LedgerSetup>,
 }
 
-/// How a ledger is kept, and with which keys.
+/// Settings and keys with which a usage ledger is kept.
 #[derive(Clone, Debug)]
 pub struct LedgerSetup {
     pub settings: Arc<gannethub_ledger::Settings>,
@@ -121,7 +123,8 @@
 }
 
 impl Settings {
-    /// The teams, with what each is due in a ledger that names no shares: in proportion to its guarantee.
+    /// Returns the teams with their shares for a ledger whose settings define no shares. The shares are in proportion
+    /// to the teams' guarantees.
     pub fn dues(&self) -> Vec<(String, f64)> {
         let due =
             |guarantee: &Resources| guarantee.cpu as f64 + CPUS_PER_GPU * guarantee.gpu as f64;
@@ -131,24 +134,24 @@
             .collect()
     }
 
-    /// How many steps scheduling may take per second: as many as the policy says, but no more than the controller's share
-    /// of a processor allows.
+    /// Returns the maximum number of scheduling steps per second: the number in the policy, but no more than the
+    /// controller's share of a core allows.
     pub fn decide_steps(&self) -> f64 {
-        let wanted = self.policy.number(Setting::DecideSteps, &[]);
+        let policy_steps = self.policy.number(Setting::DecideSteps, &[]);
         match self.cores {
-            Some(cores) => wanted.min(cores * STEPS_PER_CORE),
-            None => wanted,
+            Some(cores) => policy_steps.min(cores * STEPS_PER_CORE),
+            None => policy_steps,
         }
     }
 
-    /// The position of the team with this name.
+    /// Returns the position of the team with this name.
     pub fn team(&self, name: &str) -> Option<usize> {
         self.teams.iter().position(|team| team.name == name)
     }
 }
 
-/// The limit that a file means: there zero stands for no limit. A team without a guarantee and a limit gets what the
-/// others leave.
+/// Converts a limit from a file, where zero stands for no limit. A team with neither a guarantee nor a limit gets the
+/// capacity that the other teams leave.
 pub(crate) fn unlimited(limit: Resources) -> Resources {
     let or_unlimited = |amount: i64| if amount == 0 { UNLIMITED } else { amount };
     Resources {
--- a/crates/gannethub-core/src/settings/file.rs
+++ b/crates/gannethub-core/src/settings/file.rs
@@ -1,10 +1,10 @@
-//! The settings file as it is written: field names, sections and defaults.
+//! Form of the settings file: field names, sections and defaults.
 //!
-//! Nothing here is checked; [`super::validation`] does that. Numbers are in the units that the names end with.
+//! Values are not checked here, but in [`super::validation`]. Numbers are in the units that end the field names.
 
 use serde::Deserialize;
 
-/// The whole file. Fields that are not known are ignored, so that a newer file can be read by an older release.
+/// The whole settings file. Unknown fields are ignored, so that an older release can read a newer file.
 #[derive(Deserialize)]
 pub struct File {
     pub host_name: String,
@@ -28,14 +28,14 @@
     pub peer_addr: String,
 }
 
-/// The addresses of the other services.
+/// Addresses of the cloud and of the state service.
 #[derive(Deserialize)]
 pub struct Outside {
     pub cloud: String,
     pub state: String,
 }
 
-/// What all controllers of the cluster share.
+/// Settings that all controllers of the cluster share.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Cluster {
@@ -48,7 +48,7 @@
     pub quota: Quota,
 }
 
-/// A team's guarantees, and its limits where they are not zero.
+/// A team's guarantees and limits; a limit of zero stands for no limit.
 #[derive(Deserialize)]
 pub struct Team {
     pub name: String,
@@ -62,7 +62,7 @@
     pub gpus_max: f64,
 }
 
-/// A service level objective.
+/// Service level objective.
 #[derive(Deserialize)]
 pub struct Objective {
     pub kind: String,
@@ -79,7 +79,7 @@
     1.0
 }
 
-/// A section of numbers, each with the default that holds where the file does not name it.
+/// Defines a section of numbers, each with the default that applies if the file does not name the number.
 macro_rules! section {
     ($name:ident { $($field:ident: $default:expr),* $(,)? }) => {
         #[derive(Deserialize)]
@@ -91,7 +91,7 @@
     };
 }
 
-// Times that concern workers.
+// Times that apply to workers.
 section!(Workers {
     report_s: 2.0,
     lease_s: 15.0,
@@ -100,7 +100,7 @@
     cancel_s: 40.0,
 });
 
-/// The limits of the state service.
+/// Limits of the state service.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct State {
@@ -123,7 +123,7 @@
     }
 }
 
-/// The limits that the state service will go over to; those not named stay as they are.
+/// Limits that the state service will switch to. Limits that are not named stay as they are.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct NextState {
@@ -133,13 +133,13 @@
     pub txn_ops: Option<f64>,
 }
 
-// The limits of the cloud.
+// Limits of the cloud.
 section!(Cloud {
     rps: 3.0,
     list_lag_s: 5.0
 });
 
-/// What one controller may use of its machine.
+/// Maximum resources that one controller may use of its machine.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Quota {
--- a/crates/gannethub-core/src/settings/tests.rs
+++ b/crates/gannethub-core/src/settings/tests.rs
@@ -31,7 +31,7 @@
 "#;
 
 #[test]
-fn a_valid_file_is_read_and_missing_sections_take_defaults() {
+fn missing_sections_of_a_valid_file_use_defaults() {
     let (settings, warnings) = Settings::parse(SAMPLE, "f").unwrap();
     assert_eq!(warnings, Vec::<String>::new());
     assert_eq!(settings.lease_duration, 10_000_000);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_next_limits_of_the_state_service_hold_from_the_start() {
+fn next_store_limits_cap_sizes_at_once_but_not_rates() {
     let next = "[cluster.state]\ntxn_ops = 8\nvalue_kb = 4.0\n[cluster.state.next]\n\
         write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\n[cluster.workers]";
     let text = SAMPLE.replace("[cluster.workers]", next);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn invalid_values_are_refused_with_their_field() {
+fn error_names_the_field_of_an_invalid_value() {
     let cases = [
         (
             "cpus_max = 16.0",
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn scheduling_steps_are_bounded_by_the_share_of_a_processor() {
+fn scheduling_steps_are_capped_by_cores() {
     let steps = |quota: &str| {
         let text = format!("{SAMPLE}\n[cluster.quota]\n{quota}\n");
         Settings::parse(&text, "f").unwrap().0.decide_steps()
@@ -132,17 +132,17 @@
     assert_eq!(
         steps(""),
         50_000.0,
-        "without a share the policy alone decides"
+        "without a number of cores only the policy limits the steps"
     );
     assert_eq!(steps("cores = 0.4"), 50_000.0);
     assert_eq!(steps("cores = 0.02"), 10_000.0);
 }
 
 #[test]
-fn what_is_odd_but_usable_is_only_a_warning() {
-    let odd = SAMPLE
+fn unusual_but_valid_values_only_cause_warnings() {
+    let unusual = SAMPLE
         .replace("cpus = 8.0", "cpus = 80.0")
         .replace("\"b\"\n", "\"zz\"\n");
-    let (_, warnings) = Settings::parse(&odd, "f").unwrap();
+    let (_, warnings) = Settings::parse(&unusual, "f").unwrap();
     assert_eq!(warnings.len(), 2, "{warnings:?}");
 }
--- a/crates/gannethub-core/src/settings/validation.rs
+++ b/crates/gannethub-core/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! The checks of a settings file. Each error names the field as the file has it.
+//! Checks of a settings file. Each error names the invalid field by its name in the file.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -8,33 +8,35 @@
 use crate::model::{Micros, Resources, Team, micros_from_seconds};
 use crate::policy::Policy;
 
-/// A range of numbers, both ends included.
+/// Range of numbers, including both ends.
 struct Range {
     min: f64,
     max: f64,
 }
 
-/// The share of a processor that a controller may have: with less than a thousandth it would answer nobody in time.
+/// Number of processor cores that a controller may have. With less than a thousandth of a core it would answer no
+/// request in time.
 const CORES: Range = Range {
     min: 0.001,
     max: 1024.0,
 };
-/// The memory that a controller may hold: with less there is no room for its sockets and one answer of the state service.
+/// Memory in MiB that a controller may hold. Less than the minimum has no room for the controller's sockets and one
+/// response of the state service.
 const MEGABYTES: Range = Range {
     min: 16.0,
     max: 1_048_576.0,
 };
-/// No amount is larger.
+/// Maximum of any amount in a settings file.
 const MAX_AMOUNT: f64 = 1e9;
-/// A value of the state service has to hold a job.
+/// Minimum value size of the state service. A value has to hold a job.
 const MIN_VALUE_BYTES: usize = 2048;
-/// A takeover writes two keys at once.
+/// Minimum number of operations per transaction. A takeover writes two keys in one transaction.
 const MIN_TRANSACTION_OPERATIONS: usize = 2;
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
 
 impl Settings {
-    /// Checks the text of a settings file. Also returns warnings about what is odd but usable. `file` is the name that
-    /// errors give the file.
+    /// Parses and checks the text of a settings file. Also returns warnings about unusual but valid values. `file` is
+    /// the name of the file in errors.
     pub fn parse(text: &str, file: &str) -> Result<(Settings, Vec<String>), SettingsError> {
         let contents = toml::from_str(text).map_err(|error| SettingsError::Parse {
             file: file.to_string(),
@@ -44,7 +46,7 @@
     }
 }
 
-/// Checks the contents of a settings file. Also returns warnings about what is odd but usable.
+/// Checks the contents of a settings file. Also returns warnings about unusual but valid values.
 fn validate(contents: File, file: &str) -> Result<(Settings, Vec<String>), SettingsError> {
     let mut validation = Validation {
         file,
@@ -55,12 +57,12 @@
 }
 
 struct Validation<'a> {
-    /// The name that errors give the file.
+    /// Name of the file in errors.
     file: &'a str,
     warnings: Vec<String>,
 }
 
-// The checks of single values.
+// Checks of single values.
 impl Validation<'_> {
     fn invalid<T>(&self, field: &str, reason: impl Into<String>) -> Result<T, SettingsError> {
         Err(SettingsError::Field {
@@ -84,7 +86,7 @@
         if number.is_finite() && (0.0..=MAX_AMOUNT).contains(&number) {
             Ok(number)
         } else {
-            self.invalid(field, format!("{number} is not a usable amount"))
+            self.invalid(field, format!("{number} is not between 0 and {MAX_AMOUNT}"))
         }
     }
 
@@ -117,8 +119,9 @@
         }
     }
 
-    /// The smaller one of a limit of the state service and of what it will go over to, if that is known. It goes over
-    /// without notice, so what it would then call too large is never written.
+    /// Returns the smaller one of a current limit of the state service and of the next limit, if that is known. The
+    /// state service switches to its next limits without notice, so a write that would exceed the next limit is never
+    /// made.
     fn state_limit(
         &self,
         name: &str,
@@ -134,12 +137,12 @@
     }
 }
 
-// The checks of whole sections, in the order in which their errors are told.
+// Checks of whole sections, in the order in which their errors are reported.
 impl Validation<'_> {
     fn settings(&mut self, contents: File) -> Result<Settings, SettingsError> {
         let name = self.name("host_name", &contents.host_name)?;
         let peers = self.peers(&name, &contents.siblings)?;
-        self.warn_of_unlisted_zones(&contents);
+        self.warn_about_unlisted_zones(&contents);
         let cluster = &contents.cluster;
         let teams = self.teams(&cluster.teams)?;
         let objectives = self.objectives(&cluster.objectives)?;
@@ -183,7 +186,7 @@
             policy: Policy::default(),
             ledger: None,
         };
-        self.check_together(&settings)?;
+        self.check_combinations(&settings)?;
         Ok(settings)
     }
 
@@ -212,7 +215,7 @@
         Ok(peers)
     }
 
-    fn warn_of_unlisted_zones(&mut self, contents: &File) {
+    fn warn_about_unlisted_zones(&mut self, contents: &File) {
         let zones = &contents.cluster.zones;
         if zones.is_empty() {
             return;
@@ -255,7 +258,7 @@
             teams.push(team);
         }
         if teams.is_empty() {
-            let warning = "no teams: every submission will be refused";
+            let warning = "no teams are configured: every submission will be refused";
             self.warnings.push(warning.into());
         }
         Ok(teams)
@@ -305,15 +308,15 @@
             .transpose()
     }
 
-    /// The checks that concern more than one value, or what becomes of a value.
-    fn check_together(&mut self, settings: &Settings) -> Result<(), SettingsError> {
+    /// Checks values that depend on each other, and values that are derived from several fields.
+    fn check_combinations(&mut self, settings: &Settings) -> Result<(), SettingsError> {
         if settings.value_bytes < MIN_VALUE_BYTES {
-            return self.invalid("cluster.state.value_kb", "below 2 KiB no job fits");
+            return self.invalid("cluster.state.value_kb", "must be at least 2 to hold a job");
         }
         if settings.txn_ops < MIN_TRANSACTION_OPERATIONS {
             return self.invalid(
                 "cluster.state.txn_ops",
-                "a takeover writes two keys at once",
+                "must be at least 2: a takeover writes two keys at once",
             );
         }
         if settings.cancel_timeout < settings.lease_duration {
