--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -1,9 +1,10 @@
-//! The configuration that operators change while the service runs: a versioned document on top of the platform's
-//! settings file. This module defines what a document may contain, checks it, and applies it to the settings; controllers
-//! follow its versions.
+//! Configuration that operators change while the service runs: a versioned document on top of the platform's settings
+//! file. This module defines the form of a document, checks a document, and applies it to the settings; controllers
+//! follow the versions of the document.
 //!
-//! A document holds everything that operators have changed, so one version can be used without the others. What it does
-//! not name is as the platform's file has it. It has no fields for times that safety depends on, or for addresses.
+//! A document holds all changes that operators have made, so one version can be used without the others. Settings that
+//! the document does not name have their values from the platform's file. The document has no fields for addresses, or
+//! for times that safety depends on.
 
 use std::collections::BTreeSet;
 
@@ -13,13 +14,13 @@
 use crate::policy::{Policy, Setting};
 use crate::settings::{Objective, Settings, unlimited};
 
-/// The most teams that there may be at once, including removed ones that still have jobs.
+/// Maximum number of teams at one time, including removed teams that still have jobs.
 pub const MAX_TEAMS: usize = 2000;
-/// No amount is larger.
+/// Maximum of any amount in a document.
 const MAX_AMOUNT: f64 = 1e9;
 const MAX_NAME_BYTES: usize = 128;
 
-/// A policy setting that cannot be changed while the service runs.
+/// Policy setting that cannot change while the service runs.
 struct FixedSetting {
     name: &'static str,
     reason: &'static str,
@@ -28,44 +29,44 @@
 const FIXED_SETTINGS: [FixedSetting; 3] = [
     FixedSetting {
         name: "grant_s",
-        reason: "leases in use were counted by it",
+        reason: "the expiry of leases in use was computed with it",
     },
     FixedSetting {
         name: "blocks",
-        reason: "machines would have to change blocks while limits do",
+        reason: "machines would have to move between blocks while limits change",
     },
     FixedSetting {
         name: "block_chunk",
-        reason: "it shapes records that are being written",
+        reason: "the layout of records that are being written depends on it",
     },
 ];
 
-/// Everything that operators have changed, in the form in which it is stored and in which they write it.
+/// All configuration changes of operators, in the form in which operators write them and in which they are stored.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Teams that are new, or that differ from the platform's file.
+    /// Teams that are new or differ from the platform's file.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<TeamEntry>,
-    /// All objectives, in the place of the platform's.
+    /// All objectives, which replace the objectives of the platform's file.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub objectives: Option<Vec<ObjectiveEntry>>,
-    /// Policy settings, in the place of those of the same names.
+    /// Policy settings, which replace the platform's settings of the same names.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub policy: Option<String>,
-    /// What happens to tasks that run above a limit when it is lowered.
+    /// Treatment of running tasks that exceed a limit when the limit is lowered.
     #[serde(skip_serializing_if = "OverLimit::is_run")]
     pub over_limit: OverLimit,
 }
 
-/// What happens to tasks that run above a limit when it is lowered.
+/// Treatment of running tasks that exceed a limit when the limit is lowered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OverLimit {
-    /// They finish.
+    /// The tasks run until they finish.
     #[default]
     Run,
-    /// They are stopped, those that have run least first.
+    /// The tasks are stopped, starting with those that have run for the shortest time.
     Stop,
 }
 
@@ -89,7 +90,7 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pub gpus_max: f64,
     #[serde(default, skip_serializing_if = "is_false")]
-    /// The team gets no new jobs, and finishes those it has.
+    /// Whether the team is removed: it gets no new jobs, and finishes those that it has.
     pub removed: bool,
 }
 
@@ -101,7 +102,7 @@
     !flag
 }
 
-/// A service level objective, as in the platform's file.
+/// Service level objective, in the same form as in the platform's file.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectiveEntry {
@@ -120,11 +121,11 @@
     1.0
 }
 
-/// Why a document cannot be used.
+/// Reason why a document cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct DocumentError {
-    /// Such as `over_limit` or `teams[3].cpus`.
+    /// Path of the invalid field, such as `over_limit` or `teams[3].cpus`.
     pub field: String,
     pub reason: String,
 }
@@ -137,8 +138,8 @@
 }
 
 impl Document {
-    /// The document that follows this one when operators want `wanted`: teams that are not named any more are removed,
-    /// unless the platform's file has them, and removed ones keep their last limit.
+    /// Returns the document that follows this one when operators want `wanted`: teams that `wanted` no longer names are
+    /// removed, unless the platform's file names them, and removed teams keep their last limit.
     pub fn followed_by(&self, mut wanted: Document, base: &Settings) -> Document {
         let named: BTreeSet<String> = wanted.teams.iter().map(|team| team.name.clone()).collect();
         let dropped = self
@@ -156,15 +157,15 @@
         wanted
     }
 
-    /// The settings with this document applied to the platform's, `base`. `running` are the settings in force, whose
+    /// Returns the platform's settings, `base`, with this document applied. `current` are the settings in force, whose
     /// teams keep their positions; teams that neither the file nor the document names any more are closed.
     pub fn effective(
         &self,
         base: &Settings,
-        running: &Settings,
+        current: &Settings,
     ) -> Result<Settings, DocumentError> {
         let mut settings = base.clone();
-        settings.teams = self.effective_teams(base, running)?;
+        settings.teams = self.effective_teams(base, current)?;
         if let Some(objectives) = &self.objectives {
             let entries = objectives.iter().enumerate();
             settings.objectives = entries
@@ -174,16 +175,16 @@
         if let Some(text) = &self.policy {
             settings.policy = overlay_policy(text, &base.policy)?;
         }
-        check_teams_are_changeable(base, &settings)?;
+        check_team_changes(base, &settings)?;
         Ok(settings)
     }
 
     fn effective_teams(
         &self,
         base: &Settings,
-        running: &Settings,
+        current: &Settings,
     ) -> Result<Vec<Team>, DocumentError> {
-        let mut teams = running.teams.clone();
+        let mut teams = current.teams.clone();
         for team in &mut teams {
             match base.team(&team.name) {
                 Some(index) => team.clone_from(&base.teams[index]),
@@ -203,21 +204,21 @@
             }
         }
         if teams.len() > MAX_TEAMS {
-            let reason = format!("{} are more than {MAX_TEAMS}", teams.len());
+            let reason = format!("{} teams exceed the maximum of {MAX_TEAMS}", teams.len());
             return invalid("teams", reason);
         }
         Ok(teams)
     }
 }
 
-/// Refuses changes of teams that need a restart: where limits are divided among shards, or a ledger is kept, other
-/// records depend on the teams.
-fn check_teams_are_changeable(base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
+/// Refuses changes of teams that need a restart. If limits are divided among shards, or a ledger is kept, other records
+/// depend on the teams.
+fn check_team_changes(base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
     let shards = base.policy.number(Setting::Blocks, &[]) as u32;
     if shards > 1 && settings.teams != base.teams {
         return invalid(
             "teams",
-            "limits are divided among blocks; a restart is needed",
+            "cannot change while limits are divided among blocks; a restart is needed",
         );
     }
     if base.ledger.is_none() {
@@ -237,12 +238,12 @@
     if (0.0..=MAX_AMOUNT).contains(&amount) {
         Ok(())
     } else {
-        invalid(field, format!("{amount} is not a usable amount"))
+        invalid(field, format!("{amount} is not between 0 and {MAX_AMOUNT}"))
     }
 }
 
 impl TeamEntry {
-    /// The entry that gives a team the values it has.
+    /// Returns the entry with the current values of a team.
     pub fn of(team: &Team) -> TeamEntry {
         let amount = |thousandths: i64| {
             if thousandths >= UNLIMITED {
@@ -261,7 +262,7 @@
         }
     }
 
-    /// The same team, removed; it keeps its limit for the jobs it still has.
+    /// Returns the entry of the same team as removed. The team keeps its limit for the jobs that it still has.
     fn to_removed(&self) -> TeamEntry {
         TeamEntry {
             cpus: 0.0,
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Checks the entry, which errors call `path`, and makes the team of it.
+    /// Checks the entry and converts it to a team. `path` is the path of the entry in errors.
     fn team(&self, path: &str) -> Result<Team, DocumentError> {
         if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
             return invalid(
@@ -294,7 +295,7 @@
     }
 }
 
-/// Checks a team's guarantee and limit of one resource; a limit of zero is above any guarantee.
+/// Checks a team's guarantee and limit of one resource. A limit of zero stands for no limit and allows any guarantee.
 fn check_quota(field: &str, guarantee: f64, limit: f64) -> Result<(), DocumentError> {
     check_amount(field, guarantee)?;
     check_amount(&format!("{field}_max"), limit)?;
@@ -306,7 +307,7 @@
 }
 
 impl ObjectiveEntry {
-    /// Checks the entry at this position and makes the objective of it.
+    /// Checks the entry and converts it to an objective. `index` is the position of the entry in errors.
     fn objective(&self, index: usize) -> Result<Objective, DocumentError> {
         let field = |name: &str| format!("objectives[{index}].{name}");
         check_amount(&field("within_s"), self.within_s)?;
@@ -322,12 +323,12 @@
     }
 }
 
-/// The policy of a document on top of the platform's.
+/// Returns the platform's policy with the policy settings of a document applied.
 fn overlay_policy(text: &str, base: &Policy) -> Result<Policy, DocumentError> {
-    let named = Policy::named(text);
+    let setting_names = Policy::named(text);
     for FixedSetting { name, reason } in FIXED_SETTINGS {
-        if named.iter().any(|setting| setting == name) {
-            return invalid("policy", format!("{name} takes a restart: {reason}"));
+        if setting_names.iter().any(|setting| setting == name) {
+            return invalid("policy", format!("{name} needs a restart: {reason}"));
         }
     }
     base.overlaid(text)
--- a/crates/gannethub-core/src/configuration/tests.rs
+++ b/crates/gannethub-core/src/configuration/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn teams_keep_their_numbers_whatever_comes_and_goes() {
+fn teams_keep_their_positions_when_teams_come_and_go() {
     let base = base();
     let known = base.teams.len();
     let first = document(vec![entry("late", 1.0, 4.0), entry("later", 1.0, 4.0)]);
@@ -35,7 +35,10 @@
         .effective(&base, &first)
         .unwrap();
     assert_eq!(second.team("later"), Some(known + 1));
-    assert!(second.teams[known].closed, "it is named no more");
+    assert!(
+        second.teams[known].closed,
+        "a team that is no longer named is closed"
+    );
     let third = document(vec![entry("late", 1.0, 2.0)])
         .effective(&base, &second)
         .unwrap();
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn a_team_that_is_named_no_more_is_removed_with_its_last_limit() {
+fn omitted_team_is_removed_and_keeps_its_last_limit() {
     let base = base();
     let first = document(vec![entry("late", 1.0, 4.0)]);
     let second = first.followed_by(Document::default(), &base);
@@ -76,12 +79,12 @@
     assert_eq!(
         again.teams,
         [entry("late", 1.0, 2.0)],
-        "the platform's own is back as well"
+        "the team of the platform's file is restored as well"
     );
 }
 
 #[test]
-fn what_is_wrong_is_refused_by_its_field() {
+fn error_names_the_invalid_field_of_a_document() {
     let base = base();
     let refused = |d: Document| d.effective(&base, &base).unwrap_err().to_string();
     let above = refused(document(vec![entry("late", 5.0, 4.0)]));
@@ -97,14 +100,14 @@
         policy: Some(text.into()),
         ..Document::default()
     };
-    assert!(refused(policy("grant_s = 4")).starts_with("policy: grant_s takes a restart"));
+    assert!(refused(policy("grant_s = 4")).starts_with("policy: grant_s needs a restart"));
     assert!(refused(policy("patience_s = no")).starts_with("policy: "));
     let set = policy("patience_s = 7").effective(&base, &base).unwrap();
     assert_eq!(set.policy.number(Setting::Patience, &[]), 7.0);
 }
 
 #[test]
-fn with_blocks_or_a_ledger_what_other_records_divide_stays() {
+fn team_changes_are_refused_with_several_shards() {
     let mut base = base();
     base.policy = Policy::parse("blocks = 3").unwrap();
     let error = document(vec![entry("late", 1.0, 4.0)])
