--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -11,7 +11,8 @@
 const SCAN_INTERVAL_PER_MACHINE: Micros = 50;
 /// Maximum interval between scans of all machines.
 const MAX_SCAN_INTERVAL: Micros = SECOND / 2;
-/// Number of machines per silent machine at or above which a takeover does not wait for the silent machines.
+/// Divisor of the number of all machines. The quotient, but at least 1, is the maximum number of silent machines for
+/// which a takeover does not wait.
 const MACHINES_PER_SILENT_ALLOWED: usize = 40;
 
 impl Cluster {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Returns silent machines that delay a takeover to the cloud, if they are few.
+    /// Returns silent machines to the cloud if they delay a takeover and are few.
     ///
     /// Before machines are returned, every worker has had the time to find this leader. If only a few machines are
     /// silent, they have most likely failed, and the cloud confirms their deletion before their leases end. If a zone
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -12,7 +12,8 @@
 use crate::state::shard::ChunkRecord;
 use crate::wire::store::{self, DonePartRecord, JobRecord, LiveRecord, TASKS_PER_PART};
 
-/// Exclusive upper bound of the part numbers of a job's finished tasks. A key with a higher part number is damaged.
+/// Exclusive upper bound of the part numbers of a job's finished tasks. A key with a part number at or above the bound
+/// is damaged.
 const MAX_PARTS: u32 = 100;
 
 impl Cluster {
