--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -1,23 +1,23 @@
-//! Attempts: single starts of a task on a machine, and the attempts that a gang makes as a whole.
+//! Attempts: single starts of a task on a machine, and gang attempts, which start all tasks of a gang.
 
 use super::usage::record::UsageRecord;
 use crate::model::{MachineId, Micros, Resources};
 use crate::saga::Saga;
 use crate::wire::worker::{ExitReason, ReportedTask, TaskState};
 
-/// How far an attempt has come, as its worker last reported it.
+/// Progress of an attempt, as its worker last reported it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptPhase {
-    /// Placed, but not reported by the worker yet: the launch may still be on its way.
+    /// Placed, but not reported by the worker yet: the launch may still be in transit.
     Starting,
     /// The worker fetches the image.
     Fetching,
     /// The worker waits for the other tasks of the gang.
     Waiting,
     Running,
-    /// The task was told to stop and saves its progress.
+    /// The task was told to stop and is saving its progress.
     Saving,
-    /// The task has exited. The worker keeps reporting it until it is told to forget it.
+    /// The task has exited. The worker keeps reporting the exit until it is told to forget the attempt.
     Ended(ExitReason),
 }
 
@@ -40,30 +40,31 @@
     }
 }
 
-/// One start of a task, on one machine.
+/// One start of a task on one machine.
 ///
-/// Attempts are kept under [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer
-/// reports them, which is after their resources were given back.
+/// Attempts stay in [`Machine::attempts`](super::machine::Machine::attempts) until the worker no longer reports them,
+/// which happens after their resources were released.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub phase: AttemptPhase,
-    /// When it entered its phase, on this process's clock.
+    /// Time at which the attempt entered its phase, on this process's clock.
     pub phase_since: Micros,
-    /// The worker has reported it at least once. Only what a worker has shown can be told to stop.
+    /// Whether the worker has reported the attempt at least once. Only reported attempts can be told to stop.
     pub reported: bool,
-    /// It was told to stop, with this much time to save. `None`: it may go on.
+    /// Time that the attempt was given to save its progress when it was told to stop. `None`: the attempt may
+    /// continue.
     pub stop_grace: Option<Micros>,
     pub resources: Resources,
-    /// Index of the team in the settings whose quota it counts against.
+    /// Index of the team in the settings whose quota the attempt counts against.
     pub team: Option<usize>,
-    /// Its resources are counted in the use of its machine and of its team.
+    /// Whether the attempt's resources count in the usage of its machine and of its team.
     pub holds_capacity: bool,
-    /// What is charged for it, where a usage ledger is kept.
+    /// Usage to be charged for the attempt, if a usage ledger is kept.
     pub usage_record: Option<Box<UsageRecord>>,
 }
 
 impl Attempt {
-    /// An attempt that is placed now. It holds capacity from here on.
+    /// Returns an attempt that is placed at `now`. The attempt holds capacity from then on.
     pub fn starting(
         resources: Resources,
         team: Option<usize>,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Where a task is placed, and the number of that attempt.
+/// Machine and number of a task's current attempt.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LiveAttempt {
     pub machine: MachineId,
@@ -95,11 +96,12 @@
 pub struct GangAttempt {
     /// The attempt number that all tasks of the gang share.
     pub attempt: u64,
-    /// The attempt's own saga: every task is vital to it. The attempt is not vital to its job, so a lost one is
-    /// repeated.
+    /// The attempt's own saga, to which every task is vital. The attempt is not vital to its job, so a lost attempt
+    /// is repeated.
     pub saga: Saga<u32>,
-    /// At least one task has been reported as running. Until then a lost task is replaced within the same attempt.
+    /// Whether at least one task has been reported as running. Before that, a lost task is replaced within the same
+    /// attempt.
     pub running: bool,
-    /// The whole attempt has been told to stop.
+    /// Whether the whole attempt has been told to stop.
     pub stopping: bool,
 }
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -1,7 +1,7 @@
-//! The leader's view of jobs and machines, kept true by heartbeats and by the state service.
+//! The leader's view of jobs and machines, kept current by heartbeats and by the state service.
 //!
-//! Everything that could be on a machine counts as there: tasks whose launch may still arrive, tasks that fetch,
-//! run, save or wait, and tasks of machines that cannot be reached.
+//! Every task that could be on a machine counts as being on it: tasks whose launch may still arrive, tasks that
+//! fetch, run, save or wait, and tasks on unreachable machines.
 
 mod attempts;
 mod capacity;
@@ -30,96 +30,96 @@
 use crate::settings::Settings;
 use crate::wire::store::assignment_keys;
 
-/// Added to every lease that is waited out.
+/// Margin added to every wait for a lease to expire: 250 ms.
 const LEASE_MARGIN: Micros = 250_000;
-/// Clocks may differ in speed by one part in so many.
+/// Inverse of the maximum relative clock drift: clocks may differ in speed by one part in this many.
 const MAX_CLOCK_DRIFT: Micros = 1000;
-/// The end of a job takes this many changes, and must always fit into a transaction.
+/// Number of changes that the end of a job takes; they must always fit into one transaction.
 const MIN_TRANSACTION_CHANGES: usize = 2;
 
-/// All that the owner of a shard knows of it.
+/// The complete view that a shard owner has of its shard.
 ///
-/// Much of it is owned by the types of its fields, each of which says who changes it. What still spans several of
-/// them, and has to be changed together:
+/// Most of the state is owned by the types of the fields, each of which documents the code that changes it. The
+/// following state spans several fields, which have to change together:
 ///
-/// - the attempts on machines, what machines and teams use, and the capacity index. [`Cluster::adjust_usage`] changes
-///   the latter three for every attempt that takes or gives back capacity; only `reconcile::configuration` adds to
-///   [`QuotaState::team_usage`] beside it, when a team becomes known;
-/// - the live attempts of a job and those on its machines, which name each other. [`Cluster::place_task`] adds to
-///   both, `reconcile::attempts` adopts and removes;
-/// - `passes.needed`, which whoever changes what a pass decides by has to set.
+/// - the attempts on machines, the usage of machines and teams, and the capacity index. [`Cluster::adjust_usage`]
+///   changes the latter three for every attempt that takes or gives back capacity. Apart from it, only
+///   `reconcile::configuration` adds to [`QuotaState::team_usage`], when a team becomes known;
+/// - the live attempts of a job and the attempts on its machines, which refer to each other. [`Cluster::place_task`]
+///   adds to both, and `reconcile::attempts` adopts and removes attempts;
+/// - `passes.needed`, which has to be set by any code that changes an input of a scheduling pass.
 ///
-/// The folders above this one add methods of their own. `scheduling` decides: it changes the queue, the passes, the
-/// fleet's calls, and what [`JobScheduling`](super::job::JobScheduling) and
-/// [`PlacementState`](super::machine::PlacementState) keep. `reconcile` takes in heartbeats, stored records and
-/// answers of the cloud, and with them changes jobs, machines and pipelines. `controller` calls methods, and sets
-/// only `starts_paused`, `watermarks.not_required` and what other shards tell.
+/// The modules above this one add methods of their own. `scheduling` makes decisions: it changes the queue, the
+/// passes, the calls of the fleet, and the contents of [`JobScheduling`](super::job::JobScheduling) and
+/// [`PlacementState`](super::machine::PlacementState). `reconcile` applies heartbeats, stored records and answers of
+/// the cloud, and so changes jobs, machines and pipelines. `controller` calls methods, and sets only `starts_paused`,
+/// `watermarks.not_required` and the state reported by other shards.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The term under which this controller owns the shard: the fencing token of all that it sends.
+    /// The term under which this controller owns the shard: the fencing token of all messages that it sends.
     pub term: u64,
-    /// The settings, with the limits and guarantees that hold in this shard.
+    /// The settings, with the limits and guarantees that apply in this shard.
     pub settings: Arc<Settings>,
     pub machine_types: Arc<Vec<MachineType>>,
     /// The shard's durable record of its machines.
     pub shard: Shard,
 
-    /// The time of the last step, on this process's clock.
+    /// Time of the last step, on this process's clock.
     pub now: Micros,
-    /// The time of day, in microseconds since 1970.
+    /// Time of day, in microseconds since 1970.
     pub unix_time: u64,
 
-    /// Jobs that wait for no other: only these can be placed.
+    /// Jobs that wait for no other job. Only these jobs can be placed.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Jobs that wait for others.
+    /// Jobs that wait for other jobs.
     pub pipelines: Pipelines,
-    /// All machines of the shard that are known, also those that are not up yet or cannot be reached.
+    /// All known machines of the shard, including machines that are still booting or unreachable.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// The same machines by their free capacity.
+    /// The same machines, indexed by their free capacity.
     pub capacity_index: CapacityIndex,
     /// The capacity of all machines that are up.
     pub total_capacity: Resources,
-    /// When all machines were last looked through for what time alone changes, as leases that run out.
+    /// Time of the last scan of all machines for changes that depend on time alone, such as expired leases.
     pub(crate) machines_scanned_at: Micros,
-    /// Attempts that this term has started, which numbers them where no usage ledger is kept.
+    /// Number of attempts started in this term. The count numbers the attempts if no usage ledger is kept.
     pub(crate) attempts_started: u64,
-    /// Nothing is placed or launched, as there may be a newer configuration than is known here.
+    /// Whether placements and launches are paused because a newer configuration than the known one may exist.
     pub starts_paused: bool,
 
-    /// All jobs in the order in which they are served.
+    /// All jobs in scheduling order.
     pub queue: Queue,
-    /// What scheduling passes leave for the next ones.
+    /// State that scheduling passes keep for the next ones.
     pub passes: PassState,
-    /// What teams may use and do use.
+    /// Quota and usage of the teams.
     pub quota: QuotaState,
-    /// How long tasks of a class run, as a ratio to their users' estimates: a moving average.
+    /// Moving average of the ratio of run time to the user's estimate, by job class.
     pub runtime_ratios: HashMap<String, f64>,
-    /// How far the takeover from an earlier term has come.
+    /// Progress of the takeover from an earlier term.
     pub takeover: Takeover,
-    /// How far the jobs' launch watermarks can be relied on.
+    /// Reliability of the jobs' launch watermarks.
     pub watermarks: LaunchWatermarks,
 
-    /// Calls to the cloud.
+    /// State of the calls to the cloud.
     pub fleet: Fleet,
-    /// Machines that this shard's provisioning plan asks for.
+    /// Machines that this shard's provisioning plan requests.
     pub machine_demand: BTreeMap<Offer, u32>,
-    /// Zones that cannot be reached.
+    /// Unreachable zones.
     pub zones: ZoneReachability,
-    /// Machines on their way between shards.
+    /// Machines in transfer between shards.
     pub transfers: ShardTransfers,
-    /// What is known of the other shards.
+    /// Known state of the other shards.
     pub other_shards: OtherShards,
 
-    /// Attempts of cancelled jobs that their workers are to be told of at once.
+    /// Attempts of cancelled jobs whose workers have to be notified at once.
     pub(crate) kill_orders: KillOrders,
-    /// What has to be remembered about writes to the state service.
+    /// State of the writes to the state service.
     pub store_writes: StoreWrites,
-    /// Usage that is metered and charged. `None`: no usage ledger is kept.
+    /// Metered and charged usage. `None`: no usage ledger is kept.
     pub usage_ledger: Option<Box<UsageLedger>>,
 }
 
 impl Cluster {
-    /// The view of shard 0 before anything has been read; see [`Cluster::assign_shard`] for the others.
+    /// Returns the view of shard 0 before any record has been read. [`Cluster::assign_shard`] selects another shard.
     pub fn new(
         term: u64,
         settings: Arc<Settings>,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Makes this the view of another shard than shard 0. It has to come before anything is read.
+    /// Assigns another shard than shard 0. Must be called before any record is read.
     pub fn assign_shard(&mut self, shard: u32) {
         let chunk_size = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
         let Settings {
@@ -171,7 +171,7 @@
         self.store_writes.assignment_keys = assignment_keys(shard);
     }
 
-    /// Sets what teams may use in this shard. Guarantees follow their limits in proportion.
+    /// Sets the team limits of this shard. Guarantees scale in proportion to the limits.
     pub fn apply_team_limits(&mut self, limits: &[Resources]) {
         let mut settings = (*self.settings).clone();
         partition_teams(&self.quota.cluster_teams, &mut settings.teams, limits);
@@ -179,7 +179,7 @@
         self.passes.needed = true;
     }
 
-    /// The newest version of a live record that is known here.
+    /// Returns the newest known version of a live job's record.
     pub fn record_version(&self, id: &str) -> Option<u64> {
         match self.jobs.get(id) {
             Some(job) => Some(job.persistence.version),
@@ -187,26 +187,26 @@
         }
     }
 
-    /// The version of a waiting job's record.
+    /// Returns the version of a waiting job's record.
     pub fn waiting_job_version(&self, id: &str) -> Option<u64> {
         let waiting = self.pipelines.waiting.get(id);
         waiting.map(|job| job.version)
     }
 
-    /// Looks for zones that have become unreachable.
+    /// Detects zones that have become unreachable.
     pub fn detect_unreachable_zones(&mut self, now: Micros) {
         let heartbeat_interval = self.settings.heartbeat_interval;
         let machines = self.machines.values();
         self.zones.detect(machines, heartbeat_interval, now);
     }
 
-    /// After this long without an answer a worker's lease has run out, whatever its clock.
+    /// Returns the time without an answer after which a worker's lease has expired, whatever the drift of its clock.
     pub fn lease_expiry_bound(&self) -> Micros {
         let lease = self.settings.lease_duration;
         lease + lease / MAX_CLOCK_DRIFT + LEASE_MARGIN
     }
 
-    /// The machine of that name; one that is not known yet is adopted.
+    /// Returns the machine with this name, adopting an unknown machine first.
     pub fn machine_or_adopt(
         &mut self,
         name: &str,
@@ -230,8 +230,8 @@
         })
     }
 
-    /// How many changes a transaction may have. What the state service has rejected as too large is tried again in
-    /// smaller transactions.
+    /// Returns the maximum number of changes in a transaction. Transactions that the state service rejected as too
+    /// large are retried as smaller ones.
     pub fn max_transaction_changes(&self) -> usize {
         let halvings = self.store_writes.transaction_rejections.min(8);
         (self.settings.txn_ops >> halvings).max(MIN_TRANSACTION_CHANGES)
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -1,4 +1,4 @@
-//! What is remembered of the cloud: calls that are due or under way, refused offers, boot times and deleted machines.
+//! State of the cloud provider: pending and in-flight calls, refused offers, boot times and deleted machines.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,12 +6,12 @@
 use crate::model::{MachineType, Micros, SECOND};
 use crate::wire::cloud::{CloudRequest, ListedMachine};
 
-/// The share of the cloud's request rate that the leader uses: peers may ask for the machine types now and then.
+/// Share of the cloud's request rate that the leader uses. Peers may occasionally read the machine types.
 const LEADER_RATE_SHARE: f64 = 0.85;
-/// Calls that were not made are made up for as far as the rate of this many seconds.
+/// Maximum number of saved tokens for calls that were not made, in seconds of the request rate.
 const MAX_SAVED_SECONDS: f64 = 2.0;
 
-/// A kind of machine that can be asked for.
+/// A kind of machine that can be requested.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct Offer {
     /// Index into the list of machine types.
@@ -20,100 +20,100 @@
     pub spot: bool,
 }
 
-/// Machines that have been asked for and that the cloud has not answered for.
+/// Machines that have been requested and for which the cloud has not answered.
 #[derive(Clone, Debug)]
 pub struct PendingProvision {
     pub offer: Offer,
     pub count: u32,
 }
 
-/// The cloud had no machine for an offer.
+/// A refusal: the cloud had no machine for an offer.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferRefusal {
     pub(crate) at: Micros,
-    /// The offer is not asked for again before this time.
+    /// Earliest time at which the offer is requested again.
     pub(crate) until: Micros,
-    /// How many times in a row the offer was refused.
+    /// Number of consecutive refusals of the offer.
     pub(crate) consecutive: u32,
-    /// How many machines of the offer there were then.
+    /// Number of machines of the offer at the time of the refusal.
     pub(crate) machines_held: usize,
 }
 
-/// A call to the cloud and what it is for.
+/// A call to the cloud with its purpose.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
     /// Reads the machine types.
     MachineTypes,
-    /// Reads the page of the list of machines that comes after this one's name.
+    /// Reads the page of the machine list that starts after the name `after`.
     List { after: String },
-    /// Rents machines. The request's name makes it idempotent: the same name rents only once.
+    /// Provisions machines. The request's name makes it idempotent: requests with the same name provision only once.
     Provision {
         name: String,
         offer: Offer,
         count: u32,
-        /// How many times it was sent before.
+        /// Number of times that the request was sent before.
         tries: u32,
     },
-    /// Returns machines.
+    /// Deletes machines.
     Delete { machines: Vec<String> },
 }
 
 /// A token bucket that keeps the calls below the cloud's request rate.
 #[derive(Debug)]
 pub(crate) struct CallBudget {
-    /// How many calls may be sent now.
+    /// Number of calls that may be sent now.
     tokens: f64,
-    /// How many tokens are added in a second.
+    /// Number of tokens added per second.
     rate: f64,
     refilled_at: Micros,
-    /// The cloud has asked for a pause until then.
+    /// End of a pause that the cloud has asked for.
     pub paused_until: Micros,
 }
 
-/// The list of all machines that the cloud knows of, which is read in pages.
+/// The cloud's list of all machines, which is read in pages.
 #[derive(Debug, Default)]
 pub(crate) struct MachineListing {
-    /// A page has been asked for.
+    /// Whether a page has been requested.
     pub in_flight: bool,
-    /// When the next page is asked for.
+    /// Time at which the next page is requested.
     pub next_at: Micros,
-    /// The machine after which the next page begins.
+    /// Name of the machine after which the next page begins.
     pub cursor: String,
-    /// What the pages so far have shown.
+    /// Machines on the pages read so far.
     pub entries: Vec<ListedMachine>,
 }
 
-/// The state of the calls to the cloud, and what has been learned from them.
+/// The state of the calls to the cloud, and the information learned from them.
 ///
-/// Calls are decided by `scheduling::autoscaler`; their answers are taken in by `reconcile::provisioning`.
+/// `scheduling::autoscaler` decides on calls; `reconcile::provisioning` applies their answers.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) term: u64,
-    /// Provisioning requests so far, which names them together with the term.
+    /// Number of provisioning requests so far. Together with the term, the number names a request.
     pub(crate) request_count: u64,
-    /// Provisioning requests under way, by name.
+    /// Provisioning requests in flight, by name.
     pub pending_provisions: BTreeMap<String, PendingProvision>,
-    /// Calls that are to be sent again as they are.
+    /// Calls that are to be sent again unchanged.
     pub(crate) calls_to_retry: Vec<CloudCall>,
     pub(crate) delete_in_flight: bool,
 
     pub(crate) budget: CallBudget,
     pub(crate) listing: MachineListing,
     pub(crate) next_machine_types_at: Micros,
-    /// When the summary of the fleet is next logged.
+    /// Time at which the next summary of the fleet is logged.
     pub(crate) next_summary_at: Micros,
-    /// When it is next looked for machines that could be emptied and returned.
+    /// Time of the next search for machines that could be emptied and returned.
     pub(crate) next_move_at: Micros,
 
     pub(crate) refusals: HashMap<Offer, OfferRefusal>,
     pub provisioning_times: ProvisioningTimes,
-    /// Machines confirmed as deleted, and when: a lagging list may still show them, and heartbeats that were held
-    /// back in the network may come minutes later.
+    /// Machines confirmed as deleted, and the time of confirmation: a lagging list may still contain the machines,
+    /// and heartbeats that were held back in the network may arrive minutes later.
     pub deleted_machines: HashMap<String, Micros>,
 }
 
 impl Fleet {
-    /// `request_rate`: how many requests the cloud takes in a second.
+    /// Returns the state before any call. `request_rate`: number of requests that the cloud accepts per second.
     pub fn new(term: u64, request_rate: f64) -> Fleet {
         Fleet {
             term,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Adds the tokens earned since this was last done. There are none during a pause.
+    /// Adds the tokens earned since the last refill. During a pause there are no tokens.
     pub fn refill(&mut self, now: Micros) {
         let earned = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64 * self.rate;
         let max_tokens = (self.rate * MAX_SAVED_SECONDS).max(1.0);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes a token for one call, if that leaves `reserve` tokens for more urgent calls.
+    /// Takes a token for one call, if `reserve` tokens remain for more urgent calls.
     pub fn try_take(&mut self, reserve: f64) -> bool {
         let has_token = self.tokens >= 1.0 + reserve;
         if has_token {
@@ -165,7 +165,7 @@
 }
 
 impl CloudCall {
-    /// The request that is sent for this call.
+    /// Returns the HTTP request for this call.
     pub fn to_request(&self, machine_types: &[MachineType]) -> CloudRequest {
         match self {
             CloudCall::MachineTypes => CloudRequest::machine_types(),
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! Machines as the leader remembers them: identity, worker and lease, provisioning, and what is placed on them.
+//! Machines as the leader keeps them: identity, worker and lease, lifecycle, and placed attempts.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -8,113 +8,117 @@
 use super::capacity_index::{CapacityIndex, MachineKind};
 use crate::model::{AttemptId, JobId, MachineId, MachineType, Micros, Resources, SECOND};
 
-/// Heartbeats that arrived closer together than this may have been held back in the network together.
+/// Heartbeats that arrived closer together than this may have been held back in the network and delivered together.
 const MIN_HEARTBEAT_SPACING: Micros = 3 * SECOND;
 
 /// A machine that is known to this leader.
 ///
-/// The use of resources ([`Machine::used`]) and the position in the capacity index are changed by
-/// [`Cluster`](super::cluster::Cluster) alone, which keeps them consistent with each other.
+/// Only [`Cluster`](super::cluster::Cluster) changes the resource usage ([`Machine::used`]) and the position in the
+/// capacity index, and keeps the two consistent.
 #[derive(Debug)]
 pub struct Machine {
     pub id: MachineId,
-    /// Index into the list of machine types. `None`: its type is unknown, and nothing may be placed on it.
+    /// Index into the list of machine types. `None`: the type is unknown, and no task may be placed on the machine.
     pub machine_type: Option<usize>,
-    /// The resources of the whole machine.
+    /// Resources of the whole machine.
     pub capacity: Resources,
     pub zone: Arc<str>,
-    /// It is a spot machine: the cloud may take it back at short notice.
+    /// Whether this is a spot machine, which the cloud may take back at short notice.
     pub spot: bool,
-    /// Everything that is or may still be on the machine, by task and number.
+    /// All attempts that are or may still be on the machine, by task and number.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// The resources of all attempts that hold capacity.
+    /// Resources of all attempts that hold capacity.
     pub used: Resources,
     pub worker: WorkerState,
     pub lifecycle: MachineLifecycle,
     pub placement: PlacementState,
 }
 
-/// What is known of the worker on a machine: its heartbeats and its lease.
+/// Known state of the worker on a machine: its heartbeats and its lease.
 ///
-/// A worker that gets no answer for the length of its lease kills everything it runs. So an unanswered machine is
-/// known to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed since
-/// [`WorkerState::last_answered_at`].
+/// A worker that gets no answer for the duration of its lease kills everything that it runs. An unanswered machine is
+/// therefore known to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed
+/// since [`WorkerState::last_answered_at`].
 #[derive(Debug)]
 pub struct WorkerState {
-    /// It has sent a heartbeat with this term's fencing token, and so has shown all that it holds.
+    /// Whether the worker has sent a heartbeat with this term's fencing token, and has thereby reported all its
+    /// tasks.
     pub confirmed: bool,
-    /// The worker's current incarnation: it begins a new one when its lease has run out.
+    /// The worker's current incarnation. A worker begins a new incarnation when its lease has expired.
     pub incarnation: u64,
     /// Sequence number of the last heartbeat within the incarnation.
     pub sequence: u64,
-    /// No task of this incarnation or an earlier one can be left.
+    /// The newest incarnation that is known to be lost: no task of it or of an earlier incarnation can be left.
     pub lost_incarnation: u64,
     pub last_heartbeat_at: Option<Micros>,
-    /// When the heartbeat before the last one came.
+    /// Arrival time of the heartbeat before the last one.
     pub previous_heartbeat_at: Option<Micros>,
-    /// Heartbeats between the last two have not come.
+    /// Whether heartbeats between the last two are missing.
     pub missed_heartbeats: bool,
-    /// When an answer was last sent that may have renewed the worker's lease.
+    /// Time at which the last answer was sent that may have renewed the worker's lease.
     pub last_answered_at: Micros,
-    /// Where the worker takes orders that do not wait for its next heartbeat.
+    /// Address at which the worker accepts orders that do not wait for its next heartbeat.
     pub address: Option<SocketAddrV4>,
-    /// How many incarnations in a row ended although their heartbeats were answered: the answers do not arrive.
+    /// Number of consecutive incarnations that ended although their heartbeats were answered, so the answers do not
+    /// arrive.
     pub unanswered_incarnations: u32,
-    /// Hash of the tasks in the last heartbeat, unless they were told something since: a heartbeat with the same
-    /// tasks changes nothing.
+    /// Hash of the tasks in the last heartbeat, cleared when orders for them change: a heartbeat with the same tasks
+    /// changes nothing.
     pub heartbeat_digest: Option<u64>,
 }
 
-/// Where a machine is between its provisioning and its deletion.
+/// State of a machine between its provisioning and its deletion.
 ///
-/// The flags are independent of one another: a spot machine under notice may be draining and be on its way to
-/// deletion at the same time, and each is decided by a different event.
+/// The flags are independent of each other, and each is set by a different event: a spot machine with a preemption
+/// notice may be draining and be about to be deleted at the same time.
 #[derive(Debug)]
 pub struct MachineLifecycle {
-    /// It is on its shard's durable record. Nothing may be launched on it before.
+    /// Whether the machine is on its shard's durable record. Nothing may be launched on it before.
     pub recorded: bool,
-    /// When this leader first knew of it.
+    /// Time at which this leader first knew of the machine.
     pub known_since: Micros,
-    /// When it was provisioned, as far as is known.
+    /// Time at which the machine was provisioned, as far as known.
     pub provisioned_at: Micros,
-    /// Its worker has sent a heartbeat at all.
+    /// Whether the machine's worker has ever sent a heartbeat.
     pub is_up: bool,
-    /// It has taken much longer to boot than expected, which was counted once.
+    /// Whether the boot has taken much longer than expected. Each machine is counted as overdue once.
     pub boot_overdue: bool,
-    /// The cloud's list of machines has shown it.
+    /// Whether the cloud's list of machines has contained the machine.
     pub in_listing: bool,
-    /// How many lists in a row did not show it.
+    /// Number of consecutive lists that did not contain the machine.
     pub missed_listings: u32,
-    /// The cloud has announced that it takes this spot machine back.
+    /// Whether the cloud has announced that it takes this spot machine back.
     pub preemption_notice: bool,
-    /// Its deletion is due or has been requested.
+    /// Whether the machine's deletion is due or has been requested.
     pub deleting: bool,
-    /// Its work is being moved elsewhere, so that it can be returned.
+    /// Whether the machine's work is being moved elsewhere so that the machine can be returned.
     pub draining: bool,
-    /// Nothing is placed on it: it is faulty, or of an unknown type.
+    /// Whether placement on the machine is disabled because the machine is faulty or of an unknown type.
     pub quarantined: bool,
 }
 
-/// What the scheduler remembers about a machine from one decision to the next.
+/// State that the scheduler keeps about a machine between decisions.
 #[derive(Debug)]
 pub struct PlacementState {
-    /// When its last attempt gave its capacity back.
+    /// Time at which the last attempt released its capacity.
     pub idle_since: Micros,
-    /// Jobs whose tasks have failed here since a task last succeeded, and how often.
+    /// Number of failures on this machine since a task last succeeded on it, by job.
     pub failures_by_job: HashMap<JobId, u32>,
-    /// Images that its worker has fetched.
+    /// Images that the worker has fetched.
     pub cached_images: HashSet<String>,
-    /// Capacity that is reserved for a waiting job. It may have lapsed: see [`Machine::active_reservation`].
+    /// Capacity reserved for a waiting job. The reservation may have expired: see [`Machine::active_reservation`].
     pub reservation: Option<Reservation>,
-    /// Work that will be released soon is planned here: the machine is not returned until then.
+    /// Time until which the machine is not returned because work that will be released soon is planned on it.
     pub planned_work_until: Micros,
-    /// Nothing is placed here until then, as a launch was refused or answers do not reach the worker.
+    /// Time until which nothing is placed on the machine, because a launch was refused or answers do not reach the
+    /// worker.
     pub unschedulable_until: Micros,
-    /// When work of high priority was last placed here.
+    /// Time at which work of high priority was last placed on the machine.
     pub high_priority_placed_at: Option<Micros>,
-    /// The machine's bucket in the [`CapacityIndex`]. `None`: its type is unknown.
+    /// The machine's bucket in the [`CapacityIndex`]. `None`: the machine's type is unknown.
     pub capacity_bucket: Option<usize>,
-    /// The free CPU under which the bucket has it. `None`: nothing may be placed on it at present.
+    /// Free CPU, in thousandths, under which the bucket lists the machine. `None`: nothing may be placed on the
+    /// machine at present.
     pub indexed_free_cpu: Option<i64>,
 }
 
@@ -122,14 +126,15 @@
 #[derive(Debug, Clone)]
 pub struct Reservation {
     pub job: JobId,
-    /// How many tasks are still to be placed in it.
+    /// Number of tasks that are still to be placed in the reservation.
     pub tasks: i64,
-    /// It lapses at this time unless it is renewed.
+    /// Time at which the reservation expires unless it is renewed.
     pub expires_at: Micros,
 }
 
 impl Machine {
-    /// A machine that has just become known, entered into the capacity index. Its lease is counted from `now`.
+    /// Returns a newly known machine and enters it into the capacity index. The machine's lease is counted from
+    /// `now`.
     pub fn new(
         id: MachineId,
         machine_types: &[MachineType],
@@ -165,12 +170,12 @@
         }
     }
 
-    /// Resources that no attempt holds.
+    /// Returns the resources that no attempt holds.
     pub fn free(&self) -> Resources {
         self.capacity - self.used
     }
 
-    /// What will be free once everything that was told to stop has ended.
+    /// Returns the resources that will be free once all attempts that were told to stop have ended.
     pub fn free_after_stops(&self) -> Resources {
         let mut free = self.free();
         let stopping = self
@@ -181,7 +186,7 @@
         free
     }
 
-    /// The reservation on it, unless that has lapsed.
+    /// Returns the machine's reservation, unless the reservation has expired.
     pub fn active_reservation(&self, now: Micros) -> Option<&Reservation> {
         self.placement
             .reservation
@@ -189,14 +194,14 @@
             .filter(|reservation| reservation.expires_at > now)
     }
 
-    /// Whether any attempt on it holds capacity.
+    /// Whether any attempt on the machine holds capacity.
     pub(crate) fn holds_capacity(&self) -> bool {
         self.attempts.values().any(|attempt| attempt.holds_capacity)
     }
 
-    /// The incarnation that its worker replaces by a new one ended within a lease of a heartbeat that was
-    /// answered, so the answers do not arrive. Heartbeats that were held back and came together are no sign of
-    /// that: their answers came too late.
+    /// Whether the incarnation that the worker now replaces ended although its heartbeats were answered. The
+    /// incarnation ended within one lease of an answered heartbeat, so the answers do not arrive. Heartbeats that
+    /// were held back and arrived together are no evidence of this, because their answers came too late.
     pub(crate) fn ended_unanswered(&self, now: Micros, lease: Micros) -> bool {
         let (Some(last), Some(previous)) = (
             self.worker.last_heartbeat_at,
@@ -209,21 +214,23 @@
             && last >= previous + MIN_HEARTBEAT_SPACING
     }
 
-    /// The answers to its heartbeats do not arrive (a one-way partition), and nothing is planned there for a while.
+    /// Whether answers to the machine's heartbeats do not arrive (a one-way partition), so nothing is planned on the
+    /// machine for a while.
     pub fn is_unanswered(&self, now: Micros) -> bool {
         self.worker.unanswered_incarnations > 0 && now < self.placement.unschedulable_until
     }
 
-    /// Whether it may hold tasks of an earlier term that this leader does not know of: it is on its shard's
-    /// record, has not confirmed this term, and its lease may not have run out. `lease_bound`: how long that takes
-    /// at most.
+    /// Whether the machine may hold tasks of an earlier term that this leader does not know of: the machine is on its
+    /// shard's record, has not confirmed this term, and its lease may not have expired. `lease_bound`: maximum time
+    /// until the lease has expired.
     pub fn is_unconfirmed(&self, now: Micros, lease_bound: Micros) -> bool {
         self.lifecycle.recorded
             && !self.worker.confirmed
             && now <= self.worker.last_answered_at + lease_bound
     }
 
-    /// Whether new tasks may be placed on it now. A machine is fresh for two heartbeat intervals and a second.
+    /// Whether new tasks may be placed on the machine now. A heartbeat is recent enough for two heartbeat intervals
+    /// and one second.
     pub fn is_schedulable(&self, now: Micros, heartbeat_interval: Micros) -> bool {
         let fresh = self
             .worker
@@ -236,14 +243,15 @@
             && self.placement.unschedulable_until <= now
     }
 
-    /// The free CPU by which the capacity index should have it: `None` if nothing may be placed on it.
+    /// Returns the free CPU, in thousandths, under which the capacity index should list the machine. `None`: nothing
+    /// may be placed on the machine.
     pub(crate) fn schedulable_cpu(&self, now: Micros, heartbeat_interval: Micros) -> Option<i64> {
         let free = self.free().cpu;
         (self.is_schedulable(now, heartbeat_interval) && free >= 0).then_some(free)
     }
 }
 
-/// What is known of a machine when it is first heard of.
+/// Data of a machine when it first becomes known.
 #[derive(Clone, Copy, Debug)]
 pub struct NewMachine<'a> {
     pub machine_type: &'a str,
@@ -286,7 +294,7 @@
         }
     }
 
-    /// Whether the machine is on record and there is no reason to keep new work away from it.
+    /// Whether the machine is on record and nothing keeps new work away from it.
     fn accepts_work(&self) -> bool {
         self.recorded
             && !self.deleting
@@ -310,7 +318,7 @@
             indexed_free_cpu: None,
         }
     }
-    /// A task of a job has been placed here: its reservation, if it has one, is for one task less.
+    /// Reduces the reservation by one task after a task of `job` was placed, if the reservation is for that job.
     pub(crate) fn use_reservation(&mut self, job: &JobId) {
         let reservation = self.reservation.as_mut();
         let Some(reservation) = reservation.filter(|reservation| reservation.job == *job) else {
--- a/crates/gannethub-core/src/state/mod.rs
+++ b/crates/gannethub-core/src/state/mod.rs
@@ -1,18 +1,18 @@
-//! What a controller remembers, without any decision: decisions are made in `scheduling`, and what comes in from
-//! outside is taken in by `reconcile`.
+//! State that a controller keeps in memory. It holds no decisions: `scheduling` makes decisions, and `reconcile`
+//! applies input from outside.
 //!
-//! | modules | what they have |
+//! | modules | contents |
 //! | --- | --- |
-//! | [`cluster`] | [`Cluster`](cluster::Cluster): all that the owner of a shard knows of it |
-//! | [`machine`], [`attempt`], [`capacity_index`], [`zones`] | machines, what is on them, and where there is free capacity |
-//! | [`job`], [`failure_tracking`], [`queue`], [`quota`], [`pass_state`] | jobs, their order, and what the scheduler keeps |
-//! | [`pipeline`], [`dependencies`], [`deadline`] | jobs that wait for others |
-//! | [`unconfirmed`], [`watermarks`] | what a new leader may rely on before all machines have confirmed its term |
+//! | [`cluster`] | [`Cluster`](cluster::Cluster): the complete view that a shard owner has of its shard |
+//! | [`machine`], [`attempt`], [`capacity_index`], [`zones`] | machines, their attempts, and where capacity is free |
+//! | [`job`], [`failure_tracking`], [`queue`], [`quota`], [`pass_state`] | jobs, their order, and scheduler state |
+//! | [`pipeline`], [`dependencies`], [`deadline`] | jobs that wait for other jobs |
+//! | [`unconfirmed`], [`watermarks`] | what a new leader can rely on before all machines have confirmed its term |
 //! | [`shard`], [`shard_load`], [`shard_transfers`] | the shard's durable record, and the other shards |
-//! | [`fleet`], [`provisioning_times`] | the cloud, as far as it is known |
-//! | [`writes`], [`kill_orders`] | what is to be sent to the state service and to workers |
+//! | [`fleet`], [`provisioning_times`] | known state of the cloud |
+//! | [`writes`], [`kill_orders`] | pending messages to the state service and to workers |
 //! | [`usage`] | the leader's side of the usage ledger |
-//! | [`job_replica`], [`usage_replica`] | copies that every controller keeps, whoever leads |
+//! | [`job_replica`], [`usage_replica`] | copies that every controller keeps, whichever controller leads |
 
 pub mod attempt;
 pub mod capacity_index;
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -1,52 +1,52 @@
-//! What scheduling passes and provisioning plans leave behind for the next ones, and what they cost.
+//! State that scheduling passes and provisioning plans keep for the next ones, and their cost.
 
 use std::cell::Cell;
 
 use crate::model::{JobId, Micros};
 
-/// The scheduler's state between passes. It is changed by the folder `scheduling`; others only set the flags that
-/// ask for a pass.
+/// The scheduler's state between passes. Only the folder `scheduling` changes this state; other code only sets the
+/// flags that request a pass.
 #[derive(Debug)]
 pub struct PassState {
-    /// Something changed that a pass over the whole queue should see.
+    /// Whether a change has to be considered by a pass over the whole queue.
     pub needed: bool,
-    /// Capacity came free since the last heartbeat was answered.
+    /// Whether capacity was freed since the last heartbeat was answered.
     pub(crate) capacity_freed: bool,
     /// Jobs with tasks to place, in queue order, as of the last pass.
     pub placement_order: Vec<JobId>,
-    /// Indices of capacity buckets in first-fit order, in tiers of like preference, as of the last pass.
+    /// Indices of capacity buckets in first-fit order, in tiers of equal preference, as of the last pass.
     pub bucket_tiers: Vec<Vec<usize>>,
-    /// How many passes there have been.
+    /// Number of passes so far.
     pub count: u64,
     pub last_at: Micros,
-    /// The next pass may not begin before this time.
+    /// Earliest time of the next pass.
     pub next_at: Micros,
-    /// The next provisioning plan may not begin before this time.
+    /// Earliest time of the next provisioning plan.
     pub next_plan_at: Micros,
-    /// The last pass ran out of steps before it came to all gangs that ask for preemption.
+    /// Whether the last pass ran out of scheduling steps before it reached all gangs that request preemption.
     pub gang_requests_deferred: bool,
-    /// When gang placement was last tried for all gangs that wait.
+    /// Time at which gang placement was last tried for all waiting gangs.
     pub gang_round_at: Micros,
-    /// Steps taken so far: machines, jobs and forecasts that were looked at. It paces passes and plans by what
-    /// they cost, and is a cell as read-only helpers count as well.
+    /// Scheduling steps taken so far: the number of machines, jobs and forecasts examined. Passes and plans are paced
+    /// by their cost in steps. The counter is a cell because read-only helpers count steps as well.
     pub steps: Cell<u64>,
-    /// What passes and plans have cost since that was last logged.
+    /// Cost of passes and plans since the cost was last logged.
     pub cost: SchedulingCost,
 }
 
-/// What scheduling has cost, in steps.
+/// Cost of scheduling, in scheduling steps.
 #[derive(Debug, Default)]
 pub struct SchedulingCost {
     pub passes: u64,
     pub pass_steps: u64,
     pub plans: u64,
     pub plan_steps: u64,
-    /// The most that a single pass or plan took.
+    /// Largest number of steps taken by a single pass or plan.
     pub max_steps: u64,
 }
 
 impl Default for PassState {
-    /// The state before the first pass, which is needed.
+    /// Returns the state before the first pass, which is needed.
     fn default() -> PassState {
         PassState {
             needed: true,
@@ -66,7 +66,7 @@
 }
 
 impl PassState {
-    /// Counts steps that a decision has taken.
+    /// Counts scheduling steps taken by a decision.
     pub(crate) fn add_steps(&self, steps: u64) {
         self.steps.set(self.steps.get() + steps);
     }
--- a/crates/gannethub-core/src/state/pipeline.rs
+++ b/crates/gannethub-core/src/state/pipeline.rs
@@ -1,16 +1,16 @@
 //! Pipelines of several jobs, as the leader keeps them.
 //!
-//! Releases and cancellations follow from what the state service holds and from nothing else, so every controller
-//! comes to the same answer, whoever leads and whether or not the leader has written it down yet:
+//! Releases and cancellations follow from the contents of the state service alone, so every controller reaches the
+//! same result, whichever controller leads and whether or not the leader has written the result yet:
 //!
-//! - a job is done when its `over` record says so, and that never changes;
-//! - a job is cancelled when its own record says so, live or over, or when one it waits for is cancelled. A
-//!   cancelled job is never done, so this never changes either;
-//! - a waiting job has another kind of record than one that was released. Only the leader rewrites the one into
-//!   the other, after it has read or written the ends of all jobs upstream, and only what it keeps among its jobs,
-//!   which no waiting job is, can be placed on a machine.
+//! - a job is done when its `over` record says so, which never changes;
+//! - a job is cancelled when its own record says so, live or over, or when an upstream job is cancelled. A cancelled
+//!   job is never done, so this never changes either;
+//! - a waiting job has another kind of record than a released job. Only the leader rewrites a waiting record into a
+//!   released record, after it has read or written the ends of all upstream jobs. Only jobs that the leader keeps
+//!   among its jobs can be placed on a machine, and a waiting job is never one of these.
 //!
-//! Of a job that another one waits for and that is not live, the end is read.
+//! The end of an upstream job that is not live is read from the state service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,37 +19,37 @@
 use super::dependencies::DependencyGraph;
 use crate::model::{JobId, JobSpec, Micros};
 
-/// A job that waits for others.
+/// A job that waits for other jobs.
 #[derive(Debug)]
 pub struct WaitingJob {
     pub spec: Arc<JobSpec>,
-    /// Time of day at which it was accepted.
+    /// Time of day at which the job was accepted.
     pub accepted_at: u64,
-    /// Version of its stored record, which guards the next write.
+    /// Version of the job's stored record, which guards the next write.
     pub(crate) version: u64,
-    /// The jobs that it waits for, as its record encodes them.
+    /// The upstream jobs, as encoded in the job's record.
     pub(crate) upstream_ids: String,
-    /// What the jobs that wait for it ask of it.
+    /// Demand of the downstream jobs.
     pub downstream_demand: Option<DownstreamDemand>,
-    /// Its stored record says that it is cancelled.
+    /// Whether the job's stored record says that the job is cancelled.
     pub(crate) cancellation_recorded: bool,
-    /// A transaction with its record is on its way.
+    /// Whether a transaction with the job's record is in flight.
     pub(crate) write_in_flight: bool,
-    /// Its version is unknown until the record has been read again, as a write had no clear answer.
+    /// Whether the version is unknown until the record has been read again, because a write had no clear answer.
     pub(crate) version_unknown: bool,
 }
 
-/// All jobs that wait for others. It is changed by `reconcile::pipelines`, and its demand by
-/// `scheduling::downstream_demand`.
+/// All jobs that wait for other jobs. `reconcile::pipelines` changes them, and `scheduling::downstream_demand`
+/// changes their downstream demand.
 #[derive(Debug, Default)]
 pub struct Pipelines {
     pub waiting: BTreeMap<JobId, WaitingJob>,
     pub dependencies: DependencyGraph,
-    /// Waiting jobs about which something is to be written.
+    /// Waiting jobs with a pending write.
     pub(crate) pending_writes: BTreeSet<JobId>,
-    /// Who waits for whom has changed since downstream demand was worked out.
+    /// Whether the dependencies have changed since downstream demand was last computed.
     pub(crate) dependencies_changed: bool,
     pub(crate) demand_computed_at: Micros,
-    /// Jobs that had downstream demand when it was last worked out.
+    /// Jobs that had downstream demand when it was last computed.
     pub(crate) jobs_with_demand: Vec<JobId>,
 }
--- a/crates/gannethub-core/src/state/provisioning_times.rs
+++ b/crates/gannethub-core/src/state/provisioning_times.rs
@@ -1,42 +1,46 @@
-//! How long machines take to boot, learned for each type and zone from what is observed.
+//! Expected boot times of machines, learned from observations for each machine type and zone.
 //!
-//! The cloud states a usual time. Some machines take several times as long, some nights all of a type do in a
-//! zone, or never come up; at other times they are up at once. What was observed counts in full at first and fades
-//! with time, so that a bad hour does not keep a zone out for the day.
+//! The cloud states a usual boot time. Some machines take several times as long; on some nights all machines of a
+//! type in a zone do so, or never boot; at other times machines boot at once. Observations count in full at first and
+//! fade over time, so that a bad hour does not exclude a zone for the day.
 
 use std::collections::HashMap;
 
 use crate::model::{Micros, SECOND};
 
-/// An observation loses half its weight in this time.
+/// Time in which an observation loses half its weight.
 const HALF_LIFE: Micros = 120 * SECOND;
-/// The weight of one machine that came up, one that is overdue, and one that never came up. Of a burst the overdue
-/// ones are seen last and alone: a few of them must not count for the whole.
+/// Weight of one machine that booted.
 const BOOTED_WEIGHT: f64 = 0.15;
+/// Weight of one overdue machine. The overdue machines of a burst are observed last and without the others, so a few
+/// of them must not count for the whole burst.
 const OVERDUE_WEIGHT: f64 = 0.025;
+/// Weight of one machine that never booted.
 const LOST_WEIGHT: f64 = 0.03;
-/// The most by which a single boot may differ from what is expected: one that is far off is no more than a sign.
+/// Maximum deviation of a single boot from the estimated factor that is counted. A single outlier is only weak
+/// evidence.
 const MAX_BOOT_DEVIATION: f64 = 0.4;
-/// A machine is overdue when it has taken so many times as long as expected.
+/// Multiple of the expected boot time after which a machine is overdue.
 pub const OVERDUE_FACTOR: f64 = 1.6;
-/// How many times as long as expected an overdue machine is taken to need.
+/// Boot time assumed for an overdue machine, as a multiple of the expected boot time.
 const OVERDUE_MACHINE_FACTOR: f64 = 2.0;
-/// The range in which the factor of boot times is kept.
+/// Range to which the boot time factor is clamped.
 const FACTOR_RANGE: (f64, f64) = (0.02, 6.0);
-/// Deviations of the factor, and shares of lost machines, below these are the ordinary spread.
+/// Deviations of the boot time factor from 1 below this value are ordinary variation.
 const ORDINARY_DEVIATION: f64 = 0.3;
+/// Shares of lost machines below this value are ordinary variation.
 const ORDINARY_LOSS: f64 = 0.1;
-/// At least this share of machines is taken to come up, where the cost of those that do not is worked out.
+/// Minimum share of machines that is assumed to boot when the cost of lost machines is computed.
 const MIN_BOOTED_SHARE: f64 = 0.1;
-/// For how many seconds a machine is used: the cost of its boot is weighed against that.
+/// Typical time for which a machine is used, in seconds. The cost of a boot is weighed against this time.
 const TYPICAL_USE_SECONDS: f64 = 150.0;
 
-/// What has been learned of the machines of one type in one zone.
+/// Estimates for the machines of one type in one zone.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
-    /// Boot times, as a multiple of the usual one.
+    /// Boot time as a multiple of the usual boot time.
     factor: f64,
-    /// The share of machines that never came up.
+    /// Share of machines that never booted.
     lost_share: f64,
     updated_at: Micros,
 }
@@ -44,16 +48,16 @@
 /// A machine's type, as an index into the list of machine types, and its zone.
 type Location = (usize, String);
 
-/// What has been learned, by type and zone.
+/// Learned boot times and losses, by machine type and zone.
 #[derive(Debug, Default)]
 pub struct ProvisioningTimes {
     estimates: HashMap<Location, Estimate>,
 }
 
 impl ProvisioningTimes {
-    /// What is known at this time: earlier observations have faded.
+    /// Returns the estimate at `now`, with the weight of earlier observations reduced by their age.
     fn estimate(&self, machine_type: usize, zone: &str, now: Micros) -> Estimate {
-        // A look-up without copying the name would need a second map; there are few zones.
+        // A lookup without copying the name would need a second map; there are few zones.
         let Some(known) = self.estimates.get(&(machine_type, zone.to_string())) else {
             return Estimate {
                 factor: 1.0,
@@ -70,8 +74,8 @@
         }
     }
 
-    /// Like [`ProvisioningTimes::estimate`], but without the ordinary spread: else the choice among zones that are
-    /// as good as one another would wander, and gangs that need one zone would find half their capacity in each.
+    /// Like [`ProvisioningTimes::estimate`], but without ordinary variation. Otherwise the choice among zones of
+    /// equal quality would vary, and gangs that need a single zone would find half their capacity in each.
     fn significant_estimate(&self, machine_type: usize, zone: &str, now: Micros) -> Estimate {
         let mut estimate = self.estimate(machine_type, zone, now);
         if (estimate.factor - 1.0).abs() < ORDINARY_DEVIATION {
@@ -97,7 +101,7 @@
             .insert((machine_type, zone.to_string()), estimate);
     }
 
-    /// How long a machine is expected to take whose type usually takes `usual`.
+    /// Returns the expected boot time of a machine whose type usually takes `usual`.
     pub fn expected_boot_time(
         &self,
         machine_type: usize,
@@ -109,7 +113,7 @@
         (usual as f64 * estimate.factor) as Micros
     }
 
-    /// A machine came up after `boot_time`; its type usually takes `usual`.
+    /// Records that a machine of a type that usually takes `usual` booted after `boot_time`.
     pub fn record_boot(
         &mut self,
         machine_type: usize,
@@ -127,22 +131,22 @@
         });
     }
 
-    /// A machine is overdue.
+    /// Records that a machine is overdue.
     pub fn record_overdue(&mut self, machine_type: usize, zone: &str, now: Micros) {
         self.observe(machine_type, zone, now, |estimate| {
             estimate.factor += OVERDUE_WEIGHT * (OVERDUE_MACHINE_FACTOR - 1.0) * estimate.factor;
         });
     }
 
-    /// A machine is given up: it never came up.
+    /// Records that a machine never booted and is given up.
     pub fn record_lost(&mut self, machine_type: usize, zone: &str, now: Micros) {
         self.observe(machine_type, zone, now, |estimate| {
             estimate.lost_share += LOST_WEIGHT * (1.0 - estimate.lost_share);
         });
     }
 
-    /// By which factor boots make a machine dearer than its price: what is paid for longer boots, and for machines
-    /// that are given up after `max_boot_time`.
+    /// Returns the factor by which boots raise the cost of a machine above its price: the cost of longer boots, and
+    /// of machines that are given up after `max_boot_time`.
     pub fn price_factor(
         &self,
         machine_type: usize,
--- a/crates/gannethub-core/src/state/provisioning_times/tests.rs
+++ b/crates/gannethub-core/src/state/provisioning_times/tests.rs
@@ -3,24 +3,24 @@
 const USUAL: Micros = 20 * SECOND;
 
 #[test]
-fn boot_times_are_learned_for_each_zone_both_ways_and_forgotten() {
+fn boot_times_are_learned_per_zone_and_fade() {
     let mut times = ProvisioningTimes::default();
     let mut now = 100 * SECOND;
     (0..30).for_each(|_| times.record_boot(0, "a", USUAL, SECOND, now));
     assert!(
         times.expected_boot_time(0, "a", USUAL, now) < 4 * SECOND,
-        "they are up at once"
+        "boots at once after fast observations"
     );
     assert_eq!(
         times.expected_boot_time(0, "b", USUAL, now),
         USUAL,
-        "nothing is known of another zone"
+        "no observation for the other zone"
     );
     (0..3).for_each(|_| times.record_overdue(0, "b", now));
     assert_eq!(
         times.expected_boot_time(0, "b", USUAL, now),
         USUAL,
-        "three stragglers of a burst"
+        "three overdue machines of a burst stay within ordinary variation"
     );
     (0..50).for_each(|_| times.record_overdue(0, "b", now));
     let slow = times.expected_boot_time(0, "b", USUAL, now);
@@ -31,13 +31,13 @@
         assert_eq!(
             times.expected_boot_time(0, zone, USUAL, now),
             USUAL,
-            "forgotten"
+            "observations have faded"
         );
     }
 }
 
 #[test]
-fn machines_that_never_come_up_make_their_zone_dearer_until_others_come_up() {
+fn lost_machines_raise_zone_price_until_others_boot() {
     let mut times = ProvisioningTimes::default();
     (0..25).for_each(|_| times.record_lost(1, "a", SECOND));
     let dear = times.price_factor(1, "a", USUAL, 80 * SECOND, SECOND);
--- a/crates/gannethub-core/src/state/queue.rs
+++ b/crates/gannethub-core/src/state/queue.rs
@@ -1,23 +1,22 @@
-//! The order in which jobs are served, as it was last worked out.
+//! The job queue: the order in which jobs are served, as last computed.
 
 use std::cmp::Reverse;
 
 use crate::model::{JobId, Micros, Priority, Resources};
 
-/// What jobs are ordered by. The job with the least key is served first; the fields count in this order.
+/// Sort key of the queue. The job with the smallest key is served first; the fields are compared in this order.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct QueueKey {
-    /// Higher priorities first.
+    /// Higher priorities come first.
     pub(crate) priority: Reverse<Priority>,
     /// Jobs within their team's guarantee come first.
     pub(crate) is_above_guarantee: bool,
-    /// Jobs that can no longer be in time come last.
+    /// Jobs that can no longer meet their deadline come last.
     pub(crate) is_too_late: bool,
-    /// The policy's `queue_share`, in thousandths: how much the job's team has had of late, where policy asks for
-    /// that.
+    /// The policy's `queue_share`, in thousandths: the recent usage of the job's team, if the policy asks for it.
     pub(crate) share: i64,
-    /// The policy's `queue_weight`, in thousandths: usually the time left until a task has to start, lengthened by
-    /// the work that the job brings.
+    /// The policy's `queue_weight`, in thousandths: usually the time left until a task has to start, increased by the
+    /// amount of work in the job.
     pub(crate) weight: i64,
     /// Time of day at which the job became ready.
     pub(crate) ready_at: u64,
@@ -27,23 +26,24 @@
 /// All live jobs in the order in which they are served.
 #[derive(Debug, Default)]
 pub struct Queue {
-    /// In order, but for `arrivals`.
+    /// All jobs in order, except for `arrivals`.
     pub(crate) entries: Vec<QueueKey>,
-    /// What earlier jobs leave of each team's guarantee.
+    /// Part of each team's guarantee that earlier jobs in the queue leave unused.
     pub(crate) remaining_guarantees: Vec<Resources>,
-    /// Jobs that came since the queue was last put in order.
+    /// Jobs that arrived since the queue was last sorted.
     pub(crate) arrivals: Vec<JobId>,
-    /// When the queue was last put in order.
+    /// Time at which the queue was last sorted.
     pub(crate) ordered_at: Option<Micros>,
 }
 
 impl Queue {
-    /// A job has become live.
+    /// Adds a job that has become live.
     pub fn add_arrival(&mut self, id: JobId) {
         self.arrivals.push(id);
     }
 
-    /// The jobs in order, and whether each is within its team's guarantee. Some may be over by now.
+    /// Returns the jobs in order, and whether each job is within its team's guarantee. Some of the jobs may have
+    /// ended since the queue was sorted.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, bool)> {
         self.entries
             .iter()
--- a/crates/gannethub-core/src/state/quota.rs
+++ b/crates/gannethub-core/src/state/quota.rs
@@ -1,22 +1,22 @@
-//! What teams may use, and what they do use.
+//! Quota of the teams, and their usage.
 
 use crate::configuration::OverLimit;
 use crate::model::{Resources, Team};
 
-/// Quota of the teams, in the settings' order. The limits and guarantees that hold in this shard are those in
+/// Quota of the teams, in the order of the settings. The limits and guarantees that apply in this shard are in
 /// [`Cluster::settings`](super::cluster::Cluster::settings).
 #[derive(Debug)]
 pub struct QuotaState {
     /// The teams with their limits and guarantees in the whole cluster.
     pub cluster_teams: Vec<Team>,
-    /// What each team's attempts hold in this shard.
+    /// Resources held by each team's attempts in this shard.
     pub team_usage: Vec<Resources>,
-    /// What becomes of tasks above a limit that was lowered.
+    /// Treatment of running tasks above a limit that was lowered.
     pub over_limit: OverLimit,
 }
 
 impl QuotaState {
-    /// The state before anything is placed.
+    /// Returns the state before any task is placed.
     pub fn new(cluster_teams: Vec<Team>) -> QuotaState {
         QuotaState {
             team_usage: vec![Resources::default(); cluster_teams.len()],
@@ -26,7 +26,7 @@
     }
 }
 
-/// The teams as they are in a shard with these limits. Guarantees follow their limits in proportion, but for memory,
+/// Sets the teams' limits in a shard to `limits`. Guarantees scale in proportion to the limits, except for memory,
 /// which is not limited.
 pub(super) fn partition_teams(cluster_teams: &[Team], teams: &mut [Team], limits: &[Resources]) {
     let whole_and_limit = cluster_teams.iter().zip(limits);
@@ -45,7 +45,7 @@
     }
 }
 
-/// The same share of a guarantee as `limit` is of `whole_limit`.
+/// Returns the share of a guarantee that corresponds to the share that `limit` has of `whole_limit`.
 fn in_proportion(limit: i64, whole_limit: i64, guarantee: i64) -> i64 {
     match whole_limit {
         0 => 0,
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -1,41 +1,42 @@
-//! What the owners of shards tell each other of their load, and where a new job goes by that.
+//! Load reports that shard owners exchange, and the choice of a new job's home shard by them.
 
 use super::fleet::Offer;
 use crate::model::{JobSpec, Resources, Shape};
 
-/// The load of a shard, as its owner last told it.
+/// The load of a shard, as its owner last reported it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardLoad {
     pub shard: u32,
     pub term: u64,
-    /// The shard's owner, as the index of a peer; `None`: this controller.
+    /// Index of the peer that owns the shard. `None`: this controller owns it.
     pub owner: Option<usize>,
-    /// CPU that the shard's unfinished jobs ask for, in thousandths.
+    /// CPU requested by the shard's unfinished jobs, in thousandths.
     pub backlog_cpu: i64,
-    /// The part of the backlog that waits for a machine.
+    /// Part of the backlog that waits for a machine, in thousandths of a CPU.
     pub waiting_cpu: i64,
-    /// CPU that is free on its machines.
+    /// Free CPU on the shard's machines, in thousandths.
     pub free_cpu: i64,
-    /// In the settings' order of teams.
+    /// Load of each team, in the order of teams in the settings.
     pub teams: Vec<TeamLoad>,
-    /// Machines that its provisioning plan asks for.
+    /// Machines that the shard's provisioning plan requests.
     pub machine_demand: Vec<(Offer, u32)>,
 }
 
-/// The CPU and GPU of a team in a shard.
+/// CPU and GPU of a team in a shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TeamLoad {
-    /// What the team may have on the shard's machines now.
+    /// Resources that the team may be holding on the shard's machines now.
     pub used: Resources,
-    /// What its tasks that wait for a machine ask for, as far as its limit allows.
+    /// Resources requested by the team's tasks that wait for a machine, as far as the team's limit allows.
     pub waiting: Resources,
 }
 
-/// The home shard of a new job, of those below `shard_count`: the one with the smallest backlog, which grows by
-/// the job.
+/// Chooses the home shard of a new job among the shards below `shard_count`: the shard with the smallest backlog,
+/// which then grows by the work of the job.
 ///
-/// Gangs all go to shard 0: what they need at once, several shards would each have a part of. So does everything
-/// as long as the owner of shard 0 is not known to distribute machines and limits.
+/// All gangs go to shard 0, because a gang needs its resources at once and each of several shards would have only a
+/// part of them. All other jobs also go to shard 0 as long as the owner of shard 0 is not known to distribute
+/// machines and limits.
 pub fn choose_home_shard(loads: &mut [ShardLoad], shard_count: u32, spec: &JobSpec) -> u32 {
     if loads.iter().all(|load| load.shard != 0) {
         return 0;
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -1,17 +1,18 @@
-//! The leader's side of the usage ledger: which attempts are charged, and to whom.
+//! The leader's side of the usage ledger: the attempts that are charged, and their owners.
 //!
-//! What charges, writes and decays is [`gannethub_ledger`]; here the cluster's events meet it. Where no ledger is
-//! kept, every call of these modules does nothing.
+//! [`gannethub_ledger`] charges usage, writes the ledger and decays old usage; these modules feed it with the
+//! cluster's
+//! events. If no ledger is kept, every call of these modules does nothing.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`record`] | the types: open records, ends, and whom they are charged to |
-//! | [`ledger`] | [`UsageLedger`](ledger::UsageLedger): all that the leader keeps beside the open records |
-//! | `open_records` | attempts that are placed, found, or change their phase |
-//! | `ends` | attempts that have ended, and the search for their owners |
-//! | `orphans` | attempts that an earlier leader told of and that no worker has shown since |
-//! | `pages` | opening the ledger, and what is durable of it |
-//! | `replication` | what peers are told, so that one of them can go on |
+//! | [`record`] | the types: open records, ends, and the owners that are charged |
+//! | [`ledger`] | [`UsageLedger`](ledger::UsageLedger): all ledger state of the leader except the open records |
+//! | `open_records` | attempts that are placed, found on a machine, or change their phase |
+//! | `ends` | attempts that have ended, and the lookup of their owners |
+//! | `orphans` | attempts that an earlier leader reported and that no worker has reported since |
+//! | `pages` | opening the ledger, and the durable part of it |
+//! | `replication` | messages to peers, so that a peer can continue with the records |
 //! | `shares` | each team's share of all usage |
 
 mod ends;
--- a/crates/gannethub-core/src/state/usage_replica.rs
+++ b/crates/gannethub-core/src/state/usage_replica.rs
@@ -1,47 +1,48 @@
-//! A peer's copy of what a leader has not charged yet, or not made durable.
+//! A peer's copy of the leader's usage records that are not yet charged or not yet durable.
 //!
-//! A worker remembers an attempt until it is told to forget it, and that is enough while machines live. What was
-//! on a machine that is lost together with the leader is known to nobody else; so the leader sends its open usage
-//! records to its peers, and the one that succeeds it goes on with them. Messages may be lost: a copy that has
-//! missed one asks for all records, and says of itself that it is not complete.
+//! A worker remembers an attempt until it is told to forget the attempt, which is enough while machines live. If a
+//! machine is lost together with the leader, nobody else knows the attempts on that machine. The leader therefore
+//! sends its open usage records to its peers, and the peer that succeeds it continues with them. Messages may be
+//! lost: a copy that has missed a message requests all records, and reports that it is not complete.
 
 use std::collections::BTreeMap;
 
 use crate::model::{Micros, SECOND};
 use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageRecords};
 
-/// A copy that has missed a message asks again after this time.
+/// Interval at which a copy that has missed a message repeats its request for all records.
 const RESEND_REQUEST_INTERVAL: Micros = 2 * SECOND;
 
-/// An open usage record as a leader sent it.
+/// An open usage record as received from a leader.
 #[derive(Debug, Clone)]
 pub struct ReplicatedRecord {
     pub record: OpenUsageRecord,
-    /// When the record came, on this process's clock.
+    /// Time at which the record was received, on this process's clock.
     pub received_at: Micros,
-    /// How long it had been on its way.
+    /// Time that the record spent in transit.
     pub transit_time: Micros,
-    /// Until when it is known to have held: when the leader was last heard, and had nothing new to tell of it.
+    /// Time until which the record is known to have been current: the last time that the leader was heard without
+    /// sending a change of the record.
     pub current_until: Micros,
 }
 
-/// What a new leader goes on with.
+/// The records with which a new leader continues.
 #[derive(Debug)]
 pub struct InheritedRecords {
     pub records: Vec<ReplicatedRecord>,
-    /// No record of the leader before is missing.
+    /// Whether the records of the previous leader are all present.
     pub is_complete: bool,
 }
 
-/// What is known of a leader's open usage records.
+/// The copy of a leader's open usage records.
 #[derive(Debug, Default)]
 pub struct UsageReplica {
     /// The leader's term.
     pub term: u64,
     next_sequence: u64,
-    /// It has all of the leader's records.
+    /// Whether the copy has all of the leader's records.
     is_complete: bool,
-    /// The leader is sending all of its records, and none has been missed so far.
+    /// Whether the leader is sending all of its records and no message has been missed so far.
     is_filling: bool,
     resend_requested_at: Option<Micros>,
     leader_heard_at: Micros,
@@ -49,7 +50,7 @@
 }
 
 impl UsageReplica {
-    /// What a leader that steps down knows itself.
+    /// Returns the complete copy of a leader that steps down, made from its own records.
     pub fn from_own_records(term: u64, records: Vec<OpenUsageRecord>, now: Micros) -> UsageReplica {
         let mut replica = UsageReplica::default();
         let all_records = UsageRecords {
@@ -65,7 +66,7 @@
         replica
     }
 
-    /// Takes in a leader's message. Returns whether all records should be asked for again.
+    /// Applies a leader's message. Returns whether to request all records again.
     pub fn apply(&mut self, message: UsageRecords, now: Micros, transit_time: Micros) -> bool {
         if message.term < self.term {
             return false;
@@ -86,7 +87,7 @@
             self.is_filling = false;
         }
         self.next_sequence = message.sequence + 1;
-        // What has come is of use even where something is missing.
+        // The records of this message are useful even if another message is missing.
         for key in &message.closed_keys {
             self.records.remove(key);
         }
@@ -126,15 +127,15 @@
         is_due
     }
 
-    /// The leader of `term` is alive.
+    /// Records that the leader of `term` is alive.
     pub fn leader_heard(&mut self, term: u64, now: Micros) {
         if term == self.term {
             self.leader_heard_at = now;
         }
     }
 
-    /// What the leader of `term` left open, and whether that is all. A record of which it sent no news had not
-    /// changed while the leader was heard.
+    /// Returns the records that the leader of `term` left open, and whether they are complete. A record without news
+    /// from the leader had not changed up to the time when the leader was last heard.
     pub fn take_records(&mut self, term: u64) -> InheritedRecords {
         let replica = std::mem::take(self);
         let records = replica
--- a/crates/gannethub-core/src/state/usage_replica/tests.rs
+++ b/crates/gannethub-core/src/state/usage_replica/tests.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// The tasks whose records are left to a successor, and whether these are all.
+/// Returns the tasks whose records a successor inherits, and whether the records are complete.
 fn inherited_tasks(replica: &mut UsageReplica) -> (Vec<u32>, bool) {
     let inherited = replica.take_records(3);
     let records = inherited.records.into_iter();
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn a_replica_is_complete_after_a_full_transmission_until_a_message_is_missing() {
+fn replica_is_complete_until_a_message_is_missing() {
     let mut replica = UsageReplica::default();
     assert!(
         replica.apply(message(7, false, false, &[9], &[]), 0, 0),
-        "it missed the start and asks"
+        "requests all records after missing the start"
     );
     assert!(!replica.apply(message(8, true, false, &[1, 2], &[]), SECOND, 0));
     assert!(!replica.apply(message(9, false, true, &[3], &[]), SECOND, 0));
@@ -60,24 +60,24 @@
     };
     assert!(
         !replica.apply(old, SECOND, 0),
-        "a deposed leader is not listened to"
+        "message of a deposed leader is ignored"
     );
     assert_eq!(inherited_tasks(&mut replica), (vec![2, 3, 4], true));
     let mut replica = UsageReplica::default();
     replica.apply(message(0, true, true, &[1, 2], &[]), 0, 0);
     assert!(
         replica.apply(message(2, false, false, &[3], &[2]), SECOND, 0),
-        "one was lost"
+        "requests all records after a lost message"
     );
     assert!(
         !replica.apply(message(3, false, false, &[], &[]), SECOND, 0),
-        "it does not ask all the time"
+        "does not repeat the request within the interval"
     );
     assert!(replica.apply(message(4, false, false, &[], &[]), 4 * SECOND, 0));
     assert_eq!(inherited_tasks(&mut replica), (vec![1, 3], false));
     replica.apply(message(5, true, true, &[1], &[]), 0, 0);
     assert!(
         !replica.take_records(4).is_complete,
-        "another leader came between"
+        "another leader was between the two terms"
     );
 }
