--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -1,4 +1,4 @@
-//! Attempts that have ended: they are charged to their owners, which may have to be found first.
+//! Ended attempts: they are charged to their owners, which may have to be looked up first.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use gannethub_ledger::line::{ChargeGroup, Entry, Reason, Usefulness};
 use gannethub_ledger::meter::EndObservation;
 
-use super::record::{AttemptEnd, ChargeState, to_need};
+use super::record::{AttemptEnd, ChargeState, to_resource_amounts};
 use crate::model::{AttemptId, JobId, MachineId, Micros, SECOND, Shape};
 use crate::state::attempt::AttemptPhase;
 use crate::state::cluster::Cluster;
@@ -15,14 +15,14 @@
 use crate::wire::store::JobOwner;
 use crate::wire::worker::ExitReason;
 
-/// More ended attempts than this are not kept in a worker's heartbeat, which has to stay below 64 KiB.
+/// Maximum number of ended attempts kept in a worker's heartbeat, which has to stay below 64 KiB.
 const MAX_ENDED_ATTEMPTS: usize = 200;
-/// An owner that could not be read is asked for again after this time.
+/// Time after which an owner that could not be read is queried again.
 const OWNER_QUERY_INTERVAL: Micros = 3 * SECOND;
-/// How many owners are asked for at a time.
+/// Maximum number of owners queried at a time.
 const MAX_OWNER_QUERIES: usize = 5;
 
-/// Whom a job's attempts are charged to.
+/// Returns the owner that a job's attempts are charged to.
 pub(crate) fn job_owner(job: &Job) -> JobOwner {
     JobOwner {
         team: job.spec.team.clone(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Why an attempt ended that its worker reports as ended.
+/// Converts the exit reason that a worker reports to the reason in the ledger.
 pub fn end_reason(exit_reason: ExitReason) -> Reason {
     match exit_reason {
         ExitReason::Done => Reason::Done,
@@ -48,7 +48,7 @@
 }
 
 impl Cluster {
-    /// An attempt has given its capacity back: it is charged, unless it was.
+    /// Charges an attempt that has released its capacity, unless it was charged already.
     pub(crate) fn charge_attempt(
         &mut self,
         id: &MachineId,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The end of an attempt whose charge is still open.
+    /// Returns the end of an attempt whose charge is still open.
     fn attempt_end(
         &self,
         id: &MachineId,
@@ -84,12 +84,12 @@
         if record.charge != ChargeState::Open {
             return None;
         }
-        let news = self.end_news(machine, reason, now);
+        let observation = self.end_observation(machine, reason, now);
         Some(AttemptEnd {
             id: attempt.clone(),
             machine: id.clone(),
             rate: self.machine_rate(machine),
-            reading: record.meter.end(now, news),
+            reading: record.meter.end(now, observation),
             at: now,
             unix_time: self.time_of_day(now),
             reason,
@@ -97,8 +97,8 @@
         })
     }
 
-    /// How the end of an attempt on a machine came to be known.
-    fn end_news(&self, machine: &Machine, reason: Reason, now: Micros) -> EndObservation {
+    /// Returns how the end of an attempt on a machine was observed.
+    fn end_observation(&self, machine: &Machine, reason: Reason, now: Micros) -> EndObservation {
         let worker = &machine.worker;
         if !matches!(reason, Reason::Lease | Reason::Machine) {
             return EndObservation::Reported {
@@ -106,8 +106,8 @@
                 missed: worker.missed_heartbeats,
             };
         }
-        // A heartbeat of a new incarnation shows that the lease of the one before ran out, after the last answer
-        // in it; of a machine that is silent nobody knows.
+        // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired after the last
+        // answer in it. For a silent machine, the time is not known.
         match worker.last_heartbeat_at {
             Some(at) if at == now => EndObservation::Silence {
                 heard: worker.previous_heartbeat_at,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Charges an end to its owner, or keeps it until that is known. Returns the ticket of the charge.
+    /// Charges an end to its owner, or keeps the end until the owner is known. Returns the ticket of the charge.
     pub(super) fn charge_end(
         &mut self,
         owner: Option<Arc<JobOwner>>,
@@ -138,28 +138,29 @@
             return None;
         };
         let ticket = charge_to(&mut ledger.book, &owner, &end, now);
-        ledger.undurable_ends.insert(ticket, (owner, end));
+        ledger.non_durable_ends.insert(ticket, (owner, end));
         ledger.replication.ended.push(ticket);
         Some(ticket)
     }
 
-    /// Jobs whose owners are to be read from what is stored of their ends.
+    /// Returns jobs whose owners are to be read from the stored records of their ends.
     pub fn owners_to_read(&mut self, now: Micros) -> Vec<JobId> {
         let Some(ledger) = &mut self.usage_ledger else {
             return Vec::new();
         };
         let queries = &mut ledger.owner_queries;
-        queries.retain(|_, asked_at| now < *asked_at + OWNER_QUERY_INTERVAL);
-        let unasked = ledger
+        queries.retain(|_, queried_at| now < *queried_at + OWNER_QUERY_INTERVAL);
+        let unqueried = ledger
             .unowned_ends
             .keys()
             .filter(|job| !queries.contains_key(*job));
-        let jobs: Vec<JobId> = unasked.take(MAX_OWNER_QUERIES).cloned().collect();
+        let jobs: Vec<JobId> = unqueried.take(MAX_OWNER_QUERIES).cloned().collect();
         queries.extend(jobs.iter().map(|job| (job.clone(), now)));
         jobs
     }
 
-    /// The owner of a job that is over, as far as it is stored; what nobody owns is charged to nobody.
+    /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends have an empty
+    /// owner.
     pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Whether a worker may forget an ended attempt, as far as the ledger goes.
+    /// Whether a worker may forget an ended attempt, as far as the ledger is concerned.
     pub(crate) fn is_usage_settled(&self, machine: &Machine, attempt: &AttemptId) -> bool {
         let Some(ledger) = &self.usage_ledger else {
             return true;
@@ -190,8 +191,8 @@
             Some(ChargeState::Charged(ticket)) => ledger.book.is_written(ticket),
             Some(ChargeState::Open | ChargeState::OwnerUnknown) => false,
         };
-        // An end that is still shown would get the next start of the task here refused; and a heartbeat must not
-        // outgrow its limit. Then this leader's memory has to do.
+        // A worker that still reports the end would refuse the next start of the task on this machine, and a
+        // heartbeat must not exceed its size limit. In these cases the end stays only in this leader's memory.
         is_durable || is_replaced(machine, attempt) || has_too_many_ends(machine)
     }
 }
@@ -215,7 +216,7 @@
 
 /// Charges an end. Returns the ticket of the charge.
 fn charge_to(book: &mut Book, owner: &JobOwner, end: &AttemptEnd, now: Micros) -> u64 {
-    let worth = match (end.reason, end.saved) {
+    let end_usefulness = match (end.reason, end.saved) {
         (Reason::Done, _) => Usefulness::Useful,
         _ if owner.is_service => Usefulness::Useful,
         (_, true) => Usefulness::Saved,
@@ -227,13 +228,13 @@
         team: owner.team.clone(),
         class: owner.class.clone(),
         job: task.job.to_string(),
-        resources: to_need(owner.resources),
+        resources: to_resource_amounts(owner.resources),
         machine_type: rate.machine_type,
         zone: rate.zone,
         spot: rate.spot,
         price: rate.hourly_price,
         reason: end.reason,
-        usefulness: worth,
+        usefulness: end_usefulness,
     };
     let entry = Entry {
         task: task.index,
--- a/crates/gannethub-core/src/state/usage/ledger.rs
+++ b/crates/gannethub-core/src/state/usage/ledger.rs
@@ -1,4 +1,4 @@
-//! All that the leader keeps of the usage ledger beside the open records, which lie with their attempts.
+//! The leader's state of the usage ledger, except for the open records, which are stored with their attempts.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -15,56 +15,56 @@
 pub struct UsageLedger {
     /// The accounts, and the pages that are durable or to be written.
     pub book: Book,
-    /// Attempts that earlier leaders charged, as far as they may be met again.
+    /// Attempts charged by earlier leaders that this leader may still encounter.
     pub(super) charged_before: HashSet<ChargedAttempt>,
-    /// Ends that an earlier leader had charged but not made durable, and the tickets under which this one has
-    /// charged them.
+    /// Tickets of ends that an earlier leader had charged but not made durable, and that this leader has charged
+    /// again.
     pub(super) inherited_tickets: HashMap<ChargedAttempt, u64>,
-    /// The copy of the earlier leader's records that this one took over was complete.
+    /// Whether the copy of the previous leader's records that this leader took over was complete.
     pub(super) replica_was_complete: bool,
     pub(super) orphans: BTreeMap<MachineId, BTreeMap<AttemptId, OrphanedAttempt>>,
-    /// Ends whose owners are not known yet, by their jobs.
+    /// Ends whose owners are not known yet, by job.
     pub(super) unowned_ends: BTreeMap<JobId, Vec<AttemptEnd>>,
-    /// When the owners of these jobs were last asked for.
+    /// Time at which the owner of each job was last queried.
     pub(super) owner_queries: HashMap<JobId, Micros>,
-    /// Ends that are charged and not durable yet, by their tickets.
-    pub(super) undurable_ends: BTreeMap<u64, (Arc<JobOwner>, AttemptEnd)>,
-    /// Machines for which an unmetered interval is on the books.
+    /// Ends that are charged and not durable yet, by ticket.
+    pub(super) non_durable_ends: BTreeMap<u64, (Arc<JobOwner>, AttemptEnd)>,
+    /// Machines for which the ledger has an unmetered interval.
     pub(super) unmetered_machines: HashSet<MachineId>,
-    /// The last attempt number that was given out with a time in it.
+    /// The last attempt number with a timestamp that was assigned.
     pub(super) last_attempt_number: u64,
     pub(super) replication: Replication,
-    /// Each team's share of all usage, in the settings' order of teams, and when that was last worked out.
+    /// Each team's share of all usage, in the order of teams in the settings, and the time of the last computation.
     pub(super) shares: Vec<UsageShare>,
     pub(super) shares_updated_at: Option<Micros>,
 }
 
-/// What has changed since peers were last told of the open records.
+/// Changes of the open records since the last messages to peers.
 #[derive(Debug)]
 pub(super) struct Replication {
     /// Attempts whose records are new or have changed.
     pub changed: BTreeSet<(MachineId, AttemptId)>,
-    /// Launches among them are going out now.
+    /// Whether launches of changed attempts are being sent now.
     pub is_urgent: bool,
     /// Tickets of attempts that have ended.
     pub ended: Vec<u64>,
     /// Attempts whose ends have become durable.
     pub closed: Vec<AttemptKey>,
-    /// How far each peer has been told.
+    /// Progress of the messages to each peer.
     pub peers: Vec<PeerProgress>,
 }
 
-/// How far a peer has been told.
+/// Progress of the messages to one peer.
 #[derive(Debug, Clone)]
 pub(super) struct PeerProgress {
     pub next_sequence: u64,
-    /// It is to be told of all records again.
+    /// Whether all records have to be sent to the peer again.
     pub needs_all: bool,
 }
 
 impl Replication {
     fn new(peer_count: usize) -> Replication {
-        let untold = PeerProgress {
+        let initial_progress = PeerProgress {
             next_sequence: 0,
             needs_all: true,
         };
@@ -73,7 +73,7 @@
             is_urgent: false,
             ended: Vec::new(),
             closed: Vec::new(),
-            peers: vec![untold; peer_count],
+            peers: vec![initial_progress; peer_count],
         }
     }
 
@@ -83,7 +83,7 @@
 }
 
 impl UsageLedger {
-    /// The ledger as the state service holds it.
+    /// Returns the ledger as stored in the state service.
     pub(super) fn new(opened: OpenedBook, peer_count: usize) -> UsageLedger {
         UsageLedger {
             book: opened.book,
@@ -93,7 +93,7 @@
             orphans: BTreeMap::new(),
             unowned_ends: BTreeMap::new(),
             owner_queries: HashMap::new(),
-            undurable_ends: BTreeMap::new(),
+            non_durable_ends: BTreeMap::new(),
             unmetered_machines: HashSet::new(),
             last_attempt_number: 0,
             replication: Replication::new(peer_count),
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -12,23 +12,23 @@
 use crate::state::machine::Machine;
 use crate::wire::worker::ExitReason;
 
-/// Attempt numbers with a time in them: the term above this many bits, milliseconds since [`EPOCH_MS`] below.
+/// Number of time bits in an attempt number: the term is above them, the milliseconds since [`EPOCH_MS`] are in them.
 const TIME_BITS: u32 = 42;
-/// Terms from here on leave no room for a time.
+/// First term that leaves no room for a time in an attempt number.
 const TERM_LIMIT: u64 = 1 << 21;
 /// The start of 2020, in milliseconds since 1970.
 const EPOCH_MS: u64 = 1_577_836_800_000;
-/// A worker that gets no answer sends its next heartbeat after this time.
+/// Time after which a worker that gets no answer sends its next heartbeat.
 const LOST_ANSWER_DELAY: Micros = 5 * SECOND;
 
-/// How long ago an attempt was placed, and how far that may be off.
+/// Estimated time since an attempt was placed, with its maximum error.
 #[derive(Clone, Copy)]
 struct EstimatedAge {
     age: Micros,
     uncertainty: Micros,
 }
 
-/// The stage that an attempt in this phase is metered in.
+/// Returns the stage in which an attempt in this phase is metered.
 fn stage(phase: AttemptPhase) -> Stage {
     match phase {
         AttemptPhase::Starting => Stage::Starting,
@@ -36,7 +36,7 @@
         AttemptPhase::Waiting => Stage::Waiting,
         AttemptPhase::Running => Stage::Running,
         AttemptPhase::Saving => Stage::Saving,
-        // What it did before it was found is put down to what it most likely did last.
+        // Time before the attempt was found is attributed to the stage that the attempt most likely was in last.
         AttemptPhase::Ended(
             ExitReason::InsufficientResources
             | ExitReason::OtherAttemptPresent
@@ -48,7 +48,7 @@
 }
 
 impl Cluster {
-    /// The record of an attempt that is placed now.
+    /// Opens the record of an attempt that is placed now.
     pub(crate) fn open_usage_record(
         &mut self,
         attempt: &AttemptId,
@@ -66,7 +66,7 @@
         }))
     }
 
-    /// The record of an attempt that another leader started, and that is found on a machine.
+    /// Returns the record of an attempt that another leader started and that is found on a machine.
     pub(crate) fn adopt_usage_record(
         &mut self,
         id: &MachineId,
@@ -88,7 +88,7 @@
         Some(Box::new(record))
     }
 
-    /// Goes on with the record that the leader before this one told of.
+    /// Continues the record that the previous leader sent.
     fn resume_record(
         &self,
         orphan: OrphanedAttempt,
@@ -100,7 +100,7 @@
         let meter = &mut record.meter;
         meter.wait(orphan.transit_time);
         if phase.is_ended() {
-            // It may have ended at any time since it was told of: in the middle, on average.
+            // The attempt may have ended at any time since it was last known: on average, halfway.
             let unseen = now.saturating_sub(orphan.last_known_at);
             meter.since = meter.since.max(orphan.last_known_at + unseen / 2);
             meter.unsure += unseen + orphan.transit_time;
@@ -114,7 +114,8 @@
         record
     }
 
-    /// A record of an attempt that nothing was told of: its age is estimated from its number.
+    /// Estimates the record of an attempt that no earlier leader reported. The attempt's age is derived from its
+    /// number.
     fn estimate_record(
         &self,
         id: &MachineId,
@@ -123,7 +124,7 @@
     ) -> Option<UsageRecord> {
         let ledger = self.usage_ledger.as_ref()?;
         let job = self.jobs.get(&attempt.task.job);
-        // Of a job that is over nobody knows here when it was released.
+        // The release time of a job that is over is not known here.
         let ready_at = job.map_or(0, |job| job.ready_at);
         let EstimatedAge {
             age,
@@ -133,12 +134,13 @@
         let key = ledger_key(id, attempt);
         let charge = match ledger.inherited_tickets.get(&key) {
             Some(ticket) => ChargeState::Charged(*ticket),
-            // What was charged is over. One that goes on is a later start under the same number, as when a gang's
-            // task was replaced where it had been.
+            // A charged attempt has ended. An attempt that still exists is a later start under the same number, for
+            // example a gang's task that was replaced on the same machine.
             None if has_ended && ledger.charged_before.contains(&key) => ChargeState::ChargedBefore,
             None => ChargeState::Open,
         };
-        // How long its launch took to reach the worker is not known: a heartbeat, or another after a lost answer.
+        // The delay of the launch is unknown: it came with the answer to a heartbeat, or to the next one after a lost
+        // answer.
         uncertainty += 2 * self.settings.heartbeat_interval + LOST_ANSWER_DELAY;
         let meter = match has_ended {
             true => Meter::adopted(age / 2, uncertainty + age, stage(phase), self.now),
@@ -152,14 +154,15 @@
         })
     }
 
-    /// How long ago an attempt of another term was placed. `ready_at`: when its job was released.
+    /// Estimates the time since an attempt of another term was placed. `ready_at`: time at which its job was
+    /// released.
     fn estimate_age(&self, number: u64, ready_at: Micros) -> EstimatedAge {
         let setup = self.settings.ledger.as_ref();
         let max_clock_offset = setup.map_or(0, |setup| setup.settings.max_clock_offset);
         let ms = number & ((1 << TIME_BITS) - 1);
         let has_time = number >> TIME_BITS > 0;
         let placed_at = has_time.then_some((EPOCH_MS + ms) * 1000);
-        // A number of another make gives a time that cannot be.
+        // A number in another format yields an impossible time.
         let is_possible = |at: &u64| {
             *at <= self.unix_time + max_clock_offset && *at + max_clock_offset >= ready_at
         };
@@ -175,20 +178,20 @@
         }
     }
 
-    /// The number of an attempt that is placed now, if numbers tell the time of their attempts.
+    /// Returns the number of an attempt that is placed now, if attempt numbers contain a time.
     pub(crate) fn timestamped_attempt_number(&mut self) -> Option<u64> {
         let ms = (self.unix_time / 1000)
             .checked_sub(EPOCH_MS)
             .filter(|ms| *ms < 1 << TIME_BITS)?;
         let term = self.term;
         let ledger = self.usage_ledger.as_mut().filter(|_| term < TERM_LIMIT)?;
-        // The clock may step back; an attempt must never get the number of an earlier one of its task.
+        // The clock may step back; an attempt must never get the number of an earlier attempt of its task.
         let number = (term << TIME_BITS) + ms;
         ledger.last_attempt_number = ledger.last_attempt_number.max(number);
         Some(ledger.last_attempt_number)
     }
 
-    /// An attempt is in another phase than before. Its end is charged instead.
+    /// Records that an attempt has changed its phase. An end is not recorded here but charged.
     pub(crate) fn usage_phase_changed(
         &mut self,
         id: &MachineId,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Launches that wait on a machine go out with the answer to its heartbeat.
+    /// Records that the launches pending on a machine are sent with the answer to its heartbeat.
     pub(crate) fn launches_sent(&mut self, id: &MachineId, now: Micros) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -227,8 +230,9 @@
         if let Some(ledger) = &mut self.usage_ledger {
             let replication = &mut ledger.replication;
             let changed = &replication.changed;
-            let is_untold = |attempt: &AttemptId| changed.contains(&(id.clone(), attempt.clone()));
-            replication.is_urgent |= sent.iter().any(is_untold);
+            let is_unreplicated =
+                |attempt: &AttemptId| changed.contains(&(id.clone(), attempt.clone()));
+            replication.is_urgent |= sent.iter().any(is_unreplicated);
         }
         for attempt in &sent {
             if let Some(record) = self.usage_record_mut(id, attempt) {
@@ -237,7 +241,7 @@
         }
     }
 
-    /// The record of an attempt on a machine.
+    /// Returns the record of an attempt on a machine.
     pub(super) fn usage_record_mut(
         &mut self,
         id: &MachineId,
@@ -247,7 +251,7 @@
         attempts.get_mut(attempt)?.usage_record.as_deref_mut()
     }
 
-    /// What a machine costs.
+    /// Returns the price of a machine.
     pub(super) fn machine_rate(&self, machine: &Machine) -> MachineRate {
         let machine_type = machine
             .machine_type
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -1,4 +1,4 @@
-//! Attempts that an earlier leader told of and that no worker has shown since.
+//! Orphaned attempts: attempts that an earlier leader reported and that no worker has reported since.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,13 +7,13 @@
 use gannethub_ledger::meter::{EndObservation, Meter, MeteredUsage, Stage};
 
 use super::record::{AttemptEnd, ChargeState, OrphanedAttempt, UsageRecord, ledger_key};
-use super::replication::{rate_of, read_attempt_key, read_end_reason, read_owner, read_reading};
+use super::replication::{read_attempt_key, read_end_reason, read_owner, read_rate, read_usage};
 use crate::model::{AttemptId, MachineId, Micros};
 use crate::state::cluster::Cluster;
 use crate::state::usage_replica::ReplicatedRecord;
 
 impl Cluster {
-    /// Goes on with what the leader before this one had not made durable, as far as it told.
+    /// Continues the records that the previous leader sent and had not made durable.
     pub(super) fn take_over_usage(&mut self, records: Vec<ReplicatedRecord>, now: Micros) {
         for replicated in records {
             self.take_over_record(&replicated, now);
@@ -33,7 +33,7 @@
         {
             return;
         }
-        let Some(reading) = read_reading(record) else {
+        let Some(reading) = read_usage(record) else {
             return;
         };
         if let Some(reason) = read_end_reason(record) {
@@ -54,7 +54,7 @@
         now: Micros,
     ) -> AttemptEnd {
         let record = &replicated.record;
-        // The process may be younger than that end.
+        // This process may have started after the attempt ended.
         let ended_ago = now
             .saturating_sub(replicated.received_at)
             .saturating_add(record.end_age)
@@ -62,7 +62,7 @@
         AttemptEnd {
             id,
             machine,
-            rate: rate_of(record),
+            rate: read_rate(record),
             reading,
             at: replicated.received_at.saturating_sub(record.end_age),
             unix_time: self.time_of_day(now).saturating_sub(ended_ago),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// An attempt that had not ended waits for its worker to show it, or for its lease to run out.
+    /// Keeps an attempt that had not ended until its worker reports it or the worker's lease expires.
     fn adopt_orphan(
         &mut self,
         machine: MachineId,
@@ -105,10 +105,10 @@
         let meter = Meter {
             stage,
             since: received_at,
-            // Whether its launch went out was not told.
+            // The record does not say whether the launch was sent.
             sent: Some((received_at.saturating_sub(record.stage_age), received_at)),
             spent,
-            // The machine may have been lost before its leader was, which did not know it yet.
+            // The machine may have been lost before the leader was, without the leader knowing of it yet.
             unsure: record.begin_uncertainty + replicated.current_until - received_at,
             guessed: record.begin_estimated,
         };
@@ -120,7 +120,7 @@
                 charge: ChargeState::Open,
                 saved: record.saved,
             },
-            rate: rate_of(record),
+            rate: read_rate(record),
             incarnation: record.incarnation,
             last_known_at: replicated.current_until,
             transit_time: replicated.transit_time,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// A worker has shown all that it holds to this leader for the first time: orphans that it has not shown are
-    /// over.
+    /// Charges the orphans of a worker that has reported all its tasks to this leader for the first time: orphans
+    /// that the worker did not report have ended.
     pub(crate) fn charge_orphans_not_shown(
         &mut self,
         id: &MachineId,
@@ -144,23 +144,23 @@
         if !ledger.is_some_and(|ledger| ledger.orphans.contains_key(id)) {
             return;
         }
-        // The machine is alive: what another incarnation had was lost when its lease ran out.
+        // The machine is alive: tasks of another incarnation were lost when its lease expired.
         let (lease, heartbeat_interval) = (
             self.settings.lease_duration,
             self.settings.heartbeat_interval,
         );
-        let is_of_another = |orphan: &OrphanedAttempt| orphan.incarnation != incarnation;
-        self.charge_orphans_where(id, Reason::Lease, now, lease, is_of_another);
+        let is_other_incarnation = |orphan: &OrphanedAttempt| orphan.incarnation != incarnation;
+        self.charge_orphans_where(id, Reason::Lease, now, lease, is_other_incarnation);
         self.charge_orphans_where(id, Reason::Missing, now, heartbeat_interval / 2, |_| true);
     }
 
-    /// A machine is gone, or its worker's lease is over, and with it all of its orphans.
+    /// Charges all orphans of a machine that is gone or whose worker's lease has expired.
     pub(crate) fn charge_orphans(&mut self, id: &MachineId, reason: Reason, now: Micros) {
         let likely_duration = self.settings.heartbeat_interval / 2;
         self.charge_orphans_where(id, reason, now, likely_duration, |_| true);
     }
 
-    /// Charges orphans of machines that are not there any more, once nothing of an earlier term can be left.
+    /// Charges the orphans of machines that no longer exist, once no task of an earlier term can still exist.
     pub(crate) fn charge_orphans_of_lost_machines(&mut self, now: Micros) {
         if now <= self.takeover.at + self.lease_expiry_bound() {
             return;
@@ -177,15 +177,15 @@
             .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
     }
 
-    /// Charges the orphans of a machine that `is_over` says of. `likely_duration`: how long they most likely went
-    /// on after they were last known.
+    /// Charges the orphans of a machine for which `is_ended` holds. `likely_duration`: the most likely time that the
+    /// orphans continued after they were last known.
     fn charge_orphans_where(
         &mut self,
         id: &MachineId,
         reason: Reason,
         now: Micros,
         likely_duration: Micros,
-        is_over: impl Fn(&OrphanedAttempt) -> bool,
+        is_ended: impl Fn(&OrphanedAttempt) -> bool,
     ) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
@@ -193,18 +193,19 @@
         let Some(orphans) = ledger.orphans.remove(id) else {
             return;
         };
-        let (over, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            orphans.into_iter().partition(|(_, orphan)| is_over(orphan));
-        if !left.is_empty() {
-            ledger.orphans.insert(id.clone(), left);
+        let (ended, remaining): (BTreeMap<_, _>, BTreeMap<_, _>) = orphans
+            .into_iter()
+            .partition(|(_, orphan)| is_ended(orphan));
+        if !remaining.is_empty() {
+            ledger.orphans.insert(id.clone(), remaining);
         }
-        for (attempt, orphan) in over {
-            let news = EndObservation::Silence {
+        for (attempt, orphan) in ended {
+            let observation = EndObservation::Silence {
                 heard: Some(orphan.last_known_at),
                 likely: likely_duration,
             };
-            // Whenever it ended, that was not seen.
-            let reading = orphan.record.meter.end(now, news);
+            // The end was not observed, whenever it happened.
+            let reading = orphan.record.meter.end(now, observation);
             let end = AttemptEnd {
                 id: attempt,
                 machine: id.clone(),
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -1,4 +1,4 @@
-//! Opening the ledger, and what is durable of it.
+//! Opening the ledger, and tracking its durable pages.
 
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::{Book, DamagedPage, Head};
@@ -12,17 +12,14 @@
 use crate::state::usage_replica::UsageReplica;
 use crate::wire::store::{VALUE_SLACK_BYTES, ledger_page_key};
 
-/// A page that is not as it was written is left as it is, and the service goes on.
+/// Logs a damaged page. The page is kept unchanged, and the service continues.
 pub(crate) fn log_damaged_page(page: DamagedPage) {
     let key = ledger_page_key(page.0);
-    tracing::error!(
-        key,
-        "a page of the ledger is not as it was written; it is kept"
-    );
+    tracing::error!(key, "usage ledger page is damaged; keeping it unchanged");
 }
 
 impl Cluster {
-    /// Begins to keep the ledger, after what the state service holds of it and what the leader before this one told.
+    /// Opens the ledger from its contents in the state service and from the records that the previous leader sent.
     pub fn open_usage_ledger(
         &mut self,
         head: Option<Head>,
@@ -57,21 +54,22 @@
         }
     }
 
-    /// The transaction with the ledger's page was carried out: the ends with these tickets are durable.
+    /// Handles the success of a transaction with a ledger page: the ends with these tickets are durable.
     pub(crate) fn usage_page_written(&mut self, tickets: Vec<u64>) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
         for ticket in tickets {
-            if let Some((_, end)) = ledger.undurable_ends.remove(&ticket) {
+            if let Some((_, end)) = ledger.non_durable_ends.remove(&ticket) {
                 let key = attempt_key(&end.machine, &end.id);
                 ledger.replication.closed.push(key);
             }
         }
     }
 
-    /// A recorded machine that never sent this leader a heartbeat is given up. If records of the leader before may be
-    /// missing, what ran on it cannot be metered, which is noted in the ledger once.
+    /// Notes in the ledger, once per machine, that the usage on a machine could not be metered. This is the case for
+    /// a recorded machine that is given up without ever having sent this leader a heartbeat, if records of the
+    /// previous leader may be missing.
     pub(crate) fn record_unmetered_interval(&mut self, id: &MachineId, now: Micros) {
         let may_miss_records = self.usage_ledger.as_ref().is_some_and(|ledger| {
             !ledger.replica_was_complete && !ledger.unmetered_machines.contains(id)
@@ -98,7 +96,7 @@
         }
     }
 
-    /// The time of day at a time of this process's clock.
+    /// Converts a time on this process's clock to a time of day.
     pub(super) fn time_of_day(&self, at: Micros) -> Micros {
         self.unix_time.saturating_sub(self.now.saturating_sub(at))
     }
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -1,4 +1,4 @@
-//! What is charged of one attempt, from its placement to its end.
+//! Usage records: the charged usage of one attempt, from its placement to its end.
 
 use std::sync::Arc;
 
@@ -9,39 +9,40 @@
 use crate::model::{AttemptId, MachineId, Micros, Resources};
 use crate::wire::store::JobOwner;
 
-/// What is charged of one attempt.
+/// The charged usage of one attempt.
 #[derive(Debug, Clone)]
 pub struct UsageRecord {
-    /// The time that the attempt has spent in each stage.
+    /// Time that the attempt has spent in each stage.
     pub meter: Meter,
-    /// Whom it is charged to. Not known of an attempt whose job is over and that this leader did not start.
+    /// The owner that is charged. `None` for an attempt of a job that is over, if this leader did not start the
+    /// attempt.
     pub(super) owner: Option<Arc<JobOwner>>,
     pub(super) charge: ChargeState,
-    /// Its worker says that its progress was saved.
+    /// Whether the attempt's worker reports that the attempt's progress was saved.
     pub saved: bool,
 }
 
-/// How far the charge of an attempt has come.
+/// State of an attempt's charge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ChargeState {
-    /// It has not ended, or its end has not been seen.
+    /// The attempt has not ended, or its end has not been observed.
     Open,
-    /// It has ended, and whose it was is not known yet.
+    /// The attempt has ended, and its owner is not known yet.
     OwnerUnknown,
-    /// It is charged under this ticket of the ledger, which tells whether that is durable.
+    /// The attempt is charged under this ticket of the ledger, which tells whether the charge is durable.
     Charged(u64),
-    /// An earlier leader has charged it.
+    /// An earlier leader has charged the attempt.
     ChargedBefore,
 }
 
-/// What a machine costs.
+/// The price of a machine, with the properties that determine the price.
 #[derive(Debug, Clone)]
 pub(super) struct MachineRate {
-    /// The name of its type; empty if that is unknown.
+    /// Name of the machine type; empty if the type is unknown.
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    /// The price of an hour, in millionths.
+    /// Price per hour, in millionths.
     pub hourly_price: u64,
 }
 
@@ -52,24 +53,24 @@
     pub machine: MachineId,
     pub rate: MachineRate,
     pub reading: MeteredUsage,
-    /// When its capacity came free, on this process's clock.
+    /// Time at which the attempt's capacity was freed, on this process's clock.
     pub at: Micros,
-    /// The same as a time of day.
+    /// The same time as a time of day.
     pub unix_time: Micros,
     pub reason: Reason,
     pub saved: bool,
 }
 
-/// An attempt that an earlier leader told of, and that no worker has shown since.
+/// An attempt that an earlier leader reported and that no worker has reported since.
 #[derive(Debug)]
 pub(super) struct OrphanedAttempt {
     pub record: UsageRecord,
     pub rate: MachineRate,
-    /// The worker's incarnation that it was started in.
+    /// The worker incarnation in which the attempt was started.
     pub incarnation: u64,
-    /// Until when it is known to have been there, on this process's clock.
+    /// Time until which the attempt is known to have existed, on this process's clock.
     pub last_known_at: Micros,
-    /// How long the message that told of it had been on its way.
+    /// Time that the message with the attempt's record spent in transit.
     pub transit_time: Micros,
 }
 
@@ -78,12 +79,12 @@
 pub struct UsageShare {
     /// The team's part of all usage.
     pub of_total: f64,
-    /// That part, as a multiple of what the team is due.
+    /// The team's part of all usage, as a multiple of the part that the team is due.
     pub over_due: f64,
 }
 
 impl Default for UsageShare {
-    /// A team that has used nothing and has what it is due.
+    /// Returns the share of a team that has used nothing and has exactly its due part.
     fn default() -> UsageShare {
         UsageShare {
             of_total: 0.0,
@@ -92,8 +93,8 @@
     }
 }
 
-/// Resources as the ledger writes them.
-pub(super) fn to_need(resources: Resources) -> ResourceAmounts {
+/// Converts resources to the ledger's representation.
+pub(super) fn to_resource_amounts(resources: Resources) -> ResourceAmounts {
     let amount = |milli: i64| u64::try_from(milli).unwrap_or(0);
     ResourceAmounts(
         amount(resources.cpu),
@@ -102,7 +103,7 @@
     )
 }
 
-/// The name of an attempt in the ledger.
+/// Returns the name of an attempt in the ledger.
 pub(super) fn ledger_key(machine: &MachineId, attempt: &AttemptId) -> ChargedAttempt {
     let AttemptId { task, number } = attempt;
     (
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -1,4 +1,4 @@
-//! What peers are told of the open records, so that one of them can go on with them.
+//! Replication of the open records to peers, so that a peer can continue with the records.
 
 use gannethub_ledger::line::Reason;
 use gannethub_ledger::meter::{MeteredUsage, StageTimes};
@@ -9,11 +9,11 @@
 use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageOwner, UsageRecords};
 use crate::wire::store::JobOwner;
 
-/// Records in one message to a peer, which keep it below its limit.
+/// Maximum number of records in one message to a peer, which keeps the message below its size limit.
 const MAX_RECORDS_PER_MESSAGE: usize = 400;
-/// Keys of attempts that are over in one message.
+/// Maximum number of keys of ended attempts in one message to a peer.
 const MAX_CLOSED_PER_MESSAGE: usize = 4 * MAX_RECORDS_PER_MESSAGE;
-/// The reasons in the order in which peers number them, from one.
+/// End reasons in the order in which peers number them, starting at 1.
 const END_REASONS: [Reason; 12] = [
     Reason::Done,
     Reason::Stopped,
@@ -38,7 +38,7 @@
 }
 
 impl Cluster {
-    /// All records that are not charged yet, or not durable.
+    /// Returns all records that are not charged yet or not durable yet.
     pub fn all_usage_records(&self, now: Micros) -> Vec<OpenUsageRecord> {
         let Some(ledger) = &self.usage_ledger else {
             return Vec::new();
@@ -53,8 +53,8 @@
             let attempts = orphans.keys();
             attempts.filter_map(|attempt| self.record_message(id, attempt, now))
         });
-        let undurable = ledger
-            .undurable_ends
+        let non_durable = ledger
+            .non_durable_ends
             .values()
             .map(|(owner, end)| end_message(Some(&**owner), end, now));
         let unowned = ledger
@@ -64,12 +64,12 @@
             .map(|end| end_message(None, end, now));
         placed
             .chain(orphans)
-            .chain(undurable)
+            .chain(non_durable)
             .chain(unowned)
             .collect()
     }
 
-    /// Records that have changed since peers were last told.
+    /// Returns the records that have changed since the last messages to peers.
     fn changed_usage_records(&self, now: Micros) -> Vec<OpenUsageRecord> {
         let Some(ledger) = &self.usage_ledger else {
             return Vec::new();
@@ -83,12 +83,12 @@
             .replication
             .ended
             .iter()
-            .filter_map(|ticket| ledger.undurable_ends.get(ticket));
+            .filter_map(|ticket| ledger.non_durable_ends.get(ticket));
         let ended = ended.map(|(owner, end)| end_message(Some(&**owner), end, now));
         changed.chain(ended).collect()
     }
 
-    /// What each peer is to be told now.
+    /// Returns the messages that are to be sent to the peers now.
     pub fn usage_messages(&mut self, now: Micros) -> Vec<UsageMessage> {
         let lagging = self.usage_ledger.as_ref().is_some_and(|ledger| {
             let mut peers = ledger.replication.peers.iter();
@@ -129,15 +129,16 @@
         messages
     }
 
-    /// Launches go out that no peer has been told of: one that is lost with its machine just after this leader
-    /// would else be known to nobody, and a successor would take its copy for complete.
+    /// Whether launches are being sent that no peer has been told of. Such a launch is urgent: if its machine were
+    /// lost just after this leader, nobody would know of the launch, and a successor would take its copy for
+    /// complete.
     pub fn has_urgent_usage(&self) -> bool {
         self.usage_ledger
             .as_ref()
             .is_some_and(|ledger| ledger.replication.is_urgent)
     }
 
-    /// A peer has missed something: it is told of all records again.
+    /// Schedules all records to be sent again to a peer that has missed a message.
     pub fn resend_all_usage(&mut self, peer: usize) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// The record of an attempt as peers are told of it, unless it is charged: then its ticket tells.
+    /// Returns the record of an attempt as sent to peers. Charged attempts have none: their ends are sent by ticket.
     fn record_message(
         &self,
         id: &MachineId,
@@ -189,8 +190,8 @@
     }
 }
 
-/// Splits what a peer is told into messages below the size limit. One that is told of all records gets at least
-/// one message.
+/// Splits the data for a peer into messages below the size limit. A transmission of all records has at least one
+/// message.
 fn split_message(
     records: &[OpenUsageRecord],
     closed_keys: &[AttemptKey],
@@ -212,7 +213,7 @@
     (0..count).map(part).collect()
 }
 
-/// What is told of an attempt that is not over.
+/// Returns the record of an attempt that has not ended, as sent to peers.
 fn open_message(
     key: AttemptKey,
     record: &UsageRecord,
@@ -240,7 +241,7 @@
     }
 }
 
-/// What is told of an attempt that is over and not durable.
+/// Returns the record of an attempt that has ended and is not durable, as sent to peers.
 fn end_message(owner: Option<&JobOwner>, end: &AttemptEnd, now: Micros) -> OpenUsageRecord {
     let rate = end.rate.clone();
     let reason = END_REASONS.iter().position(|known| *known == end.reason);
@@ -261,7 +262,7 @@
     }
 }
 
-/// The name of an attempt between controllers.
+/// Returns the name of an attempt in messages between controllers.
 pub(super) fn attempt_key(machine: &MachineId, attempt: &AttemptId) -> AttemptKey {
     let AttemptId { task, number } = attempt;
     AttemptKey {
@@ -272,7 +273,7 @@
     }
 }
 
-/// The machine and the attempt that a peer's key names.
+/// Parses the machine and the attempt from a peer's key.
 pub(super) fn read_attempt_key(key: &AttemptKey) -> (MachineId, AttemptId) {
     let task = TaskId {
         job: key.job.as_str().into(),
@@ -312,14 +313,14 @@
     }
 }
 
-/// The reason of an attempt's end, as a peer told it; `None`: it is not over.
+/// Parses the reason of an attempt's end from a peer's record. `None`: the attempt has not ended.
 pub(super) fn read_end_reason(record: &OpenUsageRecord) -> Option<Reason> {
     let index = (record.end_reason as usize).checked_sub(1)?;
     END_REASONS.get(index).copied()
 }
 
-/// The times of a record as a peer told them; `None` if they make no sense.
-pub(super) fn read_reading(record: &OpenUsageRecord) -> Option<MeteredUsage> {
+/// Parses the stage times of a peer's record. `None`: the times are malformed.
+pub(super) fn read_usage(record: &OpenUsageRecord) -> Option<MeteredUsage> {
     let spent: [Micros; 6] = record.stage_times.clone().try_into().ok()?;
     Some(MeteredUsage {
         spent: StageTimes(spent),
@@ -328,8 +329,8 @@
     })
 }
 
-/// What the machine of a record costs, as a peer told it.
-pub(super) fn rate_of(record: &OpenUsageRecord) -> MachineRate {
+/// Reads the machine's price from a peer's record.
+pub(super) fn read_rate(record: &OpenUsageRecord) -> MachineRate {
     MachineRate {
         machine_type: record.machine_type.clone(),
         zone: record.zone.clone(),
--- a/crates/gannethub-core/src/state/usage/shares.rs
+++ b/crates/gannethub-core/src/state/usage/shares.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use super::record::{UsageShare, to_need};
+use super::record::{UsageShare, to_resource_amounts};
 use crate::model::{Micros, SECOND};
 use crate::state::attempt::Attempt;
 use crate::state::cluster::Cluster;
 
-/// How often work under way is added to the shares.
+/// Interval at which running work is added to the shares.
 const UPDATE_INTERVAL: Micros = SECOND;
 
 impl Cluster {
-    /// Brings each team's share of all usage up to date, work under way included.
+    /// Updates each team's share of all usage, including running work.
     pub fn update_usage_shares(&mut self, now: Micros) {
         let Some(ledger) = &self.usage_ledger else {
             return;
@@ -36,7 +36,8 @@
         ledger.shares_updated_at = Some(now);
     }
 
-    /// What the attempts of each team that hold capacity have used so far. Their usage fades like what is charged.
+    /// Returns the usage so far of each team's attempts that hold capacity. This usage decays in the same way as
+    /// charged usage.
     fn open_usage(
         &self,
         settings: &gannethub_ledger::settings::Settings,
@@ -52,14 +53,15 @@
             let Some(team) = team else { continue };
             let half_life = settings.half_life(&team.name).time() as f64;
             let age = attempt_age(attempt, now) as f64;
-            let faded_age = half_life / std::f64::consts::LN_2 * (1.0 - (-age / half_life).exp2());
-            let rate = settings.rate(to_need(attempt.resources)) as f64;
-            *usage.entry(team.name.clone()).or_default() += rate * faded_age / 1e9;
+            let decayed_age =
+                half_life / std::f64::consts::LN_2 * (1.0 - (-age / half_life).exp2());
+            let rate = settings.rate(to_resource_amounts(attempt.resources)) as f64;
+            *usage.entry(team.name.clone()).or_default() += rate * decayed_age / 1e9;
         }
         usage
     }
 
-    /// A team's share of all usage; where no ledger is kept, all have what they are due.
+    /// Returns a team's share of all usage. If no ledger is kept, every team has exactly its due part.
     pub fn team_usage_share(&self, team: Option<usize>) -> UsageShare {
         let ledger = self.usage_ledger.as_ref();
         let share = ledger
