--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -1,17 +1,17 @@
-//! Placing tasks on machines and stopping them.
+//! Placement of tasks on machines, and stopping of tasks.
 
 use crate::model::{AttemptId, JobId, MachineId, Micros, Priority, SECOND, Shape, TaskId};
 use crate::state::attempt::{Attempt, LiveAttempt};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 
-/// Added to a task's own time to save when it is preempted.
+/// Margin added to a task's own save time when the task is preempted.
 const SAVE_MARGIN: Micros = 2 * SECOND;
-/// Attempt numbers without a time in them: the term above this many bits, a count below.
+/// Number of count bits in an attempt number without a time: the term is above them, the count is in them.
 const ATTEMPT_COUNT_BITS: u32 = 24;
 
 impl Cluster {
-    /// Tells one attempt to stop. A shorter grace replaces a longer one.
+    /// Tells one attempt to stop. A shorter grace period replaces a longer one.
     pub(crate) fn stop_attempt(&mut self, machine: &MachineId, id: &AttemptId, grace: Micros) {
         let Some(machine) = self.machines.get_mut(machine) else {
             return;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Stops a task so that it saves its progress if it can. A gang is stopped whole, once.
+    /// Stops a task so that it saves its progress if it can. A gang is stopped as a whole, and only once.
     pub fn preempt(&mut self, job_id: &JobId, index: u32) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Moves off a machine what loses nothing by it: tasks that save their progress, and replicas of services.
+    /// Moves work off a machine if the work loses nothing: tasks that save their progress, and replicas of services.
     pub fn drain_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Puts a task on a machine; the launch goes out with the answer to the machine's next heartbeat.
+    /// Places a task on a machine. The launch is sent with the answer to the machine's next heartbeat.
     pub fn place_task(&mut self, id: AttemptId, machine_id: &MachineId, now: Micros) {
         let usage_record = self.open_usage_record(&id, machine_id, now);
         let TaskId { job: job_id, index } = &id.task;
@@ -100,13 +100,14 @@
         self.adjust_usage(machine_id, team, resources, now);
     }
 
-    /// Whether the launch of a task may go out: its watermark covers it, or no successor relies on watermarks.
+    /// Whether the launch of a task may be sent: the job's watermark covers the task, or no successor relies on
+    /// watermarks.
     pub fn may_launch(&self, job: &Job, index: u32) -> bool {
         let is_covered = index < job.persistence.durable_watermark;
         !self.starts_paused && (is_covered || self.watermarks.not_required)
     }
 
-    /// A number that no other attempt of the same task has, in this term or another.
+    /// Returns a number that no other attempt of the same task has, in this term or another.
     pub fn next_attempt_number(&mut self) -> u64 {
         if let Some(number) = self.timestamped_attempt_number() {
             return number;
--- a/crates/gannethub-core/src/state/cluster/capacity.rs
+++ b/crates/gannethub-core/src/state/cluster/capacity.rs
@@ -1,10 +1,10 @@
-//! What attempts hold of machines and teams, and the capacity index that follows from it.
+//! Usage of machines and teams by attempts, and the capacity index that follows from the usage.
 
 use crate::model::{MachineId, Micros, Resources};
 use crate::state::cluster::Cluster;
 
 impl Cluster {
-    /// Brings a machine's entry in the capacity index up to date.
+    /// Updates a machine's entry in the capacity index.
     pub fn reindex_machine(&mut self, id: &MachineId, now: Micros) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Counts what an attempt takes of its machine and of its team's quota; a negative amount gives it back.
+    /// Adds an attempt's resources to the usage of its machine and of its team. A negative amount releases them.
     pub fn adjust_usage(
         &mut self,
         id: &MachineId,
@@ -37,7 +37,7 @@
         self.reindex_machine(id, now);
     }
 
-    /// Reindexes machines whose state has changed with time alone, as when they fall silent.
+    /// Reindexes machines whose state has changed with time alone, for example because they have fallen silent.
     pub fn reindex_changed_machines(&mut self, now: Micros) {
         let heartbeat_interval = self.settings.heartbeat_interval;
         let changed: Vec<MachineId> = self
@@ -53,7 +53,7 @@
         changed.iter().for_each(|id| self.reindex_machine(id, now));
     }
 
-    /// What differs between the capacity index and the machines themselves: nothing, ever. For tests.
+    /// Returns the differences between the capacity index and the machines, of which there must be none. For tests.
     pub fn index_inconsistencies(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         for machine in self.machines.values() {
@@ -65,10 +65,15 @@
             let entries = bucket.schedulable.iter().filter(|(_, other)| other == id);
             let cpus: Vec<i64> = entries.map(|(cpu, _)| *cpu).collect();
             if !bucket.machines.contains(id) || cpus != Vec::from_iter(indexed) {
-                wrong.push(format!("{id}: {cpus:?} for {indexed:?}"));
+                wrong.push(format!(
+                    "{id}: index lists CPU {cpus:?}, machine has {indexed:?}"
+                ));
             }
             if indexed.is_some_and(|cpu| cpu != machine.free().cpu) {
-                wrong.push(format!("{id}: {indexed:?} with {:?} free", machine.free()));
+                wrong.push(format!(
+                    "{id}: indexed CPU {indexed:?}, free {:?}",
+                    machine.free()
+                ));
             }
         }
         let buckets = &self.capacity_index.buckets;
@@ -79,7 +84,9 @@
             .filter(|machine| machine.placement.capacity_bucket.is_some())
             .count();
         if indexed != with_bucket {
-            wrong.push(format!("{indexed} in the index, {with_bucket} machines"));
+            wrong.push(format!(
+                "{indexed} machines in the index, {with_bucket} machines with a bucket"
+            ));
         }
         wrong
     }
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -1,10 +1,10 @@
-//! A controller's copy of what the state service holds of jobs, which lets one read answer any number of queries.
+//! A controller's copy of the jobs in the state service, which lets one read answer any number of queries.
 //!
-//! The copy has every live job. Before queries are answered it is brought up to the present with one read of what
-//! has changed; a query that comes while that read is under way waits for the next one. So an answer is never
-//! older than its question, and nobody is told less than another controller has said already, in a takeover or
-//! after a partition as well. Of jobs that are over only the answers given or seen lately are kept, as an end
-//! never changes.
+//! The copy has every live job. Before queries are answered, the copy is brought up to date with one read of the
+//! changes; a query that arrives while this read is in flight waits for the next read. An answer is therefore never
+//! older than its query, and no user is told less than another controller has said already, also during a takeover or
+//! after a partition. Of the jobs that are over, only recently given or seen answers are kept, because an end never
+//! changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -18,10 +18,10 @@
     Change, ChangeLog, LIVE_JOB_PREFIX, Listing, StoredValue, decode_done_part, decode_job_ids,
 };
 
-/// How many ends, and how many ids that nobody submitted, are remembered.
+/// Maximum number of remembered ends, and of remembered ids that were never submitted.
 const MAX_REMEMBERED: usize = 50_000;
 
-/// What a query needs of a job's stored record.
+/// The part of a job's stored record that a query needs.
 #[derive(Deserialize)]
 struct JobSummary {
     spec: SpecSummary,
@@ -45,53 +45,53 @@
 
 #[derive(Debug)]
 struct LiveJob {
-    /// The version of its last change.
+    /// Version of the job's last change.
     version: u64,
     tasks: u32,
     done: u32,
     cancelled: bool,
-    /// It waits for other jobs.
+    /// Whether the job waits for other jobs.
     waiting: bool,
 }
 
-/// What the copy says of a job.
+/// Result of looking up a job in the copy.
 #[derive(Debug, PartialEq)]
 pub enum JobLookup {
-    /// Live, or over for good.
+    /// The job is live, or over for good.
     Job(JobView),
-    /// Not live; nobody has asked yet whether it is over.
+    /// The job is not live. Whether it is over has not been queried yet.
     NotLive,
-    /// It waits for others, and the end of one that somebody waits for has not been read yet.
+    /// The job waits for other jobs, and the end of an upstream job has not been read yet.
     DependencyUnknown,
-    /// Nobody has submitted a job of this id.
+    /// No job of this id was ever submitted.
     NeverSubmitted,
 }
 
-/// The copy itself.
+/// A controller's copy of all live jobs.
 #[derive(Debug, Default)]
 pub struct JobReplica {
-    /// The version that the copy is true to; `None` until everything has been read.
+    /// Version of the state service that the copy reflects; `None` until everything has been read.
     version: Option<u64>,
-    /// The version at which reading everything began.
+    /// Version at which the listing of all jobs began.
     listing_version: Option<u64>,
     live: HashMap<JobId, LiveJob>,
-    /// Who waits for whom: a waiting job is cancelled with any that it waits for.
+    /// Dependencies between jobs: a waiting job is cancelled together with any upstream job.
     pub dependencies: DependencyGraph,
     over: HashMap<JobId, JobView>,
     never_submitted: HashSet<JobId>,
-    /// Cancellations that were stored or read here and that the copy does not show yet, with their versions.
+    /// Cancellations that were stored or read here and that the copy does not reflect yet, with their versions.
     pending_cancellations: BTreeMap<JobId, u64>,
     /// Cancellations that became known here and that the shards owned by this controller have not been told of.
     new_cancellations: Vec<JobId>,
 }
 
 impl JobReplica {
-    /// The version from which changes are to be read; `None` if everything has to be.
+    /// Returns the version from which changes are to be read; `None` if everything has to be read.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The final state of a job, if it is known to be over. It holds at any time.
+    /// Returns the final state of a job, if the job is known to be over. The final state never becomes outdated.
     pub fn final_view(&self, id: &str) -> Option<&JobView> {
         self.over.get(id)
     }
@@ -101,7 +101,7 @@
         self.live.contains_key(id)
     }
 
-    /// A job's final state has been read or written.
+    /// Records a job's final state that was read or written.
     pub fn record_end(&mut self, id: JobId, view: JobView) {
         if self.over.len() >= MAX_REMEMBERED {
             self.over.clear();
@@ -109,7 +109,8 @@
         self.over.insert(id, view);
     }
 
-    /// The cancellation of a live job was stored or read here, at this version, and its user is told.
+    /// Records that the cancellation of a live job was stored or read here at this version, and that its user is
+    /// told.
     pub fn record_cancellation(&mut self, id: JobId, version: u64) {
         self.new_cancellations.push(id.clone());
         if self.version.is_none_or(|known| known < version) {
@@ -117,13 +118,14 @@
         }
     }
 
-    /// Jobs that have become known to be cancelled since this was last called. Users are told from here on, so the
-    /// shards owned by this process must not be the last to know.
+    /// Returns the jobs whose cancellation has become known since the last call. Users are told of a cancellation
+    /// from this time on, so the shards owned by this process must not learn of it last.
     pub fn take_new_cancellations(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.new_cancellations)
     }
 
-    /// Live jobs whose cancellation is known here and was stored after that version, some of them twice.
+    /// Returns live jobs whose cancellation is known here and was stored after `version`. Some jobs are returned
+    /// twice.
     pub fn cancelled_since(&self, version: u64) -> impl Iterator<Item = &JobId> {
         let live = self
             .live
@@ -139,8 +141,8 @@
             .map(|(id, _)| id)
     }
 
-    /// The job was neither live nor over at this version. That holds until a change shows it, if all later changes
-    /// are still to come.
+    /// Records that the job was neither live nor over at this version. This holds until a change shows the job,
+    /// provided that all later changes are still to be applied.
     pub fn record_absent(&mut self, id: JobId, version: u64) {
         if self.version.is_none_or(|known| known > version) {
             return;
@@ -151,7 +153,7 @@
         self.never_submitted.insert(id);
     }
 
-    /// What the copy says, as of the version it is true to.
+    /// Looks up a job as of the version that the copy reflects.
     pub fn lookup(&self, id: &str) -> JobLookup {
         if let Some(view) = self.over.get(id) {
             return JobLookup::Job(view.clone());
@@ -177,8 +179,8 @@
         })
     }
 
-    /// What is known of a job that another one waits for. All but [`DependencyOutcome::Unknown`] shows that it was
-    /// accepted, and an end never changes.
+    /// Returns the known outcome of an upstream job. Every outcome except [`DependencyOutcome::Unknown`] shows that
+    /// the job was accepted, and an end never changes.
     pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
         match recorded_outcome(&self.over, &self.live, id) {
             DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
@@ -188,14 +190,14 @@
         }
     }
 
-    /// The end of a job that others wait for has been read.
+    /// Records the end of an upstream job that has been read.
     pub fn record_upstream_end(&mut self, id: JobId, view: JobView) {
         self.dependencies
             .mark_ended(&id, view.status == JobStatus::Cancelled);
         self.record_end(id, view);
     }
 
-    /// Changes were missed: everything has to be read again. What is known of ends stays.
+    /// Resets the copy after missed changes, so that everything is read again. Known ends are kept.
     pub fn reset(&mut self) {
         self.version = None;
         self.listing_version = None;
@@ -209,7 +211,7 @@
         self.listing_version.is_none()
     }
 
-    /// Takes in a page of all live jobs. Returns the key after which the next page begins.
+    /// Applies a page of the listing of all live jobs. Returns the key after which the next page begins.
     pub fn apply_listing_page(&mut self, listing: &Listing) -> Option<String> {
         let began_at = *self.listing_version.get_or_insert(listing.version);
         listing
@@ -218,7 +220,7 @@
             .for_each(|stored| self.apply_stored_value(stored));
         let last = listing.items.last().filter(|_| listing.truncated);
         if last.is_none() {
-            // What changed while the pages were read is read again with the changes since then.
+            // Changes made while the pages were read are read again with the changes since `began_at`.
             self.version = Some(began_at);
             self.listing_version = None;
         }
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Takes in what a live job's record says.
+    /// Applies a live job's record.
     fn apply_live(&mut self, id: JobId, summary: &JobSummary, version: u64) {
         self.dependencies.mark_live(&id);
         let was_cancelled = self.live.get(&id).is_some_and(|job| job.cancelled);
@@ -259,7 +261,7 @@
         self.live.insert(id, LiveJob::new(summary, version));
     }
 
-    /// Takes in all changes since [`JobReplica::version`].
+    /// Applies all changes since [`JobReplica::version`].
     pub fn apply_changes(&mut self, changes: &ChangeLog) {
         for change in &changes.changes {
             self.apply_change(change);
@@ -271,7 +273,7 @@
     }
 
     fn apply_change(&mut self, change: &Change) {
-        // The configuration lies among the jobs and is none.
+        // The configuration is stored among the jobs but is not a job.
         if change.key() == Some(CURRENT_VERSION_KEY) {
             return;
         }
@@ -286,7 +288,7 @@
                     self.never_submitted.remove(&id);
                     self.apply_live(id, &summary, change.version);
                 }
-                Err(error) => tracing::error!(job = &*id, %error, "a job's value is not ours"),
+                Err(error) => tracing::error!(job = &*id, %error, "cannot parse job record"),
             }
         }
         if let Some(id) = live_id(&change.deleted_key) {
@@ -294,8 +296,8 @@
         }
     }
 
-    /// The record of a job goes when it is over, in one transaction with the one that creates its end: what it
-    /// said last tells which end that is.
+    /// Applies the deletion of a live record. A record is deleted when its job is over, in the same transaction that
+    /// creates the job's end, so the last contents of the record determine the end.
     fn apply_deletion(&mut self, id: JobId) {
         self.never_submitted.remove(&id);
         match self.live.remove_entry(&id) {
@@ -305,7 +307,7 @@
     }
 }
 
-/// What a job's own record says, live or over.
+/// Returns the outcome according to the job's own record, live or over.
 fn recorded_outcome(
     over: &HashMap<JobId, JobView>,
     live: &HashMap<JobId, LiveJob>,
@@ -333,7 +335,7 @@
         }
     }
 
-    /// What users are told of it while it is live.
+    /// Returns the user-visible state of the job while it is live.
     fn view(&self) -> JobView {
         let status = match self.cancelled {
             true => JobStatus::Cancelled,
@@ -342,9 +344,9 @@
         JobView::new(status, self.done)
     }
 
-    /// What users are told of it once its record is gone.
+    /// Returns the user-visible state of the job once its live record is deleted.
     fn final_view(&self) -> JobView {
-        // A job that was never released did not end any other way.
+        // A job that was never released can only have ended by cancellation.
         if self.cancelled || self.waiting {
             JobView::new(JobStatus::Cancelled, self.done)
         } else {
--- a/crates/gannethub-core/src/state/job_replica/tests.rs
+++ b/crates/gannethub-core/src/state/job_replica/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_replica_follows_every_change_and_tells_ends_apart() {
+fn replica_applies_changes_and_distinguishes_ends() {
     let mut replica = JobReplica::default();
     let (pending, cancelled) = (record("0-1", false), record("", true));
     let page = format!(
@@ -35,7 +35,7 @@
     assert_eq!(
         replica.lookup("j-3"),
         JobLookup::NotLive,
-        "a later change may have shown it"
+        "a later change may have created the job"
     );
     replica.record_absent("j-3".into(), 9);
     assert_eq!(replica.lookup("j-3"), JobLookup::NeverSubmitted);
@@ -54,11 +54,11 @@
     );
     assert!(
         matches!(replica.lookup("j-3"), JobLookup::Job(_)),
-        "it is not absent any more"
+        "the job is no longer absent"
     );
     replica.reset();
     assert!(
         replica.version().is_none() && replica.final_view("j-1").is_some(),
-        "an end holds at any time"
+        "ends survive a reset"
     );
 }
--- a/crates/gannethub-core/src/state/shard.rs
+++ b/crates/gannethub-core/src/state/shard.rs
@@ -1,8 +1,8 @@
-//! Shards of machines: which machines a controller may place on, and under which lease.
+//! Shards of machines: the machines on which a controller may place tasks, and the lease that allows it.
 //!
-//! A shard's machines are kept in the state service in chunks, so that no value outgrows its limit. A machine is
-//! written there before the first launch on it: whoever takes the shard over reads every machine that may hold
-//! tasks.
+//! A shard's machines are stored in the state service in chunks, so that no value exceeds its size limit. A machine
+//! is written to a chunk before the first launch on the machine, so a controller that takes over the shard reads
+//! every machine that may hold tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,16 +10,16 @@
 
 use crate::wire::store::{MachineTransferRecord, SHARD_PREFIX};
 
-/// Removals that a chunk collects before they are written beside other work.
+/// Number of removals in a chunk that are collected before the chunk is written alongside other work.
 const MIN_BATCHED_REMOVALS: usize = 8;
-/// What a member takes of its chunk's value at most, beside its names.
+/// Maximum number of bytes that a member adds to its chunk's value, besides its names.
 const MEMBER_OVERHEAD_BYTES: usize = 50;
-/// What a chunk's value takes at most, beside its members and its owner's name.
+/// Maximum number of bytes of a chunk's value, besides its members and its owner's name.
 const CHUNK_OVERHEAD_BYTES: usize = 150;
-/// Chunk numbers from here on are no shard's.
+/// First chunk number that is invalid in a shard.
 const MAX_CHUNKS: usize = 100_000;
 
-/// A machine as its shard's record has it.
+/// A machine in its shard's record.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ShardMember {
     #[serde(rename = "flavor")]
@@ -59,7 +59,7 @@
 }
 
 impl ShardMember {
-    /// What it takes of a chunk's value, at most.
+    /// Returns the maximum number of bytes that the member adds to a chunk's value.
     fn max_bytes(&self, name: &str) -> usize {
         name.len() + self.machine_type.len() + self.zone.len() + MEMBER_OVERHEAD_BYTES
     }
@@ -70,12 +70,12 @@
     version: u64,
     machines: BTreeMap<String, ShardMember>,
     bytes: usize,
-    /// Machines were added: nothing can be placed on them before that is written.
+    /// Whether machines were added. Nothing can be placed on them before the addition is written.
     has_additions: bool,
-    /// Machines removed since it was last written: their record only costs a successor time.
+    /// Number of machines removed since the chunk was last written. Their stale record only costs a successor time.
     removals: usize,
-    /// Chunks that have taken over machines from this one. As long as they are not written, the stored value of
-    /// this one is the only record of those machines, so it must not be written.
+    /// Chunks that have taken over machines from this chunk. Until those chunks are written, the stored value of this
+    /// chunk is the only record of the moved machines, so this chunk must not be written.
     waits_for: BTreeSet<usize>,
 }
 
@@ -105,16 +105,16 @@
     /// The name of this controller.
     pub owner: String,
     max_members: usize,
-    /// What the members of a chunk may take.
+    /// Maximum total size of a chunk's members, in bytes.
     max_member_bytes: usize,
     chunks: Vec<Chunk>,
-    /// The chunk of every machine.
+    /// Index of each machine's chunk, by machine name.
     chunk_by_machine: HashMap<String, usize>,
 }
 
 impl Shard {
-    /// A shard of which nothing has been read yet. `max_value_bytes`: the size that a value in the state service
-    /// may have. `chunk_size`: how many machines a chunk may have.
+    /// Returns a shard of which nothing has been read yet. `max_value_bytes`: maximum size of a value in the state
+    /// service. `chunk_size`: maximum number of machines in a chunk.
     pub fn new(
         id: u32,
         term: u64,
@@ -133,12 +133,12 @@
         }
     }
 
-    /// The key of a chunk in the state service.
+    /// Returns the key of a chunk in the state service.
     pub fn chunk_key(&self, chunk: usize) -> String {
         format!("{SHARD_PREFIX}{}/{chunk}", self.id)
     }
 
-    /// The chunk that `key` names, if it is one of this shard's.
+    /// Returns the chunk that `key` names, if it is a chunk of this shard.
     pub fn parse_chunk_key(&self, key: &str) -> Option<usize> {
         let rest = key
             .strip_prefix(SHARD_PREFIX)?
@@ -147,8 +147,8 @@
         (chunk < MAX_CHUNKS).then_some(chunk)
     }
 
-    /// Takes over what a stored chunk holds. A machine that another chunk holds as well was on its way from one to
-    /// the other; it stays where it was seen first, and is removed here.
+    /// Loads a stored chunk. A machine that another chunk holds as well was being moved between the two chunks; it
+    /// stays in the chunk in which it was found first, and is removed from this one.
     pub fn load_chunk(&mut self, index: usize, record: ChunkRecord, version: u64) {
         while self.chunks.len() <= index {
             self.chunks.push(Chunk::default());
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Everything has been loaded. Chunks that an owner wrote under larger limits could not be written again: what
-    /// is too much for them moves to others, which are written first.
+    /// Completes the loading of all chunks. Chunks that an owner wrote under larger limits could not be written
+    /// again: the excess machines move to other chunks, which are written first.
     pub fn finish_loading(&mut self) {
         for index in 0..self.chunks.len() {
             for (name, member) in self.take_excess(index) {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Removes from a chunk the machines that are too many for it.
+    /// Removes the machines that exceed a chunk's limits.
     fn take_excess(&mut self, index: usize) -> Vec<(String, ShardMember)> {
         let mut excess = Vec::new();
         let chunk = &mut self.chunks[index];
@@ -197,7 +197,8 @@
         self.chunk_by_machine.contains_key(name)
     }
 
-    /// Adds a machine, but not to chunk `except`; it counts only once its chunk is written. Returns its chunk.
+    /// Adds a machine to any chunk but `except`. The machine counts only once its chunk is written. Returns the
+    /// chunk.
     pub fn add(&mut self, name: &str, member: ShardMember, except: Option<usize>) -> usize {
         if let Some(chunk) = self.chunk_by_machine.get(name) {
             return *chunk;
@@ -218,7 +219,7 @@
     fn find_chunk_for(&self, bytes: usize, except: Option<usize>) -> Option<usize> {
         let mut chunks = self.chunks.iter().enumerate();
         chunks.position(|(index, chunk)| {
-            // A chunk that another one waits for must not wait itself.
+            // A chunk that another chunk waits for must not wait itself.
             Some(index) != except
                 && chunk.waits_for.is_empty()
                 && chunk.machines.len() < self.max_members
@@ -236,7 +237,7 @@
         chunk.removals += 1;
     }
 
-    /// The next chunk to write. `idle`: there is nothing else to write, so that a single removal is enough.
+    /// Returns the next chunk to write. `idle`: nothing else is to be written, so that a single removal is enough.
     pub fn next_dirty_chunk(&self, idle: bool) -> Option<ChunkWrite> {
         let min_removals = if idle { 1 } else { MIN_BATCHED_REMOVALS };
         let mut chunks = self.chunks.iter().enumerate();
@@ -253,13 +254,13 @@
         })
     }
 
-    /// A chunk is on its way to the state service: what changes from here on makes it dirty again.
+    /// Records that a chunk's write is in flight. Later changes make the chunk dirty again.
     pub fn mark_write_in_flight(&mut self, index: usize) {
         self.chunks[index].has_additions = false;
         self.chunks[index].removals = 0;
     }
 
-    /// A chunk's write was carried out.
+    /// Records that a chunk's write was carried out.
     pub fn mark_written(&mut self, index: usize, version: u64) {
         self.chunks[index].version = version;
         for chunk in &mut self.chunks {
@@ -267,13 +268,13 @@
         }
     }
 
-    /// A chunk's write was not carried out.
+    /// Records that a chunk's write was not carried out.
     pub fn mark_write_failed(&mut self, index: usize) {
         self.chunks[index].has_additions = true;
     }
 
-    /// The outcome of a chunk's write is unknown: it is written again on top of the version that the state service
-    /// holds now.
+    /// Records that the outcome of a chunk's write is unknown. The chunk is written again on top of the version that
+    /// the state service holds now.
     pub fn mark_write_unknown(&mut self, index: usize, version: u64) {
         self.chunks[index].version = version;
         self.chunks[index].has_additions = true;
--- a/crates/gannethub-core/src/state/shard/tests.rs
+++ b/crates/gannethub-core/src/state/shard/tests.rs
@@ -8,7 +8,7 @@
     }
 }
 
-/// Writes all there is to write to `store`.
+/// Writes all dirty chunks to `store`.
 fn write_all(shard: &mut Shard, store: &mut BTreeMap<usize, ChunkRecord>, limit: usize) {
     while let Some(write) = shard.next_dirty_chunk(true) {
         assert!(serde_json::to_string(&write.record).unwrap().len() <= limit);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn machines_spread_over_chunks_and_a_successor_loads_them_all() {
+fn successor_loads_the_machines_of_all_chunks() {
     let mut shard = Shard::new(0, 1, "n0", 1024, 100);
     for index in 0..30 {
         shard.add(&format!("host-{index}"), member(), None);
@@ -45,12 +45,12 @@
     assert_eq!(
         successor.next_dirty_chunk(false).unwrap().index,
         0,
-        "the space that host-3 left is used again"
+        "the space freed by host-3 is reused"
     );
 }
 
 #[test]
-fn a_chunk_too_large_is_split_and_every_machine_is_on_record_at_any_moment() {
+fn splitting_an_oversized_chunk_keeps_every_machine_on_record() {
     let mut shard = Shard::new(0, 1, "n0", 16 * 1024, 100);
     for index in 0..100 {
         shard.add(&format!("host-{index:06}"), member(), None);
@@ -58,7 +58,7 @@
     let mut store = BTreeMap::new();
     write_all(&mut shard, &mut store, 16 * 1024);
     assert_eq!(store.len(), 1);
-    // The owner that splits it may crash after any number of writes, and its successor goes on.
+    // The owner that splits the chunk may crash after any number of writes, and its successor continues.
     for write_count in 0..12 {
         let mut store = store.clone();
         let mut shard = load(&store, 2048);
@@ -80,12 +80,12 @@
             .map(|record| serde_json::to_string(record).unwrap().len());
         assert!(sizes.max().unwrap() <= 2048 && store.len() >= 4);
         let total: usize = store.values().map(|record| record.machines.len()).sum();
-        assert_eq!(total, 100, "none is left in two chunks");
+        assert_eq!(total, 100, "no machine is left in two chunks");
     }
 }
 
 #[test]
-fn removals_wait_until_there_is_nothing_else_to_write_and_additions_do_not() {
+fn removals_wait_for_idle_or_a_batch_and_additions_do_not() {
     let mut shard = Shard::new(0, 1, "n0", 4096, 100);
     for index in 0..9 {
         shard.add(&format!("host-{index}"), member(), None);
@@ -100,6 +100,6 @@
     shard.remove("host-10");
     assert!(
         shard.next_dirty_chunk(false).is_some(),
-        "many removals do not wait"
+        "a batch of removals does not wait"
     );
 }
