--- a/crates/gannethub-core/src/state/capacity_index.rs
+++ b/crates/gannethub-core/src/state/capacity_index.rs
@@ -1,16 +1,16 @@
-//! Index of machines by free capacity: machines in buckets of like kind, and within a bucket by their free CPU.
+//! Index of machines by free capacity: machines in buckets of the same kind, and within a bucket by free CPU.
 //!
-//! A pass, a heartbeat or a plan asks for free capacity of some size, and must not look at every machine to find
-//! it: the cost of deciding would then grow with the square of the cluster. The index only says where to look.
-//! What is found there is still checked against the machine itself, so a machine that has fallen silent since then
-//! costs one look and breaks nothing.
+//! A scheduling pass, a heartbeat or a provisioning plan searches for free capacity of some size, and must not
+//! examine every machine to find it: the cost of decisions would then grow with the square of the cluster size. The
+//! index only yields candidates. Each candidate is still checked against the machine itself, so a machine that has
+//! since fallen silent costs one check and breaks nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::model::MachineId;
 
-/// What machines that cost the same and are in one zone have in common.
+/// The properties that machines of equal cost in one zone share.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct MachineKind {
     /// Index into the list of machine types.
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub struct CapacityBucket {
     pub kind: MachineKind,
-    /// Every machine known, whatever its state.
+    /// All known machines of the kind, whatever their state.
     pub machines: BTreeSet<MachineId>,
-    /// Those that tasks may be placed on, by free CPU in thousandths.
+    /// Machines on which tasks may be placed, by free CPU in thousandths.
     pub(crate) schedulable: BTreeSet<(i64, MachineId)>,
 }
 
@@ -38,20 +38,20 @@
         }
     }
 
-    /// Machines that may be placed on and have at least `cpu` free, the fullest first.
+    /// Returns the schedulable machines with at least `cpu` thousandths of a CPU free, the fullest first.
     pub fn with_cpu(&self, cpu: i64) -> impl DoubleEndedIterator<Item = &MachineId> {
-        // The empty name comes before every other: the range begins with the first machine that has so much.
+        // The empty name sorts before every other name: the range begins with the first machine that has `cpu` free.
         let first_id: MachineId = Arc::from("");
         self.schedulable.range((cpu, first_id)..).map(|(_, id)| id)
     }
 
-    /// Whether any of its machines may be placed on.
+    /// Whether the bucket has a schedulable machine.
     pub fn has_schedulable(&self) -> bool {
         !self.schedulable.is_empty()
     }
 }
 
-/// The buckets of all kinds there are or have been. A machine keeps the index of its bucket, so buckets are never
+/// The buckets of all kinds that exist or have existed. A machine keeps the index of its bucket, so buckets are never
 /// removed.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
@@ -61,7 +61,7 @@
 }
 
 impl CapacityIndex {
-    /// Adds a machine that may not be placed on yet. Returns the index of its bucket.
+    /// Adds a machine that is not schedulable yet. Returns the index of its bucket.
     pub fn insert(&mut self, kind: MachineKind, id: MachineId) -> usize {
         let next = self.buckets.len();
         let bucket = *self.bucket_numbers.entry(kind.clone()).or_insert(next);
@@ -72,13 +72,13 @@
         bucket
     }
 
-    /// Removes a machine that was last indexed with this much free CPU.
+    /// Removes a machine that was last indexed with `indexed_cpu` thousandths of a CPU free.
     pub fn remove(&mut self, bucket: usize, id: &MachineId, indexed_cpu: Option<i64>) {
         self.update(bucket, id, indexed_cpu, None);
         self.buckets[bucket].machines.remove(id);
     }
 
-    /// The free CPU of a machine has changed, or whether it may be placed on, for which `None` stands.
+    /// Updates the free CPU of a machine from `old` to `new`, in thousandths. `None`: the machine is not schedulable.
     pub fn update(&mut self, bucket: usize, id: &MachineId, old: Option<i64>, new: Option<i64>) {
         let schedulable = &mut self.buckets[bucket].schedulable;
         if let Some(cpu) = old {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// How many machines of a kind are known.
+    /// Returns the number of known machines of a kind.
     pub fn machine_count(&self, machine_type: usize, zone: &str, spot: bool) -> usize {
         let kind = MachineKind {
             machine_type,
--- a/crates/gannethub-core/src/state/deadline.rs
+++ b/crates/gannethub-core/src/state/deadline.rs
@@ -1,37 +1,37 @@
-//! What the jobs downstream of a job demand of it: a priority, and times of day by which it has to be done.
+//! Downstream demand on a job: a priority, and the times of day by which the job has to be done.
 
 use crate::model::{Micros, Priority};
 
-/// What jobs downstream ask of one upstream.
+/// Demand of downstream jobs on an upstream job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DownstreamDemand {
-    /// The highest priority of all jobs that wait for it, directly or through others.
+    /// The highest priority of all direct and indirect downstream jobs.
     pub priority: Priority,
-    /// For each deadline objective: when this job has to be done, so that what is to run after it can meet the
-    /// objective.
+    /// For each deadline objective, the deadline of this job that lets the downstream jobs meet the objective.
     pub deadlines: Vec<Option<Deadline>>,
 }
 
 /// Times of day, in microseconds since 1970, by which a job has to be done.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline {
-    /// If what comes after it takes as long as it may well take.
+    /// Deadline if the downstream jobs take their expected time.
     pub target: u64,
-    /// If what comes after it goes as fast as it can: later than this is too late for certain.
+    /// Deadline if the downstream jobs take their minimum time. Later ends are certainly too late.
     pub latest: u64,
 }
 
-/// How long a job takes from its start to its end.
+/// Duration of a job from its start to its end.
 #[derive(Clone, Copy, Debug)]
 pub struct StageDuration {
-    /// How long it may well take.
+    /// Expected duration, with some allowance.
     pub expected: Micros,
-    /// How long it takes at the least.
+    /// Minimum duration.
     pub minimum: Micros,
 }
 
 impl Deadline {
-    /// The deadline of a job that takes `stage` from its release to its end and has to be done before this deadline.
+    /// Returns the deadline of a job that takes `stage` from its release to its end and has to be done before this
+    /// deadline.
     pub(crate) fn minus_stage(self, stage: StageDuration) -> Deadline {
         Deadline {
             target: self.target.saturating_sub(stage.expected),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The earlier of two deadlines, each of its times taken on its own.
+    /// Returns the earlier of two deadlines, separately for each of the two times.
     pub(crate) fn earliest(self, other: Deadline) -> Deadline {
         Deadline {
             target: self.target.min(other.target),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The time of day by which the job has to start, never before `now`. `None`: it is too late for certain.
+    /// Returns the time of day by which the job has to start, never before `now`. `None`: it is certainly too late.
     pub fn start_by(self, stage: StageDuration, now: u64) -> Option<u64> {
         let deadline = self.minus_stage(stage);
         (deadline.latest >= now).then(|| deadline.target.max(now))
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -1,40 +1,40 @@
-//! Which job waits for which others, and what follows from their ends.
+//! Dependencies between jobs, and the consequences of their ends.
 //!
-//! All live jobs that wait, and those they wait for, are non-vital children of one open-ended [`Saga`]: a job is
-//! released when every job upstream has committed, and cancelled with any of them.
+//! All live jobs that wait, and their upstream jobs, are non-vital children of one open-ended [`Saga`]: a job is
+//! released when every upstream job has committed, and cancelled together with any upstream job.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::model::JobId;
 use crate::saga::{AbortAction, Saga, SagaState};
 
-/// What is known of a job that another one waits for.
+/// Known outcome of an upstream job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DependencyOutcome {
-    /// It has not ended.
+    /// The job has not ended.
     Live,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// It is cancelled, by its user or with a job that it waits for.
+    /// The job is cancelled, by its user or together with an upstream job.
     Cancelled,
-    /// Not live as far as is known; its end has not been read.
+    /// The job is not live as far as known, and its end has not been read.
     Unknown,
 }
 
-/// What a cancellation or an end leads to downstream.
+/// Downstream effects of a cancellation or an end.
 #[derive(Debug, Default, PartialEq)]
 pub struct PipelineEffects {
-    /// Jobs that wait for nothing any more, in order.
+    /// Jobs that no longer wait for any job, in order.
     pub released: Vec<JobId>,
-    /// Waiting jobs that are cancelled with what they wait for.
+    /// Waiting jobs that are cancelled together with an upstream job.
     pub cancelled: Vec<JobId>,
 }
 
-/// The graph of waiting jobs and the jobs they wait for.
+/// The graph of waiting jobs and their upstream jobs.
 #[derive(Debug)]
 pub struct DependencyGraph {
     pub(crate) saga: Saga<JobId>,
-    /// Jobs that others wait for and whose ends have to be read.
+    /// Upstream jobs whose ends have to be read.
     pub(crate) unknown_outcomes: BTreeSet<JobId>,
 }
 
@@ -48,7 +48,8 @@
 }
 
 impl DependencyGraph {
-    /// Adds a job that waits for the jobs in `upstream`. That list never changes, so only the first call counts.
+    /// Adds a job that waits for the jobs in `upstream`. The list never changes, so only the first call for a job
+    /// counts.
     pub fn add_waiting(
         &mut self,
         id: &JobId,
@@ -81,19 +82,19 @@
         }
     }
 
-    /// A job that others wait for is live after all.
+    /// Records that an upstream job is live after all.
     pub fn mark_live(&mut self, id: &JobId) {
         self.unknown_outcomes.remove(id);
     }
 
-    /// A live job is gone and nothing tells how it ended, which matters if others wait for it.
+    /// Records that a live job is gone without a known outcome, which matters if other jobs wait for it.
     pub fn mark_outcome_unknown(&mut self, id: &JobId) {
         if self.saga.element_state(id).is_some() {
             self.unknown_outcomes.insert(id.clone());
         }
     }
 
-    /// A job has been cancelled, and with it all that wait for it.
+    /// Cancels a job together with all downstream jobs.
     pub fn cancel(&mut self, id: &JobId) -> PipelineEffects {
         let actions = self.saga.abort_element(id).into_iter();
         let cancelled = actions.map(|action| match action {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A job that waited has been released: its record says that all it waited for is done.
+    /// Records that a waiting job has been released: its record says that all upstream jobs are done.
     pub fn mark_released(&mut self, id: &JobId) {
         self.saga.release(id);
         if self.saga.downstream(id).next().is_none() {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A job is over, as the state service has it.
+    /// Records that a job is over according to the state service.
     pub fn mark_ended(&mut self, id: &JobId, cancelled: bool) -> PipelineEffects {
         self.unknown_outcomes.remove(id);
         if self.saga.element_state(id).is_none() {
@@ -132,32 +133,32 @@
         effects
     }
 
-    /// Whether a waiting job is cancelled, by its user or with one that it waits for.
+    /// Whether a waiting job is cancelled, by its user or together with an upstream job.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.saga.element_state(id) == Some(SagaState::Aborted)
     }
 
-    /// Whether all jobs that it waited for are done.
+    /// Whether all upstream jobs of the job are done.
     pub(crate) fn is_ready(&self, id: &JobId) -> bool {
         self.saga.element_state(id) == Some(SagaState::Active)
     }
 
-    /// What a job still waits for.
+    /// Returns the jobs for which a job still waits.
     pub fn open_dependencies(&self, id: &JobId) -> Vec<JobId> {
         self.saga.open_upstream(id).cloned().collect()
     }
 
-    /// Jobs whose ends have to be read.
+    /// Returns the jobs whose ends have to be read.
     pub fn unknown_outcomes(&self) -> impl Iterator<Item = &JobId> {
         self.unknown_outcomes.iter()
     }
 
-    /// Whether every job that another one waits for is live, or it is known how it ended.
+    /// Whether every upstream job is either live or has a known outcome.
     pub fn is_complete(&self) -> bool {
         self.unknown_outcomes.is_empty()
     }
 
-    /// The same of all jobs that this one waits for, directly or through others.
+    /// Whether the same holds for all upstream jobs of this job, direct and indirect.
     pub fn is_complete_for(&self, id: &JobId) -> bool {
         if self.is_complete() {
             return true;
@@ -174,7 +175,7 @@
         true
     }
 
-    /// Jobs that wait for others or are waited for, those downstream before those upstream.
+    /// Returns all waiting and upstream jobs, downstream jobs before upstream jobs.
     pub(crate) fn downstream_first(&self) -> Vec<&JobId> {
         let mut unvisited_downstream: HashMap<&JobId, usize> = self
             .saga
--- a/crates/gannethub-core/src/state/failure_tracking.rs
+++ b/crates/gannethub-core/src/state/failure_tracking.rs
@@ -1,26 +1,26 @@
-//! What the failures of a job's tasks say about the job.
+//! Failures of a job's tasks, as evidence about the job.
 
 use std::collections::HashSet;
 
 use crate::model::{MachineId, Micros};
 
-/// Evidence that a job fails wherever it runs, most likely by its user's mistake.
+/// Evidence that a job fails on every machine, most likely because of a user's mistake.
 ///
-/// It is weighed only as long as the job has not finished a task; the first one that it finishes clears it.
+/// The evidence counts only as long as the job has not finished a task; the first finished task clears it.
 #[derive(Debug, Default)]
 pub struct FailureTracking {
-    /// Machines it has failed on.
+    /// Machines on which the job has failed.
     pub failed_machines: HashSet<MachineId>,
-    /// The job's stored record says that it is crash looping, as this leader or an earlier one has found.
+    /// Whether the job's stored record says that the job is crash-looping, as found by this leader or an earlier one.
     pub known_crash_looping: bool,
-    /// Probes that failed since the job was found to be crash looping.
+    /// Number of probes that failed since the job was found to be crash-looping.
     pub(crate) failed_probes: u32,
-    /// When the next probe may begin.
+    /// Earliest time of the next probe.
     pub(crate) next_probe_at: Micros,
 }
 
 impl FailureTracking {
-    /// For a job whose stored record says that it is crash looping, or not.
+    /// Returns the state for a job whose stored record says whether the job is crash-looping.
     pub fn new(known_crash_looping: bool) -> FailureTracking {
         FailureTracking {
             known_crash_looping,
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the leader remembers them: specification, tasks, what the scheduler keeps, and what is stored of them.
+//! Jobs as the leader keeps them: specification, tasks, scheduler state, and stored state.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,31 +10,32 @@
 use crate::saga::Saga;
 use crate::wire::store::{JobRecord, decode_done_part};
 
-/// A job that failed on so many machines and finished nothing on any is crash looping.
+/// Number of machines on which a job has to fail, without finishing a task on any, to be crash-looping.
 const CRASH_LOOP_MACHINES: usize = 3;
-/// A probe that found no free capacity for so long may have a machine provisioned.
+/// Time without free capacity for a probe after which a machine may be provisioned for it.
 const PROBE_PROVISIONING_DELAY: Micros = 30 * SECOND;
 
-/// A live job that waits for no other, so its tasks may be placed.
+/// A live job that waits for no other job, so its tasks may be placed.
 #[derive(Debug)]
 pub struct Job {
     pub id: JobId,
-    /// What placing goes by: as submitted, but without spot machines where policy forbids them.
+    /// The specification that placement uses: as submitted, but without spot machines where the policy forbids them.
     pub spec: Arc<JobSpec>,
-    /// As its user submitted it, which is what is stored.
+    /// The specification as submitted by the user, which is the stored one.
     pub(crate) submitted_spec: Arc<JobSpec>,
-    /// Index of its team in the settings.
+    /// Index of the job's team in the settings.
     pub team: Option<usize>,
-    /// Time of day at which it was accepted: deadlines count from here.
+    /// Time of day at which the job was accepted. Deadlines are counted from this time.
     pub accepted_at: u64,
-    /// Time of day from which everything else counts: when the last job that it waited for was done.
+    /// Time of day at which the last upstream job was done. All times other than deadlines are counted from this
+    /// time.
     pub ready_at: u64,
-    /// Its user has cancelled it. Nothing of it starts from then on.
+    /// Whether the user has cancelled the job. No task of a cancelled job is started.
     pub cancelled: bool,
-    /// The job's own saga, with one element. [`Pipelines`](super::pipeline::Pipelines) holds the one that it
-    /// shares with the jobs that wait for it.
+    /// The job's own saga, with one element. [`Pipelines`](super::pipeline::Pipelines) holds the saga that the job
+    /// shares with its downstream jobs.
     pub saga: Saga<u32>,
-    /// What the failures of its tasks say about it.
+    /// Evidence from the failures of the job's tasks.
     pub failure_tracking: FailureTracking,
     pub tasks: JobTasks,
     pub scheduling: JobScheduling,
@@ -46,79 +47,80 @@
 /// Every task of a job that is not cancelled is done, pending or live. A task in `unconfirmed` is pending as well.
 #[derive(Debug)]
 pub struct JobTasks {
-    /// Finished tasks. What of it is durable is [`JobPersistence::durable_done`].
+    /// Finished tasks. [`JobPersistence::durable_done`] is the durable part of them.
     pub done: TaskSet,
     /// Tasks that wait to be placed.
     pub pending: TaskSet,
-    /// Those of `pending` that an earlier leader may have launched on a machine which has not confirmed this term
-    /// yet.
+    /// Tasks in `pending` that an earlier leader may have launched on a machine that has not confirmed this term yet.
     pub unconfirmed: TaskSet,
-    /// The attempt of every task that is placed.
+    /// The current attempt of every placed task.
     pub live_attempts: HashMap<u32, LiveAttempt>,
     /// The current attempt of a gang.
     pub gang_attempt: Option<GangAttempt>,
-    /// How long tasks ran before they were stopped and saved, as far as this leader has seen.
+    /// Time for which tasks ran before they were stopped and saved, as far as this leader has observed, by task.
     pub saved_progress: HashMap<u32, Micros>,
-    /// Tasks that have failed or were refused, until they are done.
+    /// Backoff of tasks that have failed or were refused, until they are done.
     pub backoff: HashMap<u32, TaskBackoff>,
 }
 
 /// A pause before a task is placed again.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct TaskBackoff {
-    /// The task is not placed before this time.
+    /// Earliest time at which the task is placed.
     pub until: Micros,
-    /// How often it has failed.
+    /// Number of the task's failures.
     pub failures: u32,
 }
 
-/// What the scheduler remembers about a job from one pass to the next.
+/// State that the scheduler keeps about a job between passes.
 #[derive(Debug, Default)]
 pub struct JobScheduling {
-    /// What the jobs that wait for it ask of it.
+    /// Demand of the downstream jobs.
     pub downstream_demand: Option<DownstreamDemand>,
-    /// All that its team may run of it at once has been placed, which is logged once.
+    /// Whether all tasks that the team may run at once have been placed, which is logged once.
     pub fully_placed: bool,
-    /// The shard that it is to be transferred to.
+    /// The shard to which the job is to be transferred.
     pub home_shard: Option<u32>,
-    /// It was within its team's guarantee when the queue was last put in order.
+    /// Whether the job was within its team's guarantee when the queue was last sorted.
     pub within_guarantee: bool,
-    /// Gang placement has been tried for it: from then on it is tried in the rounds for all gangs.
+    /// Whether gang placement has been tried for the job. Further attempts are made in the rounds for all gangs.
     pub gang_placement_tried: bool,
-    /// When other work was last preempted for it.
+    /// Time at which other work was last preempted for the job.
     pub preempted_for_at: Option<Micros>,
-    /// When the last of its reservations expires: no capacity is reserved for it after that.
+    /// Time at which the last of the job's reservations expires. No capacity is reserved for the job after this time.
     pub reserved_until: Micros,
-    /// The last scheduling pass that found it in the queue with tasks to place.
+    /// Number of the last scheduling pass that found the job in the queue with tasks to place.
     pub last_queued_pass: u64,
 }
 
-/// What the state service holds of a job, and what is to be written of it.
+/// State of a job in the state service, and pending writes of the job.
 #[derive(Debug)]
 pub struct JobPersistence {
     /// Version of the stored record, which guards the next write.
     pub version: u64,
-    /// Its version is unknown until the record has been read again, as a write had no clear answer.
+    /// Whether the version is unknown until the record has been read again, because a write had no clear answer.
     pub version_unknown: bool,
-    /// A transaction with its record is on its way.
+    /// Whether a transaction with the job's record is in flight.
     pub(crate) write_in_flight: bool,
-    /// The finished tasks that the state service holds. A worker may forget a completion only when it is among them.
+    /// Finished tasks that the state service holds. A worker may forget a completion only when the task is among
+    /// them.
     pub durable_done: TaskSet,
     /// Parts of the set of finished tasks that have changed since they were written.
     pub(crate) dirty_parts: BTreeSet<u32>,
-    /// Since when there has been something to write.
+    /// Time since which a write has been pending.
     pub(crate) dirty_since: Option<Micros>,
-    /// The finished tasks of its first part are stored under a key of their own, as its record would be too large.
+    /// Whether the finished tasks of the first part are stored under a separate key because the record would be too
+    /// large.
     pub(crate) overflow: bool,
-    /// The launch watermark that the state service holds: tasks below it may be launched.
+    /// The launch watermark in the state service: tasks below it may be launched.
     pub durable_watermark: u32,
-    /// What the launch watermark is to be raised to.
+    /// The value to which the launch watermark is to be raised.
     pub requested_watermark: u32,
 }
 
 impl Job {
-    /// A job as its stored record shows it. `possibly_launched`: tasks below this number may be on machines that
-    /// have not confirmed this term yet.
+    /// Returns a job as described by its stored record. `possibly_launched`: tasks below this number may be on
+    /// machines that have not confirmed this term yet.
     pub fn from_record(
         id: JobId,
         record: JobRecord,
@@ -146,12 +148,12 @@
         }
     }
 
-    /// Whether all its tasks are done. Services never are.
+    /// Whether all tasks of the job are done. Services are never finished.
     pub fn is_finished(&self) -> bool {
         self.spec.shape != Shape::Service && self.tasks.done.len() == self.spec.tasks
     }
 
-    /// How many of its tasks wait for a machine and are known to be on none.
+    /// Returns the number of tasks that wait for a machine and are known to be on none.
     pub fn placeable_count(&self) -> usize {
         let JobTasks {
             pending,
@@ -161,7 +163,8 @@
         pending.len().saturating_sub(unconfirmed.len()) as usize
     }
 
-    /// None of its tasks has been launched and no launch is covered by a watermark: any shard owner can take it over.
+    /// Whether none of the job's tasks has been launched and no launch is covered by a watermark: any shard owner can
+    /// take such a job over.
     pub fn has_no_launches(&self) -> bool {
         self.persistence.durable_watermark == 0
             && self.persistence.requested_watermark == 0
@@ -169,7 +172,7 @@
             && self.tasks.done.is_empty()
     }
 
-    /// Asks for a launch watermark that covers all tasks below `task_count`. A gang is always covered whole.
+    /// Requests a launch watermark that covers all tasks below `task_count`. A gang is always covered as a whole.
     pub fn request_watermark(&mut self, task_count: u32) {
         let task_count = match self.spec.shape {
             Shape::Gang => self.spec.tasks,
@@ -179,13 +182,13 @@
         *requested = (*requested).max(task_count);
     }
 
-    /// Its record is to be written again.
+    /// Marks the job's record to be written again.
     pub fn mark_dirty(&mut self, now: Micros) {
         self.persistence.dirty_parts.insert(0);
         self.persistence.dirty_since.get_or_insert(now);
     }
 
-    /// Its own priority, or that of a job that waits for it if that is higher.
+    /// Returns the job's priority, or the priority of a downstream job if that priority is higher.
     pub fn effective_priority(&self) -> Priority {
         match &self.scheduling.downstream_demand {
             Some(demand) => demand.priority.max(self.spec.priority),
@@ -193,12 +196,12 @@
         }
     }
 
-    /// How many of its tasks are placed.
+    /// Returns the number of the job's tasks that are placed.
     pub fn live_count(&self) -> u32 {
         self.tasks.live_attempts.len() as u32
     }
 
-    /// Whether it fails wherever it runs, most likely by its user's mistake.
+    /// Whether the job fails on every machine, most likely because of a user's mistake.
     pub fn is_crash_looping(&self) -> bool {
         let failures = &self.failure_tracking;
         self.tasks.done.is_empty()
@@ -206,8 +209,8 @@
                 || failures.failed_machines.len() >= CRASH_LOOP_MACHINES)
     }
 
-    /// How many of its tasks may be placed at this time, as far as its failures go: one probe at a time, or one
-    /// whole gang, of a job that is crash looping.
+    /// Returns the number of tasks that the job's failures allow to be placed now: for a crash-looping job one probe
+    /// at a time, or one whole gang.
     pub fn allowed_probes(&self, now: Micros) -> i64 {
         if !self.is_crash_looping() {
             return i64::MAX;
@@ -221,8 +224,9 @@
         }
     }
 
-    /// How many of its tasks a machine may be provisioned for. The next probe of a crash-looping job uses capacity
-    /// that is there; only when none came free for long would it never be cleared without a new machine.
+    /// Returns the number of tasks for which machines may be provisioned. The next probe of a crash-looping job uses
+    /// existing capacity. Only if none has become free for a long time is a machine provisioned, because otherwise
+    /// the job could never be cleared.
     pub fn tasks_worth_provisioning(&self, now: Micros) -> i64 {
         let provision_from = self.failure_tracking.next_probe_at + PROBE_PROVISIONING_DELAY;
         if self.is_crash_looping() && now < provision_from {
@@ -234,7 +238,8 @@
 }
 
 impl JobTasks {
-    /// The tasks of a job that are not done are pending; those below `possibly_launched` are unconfirmed.
+    /// Returns the state in which all tasks that are not done are pending, and those below `possibly_launched`
+    /// unconfirmed.
     fn new(task_count: u32, done: TaskSet, possibly_launched: u32) -> JobTasks {
         let mut pending = TaskSet::up_to(task_count);
         done.iter().for_each(|index| {
--- a/crates/gannethub-core/src/state/kill_orders.rs
+++ b/crates/gannethub-core/src/state/kill_orders.rs
@@ -1,21 +1,23 @@
-//! Attempts of cancelled jobs whose workers are to be told at once, without waiting for their next heartbeats.
+//! Kill orders: attempts of cancelled jobs whose workers are notified at once, without waiting for their next
+//! heartbeats.
 
 use std::collections::BTreeMap;
 
 use crate::model::{AttemptId, MachineId, Micros};
 use crate::wire::budget::TokenBucket;
 
-/// The attempts that one worker is to be told to kill.
+/// The attempts that one worker has to kill.
 #[derive(Debug, Default)]
 pub struct KillOrder {
-    /// When the last of them was cancelled.
+    /// Time at which the last of the attempts was cancelled.
     pub since: Micros,
     pub attempts: Vec<AttemptId>,
-    /// One of them does not run yet, and would start after its user was told that the job is cancelled.
+    /// Whether one of the attempts does not run yet, and would start after the user was told that the job is
+    /// cancelled.
     pub has_unstarted: bool,
 }
 
-/// The orders that are yet to be sent, and how many may be sent in a second.
+/// The kill orders that are still to be sent, and the limit on their rate.
 #[derive(Debug)]
 pub(crate) struct KillOrders {
     pub pending: BTreeMap<MachineId, KillOrder>,
@@ -23,7 +25,7 @@
 }
 
 impl KillOrders {
-    /// `rate`: how many machines may be sent an order in a second.
+    /// `rate`: maximum number of machines to which an order may be sent per second.
     pub fn new(rate: f64) -> KillOrders {
         KillOrders {
             pending: BTreeMap::new(),
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -1,35 +1,36 @@
-//! What a new leader does not know yet of the machines that it took over.
+//! Unconfirmed machines: machines that a new leader took over and whose tasks it does not know yet.
 
 use super::capacity_index::MachineKind;
 use crate::model::{Micros, Resources};
 
-/// How far the takeover from an earlier term has come.
+/// Progress of the takeover from an earlier term.
 #[derive(Debug)]
 pub struct Takeover {
-    /// When this leader took over, on this process's clock. Leases of recorded machines are counted from here.
+    /// Time at which this leader took over, on this process's clock. Leases of recorded machines are counted from
+    /// this time.
     pub(crate) at: Micros,
-    /// Every machine of the shard has confirmed this term or its lease has run out, so nothing is unconfirmed any
-    /// more.
+    /// Whether every machine of the shard has confirmed this term or its lease has expired, so nothing is unconfirmed
+    /// any more.
     pub settled: bool,
-    /// What may be on the machines of which neither is true yet.
+    /// Possible contents of the machines that have not confirmed this term and whose leases have not expired.
     pub unconfirmed: Unconfirmed,
 }
 
-/// What machines may hold that have not confirmed this term and whose leases have not run out.
+/// Possible contents of the machines that have not confirmed this term and whose leases have not expired.
 ///
-/// It is reviewed by `scheduling::failover` as machines confirm or lose their leases.
+/// `scheduling::failover` reviews this state as machines confirm the term or lose their leases.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
-    /// How many machines of each kind may still hold something. A kind that is not known may hold anything.
+    /// Number of machines of each kind that may still hold tasks. A machine of unknown kind may hold any tasks.
     pub silent_machines: Vec<(Option<MachineKind>, i64)>,
-    /// The most that each team's tasks may use on them, which counts against the team's limit.
+    /// Maximum usage of each team's tasks on these machines, which counts against the team's limit.
     pub possible_usage: Vec<Resources>,
-    /// Records are being read: what they show was there before this term.
+    /// Whether records are being read. The tasks in these records existed before this term.
     pub loading: bool,
 }
 
 impl Takeover {
-    /// A takeover that begins now, while the records are yet to be read.
+    /// Returns a takeover that begins at `now`, while the records are still to be read.
     pub fn new(now: Micros, team_count: usize) -> Takeover {
         Takeover {
             at: now,
--- a/crates/gannethub-core/src/state/watermarks.rs
+++ b/crates/gannethub-core/src/state/watermarks.rs
@@ -1,40 +1,41 @@
-//! Launch watermarks: what lets a new leader know which tasks an earlier one may have launched.
+//! Launch watermarks, which tell a new leader which tasks an earlier leader may have launched.
 //!
-//! A job's watermark is a task number that is durable before any task below it is launched. The leader raises it
-//! ahead of its launches, so that they seldom wait for the write.
+//! A job's watermark is a task number that is durable before any task below it is launched. The leader raises the
+//! watermark ahead of its launches, so that launches seldom wait for the write.
 
 use crate::model::{Micros, SECOND};
 
-/// Watermarks are ahead of launches by what has been launched in this time.
+/// Lead of the watermarks over launches: the number of launches in this time.
 const WATERMARK_LEAD_TIME: Micros = SECOND;
-/// How often the rate of launches is measured.
+/// Interval at which the launch rate is measured.
 const MEASUREMENT_INTERVAL: Micros = SECOND;
 
-/// How far the watermarks of all jobs can be relied on.
+/// Reliability of the watermarks of all jobs.
 #[derive(Debug)]
 pub struct LaunchWatermarks {
-    /// The watermarks of earlier terms tell what was launched then.
+    /// Whether the watermarks of earlier terms tell which tasks were launched in those terms.
     pub reliable: bool,
-    /// Whether the state service holds that this term's watermarks are reliable.
+    /// Whether the state service has recorded that this term's watermarks are reliable.
     pub recorded: ReliabilityRecord,
-    /// Launches go out without waiting for a watermark. All peers know that, and none takes watermarks as reliable.
+    /// Whether launches are sent without waiting for a watermark. All peers know this, and none relies on the
+    /// watermarks.
     pub not_required: bool,
-    /// How fast tasks are launched, which tells how far ahead watermarks have to be.
+    /// Rate at which tasks are launched, which determines the lead of the watermarks.
     pub launch_rate: LaunchRate,
 }
 
-/// Whether the state service holds that a successor can rely on the watermarks of this term.
+/// Whether the state service has recorded that a successor can rely on the watermarks of this term.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReliabilityRecord {
-    /// It does not, or whether it does is not known.
+    /// The record does not exist, or its existence is unknown.
     Missing,
-    /// The transaction that says so is on its way.
+    /// The transaction that writes the record is in flight.
     WriteInFlight,
     Durable,
 }
 
 impl Default for LaunchWatermarks {
-    /// Watermarks that nothing is known of.
+    /// Returns the state in which nothing is known about the watermarks.
     fn default() -> LaunchWatermarks {
         LaunchWatermarks {
             reliable: false,
@@ -46,7 +47,7 @@
 }
 
 impl LaunchWatermarks {
-    /// Sets whether the watermarks of earlier terms are reliable, which the record of the last term says.
+    /// Sets whether the watermarks of earlier terms are reliable, as the record of the last term says.
     pub fn set_reliable(&mut self, reliable: bool) {
         self.reliable = reliable;
         self.recorded = match reliable {
@@ -56,30 +57,30 @@
     }
 }
 
-/// How many tasks are placed in a second.
+/// Number of tasks placed per second.
 #[derive(Debug, Default)]
 pub struct LaunchRate {
-    /// Since when `placed` counts.
+    /// Time since which `placed` counts.
     since: Micros,
     placed: u32,
-    /// Tasks placed in a second, as of late.
+    /// Recent number of tasks placed per second.
     pub tasks_per_second: u32,
 }
 
 impl LaunchRate {
-    /// A task was placed.
+    /// Counts a placed task.
     pub fn record_placed(&mut self) {
         self.placed += 1;
     }
 
-    /// Brings the rate up to date, if enough time has passed since that was last done.
+    /// Updates the rate, if enough time has passed since the last update.
     pub fn measure(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.since);
         if passed < MEASUREMENT_INTERVAL {
             return;
         }
         let rate = u64::from(self.placed) * WATERMARK_LEAD_TIME / passed;
-        // It falls slowly, as launches come in bursts.
+        // The rate falls slowly, because launches come in bursts.
         self.tasks_per_second = (rate as u32).max(self.tasks_per_second / 2);
         self.placed = 0;
         self.since = now;
--- a/crates/gannethub-core/src/state/writes.rs
+++ b/crates/gannethub-core/src/state/writes.rs
@@ -1,20 +1,21 @@
-//! What is to be written to the state service, and what a transaction on its way there carries.
+//! Pending writes to the state service, and the contents of in-flight transactions.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::model::{JobId, TaskSet};
 use crate::wire::store::{AssignmentKeys, JobRecord};
 
-/// What has to be remembered about writes to the state service, beside the state that is written.
+/// State about writes to the state service, in addition to the written state itself.
 #[derive(Debug)]
 pub struct StoreWrites {
-    /// The owner key guards every transaction.
+    /// Keys of the shard's assignment. The owner key guards every transaction.
     pub assignment_keys: AssignmentKeys,
-    /// Keys that nothing needs any more. They are deleted as transactions have room for it.
+    /// Keys that are no longer needed. They are deleted when transactions have room for the deletion.
     pub(crate) stale_keys: Vec<String>,
-    /// Jobs that are over, and the versions at which they ended: the watch may still bring older records of them.
+    /// Jobs that are over, with the versions at which they ended: the watch may still deliver older records of them.
     tombstones: HashMap<JobId, u64>,
-    /// Transactions in a row that the state service called malformed or too large. The next ones are smaller.
+    /// Number of consecutive transactions that the state service rejected as malformed or too large. The next
+    /// transactions are smaller.
     pub transaction_rejections: u32,
 }
 
@@ -28,56 +29,55 @@
         }
     }
 
-    /// The job ended at this version.
+    /// Records that the job ended at this version.
     pub(crate) fn add_tombstone(&mut self, job: JobId, version: u64) {
         self.tombstones.insert(job, version);
     }
 
-    /// Whether the job had ended when its record had this version.
+    /// Whether the job had already ended when its record had this version.
     pub fn has_tombstone(&self, job: &str, version: u64) -> bool {
         let ended_at = self.tombstones.get(job);
         ended_at.is_some_and(|ended_at| *ended_at >= version)
     }
 
-    /// The watch has reached this version, so nothing older can come.
+    /// Removes tombstones up to `version`, which the watch has reached, so that no older record can arrive.
     pub fn prune_tombstones(&mut self, version: u64) {
         self.tombstones.retain(|_, ended_at| *ended_at > version);
     }
 }
 
-/// A change that a transaction on its way to the state service carries, with what has to be done once its outcome
-/// is known.
+/// A change in an in-flight transaction to the state service, with the data needed once the outcome is known.
 #[derive(Debug, Clone)]
 pub enum BatchedWrite {
     /// The record of a job, with parts of its set of finished tasks.
     JobProgress {
         id: JobId,
-        /// Finished tasks by the number of the part that they are stored in.
+        /// Finished tasks, by the number of the part in which they are stored.
         done_parts: BTreeMap<u32, TaskSet>,
         /// The launch watermark in the record.
         watermark: u32,
     },
-    /// The end of a job. `deadline_missed_by_s`: by how many seconds it missed its deadline, if it did.
+    /// The end of a job. `deadline_missed_by_s`: number of seconds by which the job missed its deadline, if it did.
     JobEnd {
         id: JobId,
         cancelled: bool,
         deadline_missed_by_s: Option<u32>,
     },
-    /// A job that waited for others is released.
+    /// The release of a job that waited for other jobs.
     JobRelease { id: JobId, record: Box<JobRecord> },
-    /// A waiting job is cancelled together with one that it waits for.
+    /// The cancellation of a waiting job together with an upstream job.
     WaitingJobCancellation { id: JobId },
-    /// Part of the shard's record of its machines.
+    /// One chunk of the shard's record of its machines.
     ShardChunk { index: usize, members: Vec<String> },
     /// A page of the usage ledger.
     LedgerPage,
-    /// That the watermarks of this term are reliable.
+    /// The record that the watermarks of this term are reliable.
     WatermarksReliable,
-    /// A job goes to another shard.
+    /// The transfer of a job to another shard.
     JobTransfer { id: JobId, record: Box<JobRecord> },
-    /// A machine goes to another shard.
+    /// The transfer of a machine to another shard.
     MachineTransfer { machine: String },
-    /// The deletion of a key that nothing needs any more.
+    /// The deletion of a key that is no longer needed.
     StaleKeyDeletion,
 }
 
@@ -95,7 +95,7 @@
         self.guarded_keys.push(key);
     }
 
-    /// Keys whose versions are unknown when the outcome of the transaction is.
+    /// Returns the keys whose versions are unknown if the outcome of the transaction is unknown.
     pub fn keys(&self) -> &[String] {
         &self.guarded_keys
     }
--- a/crates/gannethub-core/src/state/zones.rs
+++ b/crates/gannethub-core/src/state/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that cannot be reached.
+//! Detection of unreachable zones.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,16 +6,16 @@
 use super::machine::Machine;
 use crate::model::{Micros, SECOND};
 
-/// A single machine or two that fall silent at a time are nothing unusual: a zone has to have more.
+/// Minimum number of machines in an unreachable zone. One or two machines that fall silent together are not unusual.
 const MIN_MACHINES: u32 = 3;
 
-/// Zones whose machines have all fallen silent while others are heard.
+/// Zones whose machines have all fallen silent while machines in other zones are heard.
 ///
-/// A machine that is provisioned there would not be heard either, so the autoscaler leaves these zones alone. A
-/// heartbeat from such a zone takes it out again.
+/// A machine provisioned in such a zone would not be heard either, so the autoscaler avoids these zones. A heartbeat
+/// from the zone makes it reachable again.
 #[derive(Debug, Default)]
 pub struct ZoneReachability {
-    /// The zones, and when each was last found to be silent.
+    /// The unreachable zones, and the time at which each zone was last found to be silent.
     pub unreachable: HashMap<Arc<str>, Micros>,
 }
 
@@ -32,8 +32,8 @@
 }
 
 impl ZoneReachability {
-    /// Looks for zones that have become unreachable. Where none of the zones is heard, this controller is the one
-    /// that is cut off, and nothing is concluded.
+    /// Detects zones that have become unreachable. If no zone is heard, this controller itself is cut off, and no
+    /// conclusion is drawn.
     pub fn detect<'a>(
         &mut self,
         machines: impl Iterator<Item = &'a Machine>,
@@ -54,7 +54,7 @@
         }
         for (zone, _) in zones.into_iter().filter(|(_, zone)| zone.is_silent()) {
             if self.unreachable.insert(zone.clone(), now).is_none() {
-                tracing::info!(%zone, "no heartbeat from any machine of a zone");
+                tracing::info!(%zone, "no heartbeat from any machine in zone");
             }
         }
     }
