--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Moves work off a machine if the work loses nothing: tasks that save their progress, and replicas of services.
+    /// Preempts the work on a machine that loses nothing by a move: tasks that save their progress, and service tasks.
     pub fn drain_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
--- a/crates/gannethub-core/src/state/cluster/capacity.rs
+++ b/crates/gannethub-core/src/state/cluster/capacity.rs
@@ -55,7 +55,7 @@
 
     /// Returns the differences between the capacity index and the machines, of which there must be none. For tests.
     pub fn index_inconsistencies(&self) -> Vec<String> {
-        let mut wrong = Vec::new();
+        let mut inconsistencies = Vec::new();
         for machine in self.machines.values() {
             let Some(bucket) = machine.placement.capacity_bucket else {
                 continue;
@@ -65,12 +65,12 @@
             let entries = bucket.schedulable.iter().filter(|(_, other)| other == id);
             let cpus: Vec<i64> = entries.map(|(cpu, _)| *cpu).collect();
             if !bucket.machines.contains(id) || cpus != Vec::from_iter(indexed) {
-                wrong.push(format!(
+                inconsistencies.push(format!(
                     "{id}: index lists CPU {cpus:?}, machine has {indexed:?}"
                 ));
             }
             if indexed.is_some_and(|cpu| cpu != machine.free().cpu) {
-                wrong.push(format!(
+                inconsistencies.push(format!(
                     "{id}: indexed CPU {indexed:?}, free {:?}",
                     machine.free()
                 ));
@@ -84,10 +84,10 @@
             .filter(|machine| machine.placement.capacity_bucket.is_some())
             .count();
         if indexed != with_bucket {
-            wrong.push(format!(
+            inconsistencies.push(format!(
                 "{indexed} machines in the index, {with_bucket} machines with a bucket"
             ));
         }
-        wrong
+        inconsistencies
     }
 }
--- a/crates/gannethub-core/src/state/deadline.rs
+++ b/crates/gannethub-core/src/state/deadline.rs
@@ -23,7 +23,7 @@
 /// Duration of a job from its start to its end.
 #[derive(Clone, Copy, Debug)]
 pub struct StageDuration {
-    /// Expected duration, with some allowance.
+    /// Duration that the job may well take: its expected duration with some allowance.
     pub expected: Micros,
     /// Minimum duration.
     pub minimum: Micros,
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -158,7 +158,7 @@
         self.unknown_outcomes.is_empty()
     }
 
-    /// Whether the same holds for all upstream jobs of this job, direct and indirect.
+    /// Whether every direct and indirect upstream job of this job is either live or has a known outcome.
     pub fn is_complete_for(&self, id: &JobId) -> bool {
         if self.is_complete() {
             return true;
@@ -182,10 +182,10 @@
             .keys()
             .map(|id| (id, self.saga.downstream(id).count()))
             .collect();
-        let last_in_line = unvisited_downstream
+        let without_downstream = unvisited_downstream
             .iter()
             .filter(|(_, count)| **count == 0);
-        let mut order: Vec<&JobId> = last_in_line.map(|(id, _)| *id).collect();
+        let mut order: Vec<&JobId> = without_downstream.map(|(id, _)| *id).collect();
         order.sort();
         let mut next = 0;
         while let Some(id) = order.get(next).copied() {
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -6,7 +6,7 @@
 use crate::model::{MachineType, Micros, SECOND};
 use crate::wire::cloud::{CloudRequest, ListedMachine};
 
-/// Share of the cloud's request rate that the leader uses. Peers may occasionally read the machine types.
+/// Share of the cloud's request rate that the leader uses: peers may read the machine types now and then.
 const LEADER_RATE_SHARE: f64 = 0.85;
 /// Maximum number of saved tokens for calls that were not made, in seconds of the request rate.
 const MAX_SAVED_SECONDS: f64 = 2.0;
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -77,7 +77,7 @@
     live: HashMap<JobId, LiveJob>,
     /// Dependencies between jobs: a waiting job is cancelled together with any upstream job.
     pub dependencies: DependencyGraph,
-    over: HashMap<JobId, JobView>,
+    final_views: HashMap<JobId, JobView>,
     never_submitted: HashSet<JobId>,
     /// Cancellations that were stored or read here and that the copy does not reflect yet, with their versions.
     pending_cancellations: BTreeMap<JobId, u64>,
@@ -93,7 +93,7 @@
 
     /// Returns the final state of a job, if the job is known to be over. The final state never becomes outdated.
     pub fn final_view(&self, id: &str) -> Option<&JobView> {
-        self.over.get(id)
+        self.final_views.get(id)
     }
 
     /// Whether the copy has the job as live.
@@ -103,10 +103,10 @@
 
     /// Records a job's final state that was read or written.
     pub fn record_end(&mut self, id: JobId, view: JobView) {
-        if self.over.len() >= MAX_REMEMBERED {
-            self.over.clear();
+        if self.final_views.len() >= MAX_REMEMBERED {
+            self.final_views.clear();
         }
-        self.over.insert(id, view);
+        self.final_views.insert(id, view);
     }
 
     /// Records that the cancellation of a live job was stored or read here at this version, and that its user is
@@ -155,7 +155,7 @@
 
     /// Looks up a job as of the version that the copy reflects.
     pub fn lookup(&self, id: &str) -> JobLookup {
-        if let Some(view) = self.over.get(id) {
+        if let Some(view) = self.final_views.get(id) {
             return JobLookup::Job(view.clone());
         }
         match self.live.get_key_value(id) {
@@ -182,7 +182,7 @@
     /// Returns the known outcome of an upstream job. Every outcome except [`DependencyOutcome::Unknown`] shows that
     /// the job was accepted, and an end never changes.
     pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
-        match recorded_outcome(&self.over, &self.live, id) {
+        match recorded_outcome(&self.final_views, &self.live, id) {
             DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
                 DependencyOutcome::Cancelled
             }
@@ -248,8 +248,8 @@
         }
         if let Some(waiting) = &summary.waiting {
             let upstream = decode_job_ids(&waiting.upstream_ids);
-            let (over, live) = (&self.over, &self.live);
-            let outcome = |job: &JobId| recorded_outcome(over, live, job);
+            let (final_views, live) = (&self.final_views, &self.live);
+            let outcome = |job: &JobId| recorded_outcome(final_views, live, job);
             self.dependencies
                 .add_waiting(&id, &upstream, summary.cancelled, outcome);
         } else {
@@ -309,11 +309,11 @@
 
 /// Returns the outcome according to the job's own record, live or over.
 fn recorded_outcome(
-    over: &HashMap<JobId, JobView>,
+    final_views: &HashMap<JobId, JobView>,
     live: &HashMap<JobId, LiveJob>,
     id: &JobId,
 ) -> DependencyOutcome {
-    match (over.get(id), live.get(id)) {
+    match (final_views.get(id), live.get(id)) {
         (Some(view), _) if view.status == JobStatus::Cancelled => DependencyOutcome::Cancelled,
         (Some(_), _) => DependencyOutcome::Done,
         (None, Some(job)) if job.cancelled => DependencyOutcome::Cancelled,
--- a/crates/gannethub-core/src/state/kill_orders.rs
+++ b/crates/gannethub-core/src/state/kill_orders.rs
@@ -25,7 +25,7 @@
 }
 
 impl KillOrders {
-    /// `rate`: maximum number of machines to which an order may be sent per second.
+    /// Returns the state without pending orders. `rate`: maximum number of orders sent per second, one per machine.
     pub fn new(rate: f64) -> KillOrders {
         KillOrders {
             pending: BTreeMap::new(),
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -62,8 +62,8 @@
     /// Number of consecutive incarnations that ended although their heartbeats were answered, so the answers do not
     /// arrive.
     pub unanswered_incarnations: u32,
-    /// Hash of the tasks in the last heartbeat, cleared when orders for them change: a heartbeat with the same tasks
-    /// changes nothing.
+    /// Hash of the tasks in the last heartbeat, unless there are new orders for the tasks since then. A heartbeat with
+    /// the same hash changes nothing.
     pub heartbeat_digest: Option<u64>,
 }
 
@@ -73,7 +73,7 @@
 /// notice may be draining and be about to be deleted at the same time.
 #[derive(Debug)]
 pub struct MachineLifecycle {
-    /// Whether the machine is on its shard's durable record. Nothing may be launched on it before.
+    /// Whether the machine is on its shard's durable record. Nothing may be launched on an unrecorded machine.
     pub recorded: bool,
     /// Time at which this leader first knew of the machine.
     pub known_since: Micros,
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -4,7 +4,7 @@
 
 use crate::model::{JobId, Micros};
 
-/// The scheduler's state between passes. Only the folder `scheduling` changes this state; other code only sets the
+/// The scheduler's state between passes. Only the module `scheduling` changes this state; other code only sets the
 /// flags that request a pass.
 #[derive(Debug)]
 pub struct PassState {
--- a/crates/gannethub-core/src/state/provisioning_times.rs
+++ b/crates/gannethub-core/src/state/provisioning_times.rs
@@ -17,8 +17,7 @@
 const OVERDUE_WEIGHT: f64 = 0.025;
 /// Weight of one machine that never booted.
 const LOST_WEIGHT: f64 = 0.03;
-/// Maximum deviation of a single boot from the estimated factor that is counted. A single outlier is only weak
-/// evidence.
+/// Maximum counted deviation of a single boot from the estimated factor. A single outlier is only weak evidence.
 const MAX_BOOT_DEVIATION: f64 = 0.4;
 /// Multiple of the expected boot time after which a machine is overdue.
 pub const OVERDUE_FACTOR: f64 = 1.6;
@@ -145,8 +144,8 @@
         });
     }
 
-    /// Returns the factor by which boots raise the cost of a machine above its price: the cost of longer boots, and
-    /// of machines that are given up after `max_boot_time`.
+    /// Returns the factor by which boots raise the cost of a machine above its price. The factor covers boots that
+    /// take longer than usual, and machines that are given up after `max_boot_time`.
     pub fn price_factor(
         &self,
         machine_type: usize,
@@ -156,10 +155,10 @@
         now: Micros,
     ) -> f64 {
         let estimate = self.significant_estimate(machine_type, zone, now);
-        let longer = (estimate.factor - 1.0).max(0.0) * usual as f64;
+        let extra_boot_time = (estimate.factor - 1.0).max(0.0) * usual as f64;
         let booted_share = (1.0 - estimate.lost_share).max(MIN_BOOTED_SHARE);
-        let wasted = estimate.lost_share / booted_share * max_boot_time as f64;
-        1.0 + (longer + wasted) / (TYPICAL_USE_SECONDS * SECOND as f64)
+        let wasted_boot_time = estimate.lost_share / booted_share * max_boot_time as f64;
+        1.0 + (extra_boot_time + wasted_boot_time) / (TYPICAL_USE_SECONDS * SECOND as f64)
     }
 }
 
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -224,7 +224,7 @@
     };
     let AttemptId { task, number } = &end.id;
     let rate = end.rate.clone();
-    let common = ChargeGroup {
+    let charge_group = ChargeGroup {
         team: owner.team.clone(),
         class: owner.class.clone(),
         job: task.job.to_string(),
@@ -245,5 +245,5 @@
         max_error: end.reading.bound,
         is_estimate: end.reading.estimate,
     };
-    book.charge(common, entry, now)
+    book.charge(charge_group, entry, now)
 }
--- a/crates/gannethub-core/src/state/usage/shares.rs
+++ b/crates/gannethub-core/src/state/usage/shares.rs
@@ -28,11 +28,11 @@
         let accounts = ledger.book.accounts();
         let shares = accounts.shares(&settings, self.unix_time, &open_usage);
         let teams = self.settings.teams.iter();
-        let of_team = teams.map(|team| match shares.get(&team.name) {
+        let team_shares = teams.map(|team| match shares.get(&team.name) {
             Some(&(of_total, over_due)) => UsageShare { of_total, over_due },
             None => UsageShare::default(),
         });
-        ledger.shares = of_team.collect();
+        ledger.shares = team_shares.collect();
         ledger.shares_updated_at = Some(now);
     }
 
