--- a/crates/gannethub-core/src/controller/acceptance.rs
+++ b/crates/gannethub-core/src/controller/acceptance.rs
@@ -1,4 +1,4 @@
-//! Accepting jobs: they are stored in the state service, and only then are their users told so.
+//! Accepts jobs. Users are told of the acceptance only after the job is stored in the state service.
 
 use std::collections::VecDeque;
 
@@ -17,24 +17,24 @@
 use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::store::{self, Conflict, JobRecord, Transaction, WaitingRecord};
 
-/// Jobs that one transaction accepts.
+/// Maximum number of jobs that one transaction accepts.
 const MAX_JOBS_PER_TRANSACTION: usize = 8;
 
-/// The record of a job that is accepted, as it is stored.
+/// The record of a newly accepted job, as it is stored.
 struct NewRecord {
     value: Box<RawValue>,
-    /// It waits for other jobs, which the record names.
+    /// Whether the job waits for upstream jobs, which the record names.
     is_waiting: bool,
 }
 
 impl JobApi {
-    /// Stores what can be accepted. Submissions that came together go into one transaction.
+    /// Stores the queued submissions. Submissions that arrived together go into one transaction.
     pub fn send_accepts(&mut self, outbox: &mut Outbox) {
         if self.accept_queue.is_empty() {
             return;
         }
-        if !outbox.configuration.is_settled() {
-            // There is a newer configuration to check them by, which is being read.
+        if !outbox.configuration.changes_handled() {
+            // A newer configuration, by which the submissions have to be checked, is still being read.
             self.accept_queue
                 .retain(|queued| outbox.awaits_reply(queued.connection));
             return;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Checks those again that were checked by an older configuration.
+    /// Repeats the check of queued submissions that were checked against another version of the configuration.
     fn recheck_queued(&mut self, outbox: &mut Outbox) {
         let version = outbox.configuration.version();
         for mut queued in std::mem::take(&mut self.accept_queue) {
@@ -65,18 +65,19 @@
         }
     }
 
-    /// Sends one transaction with as many jobs from the queue as it may hold, and each job once.
+    /// Sends one transaction with as many queued jobs as it may hold, each job once.
     fn send_accept_transaction(&mut self, outbox: &mut Outbox) {
         let max_jobs = outbox.settings.txn_ops.min(MAX_JOBS_PER_TRANSACTION);
         let mut transaction = Transaction::default();
-        // None is accepted by an older configuration: where there is a newer one, all of this fails.
+        // No job is accepted under an older configuration: if a newer version exists, this guard fails the whole
+        // transaction.
         transaction.guard(CURRENT_VERSION_KEY, outbox.configuration.guard_version());
         let mut jobs: Vec<PendingAccept> = Vec::new();
-        let mut left = VecDeque::new();
+        let mut remaining = VecDeque::new();
         while let Some(queued) = self.accept_queue.pop_front() {
             let is_duplicate = jobs.iter().any(|accept| accept.job == queued.job);
             if jobs.len() >= max_jobs || is_duplicate {
-                left.push_back(queued);
+                remaining.push_back(queued);
             } else if self.add_to_transaction(outbox, &mut transaction, &queued) {
                 let QueuedSubmission {
                     connection,
@@ -87,14 +88,15 @@
                 jobs.push(PendingAccept { connection, job });
             }
         }
-        self.accept_queue = left;
+        self.accept_queue = remaining;
         if !jobs.is_empty() {
             let pending = JobApiRequest::AcceptJobs { jobs };
             outbox.send_to_store(Urgency::User, transaction.to_request(), pending);
         }
     }
 
-    /// Has the transaction accept a job. False: its record is too long, and its user has been told so.
+    /// Adds the acceptance of a job to the transaction. Returns `false` if the record is too long; the user is told
+    /// so.
     fn add_to_transaction(
         &self,
         outbox: &mut Outbox,
@@ -104,7 +106,7 @@
         let record = self.new_record(outbox, &queued.submission);
         if record.value.get().len() + store::VALUE_SLACK_BYTES > outbox.settings.value_bytes {
             let field = if record.is_waiting { "waits_on: " } else { "" };
-            let reason = format!("{field}the description is too long to be kept");
+            let reason = format!("{field}the job description is too long to be stored");
             outbox.reply(queued.connection, Response::error(400, reason));
             return false;
         }
@@ -116,7 +118,7 @@
         true
     }
 
-    /// The record of a job that is accepted now. What it waits for and is done already is left out.
+    /// Builds the record of a job that is accepted now. Upstream jobs that are already done are left out.
     fn new_record(&self, outbox: &mut Outbox, submission: &Submission) -> NewRecord {
         let accepted_at = outbox.clock.unix_time;
         let spec = submission.spec.clone();
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Takes in whether a transaction that accepts jobs was carried out.
+    /// Handles the answer to a transaction that accepts jobs.
     pub fn handle_accept_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -192,7 +194,8 @@
                 let version = committed_version(answer);
                 return self.job_changes.push(JobChange { job, version });
             }
-            // One of the others was known already: this one is tried again without it.
+            // Only another job of the transaction conflicted, since it was known already. This job is retried without
+            // that one.
             Ok(409) if !failed_keys.is_empty() && !is_own_failure() => {
                 return self.accept_queue.push_back(QueuedSubmission {
                     connection,
@@ -201,7 +204,7 @@
                 });
             }
             Ok(409) => LookupReason::Submit(Ok(submission)),
-            // Perhaps carried out, perhaps later: only reading tells.
+            // The transaction may have been committed, or may still be committed later. Only a read tells.
             Err(_) => LookupReason::Confirm,
             Ok(_) => return outbox.reply_unavailable(connection),
         };
@@ -210,7 +213,7 @@
     }
 }
 
-/// The keys whose conditions a transaction failed on.
+/// Returns the keys whose guards failed the transaction.
 fn failed_keys(result: &CallResult) -> Vec<String> {
     let answer = result.as_ref().ok();
     answer
--- a/crates/gannethub-core/src/controller/cancellations.rs
+++ b/crates/gannethub-core/src/controller/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations: they are stored in the job's live record, and only then are their users told so. The shard's owner finds
-//! them there.
+//! Stores cancellations in the live records of jobs. Users are told of a cancellation only after it has been stored.
+//! The shard owner finds the cancellation in the live record.
 
 use super::job_api::{JobApi, JobChange, LookupReason, LookupWaiter, committed_version};
 use super::job_lookups::LiveJob;
@@ -12,7 +12,7 @@
 use crate::wire::store::{self, Transaction};
 
 impl JobApi {
-    /// Stores the cancellation of a live job, on the condition that it has not changed since it was read.
+    /// Stores the cancellation of a live job, on the condition that the job has not changed since it was read.
     pub fn send_cancellation(
         &mut self,
         outbox: &mut Outbox,
@@ -36,7 +36,7 @@
         outbox.send_to_store(Urgency::User, transaction.to_request(), pending);
     }
 
-    /// Takes in whether a cancellation was stored.
+    /// Handles the answer to a transaction that stores a cancellation.
     pub fn handle_cancel_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -54,13 +54,14 @@
             }
             return self.job_changes.push(JobChange { job, version });
         }
-        // The job changed meanwhile, or nothing is certain: only looking again tells.
-        let is_open = match answer {
+        // On a conflict the job has changed since it was read; without an answer the outcome is unknown. Only another
+        // read tells whether the job is cancelled.
+        let is_undecided = match answer {
             Ok(answer) => answer.status == 409,
             Err(_) => true,
         };
         for connection in connections {
-            if is_open && outbox.awaits_reply(connection) {
+            if is_undecided && outbox.awaits_reply(connection) {
                 let waiter = LookupWaiter::new(connection, LookupReason::Cancel);
                 self.look_up_live_job(outbox, job.clone(), waiter);
             } else {
--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -1,4 +1,5 @@
-//! What follows from a new version of the configuration in all parts of a controller, and what users are shown of it.
+//! Applies a new configuration version to all parts of a controller, and serves the state of the configuration to
+//! users.
 
 use serde::Serialize;
 
@@ -11,29 +12,32 @@
 /// The answer to `GET /api/config`.
 #[derive(Serialize)]
 struct ConfigurationStatus<'a> {
-    /// The version in force here; 0: the platform's settings alone.
+    /// Version in force in this controller. 0: only the platform settings.
     version: u64,
-    /// The newest version that was seen in the state service, and why it is not in force if it cannot be used.
+    /// Newest version seen in the state service.
     newest: u64,
+    /// Why the newest version cannot be used, if so.
     refused: Option<&'a str>,
-    /// Whether it may be acted on now, and how long ago it was last known to be the newest.
+    /// Whether the version in force may be acted on now.
     fresh: bool,
+    /// Time in milliseconds since the version was last known to be the newest.
     known_ms_ago: Option<u64>,
     nodes: Vec<NodeStatus<'a>>,
 }
 
-/// What this controller knows of one controller, itself among them.
+/// Configuration state of one controller, as known to this one. The list includes this controller itself.
 #[derive(Serialize)]
 struct NodeStatus<'a> {
     name: &'a str,
-    /// Whether it was heard within the last seconds.
+    /// Whether a message of the controller arrived within the last few seconds.
     heard: bool,
-    /// The version in force there; null where its release knows of none, or nothing was ever heard.
+    /// Version in force in that controller. Null if its release does not support configurations or no message ever
+    /// arrived.
     version: Option<u64>,
 }
 
 impl Controller {
-    /// Sends what is to be read of the configuration, if anything is.
+    /// Sends the next read for the configuration, if one is due.
     pub(super) fn send_configuration_read(&mut self) {
         let outbox = &mut self.outbox;
         if let Some((read, request)) = outbox.configuration.next_read(outbox.clock.now) {
@@ -41,7 +45,7 @@
         }
     }
 
-    /// Takes in what was read of the configuration, and reads on if there is more.
+    /// Handles the answer to a read for the configuration, and sends the next read if one is due.
     pub(super) fn handle_configuration_answer(
         &mut self,
         read: ConfigurationRead,
@@ -58,7 +62,7 @@
         self.send_configuration_read();
     }
 
-    /// Puts settings in force in this process, in all of its parts at once.
+    /// Puts settings in force in all parts of this process at once.
     fn activate_settings(&mut self, new_settings: NewSettings) {
         let NewSettings {
             settings,
@@ -75,7 +79,7 @@
     }
 
     /// Answers `GET /api/config`.
-    pub(super) fn show_configuration(&mut self, connection: u64) {
+    pub(super) fn answer_configuration(&mut self, connection: u64) {
         let (outbox, membership) = (&self.outbox, &self.membership);
         let (configuration, now) = (&outbox.configuration, outbox.clock.now);
         let own = NodeStatus {
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -1,13 +1,15 @@
-//! Following the configuration: which version is in force in this process, and until when it may be acted on.
+//! Tracks the configuration: the version in force in this process, and the time until which that version may be acted
+//! on.
 //!
-//! A version is in force everywhere at the latest [`MAX_VERSION_AGE`] after it was stored, since a controller acts on a
-//! version only for so long after it last knew it to be the newest. That is counted on its own steady clock from when the
-//! request was *sent* whose answer said so. Which controller is slow, cut off or unknown to the operator does not matter.
+//! A version is in force in every controller at the latest [`MAX_VERSION_AGE`] after it was stored, since a
+//! controller acts on a version only for that time after it last knew the version to be the newest. The controller
+//! counts the time on its own monotonic clock, beginning when it *sent* the request whose answer confirmed the
+//! version. The bound thus holds for controllers that are slow, cut off or unknown to the operator as well.
 //!
-//! | what is done | what keeps it from being done by an older version |
+//! | action | protection against an older version |
 //! | --- | --- |
-//! | accepting a job | the transaction has the version's key among its conditions |
-//! | answering that a job can never run | only while the version is fresh; else 503 |
+//! | accepting a job | the transaction is guarded by the version's key |
+//! | answering that a job can never run | only while the version is fresh; else the answer is 503 |
 //! | placing a task, and telling a worker to launch | only while the version is fresh, once any version was stored |
 
 use std::collections::VecDeque;
@@ -23,43 +25,44 @@
 };
 use crate::wire::store::{Change, Listing, StoreRequest};
 
-/// How long after a version was last known to be the newest it may be acted on.
+/// Maximum time for which a version may be acted on after it was last known to be the newest (6.5 s).
 pub(super) const MAX_VERSION_AGE: Micros = 6_500_000;
-/// Once a version was stored, what has changed is read at least this often.
+/// Maximum interval between reads of changes once a version was stored.
 pub(super) const CHANGE_READ_INTERVAL: Micros = 2 * SECOND;
-/// A read that failed is tried again after this time.
+/// Time after which a failed read is retried (0.3 s).
 const READ_RETRY_INTERVAL: Micros = 300_000;
 
-/// What is read from the state service for the configuration.
+/// Kind of read from the state service for the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConfigurationRead {
-    /// The document of the version that is to be tried next.
+    /// The document of the version that is tried next.
     Document,
-    /// The versions before, since the newest cannot be used.
+    /// The history of older versions, since the newest version cannot be used.
     History,
 }
 
-/// Settings that are to be put in force in this process.
+/// Settings to be put in force in this process.
 #[derive(Debug)]
 pub(super) struct NewSettings {
     pub settings: Arc<Settings>,
     pub over_limit: OverLimit,
 }
 
-/// A version as the state service has it.
+/// A configuration version as read from the state service.
 #[derive(Clone, Copy, Debug)]
 struct SeenVersion {
-    /// The version of the key's last change in the state service.
+    /// Version of the state service at the last change of the key.
     change_version: u64,
-    /// The version of the key; 0: it was deleted.
+    /// Version of the key, for use as a guard. 0: the key was deleted.
     key_version: u64,
+    /// Number of the configuration version.
     version: u64,
 }
 
-/// Why a version cannot be used.
+/// Reason for which a version cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum RejectionReason {
-    #[error("it was deleted")]
+    #[error("the key was deleted")]
     Deleted,
     #[error("{0}")]
     NotARecord(#[from] serde_json::Error),
@@ -69,42 +72,45 @@
     Document(#[from] DocumentError),
 }
 
-/// See the [module](self).
+/// State of the configuration in this process; see the [module](self).
 pub(super) struct ConfigWatch {
     platform_settings: Arc<Settings>,
-    /// The newest version that this process has seen in the state service.
+    /// Newest version that this process has seen in the state service.
     newest_seen: Option<SeenVersion>,
-    /// The key's last change that was dealt with; 0: none was ever seen.
-    settled_change: u64,
-    /// The version of the key then.
+    /// Last change of the key that was handled completely, as a version of the state service. 0: no change was ever
+    /// seen.
+    handled_change: u64,
+    /// Version of the key after the last handled change.
     guard_version: u64,
-    /// The version in force here; 0: the platform's settings alone.
+    /// Version in force in this process. 0: only the platform settings.
     version: u64,
-    /// This process has put a version in force, or knows that none can be: it stays where a newer one cannot be used.
+    /// Whether this process has put a version in force, or knows that no version can be. Such a process keeps its
+    /// settings when a newer version cannot be used.
     any_in_force: bool,
-    /// When the newest version was last known to be the newest.
+    /// Time at which the newest known version was last confirmed to be the newest.
     confirmed_newest_at: Option<Micros>,
-    /// A transaction has failed on the version's key at this time: there is a newer one.
+    /// Time at which a transaction failed on the guard of the version's key, which means that a newer version exists.
     unconfirmed_at: Option<Micros>,
-    /// The newest version that a peer has told of.
+    /// Newest version that a peer has reported.
     newest_peer_version: u64,
-    /// Versions to be tried, the newest first.
+    /// Versions to try, newest first.
     candidates: VecDeque<VersionRecord>,
-    /// The versions before are to be read: none of the candidates can be used.
+    /// Whether the history has to be read because no candidate can be used.
     needs_history: bool,
     read_in_flight: bool,
+    /// Earliest time of the next read.
     read_at: Micros,
-    /// Why the newest version is not in force.
+    /// Reason for which the newest version is not in force.
     rejection: Option<String>,
 }
 
 impl ConfigWatch {
-    /// A process that begins with the platform's settings, and knows of no version yet.
+    /// Creates the state of a process that starts with the platform settings and knows of no version yet.
     pub fn new(platform_settings: Arc<Settings>) -> ConfigWatch {
         ConfigWatch {
             platform_settings,
             newest_seen: None,
-            settled_change: 0,
+            handled_change: 0,
             guard_version: 0,
             version: 0,
             any_in_force: false,
@@ -119,82 +125,85 @@
         }
     }
 
-    // ---- What may be acted on ----
+    // ---- Use of the version in force ----
 
-    /// The version in force here; 0: the platform's settings alone.
+    /// Returns the version in force in this process. 0: only the platform settings.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The newest version that this process has seen in the state service.
+    /// Returns the newest version that this process has seen in the state service.
     pub fn newest_version(&self) -> u64 {
         self.newest_seen.map_or(0, |seen| seen.version)
     }
 
-    /// Why the newest version is not in force.
+    /// Returns the reason for which the newest version is not in force.
     pub fn rejection(&self) -> Option<&str> {
         self.rejection.as_deref()
     }
 
-    /// Whether a version was ever stored, as far as was seen.
+    /// Whether this process has seen a stored version, even one that has been deleted.
     pub fn has_stored_version(&self) -> bool {
         self.newest_seen.is_some()
     }
 
-    /// What a transaction that accepts jobs has as its condition on [`CURRENT_VERSION_KEY`].
+    /// Returns the version that a transaction to accept jobs requires as its guard on [`CURRENT_VERSION_KEY`].
     pub fn guard_version(&self) -> u64 {
         self.guard_version
     }
 
-    /// Whether all that is known of versions has been dealt with.
-    pub fn is_settled(&self) -> bool {
-        let is_dealt_with = |seen: SeenVersion| seen.change_version == self.settled_change;
-        self.unconfirmed_at.is_none() && self.newest_seen.is_none_or(is_dealt_with)
+    /// Whether all known changes of the configuration have been handled.
+    pub fn changes_handled(&self) -> bool {
+        let is_handled = |seen: SeenVersion| seen.change_version == self.handled_change;
+        self.unconfirmed_at.is_none() && self.newest_seen.is_none_or(is_handled)
     }
 
-    /// Whether the version in force here may be acted on.
+    /// Whether the version in force in this process may be acted on.
     pub fn is_fresh(&self, now: Micros) -> bool {
         let is_recent = |at: Micros| now < at + MAX_VERSION_AGE;
-        self.is_settled()
+        self.changes_handled()
             && self.newest_peer_version <= self.newest_version()
             && self.confirmed_newest_at.is_some_and(is_recent)
     }
 
-    /// How long ago the newest version was last known to be the newest.
+    /// Returns the time since the newest known version was last confirmed to be the newest.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.confirmed_newest_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether nothing may be started by the version in force here. Where none was ever stored, nothing is held up.
+    /// Whether the version in force must not be used to start anything. As long as no version is known to have been
+    /// stored, starts are not held.
     pub fn must_hold_starts(&self, now: Micros) -> bool {
         (self.has_stored_version() || self.newest_peer_version > 0) && !self.is_fresh(now)
     }
 
-    /// Whether there is a newer version than this process knows of: what has changed is to be read without delay.
+    /// Whether a newer version exists than this process has seen. In that case the changes have to be read without
+    /// delay.
     pub fn is_behind(&self) -> bool {
         self.unconfirmed_at.is_some() || self.newest_peer_version > self.newest_version()
     }
 
-    // ---- What is told of versions ----
+    // ---- Information about versions ----
 
-    /// A peer has seen this version.
+    /// Records that a peer has seen this version.
     pub fn record_peer_version(&mut self, version: u64) {
         self.newest_peer_version = self.newest_peer_version.max(version);
     }
 
-    /// A transaction failed on the version's key.
+    /// Records that a transaction failed on the guard of the version's key.
     pub fn mark_unconfirmed(&mut self, now: Micros) {
         self.unconfirmed_at = Some(now);
     }
 
-    /// All changes up to a request that was sent at this time have been applied.
+    /// Records that all changes up to a request sent at this time have been applied.
     pub fn confirm_newest(&mut self, sent_at: Micros) {
         self.confirmed_newest_at = self.confirmed_newest_at.max(Some(sent_at));
         self.unconfirmed_at.take_if(|at| *at <= sent_at);
     }
 
-    /// Takes in a page of a listing of live jobs. On the first page the key is there, or it is nowhere: it may have been
-    /// deleted while changes were missed, and a transaction on the condition of what was there would fail for ever.
+    /// Applies a page of a listing of live jobs. If the version's key exists, it is on the first page. A known key
+    /// that is missing there may have been deleted while changes were missed. Its deletion has to be recorded, since
+    /// a transaction guarded by the old version of the key would fail forever.
     pub fn apply_listing(&mut self, listing: &Listing, is_first_page: bool) {
         let mut items = listing.items.iter();
         let current = items.find(|item| item.key == CURRENT_VERSION_KEY);
@@ -206,7 +215,7 @@
         }
     }
 
-    /// Takes in changes of live jobs.
+    /// Applies changes of live jobs, among which are those of the version's key.
     pub fn apply_changes(&mut self, changes: &[Change]) {
         for change in changes {
             if change.written_key.as_deref() == Some(CURRENT_VERSION_KEY) {
@@ -218,8 +227,8 @@
         }
     }
 
-    /// The key was changed to this value, or deleted, in this version of the state service. Changes may come twice, and in
-    /// any order.
+    /// Records that the key was changed to this value, or deleted, at this version of the state service. Changes may
+    /// arrive twice and in any order.
     fn observe(&mut self, value: Option<&str>, change_version: u64) {
         let is_known = |seen: SeenVersion| seen.change_version >= change_version;
         if self.newest_seen.is_some_and(is_known) {
@@ -245,7 +254,7 @@
         match parsed {
             Ok(record) => {
                 let (by, why) = (&record.author, &record.reason);
-                tracing::info!(version, %by, %why, "a new configuration");
+                tracing::info!(version, %by, %why, "new configuration version seen");
                 self.candidates.push_back(record);
                 self.read_at = 0;
             }
@@ -255,32 +264,33 @@
 
     // ---- Putting a version in force ----
 
-    /// A version cannot be used: the last good one stays in force. A process that has put none in force looks for it.
+    /// Rejects a version that cannot be used. The last usable version stays in force. A process that has put no
+    /// version in force yet reads the history to find one.
     fn reject(&mut self, key: &str, reason: &RejectionReason) {
         let (reason, in_force) = (reason.to_string(), self.version);
-        tracing::error!(key, reason, in_force, "the configuration cannot be used");
+        tracing::error!(key, reason, in_force, "cannot use configuration");
         self.rejection
             .get_or_insert_with(|| format!("{key}: {reason}"));
         if !self.candidates.is_empty() {
             return;
         }
         if self.any_in_force {
-            self.settle();
+            self.mark_changes_handled();
         } else {
             self.needs_history = true;
             self.read_at = 0;
         }
     }
 
-    /// All that is known of versions has been dealt with.
-    fn settle(&mut self) {
-        self.settled_change = self.newest_seen.map_or(0, |seen| seen.change_version);
+    /// Records that all known changes of the configuration have been handled.
+    fn mark_changes_handled(&mut self) {
+        self.handled_change = self.newest_seen.map_or(0, |seen| seen.change_version);
         self.guard_version = self.newest_seen.map_or(0, |seen| seen.key_version);
         self.candidates.clear();
         self.needs_history = false;
     }
 
-    /// What is to be read next, if anything.
+    /// Returns the next read to send, if one is due.
     pub fn next_read(&mut self, now: Micros) -> Option<(ConfigurationRead, StoreRequest)> {
         if self.read_in_flight || now < self.read_at {
             return None;
@@ -299,7 +309,8 @@
         Some(next)
     }
 
-    /// Takes in the answer to a read. Settings that come of it are to be put in force; `running` are those in force now.
+    /// Handles the answer to a read. Returns settings to be put in force, if the answer leads to any. `running` are
+    /// the settings now in force.
     pub fn handle_answer(
         &mut self,
         read: ConfigurationRead,
@@ -326,7 +337,7 @@
     fn handle_document(&mut self, listing: &Listing, running: &Settings) -> Option<NewSettings> {
         let record = self.candidates.front()?.clone();
         let prefix = record.parts_prefix();
-        // A newer version may have been seen meanwhile: then these parts are not its own.
+        // A newer version may have been seen since the read was sent. The parts then belong to another version.
         if !listing
             .items
             .iter()
@@ -363,9 +374,9 @@
     ) -> NewSettings {
         self.version = record.version;
         self.any_in_force = true;
-        self.settle();
+        self.mark_changes_handled();
         let (teams, by, why) = (settings.teams.len(), &record.author, &record.reason);
-        tracing::info!(version = record.version, %by, %why, teams, "the configuration is in force");
+        tracing::info!(version = record.version, %by, %why, teams, "configuration in force");
         NewSettings {
             settings: Arc::new(settings),
             over_limit: document.over_limit,
@@ -391,10 +402,10 @@
         }
     }
 
-    /// No version can be used: the platform's settings hold.
+    /// Keeps the platform settings in force, since no version can be used.
     fn fall_back_to_platform_settings(&mut self) {
         self.any_in_force = true;
-        self.settle();
+        self.mark_changes_handled();
     }
 }
 
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -29,17 +29,17 @@
 const TEAM: &str = r#"{"teams":[{"name":"late","cpus":1.0,"cpus_max":4.0}]}"#;
 
 #[test]
-fn a_version_is_acted_on_once_it_is_read_and_for_so_long_after_it_was_known() {
+fn a_version_is_usable_once_read_until_its_maximum_age() {
     let (mut config, base) = watch();
     assert!(
         !config.is_fresh(0) && !config.must_hold_starts(0),
-        "nothing was ever stored, as far as is known"
+        "no version is known to have been stored"
     );
     config.confirm_newest(100);
     assert!(config.is_fresh(100 + MAX_VERSION_AGE - 1) && !config.is_fresh(100 + MAX_VERSION_AGE));
     config.apply_listing(&stored(4, 50), true);
     assert!(!config.is_fresh(200) && config.must_hold_starts(200) && config.guard_version() == 0);
-    let (what, request) = config.next_read(200).unwrap();
+    let (read, request) = config.next_read(200).unwrap();
     assert!(
         request.path.contains("gh/config/doc/4-x/"),
         "{}",
@@ -47,13 +47,13 @@
     );
     assert!(
         config
-            .handle_answer(what, &Err(NoAnswer::Timeout), &base, 200)
+            .handle_answer(read, &Err(NoAnswer::Timeout), &base, 200)
             .is_none()
             && config.next_read(201).is_none()
     );
-    let (what, _) = config.next_read(200 + READ_RETRY_INTERVAL).unwrap();
+    let (read, _) = config.next_read(200 + READ_RETRY_INTERVAL).unwrap();
     let new = config
-        .handle_answer(what, &part(4, TEAM), &base, 300)
+        .handle_answer(read, &part(4, TEAM), &base, 300)
         .unwrap();
     assert!(new.settings.team("late").is_some());
     assert_eq!(
@@ -72,30 +72,30 @@
     assert_eq!(
         (config.version(), config.is_fresh(300)),
         (4, true),
-        "an older change comes late"
+        "an older change that arrives late must be ignored"
     );
 }
 
 #[test]
-fn a_key_that_was_deleted_while_changes_were_missed_is_not_waited_for() {
+fn a_key_deleted_during_missed_changes_is_not_waited_for() {
     let (mut config, base) = watch();
     config.confirm_newest(100);
     config.apply_listing(&stored(4, 50), true);
-    let (what, _) = config.next_read(200).unwrap();
+    let (read, _) = config.next_read(200).unwrap();
     assert!(
         config
-            .handle_answer(what, &part(4, TEAM), &base, 300)
+            .handle_answer(read, &part(4, TEAM), &base, 300)
             .is_some()
     );
-    let nothing = r#"{"items":[],"truncated":false,"ledger_no":70}"#;
-    let nothing: Listing = serde_json::from_str(nothing).unwrap();
-    config.apply_listing(&nothing, false);
+    let empty_listing = r#"{"items":[],"truncated":false,"ledger_no":70}"#;
+    let empty_listing: Listing = serde_json::from_str(empty_listing).unwrap();
+    config.apply_listing(&empty_listing, false);
     assert_eq!(
         config.guard_version(),
         50,
-        "a later page says nothing of it"
+        "a later page must not count as a deletion of the key"
     );
-    config.apply_listing(&nothing, true);
+    config.apply_listing(&empty_listing, true);
     assert_eq!(
         (
             config.version(),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_a_peer_or_a_failed_transaction_tells_is_waited_for() {
+fn a_newer_version_known_from_a_peer_or_guard_stops_starts() {
     let (mut config, _) = watch();
     config.confirm_newest(100);
     config.record_peer_version(2);
@@ -117,27 +117,30 @@
     config.mark_unconfirmed(200);
     assert!(config.is_behind() && !config.is_fresh(201));
     config.confirm_newest(199);
-    assert!(!config.is_fresh(201), "that was asked before");
+    assert!(
+        !config.is_fresh(201),
+        "the request was sent before the transaction failed"
+    );
     config.confirm_newest(201);
     assert!(!config.is_behind() && config.is_fresh(202));
 }
 
 #[test]
-fn a_broken_version_leaves_the_last_good_one_in_force() {
+fn an_invalid_version_keeps_the_last_usable_one_in_force() {
     let (mut config, base) = watch();
     config.confirm_newest(100);
     config.apply_listing(&stored(4, 50), true);
-    let (what, _) = config.next_read(200).unwrap();
+    let (read, _) = config.next_read(200).unwrap();
     assert!(
         config
-            .handle_answer(what, &part(4, TEAM), &base, 300)
+            .handle_answer(read, &part(4, TEAM), &base, 300)
             .is_some()
     );
     config.apply_listing(&stored(5, 60), true);
-    let (what, _) = config.next_read(300).unwrap();
+    let (read, _) = config.next_read(300).unwrap();
     assert!(
         config
-            .handle_answer(what, &part(5, r#"{"future":1}"#), &base, 300)
+            .handle_answer(read, &part(5, r#"{"future":1}"#), &base, 300)
             .is_none()
     );
     assert_eq!(
@@ -156,20 +159,20 @@
 }
 
 #[test]
-fn a_new_process_looks_for_the_last_good_version() {
+fn a_new_process_falls_back_to_the_last_usable_version() {
     let (mut config, base) = watch();
     config.confirm_newest(100);
     config.apply_listing(&stored(5, 60), true);
-    let (what, _) = config.next_read(300).unwrap();
+    let (read, _) = config.next_read(300).unwrap();
     assert!(
         config
-            .handle_answer(what, &part(5, "7"), &base, 300)
+            .handle_answer(read, &part(5, "7"), &base, 300)
             .is_none()
             && !config.is_fresh(300)
     );
-    let (what, request) = config.next_read(300).unwrap();
+    let (read, request) = config.next_read(300).unwrap();
     assert_eq!(
-        (what, request.path.as_str()),
+        (read, request.path.as_str()),
         (ConfigurationRead::History, "/kv/gh/config/history")
     );
     let history = r#"{"k":"gh/config/history","v":{"versions":[
@@ -177,13 +180,13 @@
         {"version":4,"id":"4-x","parts":1,"at":0,"by":"","why":""}]},"stamp":60}"#;
     assert!(
         config
-            .handle_answer(what, &Ok(Answer::new(200, history)), &base, 300)
+            .handle_answer(read, &Ok(Answer::new(200, history)), &base, 300)
             .is_none()
     );
-    let (what, _) = config.next_read(300).unwrap();
+    let (read, _) = config.next_read(300).unwrap();
     assert!(
         config
-            .handle_answer(what, &part(4, TEAM), &base, 300)
+            .handle_answer(read, &part(4, TEAM), &base, 300)
             .is_some()
     );
     assert_eq!(
--- a/crates/gannethub-core/src/controller/dependency_outcomes.rs
+++ b/crates/gannethub-core/src/controller/dependency_outcomes.rs
@@ -1,5 +1,5 @@
-//! Reading how jobs ended that other jobs wait for. A job that is not live is finished or was never accepted; only its
-//! record says which, and whether those that wait for it may run.
+//! Reads the outcomes of upstream jobs. A job that is not live either is finished or was never accepted. Only its
+//! finished record tells which of the two holds, and whether its downstream jobs may run.
 
 use std::collections::BTreeSet;
 
@@ -15,15 +15,15 @@
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, StoreRequest};
 
-/// Ends that are read at once.
+/// Maximum number of outcomes for which reads are sent at once.
 const MAX_OUTCOME_READS: usize = 20;
-/// A read without an answer is made again after this time.
+/// Time after which a read without an answer is repeated.
 const OUTCOME_READ_TIMEOUT: Micros = 3 * SECOND;
-/// A job that is not finished, or of which nothing could be read, is read again after this time.
+/// Time after which a job is read again that is not finished or whose record could not be read.
 const OUTCOME_RETRY_INTERVAL: Micros = SECOND / 2;
 
 impl JobApi {
-    /// Reads the ends that the replica lacks, and those that the leader lacks, if it is this controller.
+    /// Reads the outcomes that the replica lacks, and those that the leader lacks if this controller is the leader.
     pub fn read_dependency_outcomes(&mut self, outbox: &mut Outbox, leader: Option<&ShardOwner>) {
         let now = outbox.clock.now;
         let leader_is_complete =
@@ -32,7 +32,7 @@
             return;
         }
         self.outcome_reads.retain(|_, until| now < *until);
-        for job in self.wanted_outcomes(leader) {
+        for job in self.outcomes_to_read(leader) {
             let request = StoreRequest::get(&store::finished_job_key(&job));
             self.outcome_reads
                 .insert(job.clone(), now + OUTCOME_READ_TIMEOUT);
@@ -41,9 +41,9 @@
         }
     }
 
-    /// The jobs whose ends are to be read now. While the replica or the state is being read, what is not known yet may
-    /// still turn up there.
-    fn wanted_outcomes(&self, leader: Option<&ShardOwner>) -> Vec<JobId> {
+    /// Returns the jobs whose outcomes have to be read now. As long as the replica or the state is still being read,
+    /// jobs that are unknown to it are left out, since the rest of the read may still contain them.
+    fn outcomes_to_read(&self, leader: Option<&ShardOwner>) -> Vec<JobId> {
         let mut unknown: BTreeSet<&JobId> = BTreeSet::new();
         if let Some(leader) = leader.filter(|leader| leader.is_loaded()) {
             unknown.extend(leader.cluster.pipelines.dependencies.unknown_outcomes());
@@ -57,7 +57,7 @@
         wanted.take(MAX_OUTCOME_READS).cloned().collect()
     }
 
-    /// Takes in how a job ended that others wait for.
+    /// Handles the answer to a read of the outcome of an upstream job.
     pub fn handle_dependency_answer(
         &mut self,
         outbox: &mut Outbox,
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats: answered here where the machine's shard is owned here, and else passed on to its owner.
+//! Routes workers' heartbeats: this controller answers for machines whose shards it owns, and relays other heartbeats
+//! to the owners of their shards.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -11,31 +12,31 @@
 use crate::wire::peer::{Body, RelayAnswer, RelayHeartbeat};
 use crate::wire::worker::HeartbeatRedirect;
 
-/// A heartbeat that is passed on or deferred is answered within this time, or refused.
+/// Maximum time in which a relayed or deferred heartbeat is answered or refused (1.5 s).
 const RELAY_TIMEOUT: Micros = 1_500_000;
 
-/// What becomes of a heartbeat.
+/// Decision on how to handle a heartbeat.
 enum HeartbeatRoute {
     Answered(Response),
-    /// The machine's shard is not owned here; perhaps by that peer.
+    /// The machine's shard is not owned by this controller. `owner` is the peer that may own it, if one is known.
     OtherOwner {
         owner: Option<usize>,
         machine: String,
     },
-    /// The machine's shard is known, and who owns it is not, or does not know of the machine yet.
+    /// The machine's shard is known, but its owner is unknown or does not know of the machine yet.
     NoOwner,
-    /// It can be answered once the state has been read.
+    /// The heartbeat can be answered once the state has been read.
     AfterLoad,
 }
 
-/// Of a heartbeat, whose it is.
+/// The part of a heartbeat that names its machine.
 #[derive(Deserialize)]
 struct MachineOfHeartbeat {
     #[serde(rename = "host")]
     machine: String,
 }
 
-/// Where a heartbeat is to be sent, as a peer's answer says.
+/// The part of a redirecting answer that names the controller to which the heartbeat has to be sent.
 #[derive(Deserialize)]
 struct RedirectBody {
     #[serde(rename = "foreman")]
@@ -43,7 +44,7 @@
 }
 
 impl Controller {
-    /// Takes a heartbeat of a worker.
+    /// Handles a worker's heartbeat.
     pub(super) fn handle_heartbeat(&mut self, connection: u64, heartbeat: Bytes) {
         let (owner, machine) = match self.answer_locally(&heartbeat) {
             HeartbeatRoute::Answered(response) => return self.outbox.reply(connection, response),
@@ -59,13 +60,14 @@
         let known = known.filter(|peer| membership.is_heard(outbox, *peer));
         let owner = owner.or(known);
         match owner.or_else(|| membership.leading_peer(outbox)) {
-            // Passed on rather than sent away: the worker may not reach the owner itself.
+            // The heartbeat is relayed rather than redirected, since the worker may be unable to reach the owner
+            // itself.
             Some(peer) => self.relay_heartbeat(connection, peer, heartbeat),
             None => self.redirect_worker(connection),
         }
     }
 
-    /// Answers the heartbeat of a machine whose shard is owned here.
+    /// Answers the heartbeat of a machine if this controller owns the machine's shard.
     fn answer_locally(&mut self, heartbeat: &Bytes) -> HeartbeatRoute {
         if !self.outbox.is_sharded {
             let leader = self.shard_owners.get_mut(&0);
@@ -76,7 +78,7 @@
         let Ok(MachineOfHeartbeat { machine }) = parsed else {
             return HeartbeatRoute::Answered(Response::error(400, "not a report"));
         };
-        // A machine that is in no other shard owned here is the leader's to answer for.
+        // Shard 0, which the leader owns, answers for machines that are in none of the other shards owned here.
         let owners = self.shard_owners.iter();
         let mut others =
             owners.filter(|(shard, owner)| **shard > 0 && owner.owns_machine(&machine));
@@ -108,12 +110,13 @@
         }
     }
 
-    /// No controller that could answer the worker is known. A peer that still hears the leader is named in the response,
-    /// which spares the worker the wait before it would try that one itself, and another that may be dead.
+    /// Redirects a worker when no controller that could answer its heartbeat is known. The response names a peer that
+    /// still hears the leader. This spares the worker the wait before it would try that peer on its own, and an
+    /// attempt at another controller that may be dead.
     fn redirect_worker(&mut self, connection: u64) {
         let outbox = &mut self.outbox;
-        let helper = self.membership.peer_accepting_heartbeats(outbox);
-        let controller = helper.map(|peer| outbox.settings.peers[peer].name.as_str());
+        let accepting_peer = self.membership.peer_accepting_heartbeats(outbox);
+        let controller = accepting_peer.map(|peer| outbox.settings.peers[peer].name.as_str());
         let response = Response::json(421, &HeartbeatRedirect { controller });
         outbox.reply(connection, response);
     }
@@ -134,8 +137,9 @@
 
     // ---- Heartbeats that come before the state has been read ----
 
-    /// A heartbeat is answered as soon as the state has been read, which mostly takes a fraction of a second. Sent away, a
-    /// worker would try the next controller a second later, and after the loss of all controllers leases are nearly over.
+    /// Defers a heartbeat, to be answered as soon as the state has been read, which mostly takes a fraction of a
+    /// second. A worker that is refused instead would try the next controller only a second later, and after the loss
+    /// of all controllers the leases have nearly expired.
     fn defer_heartbeat(&mut self, sender: HeartbeatSender, heartbeat: Bytes) {
         let deferred = DeferredHeartbeat {
             sender,
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Answers those who reported while the state was being read, once it has been read or their time is up.
+    /// Answers the deferred heartbeats once the state has been read, and drops those whose deadline has passed.
     pub(super) fn answer_deferred_heartbeats(&mut self) {
         let now = self.outbox.clock.now;
         let is_loading = self.leader().is_some_and(|leader| !leader.is_loaded());
@@ -163,7 +167,7 @@
                 heartbeat,
             } = deferred;
             match sender {
-                // Nobody waits for it any more: it is not to count as answered.
+                // Past the deadline nobody waits for the answer, so the heartbeat must not count as answered.
                 _ if now >= deadline => {}
                 HeartbeatSender::Worker { connection } => {
                     if self.outbox.awaits_reply(connection) {
@@ -183,7 +187,7 @@
 
     // ---- Heartbeats between peers ----
 
-    /// A peer passes on a heartbeat.
+    /// Handles a heartbeat that a peer relays.
     pub(super) fn handle_relay(&mut self, from: usize, relay: RelayHeartbeat) {
         let response = match self.answer_locally(&relay.heartbeat) {
             HeartbeatRoute::Answered(response) => response,
@@ -193,7 +197,9 @@
                 let controller = Some(self.outbox.settings.peers[peer].name.as_str());
                 Response::json(421, &HeartbeatRedirect { controller })
             }
-            HeartbeatRoute::OtherOwner { owner: None, .. } => Response::error(404, "not held here"),
+            HeartbeatRoute::OtherOwner { owner: None, .. } => {
+                Response::error(404, "the machine's shard is not owned here")
+            }
             HeartbeatRoute::NoOwner => Response::json(421, &HeartbeatRedirect { controller: None }),
             HeartbeatRoute::AfterLoad => {
                 let sender = HeartbeatSender::Peer {
@@ -215,7 +221,7 @@
         self.outbox.send_to_peer(peer, Body::RelayAnswer(answer));
     }
 
-    /// A peer has answered a heartbeat that was passed on to it.
+    /// Handles the answer of a peer to a relayed heartbeat.
     pub(super) fn handle_relay_answer(&mut self, from: usize, answer: RelayAnswer) {
         let Some(relayed) = self.heartbeats.take_relayed(answer.id) else {
             return;
@@ -230,7 +236,8 @@
         }
     }
 
-    /// The machine's shard is not that peer's. The leader knows whose it is.
+    /// Handles the answer of a peer that does not own the machine's shard. The heartbeat is relayed to the leader,
+    /// which knows the shard owner.
     fn handle_relay_refusal(&mut self, from: usize, relayed: RelayedHeartbeat) {
         let RelayedHeartbeat {
             connection,
@@ -247,7 +254,8 @@
         }
     }
 
-    /// The peer says who owns the machine's shard: the heartbeat is passed on there, and later ones are at once.
+    /// Handles the answer of a peer that names the owner of the machine's shard. The heartbeat is relayed to that
+    /// owner, and later heartbeats of the machine go there directly.
     fn follow_redirect(&mut self, from: usize, relayed: RelayedHeartbeat, body: &[u8]) {
         let RelayedHeartbeat {
             connection,
@@ -263,7 +271,7 @@
                 self.heartbeats.set_route(machine, owner);
                 self.relay_heartbeat(connection, owner, heartbeat);
             }
-            // Nobody owns it, or this controller does since a moment ago.
+            // The shard has no owner, or this controller became its owner a moment ago.
             None => self.redirect_worker(connection),
         }
     }
@@ -271,5 +279,5 @@
 
 fn machine_of(heartbeat: &[u8]) -> Option<String> {
     let parsed = serde_json::from_slice::<MachineOfHeartbeat>(heartbeat);
-    parsed.ok().map(|of| of.machine)
+    parsed.ok().map(|parsed| parsed.machine)
 }
--- a/crates/gannethub-core/src/controller/job_api.rs
+++ b/crates/gannethub-core/src/controller/job_api.rs
@@ -1,15 +1,15 @@
-//! The users' job API: submissions, queries, cancellations and reads of the ledger, and the replica of all live jobs that
-//! they are answered from. This module holds the state that its parts share:
+//! The users' job API: submissions, queries, cancellations and reads of the ledger, and the replica of all live jobs
+//! from which queries are answered. This module holds the state that the other modules of the API share:
 //!
-//! | part | what it does |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`submissions`](super::submissions) | checks submissions and the jobs that they name |
 //! | [`acceptance`](super::acceptance) | stores accepted jobs |
-//! | [`queries`](super::queries) | answers queries, and keeps the replica up to date |
-//! | [`job_lookups`](super::job_lookups) | reads single jobs that the replica does not show |
+//! | [`queries`](super::queries) | answers queries and keeps the replica up to date |
+//! | [`job_lookups`](super::job_lookups) | reads single jobs for which the replica has no answer |
 //! | [`cancellations`](super::cancellations) | stores cancellations |
-//! | [`dependency_outcomes`](super::dependency_outcomes) | reads how jobs ended that other jobs wait for |
-//! | [`ledger_queries`](super::ledger_queries) | shows users the ledger |
+//! | [`dependency_outcomes`](super::dependency_outcomes) | reads the outcomes of upstream jobs |
+//! | [`ledger_queries`](super::ledger_queries) | serves the ledger to users |
 
 use std::collections::{HashMap, VecDeque};
 
@@ -19,27 +19,26 @@
 use crate::wire::api::{Refusal, Submission};
 use crate::wire::store::Committed;
 
-/// A query is answered within this time, or refused.
+/// Maximum time in which a query is answered or refused (1.7 s).
 pub(super) const QUERY_TIMEOUT: Micros = 1_700_000;
-/// A submission or a cancellation is answered within this time, or refused.
+/// Maximum time in which a submission or a cancellation is answered or refused (2.5 s).
 pub(super) const SUBMIT_TIMEOUT: Micros = 2_500_000;
-/// Requests that may wait for one refresh of the replica; more are told to come back.
+/// Maximum number of requests that wait for one refresh of the replica. Further requests are told to retry later.
 pub(super) const MAX_WAITING_QUERIES: usize = 4000;
 
-/// Why a job is being looked up.
+/// Reason for which a job is looked up.
 #[derive(Debug)]
 pub(super) enum LookupReason {
-    /// A query.
     Query,
-    /// A cancellation.
     Cancel,
-    /// A submission, with what follows if the job is not known.
+    /// A submission. If the job turns out to be unknown, an `Ok` submission is accepted and an `Err` refusal is the
+    /// answer.
     Submit(Result<Box<Submission>, Refusal>),
-    /// The transaction that was to accept the job had no answer: if the job is found, it was accepted.
+    /// A transaction to accept the job got no answer. If the look-up finds the job, the job was accepted.
     Confirm,
 }
 
-/// A request that waits for a job to be looked up.
+/// A request that waits for the look-up of a job.
 #[derive(Debug)]
 pub(super) struct LookupWaiter {
     pub connection: u64,
@@ -52,8 +51,9 @@
     }
 }
 
-/// The look-up of a job. It answers those who asked before it began; later ones wait for the next, so that nobody is told
-/// something older than what another controller has said already.
+/// The look-up of a job. Its answer goes only to requests that arrived before the look-up was sent. Later requests
+/// wait for the next look-up, since an earlier read may return an older state than another controller has already
+/// told a user.
 #[derive(Debug, Default)]
 pub(super) struct Lookup {
     pub current: Vec<LookupWaiter>,
@@ -68,7 +68,7 @@
     pub submission: Box<Submission>,
 }
 
-/// A request that waits for the replica to be refreshed.
+/// A request that waits for a refresh of the replica.
 #[derive(Debug)]
 pub(super) enum RefreshWaiter {
     Query {
@@ -88,56 +88,57 @@
     }
 }
 
-/// A submission that waits for reads of jobs that it names.
+/// A submission that waits for reads of the jobs that it names.
 #[derive(Debug)]
 pub(super) struct DependencyCheck {
     pub queued: QueuedSubmission,
     pub unread_dependencies: usize,
 }
 
-/// A job that was accepted or cancelled here, in this version of the state service.
+/// A job that this controller accepted or cancelled, with the version of the state service at which the change was
+/// made.
 #[derive(Debug)]
 pub(super) struct JobChange {
     pub job: JobId,
     pub version: u64,
 }
 
-/// See the [module](self).
+/// State of the job API, which its [parts](self) share.
 #[derive(Default)]
 pub(super) struct JobApi {
     pub job_replica: JobReplica,
-    /// Jobs that are being looked up.
+    /// Look-ups in progress, by job.
     pub lookups: HashMap<JobId, Lookup>,
-    /// Submissions that go into the next transactions.
+    /// Submissions to be accepted by the next transactions.
     pub accept_queue: VecDeque<QueuedSubmission>,
-    /// Submissions in transactions that are not answered yet, by their connection.
+    /// Submissions in transactions that have no answer yet, by connection.
     pub accepts_in_flight: HashMap<u64, Box<Submission>>,
-    /// Submissions that wait for reads of jobs that they name, by their connection.
+    /// Submissions that wait for reads of the jobs that they name, by connection.
     pub dependency_checks: HashMap<u64, DependencyCheck>,
-    /// Jobs whose ends are being read, each until when it is not to be read again.
+    /// Jobs whose outcomes are being read, each with the time before which its outcome is not read again.
     pub outcome_reads: HashMap<JobId, Micros>,
-    /// The replica is being read or refreshed, by a request that was sent at this time.
+    /// Whether a request that reads or refreshes the replica is in flight. The request was sent at `refresh_sent_at`.
     pub refresh_in_flight: bool,
     pub refresh_sent_at: Micros,
-    /// The next refresh is made no sooner than this.
+    /// Earliest time of the next refresh.
     pub refresh_at: Micros,
-    /// Those whom the present refresh answers, and those whom the next one will.
+    /// Requests that the refresh in flight answers; `next_refresh_waiters` are answered by the one after it.
     pub current_refresh_waiters: Vec<RefreshWaiter>,
     pub next_refresh_waiters: Vec<RefreshWaiter>,
-    /// Changes that were made here and that the shards' owners have not been told of yet.
+    /// Changes made by this controller of which the shard owners have not been told yet.
     pub job_changes: Vec<JobChange>,
 }
 
 impl JobApi {
-    /// The request on this connection was not answered in time: nothing more is done for it.
+    /// Drops the state of a request that was not answered in time. Nothing more is done for that request.
     pub fn abandon(&mut self, connection: u64) {
         self.accepts_in_flight.remove(&connection);
         self.dependency_checks.remove(&connection);
     }
 }
 
-/// The version of the state service that a transaction was carried out at, as its answer has it. An answer that cannot be
-/// parsed is taken for the newest: the job is then read.
+/// Returns the version of the state service at which a transaction was committed, as its answer states. An answer
+/// that cannot be parsed counts as the newest version, so that the job is then read.
 pub(super) fn committed_version(result: &CallResult) -> u64 {
     let answer = result.as_ref().ok();
     let committed = answer.and_then(|answer| answer.decode::<Committed>());
--- a/crates/gannethub-core/src/controller/job_lookups.rs
+++ b/crates/gannethub-core/src/controller/job_lookups.rs
@@ -1,5 +1,5 @@
-//! Looking up single jobs in the state service: for queries that the replica cannot answer, and before cancellations and
-//! repeated submissions.
+//! Looks up single jobs in the state service: for queries that the replica cannot answer, and before cancellations
+//! and repeated submissions.
 
 use super::job_api::{
     JobApi, LookupReason, LookupWaiter, QUERY_TIMEOUT, QueuedSubmission, RefreshWaiter,
@@ -14,19 +14,19 @@
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, LiveRecord, StoreRequest, StoredValue};
 
-/// A live job's record, and the version of its key.
+/// A live job's record, with the version of its key.
 pub(super) struct LiveJob {
     pub record: LiveRecord,
     pub version: u64,
 }
 
 impl JobApi {
-    /// Reads a job's record: its live one, and if there is none, what is kept of it once it is finished.
+    /// Reads a job's live record, and its finished record if no live record exists.
     pub fn look_up_live_job(&mut self, outbox: &mut Outbox, job: JobId, waiter: LookupWaiter) {
         self.look_up_job(outbox, job, waiter, false);
     }
 
-    /// Reads whether a job is finished that is known not to be live.
+    /// Reads the finished record of a job that is known not to be live.
     pub fn look_up_finished_job(&mut self, outbox: &mut Outbox, job: JobId, waiter: LookupWaiter) {
         self.look_up_job(outbox, job, waiter, true);
     }
@@ -44,7 +44,7 @@
         }
         let wait = outbox.budget.query_wait();
         if wait > QUERY_TIMEOUT && !self.lookups.contains_key(&job) {
-            // The answer would come too late, and reads that nobody waits for any more would keep submissions out.
+            // The answer would arrive too late, and reads for which nobody waits any more would hold up submissions.
             return outbox.reply_overloaded(waiter.connection, wait);
         }
         let lookup = self.lookups.entry(job.clone()).or_default();
@@ -56,7 +56,7 @@
         send_lookup(outbox, job, finished);
     }
 
-    /// Takes in a job's record. `finished`: it was the record of finished jobs that was read.
+    /// Handles the answer to a read of a job's record. `finished` means that its finished record was read.
     pub fn handle_lookup_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -73,16 +73,16 @@
                 if let Some(version) = version {
                     self.job_replica.record_absent(job.clone(), version);
                 }
-                self.job_absent(outbox, &job);
+                self.handle_absent_job(outbox, &job);
             }
-            KeyRead::Unreadable | KeyRead::Failed => self.lookup_failed(outbox, &job),
+            KeyRead::Unreadable | KeyRead::Failed => self.handle_failed_lookup(outbox, &job),
         }
     }
 
     fn handle_finished_record(&mut self, outbox: &mut Outbox, job: JobId, item: &StoredValue) {
         match finished_job_view(item) {
-            Some(view) => self.job_found(outbox, job, &view, None),
-            None => self.lookup_failed(outbox, &job),
+            Some(view) => self.handle_found_job(outbox, job, &view, None),
+            None => self.handle_failed_lookup(outbox, &job),
         }
     }
 
@@ -94,18 +94,19 @@
         progress: ProgressLookup<'_>,
     ) {
         let Some(record) = item.as_live_record() else {
-            return self.lookup_failed(outbox, &job);
+            return self.handle_failed_lookup(outbox, &job);
         };
         let view = live_job_view(&job, &record, progress);
         let live = LiveJob {
             record,
             version: item.version,
         };
-        self.job_found(outbox, job, &view, Some(live));
+        self.handle_found_job(outbox, job, &view, Some(live));
     }
 
-    /// The job was found: whoever waits is told, and its cancellation is stored if somebody asks for it.
-    fn job_found(
+    /// Answers the requests that wait for a job that was found, and stores its cancellation if one of them asks for
+    /// it.
+    fn handle_found_job(
         &mut self,
         outbox: &mut Outbox,
         job: JobId,
@@ -124,9 +125,10 @@
         for LookupWaiter { connection, reason } in self.take_lookup_waiters(outbox, &job) {
             match (reason, &live) {
                 (LookupReason::Cancel, Some(_)) => cancelling.push(connection),
-                // Whether it is cancelled with one that it needs, its own record does not tell.
+                // The record of a waiting job does not tell whether the job is cancelled together with an upstream
+                // job. The replica does.
                 (_, Some(live)) if matches!(live.record, LiveRecord::Waiting(_)) => {
-                    self.ask_replica(outbox, connection, &job);
+                    self.queue_replica_query(outbox, connection, &job);
                 }
                 _ => outbox.reply(connection, api::job_response(200, &job, view)),
             }
@@ -137,7 +139,7 @@
         }
     }
 
-    fn ask_replica(&mut self, outbox: &mut Outbox, connection: u64, job: &JobId) {
+    fn queue_replica_query(&mut self, outbox: &mut Outbox, connection: u64, job: &JobId) {
         if self.job_replica.version().is_none() {
             return outbox.reply_unavailable(connection);
         }
@@ -147,8 +149,8 @@
         });
     }
 
-    /// The job is neither live nor finished.
-    fn job_absent(&mut self, outbox: &mut Outbox, job: &JobId) {
+    /// Answers the requests that wait for a job that is neither live nor finished.
+    fn handle_absent_job(&mut self, outbox: &mut Outbox, job: &JobId) {
         for LookupWaiter { connection, reason } in self.take_lookup_waiters(outbox, job) {
             match reason {
                 LookupReason::Query | LookupReason::Cancel => {
@@ -172,13 +174,14 @@
         }
     }
 
-    fn lookup_failed(&mut self, outbox: &mut Outbox, job: &JobId) {
+    fn handle_failed_lookup(&mut self, outbox: &mut Outbox, job: &JobId) {
         for waiter in self.take_lookup_waiters(outbox, job) {
             outbox.reply_unavailable(waiter.connection);
         }
     }
 
-    /// Those whom the finished look-up may answer; starts the next one for the rest.
+    /// Removes and returns the requests that the completed look-up may answer. Starts the next look-up for the
+    /// others.
     fn take_lookup_waiters(&mut self, outbox: &mut Outbox, job: &JobId) -> Vec<LookupWaiter> {
         let Some(lookup) = self.lookups.get_mut(job) else {
             return Vec::new();
--- a/crates/gannethub-core/src/controller/job_views.rs
+++ b/crates/gannethub-core/src/controller/job_views.rs
@@ -1,23 +1,23 @@
-//! What users are shown of a job, as its stored records and its owner's progress tell it.
+//! Builds the view of a job that users get, from the job's stored records and its owner's progress reports.
 
 use super::key_read::KeyRead;
 use crate::model::{JobId, TaskSet};
 use crate::wire::api::{JobStatus, JobView};
 use crate::wire::store::{self, FinishedJobRecord, LiveRecord, StoredValue};
 
-/// How far a live job is, beside what is stored of it. For display only.
+/// Progress of a live job beyond its stored record. For display only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct JobProgress {
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     pub running: u32,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
 }
 
-/// Looks up the progress of a job, if any owner that is heard has told it.
+/// Returns the progress of a job, if a shard owner from which this controller hears has reported it.
 pub(super) type ProgressLookup<'a> = &'a dyn Fn(&JobId) -> Option<JobProgress>;
 
-/// A live job as its record and its progress show it.
+/// Builds the view of a live job from its record and its progress.
 pub(super) fn live_job_view(
     id: &JobId,
     record: &LiveRecord,
@@ -36,7 +36,7 @@
     view
 }
 
-/// Adds a live job's progress to what its record shows.
+/// Adds a live job's progress to the view of its record.
 pub(super) fn add_progress(id: &JobId, view: &mut JobView, progress: ProgressLookup<'_>) {
     if view.status != JobStatus::Pending {
         return;
@@ -50,7 +50,7 @@
     }
 }
 
-/// A finished job as its record shows it; `None` if the value is no such record.
+/// Builds the view of a finished job from its record. Returns `None` if the value is not such a record.
 pub(super) fn finished_job_view(item: &StoredValue) -> Option<JobView> {
     let record = item.decode::<FinishedJobRecord>()?;
     Some(match record.cancelled {
@@ -59,7 +59,7 @@
     })
 }
 
-/// The same from the read of that record, if it was found.
+/// Builds the view of a finished job from a read of its record. Returns `None` if no such record was found.
 pub(super) fn finished_job_view_of_read(read: &KeyRead) -> Option<JobView> {
     match read {
         KeyRead::Found(item) => finished_job_view(item),
--- a/crates/gannethub-core/src/controller/ledger_queries.rs
+++ b/crates/gannethub-core/src/controller/ledger_queries.rs
@@ -1,4 +1,4 @@
-//! Showing users the ledger as it is stored. What was shown once never changes.
+//! Serves the ledger to users as it is stored. Ledger content that was shown once never changes.
 
 use gannethub_ledger::audit::Page;
 
@@ -10,11 +10,12 @@
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, StoreRequest};
 
-/// The kind of ledger lines that charge a team.
+/// Kind of the ledger lines that charge a team.
 const CHARGE_LINE: &str = "charge";
 
 impl JobApi {
-    /// Reads the ledger's head for a user, or one of its pages; of a page, only one team's lines if a team is named.
+    /// Reads the ledger's head or one of its pages for a user. If a team is named, only that team's lines of the page
+    /// are returned.
     pub fn read_ledger(
         &mut self,
         outbox: &mut Outbox,
@@ -23,7 +24,7 @@
         team: Option<&str>,
     ) {
         if outbox.settings.ledger.is_none() {
-            return outbox.reply(connection, Response::error(404, "no ledger is kept here"));
+            return outbox.reply(connection, Response::error(404, "no ledger is configured"));
         }
         if let Some(team) = team.filter(|name| outbox.settings.team(name).is_none()) {
             let reason = format!("team: there is no team {team:?}");
@@ -41,7 +42,7 @@
         outbox.send_to_store(Urgency::User, StoreRequest::get(&key), pending);
     }
 
-    /// Answers a user with what was read of the ledger.
+    /// Answers a user from a read of the ledger.
     pub fn handle_ledger_answer(
         &mut self,
         outbox: &mut Outbox,
--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers, each handed to the part that it is for.
+//! Routes messages of peers to the parts of the controller that handle them.
 
 use super::Controller;
 use super::election::Election;
@@ -12,15 +12,16 @@
 };
 use crate::wire::store;
 
-/// A message that took no longer than this counts as sent just now, beside what the clocks may be apart.
+/// Maximum time that a message may take, beyond the possible offset between the clocks, and still count as sent
+/// without delay.
 const MESSAGE_DELAY_TOLERANCE: Micros = SECOND;
 impl Controller {
-    /// Takes in a message. One of an unknown sender is dropped.
+    /// Handles a message. A message of an unknown sender is dropped.
     pub(super) fn handle_peer_message(&mut self, message: Envelope) {
         let now = self.outbox.clock.now;
         let mut peers = self.outbox.settings.peers.iter();
         let Some(peer) = peers.position(|peer| peer.name == message.from) else {
-            tracing::info!(from = %message.from, "a message of an unknown sender is dropped");
+            tracing::info!(from = %message.from, "dropped message from unknown sender");
             return;
         };
         self.membership.peers[peer].last_heard_at = Some(now);
@@ -49,9 +50,9 @@
         self.usage_replica.leader_heard(heartbeat.leading_term, now);
         if heartbeat.leading_term > 0 {
             let machine_types = &self.outbox.machine_types;
-            let decode = |told: &OfferAmount| {
-                let offer = decode_offer(machine_types, told)?;
-                Some((offer, told.amount * MILLISECOND))
+            let decode = |amount: &OfferAmount| {
+                let offer = decode_offer(machine_types, amount)?;
+                Some((offer, amount.amount * MILLISECOND))
             };
             let refused = heartbeat.refused_offers.iter().filter_map(decode);
             let refused: Vec<(Offer, Micros)> = refused.collect();
@@ -64,7 +65,8 @@
             .handle_heartbeat(&mut self.outbox, peer, heartbeat);
     }
 
-    /// A peer has stored a change of a job: an owner looks at the job if its watch does not tell soon.
+    /// Handles the message that a peer has stored a change of a job. A shard owner reads the job if its watch does
+    /// not report the change soon.
     fn handle_job_change(&mut self, change: &JobChanged) {
         if !is_valid_job_id(&change.job) {
             return;
@@ -76,7 +78,7 @@
 
     // ---- Votes ----
 
-    /// This controller's chances of owning a shard that is known here.
+    /// Returns the state of the election for a shard, if the shard is known here.
     pub(super) fn election_mut(&mut self, shard: u32) -> Option<&mut Election> {
         match shard {
             0 => Some(&mut self.membership.election),
@@ -98,7 +100,8 @@
         }
     }
 
-    /// A peer votes for this controller as a shard's owner, and tells it what was cancelled.
+    /// Handles a vote of a peer for this controller as a shard owner. The vote also carries the cancellations that
+    /// the peer knows of.
     fn handle_vote(&mut self, peer: usize, vote: &Vote) {
         let now = self.outbox.clock.now;
         let owner = self.shard_owners.get_mut(&vote.shard);
@@ -109,17 +112,18 @@
         for job in &cancelled {
             owner.cluster.apply_remote_cancellation(job);
         }
-        // A newer version than is known here cannot be read now: nothing is started until it can.
+        // A configuration version newer than the one known here cannot be read now. Nothing is started until it can
+        // be read.
         self.outbox
             .configuration
             .record_peer_version(vote.configuration_version);
-        // What cannot be read in full tells nothing for certain.
+        // A vote that cannot be parsed in full gives no certainty about cancellations.
         let is_whole = cancelled.len() == vote.cancelled_count as usize;
         if vote.knows_cancellations
             && is_whole
             && let Some(at) = owner.lease.validity.record_informed_voter(vote.round, peer)
         {
-            // The cancellations of its own users are among those that its replica knows of.
+            // The cancellations of this controller's own users are among those that its replica knows of.
             let replica = &self.job_api.job_replica;
             for job in replica.cancelled_since(owner.watched_version) {
                 owner.cluster.apply_remote_cancellation(job);
@@ -140,13 +144,13 @@
         }
     }
 
-    /// Logs once for each peer that one of its votes could not be read in full.
+    /// Logs, once for each peer, that a vote could not be parsed in full.
     fn log_malformed_vote(&mut self, peer: usize, vote: &Vote, read: usize) {
         let status = &mut self.membership.peers[peer];
         if !std::mem::replace(&mut status.malformed_vote_logged, true) {
             let from = &self.outbox.settings.peers[peer].name;
             let told = vote.cancelled_count;
-            tracing::warn!(%from, told, read, "a vote cannot be read in full");
+            tracing::warn!(%from, told, read, "cannot parse all cancelled jobs of a vote");
         }
     }
 
@@ -164,7 +168,7 @@
     }
 
     fn handle_watermark_confirmation(&mut self, confirmation: &WatermarkCheck) {
-        // An answer to an earlier process of this name counts for nothing.
+        // An answer to an earlier process of the same name proves nothing about this one.
         if confirmation.incarnation != self.membership.incarnation {
             return;
         }
@@ -175,13 +179,14 @@
 
     // ---- Usage that is not charged yet ----
 
-    /// The leader tells of usage that it has not charged yet. If some of it is missing, all is asked for.
+    /// Handles usage records that the leader has not charged yet. If some records are missing, all are requested
+    /// again.
     fn handle_usage_records(&mut self, peer: usize, records: UsageRecords) {
         let outbox = &mut self.outbox;
         let Some(ledger) = &outbox.settings.ledger else {
             return;
         };
-        // What two clocks may be apart does not count.
+        // The possible offset between two clocks does not count as a delay.
         let tolerance = ledger.settings.max_clock_offset + MESSAGE_DELAY_TOLERANCE;
         let age = outbox.clock.unix_time.saturating_sub(records.sent_at);
         let delay = if age > tolerance { age } else { 0 };
@@ -194,7 +199,7 @@
         }
     }
 
-    /// A peer has missed some of what this controller told of usage.
+    /// Sends all usage records again to a peer that has missed some of them.
     fn resend_usage(&mut self, peer: usize, request: &UsageRecordsRequest) {
         if let Some(owner) = Controller::owner_of_term(&mut self.shard_owners, request.term) {
             owner.cluster.resend_all_usage(peer);
--- a/crates/gannethub-core/src/controller/pending_heartbeats.rs
+++ b/crates/gannethub-core/src/controller/pending_heartbeats.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats that are not answered yet: passed on to a peer, or deferred until the state has been read.
+//! Workers' heartbeats that have no answer yet: those relayed to a peer, and those deferred until the state has been
+//! read.
 
 use std::collections::HashMap;
 
@@ -6,52 +7,51 @@
 
 use crate::model::Micros;
 
-/// Machines of which it is remembered which peer owns their shard.
+/// Maximum number of machines for which the peer that owns their shard is remembered.
 const MAX_REMEMBERED_ROUTES: usize = 20_000;
-/// Heartbeats that wait for the state to be read. Further ones are told to come back.
+/// Maximum number of heartbeats that wait for the state to be read. Further heartbeats are told to retry later.
 const MAX_DEFERRED_HEARTBEATS: usize = 8_000;
 
-/// Who waits for the answer to a heartbeat.
+/// Sender of a heartbeat, which waits for the answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum HeartbeatSender {
-    /// The worker itself, on this connection.
+    /// A worker, on this connection.
     Worker { connection: u64 },
-    /// A peer that passed it on under this number.
+    /// A peer that relayed the heartbeat under this number.
     Peer { peer: usize, relay_id: u64 },
 }
 
-/// A heartbeat that came while the state was being read.
+/// A heartbeat that arrived while the state was being read.
 #[derive(Debug)]
 pub(super) struct DeferredHeartbeat {
     pub sender: HeartbeatSender,
-    /// Until when the answer is of use to anybody.
+    /// Time after which the answer is of no use to anybody.
     pub deadline: Micros,
     pub heartbeat: Bytes,
 }
 
-/// A heartbeat that was passed on to a peer.
+/// A heartbeat that was relayed to a peer.
 #[derive(Debug)]
 pub(super) struct RelayedHeartbeat {
-    /// The worker's connection.
     pub connection: u64,
-    /// Until when the peer may answer.
+    /// Time until which the peer may answer.
     pub deadline: Micros,
-    /// To be passed on to another peer, if the machine is not that one's.
+    /// The heartbeat itself, kept in case the peer does not own the machine's shard and another peer has to be tried.
     pub heartbeat: Bytes,
 }
 
-/// See the [module](self).
+/// Heartbeats without an answer and the routes of machines; see the [module](self).
 #[derive(Debug, Default)]
 pub(super) struct PendingHeartbeats {
-    /// Peers that own the shards of machines whose workers have reported here.
+    /// Peers that own the shards of machines whose workers have sent heartbeats here, by machine.
     routes: HashMap<String, usize>,
-    /// Heartbeats that were passed on, by their number.
+    /// Relayed heartbeats, by their number.
     relayed: HashMap<u64, RelayedHeartbeat>,
     deferred: Vec<DeferredHeartbeat>,
 }
 
 impl PendingHeartbeats {
-    /// The peer that owned the machine's shard last, as far as is known here.
+    /// Returns the last known peer that owned the machine's shard.
     pub fn route(&self, machine: &str) -> Option<usize> {
         self.routes.get(machine).copied()
     }
@@ -64,27 +64,28 @@
         self.routes.insert(machine, peer);
     }
 
-    /// The peer says that the machine's shard is not its own.
+    /// Forgets the route of a machine after its peer has denied owning the machine's shard.
     pub fn forget_route(&mut self, machine: &str) {
         self.routes.remove(machine);
     }
 
-    /// A heartbeat is passed on under this number.
+    /// Records a heartbeat that is relayed under this number.
     pub fn add_relayed(&mut self, id: u64, relayed: RelayedHeartbeat) {
         self.relayed.insert(id, relayed);
     }
 
-    /// The heartbeat that was passed on under this number, if its answer is still waited for.
+    /// Removes and returns the heartbeat that was relayed under this number, if its answer is still waited for.
     pub fn take_relayed(&mut self, id: u64) -> Option<RelayedHeartbeat> {
         self.relayed.remove(&id)
     }
 
-    /// Drops the heartbeats that were not answered in time by the peers they were passed on to.
+    /// Drops relayed heartbeats that the peers did not answer in time.
     pub fn forget_overdue(&mut self, now: Micros) {
         self.relayed.retain(|_, relayed| relayed.deadline > now);
     }
 
-    /// Keeps a heartbeat until the state has been read. It is given back if there are too many already.
+    /// Defers a heartbeat until the state has been read. Returns the heartbeat as the error if too many are deferred
+    /// already.
     pub fn defer(&mut self, heartbeat: DeferredHeartbeat) -> Result<(), DeferredHeartbeat> {
         if self.deferred.len() >= MAX_DEFERRED_HEARTBEATS {
             return Err(heartbeat);
@@ -93,8 +94,8 @@
         Ok(())
     }
 
-    /// The deferred heartbeats whose deadline has passed, and all of them once the state has been read; in the order in
-    /// which they came.
+    /// Removes and returns the deferred heartbeats whose deadline has passed, or all of them once the state has been
+    /// read, in order of arrival.
     pub fn take_deferred(&mut self, is_loading: bool, now: Micros) -> Vec<DeferredHeartbeat> {
         let is_ready = |heartbeat: &mut DeferredHeartbeat| !is_loading || now >= heartbeat.deadline;
         self.deferred.extract_if(.., is_ready).collect()
--- a/crates/gannethub-core/src/controller/pending_request.rs
+++ b/crates/gannethub-core/src/controller/pending_request.rs
@@ -1,5 +1,5 @@
-//! Why each request to the state service was sent, so that its answer finds its way back to the part of the controller
-//! that sent it.
+//! Purpose of each request to the state service, by which its answer is routed to the part of the controller that
+//! sent the request.
 
 use super::config_watch::ConfigurationRead;
 use super::load_stage::LoadStage;
@@ -8,25 +8,25 @@
 use crate::wire::api::JobView;
 use crate::wire::store::LeaseRecord;
 
-/// A request to the state service that has not been answered yet.
+/// A request to the state service that has no answer yet.
 #[derive(Debug)]
 pub(super) enum PendingRequest {
-    /// Of the election of a leader.
+    /// Sent for the election of the leader.
     Membership(MembershipRequest),
-    /// Of the leases on shards other than 0.
+    /// Sent for the leases on shards other than shard 0.
     ShardAssignment(AssignmentRequest),
-    /// Of a shard's owner in this term. The answer is dropped if the shard is no longer owned in that term.
+    /// Sent by the owner of a shard in this term. The answer is dropped if the shard is no longer owned in that term.
     ShardOwner { term: u64, request: OwnerRequest },
-    /// Of the users' job API.
+    /// Sent by the users' job API.
     JobApi(JobApiRequest),
-    /// Of the configuration watch.
+    /// Sent by the configuration watch.
     Configuration(ConfigurationRead),
-    /// A lease in the state service that is given back.
+    /// Revokes a store lease.
     RevokeStoreLease { shard: u32, store_lease: u64 },
 }
 
 impl PendingRequest {
-    /// Whether the answer may rightly take long, since the state service holds it back until something changes.
+    /// Whether a late answer is expected, since the state service holds the answer back until something changes.
     pub fn is_watch(&self) -> bool {
         matches!(
             self,
@@ -38,13 +38,13 @@
     }
 }
 
-/// A lease in the state service that was asked for to own a shard.
+/// A store lease that was requested to own a shard.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AcquiredLease {
     pub shard: u32,
-    /// The lease's number in the state service.
+    /// Number of the store lease.
     pub store_lease: u64,
-    /// When the lease was asked for. Its duration counts from here on this process's clock.
+    /// Time on this process's clock at which the lease was requested. The lease duration counts from this time.
     pub requested_at: Micros,
 }
 
@@ -58,9 +58,9 @@
 /// Requests of [`Membership`](super::membership::Membership).
 #[derive(Debug)]
 pub(super) enum MembershipRequest {
-    /// Reads who leads.
+    /// Reads which controller is the leader.
     Probe,
-    /// Acquires a lease to lead with.
+    /// Acquires a store lease for the leader.
     AcquireLease { requested_at: Micros },
     /// Takes over as leader.
     TakeOver(Takeover),
@@ -69,11 +69,11 @@
 /// Requests of [`ShardAssignments`](super::shard_assignment::ShardAssignments).
 #[derive(Debug)]
 pub(super) enum AssignmentRequest {
-    /// Reads who owns the shards.
+    /// Reads the owners of the shards.
     Probe,
-    /// Acquires a lease to own a shard with.
+    /// Acquires a store lease for the owner of a shard.
     AcquireLease { shard: u32, requested_at: Micros },
-    /// Reads all terms before a shard is taken over.
+    /// Reads all terms before a takeover of a shard.
     ReadTerms(AcquiredLease),
     /// Takes over a shard.
     TakeOver(Takeover),
@@ -82,25 +82,25 @@
 /// Requests of a [`ShardOwner`](super::shard_owner::ShardOwner).
 #[derive(Debug)]
 pub(super) enum OwnerRequest {
-    /// Renews the lease in the state service.
+    /// Renews the store lease.
     RenewLease { sent_at: Micros },
-    /// Reads a page of what the state service holds for the shard.
+    /// Reads a page of the records that the state service holds for the shard.
     Load { stage: LoadStage },
-    /// Reads where the ledger stands.
+    /// Reads the head of the ledger.
     LoadLedgerHead,
     /// Waits for changes of jobs.
     Watch,
-    /// Reads what has changed beside the watch.
+    /// Reads changes independently of the watch.
     CatchUp { sent_at: Micros },
-    /// Writes what has changed in memory.
+    /// Writes changes of the state in memory.
     Write { batch: WriteBatch },
     /// Reads a key whose stored value is in doubt.
     Reread { key: String },
-    /// Reads the end of a job that is no longer among the live ones.
+    /// Reads the outcome of a job that is no longer live.
     ReadFinishedJob { job: JobId },
-    /// Reads whose a finished job was, for the ledger.
+    /// Reads the owner of a finished job, for the ledger.
     ReadJobOwner { job: JobId },
-    /// Reads machines that were given to the shard.
+    /// Reads the machines that were transferred to the shard.
     ReadTransfers,
     /// Reads the quota partitions of all shards.
     ReadQuotaPartitions,
@@ -108,7 +108,7 @@
     WriteQuotaPartitions,
 }
 
-/// A job in a transaction that accepts jobs, and the connection that waits for it.
+/// A job in a transaction that accepts jobs, and the connection on which its user waits.
 #[derive(Debug)]
 pub(super) struct PendingAccept {
     pub connection: u64,
@@ -118,24 +118,25 @@
 /// Requests of [`JobApi`](super::job_api::JobApi).
 #[derive(Debug)]
 pub(super) enum JobApiRequest {
-    /// Reads the ledger's head or one of its pages for a user; of a page, only one team's lines if a team is named.
+    /// Reads the ledger's head or one of its pages for a user. If a team is named, only that team's lines of the page
+    /// are returned.
     ReadLedger {
         connection: u64,
         team: Option<String>,
     },
-    /// Reads the record of one job: its live one, or what is kept of it once it is finished.
+    /// Reads the record of one job: its finished record if `finished` is set, else its live record.
     LookUpJob { job: JobId, finished: bool },
-    /// Reads how a job ended that other jobs wait for.
+    /// Reads the outcome of an upstream job.
     ReadDependency { job: JobId },
     /// Reads whether a job that a submission names was ever accepted.
     ReadNamedJob { connection: u64, job: JobId },
-    /// Reads a page of all live jobs, for the replica that queries are answered from.
+    /// Reads a page of all live jobs, for the replica from which queries are answered.
     ListLiveJobs,
-    /// Reads what has changed since the replica was last brought up to date.
+    /// Reads the changes since the last refresh of the replica.
     ReadChanges,
     /// Accepts jobs.
     AcceptJobs { jobs: Vec<PendingAccept> },
-    /// Cancels a job; `view` is what those who asked are told then.
+    /// Cancels a job. `view` is the answer to the users once the cancellation is stored.
     CancelJob {
         job: JobId,
         connections: Vec<u64>,
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -1,7 +1,8 @@
-//! Queries, and the replica of all live jobs that they are answered from.
+//! Answers queries from a replica of all live jobs, and keeps that replica up to date.
 //!
-//! A query is never answered from the replica as it is: it waits for the next read of what has changed, so that nobody is
-//! told something older than what another controller has said already. All queries that wait share one read.
+//! A query is never answered from the replica as it is. Every query waits for the next read of changes, since the
+//! replica may be older than a state that another controller has already told a user. All waiting queries share one
+//! read.
 
 use super::config_watch::CHANGE_READ_INTERVAL;
 use super::job_api::{
@@ -17,19 +18,19 @@
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, ChangeLog, Listing, StoreRequest};
 
-/// The replica is refreshed at most this often ...
+/// Minimum interval between refreshes of the replica (0.1 s).
 const MIN_REFRESH_INTERVAL: Micros = 100_000;
-/// ... and at least this often, so that few changes pile up.
+/// Maximum interval between refreshes of the replica, so that few changes pile up.
 const MAX_REFRESH_INTERVAL: Micros = 5 * SECOND;
-/// After the replica was lost it is read again at most this often.
+/// Minimum interval between complete reads of the replica after it was lost.
 const LISTING_INTERVAL: Micros = SECOND;
-/// Refreshes take at most one of this many of the controller's requests, however many queries come.
+/// Refreshes use at most one in this many of the controller's requests, however many queries arrive.
 const REQUESTS_PER_REFRESH: f64 = 2.0;
-/// A lower request rate is taken for this one.
+/// Minimum request rate, per second, that the refresh interval is computed from. A lower rate counts as this one.
 const MIN_REQUEST_RATE: f64 = 0.1;
 
 impl JobApi {
-    /// Takes a query. It waits for the next refresh, which answers all that wait then.
+    /// Handles a query. The query waits for the next refresh, which answers all queries that wait by then.
     pub fn query(&mut self, outbox: &mut Outbox, connection: u64, job: JobId) {
         if self.job_replica.version().is_none() {
             let waiter = LookupWaiter::new(connection, LookupReason::Query);
@@ -47,7 +48,7 @@
         self.refresh(outbox);
     }
 
-    /// Reads what the replica lacks, if there is a reason to.
+    /// Reads the live jobs or the changes that the replica lacks, if a refresh is due.
     pub fn refresh(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.refresh_in_flight || now < self.refresh_at {
@@ -87,7 +88,7 @@
         outbox.send_to_store(Urgency::User, request, pending);
     }
 
-    /// Takes in a page of all live jobs.
+    /// Handles a page of the listing of all live jobs.
     pub fn handle_listing_answer(&mut self, outbox: &mut Outbox, answer: &CallResult) {
         let Some(listing) = decode_ok::<Listing>(answer) else {
             self.refresh_in_flight = false;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Takes in what has changed, and answers all that waited for it.
+    /// Handles the answer to a read of changes, and answers all requests that waited for it.
     pub fn handle_refresh_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -127,7 +128,7 @@
                 }
             }
             None => {
-                if is_out_of_reach(answer) {
+                if is_replica_too_old(answer) {
                     self.job_replica.reset();
                 }
                 for waiter in waiters {
@@ -160,7 +161,7 @@
                 let waiter = LookupWaiter::new(connection, LookupReason::Query);
                 self.look_up_finished_job(outbox, job, waiter);
             }
-            // It is asked again once the end of the job that it waits for has been read.
+            // The query is repeated once the outcome of the upstream job has been read.
             JobLookup::DependencyUnknown => {
                 if outbox.awaits_reply(connection) {
                     self.next_refresh_waiters
@@ -171,7 +172,8 @@
     }
 }
 
-/// Whether the answer to a read of changes says that the replica is too far behind: the changes are not kept any more.
-fn is_out_of_reach(answer: &CallResult) -> bool {
+/// Whether the answer to a read of changes says that the replica is too old to be refreshed, since the state service
+/// no longer keeps the changes.
+fn is_replica_too_old(answer: &CallResult) -> bool {
     matches!(answer, Ok(Answer { status, .. }) if *status != 429 && *status != 503)
 }
--- a/crates/gannethub-core/src/controller/requests.rs
+++ b/crates/gannethub-core/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users and workers, each handed to the part that answers it.
+//! Routes requests of users and workers to the parts of the controller that answer them.
 
 use bytes::Bytes;
 
@@ -9,7 +9,7 @@
 use crate::wire::api::{self, Route};
 
 impl Controller {
-    /// Takes a request. It is answered on its connection, now or later.
+    /// Routes a request to the part that answers it. The response is sent on its connection, immediately or later.
     pub(super) fn handle_request(&mut self, connection: u64, request: Request) {
         let outbox = &mut self.outbox;
         outbox.set_reply_deadline(connection, outbox.clock.now + QUERY_TIMEOUT);
@@ -18,8 +18,8 @@
             Err(response) => return outbox.reply(connection, response),
         };
         match route {
-            Route::Health => self.show_health(connection),
-            Route::Configuration => self.show_configuration(connection),
+            Route::Health => self.answer_health(connection),
+            Route::Configuration => self.answer_configuration(connection),
             Route::Heartbeat => self.handle_heartbeat(connection, request.body),
             Route::Ledger { page, team } => {
                 self.job_api.read_ledger(outbox, connection, page, team);
@@ -33,7 +33,7 @@
         }
     }
 
-    fn show_health(&mut self, connection: u64) {
+    fn answer_health(&mut self, connection: u64) {
         let response = if self.membership.is_ready(&self.outbox) {
             Response::new(200, Bytes::from_static(b"{}"))
         } else {
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -1,5 +1,5 @@
-//! Submissions, from the request until it is certain that the job can be accepted: by then it is checked, and all jobs that
-//! it names are known.
+//! Handles submissions from the request until a submission can certainly be accepted: the submission has been
+//! checked, and all jobs that it names are known.
 
 use super::job_api::{
     DependencyCheck, JobApi, LookupReason, LookupWaiter, MAX_WAITING_QUERIES, QueuedSubmission,
@@ -17,7 +17,7 @@
 use crate::wire::store::{self, StoreRequest};
 
 impl JobApi {
-    /// Takes a submission.
+    /// Handles a submission.
     pub fn submit(&mut self, outbox: &mut Outbox, connection: u64, body: &[u8]) {
         outbox.set_reply_deadline(connection, outbox.clock.now + SUBMIT_TIMEOUT);
         let (map, id) = match api::parse_json_object(body) {
@@ -30,7 +30,7 @@
         });
         let wait = outbox.budget.change_wait();
         if wait > SUBMIT_TIMEOUT && (id.is_some() || checked.is_ok()) {
-            // More than can be written in time is queued already: better said now than later.
+            // The queued writes already take longer than the timeout, so the user is told at once rather than later.
             return outbox.reply_overloaded(connection, wait);
         }
         match (id, checked) {
@@ -42,7 +42,8 @@
                 };
                 self.accept(outbox, queued);
             }
-            // A known job gets its state, whatever this body would be answered with.
+            // A submission of a known job is answered with the state of that job, whatever the answer to this body
+            // would be.
             (Some(job), checked) => {
                 let waiter = LookupWaiter::new(connection, LookupReason::Submit(checked));
                 self.look_up_live_job(outbox, job, waiter);
@@ -58,8 +59,8 @@
         self.job_replica.final_view(job).is_some() || self.job_replica.is_live(job)
     }
 
-    /// Accepts a submission if it is certain that all jobs which it names were accepted. What is known of a job here shows
-    /// that, however old; what is not known is read.
+    /// Queues a submission for acceptance if all jobs that it names are certain to have been accepted. Anything known
+    /// of a job here proves its acceptance, however old the information is. The state of unknown jobs is read first.
     pub fn accept(&mut self, outbox: &mut Outbox, queued: QueuedSubmission) {
         if self.unknown_dependencies(&queued.submission).is_empty() {
             self.accept_queue.push_back(queued);
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Jobs that a submission names and of which nothing is known here.
+    /// Returns the jobs that a submission names and of which nothing is known here.
     fn unknown_dependencies(&self, submission: &Submission) -> Vec<JobId> {
         let is_unknown =
             |job: &&JobId| self.job_replica.dependency_outcome(job) == DependencyOutcome::Unknown;
@@ -80,8 +81,9 @@
         named.filter(is_unknown).cloned().collect()
     }
 
-    /// Goes on with a submission now that the replica has been refreshed. A job that it names and that is not live now is
-    /// finished, or was never accepted before the submission came; that is read.
+    /// Continues with a submission after a refresh of the replica. A named job that is not live after the refresh
+    /// either is finished or was not accepted before the submission arrived. Its finished record is read to tell
+    /// which of the two holds.
     pub fn check_dependencies(&mut self, outbox: &mut Outbox, queued: QueuedSubmission) {
         let connection = queued.connection;
         if !outbox.awaits_reply(connection) {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Takes in whether a job that a submission names is finished.
+    /// Handles the answer to a read of the finished record of a job that a submission names.
     pub fn handle_named_job_answer(
         &mut self,
         outbox: &mut Outbox,
@@ -117,15 +119,15 @@
         answer: &CallResult,
     ) {
         let read = KeyRead::from(answer);
-        let end = finished_job_view_of_read(&read);
-        if let Some(view) = &end {
+        let finished_view = finished_job_view_of_read(&read);
+        if let Some(view) = &finished_view {
             self.job_replica.record_end(job.clone(), view.clone());
         }
         let Some(mut check) = self.dependency_checks.remove(&connection) else {
             return;
         };
         match read {
-            _ if end.is_some() => {
+            _ if finished_view.is_some() => {
                 check.unread_dependencies -= 1;
                 if check.unread_dependencies == 0 {
                     self.accept_queue.push_back(check.queued);
@@ -141,7 +143,8 @@
         }
     }
 
-    /// A new configuration is in force: what the one before refused is to be asked again.
+    /// Handles a new configuration in force: submissions that the previous one refused as impossible are now answered
+    /// with [`Refusal::ConfigurationChanging`], so that the user submits again.
     pub fn handle_new_configuration(&mut self) {
         let lookups = self.lookups.values_mut();
         let waiters = lookups.flat_map(|lookup| lookup.current.iter_mut().chain(&mut lookup.next));
@@ -154,7 +157,7 @@
     }
 }
 
-/// Checks whether a job can ever run by the configuration in force here.
+/// Checks whether a job can ever run under the configuration in force in this controller.
 pub(super) fn check_submission(
     outbox: &Outbox,
     submission: &mut Submission,
