--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Handles a new configuration in force: submissions that the previous one refused as impossible are now answered
-    /// with [`Refusal::ConfigurationChanging`], so that the user submits again.
+    /// Handles a new configuration in force. Waiting submissions that the previous configuration refused as
+    /// impossible are refused with [`Refusal::ConfigurationChanging`] instead, since they have to be checked again.
     pub fn handle_new_configuration(&mut self) {
         let lookups = self.lookups.values_mut();
         let waiters = lookups.flat_map(|lookup| lookup.current.iter_mut().chain(&mut lookup.next));
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and responses as a controller sees them, whatever carries them.
+//! HTTP requests and responses as a controller sees them, independent of the transport.
 
 use std::fmt::Display;
 
@@ -12,12 +12,12 @@
     Get,
     Post,
     Delete,
-    /// One that the service has no use for.
+    /// A method that the service does not support.
     Other,
 }
 
 impl Method {
-    /// The method of this name.
+    /// Returns the method with this name on the wire.
     pub fn parse(name: &str) -> Method {
         match name {
             "GET" => Method::Get,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The method's name on the wire.
+    /// Returns the method's name on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -38,28 +38,28 @@
     }
 }
 
-/// A request that came to this process.
+/// A request received by this process.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub method: Method,
-    /// With its query, if it has one.
+    /// The path, including the query string if the request has one.
     pub path: String,
     pub body: Bytes,
-    /// The client wants the connection closed after the response.
+    /// Whether the client wants the connection closed after the response.
     pub closes_connection: bool,
 }
 
-/// The response to a request that came to this process. Its body is JSON.
+/// The response to a request received by this process. Its body is JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     pub status: u16,
     pub body: Bytes,
-    /// Whole seconds for `Retry-After`.
+    /// Value of the `Retry-After` header, in whole seconds.
     pub retry_after: Option<u32>,
 }
 
 impl Response {
-    /// A response with a body that is JSON already.
+    /// Creates a response from a body that is JSON already.
     pub fn new(status: u16, body: Bytes) -> Response {
         Response {
             status,
@@ -68,14 +68,14 @@
         }
     }
 
-    /// A response with this value as its body.
+    /// Creates a response with this value as its JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Response {
-        // Our bodies have string keys only and finite numbers, so they always serialize.
+        // Response bodies have only string keys and finite numbers, so their serialization cannot fail.
         let body = serde_json::to_vec(body).unwrap_or_default();
         Response::new(status, body.into())
     }
 
-    /// An error with its reason.
+    /// Creates an error response with its reason.
     pub fn error(status: u16, reason: impl Display) -> Response {
         #[derive(Serialize)]
         struct ErrorBody {
@@ -85,7 +85,7 @@
         Response::json(status, &ErrorBody { error })
     }
 
-    /// The same response, with the time after which the client may come back.
+    /// Adds the time after which the client may retry.
     pub fn with_retry_after(mut self, seconds: u32) -> Response {
         self.retry_after = Some(seconds);
         self
@@ -100,7 +100,7 @@
 }
 
 impl Answer {
-    /// An answer with this status and body.
+    /// Creates an answer with this status and body.
     pub fn new(status: u16, body: impl Into<Bytes>) -> Answer {
         Answer {
             status,
@@ -113,30 +113,31 @@
         self.status == 200
     }
 
-    /// The body as JSON, whatever the status; `None` if it is something else.
+    /// Parses the body as JSON, whatever the status. Returns `None` if the body cannot be parsed as `T`.
     pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
 
-    /// The body as JSON if the request was carried out.
+    /// Parses the body as JSON if the request was carried out.
     pub fn decode_ok<T: DeserializeOwned>(&self) -> Option<T> {
         self.is_ok().then(|| self.decode()).flatten()
     }
 }
 
-/// Why a request has no answer. In either case the service may have carried it out already, or may still do so.
+/// Reason for which a request has no answer. In either case the service may have carried out the request already, or
+/// may still do so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoAnswer {
-    #[error("no answer came in time")]
+    #[error("timed out waiting for the answer")]
     Timeout,
-    #[error("the connection could not be opened, or broke before the answer")]
+    #[error("the connection could not be opened, or failed before the answer arrived")]
     Disconnected,
 }
 
-/// What became of a request to another service.
+/// Result of a request to another service.
 pub type CallResult = Result<Answer, NoAnswer>;
 
-/// The body as JSON of an answer that says that the request was carried out.
+/// Parses the body of an answer as JSON if the request was answered and carried out.
 pub fn decode_ok<T: DeserializeOwned>(result: &CallResult) -> Option<T> {
     result.as_ref().ok()?.decode_ok()
 }
--- a/crates/gannethub-core/src/lib.rs
+++ b/crates/gannethub-core/src/lib.rs
@@ -1,12 +1,12 @@
-//! The gannethub cluster scheduler without input or output: jobs run as nested sagas on machines rented
-//! from a cloud.
+//! The core of the gannethub cluster scheduler, without input or output. Jobs run as nested sagas on machines
+//! provisioned from a cloud.
 //!
-//! The [`controller`] owns all state of a process; commands and the time go in, effects come out, so a program
-//! can embed it and a test can drive it by its own clock. Nothing here opens a socket, reads a file or asks
-//! for the time.
+//! The [`controller`] owns all state of a process. Its inputs are commands and the current time, and its outputs are
+//! effects, so that a program can embed the controller and a test can drive it with a simulated clock. This crate
+//! opens no sockets, reads no files and does not read the system clock.
 //!
-//! Modules import downwards only: [`controller`] above [`reconcile`], that above [`scheduling`], that above
-//! [`state`], which knows the types of the [`wire`] and the plain modules below.
+//! Modules import only from lower layers, in the order [`controller`], [`reconcile`], [`scheduling`], [`state`]. The
+//! [`state`] module uses the types of [`wire`] and the basic modules below it.
 
 pub mod configuration;
 pub mod controller;
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -1,4 +1,4 @@
-//! The nouns that every module shares: times, resources, machine types, teams, jobs, tasks and attempts.
+//! Basic types shared by all modules: times, resources, machine types, teams, jobs, tasks and attempts.
 
 mod task_set;
 
@@ -13,14 +13,12 @@
 /// A time or a duration in whole microseconds.
 pub type Micros = u64;
 
-/// One millisecond.
 pub const MILLISECOND: Micros = 1000;
 
-/// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Seconds from the wire as microseconds. What is no time, as a negative or infinite number, becomes zero; huge
-/// values saturate.
+/// Converts seconds from the wire to microseconds. A value that is not a valid time, such as a negative or an
+/// infinite number, becomes zero. Huge values saturate.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     if seconds.is_finite() && seconds > 0.0 {
         (seconds * SECOND as f64).round() as Micros
@@ -29,24 +27,24 @@
     }
 }
 
-/// Microseconds as seconds, for a wire or a policy.
+/// Converts microseconds to seconds, for the wire or a policy.
 pub fn seconds_from_micros(time: Micros) -> f64 {
     time as f64 / SECOND as f64
 }
 
-/// A job's id, as its user chose it: see [`is_valid_job_id`].
+/// A job's id, chosen by its user; see [`is_valid_job_id`] for the format.
 pub type JobId = Arc<str>;
 
-/// A machine's name, as the cloud gave it.
+/// A machine's name, assigned by the cloud.
 pub type MachineId = Arc<str>;
 
-/// Whether `id` has the one form that job ids take.
+/// Whether `id` has the format of a job id: `j-` and 1 to 18 digits.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
         .is_some_and(|n| (1..=18).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// A task: its job and its index in the job, from zero.
+/// Id of a task: its job and its index in the job, counted from zero.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskId {
     pub job: JobId,
@@ -54,7 +52,7 @@
 }
 
 impl TaskId {
-    /// Reads the form that workers use, as in `j-000412/3`. `None`: that is no task's name.
+    /// Parses the form that workers use, as in `j-000412/3`. Returns `None` if the text is not a valid task id.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         if !is_valid_job_id(job) {
@@ -73,7 +71,8 @@
     }
 }
 
-/// One attempt at running a task, on one machine. All tasks of a gang that are started together share the number.
+/// Id of one attempt to run a task on one machine. All tasks of a gang that are started together share the attempt
+/// number.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct AttemptId {
     pub task: TaskId,
@@ -81,7 +80,7 @@
 }
 
 impl AttemptId {
-    /// The attempt of this number at a job's task of this index.
+    /// Creates the id of the attempt with this number at the job's task with this index.
     pub fn new(job: JobId, index: u32, number: u64) -> AttemptId {
         let task = TaskId { job, index };
         AttemptId { task, number }
@@ -98,7 +97,7 @@
 }
 
 impl Resources {
-    /// Amounts in whole CPUs, GPUs and GB, as the wire has them.
+    /// Creates amounts from CPUs, GPUs and GB, the units used on the wire.
     pub fn new(cpus: f64, gpus: f64, mem_gb: f64) -> Resources {
         let milli = |amount: f64| (amount * 1000.0).round() as i64;
         Resources {
@@ -113,7 +112,7 @@
         self.cpu <= free.cpu && self.gpu <= free.gpu && self.memory <= free.memory
     }
 
-    /// How many of `self` fit into `free`: `i64::MAX` if `self` is nothing at all.
+    /// Returns how many times `self` fits into `free`, or `i64::MAX` if `self` is zero in all amounts.
     pub fn count_in(&self, free: &Resources) -> i64 {
         let count = |amount: i64, free: i64| match amount {
             1.. => free.max(0) / amount,
@@ -124,7 +123,8 @@
             .min(count(self.memory, free.memory))
     }
 
-    /// So many times the amounts. A negative factor gives them back, huge results saturate.
+    /// Returns the amounts multiplied by `factor`. A negative factor turns an addition of the result into a
+    /// subtraction. Huge results saturate.
     pub fn scaled_by(&self, factor: i64) -> Resources {
         Resources {
             cpu: self.cpu.saturating_mul(factor),
@@ -159,66 +159,67 @@
     }
 }
 
-/// A machine type that the cloud rents out.
+/// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: Arc<str>,
-    /// The capacity of each of its machines.
+    /// Capacity of each machine of the type.
     pub size: Resources,
-    /// The price of an hour on demand.
+    /// Price of an on-demand machine for one hour.
     pub price: f64,
-    /// The price of an hour on the spot market.
+    /// Price of a spot instance for one hour.
     pub spot_price: f64,
-    /// How long its machines usually take to boot.
+    /// Usual boot time of a machine of the type.
     pub boot_time: Micros,
-    /// How fast its machines fetch images.
+    /// Rate at which a machine of the type fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// The zones in which it is offered.
+    /// Zones in which the cloud offers the type.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// The price of an hour.
+    /// Returns the price of one hour on a spot instance or an on-demand machine.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
 
-/// A limit of this amount is no limit.
+/// Amount of a limit that does not restrict anything.
 pub const UNLIMITED: i64 = i64::MAX / 4;
 
-/// A team's guarantee and limit, which count CPUs and GPUs only. A guarantee of zero is no guarantee, and a team
-/// without a limit has one of [`UNLIMITED`].
+/// A team with its guarantee and limit, which apply to CPUs and GPUs only. A guarantee of zero is no guarantee. A
+/// team without a limit has a limit of [`UNLIMITED`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     pub name: String,
-    /// What the team gets before others that are above their guarantees.
+    /// Amount that the team gets before teams that are above their guarantees.
     pub guarantee: Resources,
-    /// What the team may use at most.
+    /// Maximum amount that the team may use.
     pub limit: Resources,
-    /// It was removed: it gets no new jobs, and those it has finish within its last limit.
+    /// Whether the team was removed. A removed team gets no new jobs, and its existing jobs finish within its last
+    /// limit.
     pub closed: bool,
 }
 
 impl Team {
-    /// Whether `used` plus `more` stays within `bound` (CPU and GPU).
+    /// Whether the CPUs and GPUs of `used` plus `more` stay within `bound`.
     pub fn within(bound: &Resources, used: &Resources, more: &Resources) -> bool {
         used.cpu + more.cpu <= bound.cpu && used.gpu + more.gpu <= bound.gpu
     }
 }
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job depend on each other.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum Shape {
-    /// Tasks that run on their own and may run at any time.
+    /// Independent tasks, which may run at any time.
     Array,
-    /// Tasks that only run all at once.
+    /// Tasks that run only all at the same time.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
 }
 
-/// How urgent a job is; a later variant is served before an earlier one.
+/// Urgency of a job. A later variant is served before an earlier one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum Priority {
     Low,
@@ -227,50 +228,50 @@
     Production,
 }
 
-/// What a user submitted, as it is stored.
+/// Description of a job as its user submitted it and as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The kind of work, as its user names it: jobs of a class are expected to behave alike.
+    /// Kind of work, named by the user. Jobs of the same class are expected to behave alike.
     pub class: String,
     pub team: String,
     pub shape: Shape,
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     #[serde(rename = "need")]
     pub resources: Resources,
-    /// The image that each task runs.
+    /// Image that each task runs.
     pub image: String,
     #[serde(rename = "image_gb")]
     pub image_size_gb: f64,
-    /// The machine types that its tasks may run on. `None`: any.
+    /// Machine types on which the tasks may run. `None`: any.
     #[serde(rename = "types")]
     pub machine_types: Option<Vec<String>>,
-    /// The zone that its tasks have to run in. `None`: any.
+    /// Zone in which the tasks have to run. `None`: any.
     pub zone: Option<String>,
-    /// All tasks have to run in the same zone.
+    /// Whether all tasks have to run in the same zone.
     #[serde(rename = "one_zone")]
     pub single_zone: bool,
-    /// No zone may have more than half of the tasks.
+    /// Whether no zone may have more than half of the tasks.
     pub spread: bool,
-    /// It may run on spot machines.
+    /// Whether the tasks may run on spot instances.
     pub spot: bool,
-    /// How long a task runs, as its user estimates.
+    /// Run time of a task, as estimated by the user.
     #[serde(rename = "estimate")]
     pub run_time_estimate: Micros,
-    /// How often a task saves its progress. Zero: it cannot.
+    /// Interval at which a task saves its progress. Zero: the task cannot save its progress.
     #[serde(rename = "checkpoint_every")]
     pub checkpoint_interval: Micros,
-    /// How long a task takes to save its progress.
+    /// Time that a task takes to save its progress.
     #[serde(rename = "save")]
     pub save_time: Micros,
-    /// How long after its acceptance the job has to be done.
+    /// Maximum time from the acceptance of the job until the job has to be done.
     pub deadline: Option<Micros>,
 }
 
 impl JobSpec {
-    /// Whether a machine of this type and zone may run the job's tasks at all.
+    /// Whether a machine of this type and zone, spot instance or not, may run the job's tasks at all.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         let allows_type = |types: &Vec<String>| types.iter().any(|allowed| allowed == machine_type);
         (self.spot || !spot)
@@ -278,12 +279,12 @@
             && self.machine_types.as_ref().is_none_or(allows_type)
     }
 
-    /// Whether it matters to the zones of its other tasks where one of its tasks is.
+    /// Whether the zone of one task restricts the zones of the other tasks.
     pub fn is_zone_constrained(&self) -> bool {
         self.single_zone || self.spread
     }
 
-    /// The most tasks that may share a zone.
+    /// Returns the maximum number of tasks that may share a zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
--- a/crates/gannethub-core/src/model/task_set.rs
+++ b/crates/gannethub-core/src/model/task_set.rs
@@ -1,11 +1,11 @@
-//! Sets of task numbers, which are mostly long runs.
+//! Sets of task indexes, stored as ranges because the indexes mostly form long runs.
 
-/// A set of task numbers, kept as sorted, disjoint, inclusive ranges. No two ranges are adjacent.
+/// A set of task indexes, stored as sorted, disjoint, inclusive ranges. No two ranges are adjacent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskSet(Vec<(u32, u32)>);
 
 impl TaskSet {
-    /// The numbers `0..count`.
+    /// Creates the set of the indexes `0..count`.
     pub fn up_to(count: u32) -> TaskSet {
         match count {
             0 => TaskSet::default(),
@@ -13,12 +13,12 @@
         }
     }
 
-    /// The position of the first range that does not end before `task`.
+    /// Returns the position of the first range that does not end before `task`.
     fn position(&self, task: u32) -> usize {
         self.0.partition_point(|&(_, last)| last < task)
     }
 
-    /// Whether the range at this position has `task`.
+    /// Whether the range at this position contains `task`.
     fn range_contains(&self, position: usize, task: u32) -> bool {
         let range = self.0.get(position);
         range.is_some_and(|&(first, last)| (first..=last).contains(&task))
@@ -29,7 +29,7 @@
         self.range_contains(self.position(task), task)
     }
 
-    /// Adds a number. Returns whether it was new.
+    /// Adds an index. Returns whether the index was new.
     pub fn insert(&mut self, task: u32) -> bool {
         let position = self.position(task);
         if self.range_contains(position, task) {
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Removes a number. Returns whether it was there.
+    /// Removes an index. Returns whether the index was in the set.
     pub fn remove(&mut self, task: u32) -> bool {
         let position = self.position(task);
         if !self.range_contains(position, task) {
@@ -72,23 +72,23 @@
         true
     }
 
-    /// How many numbers the set has.
+    /// Returns the number of indexes in the set.
     pub fn len(&self) -> u32 {
         let lengths = self.0.iter().map(|&(first, last)| last - first + 1);
         lengths.sum()
     }
 
-    /// Whether the set has no number.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The numbers in ascending order.
+    /// Returns the indexes in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|&(first, last)| first..=last)
     }
 
-    /// The part of the set within `start..end`.
+    /// Returns the part of the set within `start..end`.
     pub fn slice(&self, start: u32, end: u32) -> TaskSet {
         let overlapping = self
             .0
@@ -98,7 +98,7 @@
         TaskSet(clipped.collect())
     }
 
-    /// The ranges themselves, in ascending order, their ends included.
+    /// Returns the ranges in ascending order, with inclusive ends.
     pub fn as_ranges(&self) -> &[(u32, u32)] {
         &self.0
     }
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -1,38 +1,39 @@
 //! Nested sagas, after Garcia-Molina et al., "Coordinating Multi-Transaction Activities".
 //!
-//! A saga holds elements, each a child saga. It commits when all of them have, and a vital child's abort aborts
-//! it: active elements are cancelled, committed ones compensated in reverse commit order. A non-vital child's
-//! abort cancels only what waits for it. A pipeline is a saga of jobs; a gang attempt is a saga of tasks,
-//! non-vital to its job, so that a lost attempt is repeated.
+//! A saga consists of elements, each of which is a child saga. The saga commits when all of its elements have
+//! committed. The abort of a vital element aborts the saga: active elements are cancelled, and committed elements are
+//! compensated in reverse commit order. The abort of a non-vital element cancels only its downstream elements. A
+//! pipeline is a saga of jobs. A gang attempt is a saga of tasks and is non-vital to its job, so that a lost attempt
+//! is repeated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state of a saga or of one of its elements.
+/// State of a saga or of one of its elements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SagaState {
-    /// Waits for upstream elements to commit.
+    /// The element waits for upstream elements to commit.
     Waiting,
-    /// Running, or free to run.
+    /// The element or saga is running or may run.
     Active,
-    /// Ended well. It is undone only if the whole saga aborts.
+    /// The element or saga ended successfully. An element is then undone only if the whole saga aborts.
     Committed,
-    /// Cancelled or compensated.
+    /// The element or saga was cancelled or compensated.
     Aborted,
 }
 
 impl SagaState {
-    /// Whether it can still be aborted and has not committed.
+    /// Whether the element has neither committed nor been aborted.
     fn is_unfinished(self) -> bool {
         matches!(self, SagaState::Waiting | SagaState::Active)
     }
 }
 
-/// What the owner of a saga has to do with one of its elements after an abort.
+/// Action that the owner of a saga has to take for one of its elements after an abort.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AbortAction<K> {
-    /// The element was active, or waited for one that has been aborted: stop it.
+    /// The element was active, or waited for an element that has been aborted, and has to be stopped.
     Cancel(K),
-    /// The element had committed: run its compensating step.
+    /// The element had committed, and its compensating step has to run.
     Compensate(K),
 }
 
@@ -41,7 +42,7 @@
     vital: bool,
     /// Upstream elements that have not committed.
     open_upstream: BTreeSet<K>,
-    /// Elements that wait for this one.
+    /// Elements that wait for this element.
     downstream: BTreeSet<K>,
     state: SagaState,
 }
@@ -57,14 +58,15 @@
     }
 }
 
-/// A saga whose elements have keys of type `K`. What a commit or an abort costs depends only on how much it changes.
+/// A saga whose elements have keys of type `K`. The cost of a commit or an abort depends only on the number of
+/// changes that it makes.
 #[derive(Clone, Debug)]
 pub struct Saga<K> {
     elements: BTreeMap<K, Element<K>>,
     commit_order: Vec<K>,
-    /// How many elements have neither committed nor been aborted.
+    /// Number of elements that have neither committed nor been aborted.
     unfinished: usize,
-    /// It stays active when no element is left to run, as others may join.
+    /// Whether the saga stays active when no element is left to run, since further elements may be added.
     open_ended: bool,
     state: SagaState,
 }
@@ -82,7 +84,7 @@
 }
 
 impl Saga<u32> {
-    /// A saga of `count` vital elements that wait for nothing: a gang attempt, or a job on its own.
+    /// Creates a saga of `count` vital elements without dependencies: a gang attempt, or a job on its own.
     pub fn independent(count: u32) -> Saga<u32> {
         let mut saga = Saga::default();
         (0..count).for_each(|index| saga.add(index, true, &[]));
@@ -91,7 +93,7 @@
 }
 
 impl<K: Ord + Clone> Saga<K> {
-    /// A saga that elements keep joining and leaving.
+    /// Creates a saga to which elements are added and from which they are removed indefinitely.
     pub fn open_ended() -> Saga<K> {
         Saga {
             open_ended: true,
@@ -108,7 +110,7 @@
     }
 
     /// Adds an element that is released when every element of `upstream` has committed. Upstream elements that are
-    /// not known yet are taken to be active, and may be added later.
+    /// not known yet count as active and may be added later.
     pub fn add(&mut self, key: K, vital: bool, upstream: &[K]) {
         let mut open_upstream = BTreeSet::new();
         for upstream_key in upstream {
@@ -118,7 +120,7 @@
                 open_upstream.insert(upstream_key.clone());
             }
         }
-        let is_lost = open_upstream
+        let has_aborted_upstream = open_upstream
             .iter()
             .any(|upstream_key| self.element_state(upstream_key) == Some(SagaState::Aborted));
         let element = self.element_or_new(&key, vital);
@@ -127,39 +129,39 @@
             element.state = SagaState::Waiting;
         }
         element.open_upstream = open_upstream;
-        if is_lost {
+        if has_aborted_upstream {
             self.abort_element(&key);
         }
     }
 
-    /// The state of the saga itself.
+    /// Returns the state of the saga itself.
     pub fn state(&self) -> SagaState {
         self.state
     }
 
-    /// The state of an element.
+    /// Returns the state of an element.
     pub fn element_state(&self, key: &K) -> Option<SagaState> {
         self.elements.get(key).map(|element| element.state)
     }
 
-    /// What an element still waits for.
+    /// Returns the upstream elements for which an element still waits.
     pub fn open_upstream(&self, key: &K) -> impl Iterator<Item = &K> {
         let element = self.elements.get(key).into_iter();
         element.flat_map(|element| &element.open_upstream)
     }
 
-    /// What waits for an element.
+    /// Returns the elements that wait for an element.
     pub fn downstream(&self, key: &K) -> impl Iterator<Item = &K> {
         let element = self.elements.get(key).into_iter();
         element.flat_map(|element| &element.downstream)
     }
 
-    /// All elements.
+    /// Returns the keys of all elements.
     pub fn keys(&self) -> impl Iterator<Item = &K> {
         self.elements.keys()
     }
 
-    /// Commits an active element and returns those that this releases, in order.
+    /// Commits an active element and returns the elements that this releases, in order.
     pub fn commit(&mut self, key: &K) -> Vec<K> {
         let Some(element) = self.elements.get_mut(key) else {
             return Vec::new();
@@ -184,7 +186,8 @@
         released
     }
 
-    /// One element less is left to run. The saga commits with the last one.
+    /// Counts an element as finished. The saga commits with its last unfinished element, unless the saga is
+    /// open-ended.
     fn element_finished(&mut self) {
         self.unfinished -= 1;
         if self.state == SagaState::Active && self.unfinished == 0 && !self.open_ended {
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Aborts one element; a vital one takes the saga with it, any other what waits for it.
+    /// Aborts one element. The abort of a vital element aborts the whole saga; the abort of any other element aborts
+    /// its downstream elements.
     pub fn abort_element(&mut self, key: &K) -> Vec<AbortAction<K>> {
         if self.state != SagaState::Active {
             return Vec::new();
@@ -210,7 +214,7 @@
 
     fn abort_with_downstream(&mut self, key: &K) -> Vec<AbortAction<K>> {
         let mut actions = Vec::new();
-        // A list of what is left to do rather than recursion: chains may be long.
+        // A work list rather than recursion, since dependency chains may be long.
         let mut to_abort = vec![key.clone()];
         while let Some(next) = to_abort.pop() {
             let unfinished = |element: &&mut Element<K>| element.state.is_unfinished();
@@ -227,7 +231,7 @@
         actions
     }
 
-    /// Takes an element that is over, or that nothing waits for, out of the saga.
+    /// Removes an element that has finished, or that no element waits for, from the saga.
     pub fn remove(&mut self, key: &K) {
         let Some(element) = self.elements.remove(key) else {
             return;
@@ -236,7 +240,8 @@
             self.unfinished -= 1;
         }
         self.detach(key, element.open_upstream);
-        // The downstream of an aborted element is aborted as well: nothing must go on naming it.
+        // The downstream elements of an aborted element are aborted as well. None of them may keep a reference to the
+        // removed element.
         for downstream_key in element.downstream {
             if let Some(downstream) = self.elements.get_mut(&downstream_key) {
                 downstream.open_upstream.remove(key);
@@ -245,7 +250,7 @@
         self.commit_order.retain(|committed| committed != key);
     }
 
-    /// A waiting element is known to be released: all that it waited for has committed elsewhere.
+    /// Releases a waiting element whose upstream elements are known to have committed elsewhere.
     pub fn release(&mut self, key: &K) {
         let waiting = |element: &&mut Element<K>| element.state == SagaState::Waiting;
         let Some(element) = self.elements.get_mut(key).filter(waiting) else {
@@ -256,7 +261,7 @@
         self.detach(key, upstream);
     }
 
-    /// `key` does not wait for these any more.
+    /// Removes `key` from the downstream elements of `upstream`, for which it no longer waits.
     fn detach(&mut self, key: &K, upstream: BTreeSet<K>) {
         for upstream_key in upstream {
             if let Some(element) = self.elements.get_mut(&upstream_key) {
--- a/crates/gannethub-core/src/saga/tests.rs
+++ b/crates/gannethub-core/src/saga/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_vital_abort_cancels_the_running_and_compensates_in_reverse_commit_order() {
+fn a_vital_abort_cancels_then_compensates_in_reverse_order() {
     let mut saga = Saga::independent(4);
     saga.commit(&2);
     saga.commit(&0);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_non_vital_abort_cancels_only_what_waits_for_it() {
+fn a_non_vital_abort_cancels_only_downstream_elements() {
     let mut saga = Saga::default();
     saga.add("a", false, &[]);
     saga.add("b", true, &["a"]);
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn an_open_ended_saga_takes_elements_in_any_order_and_cancels_long_chains() {
+fn an_open_ended_saga_accepts_any_order_and_aborts_long_chains() {
     let mut saga = Saga::open_ended();
-    // Downstream first, as a list in the order of ids may have it.
+    // Downstream elements are added first, as in a listing in the order of ids.
     (1..50_000)
         .rev()
         .for_each(|index: u32| saga.add(index, false, &[index - 1]));
@@ -59,9 +59,10 @@
     assert_eq!(
         saga.element_state(&70_001),
         Some(SagaState::Aborted),
-        "it names one that is cancelled"
+        "its upstream element is aborted"
     );
-    // One that was cancelled and removed may be named again: both sides still agree.
+    // An element that was aborted and removed may be named as upstream again. Both directions of the links must still
+    // agree.
     saga.remove(&1);
     saga.add(80_000, false, &[1]);
     assert!(saga.open_upstream(&2).next().is_none() && saga.downstream(&1).eq([&80_000]));
