--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -171,8 +171,8 @@
         self.confirmed_newest_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether the version in force must not be used to start anything. As long as no version is known to have been
-    /// stored, starts are not held.
+    /// Whether no task may be started under the version in force. Starts are not held as long as no version is known
+    /// to have been stored.
     pub fn must_hold_starts(&self, now: Micros) -> bool {
         (self.has_stored_version() || self.newest_peer_version > 0) && !self.is_fresh(now)
     }
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -2,12 +2,12 @@
 use crate::http::{Answer, NoAnswer};
 use crate::settings::tests::SAMPLE;
 
-fn watch() -> (ConfigWatch, Arc<Settings>) {
+fn new_watch() -> (ConfigWatch, Arc<Settings>) {
     let base = Arc::new(Settings::parse(SAMPLE, "sample").unwrap().0);
     (ConfigWatch::new(base.clone()), base)
 }
 
-fn stored(version: u64, stamp: u64) -> Listing {
+fn version_listing(version: u64, stamp: u64) -> Listing {
     let record = VersionRecord {
         version,
         id: format!("{version}-x"),
@@ -19,7 +19,7 @@
     serde_json::from_str(&text.to_string()).unwrap()
 }
 
-fn part(version: u64, value: &str) -> CallResult {
+fn document_answer(version: u64, value: &str) -> CallResult {
     let text = format!(
         r#"{{"items":[{{"k":"gh/config/doc/{version}-x/000","v":{value},"stamp":1}}],"truncated":false,"ledger_no":9}}"#
     );
@@ -30,14 +30,14 @@
 
 #[test]
 fn a_version_is_usable_once_read_until_its_maximum_age() {
-    let (mut config, base) = watch();
+    let (mut config, base) = new_watch();
     assert!(
         !config.is_fresh(0) && !config.must_hold_starts(0),
         "no version is known to have been stored"
     );
     config.confirm_newest(100);
     assert!(config.is_fresh(100 + MAX_VERSION_AGE - 1) && !config.is_fresh(100 + MAX_VERSION_AGE));
-    config.apply_listing(&stored(4, 50), true);
+    config.apply_listing(&version_listing(4, 50), true);
     assert!(!config.is_fresh(200) && config.must_hold_starts(200) && config.guard_version() == 0);
     let (read, request) = config.next_read(200).unwrap();
     assert!(
@@ -53,7 +53,7 @@
     );
     let (read, _) = config.next_read(200 + READ_RETRY_INTERVAL).unwrap();
     let new = config
-        .handle_answer(read, &part(4, TEAM), &base, 300)
+        .handle_answer(read, &document_answer(4, TEAM), &base, 300)
         .unwrap();
     assert!(new.settings.team("late").is_some());
     assert_eq!(
@@ -68,7 +68,7 @@
         !config.must_hold_starts(100 + MAX_VERSION_AGE - 1)
             && config.must_hold_starts(100 + MAX_VERSION_AGE)
     );
-    config.apply_listing(&stored(3, 40), true);
+    config.apply_listing(&version_listing(3, 40), true);
     assert_eq!(
         (config.version(), config.is_fresh(300)),
         (4, true),
@@ -78,13 +78,13 @@
 
 #[test]
 fn a_key_deleted_during_missed_changes_is_not_waited_for() {
-    let (mut config, base) = watch();
+    let (mut config, base) = new_watch();
     config.confirm_newest(100);
-    config.apply_listing(&stored(4, 50), true);
+    config.apply_listing(&version_listing(4, 50), true);
     let (read, _) = config.next_read(200).unwrap();
     assert!(
         config
-            .handle_answer(read, &part(4, TEAM), &base, 300)
+            .handle_answer(read, &document_answer(4, TEAM), &base, 300)
             .is_some()
     );
     let empty_listing = r#"{"items":[],"truncated":false,"ledger_no":70}"#;
@@ -108,11 +108,11 @@
 
 #[test]
 fn a_newer_version_known_from_a_peer_or_guard_stops_starts() {
-    let (mut config, _) = watch();
+    let (mut config, _) = new_watch();
     config.confirm_newest(100);
     config.record_peer_version(2);
     assert!(config.is_behind() && config.must_hold_starts(200) && !config.is_fresh(200));
-    let (mut config, _) = watch();
+    let (mut config, _) = new_watch();
     config.confirm_newest(100);
     config.mark_unconfirmed(200);
     assert!(config.is_behind() && !config.is_fresh(201));
@@ -127,20 +127,20 @@
 
 #[test]
 fn an_invalid_version_keeps_the_last_usable_one_in_force() {
-    let (mut config, base) = watch();
+    let (mut config, base) = new_watch();
     config.confirm_newest(100);
-    config.apply_listing(&stored(4, 50), true);
+    config.apply_listing(&version_listing(4, 50), true);
     let (read, _) = config.next_read(200).unwrap();
     assert!(
         config
-            .handle_answer(read, &part(4, TEAM), &base, 300)
+            .handle_answer(read, &document_answer(4, TEAM), &base, 300)
             .is_some()
     );
-    config.apply_listing(&stored(5, 60), true);
+    config.apply_listing(&version_listing(5, 60), true);
     let (read, _) = config.next_read(300).unwrap();
     assert!(
         config
-            .handle_answer(read, &part(5, r#"{"future":1}"#), &base, 300)
+            .handle_answer(read, &document_answer(5, r#"{"future":1}"#), &base, 300)
             .is_none()
     );
     assert_eq!(
@@ -160,13 +160,13 @@
 
 #[test]
 fn a_new_process_falls_back_to_the_last_usable_version() {
-    let (mut config, base) = watch();
+    let (mut config, base) = new_watch();
     config.confirm_newest(100);
-    config.apply_listing(&stored(5, 60), true);
+    config.apply_listing(&version_listing(5, 60), true);
     let (read, _) = config.next_read(300).unwrap();
     assert!(
         config
-            .handle_answer(read, &part(5, "7"), &base, 300)
+            .handle_answer(read, &document_answer(5, "7"), &base, 300)
             .is_none()
             && !config.is_fresh(300)
     );
@@ -186,7 +186,7 @@
     let (read, _) = config.next_read(300).unwrap();
     assert!(
         config
-            .handle_answer(read, &part(4, TEAM), &base, 300)
+            .handle_answer(read, &document_answer(4, TEAM), &base, 300)
             .is_some()
     );
     assert_eq!(
--- a/crates/gannethub-core/src/controller/dependency_outcomes.rs
+++ b/crates/gannethub-core/src/controller/dependency_outcomes.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Returns the jobs whose outcomes have to be read now. As long as the replica or the state is still being read,
-    /// jobs that are unknown to it are left out, since the rest of the read may still contain them.
+    /// Returns the jobs whose outcomes have to be read now. While the replica or the leader's state is still being
+    /// read, the jobs that are unknown there are left out, since the rest of the read may still contain them.
     fn outcomes_to_read(&self, leader: Option<&ShardOwner>) -> Vec<JobId> {
         let mut unknown: BTreeSet<&JobId> = BTreeSet::new();
         if let Some(leader) = leader.filter(|leader| leader.is_loaded()) {
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -135,11 +135,11 @@
         outbox.send_to_peer(to, Body::RelayHeartbeat(RelayHeartbeat { id, heartbeat }));
     }
 
-    // ---- Heartbeats that come before the state has been read ----
+    // ---- Heartbeats that arrive before the state has been read ----
 
     /// Defers a heartbeat, to be answered as soon as the state has been read, which mostly takes a fraction of a
     /// second. A worker that is refused instead would try the next controller only a second later, and after the loss
-    /// of all controllers the leases have nearly expired.
+    /// of all controllers the workers' leases have nearly expired.
     fn defer_heartbeat(&mut self, sender: HeartbeatSender, heartbeat: Bytes) {
         let deferred = DeferredHeartbeat {
             sender,
@@ -197,9 +197,7 @@
                 let controller = Some(self.outbox.settings.peers[peer].name.as_str());
                 Response::json(421, &HeartbeatRedirect { controller })
             }
-            HeartbeatRoute::OtherOwner { owner: None, .. } => {
-                Response::error(404, "the machine's shard is not owned here")
-            }
+            HeartbeatRoute::OtherOwner { owner: None, .. } => Response::error(404, "not the owner"),
             HeartbeatRoute::NoOwner => Response::json(421, &HeartbeatRedirect { controller: None }),
             HeartbeatRoute::AfterLoad => {
                 let sender = HeartbeatSender::Peer {
--- a/crates/gannethub-core/src/controller/job_lookups.rs
+++ b/crates/gannethub-core/src/controller/job_lookups.rs
@@ -166,7 +166,7 @@
                 }
                 LookupReason::Submit(Err(refusal)) => outbox.reply_refusal(connection, &refusal),
                 LookupReason::Confirm => {
-                    let reason = "it is not certain yet that the job was accepted";
+                    let reason = "cannot confirm yet that the job was accepted";
                     let response = Response::error(503, reason).with_retry_after(1);
                     outbox.reply(connection, response);
                 }
--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -179,8 +179,8 @@
 
     // ---- Usage that is not charged yet ----
 
-    /// Handles usage records that the leader has not charged yet. If some records are missing, all are requested
-    /// again.
+    /// Handles usage records that the leader has not charged yet. If some records are missing, all records are
+    /// requested.
     fn handle_usage_records(&mut self, peer: usize, records: UsageRecords) {
         let outbox = &mut self.outbox;
         let Some(ledger) = &outbox.settings.ledger else {
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// Amount of a limit that does not restrict anything.
+/// Amount of a limit that has no effect.
 pub const UNLIMITED: i64 = i64::MAX / 4;
 
 /// A team with its guarantee and limit, which apply to CPUs and GPUs only. A guarantee of zero is no guarantee. A
@@ -208,7 +208,7 @@
     }
 }
 
-/// How the tasks of a job depend on each other.
+/// Relation between the tasks of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum Shape {
     /// Independent tasks, which may run at any time.
