--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -1,7 +1,7 @@
-//! The autoscaler: scale out and in, and the return of machines that are of no use.
+//! The autoscaler: scale out, scale in, and the return of unusable machines.
 //!
-//! It makes the calls to the cloud, within the cloud's rate; the answers are taken in by
-//! `reconcile::provisioning`. Only the owner of shard 0 provisions machines, for all shards.
+//! The autoscaler plans the calls to the cloud within the cloud's request rate; `reconcile::provisioning` processes
+//! the answers. Only the owner of shard 0 provisions machines, for all shards.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,30 +12,32 @@
 use crate::state::machine::Machine;
 use crate::state::provisioning_times::{OVERDUE_FACTOR, ProvisioningTimes};
 
-/// What the cloud charges at least for a machine that is deleted.
+/// Minimum time that the cloud bills for a machine, however soon the machine is deleted.
 const MIN_BILLED_TIME: Micros = 60 * SECOND;
 
-/// The most machines in one request to the cloud.
-const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Maximum number of machines in one provisioning request.
+const MAX_MACHINES_PER_PROVISION: u32 = 50;
+/// Maximum number of machines in one deletion request.
 const MAX_MACHINES_PER_DELETION: usize = 100;
 
-/// How often the types of machines are read again, and how often the fleet is summed up in the log.
+/// Interval between reads of the machine types.
 const MACHINE_TYPES_INTERVAL: Micros = 30 * SECOND;
+/// Interval between fleet summaries in the log.
 const SUMMARY_INTERVAL: Micros = 10 * SECOND;
 
-/// The boot time of a machine whose type is not known.
+/// Assumed boot time of a machine of unknown type.
 const UNKNOWN_TYPE_BOOT_TIME: Micros = 60 * SECOND;
 
-/// Stands for "never" where a policy asks how many seconds ago something was.
+/// Value in seconds that stands for "never" where a policy input is the time since an event.
 const NEVER_S: f64 = 1e9;
 
-/// A zone from which nothing was heard for this long is tried with one machine.
+/// An unreachable zone is tried with one machine after this time.
 const UNREACHABLE_ZONE_RETRY: Micros = 30 * SECOND;
-/// How long a refusal is remembered while nothing has been given back.
+/// Time for which a refused offer stays blocked unless a machine of the offer has gone in the meantime.
 const REFUSAL_MEMORY: Micros = 120 * SECOND;
 
 impl Cluster {
-    /// The calls to make to the cloud now.
+    /// Returns the calls to make to the cloud now.
     pub fn plan_cloud_calls(&mut self, now: Micros) -> Vec<CloudCall> {
         let steps_before = self.passes.steps.get();
         let mut calls = Vec::new();
@@ -56,7 +58,7 @@
             }
         }
         if is_leader {
-            self.scale_out_for_shards(now, &mut calls, MAX_MACHINES_PER_RENTAL);
+            self.scale_out_for_shards(now, &mut calls, MAX_MACHINES_PER_PROVISION);
         }
         if self.takeover.settled {
             self.scale_in(now);
@@ -64,7 +66,7 @@
         }
         self.delete_machines(&mut calls);
         if is_leader {
-            self.read_cloud(now, &mut calls);
+            self.poll_cloud(now, &mut calls);
         }
         let steps = self.passes.steps.get() - steps_before;
         self.passes.next_plan_at = now + self.pacing_delay(steps);
@@ -75,7 +77,7 @@
         calls
     }
 
-    /// Repeats calls that had no answer, as far as the cloud's rate allows.
+    /// Sends unanswered calls again, as far as the cloud's request rate allows.
     fn retry_calls(&mut self, calls: &mut Vec<CloudCall>) {
         while let Some(call) = self.fleet.calls_to_retry.pop() {
             if !self.fleet.budget.try_take(0.0) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Asks the cloud to delete machines that are given up.
+    /// Asks the cloud to delete the machines marked as deleting.
     fn delete_machines(&mut self, calls: &mut Vec<CloudCall>) {
         let deleting = self
             .machines
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Asks the cloud, now and then, what machines there are and of which types they can be.
-    fn read_cloud(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
+    /// Asks the cloud at regular intervals for the list of machines and for the machine types.
+    fn poll_cloud(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
         let fleet = &mut self.fleet;
         if !fleet.listing.in_flight && now >= fleet.listing.next_at && fleet.budget.try_take(1.0) {
             fleet.listing.in_flight = true;
@@ -116,8 +118,9 @@
         }
     }
 
-    /// Asks for the machines that the plan wants, one request for each offer and then more of them, as far as the cloud's
-    /// rate goes: a large cluster's plans are too far apart to ask for the rest next time.
+    /// Requests the machines that the plan wants: one request for each offer, then further requests, as far as the
+    /// cloud's request rate allows. The remainder cannot be left to the next plan, since the plans of a large cluster
+    /// are too far apart.
     fn scale_out(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
         let mut wanted = self.machines_wanted(now);
         while !wanted.is_empty() {
@@ -126,30 +129,31 @@
                 if !self.fleet.budget.try_take(0.0) {
                     return;
                 }
-                // One machine is enough to try a zone that was unreachable.
+                // One machine is enough to test an unreachable zone.
                 let is_unreachable = self.zones.unreachable.contains_key(&*offer.zone);
                 let max_count = if is_unreachable {
                     1
                 } else {
-                    MAX_MACHINES_PER_RENTAL
+                    MAX_MACHINES_PER_PROVISION
                 };
                 let requested = count.min(max_count);
                 if count > requested && !is_unreachable {
                     remaining.insert(offer.clone(), count - requested);
                 }
-                calls.push(self.rent(offer, requested));
+                calls.push(self.begin_provisioning(offer, requested));
             }
             wanted = remaining;
         }
     }
 
-    /// A request for machines of an offer. The term in its name keeps it from ever being used by another leader.
-    pub(crate) fn rent(&mut self, offer: Offer, count: u32) -> CloudCall {
+    /// Creates a provisioning request for machines of an offer. The request's name contains the term, so no other
+    /// leader can ever use the same name.
+    pub(crate) fn begin_provisioning(&mut self, offer: Offer, count: u32) -> CloudCall {
         self.fleet.request_count += 1;
         let name = format!("r-{}-{}", self.fleet.term, self.fleet.request_count);
         let machine_type = &self.machine_types[offer.machine_type].name;
         let (zone, spot) = (&offer.zone, offer.spot);
-        tracing::info!(%name, %machine_type, %zone, spot, count, "provisioning");
+        tracing::info!(%name, %machine_type, %zone, spot, count, "provisioning machines");
         let pending = PendingProvision {
             offer: offer.clone(),
             count,
@@ -163,7 +167,8 @@
         }
     }
 
-    /// Gives back machines that never boot, that stay silent, or that are quarantined, draining or noticed and empty.
+    /// Returns machines that never boot, that have sent no heartbeat for a whole lease, or that hold no work and are
+    /// quarantined, draining or under a preemption notice.
     fn return_unhealthy(&mut self, now: Micros) {
         let lease_expiry = self.lease_expiry_bound();
         let times = &mut self.fleet.provisioning_times;
@@ -177,15 +182,15 @@
             let is_stuck = !machine.lifecycle.is_up
                 && check_boot(machine, times, usual_boot, is_zone_reachable, now);
             if let Some(why) = reason_to_return(machine, is_stuck, lease_expiry, now) {
-                tracing::info!(machine = %machine.id, why, "returning");
+                tracing::info!(machine = %machine.id, why, "returning machine");
                 machine.lifecycle.deleting = true;
             }
         }
     }
 
-    /// Gives back machines that have been idle for as long as policy keeps them.
+    /// Returns machines whose idle time exceeds the policy's limit.
     fn scale_in(&mut self, now: Micros) {
-        // The shortest idle first: the others have that many spares beside them.
+        // Machines with the shortest idle time come first: each machine counts the machines before it as spares.
         let mut idle: Vec<(Micros, MachineId)> = self
             .machines
             .values()
@@ -202,22 +207,22 @@
                 continue;
             };
             let other_spares = spares.entry((machine_type, machine.spot)).or_default();
-            let keep_idle = self.max_idle_time(machine, machine_type, *other_spares, now);
+            let max_idle = self.max_idle_time(machine, machine_type, *other_spares, now);
             *other_spares += 1;
-            // The first minute is charged anyway.
-            let is_billed_anyway =
+            // The minimum billed time is charged anyway.
+            let is_within_billed_time =
                 now + SECOND <= machine.lifecycle.provisioned_at + MIN_BILLED_TIME;
-            if is_billed_anyway || now <= idle_since + keep_idle {
+            if is_within_billed_time || now <= idle_since + max_idle {
                 continue;
             }
-            tracing::info!(machine = %id, why = "it is idle", "returning");
+            tracing::info!(machine = %id, why = "idle", "returning machine");
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.lifecycle.deleting = true;
             }
         }
     }
 
-    /// How long policy keeps an idle machine beside so many others of its type.
+    /// Maximum time for which policy keeps an idle machine while `other_spares` other machines of its type are idle.
     fn max_idle_time(
         &self,
         machine: &Machine,
@@ -248,14 +253,14 @@
         micros_from_seconds(self.settings.policy.number(Setting::Idle, &inputs))
     }
 
-    /// How many machines of an offer there are.
+    /// Returns the number of machines of an offer.
     pub(crate) fn machines_of_offer(&self, offer: &Offer) -> usize {
         self.capacity_index
             .machine_count(offer.machine_type, &offer.zone, offer.spot)
     }
 
-    /// Whether an offer was refused lately. As long as no machine of it has been given back or taken since, the cloud most
-    /// likely still has none.
+    /// Whether an offer was refused recently or its zone is unreachable. While the number of machines of the offer
+    /// has not dropped since the refusal, the cloud most likely still has none.
     pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
         if let Some(unreachable_at) = self.zones.unreachable.get(&*offer.zone) {
             let may_retry = now >= unreachable_at + UNREACHABLE_ZONE_RETRY;
@@ -269,7 +274,7 @@
         })
     }
 
-    /// Whether a machine of a zone boots or has been asked for.
+    /// Whether a machine in a zone is booting or has been requested.
     fn is_provisioning_in(&self, zone: &str) -> bool {
         let mut machines = self.machines.values();
         let mut pending = self.fleet.pending_provisions.values();
@@ -278,7 +283,7 @@
     }
 }
 
-/// Records a boot that takes too long. Returns whether the machine is given up.
+/// Records an overdue boot. Returns whether the machine is given up.
 fn check_boot(
     machine: &mut Machine,
     times: &mut ProvisioningTimes,
@@ -290,7 +295,7 @@
     let expected =
         type_index.map(|index| times.expected_boot_time(index, &machine.zone, usual_boot, now));
     let boot_time = usual_boot.max(expected.unwrap_or(0));
-    // What boots in an unreachable zone is of no use, but its first minute is paid.
+    // A machine that boots in an unreachable zone is useless, but its minimum billed time is paid already.
     let max_age = if is_zone_reachable {
         max_boot_time(boot_time)
     } else {
@@ -308,12 +313,12 @@
         lifecycle.boot_overdue = true;
         times.record_overdue(type_index, &machine.zone, now);
         let age_s = seconds_from_micros(age) as u32;
-        tracing::debug!(machine = %machine.id, age_s, "late to boot");
+        tracing::debug!(machine = %machine.id, age_s, "machine boot is overdue");
     }
     is_stuck
 }
 
-/// Why a machine is given back, if it is.
+/// Returns the reason for returning a machine, or `None` if the machine is kept.
 fn reason_to_return(
     machine: &Machine,
     is_stuck: bool,
@@ -321,32 +326,32 @@
     now: Micros,
 ) -> Option<&'static str> {
     if is_stuck {
-        return Some("it does not boot");
+        return Some("boot timed out");
     }
     let lifecycle = &machine.lifecycle;
     if !lifecycle.is_up {
         return None;
     }
-    // The lease has expired, so nothing is lost with a machine that stays silent.
+    // The lease has expired, so no work is lost by returning a machine that sends no heartbeats.
     if now > machine.worker.last_answered_at + lease_expiry {
-        return Some("it is silent");
+        return Some("no heartbeat for a whole lease");
     }
     let mut attempts = machine.attempts.values();
     if attempts.any(|attempt| attempt.holds_capacity) {
         return None;
     }
     if lifecycle.quarantined {
-        Some("it is faulty")
+        Some("quarantined")
     } else if lifecycle.draining {
-        Some("its work has been moved")
+        Some("drained")
     } else if lifecycle.preemption_notice {
-        Some("the cloud takes it back")
+        Some("preemption notice")
     } else {
         None
     }
 }
 
-/// Whether a machine runs nothing, is reserved for nothing and is in no plan.
+/// Whether a machine is up and has no attempts, no active reservation and no planned work.
 fn is_idle(machine: &Machine, now: Micros) -> bool {
     machine.lifecycle.is_up
         && !machine.lifecycle.deleting
@@ -355,7 +360,7 @@
         && now >= machine.placement.planned_work_until
 }
 
-/// How long a machine may take to boot before it is given up.
+/// Maximum boot time after which a machine is given up, for a usual boot time of `boot_time`.
 pub fn max_boot_time(boot_time: Micros) -> Micros {
     3 * boot_time + 20 * SECOND
 }
--- a/crates/gannethub-core/src/scheduling/capacity_timeline.rs
+++ b/crates/gannethub-core/src/scheduling/capacity_timeline.rs
@@ -1,7 +1,8 @@
-//! When and where there will be capacity for tasks of a shape, and the choice of the earliest that a gang can use together.
+//! Timelines of future capacity for tasks of a shape, and the choice of the earliest capacity that a gang can use
+//! together.
 //!
-//! Gangs with the same constraints look for the same capacity, so a timeline is worked out once for all of them, and each
-//! takes out of it what is reserved for it.
+//! Gangs with the same constraints look for the same capacity, so one timeline is computed for all of them, and each
+//! gang removes the capacity reserved for it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,10 +12,10 @@
 use crate::state::cluster::Cluster;
 use crate::state::machine::Machine;
 
-/// Tasks of a gang that are looked for on one machine.
+/// Maximum number of a gang's tasks for which capacity is sought on one machine.
 pub(super) const MAX_TASKS_PER_MACHINE: i64 = 4096;
 
-/// Jobs with the same constraints look for the same capacity.
+/// Constraints that decide where a job finds capacity. Jobs with equal constraints share a timeline.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(super) struct PlacementConstraints {
     resources: Resources,
@@ -34,56 +35,56 @@
     }
 }
 
-/// Capacity for one task. The order is that of time.
+/// Capacity for one task, ordered by time.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct TaskCapacity {
-    /// When it will be there; for capacity that preemption makes, the work that is lost with it.
+    /// Time at which the capacity is expected; for capacity freed by preemption, the work lost instead.
     pub at: Micros,
     pub machine: MachineId,
 }
 
-/// Capacity for tasks of a shape, by zone, the earliest first.
+/// Capacity for tasks of a shape by zone, the earliest first.
 #[derive(Debug, Default)]
 pub(super) struct CapacityTimeline {
     zones: BTreeMap<Arc<str>, VecDeque<TaskCapacity>>,
 }
 
-/// Capacity that a gang may use, with its position in its zone's list.
+/// Capacity that a gang may use, with its position in the zone's list.
 #[derive(Clone)]
 struct IndexedCapacity {
     capacity: TaskCapacity,
     position: usize,
 }
 
-/// What a gang may use of a zone, the earliest first.
+/// Capacity that a gang may use in a zone, the earliest first.
 struct ZoneCandidates {
     zone: Arc<str>,
     candidates: VecDeque<IndexedCapacity>,
 }
 
-/// The capacity that was chosen for a gang.
+/// Capacity chosen for a gang.
 #[derive(Debug)]
 pub(super) struct ChosenCapacity {
-    /// How many tasks each machine is to take.
+    /// Number of tasks for each machine.
     pub tasks_by_machine: BTreeMap<MachineId, i64>,
-    /// When the last task will have capacity.
+    /// Time at which the last task will have capacity.
     pub complete_at: Micros,
 }
 
 impl ChosenCapacity {
-    /// For how many tasks capacity was found.
+    /// Returns the number of tasks for which capacity was found.
     pub fn tasks(&self) -> i64 {
         self.tasks_by_machine.values().sum()
     }
 }
 
 impl CapacityTimeline {
-    /// The list of a zone. After the last entry was added, [`CapacityTimeline::sort`] has to be called.
+    /// Returns the list of a zone. [`CapacityTimeline::sort`] must be called after the last entry was added.
     pub fn zone_mut(&mut self, zone: &Arc<str>) -> &mut VecDeque<TaskCapacity> {
         self.zones.entry(zone.clone()).or_default()
     }
 
-    /// Puts the entries of each zone in the order of time.
+    /// Sorts the entries of each zone by time.
     pub fn sort(&mut self) {
         for list in self.zones.values_mut() {
             list.make_contiguous().sort_unstable();
@@ -92,7 +93,7 @@
 }
 
 impl Cluster {
-    /// When and where there will be capacity for tasks like this job's, as attempts end and machines boot.
+    /// Builds the timeline of capacity for tasks of this job's shape, as attempts end and machines boot.
     pub(super) fn capacity_timeline(&self, spec: &JobSpec, now: Micros) -> CapacityTimeline {
         let mut timeline = CapacityTimeline::default();
         for bucket in self.eligible_buckets(spec) {
@@ -114,13 +115,13 @@
         timeline
     }
 
-    /// Counts what looking at a machine and its attempts costs.
+    /// Counts the scheduling steps for examining a machine and its attempts.
     pub(super) fn count_machine_steps(&self, machine: &Machine) {
         self.passes.add_steps(1 + machine.attempts.len() as u64 / 4);
     }
 
-    /// Takes the earliest capacity out of a timeline that a job's zone constraints let it use together. `None` if no zone has
-    /// enough for a job that has to be in one.
+    /// Removes the earliest capacity that the job's zone constraints let it use together from a timeline. Returns
+    /// `None` if the job must be in a single zone and no zone has enough capacity.
     pub(super) fn choose_earliest_capacity(
         &self,
         timeline: &mut CapacityTimeline,
@@ -146,7 +147,7 @@
             *tasks_by_machine.entry(next.capacity.machine).or_default() += 1;
             taken.push((zone, next.position));
         }
-        // Of each zone the later positions are removed first, so that the others stay valid.
+        // Later positions of a zone are removed first, so that the earlier positions stay valid.
         for (zone, position) in taken.into_iter().rev() {
             if let Some(list) = timeline.zones.get_mut(&zone) {
                 list.remove(position);
@@ -158,8 +159,8 @@
         })
     }
 
-    /// Of each zone that a job may use, the earliest capacity for up to `tasks` tasks. What is reserved for jobs that the pass
-    /// has come to already is dropped from the timeline.
+    /// Returns, for each zone that a job may use, the earliest capacity for up to `tasks` tasks. Capacity on machines
+    /// reserved for jobs earlier in this pass is removed from the timeline.
     fn zone_candidates(
         &self,
         timeline: &mut CapacityTimeline,
@@ -203,8 +204,9 @@
             .collect()
     }
 
-    /// Whether a machine is reserved for a job that this pass has come to before. What is reserved for a job further down the
-    /// queue can be had: else each of two gangs may long hold a machine that is ready beside one that is not.
+    /// Whether a machine is reserved for a job that this pass has visited before. A machine reserved for a job
+    /// further down the queue may be taken: otherwise each of two gangs could hold a ready machine for a long time
+    /// while it waits for another machine.
     fn is_reserved_ahead_of(&self, machine: &Machine, job: &JobId, now: Micros) -> bool {
         let reservation = machine.active_reservation(now);
         reservation
@@ -213,7 +215,7 @@
             .is_some_and(|other| other.scheduling.last_queued_pass == self.passes.count)
     }
 
-    /// When a machine will have capacity for the first, the second, ... of a job's tasks.
+    /// Returns the times at which a machine will have capacity for the first, the second, ... of a job's tasks.
     fn capacity_times(&self, machine: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
         let max_tasks = spec
             .resources
@@ -254,7 +256,7 @@
     }
 }
 
-/// The zone that has capacity for all tasks first.
+/// Returns the zone that has capacity for all tasks first.
 fn first_complete_zone(candidates: &[ZoneCandidates], tasks: usize) -> Option<Arc<str>> {
     let complete = candidates
         .iter()
@@ -266,7 +268,7 @@
         .map(|zone| zone.zone.clone())
 }
 
-/// Takes the earliest capacity of all zones in which the job may have another task.
+/// Removes and returns the earliest capacity among the zones that the job's constraints allow for one more task.
 fn pop_earliest(
     candidates: &mut [ZoneCandidates],
     spec: &JobSpec,
--- a/crates/gannethub-core/src/scheduling/consolidation.rs
+++ b/crates/gannethub-core/src/scheduling/consolidation.rs
@@ -1,5 +1,5 @@
-//! Consolidation: long tasks that save checkpoints are moved together when no job waits for capacity, so that a machine which
-//! a few of them would hold for long can be returned.
+//! Consolidation: while no job waits for capacity, long tasks that save checkpoints are moved together, so that a
+//! machine which a few of them would occupy for a long time can be returned.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
-/// How often machines are looked for that could be emptied.
+/// Interval between searches for machines that could be emptied.
 const CONSOLIDATION_INTERVAL: Micros = 3 * SECOND;
 
-/// One in so many of the machines that could be emptied is, at a time.
+/// One in this many of the machines that could be emptied is emptied at a time, rounded up.
 const CONSOLIDATION_FRACTION: usize = 8;
 
-/// A task that has run for less is left alone.
+/// Tasks that have run for less than this time are not moved.
 const MIN_RUN_TIME_BEFORE_MOVE: Micros = 35 * SECOND;
 
-/// What a move takes beside saving and fetching the image: heartbeats on both sides.
+/// Time that a move takes in addition to saving and fetching the image: heartbeats on both machines.
 const MOVE_OVERHEAD: Micros = 5 * SECOND;
 
-/// A task is moved only if it would still run so many times as long as the move takes.
+/// A task is moved only if its remaining run time exceeds this many times the duration of the move.
 const MIN_GAIN_FACTOR: Micros = 4;
 
-/// Machines that are looked at to find one for a task that is to be moved.
+/// Maximum number of machines examined to find a host for one task.
 const MAX_HOSTS_EXAMINED: usize = 50;
 
-/// Free capacity of machines that stay, by machine and by free CPU.
+/// Free capacity of machines that are not emptied, by machine and by free CPU.
 #[derive(Default)]
 struct SpareCapacity {
     free: HashMap<MachineId, Resources>,
@@ -48,29 +48,30 @@
         Some(free)
     }
 
-    /// Gives back what was taken for a task.
+    /// Returns the capacity that was taken for a task.
     fn release(&mut self, host: Host) {
         let free = self.remove(&host.machine).unwrap_or_default();
         self.insert(host.machine, free - host.taken.scaled_by(-1));
     }
 }
 
-/// A machine that could be emptied.
+/// A machine whose tasks could all be moved.
 struct MovableMachine {
-    /// What the capacity that its tasks use costs: what is saved for the work that is moved.
+    /// Price of the machine for each thousandth of a CPU in use: the saving for each unit of moved work.
     price_per_used_cpu: f64,
     machine: MachineId,
     tasks: Vec<TaskId>,
 }
 
-/// Capacity that was taken for a task that is to be moved.
+/// Capacity on a machine, taken for a task that is to be moved.
 struct Host {
     machine: MachineId,
     taken: Resources,
 }
 
 impl Cluster {
-    /// Empties machines whose tasks all have long to run and fit elsewhere, if no job waits for capacity.
+    /// Starts to empty machines whose tasks all have a long remaining run time and fit elsewhere, if no job waits for
+    /// capacity.
     pub(super) fn consolidate(&mut self, now: Micros) {
         if now < self.fleet.next_move_at {
             return;
@@ -87,7 +88,7 @@
         let (mut spare, movable) = self.movable_machines(now);
         for machine in self.choose_machines_to_empty(movable, &mut spare, now) {
             let tasks = &machine.tasks;
-            tracing::info!(machine = %machine.machine, tasks = tasks.len(), "moving its work elsewhere");
+            tracing::info!(machine = %machine.machine, tasks = tasks.len(), "draining machine for consolidation");
             if let Some(state) = self.machines.get_mut(&machine.machine) {
                 state.lifecycle.draining = true;
             }
@@ -97,7 +98,8 @@
         }
     }
 
-    /// The machines that could be emptied, those that save most first, and the free capacity of all that run tasks.
+    /// Returns the free capacity of all machines that run tasks, and the machines that could be emptied, in order of
+    /// decreasing saving.
     fn movable_machines(&self, now: Micros) -> (SpareCapacity, Vec<MovableMachine>) {
         let mut spare = SpareCapacity::default();
         let mut movable = Vec::new();
@@ -149,11 +151,11 @@
             if chosen.len() >= max_machines {
                 break;
             }
-            // One that others are moved to stays.
+            // A machine that receives moved tasks is not emptied.
             if hosts.contains(&machine.machine) {
                 continue;
             }
-            let own = spare.remove(&machine.machine);
+            let own_free = spare.remove(&machine.machine);
             let found: Vec<Host> = machine
                 .tasks
                 .iter()
@@ -167,14 +169,14 @@
             for host in found {
                 spare.release(host);
             }
-            if let Some(free) = own {
+            if let Some(free) = own_free {
                 spare.insert(machine.machine, free);
             }
         }
         chosen
     }
 
-    /// Takes capacity for a task that is to be moved, where the least is left over.
+    /// Takes capacity for a task that is to be moved, on the machine with the least sufficient free CPU.
     fn take_host(&self, task: &TaskId, spare: &mut SpareCapacity, now: Micros) -> Option<Host> {
         let spec = &self.jobs.get(&task.job)?.spec;
         let can_take = |id: &MachineId| {
@@ -202,8 +204,7 @@
         })
     }
 
-    /// Whether stopping a task here and continuing it elsewhere costs little against the time that it still holds its
-    /// machine.
+    /// Whether the cost of moving a task is small against the time for which the task would still occupy its machine.
     fn is_worth_moving(
         &self,
         machine: &Machine,
--- a/crates/gannethub-core/src/scheduling/mod.rs
+++ b/crates/gannethub-core/src/scheduling/mod.rs
@@ -1,25 +1,26 @@
-//! Scheduling: what runs where, in which order, and how many machines there are.
+//! Scheduling: which tasks run on which machines, in which order, and how many machines are provisioned.
 //!
-//! The modules are methods of [`Cluster`](crate::state::cluster::Cluster) by concern. They read the state and write their
-//! choices into it through a few methods (`place_task`, `reserve`, `preempt`), each on top of those before it in a pass. They
-//! never talk to the outside: `reconcile` takes in what happens and calls them, and
-//! `controller` says when a pass or a plan is due.
+//! The modules add methods to [`Cluster`](crate::state::cluster::Cluster), grouped by concern. The methods read the
+//! state and record their decisions in it through a few methods (`place_task`, `reserve`, `preempt`), so each
+//! decision of a pass builds on the decisions before it. Scheduling code never talks to other processes: `reconcile`
+//! applies incoming events and calls these methods, and `controller` decides when a pass or a plan is due.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`pass`] | when a pass is made, and the pass over the queue |
+//! | [`pass`] | when a scheduling pass runs, and the pass over the queue |
 //! | [`queue_order`] | the order in which jobs are served |
-//! | [`limits`] | what teams may use |
+//! | [`limits`] | teams' limits and the remaining quota |
 //! | [`placement`], [`zones`] | first-fit placement of arrays and services under placement constraints |
-//! | [`gang`], [`capacity_timeline`] | gang scheduling: all tasks at once, or capacity is gathered |
-//! | [`preemption`] | capacity is made by stopping work that matters less |
+//! | [`gang`], [`capacity_timeline`] | gang scheduling: all tasks of a gang start at once, or capacity is gathered
+//! for them |
+//! | [`preemption`] | freeing capacity by stopping less important work |
 //! | [`estimates`] | run times, deadlines, prices, boot times |
 //! | [`downstream_demand`] | priorities and deadlines that upstream jobs inherit from the jobs that wait for them |
 //! | [`failure_tracking`] | crash-looping jobs and faulty machines |
-//! | [`failover`] | what may be placed before all machines are confirmed, and launch watermarks |
+//! | [`failover`] | placement before all machines are confirmed, and launch watermarks |
 //! | [`autoscaler`], [`provisioning_plan`], [`forecast`], [`consolidation`] | scale out and in |
-//! | [`fleet_summary`] | log lines that sum up the fleet |
-//! | [`quota_partition`] | limits, machines and jobs divided among shards |
+//! | [`fleet_summary`] | log lines that summarise the fleet |
+//! | [`quota_partition`] | division of limits, machines and jobs among shards |
 
 pub mod autoscaler;
 mod capacity_timeline;
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -206,7 +206,7 @@
                 if !self.fleet.budget.try_take(0.0) {
                     return;
                 }
-                let call = self.rent(offer, count);
+                let call = self.begin_provisioning(offer, count);
                 if let CloudCall::Provision { name, .. } = &call {
                     let provisioning = &mut self.transfers.provisioning_for_shard;
                     provisioning.insert(name.clone(), shard);
