--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -31,9 +31,9 @@
 /// Value in seconds that stands for "never" where a policy input is the time since an event.
 const NEVER_S: f64 = 1e9;
 
-/// An unreachable zone is tried with one machine after this time.
+/// An unreachable zone is tried with one machine once this time has passed since it was last found silent.
 const UNREACHABLE_ZONE_RETRY: Micros = 30 * SECOND;
-/// Time for which a refused offer stays blocked unless a machine of the offer has gone in the meantime.
+/// Time for which a refused offer stays blocked while no machine of the offer has been returned or reclaimed.
 const REFUSAL_MEMORY: Micros = 120 * SECOND;
 
 impl Cluster {
@@ -119,8 +119,8 @@
     }
 
     /// Requests the machines that the plan wants: one request for each offer, then further requests, as far as the
-    /// cloud's request rate allows. The remainder cannot be left to the next plan, since the plans of a large cluster
-    /// are too far apart.
+    /// cloud's request rate allows. The rest is not left to the next plan, since the plans of a large cluster are too
+    /// far apart for that.
     fn scale_out(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
         let mut wanted = self.machines_wanted(now);
         while !wanted.is_empty() {
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Returns machines that never boot, that have sent no heartbeat for a whole lease, or that hold no work and are
-    /// quarantined, draining or under a preemption notice.
+    /// Marks machines for return that never boot, whose lease has expired, or that hold no work and are quarantined,
+    /// draining or under a preemption notice.
     fn return_unhealthy(&mut self, now: Micros) {
         let lease_expiry = self.lease_expiry_bound();
         let times = &mut self.fleet.provisioning_times;
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Returns machines whose idle time exceeds the policy's limit.
+    /// Marks machines for return whose idle time exceeds the policy's limit.
     fn scale_in(&mut self, now: Micros) {
         // Machines with the shortest idle time come first: each machine counts the machines before it as spares.
         let mut idle: Vec<(Micros, MachineId)> = self
@@ -259,8 +259,8 @@
             .machine_count(offer.machine_type, &offer.zone, offer.spot)
     }
 
-    /// Whether an offer was refused recently or its zone is unreachable. While the number of machines of the offer
-    /// has not dropped since the refusal, the cloud most likely still has none.
+    /// Whether an offer was refused recently or its zone is unreachable. While no machine of the offer has been
+    /// returned or reclaimed by the cloud since the refusal, the cloud most likely still has none.
     pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
         if let Some(unreachable_at) = self.zones.unreachable.get(&*offer.zone) {
             let may_retry = now >= unreachable_at + UNREACHABLE_ZONE_RETRY;
@@ -295,7 +295,7 @@
     let expected =
         type_index.map(|index| times.expected_boot_time(index, &machine.zone, usual_boot, now));
     let boot_time = usual_boot.max(expected.unwrap_or(0));
-    // A machine that boots in an unreachable zone is useless, but its minimum billed time is paid already.
+    // A machine that boots in an unreachable zone is useless, but its minimum billed time is charged anyway.
     let max_age = if is_zone_reachable {
         max_boot_time(boot_time)
     } else {
@@ -334,7 +334,7 @@
     }
     // The lease has expired, so no work is lost by returning a machine that sends no heartbeats.
     if now > machine.worker.last_answered_at + lease_expiry {
-        return Some("no heartbeat for a whole lease");
+        return Some("lease expired");
     }
     let mut attempts = machine.attempts.values();
     if attempts.any(|attempt| attempt.holds_capacity) {
@@ -360,7 +360,7 @@
         && now >= machine.placement.planned_work_until
 }
 
-/// Maximum boot time after which a machine is given up, for a usual boot time of `boot_time`.
+/// Returns the time after which a machine that does not boot is given up, for an expected boot time of `boot_time`.
 pub fn max_boot_time(boot_time: Micros) -> Micros {
     3 * boot_time + 20 * SECOND
 }
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -1,7 +1,8 @@
-//! What jobs that wait for others ask of their upstream jobs, and which of them will be released soon.
+//! Demand that waiting jobs place on their upstream jobs, and the releases expected soon.
 //!
-//! An upstream job inherits the highest priority of the jobs that wait for it, directly or through others, and the time that
-//! their final deadline leaves after what is still to run behind it.
+//! An upstream job inherits the highest priority of the jobs that wait for it, directly or through others. It also
+//! inherits a deadline: the final deadline of those jobs, less the time of all work that still has to run after the
+//! upstream job.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,25 +12,27 @@
 use crate::state::job::Job;
 use crate::state::pipeline::WaitingJob;
 
-/// How often demand is computed again after the dependencies have changed.
+/// Interval between computations of demand after the dependencies have changed, in microseconds.
 const RECOMPUTE_INTERVAL: Micros = 500_000;
 
-/// How often it is when nothing has changed but what is known of run times.
+/// Interval between computations of demand, in microseconds, when only the known run times may have changed.
 const MAX_RECOMPUTE_INTERVAL: Micros = 5_000_000;
 
-/// A `deadline` objective: the class that it is for, or all, and how many times the job's deadline it allows.
+/// A `deadline` objective: its job class (`None` for all classes), and the factor by which it multiplies a job's
+/// deadline.
 struct DeadlineObjective<'a> {
     class: Option<&'a str>,
     times: f64,
 }
 
-/// Combines what two jobs ask, objective by objective: the earlier deadline of each.
+/// Returns the earlier deadline of two, or the only one that is given.
 fn earliest(a: Option<Deadline>, b: Option<Deadline>) -> Option<Deadline> {
     [a, b].into_iter().flatten().reduce(Deadline::earliest)
 }
 
 impl Cluster {
-    /// Computes what waiting jobs ask of their upstream jobs, if that is due.
+    /// Computes the demand of waiting jobs on their upstream jobs, if the interval since the last computation has
+    /// passed.
     pub fn propagate_downstream_demand(&mut self, now: Micros) {
         let pipelines = &mut self.pipelines;
         let interval = if pipelines.dependencies_changed {
@@ -49,7 +52,7 @@
         }
     }
 
-    /// What is asked of each job that others wait for, those downstream first.
+    /// Returns the demand on each job that others wait for, downstream jobs first.
     fn downstream_demands(&self) -> Vec<(JobId, DownstreamDemand)> {
         let dependencies = &self.pipelines.dependencies;
         let objectives = self.deadline_objectives();
@@ -67,14 +70,14 @@
             let Some(waiting) = waiting.filter(|_| !dependencies.is_cancelled(id)) else {
                 continue;
             };
-            let asked = self.demand_on_upstream(waiting, demand.as_ref(), &objectives);
+            let own_demand = self.demand_on_upstream(waiting, demand.as_ref(), &objectives);
             for upstream in dependencies.saga.open_upstream(id) {
                 let Some(known) = demand_by_job.get_mut(upstream) else {
-                    demand_by_job.insert(upstream, asked.clone());
+                    demand_by_job.insert(upstream, own_demand.clone());
                     continue;
                 };
-                known.priority = known.priority.max(asked.priority);
-                for (deadline, other) in known.deadlines.iter_mut().zip(&asked.deadlines) {
+                known.priority = known.priority.max(own_demand.priority);
+                for (deadline, other) in known.deadlines.iter_mut().zip(&own_demand.deadlines) {
                     *deadline = earliest(*deadline, *other);
                 }
             }
@@ -93,8 +96,8 @@
             .collect()
     }
 
-    /// What a waiting job asks of its upstream jobs: for each objective its own deadline or that of what waits for it,
-    /// whichever comes first, less the time that it takes itself.
+    /// Returns the demand of a waiting job on its upstream jobs: for each objective the earlier of its own deadline
+    /// and the deadline that its downstream jobs demand, less the time that the job itself takes.
     fn demand_on_upstream(
         &self,
         waiting: &WaitingJob,
@@ -103,8 +106,8 @@
     ) -> DownstreamDemand {
         let spec = &waiting.spec;
         let own_deadline = |objective: &DeadlineObjective<'_>| {
-            let is_meant = objective.class.is_none_or(|class| *class == *spec.class);
-            let deadline = spec.deadline.filter(|_| is_meant)?;
+            let applies = objective.class.is_none_or(|class| *class == *spec.class);
+            let deadline = spec.deadline.filter(|_| applies)?;
             let due_at = waiting.accepted_at + (deadline as f64 * objective.times) as Micros;
             Some(Deadline {
                 target: due_at,
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Drops the demand on jobs that nothing waits for any more.
+    /// Clears the demand on jobs for which no job waits any more.
     fn drop_stale_demand(&mut self, demands: &[(JobId, DownstreamDemand)]) {
         let current: BTreeSet<&JobId> = demands.iter().map(|(id, _)| id).collect();
         for id in std::mem::take(&mut self.pipelines.jobs_with_demand) {
@@ -148,7 +151,7 @@
             deadlines.any(|deadline| deadline.latest < self.unix_time)
         };
         if is_too_late(&demand) && !before.is_some_and(is_too_late) {
-            tracing::info!(job = %id, "too late for the final deadline");
+            tracing::info!(job = %id, "job can no longer meet the final deadline");
         }
         if let Some(job) = self.jobs.get_mut(&id) {
             job.scheduling.downstream_demand = Some(demand);
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Waiting jobs that are expected to be released by `until`, and when, the first one first.
+    /// Returns the waiting jobs expected to be released by `until`, with the times of their releases, the earliest
+    /// first.
     pub fn upcoming_releases(
         &self,
         now: Micros,
@@ -169,7 +173,7 @@
             return Vec::new();
         }
         let dependencies = &pipelines.dependencies;
-        // When each job is expected to end, those upstream first.
+        // Expected end of each job; upstream jobs are visited first.
         let mut ends: HashMap<&JobId, Micros> = HashMap::new();
         let mut releases = Vec::new();
         for id in dependencies.downstream_first().into_iter().rev() {
@@ -199,7 +203,7 @@
         releases
     }
 
-    /// When a job is expected to end at the earliest.
+    /// Returns the earliest expected end of a job.
     pub(crate) fn expected_job_end(&self, job: &Job, now: Micros) -> Micros {
         let ends = job.tasks.live_attempts.keys().map(|index| {
             let task = TaskId {
@@ -217,9 +221,10 @@
         }
     }
 
-    /// What a job takes from its release to its end, if it finds capacity: the heartbeats with which workers are told and
-    /// tell, the image, and its tasks at their expected time and a quarter more. At least: a part of that time, with the
-    /// image there.
+    /// Returns the time that a job takes from its release to its end, if it finds capacity. The expected time
+    /// consists of two heartbeat intervals, in which the workers get the launches and report the ends, the fetch of
+    /// the image, and the expected run time of its tasks plus a quarter. The minimum is one heartbeat interval and
+    /// three quarters of the expected run time, with the image already on the machine.
     pub(crate) fn stage_time(&self, spec: &JobSpec) -> StageDuration {
         let heartbeats = 2 * self.settings.heartbeat_interval;
         let run_time = self.run_time(spec);
@@ -229,7 +234,8 @@
         }
     }
 
-    /// [`Cluster::stage_time`] from the start of the job's tasks.
+    /// Returns the part of [`Cluster::stage_time`] after the launch has reached the workers: the fetch of the image
+    /// and the run.
     pub fn run_time(&self, spec: &JobSpec) -> StageDuration {
         let expected_run = self.expected_run(spec);
         StageDuration {
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -1,6 +1,6 @@
-//! Estimates that scheduling decisions rest on: run times, deadlines, prices, and when machines and attempts are ready.
+//! Estimates for scheduling decisions: run times, deadlines, prices, boot times of machines and ends of attempts.
 //!
-//! Nothing here changes any state.
+//! No function of this module changes any state.
 
 use crate::model::{
     JobSpec, Micros, Priority, SECOND, Shape, TaskId, micros_from_seconds, seconds_from_micros,
@@ -12,21 +12,21 @@
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
-/// A machine that is overdue to boot is expected no sooner than this from now.
+/// Minimum remaining boot time that is assumed for a machine whose boot is overdue.
 const MIN_OVERDUE_BOOT: Micros = 2 * SECOND;
 
-/// When a job was accepted and when it was, or will be, released, as times of day.
+/// Times of day at which a job was accepted and at which it was, or will be, released.
 #[derive(Clone, Copy, Debug)]
 pub struct JobTimes {
-    /// `deadline` objectives count from here.
+    /// Start of the time limits of `deadline` objectives.
     pub accepted_at: u64,
-    /// All other objectives count from here.
+    /// Start of the time limits of all other objectives.
     pub ready_at: u64,
 }
 
 impl Cluster {
-    /// What a policy expression may know of a job, in the order of [`JOB_FIELDS`](crate::policy::JOB_FIELDS).
-    /// `latest_start` is what [`Cluster::latest_start`] says of it.
+    /// Returns the values that a policy expression may read of a job, in the order of
+    /// [`JOB_FIELDS`](crate::policy::JOB_FIELDS). `latest_start` is the job's [`Cluster::latest_start`].
     pub fn policy_inputs<'a>(
         &self,
         job: &'a Job,
@@ -54,14 +54,15 @@
         ]
     }
 
-    /// How long one of the job's tasks is expected to run: its user's estimate, corrected by what tasks of its class have
-    /// shown.
+    /// Expected run time of one of the job's tasks: the user's estimate, corrected by the measured run times of tasks
+    /// of the same class.
     pub fn expected_run(&self, spec: &JobSpec) -> Micros {
         let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
         (spec.run_time_estimate as f64 * ratio) as Micros
     }
 
-    /// How long a machine that does not have the job's image takes to fetch it.
+    /// Time to fetch the job's image on a machine that does not have it, at the rate of the slowest machine type that
+    /// fits a task.
     pub fn fetch_time(&self, spec: &JobSpec) -> Micros {
         let large_enough = self
             .machine_types
@@ -73,8 +74,8 @@
         micros_from_seconds(spec.image_size_gb / slowest)
     }
 
-    /// The time of day by which the job's tasks have to start to meet the next objective that can still be met; `None` if
-    /// none can.
+    /// Returns the time of day by which the job's tasks have to start to meet the earliest objective that can still
+    /// be met, or `None` if none can.
     pub fn latest_start(&self, job: &Job, within_guarantee: bool) -> Option<u64> {
         let times = JobTimes {
             accepted_at: job.accepted_at,
@@ -84,7 +85,7 @@
         self.latest_start_for(&job.spec, times, demand, within_guarantee)
     }
 
-    /// [`Cluster::latest_start`] for a job that was accepted and is released at these times of day.
+    /// Returns [`Cluster::latest_start`] for a job with these times of acceptance and release.
     pub fn latest_start_for(
         &self,
         spec: &JobSpec,
@@ -92,7 +93,7 @@
         demand: Option<&DownstreamDemand>,
         within_guarantee: bool,
     ) -> Option<u64> {
-        // Run times vary: a quarter more is allowed for.
+        // Run times vary, so a quarter more is allowed for.
         let run_time = self.expected_run(spec) * 5 / 4;
         let fetch_time = self.fetch_time(spec);
         let own = self.settings.objectives.iter().filter_map(|objective| {
@@ -117,7 +118,7 @@
         let own = own
             .map(|start| start.saturating_sub(fetch_time))
             .filter(|start| *start >= self.unix_time);
-        // What waits for this job has to be in time as well.
+        // Downstream jobs have to meet their deadlines as well.
         let stage = self.run_time(spec);
         let downstream = demand
             .iter()
@@ -127,13 +128,13 @@
         own.chain(downstream).min()
     }
 
-    /// The time that the job's remaining work takes when its team uses all that its limit allows.
+    /// Time that the job's remaining work takes when its team uses its whole limit.
     fn remaining_work_at_quota(&self, job: &Job) -> Micros {
         let Some(team) = job.team else { return 0 };
         let limit = &self.settings.teams[team].limit;
         let total = &self.total_capacity;
         let need = &job.spec.resources;
-        // No team can use more than there is.
+        // No team can use more than the total capacity.
         let fraction = |need: i64, limit: i64, total: i64| {
             need as f64 / limit.min(total.max(need)).max(1) as f64
         };
@@ -143,14 +144,15 @@
         (remaining_tasks * cpu.max(gpu) * self.expected_run(&job.spec) as f64) as Micros
     }
 
-    /// What a thousandth of a CPU of such a machine costs an hour.
+    /// Price of a thousandth of a CPU for an hour on machines of this type and market.
     pub fn price_per_millicpu(&self, machine_type: usize, spot: bool) -> f64 {
         let machine_type = &self.machine_types[machine_type];
         machine_type.price_of(spot) / machine_type.size.cpu.max(1) as f64
     }
 
-    /// When a booting machine is expected to be up. One that is overdue is expected to take as long again as it is late;
-    /// after twice the expected time, or in an unreachable zone, it is no longer counted on.
+    /// Returns the time at which a booting machine is expected to be up. The remaining boot time of an overdue
+    /// machine is assumed to equal the time by which it is late. A machine is no longer expected after twice its
+    /// expected boot time, or in an unreachable zone.
     pub fn expected_up_at(&self, machine: &Machine, now: Micros) -> Option<Micros> {
         if self.zones.unreachable.contains_key(&machine.zone) {
             return None;
@@ -165,7 +167,7 @@
             .then(|| expected_at.max(now + overdue.max(MIN_OVERDUE_BOOT)))
     }
 
-    /// When an attempt is expected to end.
+    /// Returns the expected end of an attempt.
     pub fn expected_end(&self, task: &TaskId, attempt: &Attempt, now: Micros) -> Micros {
         let Some(job) = self.jobs.get(&task.job) else {
             return now;
@@ -176,12 +178,12 @@
         let saved = job.tasks.saved_progress.get(&task.index).copied();
         let progress = running_time(attempt, now) + saved.unwrap_or(0);
         let remaining = self.expected_run(&job.spec).saturating_sub(progress);
-        // What runs longer than expected is expected to run for a while yet.
+        // An attempt that has run for longer than expected is assumed to run for another quarter of its run time.
         now + remaining.max(progress / 4)
     }
 }
 
-/// How long an attempt has been running; 0 for one that has not begun or is saving.
+/// Returns the time for which an attempt has been running: 0 for an attempt that has not begun to run or is saving.
 pub(super) fn running_time(attempt: &Attempt, now: Micros) -> Micros {
     match attempt.phase {
         AttemptPhase::Running => now.saturating_sub(attempt.phase_since),
@@ -189,7 +191,7 @@
     }
 }
 
-/// The name by which policies know a priority.
+/// Returns the name of a priority in policies.
 fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::Low => "low",
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -1,13 +1,14 @@
-//! What a new leader may decide before it knows all machines, and the launch watermarks that let it.
+//! Placement by a new leader before it knows the state of all machines, and the launch watermarks that make this
+//! safe.
 //!
-//! A machine that has sent a heartbeat with this term's fencing token has told all that it holds, so it may be placed on at
-//! once. Every other machine in the shard's record counts as holding the most that it can: a task that an earlier leader may
-//! have launched on it is unconfirmed, is not started elsewhere, and counts against its team's limit. Which tasks these are,
-//! the jobs' launch watermarks say
-//! ([`JobRecord::watermark`](crate::wire::store::JobRecord::watermark)): a task at or above its job's watermark
-//! is on no machine, since the watermark is raised, durably and under the guard of the leader's key, before a launch goes out.
-//! Watermarks are raised ahead of what is about to be launched, so that launches seldom wait for them, and together with
-//! completions, so that they seldom cost a change of their own.
+//! A machine that has sent a heartbeat with this term's fencing token has reported all that it holds, so tasks may be
+//! placed on it at once. Every other machine in the shard's record counts as holding as much as it can: a task that
+//! an earlier leader may have launched on it is unconfirmed, is not started elsewhere, and counts against its team's
+//! limit. The jobs' launch watermarks ([`JobRecord::watermark`](crate::wire::store::JobRecord::watermark)) tell which
+//! tasks these are: a task at or above its job's watermark is on no machine, since the watermark is raised, durably
+//! and under the guard of the leader's key, before a launch is sent. Watermarks are raised ahead of the next
+//! launches, so that launches seldom wait for them, and together with completions, so that they seldom cost a
+//! separate change in the state service.
 
 use std::collections::BTreeMap;
 
@@ -16,24 +17,27 @@
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 
-/// Watermarks are at least so many tasks ahead of what is launched, and one for so many machines, which may all have capacity
-/// in the same moment; and more where more is launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
+/// Minimum number of tasks by which watermarks are ahead of the launches. The lead is larger when more tasks are
+/// launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
 const MIN_WATERMARK_LEAD: usize = 32;
+/// The lead is also at least one task for this many machines, since all machines may have capacity at the same moment.
 const MACHINES_PER_WATERMARK_STEP: usize = 4;
 
-/// After a failover every worker that reaches a controller has sent a heartbeat within its interval, a quarter more and this.
+/// Time after the failover, added to one and a quarter heartbeat intervals, within which every worker that reaches a
+/// controller has sent a heartbeat.
 const HEARTBEAT_DELAY: Micros = 2 * SECOND;
 
-/// Machines that are not confirmed yet.
+/// Machines that have not confirmed this leader's term yet.
 #[derive(Default)]
 struct UnconfirmedMachines {
-    /// How many there are of each kind; `None` for a type that is not known.
+    /// Number of unconfirmed machines of each kind; `None` for machines of unknown type.
     by_kind: BTreeMap<Option<MachineKind>, i64>,
     capacity: Resources,
 }
 
 impl Cluster {
-    /// How many tasks of a job unconfirmed machines can hold: only those that the job may run on and that are large enough.
+    /// Returns the number of tasks of a job that unconfirmed machines can hold: only machines count that the job may
+    /// use and that are large enough.
     fn max_unconfirmed_tasks(&self, spec: &JobSpec) -> i64 {
         let tasks_on = |kind: &Option<MachineKind>| match kind {
             Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
@@ -49,8 +53,8 @@
             .fold(0, i64::saturating_add)
     }
 
-    /// Reviews what is unconfirmed, as machines have been heard or are known to hold nothing. Returns how many machines may
-    /// still hold something.
+    /// Updates the unconfirmed tasks and their possible usage, as machines have sent heartbeats or are known to hold
+    /// nothing. Returns the number of machines that may still hold unconfirmed tasks.
     pub fn review_unconfirmed(&mut self, now: Micros) -> usize {
         let machines = self.unconfirmed_machines(now);
         let count = machines.by_kind.values().sum::<i64>() as usize;
@@ -61,7 +65,8 @@
         let jobs = self.jobs.values();
         for job in jobs.filter(|job| !job.tasks.unconfirmed.is_empty()) {
             self.passes.add_steps(1);
-            // As it was submitted: what policy forbids now, another leader may have allowed.
+            // The submitted spec counts: an earlier leader may have launched the job on machines that policy excludes
+            // now.
             let spec = &job.submitted_spec;
             let max_tasks = self.max_unconfirmed_tasks(spec);
             if max_tasks == 0 {
@@ -103,7 +108,7 @@
         unconfirmed
     }
 
-    /// Raises watermarks ahead of what is to be launched next, in the order of the last pass.
+    /// Raises watermarks ahead of the next launches, in the order of the last pass.
     pub fn raise_watermarks_ahead(&mut self, now: Micros) {
         self.watermarks.launch_rate.measure(now);
         let mut lead = MIN_WATERMARK_LEAD
@@ -135,14 +140,15 @@
         }
     }
 
-    /// Whether every worker that reaches a controller has had the time to send a heartbeat to this leader: what is silent now
-    /// may stay so for a lease, and gives no capacity that can be planned with.
+    /// Whether every worker that reaches a controller has had the time to send a heartbeat to this leader. A machine
+    /// that has not sent one by then may stay silent for a whole lease and offers no capacity that can be planned
+    /// with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
         now > self.takeover.at + self.settings.heartbeat_interval * 5 / 4 + HEARTBEAT_DELAY
     }
 
-    /// Whether all that may be on a machine is below its watermark, as the state service holds it: then a successor can go by
-    /// the watermarks.
+    /// Whether every task that may be on a machine is below its job's watermark as stored in the state service, so
+    /// that a successor can rely on the watermarks.
     pub fn watermarks_cover_all_launches(&self) -> bool {
         let is_covered = |job: &Job| {
             let persistence = &job.persistence;
@@ -152,8 +158,8 @@
     }
 }
 
-/// The watermark that covers the next `wanted` tasks of a job. `None` if the present one covers more than half of them: so
-/// each job's watermark is raised seldom, and by much.
+/// Returns the watermark that covers the next `wanted` tasks of a job, or `None` if the present watermark covers more
+/// than half of them. Each job's watermark is therefore raised seldom, and by a large step.
 fn watermark_to_request(job: &Job, wanted: usize) -> Option<u32> {
     let pending = &job.tasks.pending;
     let covered = pending.slice(0, job.persistence.requested_watermark).len() as usize;
--- a/crates/gannethub-core/src/scheduling/failure_tracking.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -1,11 +1,11 @@
-//! Failure tracking: whether a task's error is its machine's fault or its job's.
+//! Failure tracking: attribution of a task's error to its machine or to its job.
 //!
-//! Mostly a machine is faulty; but a job submitted with a mistake fails on every machine until its user cancels it. Evidence
-//! is weighed both ways. A job that has failed on several machines and never got anything done is *crash-looping*: one task
-//! of it is probed now and then, more and more rarely, on capacity that is there; nothing is reserved or preempted for it, it
-//! claims no guarantee, and no machine is blamed for it. The first task that is done clears it, and then the machines it
-//! failed on are looked at again. A machine is quarantined when a job that does well elsewhere fails on it twice, or when
-//! several jobs do that are not crash-looping.
+//! In most cases the machine is faulty, but a job submitted with a mistake fails on every machine until its user
+//! cancels it. Evidence is weighed both ways. A job that has failed on several machines and has never succeeded is
+//! *crash-looping*: one task of the job is probed at growing intervals on free capacity; no capacity is reserved or
+//! preempted for the job, it claims no guarantee, and no machine is blamed for its failures. The first finished task
+//! clears the job, and then the machines on which it failed are reviewed again. A machine is quarantined when a job
+//! that succeeds elsewhere fails on it twice, or when several jobs that are not crash-looping fail on it.
 
 use crate::model::{JobId, MachineId, Micros, SECOND, Shape, TaskId};
 use crate::state::attempt::AttemptPhase;
@@ -13,22 +13,25 @@
 use crate::state::failure_tracking::FailureTracking;
 use crate::state::job::Job;
 
-/// Replicas never end; one that has run for this long has done well.
+/// The tasks of a service never end; one that has run for this time counts as a success.
 const HEALTHY_AFTER: Micros = 10 * SECOND;
 
-/// The time until a failed task is tried again, doubled with each of its failures, up to so many doublings.
+/// Delay before a failed task is started again, doubled with each failure of the task.
 const FIRST_TASK_BACKOFF: Micros = 2 * SECOND;
+/// Maximum number of doublings of the delay of a task.
 const MAX_TASK_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// The time between probes of a crash-looping job, doubled with each, up to so many doublings: about every two minutes.
+/// Delay before the next probe of a crash-looping job, doubled with each failed probe: about two minutes at most.
 const FIRST_PROBE_DELAY: Micros = 4 * SECOND;
+/// Maximum number of doublings of the delay between probes.
 const MAX_PROBE_DOUBLINGS: u32 = 5;
 
-/// Failures of one job that does well elsewhere, or of so many jobs, after which a machine is quarantined.
+/// Number of failures of one job that succeeds elsewhere, or number of failing jobs, after which a machine is
+/// quarantined.
 const FAILURES_TO_QUARANTINE: usize = 2;
 
 impl Cluster {
-    /// Whether something of the job has gone well on some machine.
+    /// Whether a task of the job is done or, for a service, has run long enough on some machine.
     fn has_succeeded(&self, job: &Job, now: Micros) -> bool {
         let is_healthy = |index: &u32| {
             let task = TaskId {
@@ -44,7 +47,7 @@
         !job.tasks.done.is_empty() || (is_service && job.tasks.live_attempts.keys().any(is_healthy))
     }
 
-    /// A task ended with an error on a machine.
+    /// Records that a task ended with an error on a machine.
     pub fn record_task_failure(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -64,8 +67,8 @@
             record_failed_probe(job, now);
             if !was_crash_looping {
                 let machines = job.failure_tracking.failed_machines.len();
-                tracing::info!(job = %task.job, machines, "the job fails wherever it runs");
-                // A successor need not find out again.
+                tracing::info!(job = %task.job, machines, "job is crash-looping");
+                // The stored record tells a successor, so that the successor need not detect the crash loop again.
                 job.failure_tracking.known_crash_looping = true;
                 job.mark_dirty(now);
             }
@@ -80,7 +83,7 @@
         self.quarantine_if_faulty(machine, now);
     }
 
-    /// Clears a service that runs elsewhere: what it failed on says nothing against it.
+    /// Clears the failures of a service that runs elsewhere: its failures say nothing against the service.
     fn clear_running_service(&mut self, id: &JobId, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         if !job.tasks.done.is_empty() || !self.has_succeeded(job, now) {
@@ -91,20 +94,20 @@
         }
     }
 
-    /// A job's first task is done: the job is cleared, and the machines it failed on are looked at again.
+    /// Clears a job's failures when its first task is done, and reviews the machines on which the job failed.
     pub fn clear_failures(&mut self, id: &JobId, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.failure_tracking.known_crash_looping {
-            tracing::info!(job = %id, "the job does well after all");
+            tracing::info!(job = %id, "job is no longer crash-looping");
         }
         for machine in std::mem::take(&mut job.failure_tracking).failed_machines {
             self.quarantine_if_faulty(&machine, now);
         }
     }
 
-    /// Quarantines and drains a machine if it is to blame for what failed on it since a task last did well.
+    /// Quarantines and drains a machine if it is to blame for the failures since a task last succeeded on it.
     fn quarantine_if_faulty(&mut self, id: &MachineId, now: Micros) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -113,7 +116,7 @@
             return;
         }
         let jobs = machine.placement.failures_by_job.len();
-        tracing::info!(machine = %id, jobs, "machine judged faulty");
+        tracing::info!(machine = %id, jobs, "quarantining faulty machine");
         if let Some(machine) = self.machines.get_mut(id) {
             machine.lifecycle.quarantined = true;
         }
@@ -138,7 +141,7 @@
     }
 }
 
-/// Counts a failed probe of a crash-looping job. Tasks that were on machines already fail together: they are one probe.
+/// Counts a failed probe of a crash-looping job. Tasks already on machines fail together and count as one probe.
 fn record_failed_probe(job: &mut Job, now: Micros) {
     let tracking = &mut job.failure_tracking;
     if now < tracking.next_probe_at {
--- a/crates/gannethub-core/src/scheduling/fleet_summary.rs
+++ b/crates/gannethub-core/src/scheduling/fleet_summary.rs
@@ -1,4 +1,4 @@
-//! Log lines at `debug` that sum up the fleet and what scheduling has cost.
+//! Log lines at level `debug` that summarise the fleet and the cost of scheduling.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::state::machine::Machine;
 use crate::state::pass_state::SchedulingCost;
 
-/// Thousandths of a CPU in one.
+/// Thousandths of a CPU in one CPU.
 const MILLICPUS: i64 = 1000;
 
-/// What the machines of one type and market are used for.
+/// Use of the machines of one type and market.
 #[derive(Default)]
 struct FleetUse {
     booting: u32,
@@ -19,9 +19,9 @@
     idle: u32,
     reserved: u32,
     cpus: i64,
-    /// CPUs of attempts that run or save.
+    /// CPUs held by attempts that run or save.
     running: i64,
-    /// CPUs of attempts that have not begun.
+    /// CPUs held by attempts that have not begun to run.
     fetching: i64,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Cluster {
-    /// Logs what scheduling has cost since the last summary, and what the machines of each type are used for.
+    /// Logs the cost of scheduling since the last summary, and the use of the machines of each type.
     pub(super) fn log_summary(&mut self, now: Micros) {
         let cost = std::mem::take(&mut self.passes.cost);
         if !tracing::enabled!(tracing::Level::DEBUG) {
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -1,8 +1,10 @@
-//! A forecast of free capacity: the machines there are and those on their way, and when tasks of a shape can start on them.
+//! A forecast of free capacity: the present and requested machines, and the times at which tasks of a shape can start
+//! on them.
 //!
-//! Machines of one type, zone and market form a group. For each shape (the resources of a task) an index says of each group
-//! which machine has capacity first, and all jobs of that shape read the same index; what is taken is entered in all indexes
-//! of the machine's group. So a plan costs its steps and its machines, not the one times the other.
+//! Machines of one type, zone and market form a group. For each shape (the resources of a task) and each group an
+//! index tells which machine has capacity first. All jobs of that shape share the index, and each reservation updates
+//! all indexes of the machine's group. The cost of a plan is therefore its steps plus its machines, not the product
+//! of the two.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -12,49 +14,49 @@
 use crate::scheduling::zones::{ZoneTaskCounts, is_zone_allowed};
 use crate::state::fleet::Offer;
 
-/// By how much longer than expected the end of several tasks is waited for, for each doubling of their number.
+/// Fraction by which the expected wait for the end of several tasks grows with each doubling of their number.
 const LAST_END_DELAY: f64 = 0.25;
 
-/// Work of a job that found no capacity.
+/// Work of a job for which there is no free capacity.
 pub(super) struct PendingWork {
     pub spec: Arc<JobSpec>,
-    /// Tasks that have not been planned yet.
+    /// Number of tasks that have not been planned yet.
     pub tasks: i64,
-    /// Where the job's other tasks are, if it has zone constraints.
+    /// Zones of the job's other tasks, if the job has zone constraints.
     pub zones: ZoneTaskCounts,
     pub run_time: Micros,
-    /// When its tasks can start at the earliest: those of a job that waits for others, at its release.
+    /// Earliest start of the tasks; for a job that waits for others, the time of its release.
     pub earliest_start: Micros,
-    /// When its tasks have to start, on this process's clock.
+    /// Latest start of the tasks, on this process's clock.
     pub latest_start: Micros,
 }
 
-/// Capacity that comes free on a machine.
+/// Capacity that becomes free on a machine.
 #[derive(Clone, Copy)]
 pub(super) struct Release {
     pub at: Micros,
-    /// How many tasks end then, and what they hold together.
+    /// Number of tasks that end at this time; `resources` is the total that they hold.
     pub tasks: u32,
     pub resources: Resources,
 }
 
-/// A machine's future: its free capacity, and when more of it comes free.
+/// The forecast of one machine: its free capacity, and the times at which more capacity becomes free.
 pub(super) struct MachineForecast {
     pub group: usize,
     pub zone: Arc<str>,
     pub free: Resources,
     pub available_at: Micros,
-    /// The earliest last.
+    /// Releases in descending order of time: the earliest is last.
     pub releases: Vec<Release>,
-    /// The machine, if it is there.
+    /// The machine's ID; `None` for a machine that is not up yet.
     pub machine: Option<MachineId>,
-    /// Counts what was taken: what an index says of an earlier version is out of date.
+    /// Number of reservations made so far. Index entries of an earlier version are out of date.
     pub version: u32,
 }
 
 impl MachineForecast {
-    /// The earliest start of a task. Waiting for several tasks to end takes longer than each is expected to run: the last of
-    /// k is late by about the logarithm of k.
+    /// Returns the earliest start of a task, or `Micros::MAX` if it never fits. Waiting for several tasks to end
+    /// takes longer than each task is expected to run: the last of k tasks is late by about the logarithm of k.
     pub fn earliest_start(&self, resources: &Resources, now: Micros) -> Micros {
         let mut free = self.free;
         if resources.fits(&free) {
@@ -68,7 +70,7 @@
                 continue;
             }
             if release.at == Micros::MAX {
-                // Replicas run until they are cancelled; adding to their end would overflow.
+                // Tasks of a service run until they are cancelled, and an addition to their end would overflow.
                 return Micros::MAX;
             }
             let delay = 1.0 + LAST_END_DELAY * f64::from(ended_tasks).log2();
@@ -78,7 +80,7 @@
         Micros::MAX
     }
 
-    /// Takes capacity for all the tasks that can start at `start`, at least one.
+    /// Reserves capacity for all the tasks that can start at `start`, at least one.
     pub fn reserve_tasks(&mut self, work: &mut PendingWork, start: Micros) {
         self.version += 1;
         self.release_until(start, &work.spec.resources);
@@ -86,8 +88,8 @@
         let tasks = self.tasks_that_fit(work).max(1);
         let resources = work.spec.resources.scaled_by(tasks);
         self.free -= resources;
-        // Replicas do not end, and the tasks of a gang need all their capacity at the same time: one must not be planned to
-        // follow another.
+        // Tasks of a service do not end. The tasks of a gang need all their capacity at the same time, so one of them
+        // must not be planned to follow another.
         let frees_capacity = match work.spec.shape {
             Shape::Array => true,
             Shape::Gang => work.spec.tasks == 1,
@@ -109,7 +111,7 @@
         work.tasks -= tasks;
     }
 
-    /// Frees what comes free up to `start`, until a task fits.
+    /// Applies the releases up to `start`, until a task fits.
     fn release_until(&mut self, start: Micros, resources: &Resources) {
         while let Some(release) = self.releases.last().copied() {
             if release.at > start || resources.fits(&self.free) {
@@ -131,7 +133,7 @@
     }
 }
 
-/// What the machines of a group have in common.
+/// Properties that the machines of a group have in common.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(super) struct MachineGroupKey {
     pub machine_type: usize,
@@ -152,13 +154,14 @@
 /// Machines of one type, zone and market.
 pub(super) struct MachineGroup {
     pub key: MachineGroupKey,
-    /// Per hour and thousandth of a CPU.
+    /// Price for an hour of a thousandth of a CPU.
     pub price: f64,
-    /// Their positions among the forecast's machines.
+    /// Positions of the group's machines in [`Forecast::machines`].
     members: Vec<usize>,
 }
 
-/// When a machine has capacity for a task, as of a version of its forecast. The order is that of time.
+/// Time at which a machine has capacity for a task, computed from the given version of its forecast. Entries are
+/// ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IndexEntry {
     start: Micros,
@@ -166,20 +169,21 @@
     version: u32,
 }
 
-/// Of each group, when its machines have capacity for a task of a shape, the earliest first. `None`: no job has asked yet.
+/// For each group, the times at which its machines have capacity for a task of a shape, the earliest first. `None`
+/// for a group that no job of the shape has read yet.
 type ShapeIndex = Vec<Option<BinaryHeap<Reverse<IndexEntry>>>>;
 
-/// A machine that a job has read from an index. The order is that of time.
+/// A machine that a job has read from an index. Candidates are ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// When the job's task can start there.
+    /// Time at which the job's task can start on the machine.
     start: Micros,
     machine: usize,
-    /// What the index says.
+    /// Start time in the index entry, which may be for a smaller shape.
     indexed_start: Micros,
 }
 
-/// What a job has read from the index of its shape and not used.
+/// Candidates that a job has read from the index of its shape and has not used.
 pub(super) struct Candidates {
     shape: Resources,
     eligible_groups: Vec<usize>,
@@ -187,7 +191,7 @@
 }
 
 impl Candidates {
-    /// Nothing has been read yet of the groups that the job's tasks may go to.
+    /// Creates an empty set of candidates for a job whose tasks may run on machines of `eligible_groups`.
     pub fn new(shape: Resources, eligible_groups: Vec<usize>) -> Candidates {
         Candidates {
             shape,
@@ -196,12 +200,12 @@
         }
     }
 
-    /// Makes room for so many groups.
+    /// Makes room for the candidates of `groups` groups.
     pub fn resize(&mut self, groups: usize) {
         self.by_group.resize_with(groups, BinaryHeap::new);
     }
 
-    /// Adds a group that the job's tasks may go to, if it is new.
+    /// Adds an eligible group if it is new.
     pub fn add_group(&mut self, group: usize) {
         if group == self.by_group.len() {
             self.by_group.push(BinaryHeap::new());
@@ -210,7 +214,8 @@
     }
 }
 
-/// Similar shapes share an index, which is made for the least of them: sizes are rounded down by less than an eighth.
+/// Rounds a shape down to the shape whose index is shared by similar shapes. Sizes are rounded down by less than an
+/// eighth, so the index covers the smallest shape that shares it.
 pub(super) fn coarse_shape(resources: &Resources) -> Resources {
     let round_down = |size: i64| {
         let bits = 63 - size.max(1).leading_zeros();
@@ -224,19 +229,19 @@
     }
 }
 
-/// The machines there are and that will be.
+/// The machines that are up, booting, requested or planned, and the indexes over them.
 #[derive(Default)]
 pub(super) struct Forecast {
     pub groups: Vec<MachineGroup>,
     pub machines: Vec<MachineForecast>,
     pub now: Micros,
-    /// The scheduling steps that were taken.
+    /// Number of scheduling steps taken.
     pub steps: u64,
     group_index: HashMap<MachineGroupKey, usize>,
     shape_indexes: HashMap<Resources, ShapeIndex>,
 }
 
-/// Where a job's next tasks would start.
+/// Place and start time of a job's next tasks.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementChoice {
     pub start: Micros,
@@ -245,7 +250,7 @@
 }
 
 impl Forecast {
-    /// A forecast without machines.
+    /// Creates a forecast without machines.
     pub fn new(now: Micros) -> Forecast {
         Forecast {
             now,
@@ -253,7 +258,7 @@
         }
     }
 
-    /// The group of a kind of machines.
+    /// Returns the group of a kind of machines, and creates the group if it is new.
     pub fn group_for(&mut self, key: &MachineGroupKey, price: f64) -> usize {
         if let Some(group) = self.group_index.get(key) {
             return *group;
@@ -271,7 +276,6 @@
         group
     }
 
-    /// Adds a machine to its group.
     pub fn add_machine(&mut self, machine: MachineForecast) {
         let position = self.machines.len();
         self.groups[machine.group].members.push(position);
@@ -279,7 +283,7 @@
         self.index_machine(position);
     }
 
-    /// Enters a machine in all indexes of its group that have been asked for.
+    /// Adds an entry for a machine to every index of its group that a job has read.
     fn index_machine(&mut self, position: usize) {
         let machine = &self.machines[position];
         for (resources, index) in &mut self.shape_indexes {
@@ -298,7 +302,7 @@
         }
     }
 
-    /// Takes a choice for a job's next tasks.
+    /// Reserves a choice for a job's next tasks.
     pub fn take(
         &mut self,
         choice: PlacementChoice,
@@ -310,7 +314,7 @@
         self.index_machine(choice.machine);
     }
 
-    /// Reads on in a group's index until nothing in it can be earlier than the earliest candidate.
+    /// Reads from a group's index until no entry can be earlier than the earliest candidate.
     fn read_group(&mut self, group: usize, work: &PendingWork, candidates: &mut Candidates) {
         let shape = candidates.shape;
         let groups = self.groups.len();
@@ -335,7 +339,7 @@
         });
         let read = &mut candidates.by_group[group];
         while let Some(Reverse(entry)) = entries.peek().copied() {
-            // Machines that have capacity before the job is released are as good as one another.
+            // Machines that have capacity before the job's release are equally good.
             let entry_start = entry.start.max(work.earliest_start);
             let is_earliest_read = read.peek().is_some_and(|Reverse(earliest)| {
                 (earliest.start, earliest.machine) <= (entry_start, entry.machine)
@@ -349,8 +353,8 @@
             if machine.version != entry.version {
                 continue;
             }
-            // One that never has capacity for this job may have some for the next of its shape: it is returned with the
-            // others.
+            // A machine that never has capacity for this job may have some for the next job of its shape, so it is
+            // returned to the index with the others.
             let start = machine.earliest_start(&work.spec.resources, self.now);
             read.push(Reverse(Candidate {
                 start: start.max(work.earliest_start),
@@ -360,7 +364,8 @@
         }
     }
 
-    /// The best place for a job's next tasks: in time at the lowest price, else the earliest.
+    /// Returns the best choice for a job's next tasks: the lowest price among choices that are in time, else the
+    /// earliest choice.
     pub fn best_choice(
         &mut self,
         work: &PendingWork,
@@ -379,7 +384,7 @@
                 continue;
             };
             let Candidate { start, machine, .. } = candidate;
-            // Prices are not negative, and such numbers are in the order of their bits.
+            // Prices are not negative, and the bits of non-negative floating-point numbers sort like the numbers.
             let price = self.groups[group].price.max(0.0).to_bits();
             let is_late = start > work.latest_start;
             let rank = if is_late {
@@ -399,7 +404,7 @@
         best.map(|(_, choice)| choice)
     }
 
-    /// Returns what a job has read and not used to the index.
+    /// Returns the unused candidates of a job to the index.
     pub fn return_candidates(&mut self, candidates: Candidates) {
         let Some(index) = self.shape_indexes.get_mut(&candidates.shape) else {
             return;
--- a/crates/gannethub-core/src/scheduling/forecast/tests.rs
+++ b/crates/gannethub-core/src/scheduling/forecast/tests.rs
@@ -24,13 +24,14 @@
     })
 }
 
-/// Three groups of machines: cheap ones, dear ones and large ones.
+/// Sizes of the three groups of machines: cheap, expensive and large ones.
 const SIZES: [i64; 3] = [4000, 4000, 32_000];
 
-/// A machine: its group, in how many seconds it is available, and when tasks end that hold so much.
-type GivenMachine = (usize, u64, Vec<(u64, i64)>);
+/// A machine: its group, the seconds until it is available, and its tasks as pairs of seconds to the end and held
+/// CPU.
+type MachineInput = (usize, u64, Vec<(u64, i64)>);
 
-fn forecast(machines: &[GivenMachine]) -> Forecast {
+fn forecast(machines: &[MachineInput]) -> Forecast {
     let mut forecast = Forecast::new(10 * SECOND);
     for (machine_type, price) in [0.1, 0.3, 0.2].into_iter().enumerate() {
         let key = MachineGroupKey {
@@ -40,14 +41,14 @@
         };
         forecast.group_for(&key, price);
     }
-    for (group, seconds, busy) in machines {
+    for (group, seconds, running_tasks) in machines {
         let mut free = Resources {
             cpu: SIZES[*group],
             gpu: 0,
             memory: SIZES[*group],
         };
         let mut releases = Vec::new();
-        for (end, cpu) in busy {
+        for (end, cpu) in running_tasks {
             let need = Resources {
                 cpu: *cpu,
                 gpu: 0,
@@ -79,9 +80,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// A shared index gives every task the start and the price that looking at all machines would.
+    /// A shared index gives every task the start and the price that a scan of all machines gives.
     #[test]
-    fn an_index_shared_by_many_jobs_misses_no_better_place(
+    fn shared_index_finds_the_best_choice_of_a_full_scan(
         machines in proptest::collection::vec(
             (0..3usize, 0..40u64, proptest::collection::vec((1..90u64, 300..9000i64), 0..12)),
             1..14,
@@ -121,12 +122,12 @@
                 };
                 let all = forecast.machines.iter().filter(|m| eligible.contains(&m.group));
                 let starts = all.map(|m| (m.earliest_start(&resources, now), m.group));
-                let naive = starts
+                let expected = starts
                     .filter(|(start, _)| *start < Micros::MAX)
                     .map(|(start, group)| rank(start.max(from), group))
                     .min();
                 let mut choice = None;
-                if naive.is_some() {
+                if expected.is_some() {
                     let rank_of = |choice: &PlacementChoice, prices: &[f64]| {
                         let price = prices[choice.group].to_bits();
                         let late = choice.start > work.latest_start;
@@ -135,7 +136,7 @@
                     let prices: Vec<f64> = forecast.groups.iter().map(|group| group.price).collect();
                     choice = forecast.best_choice(&work, &mut candidates);
                     let found = choice.as_ref().map(|choice| rank_of(choice, &prices));
-                    prop_assert_eq!(found, naive);
+                    prop_assert_eq!(found, expected);
                 }
                 let Some(choice) = choice else { break };
                 forecast.take(choice, &mut work, &mut candidates);
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -1,8 +1,9 @@
 //! Gang scheduling: all tasks of a gang are placed at the same time, or none.
 //!
-//! A gang that finds too little capacity gathers it: machines that will have capacity soonest are reserved for it. All
-//! waiting gangs gather in the same passes, in queue order, so none is offered what one before it has reserved. Where
-//! waiting would be too late, capacity is made by preemption ([`preemption`](crate::scheduling::preemption)).
+//! A gang that finds too little capacity gathers it: the machines that will have capacity soonest are reserved for
+//! it. All waiting gangs gather in the same passes, in queue order, so no gang is offered capacity that an earlier
+//! gang has reserved. If waiting would take too long, capacity is freed by preemption
+//! ([`preemption`](crate::scheduling::preemption)).
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -23,23 +24,26 @@
 use crate::state::job::Job;
 use crate::state::machine::Reservation;
 
-/// Reservations of gangs are chosen anew this often, for each machine, and always before they expire.
+/// Interval between renewed choices of the gangs' reservations, in microseconds for each machine.
 const GATHER_INTERVAL_PER_MACHINE: Micros = 800;
+/// Maximum of that interval in microseconds: shorter than [`GATHERED_RESERVATION`], so that reservations are renewed
+/// before they expire.
 const MAX_GATHER_INTERVAL: Micros = 500_000;
 
-/// A gang's reservation expires after this time unless it is renewed.
+/// A gang's reservation expires after this time unless a pass renews it.
 const GATHERED_RESERVATION: Micros = 2 * SECOND;
 
-/// What a pass knows of capacity for gangs.
+/// Capacity for gangs as far as a pass has computed it.
 #[derive(Debug, Default)]
 pub struct GangPass {
-    /// All waiting gangs gather anew; else only those that never have.
+    /// Whether all waiting gangs gather capacity again in this pass, or zone_choice gangs that have never tried.
     regather_all: bool,
     timelines: HashMap<PlacementConstraints, CapacityTimeline>,
     pub(super) preemption: PreemptionPass,
 }
 
-/// A confirmed machine on which a gang may reserve capacity. Unreserved machines come first.
+/// A confirmed machine on which a gang may reserve capacity. In sorted order, machines reserved for this gang already
+/// come before unreserved machines.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ConfirmedMachine<'a> {
     is_unreserved: bool,
@@ -48,7 +52,7 @@
 }
 
 impl Cluster {
-    /// What is known of capacity for gangs in a pass that begins now.
+    /// Prepares the gang state of a pass that begins now.
     pub(super) fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
         let interval =
             (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
@@ -80,15 +84,15 @@
             return;
         }
         let zones = self.zones_in_use(job);
-        let is_simple =
+        let is_typical =
             job.tasks.gang_attempt.is_none() && job.failure_tracking.failed_machines.is_empty();
-        let is_hopeless =
-            is_simple && !self.has_reservation(id) && unplaceable.contains(&spec, missing.len());
-        if !is_hopeless {
+        let is_known_unplaceable =
+            is_typical && !self.has_reservation(id) && unplaceable.contains(&spec, missing.len());
+        if !is_known_unplaceable {
             if let Some(placements) = self.fit_whole_gang(id, &spec, &zones, missing.len(), now) {
                 return self.start_gang_attempt(id, &spec, &missing, &placements, now);
             }
-            if is_simple {
+            if is_typical {
                 unplaceable.record(&spec, missing.len());
             }
         }
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Places the missing tasks of a gang, under the attempt that has begun or a new one.
+    /// Places the missing tasks of a gang, under the present attempt or a new one.
     fn start_gang_attempt(
         &mut self,
         id: &JobId,
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Capacity for all of a gang's missing tasks, where its zone constraints let them be together.
+    /// Finds capacity for all missing tasks of a gang, within its zone constraints.
     fn fit_whole_gang(
         &self,
         id: &JobId,
@@ -143,15 +147,15 @@
         if spec.single_zone && zones.is_empty() {
             choices = self.schedulable_zones().into_iter().map(Some).collect();
         }
-        choices.into_iter().find_map(|only| {
+        choices.into_iter().find_map(|zone_choice| {
             let mut zones = zones.clone();
-            zones.extend(only.map(|zone| (zone, 0)));
+            zones.extend(zone_choice.map(|zone| (zone, 0)));
             let placements = self.first_fit(id, spec, &mut zones, tasks, now);
             (placed_tasks(&placements) == tasks).then_some(placements)
         })
     }
 
-    /// The zones that have machines to place on, by name.
+    /// Returns the zones with schedulable machines, sorted by name.
     fn schedulable_zones(&self) -> Vec<Arc<str>> {
         let buckets = self.capacity_index.buckets.iter();
         let mut zones: Vec<Arc<str>> = buckets
@@ -163,9 +167,9 @@
         zones
     }
 
-    /// Reserves confirmed machines for a gang, most of it in one zone. After a failover a gang rarely finds capacity for all
-    /// of it at once, as machines are confirmed one by one, and smaller tasks would take what there is, bit by bit, for as
-    /// long as they run.
+    /// Reserves confirmed machines for a gang, in the zone that has capacity for most of its tasks. After a failover
+    /// a gang rarely finds capacity for all its tasks at once, as machines are confirmed one by one. Without the
+    /// reservations, smaller tasks would take the confirmed capacity bit by bit and hold it for as long as they run.
     fn reserve_on_confirmed_machines(
         &mut self,
         id: &JobId,
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Gathers capacity for a gang that found none, and preempts for it where waiting would be too late.
+    /// Gathers capacity for a gang that found none, and preempts for the gang if waiting would take too long.
     fn gather_or_preempt(&mut self, id: &JobId, tasks: usize, gangs: &mut GangPass, now: Micros) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_crash_looping()) else {
             return;
@@ -240,9 +244,10 @@
         }
     }
 
-    /// Reserves the machines that will have capacity for a waiting gang soonest: what comes free there, or boots, is kept for
-    /// it. No machine is reserved for two gangs, and all of a gang's capacity is where its zone constraints let it be used
-    /// together, so that gangs never hold half of what each needs. Returns when the last of its tasks will have capacity.
+    /// Reserves the machines that will soonest have capacity for a waiting gang: capacity that becomes free on them,
+    /// or that boots, is kept for the gang. No machine is reserved for two gangs, and all of a gang's capacity lies
+    /// where its zone constraints let it be used together, so gangs never each hold half of the capacity that they
+    /// need. Returns the time at which the last task will have capacity.
     fn gather_capacity(
         &mut self,
         id: &JobId,
@@ -282,7 +287,7 @@
 
 /// Whether tasks of a gang may be placed now, if there is capacity.
 fn may_place_gang(job: &Job, now: Micros) -> bool {
-    // The next attempt begins only when nothing of the last one is on a machine any more.
+    // The next attempt begins zone_choice when no task of the last attempt is on a machine any more.
     let may_attempt = match &job.tasks.gang_attempt {
         Some(attempt) => !attempt.stopping && !attempt.running,
         None => job.tasks.live_attempts.is_empty(),
@@ -295,6 +300,6 @@
     may_attempt
         && !is_backing_off
         && job.allowed_probes(now) != 0
-        // Its attempt may go on, on machines that are not confirmed yet.
+        // The gang's attempt may still run on machines that are not confirmed yet.
         && job.tasks.unconfirmed.is_empty()
 }
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -1,4 +1,4 @@
-//! Teams' limits: what a team may still use, and bringing teams within limits that were lowered.
+//! Teams' limits: the remaining quota of a team, and enforcement of limits that were lowered.
 
 use std::mem::take;
 
@@ -11,13 +11,14 @@
 /// An attempt that may be stopped to bring a team within its limit.
 #[derive(Debug)]
 struct ExcessAttempt {
-    /// How long it has run; 0 for one that its worker has not reported yet.
-    ran: Micros,
+    /// Time in the attempt's present phase, in microseconds, plus 1; 0 for an attempt that its worker has not
+    /// reported yet.
+    phase_age: Micros,
     task: TaskId,
     resources: Resources,
 }
 
-/// What a team has on machines, and which of it may be stopped.
+/// Resources that a team holds on machines, and the attempts that may be stopped.
 #[derive(Debug, Default)]
 struct TeamAttempts {
     held: Resources,
@@ -25,14 +26,14 @@
 }
 
 impl Cluster {
-    /// What a team may still use, counting all that it may have on machines.
+    /// Returns the resources that a team may still use, after all that the team may already have on machines.
     pub fn remaining_quota(&self, team: usize) -> Resources {
         let limit = self.settings.teams[team].limit;
         let unconfirmed = self.takeover.unconfirmed.possible_usage[team];
         limit - self.quota.team_usage[team] - unconfirmed
     }
 
-    /// How many more of the job's tasks its team's limit allows. Memory is not limited.
+    /// Returns how many more of the job's tasks its team's limit allows. Memory is not limited.
     pub fn tasks_within_quota(&self, job: &Job) -> i64 {
         let Some(team) = job.team.filter(|_| !self.starts_paused) else {
             return 0;
@@ -48,8 +49,8 @@
         needed.count_in(&free)
     }
 
-    /// Brings teams within limits that were lowered: what no worker has reported yet is not launched any more, and what runs
-    /// is stopped if that is the operators' choice.
+    /// Brings teams within limits that were lowered: attempts that no worker has reported yet are no longer launched,
+    /// and running attempts are stopped if the operators have chosen that.
     pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
@@ -64,7 +65,7 @@
         let mut attempts = self.team_attempts(team, now);
         let mut stoppable = take(&mut attempts.stoppable);
         stoppable.sort_by(|a, b| {
-            (a.ran, &a.task.job, a.task.index).cmp(&(b.ran, &b.task.job, b.task.index))
+            (a.phase_age, &a.task.job, a.task.index).cmp(&(b.phase_age, &b.task.job, b.task.index))
         });
         let mut held = attempts.held;
         let mut stopped = 0;
@@ -72,7 +73,7 @@
             if Team::within(&limit, &Resources::default(), &held) {
                 break;
             }
-            // A gang is stopped whole: its other tasks are stopping since the first was.
+            // A gang is stopped as a whole: its other tasks are stopping since the first was stopped.
             if !self.is_stopping(&attempt.task) {
                 self.preempt(&attempt.task.job, attempt.task.index);
                 stopped += 1;
@@ -81,11 +82,11 @@
         }
         if stopped > 0 {
             let team = &self.settings.teams[team].name;
-            tracing::info!(%team, stopped, "above its limit");
+            tracing::info!(%team, stopped, "stopping tasks of team above its limit");
         }
     }
 
-    /// The attempts of a team that have not been told to stop.
+    /// Returns the attempts of a team that have not been told to stop.
     fn team_attempts(&self, team: usize, now: Micros) -> TeamAttempts {
         let mut attempts = TeamAttempts::default();
         for machine in self.machines.values() {
@@ -98,7 +99,7 @@
                 let is_unreported = attempt.phase == AttemptPhase::Starting && !attempt.reported;
                 if is_unreported || self.quota.over_limit == OverLimit::Stop {
                     attempts.stoppable.push(ExcessAttempt {
-                        ran: match is_unreported {
+                        phase_age: match is_unreported {
                             true => 0,
                             false => 1 + now.saturating_sub(attempt.phase_since),
                         },
@@ -116,7 +117,7 @@
             .is_some_and(|attempt| attempt.stop_grace.is_some())
     }
 
-    /// The attempt of a task that is on a machine now.
+    /// Returns the attempt of a task that is on a machine now.
     pub(super) fn live_attempt(&self, task: &TaskId) -> Option<&Attempt> {
         let live = self
             .jobs
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -1,8 +1,8 @@
 //! The order in which jobs are served, kept between passes.
 //!
-//! A job's place depends on the time left to it, so the order changes while nothing happens. It is computed again only as
-//! often as its length allows, and in between a job that arrives is inserted where it belongs. So a long queue costs a fixed
-//! part of the processor, however many passes and plans read it.
+//! A job's position depends on the time left until its deadlines, so the order changes even without events. The order
+//! is recomputed only as often as its length allows, and jobs that arrive in between are inserted at their positions.
+//! A long queue therefore costs a fixed part of the processor, however many passes and plans read it.
 
 use std::cmp::Reverse;
 
@@ -12,13 +12,15 @@
 use crate::state::job::Job;
 use crate::state::queue::{Queue, QueueKey};
 
-/// The order is computed again this often, for each job in it.
+/// Interval between computations of the order, in microseconds for each job in the queue.
 const REORDER_INTERVAL_PER_JOB: Micros = 200;
 
-/// Policy's numbers are compared as whole thousandths, so that the order is total.
+/// Steps per unit for the numbers that policy returns: they are compared as whole thousandths, so that the order is
+/// total.
 const KEY_PRECISION: f64 = 1000.0;
 
-/// Charges a job to what is left of its team's guarantee. Returns whether it fits there.
+/// Deducts a job's remaining tasks from the rest of its team's guarantee. Returns whether the job fits into that
+/// rest.
 fn charge_guarantee(remaining: &mut [Resources], job: &Job) -> bool {
     let Some(team) = job.team.filter(|_| !job.is_crash_looping()) else {
         return false;
@@ -36,12 +38,12 @@
         teams.map(|team| team.guarantee).collect()
     }
 
-    /// Whether a job alone would fit into its team's guarantee.
+    /// Whether a job fits into its team's guarantee when it is the team's only job.
     pub fn fits_guarantee(&self, job: &Job) -> bool {
         charge_guarantee(&mut self.guarantees(), job)
     }
 
-    /// Brings the order up to date.
+    /// Brings the queue up to date.
     pub fn order_queue(&mut self, now: Micros) {
         self.update_usage_shares(now);
         let mut queue = std::mem::take(&mut self.queue);
@@ -53,7 +55,8 @@
         self.queue = queue;
     }
 
-    /// Computes the order of all jobs. They are charged to their teams' guarantees in the order in which they became ready.
+    /// Computes the order of all jobs. Jobs are charged to their teams' guarantees in the order in which they became
+    /// ready.
     fn reorder(&self, queue: &mut Queue, now: Micros) {
         queue.ordered_at = Some(now);
         queue.arrivals.clear();
--- a/crates/gannethub-core/src/scheduling/zones.rs
+++ b/crates/gannethub-core/src/scheduling/zones.rs
@@ -1,22 +1,22 @@
-//! Where a job's zone constraints let its tasks go.
+//! Zones that a job's zone constraints allow for its tasks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::model::JobSpec;
 
-/// How many of a job's tasks are on machines in each zone.
+/// Number of a job's tasks on machines in each zone.
 pub type ZoneTaskCounts = HashMap<Arc<str>, u32>;
 
-/// Whether the job's zone constraints let another task into `zone`.
+/// Whether the job's zone constraints allow one more task in `zone`.
 pub fn is_zone_allowed(spec: &JobSpec, zones: &ZoneTaskCounts, zone: &str) -> bool {
     zone_allowance(spec, zones, zone) > 0
 }
 
-/// How many more tasks the job's zone constraints let into `zone`.
+/// Returns how many more tasks the job's zone constraints allow in `zone`.
 pub fn zone_allowance(spec: &JobSpec, zones: &ZoneTaskCounts, zone: &str) -> u32 {
-    let is_elsewhere = zones.keys().any(|other| **other != *zone);
-    if spec.single_zone && is_elsewhere {
+    let has_other_zone = zones.keys().any(|other| **other != *zone);
+    if spec.single_zone && has_other_zone {
         return 0;
     }
     let in_zone = zones.get(zone).copied().unwrap_or(0);
