--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -36,7 +36,7 @@
 /// Capacity for gangs as far as a pass has computed it.
 #[derive(Debug, Default)]
 pub struct GangPass {
-    /// Whether all waiting gangs gather capacity again in this pass, or zone_choice gangs that have never tried.
+    /// Whether all waiting gangs gather capacity again in this pass, or only gangs that have never tried.
     regather_all: bool,
     timelines: HashMap<PlacementConstraints, CapacityTimeline>,
     pub(super) preemption: PreemptionPass,
@@ -287,7 +287,7 @@
 
 /// Whether tasks of a gang may be placed now, if there is capacity.
 fn may_place_gang(job: &Job, now: Micros) -> bool {
-    // The next attempt begins zone_choice when no task of the last attempt is on a machine any more.
+    // The next attempt begins only when no task of the last attempt is on a machine any more.
     let may_attempt = match &job.tasks.gang_attempt {
         Some(attempt) => !attempt.stopping && !attempt.running,
         None => job.tasks.live_attempts.is_empty(),
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -1,8 +1,8 @@
-//! Scheduling passes: the queue is gone through in order, and each job is placed as far as there is capacity.
+//! Scheduling passes: the jobs of the queue are placed in order, each as far as there is capacity.
 //!
-//! What a pass costs is counted in steps: a job or a machine that is looked at. The next pass begins no sooner than the
-//! steps of the last one allow, so that scheduling takes the same part of the processor however large the cluster and
-//! however long the queue, and heartbeats, lease renewals and users' requests are never late behind it.
+//! The cost of a pass is counted in steps: one step for each job or machine examined. The next pass begins no sooner
+//! than the steps of the last pass allow, so scheduling takes the same part of the processor for any size of the
+//! cluster and any length of the queue, and heartbeats, lease renewals and users' requests are never delayed by it.
 
 use crate::configuration::OverLimit;
 use crate::model::{JobId, JobSpec, MachineId, Micros, SECOND, Shape, seconds_from_micros};
@@ -13,24 +13,25 @@
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
-/// Capacity up to this many times as dear as the cheapest of its tier counts as costing the same.
+/// Capacity up to this many times as expensive as the cheapest capacity of its tier counts as equally expensive.
 const SIMILAR_PRICE: f64 = 1.5;
 
-/// A heartbeat that frees capacity leads to a pass over the whole queue at most this often, for each machine there is: so
-/// that the work of passes does not grow with the cluster.
+/// Minimum interval, in microseconds for each machine, between passes over the whole queue that are started by
+/// heartbeats which free capacity. The interval grows with the cluster so that the work of passes does not.
 const PASS_INTERVAL_PER_MACHINE: Micros = 250;
 
-/// Jobs that capacity freed by a heartbeat is offered to; what none of them can use is left to the next pass.
+/// Maximum number of jobs to which capacity freed by a heartbeat is offered. Capacity that none of them can use is
+/// left to the next pass.
 const MAX_JOBS_OFFERED: usize = 100;
 
-/// What a pass has found out, so that it need not find it out again.
+/// Results that a pass keeps so that it need not compute them again.
 #[derive(Debug, Default)]
 struct SchedulingPass {
     unplaceable: UnplaceableJobs,
     gangs: GangPass,
 }
 
-/// A bucket of the capacity index with what it is ranked by.
+/// A bucket of the capacity index with its sort key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RankedBucket {
     price_rank: usize,
@@ -39,12 +40,13 @@
 }
 
 impl Cluster {
-    /// Places what can be placed now, and preempts for what must not wait. After a failover it places on the machines that
-    /// are confirmed and preempts nothing until all are: there may be capacity enough.
+    /// Places all tasks for which there is capacity, and preempts for tasks that must not wait. After a failover the
+    /// pass places tasks on confirmed machines only and preempts nothing until all machines are confirmed, since
+    /// there may be enough capacity.
     pub fn run_scheduling_pass(&mut self, now: Micros) {
         let steps_before = self.passes.steps.get();
         if self.quota.over_limit == OverLimit::Stop {
-            // A new leader learns of what runs as machines report it.
+            // A new leader learns of running attempts as machines report them.
             self.enforce_limits(now);
         }
         self.propagate_downstream_demand(now);
@@ -67,7 +69,7 @@
         cost.max_steps = cost.max_steps.max(steps);
     }
 
-    /// Notes for each job whether it is within its team's guarantee, and returns the queue in order.
+    /// Records for each job whether it is within its team's guarantee, and returns the queue in order.
     fn begin_pass(&mut self, now: Micros) -> Vec<JobId> {
         let mut queue = Vec::new();
         for (id, within_guarantee) in self.queue.jobs() {
@@ -113,7 +115,7 @@
         self.log_if_fully_placed(id);
     }
 
-    /// Logs a job once: when all of its tasks, or all that its team's limit allows, are placed.
+    /// Logs a job once, when all of its tasks, or all tasks that its team's limit allows, are placed.
     fn log_if_fully_placed(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let is_limited = self.takeover.settled && self.tasks_within_quota(job) <= 0;
@@ -122,7 +124,8 @@
         }
         let seconds = |time: Micros| seconds_from_micros(time) as u32;
         let within = job.scheduling.within_guarantee;
-        // The time it could still have waited, for its own sake and for what waits for it.
+        // Time for which the job could still have waited, for its own objectives and for those of its downstream
+        // jobs.
         let latest_start = self.latest_start(job, within);
         let slack_s = latest_start.map(|start| seconds(start.saturating_sub(self.unix_time)));
         let waited_s = seconds(self.unix_time.saturating_sub(job.ready_at));
@@ -133,15 +136,15 @@
         }
     }
 
-    /// For how long so many steps are to be the only ones. Policy and the process's share of a processor say how many steps a
-    /// second scheduling may take.
+    /// Returns the time for which no further pass or plan may begin after `steps` steps. Policy and the process's
+    /// share of a processor set the number of steps that scheduling may take in a second.
     pub fn pacing_delay(&self, steps: u64) -> Micros {
         (steps as f64 * SECOND as f64 / self.settings.decide_steps()) as Micros
     }
 
-    /// Sorts the buckets of the capacity index into tiers, in first-fit order: the cheapest capacity first, so that the dear
-    /// machines empty; among capacity of a price, small machines first, since large tasks need the large ones whole. Buckets
-    /// that are as good as one another share a tier.
+    /// Sorts the buckets of the capacity index into tiers, in first-fit order. The cheapest capacity comes first, so
+    /// that expensive machines empty. Among capacity of similar price small machines come first, since large tasks
+    /// need large machines whole. Buckets of equal rank share a tier.
     fn rank_buckets(&mut self) {
         let buckets = self.capacity_index.buckets.iter().enumerate();
         let mut priced: Vec<(f64, RankedBucket)> = buckets
@@ -181,12 +184,13 @@
             .collect();
     }
 
-    /// Uses the capacity that came free on one machine: with a whole pass, if none was made just now, else in the order of
-    /// the last one. A gang that may want it needs capacity elsewhere too, and is left to the next pass.
+    /// Uses the capacity that became free on one machine: with a whole pass, or in the order of the last pass if that
+    /// pass was too recent. A gang that may use the capacity also needs capacity elsewhere, and is left to the next
+    /// pass.
     pub fn use_freed_capacity(&mut self, id: &MachineId, now: Micros) {
-        let paced_at =
+        let next_full_pass_at =
             self.passes.last_at + PASS_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
-        if now >= paced_at.max(self.passes.next_at) {
+        if now >= next_full_pass_at.max(self.passes.next_at) {
             return self.run_scheduling_pass(now);
         }
         let Some(machine) = self.machines.get(id) else {
@@ -206,9 +210,9 @@
             let job = reservation.job.clone();
             return self.use_reserved_capacity(id, &job, now);
         }
-        // Cheaper capacity elsewhere, or a smaller machine's, is to be used first: so that dear and large machines empty, a
-        // pass decides.
-        if self.has_cheaper_capacity(machine_type, machine.spot, &first.spec, now) {
+        // Cheaper capacity elsewhere, or capacity of smaller machines, is used first, so that expensive and large
+        // machines empty. In that case the next pass decides.
+        if self.has_preferred_capacity(machine_type, machine.spot, &first.spec, now) {
             return;
         }
         if self.jobs_that_fit(machine).any(is_waiting_gang) {
@@ -217,7 +221,7 @@
         self.offer_machine(id, now);
     }
 
-    /// The first jobs of the last pass's order that have tasks to place and fit a machine.
+    /// Returns the first jobs in the order of the last pass that have tasks to place and whose tasks fit a machine.
     fn jobs_that_fit(&self, machine: &Machine) -> impl Iterator<Item = &Job> {
         let free = machine.free();
         let offered = self.passes.placement_order.iter().take(MAX_JOBS_OFFERED);
@@ -231,7 +235,7 @@
             })
     }
 
-    /// Uses the capacity that came free on a machine that is reserved for a job.
+    /// Uses the capacity that became free on a machine that is reserved for a job.
     fn use_reserved_capacity(&mut self, machine: &MachineId, id: &JobId, now: Micros) {
         let array = self
             .jobs
@@ -244,13 +248,13 @@
             return;
         };
         let free = self.machines.get(machine).map(Machine::free);
-        // Too little stays reserved until there is enough of it.
+        // Capacity that is too small for a task stays reserved until there is enough.
         if free.is_some_and(|free| job.spec.resources.fits(&free)) {
             self.place_tasks(id, &mut UnplaceableJobs::default(), Some(machine), now);
         }
     }
 
-    /// Offers a machine to the jobs of the last pass, in their order.
+    /// Offers a machine to the jobs of the last pass, in the order of that pass.
     fn offer_machine(&mut self, id: &MachineId, now: Micros) {
         for position in 0..self.passes.placement_order.len().min(MAX_JOBS_OFFERED) {
             let Some(job) = self.jobs.get(&self.passes.placement_order[position]) else {
@@ -272,8 +276,9 @@
         }
     }
 
-    /// Whether there is capacity for a job's task that is to be used before that of such a machine.
-    fn has_cheaper_capacity(
+    /// Whether there is capacity for a job's task that is preferred to the capacity of a machine of this type and
+    /// market.
+    fn has_preferred_capacity(
         &self,
         machine_type: usize,
         spot: bool,
@@ -305,7 +310,7 @@
     }
 }
 
-/// Whether a job is a gang that has not begun to run.
+/// Whether a job is a gang whose attempt is neither running nor stopping.
 fn is_waiting_gang(job: &Job) -> bool {
     let attempt = job.tasks.gang_attempt.as_ref();
     let is_under_way = attempt.is_some_and(|attempt| attempt.running || attempt.stopping);
--- a/crates/gannethub-core/src/scheduling/placement.rs
+++ b/crates/gannethub-core/src/scheduling/placement.rs
@@ -1,7 +1,7 @@
-//! Placement of arrays and services: which machines may run a job's tasks, and first-fit among them.
+//! Placement of arrays and services: the machines that may run a job's tasks, and first-fit among them.
 //!
-//! The capacity index ([`CapacityIndex`](crate::state::capacity_index::CapacityIndex)) is asked for machines with enough
-//! free CPU. What looking costs is counted in scheduling steps.
+//! The capacity index ([`CapacityIndex`](crate::state::capacity_index::CapacityIndex)) returns the machines with
+//! enough free CPU. The cost of examining machines is counted in scheduling steps.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,53 +14,54 @@
 use crate::state::job::Job;
 use crate::state::machine::{Machine, Reservation};
 
-/// In each bucket a job chooses among so many machines with free capacity, and so many more for each of its tasks, the
-/// fullest first: an empty cluster, as after a failover, must not be read whole for every job.
+/// Number of machines with free capacity among which a job chooses in each bucket, the machines with the least free
+/// CPU first. The limit keeps each job from reading a whole empty cluster, as there is after a failover.
 pub(super) const CANDIDATES_PER_BUCKET: usize = 512;
+/// Number of further candidates for each task of the job.
 const CANDIDATES_PER_TASK: usize = 4;
 
-/// A reservation for a stage of a pipeline expires unless a pass renews it.
+/// A reservation for a stage of a pipeline expires after this time unless a pass renews it.
 pub(super) const STAGE_RESERVATION: Micros = 2 * SECOND;
 
-/// How many tasks a machine is to take.
+/// A number of tasks to place on one machine.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
     pub machine: MachineId,
     pub tasks: usize,
 }
 
-/// How many tasks the placements are for together.
+/// Returns the total number of tasks of the placements.
 pub(super) fn placed_tasks(placements: &[Placement]) -> usize {
     placements.iter().map(|placement| placement.tasks).sum()
 }
 
-/// The machine of each task of the placements, one entry a task.
+/// Returns the machine of each task of the placements, one entry for each task.
 pub(super) fn machine_per_task(placements: &[Placement]) -> impl Iterator<Item = &MachineId> {
     placements
         .iter()
         .flat_map(|placement| std::iter::repeat_n(&placement.machine, placement.tasks))
 }
 
-/// Jobs that found too little capacity in a pass. During a pass capacity only shrinks, so a job that asks for as much and
-/// may go to no other machines need not look again.
+/// Jobs that found too little capacity in a pass. Capacity only shrinks during a pass, so a job that needs as much
+/// and may use no other machines need not search again.
 #[derive(Debug, Default)]
 pub(super) struct UnplaceableJobs(Vec<UnplaceableJob>);
 
 #[derive(Debug)]
 struct UnplaceableJob {
     spec: Arc<JobSpec>,
-    /// For so many tasks together there was no capacity.
+    /// Number of tasks for which there was no capacity at the same time.
     tasks: usize,
 }
 
 impl UnplaceableJobs {
-    /// Records that there was no capacity for so many tasks of a job.
+    /// Records that there was no capacity for `tasks` tasks of a job.
     pub fn record(&mut self, spec: &Arc<JobSpec>, tasks: usize) {
         let spec = spec.clone();
         self.0.push(UnplaceableJob { spec, tasks });
     }
 
-    /// Whether a job that asks for as much and may go to no other machines has found no capacity already.
+    /// Whether a job that needs no more, and may use at least the same machines, has found no capacity already.
     pub fn contains(&self, spec: &JobSpec, tasks: usize) -> bool {
         self.0.iter().any(|known| {
             let other = &known.spec;
@@ -91,7 +92,7 @@
             && spec.allows(&machine_type.name, &kind.zone, kind.spot)
     }
 
-    /// The buckets of the capacity index whose machines may run the job's tasks.
+    /// Returns the buckets of the capacity index whose machines may run the job's tasks.
     pub(super) fn eligible_buckets(&self, spec: &JobSpec) -> impl Iterator<Item = &CapacityBucket> {
         self.capacity_index
             .buckets
@@ -99,7 +100,7 @@
             .filter(|bucket| self.is_eligible_bucket(spec, &bucket.kind))
     }
 
-    /// Whether the job's own constraints let its tasks go to a machine, wherever its other tasks are.
+    /// Whether the job's own constraints allow its tasks on a machine, wherever its other tasks are.
     pub fn is_eligible_machine(&self, machine: &Machine, spec: &JobSpec) -> bool {
         machine.machine_type.is_some_and(|index| {
             let name = &self.machine_types[index].name;
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Whether the job's tasks may go to a machine once it has free capacity.
+    /// Whether the job's tasks may run on a machine once the machine has free capacity.
     pub fn can_host(
         &self,
         machine: &Machine,
@@ -122,7 +123,8 @@
             && is_zone_allowed(spec, zones, &machine.zone)
     }
 
-    /// Where the job's tasks are, tasks that still have to exit included; nothing for a job without zone constraints.
+    /// Returns the number of the job's tasks in each zone, including tasks that still have to exit; empty for a job
+    /// without zone constraints.
     pub fn zones_in_use(&self, job: &Job) -> ZoneTaskCounts {
         let mut zones = ZoneTaskCounts::new();
         if !job.spec.is_zone_constrained() {
@@ -136,7 +138,7 @@
         zones
     }
 
-    /// How many of a job's tasks may be placed on a machine now. Reservations of other jobs count as used.
+    /// Returns how many of a job's tasks may be placed on a machine now. Reservations for other jobs count as used.
     pub(super) fn tasks_that_fit(
         &self,
         machine: &Machine,
@@ -146,7 +148,7 @@
         now: Micros,
     ) -> i64 {
         self.passes.add_steps(1);
-        // A crash-looping job is probed anywhere: it may have met faulty machines only.
+        // A crash-looping job is probed on any machine, since it may have failed on faulty machines only.
         let failed_here = !crash_looping && machine.placement.failures_by_job.contains_key(job);
         if failed_here || !machine.is_schedulable(now, self.settings.heartbeat_interval) {
             return 0;
@@ -165,7 +167,8 @@
         }
     }
 
-    /// Places as many of a job's tasks as possible, on machine `only` or on all. Returns how many tasks found no capacity.
+    /// Places as many of a job's tasks as possible, on machine `only` or on all machines. Returns the number of tasks
+    /// without capacity.
     pub(super) fn place_tasks(
         &mut self,
         id: &JobId,
@@ -178,15 +181,15 @@
         };
         let spec = job.spec.clone();
         if spec.is_zone_constrained() && !job.tasks.unconfirmed.is_empty() {
-            // Where the unconfirmed attempts are decides where the others may go.
+            // The zones of the unconfirmed attempts decide which zones the other tasks may use.
             return 0;
         }
         let wanted = self.tasks_to_place(job, now);
-        let is_simple =
+        let is_typical =
             !spec.is_zone_constrained() && job.failure_tracking.failed_machines.is_empty();
-        let is_hopeless =
-            || is_simple && !self.has_reservation(id) && unplaceable.contains(&spec, 1);
-        if wanted == 0 || is_hopeless() {
+        let is_known_unplaceable =
+            || is_typical && !self.has_reservation(id) && unplaceable.contains(&spec, 1);
+        if wanted == 0 || is_known_unplaceable() {
             return wanted;
         }
         let mut zones = self.zones_in_use(job);
@@ -201,8 +204,9 @@
             None => self.first_fit(id, &spec, &mut zones, wanted, now),
         };
         let found = placed_tasks(&placements);
-        // An array takes what there is, so only where there was none is there none for the next.
-        if only.is_none() && is_simple && found == 0 {
+        // An array takes any capacity there is, so a later job is certain to find none only if this one found none at
+        // all.
+        if only.is_none() && is_typical && found == 0 {
             unplaceable.record(&spec, 1);
         }
         let tasks: Vec<u32> = startable_tasks(job, now).take(found).collect();
@@ -213,8 +217,8 @@
         wanted - found
     }
 
-    /// How many tasks of a job could be placed now if there were capacity for all. A huge array must cost no more than the
-    /// capacity there is for it, so the tasks themselves are not walked.
+    /// Returns how many tasks of a job could be placed now if there were capacity for all. A huge array must cost no
+    /// more than the capacity that exists for it, so the tasks themselves are not iterated.
     fn tasks_to_place(&self, job: &Job, now: Micros) -> usize {
         let live = job.tasks.live_attempts.len() as i64;
         let probes = job.allowed_probes(now).saturating_sub(live);
@@ -230,7 +234,7 @@
             .min(limit.max(0) as usize)
     }
 
-    /// The zone with the most free capacity for a job.
+    /// Returns the zone with the most free capacity for a job.
     fn zone_with_most_capacity(
         &self,
         id: &JobId,
@@ -255,7 +259,7 @@
         best.map(|(zone, _)| zone.clone())
     }
 
-    /// Takes the capacity that one machine has for up to `wanted` tasks of a job.
+    /// Places up to `wanted` tasks of a job on one machine, as far as it has capacity.
     fn fit_on_machine(
         &self,
         machine: &MachineId,
@@ -282,8 +286,8 @@
         placements
     }
 
-    /// Takes capacity for up to `wanted` tasks of a job, first-fit in the order of tiers; among machines whose capacity costs
-    /// the same, those that hold the job's image come first.
+    /// Finds capacity for up to `wanted` tasks of a job by first-fit in the order of tiers. Among the machines of a
+    /// tier, whose capacity costs the same, machines that hold the job's image come first.
     pub(super) fn first_fit(
         &self,
         id: &JobId,
@@ -312,7 +316,7 @@
         placements
     }
 
-    /// The machines of a tier that can take tasks of a job.
+    /// Returns the machines of a tier that can take tasks of a job.
     fn tier_candidates(
         &self,
         tier: &[usize],
@@ -353,7 +357,7 @@
         candidates
     }
 
-    /// Whether capacity is reserved for a job somewhere, as far as is known.
+    /// Whether a reservation for a job may be active, judged by the latest expiry of its reservations.
     pub(super) fn has_reservation(&self, id: &JobId) -> bool {
         self.jobs
             .get(id)
@@ -372,9 +376,9 @@
         machine.placement.reservation = Some(reservation);
     }
 
-    /// Reserves machines that have too little free capacity yet for a stage of a pipeline, those where most can end next
-    /// first. Smaller tasks further down the queue would otherwise take all capacity as it comes free, bit by bit, and a task
-    /// that needs more would never find any.
+    /// Reserves machines that have too little free capacity yet for a stage of a pipeline; machines with the most
+    /// attempts, which can end next, come first. Otherwise smaller tasks further down the queue would take all
+    /// capacity bit by bit as it becomes free, and a task that needs more would never find enough.
     pub(super) fn reserve_for_stage(&mut self, id: &JobId, tasks: usize, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.scheduling.downstream_demand.is_none() || job.spec.is_zone_constrained() {
@@ -411,7 +415,8 @@
     }
 }
 
-/// The pending tasks of a job that may start now: neither backing off nor possibly running on an unconfirmed machine.
+/// Returns the pending tasks of a job that may start now: tasks that are neither backing off nor possibly running on
+/// an unconfirmed machine.
 fn startable_tasks(job: &Job, now: Micros) -> impl Iterator<Item = u32> {
     job.tasks.pending.iter().filter(move |index| {
         let backoff = job.tasks.backoff.get(index);
@@ -420,7 +425,8 @@
     })
 }
 
-/// Takes a candidate for up to `wanted` tasks, as far as the job's zone constraints allow. Returns for how many.
+/// Places up to `wanted` tasks on a candidate, as far as the job's zone constraints allow. Returns the number of
+/// tasks placed.
 fn take_candidate(
     candidate: Candidate<'_>,
     spec: &JobSpec,
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption: capacity is made for a job by stopping work that matters less.
+//! Preemption: freeing capacity for a job by stopping less important work.
 //!
-//! A job of high priority may stop work of lower priority, and a job within its team's guarantee may stop work that other
-//! teams run above theirs. What loses least goes first, never more than a team has borrowed, never a gang, and nothing at
-//! all if it cannot make capacity for a whole gang. The capacity is reserved for the job.
+//! A job of high priority may stop work of lower priority, and a job within its team's guarantee may stop work that
+//! other teams run above theirs. Victims are chosen in order of least lost work. A team never loses more than it has
+//! borrowed, a gang is never preempted, and nothing is preempted for a gang unless the freed capacity is enough for
+//! the whole gang. The freed capacity is reserved for the job.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -19,42 +20,43 @@
 use crate::state::job::Job;
 use crate::state::machine::{Machine, Reservation};
 
-/// A reservation of capacity that was made by preemption expires after this time.
+/// A reservation of capacity that preemption has freed expires after this time.
 const PREEMPTED_RESERVATION: Micros = 15 * SECOND;
 
-/// A pass preempts for as long as this would take at the rate of steps that policy allows.
+/// Time budget of a pass for preemption, in microseconds, converted to steps at the rate of steps that policy allows.
 const PREEMPTION_STEP_BUDGET: Micros = 500_000;
 
-/// After a pass that did not come to all gangs, those that were preempted for yield to the others for this long.
+/// After a pass that did not reach all gangs, jobs for which capacity was preempted yield to the others for this
+/// time.
 const PREEMPTION_RETRY: Micros = 3 * SECOND;
 
-/// The most tasks of an array that are preempted for at once.
+/// Maximum number of tasks of an array for which capacity is preempted at once.
 const MAX_ARRAY_TASKS: i64 = 1000;
 
-/// No resources at all: a team with this guarantee has none.
+/// No resources: the guarantee of a team without a guarantee.
 const NO_RESOURCES: Resources = Resources {
     cpu: 0,
     gpu: 0,
     memory: 0,
 };
 
-/// What each team, by its number, runs above its guarantee.
+/// Resources that each team, by index, uses above its guarantee.
 type BorrowedQuota = Vec<Resources>;
 
-/// What a pass knows of capacity that preemption can make.
+/// Capacity that preemption can free, as far as a pass has computed it.
 #[derive(Debug, Default)]
 pub(super) struct PreemptionPass {
     borrowed: Option<BorrowedQuota>,
-    /// Once so many scheduling steps were taken, nothing more is preempted in this pass.
+    /// Number of scheduling steps after which nothing more is preempted in this pass.
     step_limit: u64,
-    /// The last round did not come to all gangs.
+    /// Whether the last round did not reach all gangs.
     catching_up: bool,
-    /// Requests for which nothing can be preempted.
+    /// Requests for which preemption cannot free enough capacity.
     infeasible: Vec<PreemptionRequest>,
     plans: HashMap<PreemptionClass, PreemptionPlan>,
 }
 
-/// Jobs of one class may preempt the same work for the same capacity.
+/// Class of jobs that may preempt the same work for the same capacity.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct PreemptionClass {
     constraints: PlacementConstraints,
@@ -64,8 +66,8 @@
     within_guarantee: bool,
 }
 
-/// Work that jobs of a class may preempt, and the capacity that makes: on its timeline the work that is lost stands for the
-/// time.
+/// Work that jobs of a class may preempt, and the capacity that this frees. The timeline of this capacity is ordered
+/// by lost work instead of time.
 #[derive(Debug, Default)]
 struct PreemptionPlan {
     timeline: CapacityTimeline,
@@ -75,15 +77,15 @@
 /// A task that may be preempted.
 #[derive(Debug)]
 struct Victim {
-    /// The work that is lost with it.
+    /// Run time that is lost with the task, in microseconds.
     loss: Micros,
     task: TaskId,
     resources: Resources,
-    /// The team that has borrowed the capacity, if that is why it may be preempted.
+    /// Team that has borrowed the capacity; `None` if the task may be preempted because of its lower priority.
     borrower: Option<usize>,
 }
 
-/// A job that asks for capacity to be made.
+/// A request for freed capacity for tasks of a job.
 #[derive(Debug)]
 struct PreemptionRequest {
     spec: Arc<JobSpec>,
@@ -93,7 +95,7 @@
 }
 
 impl PreemptionRequest {
-    /// Whether nothing can be preempted for `other` if nothing can be for this one.
+    /// Whether `other` is certain to be infeasible if this request is.
     fn implies_infeasible(&self, other: &PreemptionRequest) -> bool {
         let (a, b) = (&self.spec, &other.spec);
         self.tasks <= other.tasks
@@ -106,13 +108,13 @@
     }
 }
 
-/// The job that is preempted for.
+/// The job for which other work is preempted.
 #[derive(Clone, Copy)]
 struct Preemptor<'a> {
     job: &'a Job,
     is_urgent: bool,
     is_gang: bool,
-    /// Only teams without a guarantee are preempted, and only their tasks that save checkpoints.
+    /// Whether only tasks that save checkpoints, of teams without a guarantee, may be preempted.
     only_without_guarantee: bool,
 }
 
@@ -124,7 +126,8 @@
             job,
             is_urgent,
             is_gang,
-            // An array's tasks find capacity as others end; stopping as many others only moves the work.
+            // The tasks of an array find capacity as others end, so stopping as many other tasks would only move the
+            // work.
             only_without_guarantee: !is_urgent && !is_gang,
         }
     }
@@ -140,14 +143,15 @@
     }
 }
 
-/// The tasks to stop, and what is borrowed once they are.
+/// The tasks to stop, and the borrowed resources after the stops.
 struct Preemptions {
     tasks: Vec<TaskId>,
     borrowed: BorrowedQuota,
 }
 
 impl Cluster {
-    /// What is known of preemption in a pass that begins now. `is_round`: all gangs gather anew in it.
+    /// Prepares the preemption state of a pass that begins now. `is_round`: whether all gangs gather capacity again
+    /// in the pass.
     pub(super) fn begin_preemption_pass(&mut self, is_round: bool) -> PreemptionPass {
         let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
         PreemptionPass {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Whether the job's team has no guarantee: all that it uses is borrowed.
+    /// Whether the job's team has no guarantee, so that all its usage is borrowed.
     fn has_no_guarantee(&self, job: &Job) -> bool {
         job.team
             .is_some_and(|team| self.settings.teams[team].guarantee == NO_RESOURCES)
@@ -168,7 +172,7 @@
         teams.any(|team| team.guarantee == NO_RESOURCES)
     }
 
-    /// What each team runs above its guarantee, less what has been told to stop.
+    /// Returns the resources that each team uses above its guarantee, less the attempts that have been told to stop.
     fn borrowed_quota(&self) -> BorrowedQuota {
         let teams = self.quota.team_usage.iter().zip(&self.settings.teams);
         let mut borrowed: BorrowedQuota =
@@ -183,7 +187,7 @@
         borrowed
     }
 
-    /// Makes capacity for tasks of a job, if it may preempt others, and reserves it.
+    /// Frees capacity for tasks of a job, if the job may preempt others, and reserves it.
     pub(super) fn preempt_for(
         &mut self,
         id: &JobId,
@@ -233,7 +237,8 @@
         }
     }
 
-    /// For how many tasks capacity is to be made: a gang's all, an array's as far as it is not being made already.
+    /// Returns the number of tasks for which capacity is to be freed: all tasks of a gang, and the tasks of an array
+    /// for which no capacity is reserved yet.
     fn tasks_to_preempt_for(&self, preemptor: &Preemptor<'_>, tasks: usize, now: Micros) -> usize {
         if preemptor.is_gang {
             return tasks;
@@ -253,7 +258,8 @@
         tasks.min(within_quota).saturating_sub(reserved as usize)
     }
 
-    /// Chooses the machines and the tasks to preempt there, those that lose least first. `None` if too little can be made.
+    /// Chooses machines and their victims, in order of least lost work. Returns `None` if too little capacity can be
+    /// freed.
     fn plan_preemption(
         &self,
         preemptor: &Preemptor<'_>,
@@ -269,7 +275,7 @@
             within_guarantee: job.scheduling.within_guarantee,
             tasks: if preemptor.is_gang { tasks } else { 1 },
         };
-        // What this one finds out holds for others like it.
+        // The result for a typical job also holds for similar jobs.
         let is_typical = zones.is_empty()
             && job.scheduling.reserved_until <= now
             && job.failure_tracking.failed_machines.is_empty();
@@ -290,7 +296,7 @@
             false => chosen.tasks() > 0,
         };
         let Some(chosen) = chosen.filter(is_enough) else {
-            // The plan is made anew for the next job: some of it may have been taken out.
+            // The plan is rebuilt for the next job, since parts of it may have been removed.
             if is_typical {
                 pass.infeasible.push(request);
             }
@@ -302,8 +308,8 @@
         Some((chosen, preemptions.tasks))
     }
 
-    /// Takes the victims on the chosen machines out of a plan. `None` if a gang would get only a part of what it needs, which
-    /// is of no use to it.
+    /// Removes the victims on the chosen machines from a plan. Returns `None` if a gang would get only a part of the
+    /// capacity that it needs, which is of no use to the gang.
     fn choose_victims(
         &self,
         preemptor: &Preemptor<'_>,
@@ -327,7 +333,7 @@
                 }
                 if let Some(borrower) = victim.borrower {
                     let left = &mut preemptions.borrowed[borrower];
-                    // Never more than the team has borrowed.
+                    // A team never loses more than it has borrowed.
                     if !Team::within(left, &NO_RESOURCES, &victim.resources) {
                         continue;
                     }
@@ -343,7 +349,8 @@
         Some(preemptions)
     }
 
-    /// All that a job may preempt, and where that would make capacity for its tasks, by what is lost.
+    /// Returns all work that a job may preempt, and the capacity that this would free for its tasks, ordered by lost
+    /// work.
     fn preemption_plan(
         &self,
         preemptor: &Preemptor<'_>,
@@ -376,7 +383,7 @@
         plan
     }
 
-    /// The tasks on a machine that a job may preempt.
+    /// Returns the tasks on a machine that a job may preempt.
     fn victims_on(
         &self,
         machine: &Machine,
@@ -418,19 +425,19 @@
         attempt: &Attempt,
         borrowed: &BorrowedQuota,
     ) -> bool {
-        let may_be_told = !preemptor.only_without_guarantee
+        let is_allowed_victim = !preemptor.only_without_guarantee
             || self.has_no_guarantee(job) && job.spec.checkpoint_interval > 0;
         preemptor.job.scheduling.within_guarantee
             && !job.scheduling.within_guarantee
             && job.team != preemptor.job.team
-            && may_be_told
+            && is_allowed_victim
             && attempt.team.is_some_and(|team| {
                 Team::within(&borrowed[team], &NO_RESOURCES, &attempt.resources)
             })
     }
 }
 
-/// Whether a job may preempt anything in this pass.
+/// Whether a job may preempt at all in this pass.
 fn may_preempt(preemptor: &Preemptor<'_>, pass: &PreemptionPass, now: Micros) -> bool {
     let scheduling = &preemptor.job.scheduling;
     let was_just_served = scheduling
@@ -439,7 +446,8 @@
     (preemptor.is_urgent || scheduling.within_guarantee) && !(pass.catching_up && was_just_served)
 }
 
-/// The work that is lost if an attempt is stopped now. One that saves checkpoints loses only the time it takes to save.
+/// Returns the run time that is lost if an attempt is stopped now. An attempt that saves checkpoints loses only the
+/// time that saving takes.
 fn work_lost(job: &Job, attempt: &Attempt, now: Micros) -> Micros {
     let ran = running_time(attempt, now);
     if job.spec.checkpoint_interval > 0 {
@@ -449,7 +457,8 @@
     }
 }
 
-/// Adds the capacity that preempting a machine's victims makes, one entry for each task of the preemptor that then fits.
+/// Adds the capacity that preempting a machine's victims frees, one entry for each task of the preemptor that fits
+/// then.
 fn add_preemptible_capacity(
     machine: &Machine,
     preemptor: &Preemptor<'_>,
@@ -471,8 +480,8 @@
             free += victim.resources;
             loss += victim.loss + 1;
         }
-        // Capacity that is there already needs no preemption: what keeps an array off it is another rule. A gang needs it
-        // together with what is made.
+        // Free capacity needs no preemption: if an array does not use it, another rule prevents that. A gang needs
+        // the free capacity together with the freed capacity.
         if !preemptor.is_gang && loss == 0 {
             return;
         }
--- a/crates/gannethub-core/src/scheduling/provisioning_plan.rs
+++ b/crates/gannethub-core/src/scheduling/provisioning_plan.rs
@@ -1,7 +1,8 @@
-//! The provisioning plan: how many machines of which offers are needed for the queue to be served in time.
+//! The provisioning plan: the number of machines of each offer that are needed to serve the queue in time.
 //!
-//! The plan plays the queue forward on a [`Forecast`] of the machines there are and those on their way. Work that would start
-//! too late there gets a new machine, of the offer with the lowest price for the capacity that it and the jobs behind it use.
+//! The plan simulates the queue on a [`Forecast`] of the present machines and of the machines that boot or are
+//! requested. Work that would start too late there gets a new machine, of the offer with the lowest price for the
+//! capacity that this work and the jobs behind it use.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
@@ -21,57 +22,60 @@
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
-/// Steps of a plan, in queue order, and so many more for each machine there is: else a large cluster's plan would end among
-/// the machines it has, and never come to what has to be provisioned. A plan is made anew all the time. A step places all
-/// tasks of a job that start on one machine at one time.
+/// Number of steps of a plan, in queue order. A step places all tasks of a job that start on one machine at one time.
+/// Plans are recomputed all the time.
 const BASE_STEPS: usize = 3000;
+/// Number of further steps for each machine in the forecast. Otherwise the plan of a large cluster would end among the
+/// present machines and never reach the work that needs new machines.
 const STEPS_PER_MACHINE: usize = 12;
 
-/// Jobs behind the first that are looked at for what else a new machine would be used for.
+/// Maximum number of jobs behind the first that are examined for other uses of a new machine.
 const LOOKAHEAD_JOBS: usize = 32;
 
-/// Up to so many different shapes have indexes of their own; of more, similar ones share one.
+/// Maximum number of different shapes with indexes of their own; with more shapes, similar shapes share an index.
 const MAX_EXACT_SHAPES: usize = 24;
 
-/// The part of the time left that is counted on for work that will be released soon.
+/// Fraction of the time until the latest start that the plan lets work wait that will be released soon.
 const UPCOMING_SLACK: f64 = 0.2;
 
-/// Tasks that back off for longer than this are not planned for.
+/// Tasks whose remaining backoff exceeds this time are not planned.
 const MAX_PLANNED_BACKOFF: Micros = 10 * SECOND;
 
-/// For how long a machine that the plan needs for upcoming work is kept.
+/// Time for which a machine that the plan needs for upcoming work is kept.
 const PLANNED_WORK: Micros = 2 * SECOND;
 
-/// An offer as the plan sees it.
+/// An offer with the price that the plan assumes.
 struct PricedOffer {
     offer: Offer,
-    /// Its price per hour, raised by what is lost while it boots.
+    /// Price for an hour, raised by the expected loss while the machine boots.
     price: f64,
 }
 
-/// A plan in the making.
+/// A plan under construction.
 struct Plan<'a> {
     cluster: &'a Cluster,
     forecast: Forecast,
     offers: &'a [PricedOffer],
-    /// No job of the plan needs less of anything.
+    /// Minimum of each resource over all jobs of the plan.
     min_resources: Resources,
-    /// Each shape has an index of its own: what is too little for one job is then not read again by all others of its shape.
+    /// Whether each shape has an index of its own. Capacity that is too small for one job is then not read again by
+    /// all other jobs of its shape.
     has_exact_shapes: bool,
     steps_left: usize,
     wanted: BTreeMap<Offer, u32>,
-    /// Machines that upcoming work is planned on.
+    /// Machines on which upcoming work is planned.
     planned_machines: HashSet<MachineId>,
 }
 
-/// The offer that is best for a job.
+/// The best offer for a job, if it is known.
 enum BestOffer<'a> {
     Unknown,
     Known(Option<&'a PricedOffer>),
 }
 
 impl Cluster {
-    /// How many machines of each offer the queue needs beyond those that there are or that are on their way.
+    /// Returns the number of machines of each offer that the queue needs in addition to the machines that are up,
+    /// booting or requested.
     pub fn machines_wanted(&mut self, now: Micros) -> BTreeMap<Offer, u32> {
         self.order_queue(now);
         let mut pending = self.pending_work(now);
@@ -102,8 +106,8 @@
         wanted
     }
 
-    /// Work that has no capacity now and may run under its team's limit, in queue order, and work that will be released
-    /// before a new machine is up.
+    /// Returns the work, in queue order, that has no capacity now and may run under its team's limit, and the work
+    /// that will be released before a new machine is up.
     fn pending_work(&self, now: Micros) -> Vec<PendingWork> {
         let teams = 0..self.quota.team_usage.len();
         let mut quota: Vec<Resources> = teams.map(|team| self.remaining_quota(team)).collect();
@@ -131,8 +135,8 @@
         pending
     }
 
-    /// How long a job's tasks may wait before a new machine is worth it. Estimates are rough: only a part of the time that its
-    /// objectives leave is counted on.
+    /// Returns the time that a job's tasks may wait before a new machine is worth its price. Estimates are rough, so
+    /// only a part of the time that the job's objectives leave is used.
     fn planned_slack(&self, job: &Job, within_guarantee: bool) -> Micros {
         let latest_start = self.latest_start(job, within_guarantee);
         let inputs = self.policy_inputs(job, within_guarantee, latest_start);
@@ -190,8 +194,8 @@
         }
     }
 
-    /// How long the machine that a job would most likely get takes to boot: one of the cheapest type that its tasks fit, in
-    /// the zone where that is fastest.
+    /// Returns the boot time of the machine that a job would most likely get: a machine of the cheapest type that
+    /// fits its tasks, in the zone with the shortest boot time.
     fn expected_boot_time_for(&self, spec: &JobSpec, now: Micros) -> Option<Micros> {
         let price = |index: &usize| self.price_per_millicpu(*index, spec.spot);
         let index = (0..self.machine_types.len())
@@ -205,7 +209,7 @@
             .min()
     }
 
-    /// What can be provisioned now.
+    /// Returns the offers that can be provisioned now.
     fn available_offers(&self, now: Micros) -> Vec<PricedOffer> {
         let mut offers = Vec::new();
         for (index, machine_type) in self.machine_types.iter().enumerate() {
@@ -235,7 +239,8 @@
         offers
     }
 
-    /// The machines there are or that are on their way, and when their capacity comes free.
+    /// Builds the forecast from the present machines and the machines that boot or are requested, with the times at
+    /// which their capacity becomes free.
     fn forecast(&self, now: Micros) -> Forecast {
         let mut forecast = Forecast::new(now);
         for machine in self.machines.values() {
@@ -298,13 +303,13 @@
         forecast.add_machine(machine_forecast);
     }
 
-    /// The forecast's group of a kind of machines.
+    /// Returns the forecast's group of a kind of machines.
     fn forecast_group(&self, forecast: &mut Forecast, key: &MachineGroupKey) -> usize {
         let price = self.price_per_millicpu(key.machine_type, key.spot);
         forecast.group_for(key, price)
     }
 
-    /// A machine that runs nothing.
+    /// Returns the forecast of a machine without attempts.
     fn empty_machine(
         &self,
         group: usize,
@@ -322,7 +327,7 @@
         }
     }
 
-    /// When a machine that is provisioned now is expected to be up.
+    /// Returns the time at which a machine provisioned now is expected to be up.
     fn expected_boot_end(&self, offer: &Offer, now: Micros) -> Micros {
         let usual = self.machine_types[offer.machine_type].boot_time;
         let times = &self.fleet.provisioning_times;
@@ -357,7 +362,7 @@
         }
     }
 
-    /// Plays a job's tasks forward. `behind`: the jobs after it in the queue.
+    /// Simulates a job's tasks. `behind`: the jobs after it in the queue.
     fn add_work(&mut self, work: &mut PendingWork, behind: &[PendingWork]) {
         let now = self.forecast.now;
         let shape = match self.has_exact_shapes {
@@ -366,7 +371,7 @@
         };
         let mut candidates = Candidates::new(shape, self.eligible_groups(&work.spec));
         candidates.resize(self.forecast.groups.len());
-        // The best offer, once it is known and for as long as it stays the best.
+        // The best offer for the job, kept while it is known to stay the best.
         let mut best_offer = BestOffer::Unknown;
         while work.tasks > 0 && self.steps_left > 0 {
             self.steps_left -= 1;
@@ -383,7 +388,7 @@
                 };
                 let new_machine_at =
                     offer.map(|priced| self.cluster.expected_boot_end(&priced.offer, now));
-                // A new machine would be there no sooner than the capacity there is.
+                // A new machine would be up no sooner than the present capacity is free.
                 if new_machine_at.is_none_or(|at| choice.start <= at) {
                     if work.earliest_start > now {
                         let machine = &self.forecast.machines[choice.machine];
@@ -399,7 +404,7 @@
             };
             let Some(offer) = offer else { break };
             self.add_new_machine(offer, work, &mut candidates);
-            // As long as its own tasks fill a whole machine, another one of the offer is as good.
+            // While the job's own tasks fill a whole machine, another machine of the same offer is just as good.
             let size = &self.cluster.machine_types[offer.offer.machine_type].size;
             if !work.spec.is_zone_constrained() && work.tasks >= work.spec.resources.count_in(size)
             {
@@ -409,7 +414,7 @@
         self.forecast.return_candidates(candidates);
     }
 
-    /// The groups of machines that may run a job's tasks.
+    /// Returns the groups of machines that may run a job's tasks.
     fn eligible_groups(&self, spec: &JobSpec) -> Vec<usize> {
         let groups = self.forecast.groups.iter().enumerate();
         groups
@@ -442,7 +447,8 @@
         *self.wanted.entry(offer.clone()).or_default() += 1;
     }
 
-    /// The offer that serves a job at the lowest price for the capacity that it and the jobs behind it use.
+    /// Returns the offer that serves a job at the lowest price for the capacity that the job and the jobs behind it
+    /// use.
     fn best_offer(&self, first: &PendingWork, behind: &[PendingWork]) -> Option<&'a PricedOffer> {
         let mut best: Option<(f64, &PricedOffer)> = None;
         for priced in self.offers {
@@ -482,7 +488,7 @@
     }
 }
 
-/// How many tasks of a job are planned for; their share of the team's quota is taken.
+/// Returns the number of tasks of a job to plan, and deducts them from the team's quota.
 fn tasks_to_plan(job: &Job, quota: &mut Resources, now: Micros) -> i64 {
     let placeable = job.placeable_count() as i64;
     if placeable == 0 {
@@ -497,11 +503,12 @@
     let live = job.tasks.live_attempts.len() as i64;
     let worth_it = job.tasks_worth_provisioning(now).saturating_sub(live);
     let tasks = (placeable - backing_off).min(worth_it);
-    // Nothing is planned for a gang that is unconfirmed in part or does not fit its team's limit.
+    // A gang is not planned if some of its tasks are unconfirmed or if it does not fit its team's limit.
     take_quota(&job.spec, tasks, job.tasks.pending.len(), quota)
 }
 
-/// Takes a team's quota for up to so many tasks of a job. A gang takes it for all that it lacks, or for none.
+/// Deducts up to `tasks` tasks of a job from a team's quota. Returns the number of tasks deducted: for a gang all its
+/// missing tasks or none.
 fn take_quota(spec: &JobSpec, tasks: i64, gang_tasks: u32, quota: &mut Resources) -> i64 {
     quota.memory = UNLIMITED;
     let needed = Resources {
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -1,10 +1,11 @@
-//! How the cluster is divided among shards: what teams may use in each, which machines are provisioned for which, and which
-//! jobs move to another shard before any of their tasks has been launched.
+//! Division of the cluster among shards: the quota of each team in each shard, the machines provisioned for each
+//! shard, and the jobs that move to another shard before any of their tasks has been launched.
 //!
-//! A team's limit is never given out twice. What a shard other than 0 may use is stored under a key of its own; shard 0 has
-//! what is left. A shard's own owner lowers its quota, and keeps to that from before it is stored; only the owner of shard 0
-//! raises it, after it has taken the same from itself. So at any moment, whatever is late or lost, the shards' quotas add up
-//! to the limit at most.
+//! A team's limit is never given out twice. The quota of a shard other than 0 is stored under a key of its own; shard
+//! 0 has the rest of the limit. A shard's quota is lowered only by the shard's own owner, which keeps to the lower
+//! quota from before it is stored. It is raised only by the owner of shard 0, after that owner has deducted the same
+//! amount from its own quota. So the shards' quotas add up to the limit at most at any moment, whichever messages are
+//! late or lost.
 
 use std::collections::BTreeMap;
 
@@ -14,19 +15,20 @@
 use crate::state::job::Job;
 use crate::state::shard_load::{ShardLoad, TeamLoad};
 
-/// What a shard keeps beyond what it uses and waits for, as a part of that.
+/// Fraction of its used and waiting resources that a shard keeps in addition to them.
 const HEADROOM_FRACTION: f64 = 0.1;
 
-/// A quota is lowered only if that returns more than one part in so many: each change costs one of the state service's.
+/// A quota is lowered only if that returns more than one part in this many, since each change costs a write to the
+/// state service.
 const MIN_RETURNED_PART: i64 = 8;
 
-/// A job that nothing has been launched of looks for another shard after this time and a heartbeat's interval.
+/// Time, in addition to a heartbeat interval, after which a job without any launch looks for another shard.
 const MIN_WAIT_BEFORE_MOVE: u64 = 2 * SECOND;
 
-/// Jobs that move to other shards at once.
+/// Maximum number of jobs that move to other shards at once.
 const MAX_JOBS_MOVED_AT_ONCE: usize = 4;
 
-/// What teams may use in each shard other than 0: CPU and GPU, in the settings' order of teams.
+/// Quotas of the teams in each shard other than 0: CPU and GPU, in the order of the teams in the settings.
 pub type ShardQuotas = BTreeMap<u32, Vec<Resources>>;
 
 fn without_negatives(resources: Resources) -> Resources {
@@ -37,7 +39,7 @@
     }
 }
 
-/// What shard 0 may use: what is left of the whole limits.
+/// Returns the quotas of shard 0: the rest of the limits.
 pub fn remaining_quota(limits: &[Resources], quotas: &ShardQuotas) -> Vec<Resources> {
     let mut remaining = limits.to_vec();
     for quota in quotas.values() {
@@ -48,8 +50,8 @@
     remaining
 }
 
-/// What the quotas of other shards are raised to, if they lack something and shard 0 has it to give. `own`: the load of each team
-/// in shard 0; `loads`: that in other shards.
+/// Returns the raised quotas of other shards that lack quota, as far as shard 0 has some left. `own`: the load of
+/// each team in shard 0; `loads`: the loads of the teams in other shards.
 pub fn raised_quotas(
     limits: &[Resources],
     quotas: &ShardQuotas,
@@ -87,7 +89,7 @@
     raised
 }
 
-/// What a team needs in a shard beyond its quota there.
+/// Returns the resources that a team needs in a shard beyond its quota there.
 fn shortage(quota: Option<&Vec<Resources>>, loads: &[TeamLoad], team: usize) -> Resources {
     let quota = quota.and_then(|quota| quota.get(team));
     let load = loads.get(team).copied().unwrap_or_default();
@@ -96,7 +98,7 @@
     without_negatives(needed - quota.copied().unwrap_or_default())
 }
 
-/// The share of what is free that goes to one shortage of a total.
+/// Returns the share of the free quota that one shortage gets, out of the total of all shortages.
 fn proportional_share(free: i64, shortage: i64, total: i64) -> i64 {
     if total == 0 {
         0
@@ -107,9 +109,9 @@
     }
 }
 
-/// What a shard's own quota is lowered to, if it has more than it uses and waits for.
+/// Returns the lowered quota of a shard that has more than it uses and waits for.
 pub fn lowered_quota(quota: &[Resources], loads: &[TeamLoad]) -> Option<Vec<Resources>> {
-    let lower = |quota: i64, used: i64, waiting: i64| {
+    let lower_amount = |quota: i64, used: i64, waiting: i64| {
         let needed = used + waiting;
         let kept = needed + (needed as f64 * HEADROOM_FRACTION) as i64;
         if quota > kept + quota / MIN_RETURNED_PART {
@@ -122,8 +124,8 @@
         .iter()
         .zip(loads)
         .map(|(quota, load)| Resources {
-            cpu: lower(quota.cpu, load.used.cpu, load.waiting.cpu),
-            gpu: lower(quota.gpu, load.used.gpu, load.waiting.gpu),
+            cpu: lower_amount(quota.cpu, load.used.cpu, load.waiting.cpu),
+            gpu: lower_amount(quota.gpu, load.used.gpu, load.waiting.gpu),
             memory: 0,
         })
         .collect();
@@ -131,7 +133,7 @@
 }
 
 impl Cluster {
-    /// The load of this shard, as its owner tells it.
+    /// Returns the load of this shard, as its owner reports it to peers.
     pub fn shard_load(&self) -> ShardLoad {
         let machines = self.machines.values();
         let schedulable = machines
@@ -156,7 +158,8 @@
         load
     }
 
-    /// The load of each team in this shard: no more than it could start soon, however long its queue.
+    /// Returns the load of each team in this shard: the waiting part is no more than the team's limit lets it start,
+    /// however long its queue.
     fn team_loads(&self) -> Vec<TeamLoad> {
         let unconfirmed = &self.takeover.unconfirmed.possible_usage;
         let usage = self.quota.team_usage.iter().zip(unconfirmed);
@@ -187,7 +190,7 @@
         loads
     }
 
-    /// Asks the cloud for what other shards' plans lack, each one's in turn.
+    /// Requests the machines that the plans of other shards lack, for one shard after another.
     pub(crate) fn scale_out_for_shards(
         &mut self,
         now: Micros,
@@ -216,7 +219,8 @@
         }
     }
 
-    /// Offers that the cloud has refused lately, and for how long they are left alone.
+    /// Returns the offers that the cloud has refused recently, with the remaining time for which each is not
+    /// requested again.
     pub fn refused_offers(&self) -> Vec<(Offer, Micros)> {
         let refusals = self.fleet.refusals.iter();
         refusals
@@ -225,8 +229,8 @@
             .collect()
     }
 
-    /// Moves jobs that nothing was launched of and that find no capacity here to a shard that has some; all that can move, if
-    /// this shard is to be given up.
+    /// Moves jobs that have no launches and find no capacity here to a shard with free capacity. If this shard is to
+    /// be given up, all jobs that can move are moved.
     pub fn transfer_waiting_jobs(&mut self, give_up: bool) {
         if !self.takeover.settled || self.other_shards.loads.len() < 2 {
             return;
@@ -240,7 +244,7 @@
                 break;
             }
             if self.may_transfer(job, give_up) {
-                let shard = self.roomiest_other_shard(job, give_up);
+                let shard = self.shard_with_most_free_cpu(job, give_up);
                 moves.extend(shard.map(|shard| (job.id.clone(), shard)));
             }
         }
@@ -251,7 +255,7 @@
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.scheduling.home_shard = Some(shard);
             }
-            // Nothing more goes there until its owner tells its load again.
+            // No further job moves to the shard until its owner reports its load again.
             let mut loads = self.other_shards.loads.iter_mut();
             if let Some(load) = loads.find(|load| load.shard == shard) {
                 load.free_cpu = 0;
@@ -259,7 +263,8 @@
         }
     }
 
-    /// Whether a job may move to another shard: nothing was launched of it and its record is not being written.
+    /// Whether a job may move to another shard: none of its tasks has been launched and its record is not being
+    /// written.
     fn may_transfer(&self, job: &Job, give_up: bool) -> bool {
         let waited = self.unix_time.saturating_sub(job.ready_at);
         let has_waited = waited > MIN_WAIT_BEFORE_MOVE + self.settings.heartbeat_interval;
@@ -271,8 +276,8 @@
             && (give_up || (has_waited && job.spec.shape != Shape::Gang))
     }
 
-    /// The other shard with the most free capacity, if that is enough for a job.
-    fn roomiest_other_shard(&self, job: &Job, give_up: bool) -> Option<u32> {
+    /// Returns the other shard with the most free capacity, if that is enough for a job or if this shard is given up.
+    fn shard_with_most_free_cpu(&self, job: &Job, give_up: bool) -> Option<u32> {
         let needed_cpu = job.spec.resources.cpu * job.placeable_count() as i64;
         let unclaimed = |load: &ShardLoad| load.free_cpu - load.waiting_cpu;
         let loads = self.other_shards.loads.iter();
