--- a/crates/gannethub-core/src/scheduling/capacity_timeline.rs
+++ b/crates/gannethub-core/src/scheduling/capacity_timeline.rs
@@ -120,8 +120,8 @@
         self.passes.add_steps(1 + machine.attempts.len() as u64 / 4);
     }
 
-    /// Removes the earliest capacity that the job's zone constraints let it use together from a timeline. Returns
-    /// `None` if the job must be in a single zone and no zone has enough capacity.
+    /// Removes from a timeline the earliest capacity that the job's zone constraints let it use together, and returns
+    /// this capacity. Returns `None` if the job must be in a single zone and no zone has enough capacity.
     pub(super) fn choose_earliest_capacity(
         &self,
         timeline: &mut CapacityTimeline,
--- a/crates/gannethub-core/src/scheduling/consolidation.rs
+++ b/crates/gannethub-core/src/scheduling/consolidation.rs
@@ -14,7 +14,7 @@
 /// Interval between searches for machines that could be emptied.
 const CONSOLIDATION_INTERVAL: Micros = 3 * SECOND;
 
-/// One in this many of the machines that could be emptied is emptied at a time, rounded up.
+/// At most one in this many of the machines that could be emptied is emptied at a time, rounded up.
 const CONSOLIDATION_FRACTION: usize = 8;
 
 /// Tasks that have run for less than this time are not moved.
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -82,7 +82,7 @@
         }
         if stopped > 0 {
             let team = &self.settings.teams[team].name;
-            tracing::info!(%team, stopped, "stopping tasks of team above its limit");
+            tracing::info!(%team, stopped, "stopping tasks of a team above its limit");
         }
     }
 
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -40,9 +40,9 @@
 }
 
 impl Cluster {
-    /// Places all tasks for which there is capacity, and preempts for tasks that must not wait. After a failover the
-    /// pass places tasks on confirmed machines only and preempts nothing until all machines are confirmed, since
-    /// there may be enough capacity.
+    /// Places the tasks for which there is capacity now, and preempts for tasks that must not wait. After a failover
+    /// the pass places tasks on confirmed machines only and preempts nothing until all machines are confirmed, since
+    /// there may be enough capacity then.
     pub fn run_scheduling_pass(&mut self, now: Micros) {
         let steps_before = self.passes.steps.get();
         if self.quota.over_limit == OverLimit::Stop {
--- a/crates/gannethub-core/src/scheduling/placement.rs
+++ b/crates/gannethub-core/src/scheduling/placement.rs
@@ -376,9 +376,9 @@
         machine.placement.reservation = Some(reservation);
     }
 
-    /// Reserves machines that have too little free capacity yet for a stage of a pipeline; machines with the most
-    /// attempts, which can end next, come first. Otherwise smaller tasks further down the queue would take all
-    /// capacity bit by bit as it becomes free, and a task that needs more would never find enough.
+    /// Reserves machines that have too little free capacity yet for a stage of a pipeline, in order of decreasing
+    /// number of attempts that can end next. Otherwise smaller tasks further down the queue would take all capacity
+    /// bit by bit as it becomes free, and a task that needs more would never find enough.
     pub(super) fn reserve_for_stage(&mut self, id: &JobId, tasks: usize, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.scheduling.downstream_demand.is_none() || job.spec.is_zone_constrained() {
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -1,9 +1,9 @@
 //! Preemption: freeing capacity for a job by stopping less important work.
 //!
 //! A job of high priority may stop work of lower priority, and a job within its team's guarantee may stop work that
-//! other teams run above theirs. Victims are chosen in order of least lost work. A team never loses more than it has
-//! borrowed, a gang is never preempted, and nothing is preempted for a gang unless the freed capacity is enough for
-//! the whole gang. The freed capacity is reserved for the job.
+//! other teams run above theirs. Victims are chosen in order of least lost work. A job within its team's guarantee
+//! never takes more from another team than that team has borrowed. A gang is never a victim, and nothing is preempted
+//! for a gang unless the freed capacity is enough for the whole gang. The freed capacity is reserved for the job.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -66,8 +66,8 @@
     within_guarantee: bool,
 }
 
-/// Work that jobs of a class may preempt, and the capacity that this frees. The timeline of this capacity is ordered
-/// by lost work instead of time.
+/// Work that jobs of a class may preempt, and the capacity that these preemptions free. The timeline of this capacity
+/// is ordered by lost work instead of time.
 #[derive(Debug, Default)]
 struct PreemptionPlan {
     timeline: CapacityTimeline,
@@ -114,7 +114,7 @@
     job: &'a Job,
     is_urgent: bool,
     is_gang: bool,
-    /// Whether only tasks that save checkpoints, of teams without a guarantee, may be preempted.
+    /// Whether victims may only be tasks that save checkpoints and belong to teams without a guarantee.
     only_without_guarantee: bool,
 }
 
@@ -230,7 +230,7 @@
         }
         if !victims.is_empty() {
             let preempted = victims.len();
-            tracing::info!(job = %id, preempted, tasks, urgent, "preempting");
+            tracing::info!(job = %id, preempted, tasks, urgent, "preempting tasks for job");
         }
         for task in victims {
             self.preempt(&task.job, task.index);
@@ -333,7 +333,7 @@
                 }
                 if let Some(borrower) = victim.borrower {
                     let left = &mut preemptions.borrowed[borrower];
-                    // A team never loses more than it has borrowed.
+                    // The victims never hold more than the team has borrowed.
                     if !Team::within(left, &NO_RESOURCES, &victim.resources) {
                         continue;
                     }
@@ -349,8 +349,8 @@
         Some(preemptions)
     }
 
-    /// Returns all work that a job may preempt, and the capacity that this would free for its tasks, ordered by lost
-    /// work.
+    /// Returns all work that a job may preempt, and the capacity that these preemptions free for its tasks, ordered
+    /// by lost work.
     fn preemption_plan(
         &self,
         preemptor: &Preemptor<'_>,
--- a/crates/gannethub-core/src/scheduling/provisioning_plan.rs
+++ b/crates/gannethub-core/src/scheduling/provisioning_plan.rs
@@ -35,7 +35,7 @@
 /// Maximum number of different shapes with indexes of their own; with more shapes, similar shapes share an index.
 const MAX_EXACT_SHAPES: usize = 24;
 
-/// Fraction of the time until the latest start that the plan lets work wait that will be released soon.
+/// Fraction of the time between its release and its latest start for which upcoming work may wait in the plan.
 const UPCOMING_SLACK: f64 = 0.2;
 
 /// Tasks whose remaining backoff exceeds this time are not planned.
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -3,9 +3,9 @@
 //!
 //! A team's limit is never given out twice. The quota of a shard other than 0 is stored under a key of its own; shard
 //! 0 has the rest of the limit. A shard's quota is lowered only by the shard's own owner, which keeps to the lower
-//! quota from before it is stored. It is raised only by the owner of shard 0, after that owner has deducted the same
-//! amount from its own quota. So the shards' quotas add up to the limit at most at any moment, whichever messages are
-//! late or lost.
+//! quota from before that quota is stored. A quota is raised only by the owner of shard 0, after this owner has
+//! deducted the same amount from its own quota. So at any moment the shards' quotas add up to the limit at most,
+//! whichever messages are late or lost.
 
 use std::collections::BTreeMap;
 
