--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -217,7 +217,7 @@
         if job.tasks.pending.is_empty() {
             last_end
         } else {
-            last_end.max(now + self.expected_run(&job.spec))
+            last_end.max(now + self.expected_run_time(&job.spec))
         }
     }
 
@@ -237,10 +237,10 @@
     /// Returns the part of [`Cluster::stage_time`] after the launch has reached the workers: the fetch of the image
     /// and the run.
     pub fn run_time(&self, spec: &JobSpec) -> StageDuration {
-        let expected_run = self.expected_run(spec);
+        let expected_run_time = self.expected_run_time(spec);
         StageDuration {
-            expected: self.fetch_time(spec) + expected_run * 5 / 4,
-            minimum: expected_run * 3 / 4,
+            expected: self.fetch_time(spec) + expected_run_time * 5 / 4,
+            minimum: expected_run_time * 3 / 4,
         }
     }
 }
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -46,7 +46,7 @@
             duration(self.unix_time.saturating_sub(job.ready_at)),
             duration(latest_start.unwrap_or(0).saturating_sub(self.unix_time)),
             duration(self.remaining_work_at_quota(job)),
-            duration(self.expected_run(spec)),
+            duration(self.expected_run_time(spec)),
             Value::Bool(latest_start.is_none()),
             Value::Bool(within_guarantee),
             Value::Number(share.of_total),
@@ -56,7 +56,7 @@
 
     /// Expected run time of one of the job's tasks: the user's estimate, corrected by the measured run times of tasks
     /// of the same class.
-    pub fn expected_run(&self, spec: &JobSpec) -> Micros {
+    pub fn expected_run_time(&self, spec: &JobSpec) -> Micros {
         let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
         (spec.run_time_estimate as f64 * ratio) as Micros
     }
@@ -94,7 +94,7 @@
         within_guarantee: bool,
     ) -> Option<u64> {
         // Run times vary, so a quarter more is allowed for.
-        let run_time = self.expected_run(spec) * 5 / 4;
+        let run_time = self.expected_run_time(spec) * 5 / 4;
         let fetch_time = self.fetch_time(spec);
         let own = self.settings.objectives.iter().filter_map(|objective| {
             if objective
@@ -141,7 +141,7 @@
         let cpu = fraction(need.cpu, limit.cpu, total.cpu);
         let gpu = fraction(need.gpu, limit.gpu, total.gpu);
         let remaining_tasks = f64::from(job.spec.tasks - job.tasks.done.len());
-        (remaining_tasks * cpu.max(gpu) * self.expected_run(&job.spec) as f64) as Micros
+        (remaining_tasks * cpu.max(gpu) * self.expected_run_time(&job.spec) as f64) as Micros
     }
 
     /// Price of a thousandth of a CPU for an hour on machines of this type and market.
@@ -177,7 +177,7 @@
         }
         let saved = job.tasks.saved_progress.get(&task.index).copied();
         let progress = running_time(attempt, now) + saved.unwrap_or(0);
-        let remaining = self.expected_run(&job.spec).saturating_sub(progress);
+        let remaining = self.expected_run_time(&job.spec).saturating_sub(progress);
         // An attempt that has run for longer than expected is assumed to run for another quarter of its run time.
         now + remaining.max(progress / 4)
     }
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -26,7 +26,8 @@
 }
 
 impl Cluster {
-    /// Returns the resources that a team may still use, after all that the team may already have on machines.
+    /// Returns the resources that a team may still use: its limit less all that the team may already hold on
+    /// machines.
     pub fn remaining_quota(&self, team: usize) -> Resources {
         let limit = self.settings.teams[team].limit;
         let unconfirmed = self.takeover.unconfirmed.possible_usage[team];
@@ -50,7 +51,7 @@
     }
 
     /// Brings teams within limits that were lowered: attempts that no worker has reported yet are no longer launched,
-    /// and running attempts are stopped if the operators have chosen that.
+    /// and running attempts are stopped if the operators have chosen to stop them.
     pub fn enforce_limits(&mut self, now: Micros) {
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
--- a/crates/gannethub-core/src/scheduling/provisioning_plan.rs
+++ b/crates/gannethub-core/src/scheduling/provisioning_plan.rs
@@ -126,7 +126,7 @@
                 spec: job.spec.clone(),
                 tasks,
                 zones: self.zones_in_use(job),
-                run_time: self.expected_run(&job.spec),
+                run_time: self.expected_run_time(&job.spec),
                 earliest_start: now,
                 latest_start: now + self.planned_slack(job, within_guarantee),
             });
@@ -187,7 +187,7 @@
                 spec: spec.clone(),
                 tasks,
                 zones: ZoneTaskCounts::new(),
-                run_time: self.expected_run(spec),
+                run_time: self.expected_run_time(spec),
                 earliest_start: release_at,
                 latest_start: release_at + (slack as f64 * UPCOMING_SLACK) as Micros,
             });
