--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -1,35 +1,35 @@
-//! Versions of the configuration as they are stored: one key says which version is in force, others hold its document in
-//! parts.
+//! Storage format of configuration versions: one key names the version in force, other keys hold the parts of its
+//! document.
 //!
-//! The first key is among those of live jobs, so the watch that every controller has brings a new version without a
-//! further request. A controller of a release that does not know of it finds a value there that is no job's, and passes
-//! over it.
+//! The key of the version in force has the prefix of live jobs, so the watch that every controller keeps on that prefix
+//! delivers a new version without a further request. A controller of a release without configuration versions finds a
+//! value there that is not a job record, and skips the key.
 
 use serde::{Deserialize, Serialize};
 
 use super::store::Listing;
 use crate::configuration::{Document, TeamEntry};
 
-/// The version in force. The key sorts before all jobs' keys.
+/// Key of the version in force. The key sorts before the keys of all jobs.
 pub const CURRENT_VERSION_KEY: &str = "gh/live/configuration";
-/// The versions before it, the newest first.
+/// Key of the versions before the one in force, newest first.
 pub const HISTORY_KEY: &str = "gh/config/history";
-/// Under this prefix and a version's id are the parts of its document.
+/// Prefix of the keys of document parts; the version's id follows.
 const DOCUMENT_PREFIX: &str = "gh/config/doc/";
-/// The longest reason and name that are kept with a version, in bytes.
+/// Maximum length of the reason and of the author's name stored with a version, in bytes.
 pub const MAX_TEXT_BYTES: usize = 160;
-/// Stored values are kept this far below their limit, for what holds them.
+/// Bytes by which values stay below the size limit, reserved for the data that encloses them.
 const VALUE_OVERHEAD_BYTES: usize = 96;
 
-/// A version: who made it, when and why, and where its document is.
+/// A version of the configuration: its author, time and reason, and the location of its document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct VersionRecord {
     pub version: u64,
-    /// Tells documents apart that two operators wrote for the same version at once.
+    /// Distinguishes documents that two operators wrote for the same version concurrently.
     pub id: String,
-    /// How many parts the document has.
+    /// Number of parts of the document.
     pub parts: u32,
-    /// Unix time in microseconds, by the operator's clock.
+    /// Unix time of creation in microseconds, by the operator's clock.
     #[serde(rename = "at")]
     pub created_at: u64,
     #[serde(rename = "by")]
@@ -38,35 +38,35 @@
     pub reason: String,
 }
 
-/// Versions that were in force, the newest first.
+/// Versions that were in force, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct HistoryRecord {
     pub versions: Vec<VersionRecord>,
 }
 
-/// Why a document cannot be stored, or a stored one cannot be read.
+/// An error that prevents storing a document or reading a stored document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoredDocumentError {
-    #[error("{found} of {needed} parts are there")]
+    #[error("{found} of {needed} document parts found")]
     MissingParts { found: usize, needed: u32 },
-    #[error("{key} is not a part of a document: {reason}")]
+    #[error("cannot parse document part {key}: {reason}")]
     MalformedPart { key: String, reason: String },
     #[error("{field} does not fit into a value of {limit} bytes")]
     TooLarge { field: String, limit: usize },
 }
 
 impl VersionRecord {
-    /// The prefix of the keys of all parts of its document.
+    /// Returns the prefix of the keys of all parts of the version's document.
     pub fn parts_prefix(&self) -> String {
         format!("{DOCUMENT_PREFIX}{}/", self.id)
     }
 
-    /// The key of one part of its document.
+    /// Returns the key of one part of the version's document.
     pub fn part_key(&self, part: usize) -> String {
         format!("{}{part:03}", self.parts_prefix())
     }
 
-    /// Puts the document together from a listing of all its parts.
+    /// Assembles the document from a listing of all its parts.
     pub fn assemble(&self, listing: &Listing) -> Result<Document, StoredDocumentError> {
         let found = listing.items.len();
         if found != self.parts as usize || listing.truncated {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Adds one part to a document. Only one of the parts has each of the fields that are not lists.
+/// Merges one part into a document. Every field except `teams` is set in one part at most.
 fn merge_part(document: &mut Document, part: Document) {
     document.teams.extend(part.teams);
     document.objectives = part.objectives.or(document.objectives.take());
@@ -99,9 +99,10 @@
     }
 }
 
-/// Splits a document into parts that fit into values of so many bytes each: the policy, the objectives, and teams.
+/// Splits a document into parts that each fit into a value of `value_bytes` bytes: the policy, the objectives, and the
+/// teams.
 ///
-/// There is always at least one part, so a document without any is known to be broken.
+/// The result has at least one part, so a stored document without parts is recognized as broken.
 pub fn split_document(
     document: &Document,
     value_bytes: usize,
@@ -127,14 +128,14 @@
     Ok(parts)
 }
 
-/// As many teams to a part as fit into `limit` bytes.
+/// Splits the teams into parts, each with as many teams as fit into `limit` bytes.
 fn split_teams(teams: &[TeamEntry], limit: usize) -> Result<Vec<Document>, StoredDocumentError> {
     let mut parts = Vec::new();
     let mut part = Document::default();
     let empty_bytes = json_bytes(&part);
     let mut part_bytes = empty_bytes;
     for team in teams {
-        // With its comma, and room for what a part has beside its teams.
+        // The size includes a comma. VALUE_OVERHEAD_BYTES covers the other content of a part.
         let team_bytes = json_bytes(team).saturating_add(1);
         let field = format!("team {:?}", team.name);
         check_size(
@@ -161,13 +162,14 @@
     Err(StoredDocumentError::TooLarge { field, limit })
 }
 
-/// What a value takes as JSON. One that cannot be written fits nowhere.
+/// Returns the size of a value as JSON, in bytes. For a value that cannot be serialized, the size is above every limit.
 fn json_bytes(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX, |text| text.len())
 }
 
 impl HistoryRecord {
-    /// Adds a version as the newest. Returns the oldest ones, which do not fit into a value of so many bytes any more.
+    /// Adds a version as the newest. Removes and returns the oldest versions that no longer fit into a value of
+    /// `value_bytes` bytes.
     pub fn push(&mut self, version: VersionRecord, value_bytes: usize) -> Vec<VersionRecord> {
         self.versions.insert(0, version);
         let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
--- a/crates/gannethub-core/src/wire/configuration/tests.rs
+++ b/crates/gannethub-core/src/wire/configuration/tests.rs
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn three_hundred_teams_go_into_small_values_and_come_back() {
-    let whole = document(300);
-    let parts = split_document(&whole, 4096).unwrap();
+fn document_split_into_small_values_is_reassembled() {
+    let original = document(300);
+    let parts = split_document(&original, 4096).unwrap();
     assert!((4..=7).contains(&parts.len()), "{}", parts.len());
     for part in &parts {
         assert!(serde_json::to_string(part).unwrap().len() <= 4096);
@@ -36,7 +36,7 @@
         parts: parts.len() as u32,
         ..Default::default()
     };
-    assert_eq!(record.assemble(&listing(&record, &parts)), Ok(whole));
+    assert_eq!(record.assemble(&listing(&record, &parts)), Ok(original));
     let missing = record.assemble(&listing(&record, &parts[1..]));
     assert!(matches!(
         missing,
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn what_fits_no_value_is_named() {
-    let long = Document {
+fn oversized_field_is_named_in_the_error() {
+    let oversized = Document {
         policy: Some("# ".repeat(4000)),
         ..Document::default()
     };
-    let error = split_document(&long, 4096).unwrap_err();
+    let error = split_document(&oversized, 4096).unwrap_err();
     assert!(
         error.to_string().starts_with("policy does not fit"),
         "{error}"
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn history_keeps_what_fits() {
+fn history_drops_oldest_versions_over_size_limit() {
     let mut history = HistoryRecord::default();
     let mut dropped = 0;
     for version in 1..=100 {
--- a/crates/gannethub-core/src/wire/mod.rs
+++ b/crates/gannethub-core/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Formats: requests, answers, messages and stored values, and the budget for requests to the state service.
+//! Formats of requests, answers, messages and stored values, and the budget for requests to the state service.
 //!
-//! Names on the wire are fixed by the protocol and by what is stored; Rust names differ from them by `serde` attributes
-//! and `prost` tags. Nothing here knows what a message leads to.
+//! The protocol and the stored data fix the names on the wire; `serde` attributes and `prost` tags map Rust names to
+//! them. These modules do not depend on how a message is handled.
 
 pub mod api;
 pub mod budget;
--- a/crates/gannethub-core/src/wire/peer.rs
+++ b/crates/gannethub-core/src/wire/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers: `prost` messages in length-prefixed frames.
 //!
-//! Fields go by their tags on the wire. Controllers of different releases talk to each other during an upgrade: a tag
-//! is never used again for something else, and a field that an earlier release does not send has its default.
+//! Tags identify the fields on the wire. Controllers of different releases exchange messages during an upgrade, so a
+//! tag is never reused for another field, and a field that an earlier release does not send takes its default value.
 
 mod frame;
 mod message;
--- a/crates/gannethub-core/src/wire/peer/frame.rs
+++ b/crates/gannethub-core/src/wire/peer/frame.rs
@@ -1,32 +1,32 @@
-//! Frames: a message's length in four bytes, most significant first, and the message.
+//! Frames: the length of a message in four bytes, most significant first, followed by the message.
 
 use bytes::{Buf, BufMut, BytesMut};
 use prost::Message;
 
 use super::message::Envelope;
 
-/// A longer frame is garbage, and ends the connection.
+/// Maximum length of the message in a frame, in bytes. A longer frame is malformed and ends the connection.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
 const LENGTH_BYTES: usize = 4;
 
-/// A frame that cannot be read.
+/// An error in a received frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    #[error("a frame of {0} bytes is over the limit")]
+    #[error("frame of {0} bytes exceeds the size limit")]
     TooLong(usize),
-    #[error("not a message: {0}")]
-    Garbled(#[from] prost::DecodeError),
+    #[error("cannot decode message: {0}")]
+    Malformed(#[from] prost::DecodeError),
 }
 
 /// Appends a message to `out` as one frame.
 pub fn encode_frame(message: &Envelope, out: &mut BytesMut) {
     out.put_u32(message.encoded_len() as u32);
-    // A BytesMut grows, so encoding cannot run out of room.
+    // Encoding fails only if the buffer is full, and a BytesMut grows.
     let _ = message.encode(out);
 }
 
-/// Takes the next whole frame off `buf`, if there is one.
+/// Removes the next complete frame from `buf` and decodes it. Returns `None` if no frame is complete yet.
 pub fn decode_frame(buf: &mut BytesMut) -> Result<Option<Envelope>, FrameError> {
     let Some(length) = buf.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/gannethub-core/src/wire/peer/frame/tests.rs
+++ b/crates/gannethub-core/src/wire/peer/frame/tests.rs
@@ -4,7 +4,7 @@
 use crate::wire::peer::{Body, RelayHeartbeat};
 
 #[test]
-fn frames_survive_splitting_and_garbage_is_refused() {
+fn split_frames_are_decoded_and_bad_frames_rejected() {
     let message = Envelope {
         from: "n1".into(),
         body: Some(Body::RelayHeartbeat(RelayHeartbeat {
@@ -30,9 +30,9 @@
         decode_frame(&mut too_long),
         Err(FrameError::TooLong(_))
     ));
-    let mut garbage = BytesMut::from(&[0, 0, 0, 3, 0xff, 0xff, 0xff][..]);
+    let mut malformed = BytesMut::from(&[0, 0, 0, 3, 0xff, 0xff, 0xff][..]);
     assert!(matches!(
-        decode_frame(&mut garbage),
-        Err(FrameError::Garbled(_))
+        decode_frame(&mut malformed),
+        Err(FrameError::Malformed(_))
     ));
 }
--- a/crates/gannethub-core/src/wire/peer/message.rs
+++ b/crates/gannethub-core/src/wire/peer/message.rs
@@ -1,4 +1,4 @@
-//! The messages themselves, all of them in one [`Envelope`].
+//! Message types. Every message is sent in an [`Envelope`].
 
 use bytes::Bytes;
 use prost::Message;
@@ -15,7 +15,7 @@
     pub body: Option<Body>,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
     #[prost(message, tag = "2")]
@@ -34,10 +34,11 @@
     UsageRecords(UsageRecords),
     #[prost(message, tag = "9")]
     UsageRecordsRequest(UsageRecordsRequest),
-    /// Asks whether every launch in the term so far was covered by a watermark.
+    /// Asks whether a launch watermark covered every launch in the term so far.
     #[prost(message, tag = "10")]
     WatermarkQuery(WatermarkCheck),
-    /// Answers that it was. Whoever does not know does not answer.
+    /// Confirms that a launch watermark covered every launch in the term so far. A peer that does not know sends no
+    /// answer.
     #[prost(message, tag = "11")]
     WatermarkConfirmation(WatermarkCheck),
 }
@@ -48,57 +49,58 @@
     /// The sender's term if it is the leader, else 0.
     #[prost(uint64, tag = "1")]
     pub leading_term: u64,
-    /// The state service answers the sender.
+    /// Whether the state service answers the sender.
     #[prost(bool, tag = "2")]
     pub store_reachable: bool,
-    /// The sender leads, or can relay workers' heartbeats to the leader.
+    /// Whether the sender is the leader or can relay workers' heartbeats to the leader.
     #[prost(bool, tag = "3")]
     pub accepts_heartbeats: bool,
-    /// From shard owners: tasks that run now, by job.
+    /// Progress of the jobs with running tasks, sent by shard owners.
     #[prost(message, repeated, tag = "4")]
     pub running_jobs: Vec<RunningJob>,
-    /// The shards that the sender owns, where there are several.
+    /// The shards that the sender owns, if the cluster has several shards.
     #[prost(message, repeated, tag = "5")]
     pub shards: Vec<ShardStatus>,
-    /// From shard 0's owner: offers that the cloud refuses, and for how many milliseconds they are not asked for.
+    /// Offers that the cloud refuses, each with the time in milliseconds during which no machine is requested from the
+    /// offer. The owner of shard 0 sends them.
     #[prost(message, repeated, tag = "6")]
     pub refused_offers: Vec<OfferAmount>,
-    /// The sender follows versions of the configuration; one of an earlier release does not say so.
+    /// Whether the sender follows versions of the configuration. Earlier releases do not set this field.
     #[prost(bool, tag = "7")]
     pub supports_configuration: bool,
-    /// The version of the configuration that is in force at the sender.
+    /// The configuration version in force at the sender.
     #[prost(uint64, tag = "8")]
     pub configuration_version: u64,
-    /// The newest version of the configuration that the sender has seen.
+    /// The newest configuration version that the sender has seen.
     #[prost(uint64, tag = "9")]
     pub newest_configuration_version: u64,
 }
 
-/// The load of a shard. Amounts are thousandths of a CPU or of a GPU.
+/// The load of a shard. Amounts are in thousandths of a CPU or GPU.
 #[derive(Clone, PartialEq, Message)]
 pub struct ShardStatus {
     #[prost(uint32, tag = "1")]
     pub shard: u32,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// What its unfinished jobs ask for.
+    /// CPUs requested by the shard's unfinished jobs.
     #[prost(int64, tag = "3")]
     pub backlog_cpu: i64,
-    /// The part of the backlog that waits for a machine.
+    /// The part of `backlog_cpu` that waits for a machine.
     #[prost(int64, tag = "4")]
     pub waiting_cpu: i64,
-    /// What is free on its machines.
+    /// Free CPUs on the shard's machines.
     #[prost(int64, tag = "5")]
     pub free_cpu: i64,
-    /// In the settings' order of teams.
+    /// The status of each team, in the order of the teams in the settings.
     #[prost(message, repeated, tag = "6")]
     pub teams: Vec<TeamStatus>,
-    /// Machines that its plan asks for.
+    /// Machines that the shard's provisioning plan requests.
     #[prost(message, repeated, tag = "7")]
     pub machine_demand: Vec<OfferAmount>,
 }
 
-/// What a team uses in a shard, and what it waits for, in thousandths.
+/// Resources that a team uses in a shard and waits for, in thousandths of a CPU or GPU.
 #[derive(Clone, PartialEq, Message)]
 pub struct TeamStatus {
     #[prost(int64, tag = "1")]
@@ -111,7 +113,7 @@
     pub waiting_gpu: i64,
 }
 
-/// An offer of the cloud, and an amount that the field it is in explains: machines, or milliseconds.
+/// An offer of the cloud with an amount. The field that holds the message defines the unit: machines or milliseconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct OfferAmount {
     #[prost(string, tag = "1")]
@@ -124,61 +126,62 @@
     pub amount: u64,
 }
 
-/// How far a live job is.
+/// Progress of a live job.
 #[derive(Clone, PartialEq, Message)]
 pub struct RunningJob {
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     #[prost(uint32, tag = "2")]
     pub tasks: u32,
-    /// Finished tasks.
+    /// Number of finished tasks.
     #[prost(uint32, tag = "3")]
     pub done: u32,
 }
 
-/// A worker's heartbeat, relayed to the owner of its machine's shard.
+/// A worker's heartbeat, relayed to the owner of the shard that the worker's machine belongs to.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayHeartbeat {
-    /// The sender's number for it, which the answer repeats.
+    /// The sender's number for the relayed heartbeat, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The body as the worker sent it.
+    /// The request body as the worker sent it.
     #[prost(bytes = "bytes", tag = "2")]
     pub heartbeat: Bytes,
 }
 
-/// The owner's answer to a relayed heartbeat, to be passed on to the worker.
+/// The shard owner's answer to a relayed heartbeat. The receiver passes the answer on to the worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayAnswer {
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The HTTP status.
+    /// The HTTP status code.
     #[prost(uint32, tag = "2")]
     pub status: u32,
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
 }
 
-/// A shard's owner cannot reach the state service, and asks its peers not to take the shard over for a while.
+/// A request for votes. A shard owner that cannot reach the state service asks its peers not to take the shard over for
+/// a limited time.
 #[derive(Clone, PartialEq, Message)]
 pub struct VoteRequest {
-    /// The sender's number for this round of requests, which votes repeat.
+    /// The sender's number for this round of requests, repeated in the votes.
     #[prost(uint64, tag = "1")]
     pub round: u64,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// For how long, in microseconds from the receipt.
+    /// Requested duration of the vote, in microseconds from receipt.
     #[prost(uint64, tag = "3")]
     pub duration: u64,
     #[prost(uint32, tag = "4")]
     pub shard: u32,
-    /// The sender has seen all changes of jobs up to this version. 0: it does not say.
+    /// The version up to which the sender has seen all changes of jobs; 0 if not stated.
     #[prost(uint64, tag = "5")]
     pub known_version: u64,
 }
 
-/// The sender will not take over from the owner in `term` for as long as was asked.
+/// A vote: the sender will not take the shard over from the owner in `term` for the requested duration.
 #[derive(Clone, PartialEq, Message)]
 pub struct Vote {
     #[prost(uint64, tag = "1")]
@@ -187,40 +190,43 @@
     pub term: u64,
     #[prost(uint32, tag = "3")]
     pub shard: u32,
-    /// `cancelled_jobs` has all cancellations that the sender has told anybody of after the version that the request
-    /// names. Without that the owner cannot know what users were told.
+    /// Whether `cancelled_jobs` lists every cancellation that the sender has told anybody of and that is newer than the
+    /// version named in the request. If not, the owner cannot know which cancellations users were told of.
     #[prost(bool, tag = "4")]
     pub knows_cancellations: bool,
-    /// Ids of cancelled jobs, as [`encode_job_ids`](crate::wire::store::encode_job_ids) writes them.
+    /// Ids of cancelled jobs, in the format of [`encode_job_ids`](crate::wire::store::encode_job_ids).
     #[prost(string, tag = "5")]
     pub cancelled_jobs: String,
-    /// How many there are: a receiver that reads another number knows that it does not understand them.
+    /// Number of jobs in `cancelled_jobs`. A receiver that decodes a different number of ids knows that it does not
+    /// understand the encoding.
     #[prost(uint32, tag = "6")]
     pub cancelled_count: u32,
-    /// The newest version of the configuration that the sender has seen.
+    /// The newest configuration version that the sender has seen.
     #[prost(uint64, tag = "7")]
     pub configuration_version: u64,
 }
 
-/// Asks, or confirms, that nothing was launched without a watermark in a term so far. A process that began within the
-/// term asks: it cannot know itself.
+/// A query for, or the confirmation of, the fact that no task was launched without a watermark in a term so far. A
+/// process that started during the term sends the query, as it cannot know about launches before its start.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatermarkCheck {
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The asking process's own number: an answer to an earlier process of the same name does not count.
+    /// The incarnation of the process that sent the query. An answer to an earlier process of the same name does not
+    /// count.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     #[prost(uint32, tag = "3")]
     pub shard: u32,
 }
 
-/// A job was accepted or cancelled at the sender. The job's owner reads it if its watch does not show the change soon.
+/// A notice that the sender accepted or cancelled a job. The job's owner reads the job's record if its watch does not
+/// deliver the change soon.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobChanged {
     #[prost(string, tag = "1")]
     pub job: String,
-    /// The version at which it changed.
+    /// The version at which the job changed.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
--- a/crates/gannethub-core/src/wire/peer/usage.rs
+++ b/crates/gannethub-core/src/wire/peer/usage.rs
@@ -1,33 +1,34 @@
-//! Usage records that a leader has open, replicated to its peers: what an attempt used and is not charged for in
-//! writing yet must survive the leader.
+//! Replication of a leader's open usage records to its peers. The usage of an attempt that has not been charged in the
+//! stored ledger yet must survive the loss of the leader.
 
 use prost::Message;
 
-/// Changes of a leader's open usage records since its last message to this peer, or all of them.
+/// Changes of a leader's open usage records since its last message to this peer, or the full list of open records.
 #[derive(Clone, PartialEq, Message)]
 pub struct UsageRecords {
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Counts the messages to this peer. When one is missing, the rest are of no use until all records are sent again.
+    /// Number of this message among the messages to this peer. After a missing message, the following messages are
+    /// useless until all records are sent again.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// The first message of a list of all open records.
+    /// Whether this is the first message of a full list of open records.
     #[prost(bool, tag = "3")]
     pub is_first: bool,
-    /// The last message of a list of all open records.
+    /// Whether this is the last message of a full list of open records.
     #[prost(bool, tag = "4")]
     pub is_last: bool,
     #[prost(message, repeated, tag = "5")]
     pub open_records: Vec<OpenUsageRecord>,
-    /// Records that are in writing by now, or will never be charged.
+    /// Keys of records that have been stored in the ledger or will never be charged.
     #[prost(message, repeated, tag = "6")]
     pub closed_keys: Vec<AttemptKey>,
-    /// Unix time in microseconds when it was sent: messages may be held back for minutes.
+    /// Unix time in microseconds at which the message was sent. Delivery may be delayed by minutes.
     #[prost(uint64, tag = "7")]
     pub sent_at: u64,
 }
 
-/// What tells an attempt from every other.
+/// The unique key of an attempt.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
 pub struct AttemptKey {
     #[prost(string, tag = "1")]
@@ -40,7 +41,7 @@
     pub attempt: u64,
 }
 
-/// What one attempt has used so far. Times are ages when the message was sent, in microseconds.
+/// Usage of one attempt so far. Times are in microseconds; points in time are given as ages at the time of sending.
 #[derive(Clone, PartialEq, Message)]
 pub struct OpenUsageRecord {
     #[prost(message, optional, tag = "1")]
@@ -53,42 +54,43 @@
     pub zone: String,
     #[prost(bool, tag = "5")]
     pub spot: bool,
-    /// The machine's price an hour, in millionths.
+    /// The machine's price per hour, in millionths.
     #[prost(uint64, tag = "6")]
     pub price: u64,
-    /// The worker's incarnation in which it was placed.
+    /// The worker incarnation in which the attempt was placed.
     #[prost(uint64, tag = "7")]
     pub incarnation: u64,
-    /// Its present stage, by its place among the ledger's stages.
+    /// The attempt's present stage, as an index into the ledger's list of stages.
     #[prost(uint32, tag = "8")]
     pub stage: u32,
-    /// How long ago that stage began, or it was found in it.
+    /// Time since the present stage began, or since the attempt was found in that stage.
     #[prost(uint64, tag = "9")]
     pub stage_age: u64,
-    /// The time in each stage before the present one began, in the ledger's order of stages.
+    /// Time spent in each stage before the present one began, in the ledger's order of stages.
     #[prost(uint64, repeated, tag = "10")]
     pub stage_times: Vec<u64>,
-    /// How far its begin may be off.
+    /// Maximum error of the attempt's start time.
     #[prost(uint64, tag = "11")]
     pub begin_uncertainty: u64,
-    /// Its begin was not seen.
+    /// Whether the start was not observed.
     #[prost(bool, tag = "12")]
     pub begin_estimated: bool,
-    /// Its progress was saved.
+    /// Whether the attempt's progress was saved.
     #[prost(bool, tag = "13")]
     pub saved: bool,
-    /// Why it ended, by the reason's place among the reasons and counted from one. 0: it has not ended.
+    /// The reason for which the attempt ended, as an index into the list of end reasons counted from one; 0 if the
+    /// attempt has not ended.
     #[prost(uint32, tag = "14")]
     pub end_reason: u32,
-    /// How long ago it ended.
+    /// Time since the attempt ended.
     #[prost(uint64, tag = "15")]
     pub end_age: u64,
-    /// How far its time at the worker may be off.
+    /// Maximum error of the attempt's time at the worker.
     #[prost(uint64, tag = "16")]
     pub time_uncertainty: u64,
 }
 
-/// Whom an attempt is charged to, and what it needs, in thousandths.
+/// The team and class that an attempt is charged to, and the resources that the attempt needs, in thousandths.
 #[derive(Clone, PartialEq, Message)]
 pub struct UsageOwner {
     #[prost(string, tag = "1")]
@@ -101,12 +103,12 @@
     pub gpu: i64,
     #[prost(int64, tag = "5")]
     pub mem: i64,
-    /// It runs until it is stopped, and all of its run counts as useful.
+    /// Whether the task runs until stopped, so that all of its run time counts as useful.
     #[prost(bool, tag = "6")]
     pub is_service: bool,
 }
 
-/// The sender has missed some of the leader's usage records, and asks for all of them.
+/// A request for all of the leader's usage records, sent by a peer that has missed some.
 #[derive(Clone, PartialEq, Message)]
 pub struct UsageRecordsRequest {
     #[prost(uint64, tag = "1")]
