--- a/crates/gannethub-core/src/wire/api.rs
+++ b/crates/gannethub-core/src/wire/api.rs
@@ -1,4 +1,4 @@
-//! The users' interface, as it appears on the wire: routes, submissions and answers.
+//! Wire format of the user API: routes, submissions and answers.
 
 mod admission;
 mod refusal;
@@ -15,10 +15,10 @@
 pub use self::routes::{Route, route};
 pub use self::submission::{MAX_TASKS, Submission, parse_json_object, parse_submission};
 
-/// The most dependencies of a job that an answer lists.
+/// Maximum number of a job's dependencies that an answer lists.
 const MAX_SHOWN_DEPENDENCIES: usize = 100;
 
-/// What a user is told about a job.
+/// The status of a job in answers to users.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
@@ -28,20 +28,20 @@
     Cancelled,
 }
 
-/// A job as its user sees it.
+/// A job as shown to its user.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobView {
     pub status: JobStatus,
-    /// Finished tasks.
+    /// Number of finished tasks.
     pub done: u32,
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     pub running: u32,
-    /// Jobs that have to be done before it begins.
+    /// Upstream jobs that have to be done before the job starts.
     pub waits_on: Vec<JobId>,
 }
 
 impl JobView {
-    /// A job of which nothing runs, and that waits for no other.
+    /// Creates the view of a job that has no running tasks and waits for no other job.
     pub fn new(status: JobStatus, done: u32) -> JobView {
         JobView {
             status,
@@ -52,7 +52,7 @@
     }
 }
 
-/// An answer about a job.
+/// Builds the answer that describes a job.
 pub fn job_response(status: u16, id: &str, view: &JobView) -> Response {
     #[derive(Serialize)]
     struct Body<'a> {
--- a/crates/gannethub-core/src/wire/api/admission.rs
+++ b/crates/gannethub-core/src/wire/api/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a job can ever run in this cluster.
+//! Admission: checks whether a job can ever run in this cluster.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
     Err(Refusal::Impossible(format!("{field}: {reason}")))
 }
 
-/// Checks that a job can run here, and narrows its list of machine types to those that it fits on.
+/// Checks that a job can run in this cluster, and reduces its list of machine types to those that its tasks fit on.
 pub fn admit(
     spec: &mut JobSpec,
     teams: &[Team],
@@ -18,8 +18,8 @@
     if machine_types.is_empty() {
         return Err(Refusal::MachineTypesUnknown);
     }
-    let is_own = |team: &&Team| team.name == spec.team && !team.closed;
-    let Some(team) = teams.iter().find(is_own) else {
+    let is_job_team = |team: &&Team| team.name == spec.team && !team.closed;
+    let Some(team) = teams.iter().find(is_job_team) else {
         return impossible("crew", "no such team");
     };
     let fitting = fitting_machine_types(spec, machine_types)?;
@@ -33,7 +33,8 @@
     Ok(())
 }
 
-/// The machine types that the job allows, that are offered where it may run, and that a task of it fits on.
+/// Returns the machine types that the job allows, that are offered in a zone where the job may run, and that one of
+/// the job's tasks fits on.
 fn fitting_machine_types<'a>(
     spec: &JobSpec,
     machine_types: &'a [MachineType],
@@ -62,7 +63,7 @@
     Ok(fitting)
 }
 
-/// How many tasks of a job run at the same time, at least.
+/// Returns the minimum number of a job's tasks that run at the same time.
 fn tasks_at_once(spec: &JobSpec) -> u32 {
     match spec.shape {
         Shape::Array => 1,
@@ -83,7 +84,8 @@
     Ok(())
 }
 
-/// A zone may have half of a spread job's tasks at the most, so all of them at once need two zones.
+/// Checks that a spread job has enough zones. A zone may run at most half of a spread job's tasks, so a job whose tasks
+/// all run at the same time needs two zones.
 fn check_spread(spec: &JobSpec, fitting: &[&MachineType]) -> Result<(), Refusal> {
     if !spec.spread || tasks_at_once(spec) <= 1 {
         return Ok(());
@@ -100,7 +102,8 @@
     Ok(())
 }
 
-/// The field that asks for more than any of these sizes has; all of them, if only together they do.
+/// Returns the field whose amount in `need` exceeds that of every size. If no single field does and only the
+/// combination exceeds the sizes, returns all fields.
 fn exceeded_field(need: &Resources, sizes: &[&Resources]) -> &'static str {
     let largest = |amount: fn(&Resources) -> i64| {
         let amounts = sizes.iter().map(|size| amount(size));
--- a/crates/gannethub-core/src/wire/api/refusal.rs
+++ b/crates/gannethub-core/src/wire/api/refusal.rs
@@ -1,18 +1,18 @@
 //! Reasons for which a submission is refused.
 
-/// Why a submission is refused. The texts are for users, and name fields as users do.
+/// The reason for refusing a submission. The texts are for users and call fields by their names in submissions.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum Refusal {
-    /// A field is missing or makes no sense.
+    /// A field is missing or invalid.
     #[error("{0}")]
     Malformed(String),
     /// The job could never run in this cluster.
     #[error("{0}")]
     Impossible(String),
-    /// Whether the job could run cannot be told before the cloud has listed its machine types.
+    /// The cloud has not listed its machine types yet, so it is unknown whether the job could run.
     #[error("the machine types are not known yet")]
     MachineTypesUnknown,
-    /// Whether the job could run cannot be told, as there may be a newer configuration than is known here.
+    /// A newer configuration than the one known here may exist, so it is unknown whether the job could run.
     #[error("the configuration is changing")]
     ConfigurationChanging,
 }
--- a/crates/gannethub-core/src/wire/api/routes.rs
+++ b/crates/gannethub-core/src/wire/api/routes.rs
@@ -1,26 +1,26 @@
-//! Routes of the interface to users and workers.
+//! Routes of the HTTP API for users and workers.
 
 use crate::http::{Method, Response};
 
-/// What a request asks for.
+/// The operation that a request asks for.
 #[derive(Debug, PartialEq)]
 pub enum Route<'a> {
     Health,
-    /// Which version of the configuration is in force here and at the peers.
+    /// The configuration versions in force at this controller and at its peers.
     Configuration,
     /// A worker's heartbeat.
     Heartbeat,
     Submit,
     Query(&'a str),
     Cancel(&'a str),
-    /// The ledger's head, or a page of it; the lines of one team only, if it is named.
+    /// The ledger's head, or one page of the ledger, limited to the lines of one team if `team` is given.
     Ledger {
         page: Option<u64>,
         team: Option<&'a str>,
     },
 }
 
-/// Finds what a request asks for, or the answer that refuses it.
+/// Finds the route of a request. Returns the error answer if no route matches.
 pub fn route(method: Method, path: &str) -> Result<Route<'_>, Response> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let (route, expected_method) = match path {
@@ -44,7 +44,7 @@
     Ok(route)
 }
 
-/// Parameters that are not known are ignored.
+/// Parses the query of a ledger request. Unknown parameters are ignored.
 fn parse_ledger_query(query: &str) -> Result<Route<'_>, Response> {
     let (mut page, mut team) = (None, None);
     for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
@@ -58,7 +58,7 @@
         }
     }
     if team.is_some() && page.is_none() {
-        return Err(Response::error(400, "page: it is needed with a team"));
+        return Err(Response::error(400, "page: required when a team is given"));
     }
     Ok(Route::Ledger { page, team })
 }
--- a/crates/gannethub-core/src/wire/api/submission.rs
+++ b/crates/gannethub-core/src/wire/api/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions are read and checked, as far as that does not depend on the cluster.
+//! Parsing of submissions, with all checks that do not depend on the cluster.
 
 use std::collections::BTreeSet;
 
@@ -9,20 +9,20 @@
     JobId, JobSpec, Micros, Priority, Resources, Shape, is_valid_job_id, micros_from_seconds,
 };
 
-/// The most tasks that a job may have.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The longest string in a submission, which its refusal states.
+/// Maximum length of a string in a submission, in bytes. The text of the refusal repeats this number.
 const MAX_NAME_BYTES: usize = 128;
-/// The largest number in a submission.
+/// Largest number accepted in a submission.
 const MAX_AMOUNT: f64 = 1e7;
 
-/// A submission that was read.
+/// A parsed submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
     pub spec: JobSpec,
-    /// Jobs that it waits for, each once and in order.
+    /// Upstream jobs that the job waits for, sorted and without duplicates.
     pub waits_on: Vec<JobId>,
-    /// The version of the configuration that it was checked under.
+    /// The configuration version that the submission was checked against.
     pub configuration_version: u64,
 }
 
@@ -30,7 +30,7 @@
     Err(Refusal::Malformed(format!("{field}: {reason}")))
 }
 
-/// The fields of a submission. A field that is null counts as missing.
+/// The fields of a submission. A null field counts as missing.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl Fields<'_> {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What `read` makes of a field, if it is there.
+    /// Reads a field with `read`, or returns `None` if the field is missing.
     fn optional<T>(
         &self,
         field: &str,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The JSON object of a submission, and its id if it has a valid one.
+/// Parses the body of a submission. Returns the JSON object, and the job id if the object has a valid one.
 pub fn parse_json_object(body: &[u8]) -> Result<(Map<String, Value>, Option<JobId>), Refusal> {
     let Ok(Value::Object(object)) = serde_json::from_slice(body) else {
         return Err(Refusal::Malformed("the body is not a JSON object".into()));
@@ -88,7 +88,7 @@
     Ok((object, id))
 }
 
-/// Reads a submission. The first field that makes no sense is named.
+/// Parses a submission. The error names the first invalid field.
 pub fn parse_submission(object: &Map<String, Value>) -> Result<Submission, Refusal> {
     let fields = Fields(object);
     let id = fields.get("id").and_then(Value::as_str);
@@ -103,7 +103,7 @@
     })
 }
 
-/// Reads the list of jobs that the job `own_id` waits for.
+/// Parses the list of upstream jobs that the job `own_id` waits for.
 fn parse_waits_on(fields: &Fields<'_>, own_id: &str) -> Result<Vec<JobId>, Refusal> {
     const FIELD: &str = "waits_on";
     let list = match fields.get(FIELD) {
@@ -180,7 +180,7 @@
     }
 }
 
-/// The machine types that the job may run on; `None`: any.
+/// Parses the machine types that the job may run on; `None` if any type is allowed.
 fn parse_machine_types(fields: &Fields<'_>) -> Result<Option<Vec<String>>, Refusal> {
     let names = match fields.get("rigs") {
         None => return Ok(None),
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn a_submission_is_read_and_its_unknown_types_are_dropped() {
+fn submission_is_parsed_without_unknown_machine_types() {
     let spec = check(JOB).unwrap();
     assert_eq!(spec.machine_types, Some(vec!["g8".to_string()]));
     assert_eq!(spec.deadline, Some(900_000_000));
     assert_eq!(spec.resources, Resources::new(4.0, 1.0, 64.0));
     assert!(
         check(&JOB.replace(",\"due_s\":900.0", "")).is_ok(),
-        "null may be omitted"
+        "a null field may be omitted"
     );
 }
 
 #[test]
-fn bad_submissions_name_the_field() {
+fn malformed_submission_error_names_the_field() {
     for (from, to, field) in [
         ("\"pieces\":2", "\"pieces\":0", "pieces"),
         ("\"pieces\":2", "\"pieces\":2.5", "pieces"),
@@ -56,7 +56,7 @@
         ("\"build\":\"img-07\"", "\"build\":null", "build"),
     ] {
         match check(&JOB.replace(from, to)) {
-            Err(Refusal::Malformed(why)) => assert!(why.starts_with(field), "{why}"),
+            Err(Refusal::Malformed(reason)) => assert!(reason.starts_with(field), "{reason}"),
             other => panic!("{to}: {other:?}"),
         }
     }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_jobs_that_one_waits_for_are_read_once_each() {
+fn upstream_jobs_are_parsed_and_deduplicated() {
     let parse = |list: &str| {
         let body = JOB.replace("\"x\":1", &format!("\"waits_on\":{list}"));
         parse_submission(&parse_json_object(body.as_bytes())?.0).map(|s| s.waits_on)
@@ -85,14 +85,14 @@
         "[null]",
     ] {
         match parse(wrong) {
-            Err(Refusal::Malformed(why)) => assert!(why.starts_with("waits_on"), "{why}"),
+            Err(Refusal::Malformed(reason)) => assert!(reason.starts_with("waits_on"), "{reason}"),
             other => panic!("{wrong}: {other:?}"),
         }
     }
 }
 
 #[test]
-fn what_can_never_run_is_told_apart_from_what_cannot_be_decided_yet() {
+fn impossible_jobs_and_unknown_machine_types_are_refused() {
     for (from, to) in [
         ("blue", "green"),
         ("\"pieces\":2", "\"pieces\":4"),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn routes_know_their_methods() {
+fn routes_check_method_and_query() {
     assert_eq!(
         route(Method::Post, "/api/jobs/j-1/cancel"),
         Ok(Route::Cancel("j-1"))
--- a/crates/gannethub-core/src/wire/budget.rs
+++ b/crates/gannethub-core/src/wire/budget.rs
@@ -1,23 +1,24 @@
-//! How much one controller asks of the state service: token buckets for its rates, and queues by urgency.
+//! The budget of one controller for requests to the state service: token buckets limit the rates, and queues order the
+//! requests by urgency.
 
 use std::collections::VecDeque;
 
 use crate::model::{Micros, SECOND};
 
-/// A rate below this counts as this much where a wait is estimated.
+/// Minimum rate in tokens per second that estimates of waits assume. A lower rate counts as this one.
 const MIN_RATE: f64 = 0.1;
 
-/// Tokens that refill over time, up to one second's worth and at least one.
+/// A token bucket that refills over time. The capacity is the tokens of one second, but at least one token.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     rate: f64,
-    /// Below zero where more was taken than there was.
+    /// The available tokens. The number is negative after more tokens were taken than were available.
     pub tokens: f64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket with so many tokens a second.
+    /// Creates a full bucket that refills at `rate` tokens per second.
     pub fn new(rate: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -26,12 +27,12 @@
         }
     }
 
-    /// The most tokens that it holds.
+    /// Returns the maximum number of tokens.
     fn capacity(&self) -> f64 {
         self.rate.max(1.0)
     }
 
-    /// Adds what has accrued since the last time.
+    /// Adds the tokens accrued since the last refill.
     pub fn refill(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.refilled_at);
         let accrued = passed as f64 / SECOND as f64 * self.rate;
@@ -39,31 +40,31 @@
         self.refilled_at = now;
     }
 
-    /// How long until it holds this many tokens.
+    /// Returns the time until the bucket holds `tokens` tokens.
     fn time_until(&self, tokens: f64) -> Micros {
         let wait = (tokens - self.tokens).max(0.0) / self.rate.max(MIN_RATE);
         (wait * SECOND as f64) as Micros
     }
 }
 
-/// How urgent a request is.
+/// The urgency of a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Urgency {
-    /// Renewals and takeovers are never held up by anything else.
+    /// Lease renewals and takeovers, which no other request ever delays.
     Renewal,
-    /// What users ask for. Users and transactions take turns: a storm of queries must not keep a leader from what its
-    /// watch brings, a cancellation first of all, or from writing what is done.
+    /// Requests of users. Users and transactions take turns: a storm of queries must not keep a leader from receiving
+    /// the changes that its watch delivers, above all cancellations, or from storing completions.
     ///
-    /// Queries and changes of users take turns as well: when more was submitted than could be written, queries that
-    /// were queued behind it had no answer for minutes.
+    /// Queries and changes of users take turns as well: when users submitted more jobs than could be written, queries
+    /// queued behind the submissions went unanswered for minutes.
     User,
-    /// What a shard's owner needs to go on.
+    /// Requests that a shard owner needs to make progress.
     Transaction,
-    /// Goes when nothing else waits.
+    /// Requests sent only when no other request waits.
     Background,
 }
 
-/// The queues of requests that are not renewals.
+/// The queues of all requests other than renewals.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Lane {
     Queries,
@@ -73,31 +74,31 @@
 }
 
 /// The lanes that take turns.
-const FAIR_LANES: [Lane; 3] = [Lane::Queries, Lane::Changes, Lane::Transactions];
+const ROUND_ROBIN_LANES: [Lane; 3] = [Lane::Queries, Lane::Changes, Lane::Transactions];
 
 #[derive(Debug)]
 struct Queued<T> {
-    /// Puts and deletes that the request carries.
+    /// Number of puts and deletes in the request.
     change_count: u32,
     request: T,
 }
 
-/// Keeps one controller's requests within its share of what the state service allows.
+/// Keeps the requests of one controller within its share of the rates that the state service allows.
 #[derive(Debug)]
 pub struct RequestBudget<T> {
     requests: TokenBucket,
     changes: TokenBucket,
     renewals: VecDeque<Queued<T>>,
-    /// By [`Lane`].
+    /// The queues, indexed by [`Lane`].
     lanes: [VecDeque<Queued<T>>; 4],
-    /// It is the transactions' turn next.
+    /// Whether transactions have the next turn.
     transactions_next: bool,
-    /// Which of the users' two lanes comes first when it is their turn.
+    /// The one of the two user lanes that comes first in the users' next turn.
     next_user_lane: Lane,
 }
 
 impl<T> RequestBudget<T> {
-    /// A budget of so many requests a second, and so many changes in them.
+    /// Creates a budget of `request_rate` requests per second with `change_rate` changes per second in total.
     pub fn new(request_rate: f64, change_rate: f64) -> RequestBudget<T> {
         RequestBudget {
             requests: TokenBucket::new(request_rate),
@@ -109,18 +110,18 @@
         }
     }
 
-    /// The requests a second that it may make.
+    /// Returns the number of requests allowed per second.
     pub fn request_rate(&self) -> f64 {
         self.requests.rate
     }
 
-    /// Changes the rates, as when leadership comes or goes.
+    /// Changes the rates, for example when the controller gains or loses leadership.
     pub fn set_rates(&mut self, request_rate: f64, change_rate: f64) {
         self.requests.rate = request_rate;
         self.changes.rate = change_rate;
     }
 
-    /// Queues a request that carries so many changes.
+    /// Queues a request with `change_count` changes.
     pub fn push(&mut self, urgency: Urgency, change_count: u32, request: T) {
         let queue = match urgency {
             Urgency::Renewal => &mut self.renewals,
@@ -135,7 +136,7 @@
         });
     }
 
-    /// The next request that may go now.
+    /// Removes and returns the next request that may be sent now.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         self.requests.refill(now);
         self.changes.refill(now);
@@ -143,13 +144,13 @@
             return Some(self.spend(renewal));
         }
         let mut changes_blocked = false;
-        for lane in self.turns() {
+        for lane in self.lane_order() {
             let Some(next) = self.lanes[lane as usize].front() else {
                 continue;
             };
             let change_count = next.change_count;
-            // A transaction larger than the bucket goes when the bucket is full. Until it can go, only what changes
-            // nothing passes it.
+            // A transaction with more changes than the bucket's capacity is sent when the bucket is full. While a
+            // request waits for change tokens, only requests without changes pass it.
             let tokens_needed = f64::from(change_count).min(self.changes.capacity());
             changes_blocked |= self.changes.tokens < tokens_needed;
             if self.requests.tokens < 1.0 || (changes_blocked && change_count > 0) {
@@ -162,8 +163,8 @@
         None
     }
 
-    /// The lanes in the order in which they are looked at now.
-    fn turns(&self) -> [Lane; 4] {
+    /// Returns the lanes in the order in which they are tried now.
+    fn lane_order(&self) -> [Lane; 4] {
         let first = self.next_user_lane;
         let second = other_user_lane(first);
         if self.transactions_next {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// A request of this lane goes: it is the others' turn.
+    /// Passes the turn to the other lanes after a request of `lane` is sent.
     fn pass_turn(&mut self, lane: Lane) {
         match lane {
             Lane::Queries | Lane::Changes => {
@@ -185,40 +186,42 @@
         }
     }
 
-    /// Takes what a request costs from the buckets.
+    /// Takes the tokens that a request costs from the buckets, and returns the request.
     fn spend(&mut self, queued: Queued<T>) -> T {
         self.requests.tokens -= 1.0;
         self.changes.tokens -= f64::from(queued.change_count);
         queued.request
     }
 
-    /// How long another change of users' would wait behind what is queued, the others taking turns.
+    /// Returns the estimated wait of a further user change behind the queued requests, with the other lanes taking
+    /// their turns.
     pub fn change_wait(&self) -> Micros {
         let changes = &self.lanes[Lane::Changes as usize];
         let transactions = &self.lanes[Lane::Transactions as usize];
         let in_between = transactions.iter().take(changes.len() + 1);
         let ahead = self.renewals.iter().chain(changes).chain(in_between);
         let change_count: f64 = ahead.map(|queued| f64::from(queued.change_count)).sum();
-        let for_changes = self.changes.time_until(change_count);
-        self.lane_wait(Lane::Changes).max(for_changes)
+        let wait_for_change_tokens = self.changes.time_until(change_count);
+        self.lane_wait(Lane::Changes).max(wait_for_change_tokens)
     }
 
-    /// How long another query of users would wait. Changes that may not be made yet do not hold it up.
+    /// Returns the estimated wait of a further user query. Changes that wait for change tokens do not delay the query.
     pub fn query_wait(&self) -> Micros {
         self.lane_wait(Lane::Queries)
     }
 
-    /// How long until it is a lane's turn once more after all that is in it, as far as the rate of requests goes.
+    /// Returns the time until a further request of `lane` would be sent after all requests queued in the lane. The
+    /// estimate takes only the request rate into account.
     fn lane_wait(&self, lane: Lane) -> Micros {
         let length = |lane: Lane| self.lanes[lane as usize].len();
         let own = length(lane);
-        let others = FAIR_LANES.into_iter().filter(|other| *other != lane);
+        let others = ROUND_ROBIN_LANES.into_iter().filter(|other| *other != lane);
         let in_between: usize = others.map(|other| length(other).min(own + 1)).sum();
         let ahead = self.renewals.len() + own + in_between;
         self.requests.time_until(ahead as f64)
     }
 
-    /// How many requests are queued.
+    /// Returns the number of queued requests.
     pub fn queued_requests(&self) -> usize {
         let lanes: usize = self.lanes.iter().map(VecDeque::len).sum();
         self.renewals.len() + lanes
--- a/crates/gannethub-core/src/wire/budget/tests.rs
+++ b/crates/gannethub-core/src/wire/budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_budget_lets_renewals_pass_and_holds_the_rest_to_its_rates() {
+fn renewals_pass_while_other_requests_obey_the_rates() {
     let mut budget = RequestBudget::new(4.0, 2.0);
     for i in 0..10 {
         budget.push(Urgency::User, 1, i);
@@ -14,7 +14,7 @@
     assert_eq!(
         first,
         [100, 0, 1],
-        "the renewal first, then two changes a second"
+        "the renewal comes first, then two changes per second"
     );
     let later = std::iter::from_fn(|| budget.pop(2 * SECOND)).count();
     assert_eq!(later, 2);
@@ -22,12 +22,12 @@
     assert_eq!(
         budget.change_wait(),
         3 * SECOND,
-        "six changes at two a second"
+        "six changes at two per second"
     );
 }
 
 #[test]
-fn queries_do_not_wait_behind_changes_that_may_not_be_made_yet() {
+fn queries_pass_changes_that_wait_for_tokens() {
     let mut budget = RequestBudget::new(20.0, 4.0);
     (0..10).for_each(|i| budget.push(Urgency::User, 4, i));
     budget.push(Urgency::Transaction, 4, 50);
@@ -35,7 +35,7 @@
     assert!(budget.change_wait() > 8 * SECOND && budget.query_wait() == 0);
     let first: Vec<u32> = std::iter::from_fn(|| budget.pop(0)).collect();
     assert_eq!(first, [100, 50, 101, 102, 103]);
-    // Nor are changes kept out by questions without end, or commits by both.
+    // An endless stream of queries does not starve changes. Queries and changes together do not starve transactions.
     (200..1000).for_each(|i| budget.push(Urgency::User, 0, i));
     assert!(budget.query_wait() > 30 * SECOND);
     let then: Vec<u32> = (1..9).flat_map(|s| budget.pop(s * SECOND)).collect();
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn a_storm_of_queries_leaves_every_other_request_to_commits() {
+fn query_storm_leaves_every_other_request_to_transactions() {
     let mut budget = RequestBudget::new(6.0, 6.0);
     (0..1000).for_each(|i| budget.push(Urgency::User, 0, i));
     (0..3).for_each(|i| budget.push(Urgency::Transaction, 0, 2000 + i));
     budget.push(Urgency::Background, 0, 3000);
     let first: Vec<u32> = std::iter::from_fn(|| budget.pop(SECOND)).collect();
     assert_eq!(first, [0, 2000, 1, 2001, 2, 2002]);
-    // A transaction that waits for its changes holds up no reads, but the changes behind it.
+    // A transaction that waits for change tokens delays no reads, but the changes behind it.
     let mut budget = RequestBudget::new(10.0, 4.0);
     budget.push(Urgency::User, 4, 0);
     budget.push(Urgency::User, 4, 1);
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud, as it appears on the wire: machine types, and machines that are provisioned, listed and deleted.
+//! Wire format of the cloud's API: listing machine types, and provisioning, listing and deleting machines.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,11 +6,11 @@
 use crate::http::{Answer, CallResult, Method};
 use crate::model::{MachineType, Resources, micros_from_seconds};
 
-/// Machines in one page of a listing.
+/// Number of machines in one page of a listing.
 const PAGE_MACHINES: u32 = 500;
-/// What a machine fetches in a second where the cloud does not say.
+/// Fetch rate of a machine, in GB per second, if the cloud does not state the rate.
 const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
-/// Amounts from this one on make no sense.
+/// Exclusive upper bound for plausible amounts.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// A request to the cloud.
@@ -22,12 +22,12 @@
 }
 
 impl CloudRequest {
-    /// Reads the machine types.
+    /// Builds the request that reads the machine types.
     pub fn machine_types() -> CloudRequest {
         CloudRequest::get("/flavors".into())
     }
 
-    /// Lists machines, from the one after `after` on; from the first if that is empty.
+    /// Lists the machines that follow `after`, or all machines from the first if `after` is empty.
     pub fn list(after: &str) -> CloudRequest {
         CloudRequest::get(if after.is_empty() {
             format!("/rentals?page={PAGE_MACHINES}")
@@ -36,7 +36,8 @@
         })
     }
 
-    /// Provisions `count` machines. A request is carried out once under one name, however often it is sent.
+    /// Provisions `count` machines. The cloud carries out a request once for each `name`, however often the request is
+    /// sent.
     pub fn provision(
         name: &str,
         machine_type: &str,
@@ -121,7 +122,7 @@
 }
 
 impl MachineTypeEntry {
-    fn makes_sense(&self) -> bool {
+    fn is_plausible(&self) -> bool {
         [
             self.cpus,
             self.gpus,
@@ -149,32 +150,34 @@
     }
 }
 
-/// The machine types of an answer; `None` if there is none, or it has none that can be used.
+/// Reads the machine types from the result of a call. Returns `None` if no answer came, if the answer is an error, or
+/// if the answer holds no usable machine type.
 pub fn decode_machine_types(result: &CallResult) -> Option<Vec<MachineType>> {
     let answer = result.as_ref().ok().filter(|answer| answer.is_ok())?;
     parse_machine_types(&answer.body)
 }
 
-/// Reads the machine types; `None` if none of them makes sense.
+/// Parses a list of machine types. Returns `None` if no entry is plausible or the body cannot be parsed.
 pub fn parse_machine_types(body: &[u8]) -> Option<Vec<MachineType>> {
     let answer: MachineTypesAnswer = serde_json::from_slice(body).ok()?;
     let entries = answer.machine_types.into_iter();
     let machine_types: Vec<MachineType> = entries
-        .filter(MachineTypeEntry::makes_sense)
+        .filter(MachineTypeEntry::is_plausible)
         .map(MachineType::from)
         .collect();
     (!machine_types.is_empty()).then_some(machine_types)
 }
 
-/// The answer to a provisioning request: the machines' names, fewer than were asked for where there are no more.
+/// The answer to a provisioning request: the names of the machines, which are fewer than requested if the cloud has no
+/// more.
 #[derive(Deserialize)]
 pub struct ProvisionAnswer {
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// Whether the cloud has no machine of the kind that was asked for. It answers 503 to that, as it does when it is
-/// overloaded.
+/// Whether the cloud has no machine of the requested kind. The cloud answers 503 in that case, as it does when it is
+/// overloaded; the error text tells the two apart.
 pub fn is_out_of_capacity(result: &CallResult) -> bool {
     #[derive(Deserialize)]
     struct Body {
@@ -199,13 +202,13 @@
     pub spot: bool,
     #[serde(default)]
     pub status: String,
-    /// For how long it has been rented.
+    /// Time since the machine was rented, in seconds.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
 
 impl ListedMachine {
-    /// Whether it will never come up, or never again.
+    /// Whether the machine has failed for good: it will never boot, or never run again.
     pub fn has_failed(&self) -> bool {
         self.status == "failed"
     }
@@ -216,7 +219,7 @@
 pub struct MachineList {
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// More machines follow.
+    /// Whether more machines follow.
     #[serde(default)]
     pub truncated: bool,
 }
--- a/crates/gannethub-core/src/wire/worker.rs
+++ b/crates/gannethub-core/src/wire/worker.rs
@@ -1,15 +1,15 @@
-//! Workers, as they appear on the wire: their heartbeats, the answers, and commands that are pushed to them.
+//! Wire format of the worker protocol: heartbeats, the answers to them, and commands pushed to workers.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat, `POST /v1/report`: who it is, and all attempts that it has.
+/// A worker's heartbeat, `POST /v1/report`: the worker's identity and all of its attempts.
 #[derive(Deserialize, Debug, Clone)]
 pub struct WorkerHeartbeat<'a> {
     #[serde(rename = "host", borrow)]
     pub machine: Cow<'a, str>,
-    /// Where the worker takes pushed commands; empty if it takes none.
+    /// Address at which the worker accepts pushed commands; empty if it accepts none.
     #[serde(rename = "addr", default, borrow)]
     pub address: Cow<'a, str>,
     #[serde(rename = "rig", borrow)]
@@ -18,86 +18,88 @@
     pub zone: Cow<'a, str>,
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Grows each time the worker's lease runs out: it then kills all that it has, and starts anew.
+    /// The worker's incarnation, increased each time its lease expires. The worker then kills all of its attempts and
+    /// starts over.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Grows with every message of the worker in an incarnation.
+    /// The sequence number of the heartbeat, increased with every message of the worker in an incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen: the term of some controller. It obeys no lower one.
+    /// The highest fencing token that the worker has seen. A fencing token is the term of a controller. The worker
+    /// obeys no lower token.
     #[serde(rename = "baton", default)]
     pub token: u64,
-    /// The cloud takes the machine back in this many seconds.
+    /// Seconds until the cloud takes the machine back, if a preemption notice was given.
     #[serde(rename = "warning_s", default)]
     pub preemption_notice_s: Option<f64>,
     #[serde(rename = "pieces", default, borrow)]
     pub tasks: Vec<ReportedTask<'a>>,
 }
 
-/// One attempt of a task, as its worker shows it. It is shown until the worker is told to forget it.
+/// One attempt of a task as reported by its worker. The worker reports the attempt until ordered to forget it.
 #[derive(Deserialize, Debug, Clone)]
 pub struct ReportedTask<'a> {
-    /// As in `j-000412/3`.
+    /// The job id and the task's number, as in `j-000412/3`.
     #[serde(rename = "piece", borrow)]
     pub task: Cow<'a, str>,
     #[serde(rename = "try_no")]
     pub attempt: u64,
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended, if it did.
+    /// The reason for which the attempt ended, if it has ended.
     #[serde(rename = "cause", default)]
     pub exit_reason: Option<ExitReason>,
-    /// Its progress was saved.
+    /// Whether the attempt's progress was saved.
     #[serde(rename = "kept", default)]
     pub saved: bool,
 }
 
-/// What an attempt does.
+/// The state of an attempt at its worker.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// It waits for its image.
+    /// The attempt waits for its image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// It waits for the other tasks of its gang attempt.
+    /// The attempt waits for the other tasks of its gang attempt.
     #[serde(rename = "gathering")]
     Waiting,
     #[serde(rename = "running")]
     Running,
-    /// It was told to stop, and saves its progress.
+    /// The attempt was ordered to stop and saves its progress.
     #[serde(rename = "saving")]
     Saving,
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// Why an attempt ended.
+/// The reason for which an attempt ended.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
     /// The task is done.
     #[serde(rename = "done")]
     Done,
-    /// It was told to stop.
+    /// The attempt was ordered to stop.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang attempt is gone.
+    /// Another task of the gang attempt is gone.
     #[serde(rename = "mates_gone")]
     PeersGone,
-    /// Its gang attempt was not complete in time.
+    /// The gang attempt was not complete in time.
     #[serde(rename = "alone")]
     Alone,
-    /// It failed, by its machine's fault or its user's.
+    /// The attempt failed, through a fault of the machine or of the user.
     #[serde(rename = "error")]
     Error,
-    /// The launch was refused: the machine has not enough free resources.
+    /// The launch was refused: the machine lacks free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// The launch was refused: the task is on this machine with another attempt.
+    /// The launch was refused: another attempt of the task is on this machine.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// The launch was refused: there is no such task.
+    /// The launch was refused: the task does not exist.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// A reason that this release does not know: the attempt is over, and was not done.
+    /// A reason unknown to this release: the attempt has ended, and the task is not done.
     #[serde(other)]
     Other,
 }
@@ -119,11 +121,11 @@
         task: String,
         #[serde(rename = "try_no")]
         attempt: u64,
-        /// The time it has to save its progress.
+        /// Time for the attempt to save its progress, in seconds.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Its end needs to be shown no more.
+    /// The worker need not report the ended attempt any more.
     #[serde(rename = "forget")]
     Forget {
         #[serde(rename = "piece")]
@@ -133,19 +135,19 @@
     },
 }
 
-/// Commands that are pushed to a worker, `POST /commands`.
+/// Commands pushed to a worker, `POST /commands`.
 #[derive(Serialize, Debug)]
 pub struct CommandsRequest<'a> {
     /// The sender's term.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The worker obeys in this incarnation only.
+    /// The worker incarnation that the commands are meant for. The worker obeys them in no other incarnation.
     #[serde(rename = "shift")]
     pub incarnation: u64,
     pub orders: &'a [Order],
 }
 
-/// The answer to a heartbeat. It renews the worker's lease.
+/// The answer to a heartbeat, which renews the worker's lease.
 #[derive(Serialize, Debug)]
 pub struct HeartbeatResponse<'a> {
     /// The sender's term.
@@ -154,10 +156,10 @@
     pub orders: &'a [Order],
 }
 
-/// 421 to a heartbeat: this controller does not take it.
+/// The body of a 421 answer to a heartbeat: this controller does not accept the heartbeat.
 #[derive(Serialize, Debug)]
 pub struct HeartbeatRedirect<'a> {
-    /// A controller that may take it, by name.
+    /// The name of a controller that may accept the heartbeat.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub controller: Option<&'a str>,
 }
