--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -1,7 +1,7 @@
-//! The state service, as it appears on the wire: keys, records kept under them, requests and their answers.
+//! Wire format of the state service: keys, the records stored under them, requests and answers.
 //!
-//! Names of JSON fields are those of the service's protocol and of stored records, which outlive releases; where a
-//! Rust name differs, the field says so.
+//! JSON field names are those of the service's protocol and of stored records, which outlive releases. Where a Rust
+//! name differs, a `serde` attribute on the field gives the JSON name.
 
 mod answers;
 mod encoding;
--- a/crates/gannethub-core/src/wire/store/answers.rs
+++ b/crates/gannethub-core/src/wire/store/answers.rs
@@ -5,32 +5,32 @@
 
 use super::records::LiveRecord;
 
-/// A key and its value.
+/// A key with its value and version.
 #[derive(Deserialize, Debug)]
 pub struct StoredValue {
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "v")]
     pub value: Box<RawValue>,
-    /// The version at which it was last written.
+    /// The version at which the key was last written.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl StoredValue {
-    /// The value as a live job's record; `None`, and an error in the log, if it is none.
+    /// Parses the value as a live job's record. Logs an error and returns `None` if parsing fails.
     pub fn as_live_record(&self) -> Option<LiveRecord> {
-        self.logged(LiveRecord::parse(self.value.get()))
+        self.ok_or_log(LiveRecord::parse(self.value.get()))
     }
 
-    /// The value as a record; `None`, and an error in the log, if it is none.
+    /// Parses the value as a record. Logs an error and returns `None` if parsing fails.
     pub fn decode<'a, T: Deserialize<'a>>(&'a self) -> Option<T> {
-        self.logged(serde_json::from_str(self.value.get()))
+        self.ok_or_log(serde_json::from_str(self.value.get()))
     }
 
-    fn logged<T>(&self, parsed: Result<T, serde_json::Error>) -> Option<T> {
+    fn ok_or_log<T>(&self, parsed: Result<T, serde_json::Error>) -> Option<T> {
         if let Err(error) = &parsed {
-            tracing::error!(key = %self.key, %error, "a value in the state service is not ours");
+            tracing::error!(key = %self.key, %error, "cannot parse value from the state service");
         }
         parsed.ok()
     }
@@ -40,64 +40,65 @@
 #[derive(Deserialize, Debug)]
 pub struct Listing {
     pub items: Vec<StoredValue>,
-    /// More keys follow.
+    /// Whether more keys follow.
     #[serde(default)]
     pub truncated: bool,
-    /// The version that the page is true to.
+    /// The version of the store at which the page was read.
     #[serde(rename = "ledger_no")]
     pub version: u64,
 }
 
-/// 200 to a transaction; and 404 to a read, which says as of when there is no such key.
+/// The body of a 200 answer to a transaction, and of a 404 answer to a read.
 #[derive(Deserialize, Debug)]
 pub struct Committed {
-    /// The version at which it was carried out.
+    /// The version at which the transaction was carried out, or as of which the key that was read does not exist.
     #[serde(rename = "ledger_no")]
     pub version: u64,
 }
 
-/// 409 to a transaction: guards did not hold.
+/// The body of a 409 answer to a transaction: some guards did not hold.
 #[derive(Deserialize, Debug)]
 pub struct Conflict {
-    /// The keys whose versions were others.
+    /// Keys whose versions differed from their guards.
     #[serde(rename = "failed", default)]
     pub failed_keys: Vec<String>,
 }
 
-/// A store lease was granted.
+/// The answer that grants a store lease.
 #[derive(Deserialize, Debug)]
 pub struct LeaseGranted {
     #[serde(rename = "permit")]
     pub lease_id: u64,
 }
 
-/// The answer to a watch, and to a read of changes.
+/// The answer to a watch or to a read of changes.
 #[derive(Deserialize, Debug)]
 pub struct ChangeLog {
-    /// The version that the changes lead up to.
+    /// The version up to which the changes are listed.
     #[serde(rename = "ledger_no")]
     pub version: u64,
-    /// In the order of their versions.
+    /// The changes, in the order of their versions.
     #[serde(rename = "log", default, deserialize_with = "sorted_by_version")]
     pub changes: Vec<Change>,
 }
 
-/// Changes in the order of their versions, whatever order they are listed in. A job's end is understood by what its
-/// record said before it went, and a change that is applied after a newer one would take that one back.
+/// Deserializes changes and sorts them by version, whatever order they are listed in. A reader derives how a job ended
+/// from the last content of the job's record before its deletion, and a change applied after a newer one would undo the
+/// newer change.
 fn sorted_by_version<'de, D: Deserializer<'de>>(changes: D) -> Result<Vec<Change>, D::Error> {
     let mut changes = Vec::<Change>::deserialize(changes)?;
     changes.sort_by_key(|change| change.version);
     Ok(changes)
 }
 
-/// One key was written or deleted.
+/// A change: one key was written or deleted.
 #[derive(Deserialize, Debug)]
 pub struct Change {
     #[serde(rename = "write")]
     pub written_key: Option<String>,
     #[serde(rename = "delete")]
     pub deleted_key: Option<String>,
-    /// What was written.
+    /// The written value.
     #[serde(rename = "v")]
     pub value: Option<Box<RawValue>>,
     #[serde(rename = "stamp")]
@@ -105,7 +106,7 @@
 }
 
 impl Change {
-    /// The key that was written or deleted.
+    /// Returns the key that was written or deleted.
     pub fn key(&self) -> Option<&str> {
         self.written_key.as_deref().or(self.deleted_key.as_deref())
     }
--- a/crates/gannethub-core/src/wire/store/encoding.rs
+++ b/crates/gannethub-core/src/wire/store/encoding.rs
@@ -1,23 +1,23 @@
-//! Compact text forms of job ids and of finished tasks: stored values are small.
+//! Compact text encodings of job ids and of finished tasks, needed because the size of stored values is limited.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Display, Write};
 
 use crate::model::{JobId, TaskSet};
 
-/// The most jobs that one may wait for; a request body of 64 KiB holds no more.
+/// Maximum number of upstream jobs of a job. A request body of 64 KiB holds no more.
 pub const MAX_UPSTREAM_JOBS: usize = 16_000;
 
-/// Tasks whose completions share one value. A bitmap of this many always fits into 2 KiB.
+/// Number of tasks whose completions share one value. A bitmap of this many tasks always fits into 2 KiB.
 pub const TASKS_PER_PART: u32 = 4096;
 
-/// Finished tasks are written as ranges while those take no more bytes than the digits of a bitmap.
+/// Maximum length of finished tasks written as ranges, in bytes. The hexadecimal digits of a bitmap take as many bytes.
 const MAX_RANGES_BYTES: usize = TASKS_PER_PART as usize / 4;
 const BITMAP_BYTES: usize = TASKS_PER_PART as usize / 8;
-/// What a bitmap begins with. Ranges begin with a digit.
+/// First character of an encoded bitmap. Ranges begin with a digit.
 const BITMAP_MARKER: char = 'x';
 
-/// Writes `first-last`, or one number if they are the same. Writing to a `String` cannot fail.
+/// Writes `first-last`, or one number if both are equal. Writing to a `String` cannot fail.
 fn write_range<N: Display + PartialEq>(out: &mut String, first: N, last: N) {
     let _ = if first == last {
         write!(out, "{first}")
@@ -26,15 +26,15 @@
     };
 }
 
-/// Reads what [`write_range`] wrote.
+/// Parses a range written by [`write_range`].
 fn parse_range<N: std::str::FromStr>(text: &str) -> Option<(N, N)> {
     let (first, last) = text.split_once('-').unwrap_or((text, text));
     Some((first.parse().ok()?, last.parse().ok()?))
 }
 
-/// Encodes job ids compactly: grouped by their number of digits, as numbers and ranges of them, in order.
+/// Encodes job ids compactly as sorted numbers and ranges, grouped by the number of digits.
 ///
-/// `j-7`, `j-000398` and `j-000399` become `1:7;6:398-399`.
+/// For example, `j-7`, `j-000398` and `j-000399` become `1:7;6:398-399`.
 pub fn encode_job_ids(ids: &[JobId]) -> String {
     let mut by_digits: BTreeMap<usize, BTreeSet<u64>> = BTreeMap::new();
     for digits in ids.iter().filter_map(|id| id.strip_prefix("j-")) {
@@ -63,8 +63,8 @@
     out
 }
 
-/// Decodes what [`encode_job_ids`] wrote. What makes no sense is left out, and no range yields more than
-/// [`MAX_UPSTREAM_JOBS`] ids or so.
+/// Decodes job ids encoded by [`encode_job_ids`]. Invalid groups and ranges are skipped, and a range yields at most
+/// about [`MAX_UPSTREAM_JOBS`] ids.
 pub fn decode_job_ids(text: &str) -> Vec<JobId> {
     let mut ids = Vec::new();
     for (digits, numbers) in text.split(';').filter_map(|group| group.split_once(':')) {
@@ -79,7 +79,7 @@
     ids
 }
 
-/// Encodes the finished tasks of one part of an array: as ranges, or as a bitmap when those take too many bytes.
+/// Encodes the finished tasks of one part of an array as ranges, or as a bitmap if ranges take too many bytes.
 pub fn encode_done_part(done: &TaskSet, part: u32) -> String {
     let first_task = part * TASKS_PER_PART;
     let tasks = done.slice(first_task, first_task + TASKS_PER_PART);
@@ -109,7 +109,7 @@
     out
 }
 
-/// Adds what [`encode_done_part`] wrote to `done`. Tasks outside the part are ignored.
+/// Adds the finished tasks encoded by [`encode_done_part`] to `done`. Tasks outside the part are ignored.
 pub fn decode_done_part(text: &str, part: u32, done: &mut TaskSet) {
     let first_task = part * TASKS_PER_PART;
     if let Some(hex) = text.strip_prefix(BITMAP_MARKER) {
@@ -123,7 +123,7 @@
     }
 }
 
-/// A byte that makes no sense counts as empty.
+/// Adds the tasks of a bitmap to `done`. An invalid byte counts as zero.
 fn decode_bitmap(hex: &str, first_task: u32, done: &mut TaskSet) {
     let pairs = hex.as_bytes().chunks(2).take(BITMAP_BYTES);
     for (first_bit, pair) in (first_task..).step_by(8).zip(pairs) {
--- a/crates/gannethub-core/src/wire/store/encoding/tests.rs
+++ b/crates/gannethub-core/src/wire/store/encoding/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn finished_tasks_are_encoded_as_ranges_or_a_bitmap_and_decoded_again() {
+fn finished_tasks_round_trip_as_ranges_or_bitmap() {
     let mut sparse = TaskSet::default();
     for task in [0, 1, 2, 9, 5000, 5001] {
         sparse.insert(task);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn job_ids_are_encoded_compactly_and_decoded_again() {
+fn job_ids_round_trip_through_compact_encoding() {
     let ids: Vec<JobId> = [
         "j-000398",
         "j-000399",
--- a/crates/gannethub-core/src/wire/store/keys.rs
+++ b/crates/gannethub-core/src/wire/store/keys.rs
@@ -1,59 +1,59 @@
-//! Keys in the state service.
+//! Keys of the state service.
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `gh/lead/holder` | the leader, bound to its store lease: [`LeaseRecord`](super::LeaseRecord) |
-//! | `gh/lead/term` | the last term of a leader, and whose it was: [`LeaseRecord`](super::LeaseRecord) |
-//! | `gh/lead/count` | the highest term of any shard's owner, where there are several shards |
-//! | `gh/seat/<shard>/holder`, `gh/seat/<shard>/term` | the same as the leader's keys, of every other shard |
-//! | `gh/live/<job>` | a job that is not finished: [`JobRecord`](super::JobRecord), or [`WaitingRecord`](super::WaitingRecord) before its release |
-//! | `gh/live/configuration` | the version of the configuration that is in force |
-//! | `gh/part/<job>/<n>` | finished tasks that do not fit into the job's own value: [`DonePartRecord`](super::DonePartRecord) |
-//! | `gh/over/<job>` | a finished job, or a cancelled one none of whose tasks is left: [`FinishedJobRecord`](super::FinishedJobRecord) |
-//! | `gh/block/<shard>/<chunk>` | machines of a shard, written before the first launch on them |
-//! | `gh/move/<shard>/<machine>` | a machine that was given to that shard and is on no shard's record yet: [`MachineTransferRecord`](super::MachineTransferRecord) |
-//! | `gh/allot/<shard>` | what teams may use in that shard: [`QuotaPartitionRecord`](super::QuotaPartitionRecord). What is left of their limits is shard 0's |
-//! | `gh/config/…` | earlier versions of the configuration, and documents |
-//! | `gh/ledger/head` | where the ledger stands |
+//! | `gh/lead/holder` | the leader; the key is bound to the leader's store lease: [`LeaseRecord`](super::LeaseRecord) |
+//! | `gh/lead/term` | the last term of a leader, and the leader in that term: [`LeaseRecord`](super::LeaseRecord) |
+//! | `gh/lead/count` | the highest term of any shard owner, if the cluster has several shards |
+//! | `gh/seat/<shard>/holder`, `gh/seat/<shard>/term` | the same two records as under the leader's keys, for every other shard |
+//! | `gh/live/<job>` | an unfinished job: [`JobRecord`](super::JobRecord), or [`WaitingRecord`](super::WaitingRecord) before the job's release |
+//! | `gh/live/configuration` | the configuration version in force |
+//! | `gh/part/<job>/<n>` | finished tasks that do not fit into the job's record: [`DonePartRecord`](super::DonePartRecord) |
+//! | `gh/over/<job>` | a finished job, or a cancelled job without remaining tasks: [`FinishedJobRecord`](super::FinishedJobRecord) |
+//! | `gh/block/<shard>/<chunk>` | machines of a shard; the record is written before the first launch on them |
+//! | `gh/move/<shard>/<machine>` | a machine that was transferred to the shard and is in no shard's record yet: [`MachineTransferRecord`](super::MachineTransferRecord) |
+//! | `gh/allot/<shard>` | the resources that teams may use in the shard: [`QuotaPartitionRecord`](super::QuotaPartitionRecord). Shard 0 has the rest of the teams' limits |
+//! | `gh/config/…` | earlier configuration versions, and the documents of versions |
+//! | `gh/ledger/head` | the head of the ledger |
 //! | `gh/ledger/page/<n>` | a page of the ledger |
 
-/// The owner of shard 0, which is the leader.
+/// Key of the owner of shard 0, which is the leader.
 pub const LEADER_KEY: &str = "gh/lead/holder";
-/// The leader's last term.
+/// Key of the leader's last term.
 pub const TERM_KEY: &str = "gh/lead/term";
-/// The prefix of the leader's keys.
+/// Prefix of the leader's keys.
 pub const LEADER_PREFIX: &str = "gh/lead/";
-/// The prefix of jobs that are not finished.
+/// Prefix of the keys of unfinished jobs.
 pub const LIVE_JOB_PREFIX: &str = "gh/live/";
-/// The prefix of finished tasks in keys of their own.
+/// Prefix of the keys of finished tasks that are stored outside their job's record.
 pub const DONE_PART_PREFIX: &str = "gh/part/";
-/// The prefix of finished jobs.
+/// Prefix of the keys of finished jobs.
 pub const FINISHED_JOB_PREFIX: &str = "gh/over/";
-/// The prefix of shards' machines.
+/// Prefix of the keys of shards' machines.
 pub const SHARD_PREFIX: &str = "gh/block/";
-/// The highest term of any shard's owner.
+/// Key of the highest term of any shard owner.
 pub const TERM_COUNTER_KEY: &str = "gh/lead/count";
-/// The prefix of the owners and terms of shards other than 0.
+/// Prefix of the keys of the owners and terms of shards other than shard 0.
 pub const SHARD_ASSIGNMENT_PREFIX: &str = "gh/seat/";
-/// The prefix of machines on their way to a shard.
+/// Prefix of the keys of machines in transfer to a shard.
 pub const MACHINE_TRANSFER_PREFIX: &str = "gh/move/";
-/// The prefix of shards' parts of the teams' limits.
+/// Prefix of the keys of quota partitions, which are the shards' parts of the teams' limits.
 pub const QUOTA_PARTITION_PREFIX: &str = "gh/allot/";
-/// Where the ledger stands.
+/// Key of the head of the ledger.
 pub const LEDGER_HEAD_KEY: &str = "gh/ledger/head";
-/// The prefix of the ledger's pages.
+/// Prefix of the keys of the ledger's pages.
 pub const LEDGER_PAGE_PREFIX: &str = "gh/ledger/page/";
 
-/// The keys that say who owns a shard.
+/// The keys that hold the assignment of a shard to its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssignmentKeys {
-    /// Its owner. The key is bound to the owner's store lease, and goes with it.
+    /// Key of the shard's owner. The key is bound to the owner's store lease and is deleted with the lease.
     pub owner: String,
-    /// The last term that it was owned in. This key stays.
+    /// Key of the last term in which the shard was owned. This key outlives the store lease.
     pub term: String,
 }
 
-/// The keys that say who owns a shard. Shard 0's are the leader's.
+/// Returns the keys that hold the assignment of a shard. Those of shard 0 are the leader's keys.
 pub fn assignment_keys(shard: u32) -> AssignmentKeys {
     match shard {
         0 => AssignmentKeys {
@@ -67,39 +67,39 @@
     }
 }
 
-/// The key of a live job's record.
+/// Returns the key of a live job's record.
 pub fn live_job_key(id: &str) -> String {
     format!("{LIVE_JOB_PREFIX}{id}")
 }
 
-/// The key of a finished job's record.
+/// Returns the key of a finished job's record.
 pub fn finished_job_key(id: &str) -> String {
     format!("{FINISHED_JOB_PREFIX}{id}")
 }
 
-/// The key of one part of a large array's finished tasks.
+/// Returns the key of one part of a large array's finished tasks.
 pub fn done_part_key(id: &str, part: u32) -> String {
     format!("{DONE_PART_PREFIX}{id}/{part}")
 }
 
-/// The job and the number of the part that a key of [`done_part_key`] names.
+/// Parses a key built by [`done_part_key`] into the job id and the number of the part.
 pub fn parse_done_part_key(key: &str) -> Option<(&str, u32)> {
     let (id, part) = key.strip_prefix(DONE_PART_PREFIX)?.rsplit_once('/')?;
     Some((id, part.parse().ok()?))
 }
 
-/// The key of a machine that is on its way to a shard.
+/// Returns the key of a machine in transfer to a shard.
 pub fn machine_transfer_key(shard: u32, machine: &str) -> String {
     format!("{MACHINE_TRANSFER_PREFIX}{shard}/{machine}")
 }
 
-/// The shard that a chunk's key names, whichever shard that is.
+/// Returns the shard named in the key of a chunk of machines. The shard may be any shard.
 pub fn parse_chunk_shard(key: &str) -> Option<u32> {
     let (shard, _) = key.strip_prefix(SHARD_PREFIX)?.split_once('/')?;
     shard.parse().ok()
 }
 
-/// The key of a page of the ledger. Keys sort as their pages' numbers do.
+/// Returns the key of a page of the ledger. The keys sort in the order of the page numbers.
 pub fn ledger_page_key(page: u64) -> String {
     format!("{LEDGER_PAGE_PREFIX}{page:012}")
 }
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -1,4 +1,4 @@
-//! Records kept in the state service.
+//! Records stored in the state service.
 
 use std::collections::BTreeMap;
 use std::ops::Not;
@@ -9,16 +9,16 @@
 use super::encoding::encode_job_ids;
 use crate::model::{JobId, JobSpec, Resources};
 
-/// A value as it goes into a transaction.
+/// Serializes a value for a transaction.
 pub fn to_raw_value(value: &impl Serialize) -> Box<RawValue> {
-    // Our records have string keys only and finite numbers, so they always serialize.
+    // All records have only string keys and finite numbers, so serialization always succeeds.
     serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
 }
 
-/// Values are kept this far below their limit, as the state service may write them less tightly.
+/// Bytes by which values stay below the size limit, as the state service may encode them less compactly.
 pub const VALUE_SLACK_BYTES: usize = 64;
 
-/// A machine that is on its way to a shard.
+/// A machine in transfer to a shard.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct MachineTransferRecord {
     #[serde(rename = "flavor")]
@@ -27,55 +27,58 @@
     pub spot: bool,
 }
 
-/// What each team may use in a shard at most. The shard's owner lowers it, and keeps to that from before it is
-/// written; only the owner of shard 0 raises it, out of what no other shard has.
+/// A quota partition: the maximum resources that each team may use in a shard. The shard's owner lowers the amounts and
+/// obeys the lower amounts from before the record is written. Only the owner of shard 0 raises them, out of quota that
+/// no other shard has.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct QuotaPartitionRecord {
     pub teams: BTreeMap<String, Resources>,
 }
 
-/// Who owns a shard, under its owner key and its term key.
+/// The owner of a shard, stored under the shard's owner key and term key.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct LeaseRecord {
     /// The controller's name.
     #[serde(rename = "holder")]
     pub owner: String,
     pub term: u64,
-    /// Whatever may be on a machine, of any term so far, is below its job's watermark ([`JobRecord::watermark`]).
-    /// Releases before watermarks do not write this field, and launch without them.
+    /// Whether every task that may be on a machine, launched in any term so far, is below its job's watermark
+    /// ([`JobRecord::watermark`]). Releases before watermarks do not write this field, and launch tasks without raising
+    /// watermarks.
     #[serde(rename = "marked", default, skip_serializing_if = "Not::not")]
     pub watermarks_reliable: bool,
 }
 
-/// A live job that waits for no other job, or no longer.
+/// A live job that does not wait for other jobs, or no longer does.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct JobRecord {
     pub spec: JobSpec,
     /// Unix time at acceptance, in microseconds.
     #[serde(rename = "at")]
     pub accepted_at: u64,
-    /// Unix time at its release, in microseconds, if it waited for other jobs.
+    /// Unix time at the job's release, in microseconds, if the job waited for other jobs.
     #[serde(rename = "ready", default, skip_serializing_if = "Option::is_none")]
     pub ready_at: Option<u64>,
-    /// Finished tasks of its first part ([`encode_done_part`](super::encode_done_part)), unless those have a key of
-    /// their own.
+    /// Finished tasks of the job's first part, in the format of [`encode_done_part`](super::encode_done_part), unless
+    /// they have a key of their own.
     #[serde(default)]
     pub done: String,
     #[serde(default)]
     pub cancelled: bool,
-    /// It fails wherever it runs.
+    /// Whether the job is crash-looping: it fails on every machine.
     #[serde(rename = "failing", default, skip_serializing_if = "Not::not")]
     pub crash_looping: bool,
-    /// Only tasks with lower numbers may be on a machine: it is raised before they are launched. `None`: any may be.
+    /// The launch watermark: only tasks with lower numbers may be on a machine, as the watermark is raised before tasks
+    /// are launched. `None`: any task may be on a machine.
     #[serde(rename = "open", default, skip_serializing_if = "Option::is_none")]
     pub watermark: Option<u32>,
-    /// The shard that its tasks run in. Only [`JobRecord::to_value`] writes it.
+    /// The shard in which the job's tasks run. Only [`JobRecord::to_value`] writes this field.
     #[serde(skip)]
     pub shard: u32,
 }
 
 impl JobRecord {
-    /// A job that is accepted at `accepted_at`, none of whose tasks has been launched.
+    /// Creates the record of a job accepted at `accepted_at`, with no task launched.
     pub fn new(spec: JobSpec, accepted_at: u64) -> JobRecord {
         JobRecord {
             spec,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// The value as it is stored. A job of another shard than 0 has a form of its own.
+    /// Returns the value to store. Jobs of shards other than shard 0 have a separate format.
     pub fn to_value(&self) -> Box<RawValue> {
         match self.shard {
             0 => to_raw_value(self),
@@ -97,17 +100,19 @@
         }
     }
 
-    /// Tasks with this number or a higher one are on no machine.
+    /// Returns the watermark, or the number of tasks if there is no lower watermark. Tasks with this number or a higher
+    /// one are on no machine.
     pub fn effective_watermark(&self) -> u32 {
         let tasks = self.spec.tasks;
         self.watermark.unwrap_or(tasks).min(tasks)
     }
 }
 
-/// A live job that waits for others.
+/// A live job that waits for other jobs.
 ///
-/// It is written so that a controller of a release before pipelines answers queries from it, and cannot start the job:
-/// what that release's queries need is where they look for it, and what its leader needs is not.
+/// The format lets a controller of a release before pipelines answer queries from the record, but not start the job:
+/// the fields that queries of that release need are in the place where they are looked up, and the fields that the
+/// leader of that release needs are not.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct WaitingRecord {
     spec: TaskCount,
@@ -118,16 +123,16 @@
     pub waiting: WaitingJobSpec,
 }
 
-/// What a waiting job is, and which jobs it waits for.
+/// The spec of a waiting job, and the upstream jobs that the job waits for.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct WaitingJobSpec {
     pub job: JobSpec,
-    /// As [`encode_job_ids`] writes them.
+    /// Ids of the upstream jobs, in the format of [`encode_job_ids`].
     #[serde(rename = "on")]
     pub upstream_ids: String,
 }
 
-/// The part of a spec that queries of earlier releases need.
+/// The part of a spec that queries in earlier releases need.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 struct TaskCount {
     tasks: u32,
@@ -152,10 +157,10 @@
     }
 }
 
-/// A live job whose tasks run in another shard than 0.
+/// A live job whose tasks run in a shard other than shard 0.
 ///
-/// A controller of a release before shards answers queries from it, and cannot start the job, which it would do beside
-/// the shard's owner.
+/// A controller of a release before shards can answer queries from the record, but cannot start the job. Otherwise such
+/// a controller would start the job in parallel with the shard's owner.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 struct ShardedJobRecord {
     spec: TaskCount,
@@ -218,7 +223,7 @@
     }
 }
 
-/// A live job's record, in any of its forms.
+/// A live job's record in any of its formats.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LiveRecord {
     Job(JobRecord),
@@ -226,7 +231,8 @@
 }
 
 impl LiveRecord {
-    /// Reads a live job's record. Text of no form is explained as what it is most likely meant to be, a [`JobRecord`].
+    /// Parses a live job's record. If the text matches no format, the error is that of parsing a [`JobRecord`], the
+    /// most likely intended format.
     pub fn parse(text: &str) -> Result<LiveRecord, serde_json::Error> {
         let error = match serde_json::from_str(text) {
             Ok(record) => return Ok(LiveRecord::Job(record)),
@@ -248,8 +254,8 @@
         }
     }
 
-    /// The value of the same job once its user has cancelled it, within `value_bytes` bytes. Which of its tasks were
-    /// done does not matter any more, and is left out where it does not fit.
+    /// Returns the value of the same job after cancellation by its user, within `value_bytes` bytes. The finished tasks
+    /// of a cancelled job do not matter any more, and are omitted if they do not fit.
     pub fn into_cancelled_value(self, value_bytes: usize) -> Box<RawValue> {
         match self {
             LiveRecord::Job(mut record) => {
@@ -269,32 +275,32 @@
     }
 }
 
-/// A job that is finished, or was cancelled and has no task left.
+/// A finished job, or a cancelled job without remaining tasks.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct FinishedJobRecord {
     pub cancelled: bool,
     pub tasks: u32,
-    /// Whose it was, where a ledger is kept: an attempt's end may be found after its job's.
+    /// The job's owner, if a ledger is kept. An attempt's end may be found after the end of its job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<JobOwner>,
 }
 
-/// Whom an attempt is charged to, and for what.
+/// The team and class that an attempt is charged to, and the resources that it is charged for.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct JobOwner {
     pub team: String,
     pub class: String,
-    /// What one task needs.
+    /// Resources needed by one task.
     #[serde(rename = "need")]
     pub resources: Resources,
-    /// It runs until it is stopped, and all of its run counts as useful.
+    /// Whether the job is a service: its tasks run until stopped, and all of their run time counts as useful.
     #[serde(rename = "replica")]
     pub is_service: bool,
 }
 
-/// Finished tasks of one part of an array.
+/// The finished tasks of one part of an array.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct DonePartRecord {
-    /// As [`encode_done_part`](super::encode_done_part) writes them.
+    /// Finished tasks, in the format of [`encode_done_part`](super::encode_done_part).
     pub done: String,
 }
--- a/crates/gannethub-core/src/wire/store/requests.rs
+++ b/crates/gannethub-core/src/wire/store/requests.rs
@@ -10,13 +10,13 @@
 use crate::model::{Micros, SECOND};
 
 const DEFAULT_TIMEOUT: Micros = 2 * SECOND;
-/// A renewal that takes longer is sent again: the lease runs out meanwhile.
+/// Time after which an unanswered renewal is sent again. The timeout is short because the lease runs out meanwhile.
 const RENEWAL_TIMEOUT: Micros = SECOND;
-/// How long the service holds back the answer to a watch while nothing changes.
+/// Time for which the service holds back the answer to a watch while nothing changes.
 const WATCH_BLOCK_MS: u64 = 10_000;
-/// The service's own time and some for the way.
+/// Timeout of a watch: the time for which the service holds back the answer, plus time for the network.
 const WATCH_TIMEOUT: Micros = 13 * SECOND;
-/// Items in one answer to a listing.
+/// Number of items in one answer to a listing.
 const PAGE_ITEMS: u32 = 200;
 
 /// A request to the state service.
@@ -25,9 +25,9 @@
     pub method: Method,
     pub path: String,
     pub body: Bytes,
-    /// How long an answer is waited for.
+    /// Maximum time to wait for an answer.
     pub timeout: Micros,
-    /// Puts and deletes that it carries: they have a rate of their own.
+    /// Number of puts and deletes in the request. Changes have a rate limit of their own.
     pub change_count: u32,
 }
 
@@ -47,7 +47,7 @@
         StoreRequest::new(Method::Get, format!("/kv/{key}"), Bytes::new())
     }
 
-    /// Lists the keys with this prefix, from the one after `after` on; from the first if that is empty.
+    /// Lists the keys with this prefix that follow `after`, or all of them from the first if `after` is empty.
     pub fn list(prefix: &str, after: &str) -> StoreRequest {
         let from = if after.is_empty() {
             String::new()
@@ -58,7 +58,7 @@
         StoreRequest::new(Method::Get, path, Bytes::new())
     }
 
-    /// Waits for changes of keys with this prefix after that version.
+    /// Waits for changes after version `after` to keys with this prefix.
     pub fn watch(prefix: &str, after: u64) -> StoreRequest {
         let path = format!("/follow?starts={prefix}&from={after}&block_ms={WATCH_BLOCK_MS}");
         let mut request = StoreRequest::new(Method::Get, path, Bytes::new());
@@ -66,13 +66,13 @@
         request
     }
 
-    /// Reads what has changed after that version, and does not wait for changes.
+    /// Reads the changes after version `after` to keys with this prefix, without waiting for changes.
     pub fn changes_since(prefix: &str, after: u64) -> StoreRequest {
         let path = format!("/follow?starts={prefix}&from={after}&block_ms=0");
         StoreRequest::new(Method::Get, path, Bytes::new())
     }
 
-    /// Asks for a store lease of this length.
+    /// Requests a store lease with time to live `ttl`.
     pub fn acquire_lease(ttl: Micros) -> StoreRequest {
         #[derive(Serialize)]
         struct Body {
@@ -83,7 +83,6 @@
         StoreRequest::new(Method::Post, "/grants".into(), body)
     }
 
-    /// Renews a store lease.
     pub fn renew_lease(lease_id: u64) -> StoreRequest {
         let path = format!("/grants/{lease_id}/renew");
         let mut request = StoreRequest::new(Method::Post, path, Bytes::from_static(b"{}"));
@@ -91,7 +90,7 @@
         request
     }
 
-    /// Gives a store lease back; the keys that are bound to it go with it.
+    /// Revokes a store lease. The service deletes the keys bound to the lease.
     pub fn revoke_lease(lease_id: u64) -> StoreRequest {
         let path = format!("/grants/{lease_id}");
         StoreRequest::new(Method::Delete, path, Bytes::new())
@@ -127,8 +126,8 @@
     },
 }
 
-/// A conditional transaction that is being put together. All of its writes are carried out if all guards hold, and
-/// none otherwise.
+/// A conditional transaction under construction. The service carries out all writes if all guards hold, and none
+/// otherwise.
 #[derive(Serialize, Debug, Clone, Default)]
 pub struct Transaction {
     guards: Vec<Guard>,
@@ -136,7 +135,7 @@
 }
 
 impl Transaction {
-    /// Requires `key` to have this version; 0: not to exist.
+    /// Adds a guard that requires `key` to have this version, or not to exist if `version` is 0.
     pub fn guard(&mut self, key: &str, version: u64) {
         self.guards.push(Guard {
             key: key.into(),
@@ -144,7 +143,7 @@
         });
     }
 
-    /// Writes a key. `lease`: the store lease that the key is bound to.
+    /// Adds the write of a key, bound to the store lease `lease` if one is given.
     pub fn put(&mut self, key: &str, value: Box<RawValue>, lease: Option<u64>) {
         self.writes.push(Write::Put {
             key: key.into(),
@@ -153,12 +152,12 @@
         });
     }
 
-    /// Deletes a key.
+    /// Adds the deletion of a key.
     pub fn delete(&mut self, key: &str) {
         self.writes.push(Write::Delete { key: key.into() });
     }
 
-    /// Moves a job from the live to the finished ones. The caller guards its live record.
+    /// Moves a job from the live to the finished jobs. The caller has to add a guard for the live record.
     pub fn end_job(&mut self, id: &str, record: &FinishedJobRecord) {
         let key = finished_job_key(id);
         self.guard(&key, 0);
@@ -166,12 +165,12 @@
         self.put(&key, to_raw_value(record), None);
     }
 
-    /// How many puts and deletes it has.
+    /// Returns the number of puts and deletes.
     pub fn change_count(&self) -> usize {
         self.writes.len()
     }
 
-    /// The request that carries it out.
+    /// Builds the request that submits the transaction.
     pub fn to_request(&self) -> StoreRequest {
         let mut request = StoreRequest::new(Method::Post, "/commit".into(), to_json_bytes(self));
         request.change_count = self.writes.len() as u32;
