--- a/crates/gannethub-core/src/policy.rs
+++ b/crates/gannethub-core/src/policy.rs
@@ -1,9 +1,10 @@
-//! Operators' policy: a small typed expression language for choices that break no rule.
+//! Operators' policy: a small typed expression language for settings that operators may choose without breaking any
+//! scheduling rule.
 //!
-//! A policy is a list of `setting = expression`. Expressions have numbers, booleans and strings,
-//! `+ - * /`, comparisons, `and`, `or`, `not`, `if … then … else …`, and fields of what the setting
-//! is about, such as `job.slack_s`. There are no loops, so every evaluation ends. Results are held
-//! to each setting's bounds after evaluation, whatever the expression yields.
+//! A policy is a list of `setting = expression`. Expressions have numbers, booleans and strings, `+ - * /`,
+//! comparisons, `and`, `or`, `not`, `if … then … else …`, and fields of the setting's [scope](Scope), such as
+//! `job.slack_s`. The language has no loops, so every evaluation ends. After evaluation, a number is clamped to the
+//! bounds of its setting, whatever the expression yields.
 
 use std::fmt;
 
@@ -14,8 +15,8 @@
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{one_of, take_while};
 
-/// The policy that holds when no file says otherwise.
-const BUILT_IN: &str = include_str!("../policy/default.policy");
+/// The policy for all settings that no policy file names.
+const BUILT_IN_POLICY: &str = include_str!("../policy/default.policy");
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Type {
@@ -24,7 +25,7 @@
     Text,
 }
 
-/// A value that an expression works with.
+/// A value in an expression.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Value<'a> {
     Number(f64),
@@ -33,7 +34,7 @@
 }
 
 impl Value<'_> {
-    fn number(self) -> f64 {
+    fn number_or_nan(self) -> f64 {
         match self {
             Value::Number(x) => x,
             _ => f64::NAN,
@@ -55,7 +56,7 @@
     }
 }
 
-/// What a setting is evaluated for.
+/// The kind of object that a setting is evaluated for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Scope {
     Job,
@@ -65,7 +66,7 @@
 
 type Fields = &'static [(&'static str, Type, Value<'static>)];
 
-/// Fields of a job, each with a sample.
+/// Fields of a job, each with its type and a sample value.
 pub const JOB_FIELDS: Fields = &[
     ("job.class", Type::Text, Value::Text("nightly")),
     ("job.team", Type::Text, Value::Text("red")),
@@ -83,7 +84,7 @@
     ("job.over_share", Type::Number, Value::Number(1.2)),
 ];
 
-/// Fields of a machine, each with a sample.
+/// Fields of a machine, each with its type and a sample value.
 pub const MACHINE_FIELDS: Fields = &[
     ("machine.type", Type::Text, Value::Text("small")),
     ("machine.zone", Type::Text, Value::Text("a")),
@@ -105,7 +106,7 @@
     }
 }
 
-/// A choice that an operator may own.
+/// A setting that an operator's policy may define.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Setting {
     QueueWeight,
@@ -121,7 +122,7 @@
     Halts,
 }
 
-struct Rule {
+struct SettingSpec {
     setting: Setting,
     name: &'static str,
     scope: Scope,
@@ -130,15 +131,15 @@
     max: f64,
 }
 
-const fn rule(
+const fn setting_spec(
     setting: Setting,
     name: &'static str,
     scope: Scope,
     kind: Type,
     min: f64,
     max: f64,
-) -> Rule {
-    Rule {
+) -> SettingSpec {
+    SettingSpec {
         setting,
         name,
         scope,
@@ -148,9 +149,9 @@
     }
 }
 
-/// Every setting, in the order of [`Setting`].
-const RULES: [Rule; 11] = [
-    rule(
+/// The definitions of all settings, in the order of [`Setting`].
+const SETTING_SPECS: [SettingSpec; 11] = [
+    setting_spec(
         Setting::QueueWeight,
         "queue_weight",
         Scope::Job,
@@ -158,7 +159,7 @@
         -1e9,
         1e9,
     ),
-    rule(
+    setting_spec(
         Setting::PlanSlack,
         "plan_slack",
         Scope::Job,
@@ -166,7 +167,7 @@
         0.0,
         1.0,
     ),
-    rule(
+    setting_spec(
         Setting::Patience,
         "patience_s",
         Scope::Job,
@@ -174,7 +175,7 @@
         0.0,
         3600.0,
     ),
-    rule(
+    setting_spec(
         Setting::UseSpot,
         "use_spot",
         Scope::Job,
@@ -182,7 +183,7 @@
         0.0,
         1.0,
     ),
-    rule(
+    setting_spec(
         Setting::Idle,
         "idle_s",
         Scope::Machine,
@@ -190,7 +191,7 @@
         0.0,
         3600.0,
     ),
-    rule(
+    setting_spec(
         Setting::Grant,
         "grant_s",
         Scope::Cluster,
@@ -198,7 +199,7 @@
         2.0,
         10.0,
     ),
-    rule(
+    setting_spec(
         Setting::BlockChunk,
         "block_chunk",
         Scope::Cluster,
@@ -206,7 +207,7 @@
         4.0,
         200.0,
     ),
-    rule(
+    setting_spec(
         Setting::DecideSteps,
         "decide_steps",
         Scope::Cluster,
@@ -214,7 +215,7 @@
         1e3,
         1e7,
     ),
-    rule(
+    setting_spec(
         Setting::QueueShare,
         "queue_share",
         Scope::Job,
@@ -222,7 +223,7 @@
         0.0,
         1e6,
     ),
-    rule(
+    setting_spec(
         Setting::Blocks,
         "blocks",
         Scope::Cluster,
@@ -230,7 +231,7 @@
         1.0,
         64.0,
     ),
-    rule(
+    setting_spec(
         Setting::Halts,
         "halts_per_s",
         Scope::Cluster,
@@ -248,8 +249,8 @@
     NotEqual,
     Less,
     LessOrEqual,
-    More,
-    MoreOrEqual,
+    Greater,
+    GreaterOrEqual,
     Add,
     Subtract,
     Multiply,
@@ -261,8 +262,9 @@
     Number(f64),
     Bool(bool),
     Text(String),
-    /// Before checking a name; afterwards its place among the scope's fields.
+    /// A name that the checker has not resolved yet, and its offset in the text. The checker replaces it by a `Field`.
     Name(String, usize),
+    /// A field, as an index into the fields of the scope.
     Field(usize),
     Not(Box<Expr>, usize),
     Negate(Box<Expr>, usize),
@@ -270,7 +272,7 @@
     If(Box<(Expr, Expr, Expr)>, usize),
 }
 
-/// Why a policy cannot be used, and where.
+/// An error in a policy, with its position in the text.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("line {line}, column {column}: {reason}")]
 pub struct PolicyError {
@@ -294,59 +296,62 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-fn space(i: &mut Input<'_>) -> ModalResult<()> {
+/// Skips whitespace and comments.
+fn whitespace(input: &mut Input<'_>) -> ModalResult<()> {
     repeat(
         0..,
         alt((multispace1.void(), ('#', till_line_ending).void())),
     )
-    .parse_next(i)
+    .parse_next(input)
 }
 
-fn expected(what: &'static str) -> StrContext {
-    StrContext::Expected(StrContextValue::Description(what))
+fn expected(description: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(description))
 }
 
 fn symbol<'a>(s: &'static str) -> impl ModalParser<Input<'a>, (), winnow::error::ContextError> {
-    terminated(s, space).void()
+    terminated(s, whitespace).void()
 }
 
-fn word<'a>(i: &mut Input<'a>) -> ModalResult<&'a str> {
-    let letter = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
+fn word<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
+    let is_name_char = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
     let start = one_of(|c: char| c.is_ascii_alphabetic() || c == '_');
-    terminated((start, take_while(0.., letter)).take(), space).parse_next(i)
+    terminated((start, take_while(0.., is_name_char)).take(), whitespace).parse_next(input)
 }
 
 fn keyword<'a>(k: &'static str) -> impl ModalParser<Input<'a>, (), winnow::error::ContextError> {
     word.verify(move |w: &str| w == k).void()
 }
 
-fn number(i: &mut Input<'_>) -> ModalResult<Expr> {
+fn number_literal(input: &mut Input<'_>) -> ModalResult<Expr> {
     let digits = (digit1, opt(('.', digit1)))
         .take()
         .try_map(|s: &str| s.parse::<f64>());
-    terminated(digits, space).map(Expr::Number).parse_next(i)
+    terminated(digits, whitespace)
+        .map(Expr::Number)
+        .parse_next(input)
 }
 
-fn text(i: &mut Input<'_>) -> ModalResult<Expr> {
+fn string_literal(input: &mut Input<'_>) -> ModalResult<Expr> {
     let inner = take_while(0.., |c: char| c != '"' && c != '\n');
     let quoted = delimited(
         '"',
         inner,
         cut_err('"').context(expected("a closing quote")),
     );
-    terminated(quoted, space)
+    terminated(quoted, whitespace)
         .map(|s: &str| Expr::Text(s.to_string()))
-        .parse_next(i)
+        .parse_next(input)
 }
 
 const KEYWORDS: [&str; 8] = ["if", "then", "else", "and", "or", "not", "true", "false"];
 
-fn primary(i: &mut Input<'_>) -> ModalResult<Expr> {
-    let at = i.current_token_start();
+fn primary(input: &mut Input<'_>) -> ModalResult<Expr> {
+    let at = input.current_token_start();
     let name = word
         .verify(|w: &str| !KEYWORDS.contains(&w))
         .map(move |w: &str| Expr::Name(w.to_string(), at));
-    let choice = preceded(
+    let conditional = preceded(
         keyword("if"),
         cut_err((
             expression,
@@ -354,100 +359,104 @@
             preceded(keyword("else").context(expected("else")), expression),
         )),
     )
-    .map(move |c| Expr::If(Box::new(c), at));
+    .map(move |parts| Expr::If(Box::new(parts), at));
     alt((
-        number,
-        text,
+        number_literal,
+        string_literal,
         keyword("true").value(Expr::Bool(true)),
         keyword("false").value(Expr::Bool(false)),
-        choice,
+        conditional,
         delimited(
             symbol("("),
             cut_err(expression),
             cut_err(symbol(")")).context(expected(")")),
         ),
-        preceded(symbol("-"), cut_err(primary)).map(move |e| Expr::Negate(Box::new(e), at)),
-        preceded(keyword("not"), cut_err(primary)).map(move |e| Expr::Not(Box::new(e), at)),
+        preceded(symbol("-"), cut_err(primary))
+            .map(move |operand| Expr::Negate(Box::new(operand), at)),
+        preceded(keyword("not"), cut_err(primary))
+            .map(move |operand| Expr::Not(Box::new(operand), at)),
         name,
     ))
     .context(expected("a value"))
-    .parse_next(i)
+    .parse_next(input)
 }
 
-/// One level of binary operators, which bind to the left.
-fn level<'a>(
-    i: &mut Input<'a>,
+/// Parses one precedence level of binary operators, which are left-associative.
+fn left_associative<'a>(
+    input: &mut Input<'a>,
     operand: fn(&mut Input<'a>) -> ModalResult<Expr>,
     operator: fn(&mut Input<'a>) -> ModalResult<Op>,
 ) -> ModalResult<Expr> {
-    let mut left = operand(i)?;
+    let mut left = operand(input)?;
     loop {
-        let at = i.current_token_start();
-        let Some(op) = opt(operator).parse_next(i)? else {
+        let at = input.current_token_start();
+        let Some(op) = opt(operator).parse_next(input)? else {
             return Ok(left);
         };
-        let right = cut_err(operand).parse_next(i)?;
+        let right = cut_err(operand).parse_next(input)?;
         left = Expr::Binary(op, Box::new((left, right)), at);
     }
 }
 
-fn product(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, primary, |i| {
+fn product(input: &mut Input<'_>) -> ModalResult<Expr> {
+    left_associative(input, primary, |input| {
         alt((
             symbol("*").value(Op::Multiply),
             symbol("/").value(Op::Divide),
         ))
-        .parse_next(i)
+        .parse_next(input)
     })
 }
 
-fn sum(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, product, |i| {
-        alt((symbol("+").value(Op::Add), symbol("-").value(Op::Subtract))).parse_next(i)
+fn sum(input: &mut Input<'_>) -> ModalResult<Expr> {
+    left_associative(input, product, |input| {
+        alt((symbol("+").value(Op::Add), symbol("-").value(Op::Subtract))).parse_next(input)
     })
 }
 
-fn comparison(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, sum, |i| {
+fn comparison(input: &mut Input<'_>) -> ModalResult<Expr> {
+    left_associative(input, sum, |input| {
         alt((
             symbol("==").value(Op::Equal),
             symbol("!=").value(Op::NotEqual),
             symbol("<=").value(Op::LessOrEqual),
-            symbol(">=").value(Op::MoreOrEqual),
+            symbol(">=").value(Op::GreaterOrEqual),
             symbol("<").value(Op::Less),
-            symbol(">").value(Op::More),
+            symbol(">").value(Op::Greater),
         ))
-        .parse_next(i)
+        .parse_next(input)
     })
 }
 
-fn conjunction(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, comparison, |i| {
-        keyword("and").value(Op::And).parse_next(i)
+fn conjunction(input: &mut Input<'_>) -> ModalResult<Expr> {
+    left_associative(input, comparison, |input| {
+        keyword("and").value(Op::And).parse_next(input)
     })
 }
 
-fn expression(i: &mut Input<'_>) -> ModalResult<Expr> {
-    level(i, conjunction, |i| {
-        keyword("or").value(Op::Or).parse_next(i)
+fn expression(input: &mut Input<'_>) -> ModalResult<Expr> {
+    left_associative(input, conjunction, |input| {
+        keyword("or").value(Op::Or).parse_next(input)
     })
 }
 
-fn statement(i: &mut Input<'_>) -> ModalResult<(String, usize, Expr)> {
-    let at = i.current_token_start();
-    let name = word.context(expected("a setting's name")).parse_next(i)?;
-    let equals = terminated(('=', not('=')), space).context(expected("="));
-    let value = cut_err(preceded(equals, expression)).parse_next(i)?;
+fn statement(input: &mut Input<'_>) -> ModalResult<(String, usize, Expr)> {
+    let at = input.current_token_start();
+    let name = word
+        .context(expected("a setting's name"))
+        .parse_next(input)?;
+    let equals = terminated(('=', not('=')), whitespace).context(expected("="));
+    let value = cut_err(preceded(equals, expression)).parse_next(input)?;
     Ok((name.to_string(), at, value))
 }
 
-fn parse(text: &str) -> Result<Vec<(String, usize, Expr)>, PolicyError> {
-    let nested = text.matches(['(', '-']).count() + text.matches("if").count();
-    if text.len() > 64 * 1024 || nested > 2000 {
+fn parse_statements(text: &str) -> Result<Vec<(String, usize, Expr)>, PolicyError> {
+    let max_nesting = text.matches(['(', '-']).count() + text.matches("if").count();
+    if text.len() > 64 * 1024 || max_nesting > 2000 {
         return Err(error_at(text, 0, "the policy is too large"));
     }
     let statements = repeat(0.., statement);
-    delimited(space, statements, eof)
+    delimited(whitespace, statements, eof)
         .parse(LocatingSlice::new(text))
         .map_err(|e| error_at(text, e.offset(), e.inner().to_string().replace('\n', "; ")))
 }
@@ -460,17 +469,17 @@
 }
 
 impl Checker<'_> {
-    /// Finds an expression's type and resolves its names.
-    fn check(&self, e: &mut Expr) -> Result<Type, PolicyError> {
+    /// Determines the type of an expression and resolves its names to fields.
+    fn check(&self, expr: &mut Expr) -> Result<Type, PolicyError> {
         let fail = |at: usize, reason: String| Err(error_at(self.text, at, reason));
-        match e {
+        match expr {
             Expr::Number(_) => Ok(Type::Number),
             Expr::Bool(_) => Ok(Type::Bool),
             Expr::Text(_) => Ok(Type::Text),
-            Expr::Field(i) => Ok(self.fields[*i].1),
+            Expr::Field(index) => Ok(self.fields[*index].1),
             Expr::Name(name, at) => {
-                let Some(i) = self.fields.iter().position(|f| f.0 == name) else {
-                    let names: Vec<_> = self.fields.iter().map(|f| f.0).collect();
+                let Some(index) = self.fields.iter().position(|field| field.0 == name) else {
+                    let names: Vec<_> = self.fields.iter().map(|field| field.0).collect();
                     let known = if names.is_empty() {
                         "none".into()
                     } else {
@@ -478,70 +487,77 @@
                     };
                     return fail(*at, format!("unknown name {name:?}; known here: {known}"));
                 };
-                *e = Expr::Field(i);
-                Ok(self.fields[i].1)
+                *expr = Expr::Field(index);
+                Ok(self.fields[index].1)
             }
-            Expr::Not(inner, at) => self.need(inner, Type::Bool, *at),
-            Expr::Negate(inner, at) => self.need(inner, Type::Number, *at),
+            Expr::Not(inner, at) => self.expect_type(inner, Type::Bool, *at),
+            Expr::Negate(inner, at) => self.expect_type(inner, Type::Number, *at),
             Expr::If(parts, at) => {
-                let (c, a, b) = &mut **parts;
-                self.need(c, Type::Bool, *at)?;
-                let kind = self.check(a)?;
-                self.need(b, kind, *at)
+                let (condition, when_true, when_false) = &mut **parts;
+                self.expect_type(condition, Type::Bool, *at)?;
+                let kind = self.check(when_true)?;
+                self.expect_type(when_false, kind, *at)
             }
             Expr::Binary(op, sides, at) => {
-                let (l, r) = &mut **sides;
+                let (left, right) = &mut **sides;
                 match op {
                     Op::Or | Op::And => {
-                        self.need(l, Type::Bool, *at)?;
-                        self.need(r, Type::Bool, *at)
+                        self.expect_type(left, Type::Bool, *at)?;
+                        self.expect_type(right, Type::Bool, *at)
                     }
                     Op::Equal | Op::NotEqual => {
-                        let kind = self.check(l)?;
-                        self.need(r, kind, *at)?;
+                        let kind = self.check(left)?;
+                        self.expect_type(right, kind, *at)?;
                         Ok(Type::Bool)
                     }
-                    Op::Less | Op::LessOrEqual | Op::More | Op::MoreOrEqual => {
-                        self.need(l, Type::Number, *at)?;
-                        self.need(r, Type::Number, *at)?;
+                    Op::Less | Op::LessOrEqual | Op::Greater | Op::GreaterOrEqual => {
+                        self.expect_type(left, Type::Number, *at)?;
+                        self.expect_type(right, Type::Number, *at)?;
                         Ok(Type::Bool)
                     }
                     Op::Add | Op::Subtract | Op::Multiply | Op::Divide => {
-                        self.need(l, Type::Number, *at)?;
-                        self.need(r, Type::Number, *at)
+                        self.expect_type(left, Type::Number, *at)?;
+                        self.expect_type(right, Type::Number, *at)
                     }
                 }
             }
         }
     }
 
-    fn need(&self, e: &mut Expr, kind: Type, at: usize) -> Result<Type, PolicyError> {
-        let found = self.check(e)?;
+    fn expect_type(&self, expr: &mut Expr, kind: Type, at: usize) -> Result<Type, PolicyError> {
+        let found = self.check(expr)?;
         if found == kind {
             return Ok(kind);
         }
-        let name = |t| match t {
+        let type_name = |kind| match kind {
             Type::Number => "a number",
             Type::Bool => "true or false",
             Type::Text => "a string",
         };
-        let reason = format!("{} is needed here, not {}", name(kind), name(found));
+        let reason = format!(
+            "{} is needed here, not {}",
+            type_name(kind),
+            type_name(found)
+        );
         Err(error_at(self.text, at, reason))
     }
 }
 
 // ---- Evaluation ----
 
-fn evaluate<'a>(e: &'a Expr, fields: &[Value<'a>]) -> Value<'a> {
-    match e {
+fn evaluate<'a>(expr: &'a Expr, fields: &[Value<'a>]) -> Value<'a> {
+    match expr {
         Expr::Number(x) => Value::Number(*x),
         Expr::Bool(b) => Value::Bool(*b),
         Expr::Text(s) => Value::Text(s),
-        Expr::Field(i) => fields.get(*i).copied().unwrap_or(Value::Number(f64::NAN)),
-        // The checker has resolved every name.
+        Expr::Field(index) => fields
+            .get(*index)
+            .copied()
+            .unwrap_or(Value::Number(f64::NAN)),
+        // Unreachable: the checker has resolved every name to a field.
         Expr::Name(..) => Value::Number(f64::NAN),
         Expr::Not(inner, _) => Value::Bool(!evaluate(inner, fields).truth()),
-        Expr::Negate(inner, _) => Value::Number(-evaluate(inner, fields).number()),
+        Expr::Negate(inner, _) => Value::Number(-evaluate(inner, fields).number_or_nan()),
         Expr::If(parts, _) => {
             let chosen = if evaluate(&parts.0, fields).truth() {
                 &parts.1
@@ -551,21 +567,21 @@
             evaluate(chosen, fields)
         }
         Expr::Binary(op, sides, _) => {
-            let l = evaluate(&sides.0, fields);
+            let left = evaluate(&sides.0, fields);
             match op {
-                Op::Or => return Value::Bool(l.truth() || evaluate(&sides.1, fields).truth()),
-                Op::And => return Value::Bool(l.truth() && evaluate(&sides.1, fields).truth()),
+                Op::Or => return Value::Bool(left.truth() || evaluate(&sides.1, fields).truth()),
+                Op::And => return Value::Bool(left.truth() && evaluate(&sides.1, fields).truth()),
                 _ => {}
             }
-            let r = evaluate(&sides.1, fields);
-            let (x, y) = (l.number(), r.number());
+            let right = evaluate(&sides.1, fields);
+            let (x, y) = (left.number_or_nan(), right.number_or_nan());
             match op {
-                Op::Equal => Value::Bool(l == r),
-                Op::NotEqual => Value::Bool(l != r),
+                Op::Equal => Value::Bool(left == right),
+                Op::NotEqual => Value::Bool(left != right),
                 Op::Less => Value::Bool(x < y),
                 Op::LessOrEqual => Value::Bool(x <= y),
-                Op::More => Value::Bool(x > y),
-                Op::MoreOrEqual => Value::Bool(x >= y),
+                Op::Greater => Value::Bool(x > y),
+                Op::GreaterOrEqual => Value::Bool(x >= y),
                 Op::Add => Value::Number(x + y),
                 Op::Subtract => Value::Number(x - y),
                 Op::Multiply => Value::Number(x * y),
@@ -575,7 +591,7 @@
     }
 }
 
-/// A checked policy: an expression for every setting.
+/// A checked policy, with an expression for every setting.
 #[derive(Clone, Debug)]
 pub struct Policy {
     settings: Vec<Option<Expr>>,
@@ -584,90 +600,92 @@
 impl Default for Policy {
     fn default() -> Policy {
         let empty = Policy {
-            settings: vec![None; RULES.len()],
+            settings: vec![None; SETTING_SPECS.len()],
         };
-        Policy::read(BUILT_IN, empty).expect("the built-in policy is covered by tests")
+        Policy::read(BUILT_IN_POLICY, empty).expect("built-in policy parses, as a unit test checks")
     }
 }
 
 impl Policy {
-    /// Reads and checks a policy. Settings it does not name keep the built-in expressions.
+    /// Parses and checks a policy. Settings that the policy does not name keep their built-in expressions.
     pub fn parse(text: &str) -> Result<Policy, PolicyError> {
         Policy::read(text, Policy::default())
     }
 
-    /// This policy with the settings that another text names in the place of its own.
+    /// Returns a copy of this policy in which the settings named in `text` are replaced.
     pub fn overlaid(&self, text: &str) -> Result<Policy, PolicyError> {
         Policy::read(text, self.clone())
     }
 
-    /// The settings that a text names; none of a text that is no policy.
+    /// Returns the names of the settings in a policy text, or an empty list if the text cannot be parsed.
     pub fn named(text: &str) -> Vec<String> {
-        parse(text).map_or_else(
+        parse_statements(text).map_or_else(
             |_| Vec::new(),
-            |list| list.into_iter().map(|s| s.0).collect(),
+            |list| list.into_iter().map(|statement| statement.0).collect(),
         )
     }
 
     fn read(text: &str, mut policy: Policy) -> Result<Policy, PolicyError> {
         let mut seen: Vec<String> = Vec::new();
-        for (name, at, mut value) in parse(text)? {
-            let Some(i) = RULES.iter().position(|r| r.name == name) else {
+        for (name, at, mut value) in parse_statements(text)? {
+            let Some(index) = SETTING_SPECS.iter().position(|spec| spec.name == name) else {
                 return Err(error_at(text, at, format!("unknown setting {name:?}")));
             };
             if seen.contains(&name) {
                 return Err(error_at(text, at, format!("{name:?} is set twice")));
             }
-            let rule = &RULES[i];
+            let spec = &SETTING_SPECS[index];
             let checker = Checker {
                 text,
-                fields: rule.scope.fields(),
+                fields: spec.scope.fields(),
             };
-            checker.need(&mut value, rule.kind, at)?;
-            if rule.kind == Type::Number {
-                let sample: Vec<Value<'_>> = checker.fields.iter().map(|f| f.2).collect();
-                let x = evaluate(&value, &sample).number();
-                if !(rule.min..=rule.max).contains(&x) {
-                    let (min, max) = (rule.min, rule.max);
+            checker.expect_type(&mut value, spec.kind, at)?;
+            if spec.kind == Type::Number {
+                let sample: Vec<Value<'_>> = checker.fields.iter().map(|field| field.2).collect();
+                let x = evaluate(&value, &sample).number_or_nan();
+                if !(spec.min..=spec.max).contains(&x) {
+                    let (min, max) = (spec.min, spec.max);
                     let reason = format!("{name} is {x} on the sample, not within {min} to {max}");
                     return Err(error_at(text, at, reason));
                 }
             }
-            policy.settings[i] = Some(value);
+            policy.settings[index] = Some(value);
             seen.push(name);
         }
         Ok(policy)
     }
 
-    /// A number, within the setting's bounds whatever the expression yields.
+    /// Returns the value of a numeric setting, clamped to the setting's bounds whatever the expression yields. If the
+    /// result is not a number, the value is the upper bound.
     pub fn number(&self, setting: Setting, fields: &[Value<'_>]) -> f64 {
-        let rule = &RULES[setting as usize];
+        let spec = &SETTING_SPECS[setting as usize];
         let x = self.settings[setting as usize]
             .as_ref()
-            .map(|e| evaluate(e, fields).number());
+            .map(|expr| evaluate(expr, fields).number_or_nan());
         match x {
-            Some(x) if !x.is_nan() => x.clamp(rule.min, rule.max),
-            _ => rule.max,
+            Some(x) if !x.is_nan() => x.clamp(spec.min, spec.max),
+            _ => spec.max,
         }
     }
 
     pub fn truth(&self, setting: Setting, fields: &[Value<'_>]) -> bool {
         self.settings[setting as usize]
             .as_ref()
-            .is_some_and(|e| evaluate(e, fields).truth())
+            .is_some_and(|expr| evaluate(expr, fields).truth())
     }
 
-    /// Each setting's result on the sample job and machine.
+    /// Returns the name of each setting and its result on the sample job and machine.
     pub fn on_sample(&self) -> Vec<(&'static str, String)> {
-        RULES
+        SETTING_SPECS
             .iter()
-            .map(|r| {
-                let sample: Vec<Value<'_>> = r.scope.fields().iter().map(|f| f.2).collect();
-                let result = match r.kind {
-                    Type::Bool => Value::Bool(self.truth(r.setting, &sample)),
-                    _ => Value::Number(self.number(r.setting, &sample)),
+            .map(|spec| {
+                let sample: Vec<Value<'_>> =
+                    spec.scope.fields().iter().map(|field| field.2).collect();
+                let result = match spec.kind {
+                    Type::Bool => Value::Bool(self.truth(spec.setting, &sample)),
+                    _ => Value::Number(self.number(spec.setting, &sample)),
                 };
-                (r.name, result.to_string())
+                (spec.name, result.to_string())
             })
             .collect()
     }
--- a/crates/gannethub-core/src/policy/tests.rs
+++ b/crates/gannethub-core/src/policy/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn the_built_in_policy_is_sound_and_complete() {
+fn built_in_policy_defines_every_setting() {
     let policy = Policy::default();
     assert!(policy.settings.iter().all(Option::is_some));
-    for (i, r) in RULES.iter().enumerate() {
-        assert_eq!(r.setting as usize, i);
+    for (i, spec) in SETTING_SPECS.iter().enumerate() {
+        assert_eq!(spec.setting as usize, i);
     }
     let sample = policy.on_sample();
     assert_eq!(sample[0], ("queue_weight", "135".to_string()));
@@ -13,10 +13,10 @@
 }
 
 #[test]
-fn operators_bind_as_everybody_expects() {
+fn operators_follow_usual_precedence() {
     let value = |text: &str| {
         let policy = Policy::parse(&format!("queue_weight = {text}")).unwrap();
-        let sample: Vec<Value<'_>> = JOB_FIELDS.iter().map(|f| f.2).collect();
+        let sample: Vec<Value<'_>> = JOB_FIELDS.iter().map(|field| field.2).collect();
         policy.number(Setting::QueueWeight, &sample)
     };
     assert_eq!(value("1 + 2 * 3 - 4 / 2"), 5.0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn mistakes_are_found_with_line_and_column() {
+fn errors_state_line_and_column() {
     for (text, line, column, part) in [
         ("idle_s = job.tasks", 1, 10, "unknown name"),
         ("\n  idel_s = 3", 2, 3, "unknown setting"),
@@ -48,22 +48,26 @@
         ("idle_s 3", 1, 8, "="),
         ("idle_s = \"open", 1, 15, "quote"),
     ] {
-        let e = Policy::parse(text).unwrap_err();
-        assert!(e.reason.contains(part), "{text}: {e}");
-        assert_eq!((e.line, e.column), (line, column), "{text}: {e}");
+        let error = Policy::parse(text).unwrap_err();
+        assert!(error.reason.contains(part), "{text}: {error}");
+        assert_eq!(
+            (error.line, error.column),
+            (line, column),
+            "{text}: {error}"
+        );
     }
 }
 
 #[test]
-fn results_are_held_to_their_bounds() {
+fn results_are_clamped_to_setting_bounds() {
     let policy = Policy::parse("idle_s = machine.price * 1000 / machine.cpus").unwrap();
-    let mut facts: Vec<Value<'_>> = MACHINE_FIELDS.iter().map(|f| f.2).collect();
-    facts[4] = Value::Number(1e12);
-    assert_eq!(policy.number(Setting::Idle, &facts), 3600.0);
-    facts[4] = Value::Number(0.0);
-    facts[3] = Value::Number(0.0);
+    let mut inputs: Vec<Value<'_>> = MACHINE_FIELDS.iter().map(|field| field.2).collect();
+    inputs[4] = Value::Number(1e12);
+    assert_eq!(policy.number(Setting::Idle, &inputs), 3600.0);
+    inputs[4] = Value::Number(0.0);
+    inputs[3] = Value::Number(0.0);
     assert_eq!(
-        policy.number(Setting::Idle, &facts),
+        policy.number(Setting::Idle, &inputs),
         3600.0,
         "0/0 is not a number"
     );
