--- a/crates/gannethub-core/src/wire/peer/message.rs
+++ b/crates/gannethub-core/src/wire/peer/message.rs
@@ -198,7 +198,7 @@
     #[prost(string, tag = "5")]
     pub cancelled_jobs: String,
     /// Number of jobs in `cancelled_jobs`. A receiver that decodes a different number of ids knows that it does not
-    /// understand the encoding.
+    /// understand their encoding.
     #[prost(uint32, tag = "6")]
     pub cancelled_count: u32,
     /// The newest configuration version that the sender has seen.
@@ -206,8 +206,8 @@
     pub configuration_version: u64,
 }
 
-/// A query for, or the confirmation of, the fact that no task was launched without a watermark in a term so far. A
-/// process that started during the term sends the query, as it cannot know about launches before its start.
+/// A query whether every launch in a term so far was covered by a launch watermark, or the confirmation. A process that
+/// started during the term sends the query, as it cannot know about launches before its start.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatermarkCheck {
     #[prost(uint64, tag = "1")]
@@ -220,8 +220,8 @@
     pub shard: u32,
 }
 
-/// A notice that the sender accepted or cancelled a job. The job's owner reads the job's record if its watch does not
-/// deliver the change soon.
+/// A notice that the sender accepted or cancelled a job. The owner of the job's shard reads the job's record if its
+/// watch does not deliver the change soon.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobChanged {
     #[prost(string, tag = "1")]
--- a/crates/gannethub-core/src/wire/peer/usage.rs
+++ b/crates/gannethub-core/src/wire/peer/usage.rs
@@ -103,7 +103,7 @@
     pub gpu: i64,
     #[prost(int64, tag = "5")]
     pub mem: i64,
-    /// Whether the task runs until stopped, so that all of its run time counts as useful.
+    /// Whether the job is a service: its tasks run until stopped, and all of their run time counts as useful.
     #[prost(bool, tag = "6")]
     pub is_service: bool,
 }
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -280,7 +280,8 @@
 pub struct FinishedJobRecord {
     pub cancelled: bool,
     pub tasks: u32,
-    /// The job's owner, if a ledger is kept. An attempt's end may be found after the end of its job.
+    /// The team and class that the job's attempts are charged to, stored if a ledger is kept. They are needed after the
+    /// end of the job, as an attempt's end may be found later than its job's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<JobOwner>,
 }
