--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,8 +1,8 @@
-//! The process around a controller: its sockets, its clocks, and the loop that feeds commands to it and carries out its
-//! effects.
+//! The process around a controller: the sockets, the clocks, and the loop that feeds commands to the controller and
+//! carries out the controller's effects.
 //!
-//! Everything runs on one thread. [`Daemon::run_loop`] alone owns the [`Controller`]; connections and requests are tasks
-//! beside it, which reach it through one queue of [`Command`]s.
+//! All tasks run on one thread. [`Daemon::run_loop`] alone owns the [`Controller`]; connections and requests are tasks
+//! of their own, which reach the controller through one queue of [`Command`]s.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,39 +25,41 @@
 use gannethub_core::wire::peer::Envelope;
 use gannethub_core::wire::store::StoreRequest;
 
-/// The controller takes up to this many commands in one step.
+/// Maximum number of commands that the controller takes in one step.
 const COMMAND_BATCH_SIZE: usize = 64;
-/// Commands that wait for the controller; whoever has another one waits until there is room.
+/// Maximum number of commands that wait for the controller; a task with a further command waits until the queue has
+/// room.
 const COMMAND_QUEUE_CAPACITY: usize = 4096;
-/// Commands that are being sent directly to workers at once.
+/// Maximum number of concurrent requests that send commands directly to workers.
 const MAX_WORKER_REQUESTS: usize = 16;
-/// How long sending commands to a worker may take.
+/// Time limit of a request that sends commands to a worker.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an answer of the cloud is waited for.
+/// Time limit of a request to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long the controller's reply to a request is waited for.
+/// Maximum time that a request waits for the controller's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
-/// `Retry-After`, in seconds, of a request whose reply did not come in time.
+/// `Retry-After`, in seconds, of the answer to a request without a reply within [`REPLY_TIMEOUT`].
 const REPLY_RETRY_AFTER: u32 = 2;
-/// This fraction (one in so many bytes) of the memory that a controller may hold is for large request bodies.
+/// Divisor of the controller's memory limit: the budget for large request bodies is one in this many bytes.
 const BODY_BUDGET_DIVISOR: usize = 8;
-/// Relayed heartbeats are written to a peer at most this often during one heartbeat interval of the workers.
+/// Maximum number of writes of relayed heartbeats to one peer during one heartbeat interval of the workers.
 const RELAY_WRITES_PER_HEARTBEAT: u64 = 20;
-/// Of the connections that the settings allow, these are kept for peers, the state service and the cloud.
+/// Number of connections, out of those that the settings allow, reserved for peers, the state service and the cloud.
 const RESERVED_CONNECTIONS: usize = 48;
-/// Users and workers get at least this many connections, whatever the settings allow.
+/// Minimum number of connections for users and workers, even if the settings allow fewer.
 const MIN_USER_CONNECTIONS: usize = 16;
-/// After a failed accept, such as one without a free file descriptor, the next one is tried after this time.
+/// Delay before the next accept after a failed one, such as an accept without a free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Runs a controller until the process is killed. Returns only if its sockets cannot be opened.
+/// Runs a controller until the process is killed. Returns only if the controller's sockets cannot be opened.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let local = tokio::task::LocalSet::new();
-    // The loop is a task like the others: a future outside of them is polled once in a turn of the runtime, so that
-    // each command would cost one turn, and one poll of the sockets, to be taken and another to be answered.
+    // The controller's loop is a spawned task like the others. A future that is not a spawned task is polled only once
+    // in a turn of the runtime, so each command would cost one turn, with one poll of the sockets, to be taken, and
+    // another turn to be answered.
     let daemon = local.spawn_local(serve(Arc::new(settings)));
     local.block_on(&runtime, daemon)?
 }
@@ -82,20 +84,20 @@
     daemon.run_loop(controller, commands, clocks).await
 }
 
-/// The clocks that a controller is driven by.
+/// The clocks that drive a controller.
 struct Clocks {
     started_at: Instant,
 }
 
 impl Clocks {
-    /// Starts the steady clock at zero.
+    /// Starts the monotonic clock at zero.
     fn start() -> Clocks {
         Clocks {
             started_at: Instant::now(),
         }
     }
 
-    /// The time of both clocks.
+    /// Returns the time of both clocks, in microseconds: monotonic since the start, and since 1970.
     fn read(&self) -> Clock {
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Clock {
@@ -105,28 +107,27 @@
     }
 }
 
-/// Requests of users and workers that wait for the controller's reply, by connection number. A clone is another handle
-/// to the same table.
+/// Requests of users and workers that wait for the controller's reply, by connection number. Clones share one table.
 #[derive(Clone, Default)]
 struct PendingReplies(Rc<RefCell<HashMap<u64, oneshot::Sender<Response>>>>);
 
 impl PendingReplies {
-    /// Registers a request; its response arrives at the receiver.
+    /// Registers a request and returns the receiver of its response.
     fn register(&self, connection: u64) -> oneshot::Receiver<Response> {
         let (sender, receiver) = oneshot::channel();
         self.0.borrow_mut().insert(connection, sender);
         receiver
     }
 
-    /// Forgets a request; a response that comes later is dropped.
+    /// Removes a request; a response that comes later is dropped.
     fn forget(&self, connection: u64) {
         self.0.borrow_mut().remove(&connection);
     }
 
-    /// Hands a response to the task that waits for it.
+    /// Passes a response to the task that waits for it.
     fn complete(&self, connection: u64, response: Response) {
         if let Some(reply) = self.0.borrow_mut().remove(&connection) {
-            // The client may have gone away, and its task with it; then nobody waits for this.
+            // If the client has disconnected and its task has ended, no receiver is left.
             let _ = reply.send(response);
         }
     }
@@ -138,13 +139,14 @@
     replies: PendingReplies,
     state_service: Rc<Client>,
     cloud: Rc<Client>,
-    /// One queue for each peer, in the order of the settings.
+    /// One message queue for each peer, in the order of the settings.
     peers: Vec<mpsc::Sender<Envelope>>,
     worker_slots: Arc<Semaphore>,
 }
 
 impl Daemon {
-    /// Starts the connections to the peers; the others are opened when they are needed.
+    /// Starts the connections to the peers. Connections to the state service, the cloud and workers are opened on
+    /// first use.
     fn new(settings: &Settings, queue: mpsc::Sender<Command>, replies: PendingReplies) -> Daemon {
         let relay_window =
             Duration::from_micros(settings.heartbeat_interval / RELAY_WRITES_PER_HEARTBEAT);
@@ -163,7 +165,8 @@
         }
     }
 
-    /// Steps the controller on each batch of commands, and when it asks to be stepped without any.
+    /// Steps the controller on each batch of commands, and without commands once the controller's maximum idle time is
+    /// over.
     async fn run_loop(
         self,
         mut controller: Controller,
@@ -172,7 +175,8 @@
     ) -> std::io::Result<()> {
         let mut batch = Vec::with_capacity(COMMAND_BATCH_SIZE);
         loop {
-            // The controller keeps its own timers, and tells how long it may be left alone if nothing comes.
+            // The controller keeps its own timers and returns the maximum time until the next step if no command
+            // comes.
             let idle_time = Duration::from_micros(controller.max_idle_time());
             let received = commands.recv_many(&mut batch, COMMAND_BATCH_SIZE);
             let _ = timeout(idle_time, received).await;
@@ -218,8 +222,8 @@
         });
     }
 
-    /// Sends commands to a worker ahead of its next heartbeat. While all slots are taken they are left to the answer to
-    /// that heartbeat.
+    /// Sends commands to a worker before the worker's next heartbeat. If all slots are taken, the commands are left to
+    /// the answer to that heartbeat.
     fn send_to_worker(&self, addr: SocketAddrV4, body: Bytes) {
         let Ok(slot) = self.worker_slots.clone().try_acquire_owned() else {
             return;
@@ -235,13 +239,14 @@
 
     fn send_to_peer(&self, peer_index: usize, message: Envelope) {
         if let Some(peer) = self.peers.get(peer_index) {
-            // A full queue means that the connection is dead: messages between peers may be lost.
+            // A full queue means that the connection is dead. The message is dropped: messages between peers may be
+            // lost.
             let _ = peer.try_send(message);
         }
     }
 }
 
-/// Serves the requests of users and workers. A clone serves with the same queue, replies and body budget.
+/// Serves the requests of users and workers. Clones share the queue, the pending replies and the body budget.
 #[derive(Clone)]
 struct UserServer {
     queue: mpsc::Sender<Command>,
@@ -250,7 +255,8 @@
 }
 
 impl UserServer {
-    /// Accepts connections until the process ends, as many at once as the settings leave for users and workers.
+    /// Accepts connections until the process ends. The number of concurrent connections is what the settings leave for
+    /// users and workers.
     async fn accept(self, listener: TcpListener, max_connections: usize) {
         let user_connections = max_connections
             .saturating_sub(RESERVED_CONNECTIONS)
@@ -278,7 +284,7 @@
         }
     }
 
-    /// Answers the requests of one connection, one after the other.
+    /// Answers the requests of one connection in order, one at a time.
     async fn serve_connection(self, stream: TcpStream, numbers: ConnectionNumbers) {
         let _ = stream.set_nodelay(true);
         let mut connection = Connection::new(stream, self.body_budget.clone());
@@ -293,7 +299,7 @@
         }
     }
 
-    /// Has a request answered by the controller; `None` if the controller is gone.
+    /// Returns the controller's response to a request; `None` if the controller has ended.
     async fn answer(&self, request: Request, connection: u64) -> Option<Response> {
         let reply = self.replies.register(connection);
         let command = Command::HttpRequest {
@@ -309,12 +315,12 @@
     }
 }
 
-/// Counts the requests, so that each has a connection number of its own. A clone counts on the same counter.
+/// Assigns a connection number of its own to each request. Clones share one counter.
 #[derive(Clone, Default)]
 struct ConnectionNumbers(Rc<Cell<u64>>);
 
 impl ConnectionNumbers {
-    /// The next number; the first one is 1.
+    /// Returns the next number; the first number is 1.
     fn next(&self) -> u64 {
         let number = self.0.get() + 1;
         self.0.set(number);
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,9 +11,9 @@
 use gannethub::files::FileError;
 use gannethub::{config, daemon, dev, files, ledger};
 
-/// The exit code of a command whose files cannot be used.
+/// Exit code of a command that cannot use one of its files.
 const UNUSABLE_FILES: u8 = 2;
-/// The environment variable that says which events are logged: `error`, `info` or `debug`.
+/// Environment variable with the level of the logged events: `error`, `info` or `debug`.
 const LOG_LEVEL: &str = "LOG_LEVEL";
 
 /// A controller of the gannethub cluster scheduler.
@@ -25,16 +25,16 @@
     subcommand_negates_reqs = true
 )]
 struct Options {
-    /// The platform's settings file
+    /// Platform settings file
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
-    /// The operators' policy; the built-in one where it says nothing
+    /// Operator policy file; the built-in policy applies without a file, and to settings that the file does not name
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// Keep a ledger as this file says
+    /// Keep a ledger, with the ledger settings in this file
     #[arg(long, value_name = "FILE")]
     ledger: Option<PathBuf>,
-    /// Check the settings, the policy and the ledger's settings and exit
+    /// Check the settings, the policy and the ledger settings, then exit
     #[arg(long)]
     check: bool,
     #[command(subcommand)]
@@ -43,9 +43,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check a policy file and print each setting's result on a sample
+    /// Check a policy file and print the result of each setting on a sample
     CheckPolicy { file: PathBuf },
-    /// Run a cluster on loopback: stand-ins of cloud, state service and workers, and controllers
+    /// Run a cluster on loopback: controllers, and emulators of the cloud, the state service and the workers
     Dev(dev::DevArgs),
     /// Read and change the configuration while the service runs
     Config(config::ConfigArgs),
@@ -62,7 +62,7 @@
     })
 }
 
-/// Logs to the standard error output, so that what commands print can be read by programs.
+/// Starts logging to standard error, so that programs can parse what commands print to standard output.
 fn start_logging() {
     let wanted = std::env::var(LOG_LEVEL).unwrap_or_else(|_| "info".into());
     let level = match wanted.as_str() {
@@ -78,11 +78,11 @@
         .with_target(false)
         .init();
     if level.is_none() {
-        tracing::warn!(LOG_LEVEL = wanted, "unknown level; using info");
+        tracing::warn!(LOG_LEVEL = wanted, "unknown log level; using info");
     }
 }
 
-/// Does what the command line asks. An error is about the files that it names.
+/// Runs the command of the command line. Errors concern the files that the command line names.
 fn run(mut options: Options) -> Result<ExitCode, FileError> {
     match options.command.take() {
         None => run_controller(&options),
@@ -97,7 +97,7 @@
     }
 }
 
-/// Prints why a command failed, if it did, and chooses its exit code.
+/// Prints the error of a failed command and returns the command's exit code.
 fn exit_code<E: Display>(
     command: &str,
     result: Result<(), E>,
@@ -117,13 +117,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a controller until the process is killed, or only checks its files.
+/// Runs a controller until the process is killed; with `--check`, only checks the controller's files.
 fn run_controller(options: &Options) -> Result<ExitCode, FileError> {
-    // The parser has refused a command line without a settings file.
+    // The argument parser rejects a command line without a settings file, so the empty path is never used.
     let config = options.config.as_deref().unwrap_or(Path::new(""));
     let settings = read_settings(config, options)?;
     if options.check {
-        println!("{}: fine", config.display());
+        println!("{}: valid", config.display());
         return Ok(ExitCode::SUCCESS);
     }
     let Err(error) = daemon::run(settings) else {
@@ -133,7 +133,7 @@
     Ok(ExitCode::FAILURE)
 }
 
-/// Reads the settings with the policy and the ledger's settings, where the command line names files for them.
+/// Reads the settings, and the policy and the ledger settings if the command line names files for them.
 fn read_settings(config: &Path, options: &Options) -> Result<Settings, FileError> {
     let (mut settings, warnings) = files::read_settings(config)?;
     for warning in warnings {
