--- a/src/dev.rs
+++ b/src/dev.rs
@@ -1,9 +1,9 @@
-//! `gannethub dev`: a whole cluster on loopback. The emulated state service, cloud and workers run in this process, and
-//! the controllers are processes of their own, so that they can be killed.
+//! `gannethub dev`: a whole cluster on loopback. The emulated state service, cloud and workers run in this process.
+//! The controllers run in processes of their own, so that they can be killed.
 //!
-//! The emulators are the models of [`gannethub_emulators`], here on the real clock: `region` owns them. `controllers`
-//! holds the processes, `load` submits jobs and injects faults, and `audit` compares the ledger with what the workers
-//! recorded.
+//! The emulators are the models of [`gannethub_emulators`], driven by the real clock; `region` owns them.
+//! `controllers` manages the controller processes, `load` submits jobs and injects faults, and `audit` compares the
+//! ledger with the workers' own records.
 
 mod audit;
 mod controllers;
@@ -24,24 +24,24 @@
 use crate::ledger::LedgerError;
 
 const SECOND: u64 = 1_000_000;
-/// How long the lease of a worker lasts.
+/// Duration of a worker's lease.
 const WORKER_LEASE_SECONDS: u64 = 10;
 
 #[derive(Args)]
 pub struct DevArgs {
-    /// How many controllers
+    /// Number of controllers
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=7))]
     controllers: u8,
-    /// What is drawn by chance
+    /// Seed of the random number generators
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Submit so many jobs while workers, the leader and the state service fail, hold the ledger against the
-    /// workers' own record, and end
+    /// Submit this many jobs while workers, the leader and the state service fail, compare the ledger with the
+    /// workers' own records, then exit
     #[arg(long, value_name = "JOBS")]
     load: Option<u32>,
 }
 
-/// Why a cluster could not be run, or did not do as it should.
+/// Errors of running a cluster, and failed checks of its load test.
 #[derive(Debug, thiserror::Error)]
 pub enum DevError {
     #[error("{0}")]
@@ -50,24 +50,24 @@
     File(#[from] FileError),
     #[error("{0}")]
     Ledger(#[from] LedgerError),
-    #[error("the stand-ins have ended")]
+    #[error("the emulators have stopped")]
     EmulatorsEnded,
-    #[error("no controller answers {path}")]
+    #[error("no controller gave a final answer to {path}")]
     NoAnswer { path: String },
-    #[error("{id}: {status} {answer}")]
+    #[error("job {id} was refused with status {status}: {answer}")]
     JobRefused {
         id: String,
         status: u16,
         answer: Value,
     },
-    #[error("{id} is not over: {answer}")]
-    JobNotOver { id: String, answer: Value },
-    /// Each of these describes an attempt whose charge differs from what its worker recorded.
-    #[error("{count} attempts are not charged as they should be:\n{list}", count = .0.len(), list = .0.join("\n"))]
+    #[error("job {id} did not finish in time: {answer}")]
+    JobNotFinished { id: String, answer: Value },
+    /// Holds a description of each attempt whose charge differs from its worker's record.
+    #[error("{count} attempts are charged wrongly:\n{list}", count = .0.len(), list = .0.join("\n"))]
     WrongCharges(Vec<String>),
 }
 
-/// Runs a cluster until ctrl-c, or until its load test is over.
+/// Runs a cluster until Ctrl-C, or until the load test is finished.
 pub fn run(args: &DevArgs) -> Result<(), DevError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -76,11 +76,11 @@
     local.block_on(&runtime, run_cluster(args))
 }
 
-/// The sockets of the emulators.
+/// The listening sockets of the emulators.
 struct EmulatorListeners {
     state_service: TcpListener,
     cloud: TcpListener,
-    /// All workers are at one address.
+    /// One socket for the commands to all workers.
     workers: TcpListener,
 }
 
@@ -109,18 +109,18 @@
     for index in 0..addrs.len() {
         controllers.start(index)?;
     }
-    println!("state service 127.0.0.1:{state_port}, cloud 127.0.0.1:{cloud_port} (stand-ins)");
+    println!("state service 127.0.0.1:{state_port}, cloud 127.0.0.1:{cloud_port} (emulated)");
     for (index, addr) in addrs.iter().enumerate() {
         println!("controller n{index} http://{addr}");
     }
     println!("settings, keys and logs in {}", folder.display());
     if let Some(jobs) = args.load {
-        // Where it fails the folder stays: what went wrong may be in the logs.
+        // If the load test fails, the folder is kept: its logs may show the cause.
         LoadTest::new(args.seed, &addrs, emulators, &mut controllers)
             .run(jobs)
             .await?;
     } else {
-        println!("ctrl-c stops all");
+        println!("press Ctrl-C to stop the cluster");
         tokio::signal::ctrl_c().await?;
     }
     drop(controllers);
--- a/src/dev/audit.rs
+++ b/src/dev/audit.rs
@@ -1,4 +1,4 @@
-//! The comparison of the ledger with what the workers recorded themselves.
+//! Comparison of the ledger's charges with the workers' own records.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -12,23 +12,24 @@
 use super::{DevError, SECOND};
 use crate::ledger::LedgerError;
 
-/// The error bound, in microseconds, of an attempt whose worker's heartbeats all arrived is at most this.
-const OBSERVED_BOUND: u64 = SECOND * 55 / 100;
-/// How far, in microseconds, a charge may be off beyond its error bound: messages and the emulators' own steps.
+/// Maximum error bound, in microseconds, of an attempt whose worker's heartbeats all arrived.
+const MAX_OBSERVED_BOUND: u64 = SECOND * 55 / 100;
+/// Tolerated difference, in microseconds, between a charge and the worker's record beyond the charge's error bound. It
+/// covers the time of messages and of the emulators' own steps.
 const TOLERANCE: u64 = SECOND / 10;
 
-/// What the ledger charges.
+/// The attempts that the ledger charges.
 pub(super) struct ChargedAttempts {
-    /// The entries of each attempt.
+    /// Charge entries of each attempt.
     entries: BTreeMap<SpanKey, Vec<Entry>>,
-    /// Machines of which the ledger itself says that it does not know all they held.
+    /// Machines that the ledger itself marks as unmetered: the ledger does not know all attempts that they held.
     unmetered_machines: HashSet<String>,
-    /// How many lines were verified.
+    /// Number of verified lines.
     lines: u64,
 }
 
 impl ChargedAttempts {
-    /// Verifies the pages and reads their entries. Prints what the ledger does not know.
+    /// Verifies the pages and reads their entries. Prints the gaps that the ledger itself records.
     pub fn read(pages: &[Page], setup: &LedgerSetup) -> Result<ChargedAttempts, DevError> {
         let verified =
             verify(pages, &setup.keys, &setup.settings, None).map_err(LedgerError::from)?;
@@ -47,12 +48,12 @@
     fn add(&mut self, line: LineBody) {
         match line {
             LineBody::Unmetered(gap) => {
-                println!("gap: nobody knows what {} held", gap.machine);
+                println!("gap: usage of machine {} is unknown", gap.machine);
                 self.unmetered_machines.insert(gap.machine.clone());
             }
             LineBody::OwnerChanged(takeover) if !takeover.complete && takeover.term > 1 => {
                 println!(
-                    "{} took over and did not know of all that was open",
+                    "{} took over without all open usage records",
                     takeover.owner
                 );
             }
@@ -67,9 +68,9 @@
         }
     }
 
-    /// Whether the ledger should have a charge for an attempt. What it says itself that it does not know is no fault of
-    /// its lines.
-    fn should_have(&self, key: &SpanKey) -> bool {
+    /// Whether the ledger must have a charge for an attempt. A missing charge on a machine that the ledger itself
+    /// marks as unmetered is not an error of the ledger's lines.
+    fn expects_charge(&self, key: &SpanKey) -> bool {
         let (machine, ..) = key;
         self.entries.contains_key(key) || !self.unmetered_machines.contains(machine)
     }
@@ -79,22 +80,22 @@
     }
 }
 
-/// One attempt, as its worker recorded it and as the ledger charges it. Times are in microseconds.
+/// One attempt, with the time in its worker's record and the time in the ledger's charge. Times are in microseconds.
 struct ComparedAttempt {
     recorded: u64,
     charged: u64,
-    /// How far the ledger says that the charge may be off.
+    /// Error bound of the charge, according to the ledger.
     bound: u64,
     is_estimate: bool,
 }
 
 impl ComparedAttempt {
-    /// Compares the entries with the record; an error describes the difference.
+    /// Compares the number of entries with the worker's record. The error text describes the difference.
     fn new(key: &SpanKey, span: &Span, entries: &[Entry]) -> Result<ComparedAttempt, String> {
         let Some(recorded) = span.time() else {
-            return Err(format!("{key:?} has not ended"));
+            return Err(format!("{key:?} has not ended in the worker's record"));
         };
-        // A gang's task that is replaced on its machine keeps its attempt number, and each run is an entry.
+        // A gang's task that is replaced on its machine keeps its attempt number, and each of its runs is an entry.
         if entries.len() != span.stints {
             return Err(format!(
                 "{key:?} ran {} times and is charged {} times: {entries:?}",
@@ -117,13 +118,13 @@
         self.charged.abs_diff(self.recorded)
     }
 
-    /// Whether no heartbeat was missed while it ran.
+    /// Whether no heartbeat was missed while the attempt ran.
     fn is_observed(&self) -> bool {
-        !self.is_estimate && self.bound <= OBSERVED_BOUND
+        !self.is_estimate && self.bound <= MAX_OBSERVED_BOUND
     }
 }
 
-/// The sums of a team's attempts, in microseconds.
+/// The sums over a team's attempts. Times are in microseconds.
 #[derive(Default)]
 struct TeamSums {
     attempts: u32,
@@ -132,7 +133,7 @@
     charged: u64,
     bound: u64,
     largest_difference: u64,
-    /// The same of the attempts of which no heartbeat was missed.
+    /// Number of attempts without a missed heartbeat; the two sums below cover the same attempts.
     observed_attempts: u32,
     observed_recorded: u64,
     observed_charged: u64,
@@ -154,8 +155,8 @@
     }
 }
 
-/// Compares what the workers recorded with what the ledger charges, and prints the sums by team. `teams` has the team of
-/// each job.
+/// Compares the workers' records with the ledger's charges and prints the sums by team. `teams` maps each job to its
+/// team. The error holds the attempts that are charged wrongly.
 pub(super) fn compare(
     recorded: &BTreeMap<SpanKey, Span>,
     charged: &ChargedAttempts,
@@ -163,7 +164,10 @@
 ) -> Result<(), DevError> {
     let mut sums: BTreeMap<&str, TeamSums> = BTreeMap::new();
     let mut wrong = Vec::new();
-    for (key, span) in recorded.iter().filter(|(key, _)| charged.should_have(key)) {
+    for (key, span) in recorded
+        .iter()
+        .filter(|(key, _)| charged.expects_charge(key))
+    {
         let entries = charged.entries_of(key);
         let attempt = match ComparedAttempt::new(key, span, entries) {
             Ok(attempt) => attempt,
@@ -177,7 +181,7 @@
                 recorded, charged, ..
             } = attempt;
             wrong.push(format!(
-                "{key:?} took {recorded} us and is charged {charged}, {entries:?}"
+                "{key:?} took {recorded} us and is charged {charged} us: {entries:?}"
             ));
         }
         let (_, task, _) = key;
@@ -197,12 +201,12 @@
     for (team, sums) in sums {
         let difference = signed_seconds(sums.observed_charged, sums.observed_recorded);
         println!(
-            "{team}: no report missed of {} attempts, which differ by {difference} s",
+            "{team}: {} attempts without a missed heartbeat differ by {difference} s",
             sums.observed_attempts
         );
     }
     let table = sums_table(sums);
-    println!("{table}\n{lines} lines verify; simulated work on stand-in workers");
+    println!("{table}\n{lines} lines verified; simulated work on emulated workers");
 }
 
 fn sums_table(sums: &BTreeMap<&str, TeamSums>) -> Table {
@@ -215,9 +219,9 @@
             "estimates",
             "workers s",
             "ledger s",
-            "differ s",
+            "difference s",
             "bound s",
-            "largest s",
+            "largest difference s",
         ]);
     for (team, sums) in sums {
         table.add_row([
@@ -238,8 +242,8 @@
     format!("{:.3}", micros as f64 / SECOND as f64)
 }
 
-/// The first time less the second, with its sign.
-fn signed_seconds(micros: u64, less: u64) -> String {
-    let difference = (micros as f64 - less as f64) / SECOND as f64;
+/// Returns `micros` minus `subtrahend` as seconds, with a sign.
+fn signed_seconds(micros: u64, subtrahend: u64) -> String {
+    let difference = (micros as f64 - subtrahend as f64) / SECOND as f64;
     format!("{difference:+.3}")
 }
--- a/src/dev/controllers.rs
+++ b/src/dev/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers as processes, and their settings files.
+//! The controller processes and their settings files.
 
 use std::fmt::Write;
 use std::fs::{self, File};
@@ -20,21 +20,22 @@
 }
 
 impl ControllerPorts {
-    /// Where users and workers connect to.
+    /// Returns the address that users and workers connect to.
     pub fn user_addr(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::LOCALHOST, self.users)
     }
 }
 
-/// The processes of the controllers. All end when this value is dropped.
+/// The controller processes. Dropping this value kills all of them.
 pub(super) struct Controllers {
     folder: PathBuf,
-    /// By the number of the controller; `None`: it does not run.
+    /// Processes by controller number; `None` if the controller is not running.
     children: Vec<Option<Child>>,
 }
 
 impl Controllers {
-    /// No process is started yet. The settings are read from `folder`, and logs are written there.
+    /// Creates the set without starting a process. Controllers read their settings from `folder` and write their logs
+    /// there.
     pub fn new(folder: PathBuf, count: usize) -> Controllers {
         Controllers {
             folder,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Starts a controller that does not run.
+    /// Starts a controller that is not running.
     pub fn start(&mut self, index: usize) -> std::io::Result<()> {
         let log = File::options()
             .create(true)
@@ -61,21 +62,21 @@
         Ok(())
     }
 
-    /// Kills a controller, if it runs.
+    /// Kills a controller if it is running.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.children.get_mut(index).and_then(Option::take) {
-            // It may have ended by itself; then there is nothing to kill.
+            // The kill fails if the process has already exited, which is no error.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// The settings file of a controller.
+    /// Returns the path of a controller's settings file.
     pub fn settings(&self, index: usize) -> PathBuf {
         settings_file(&self.folder, index)
     }
 
-    /// The ledger's settings file.
+    /// Returns the path of the ledger settings file.
     pub fn ledger_settings(&self) -> PathBuf {
         self.folder.join(LEDGER_SETTINGS)
     }
@@ -93,7 +94,7 @@
     folder.join(format!("n{index}.toml"))
 }
 
-/// Writes the settings of all controllers, and the settings and keys of the ledger.
+/// Writes the settings files of all controllers, and the settings and keys of the ledger.
 pub(super) fn write_settings(
     folder: &Path,
     ports: &[ControllerPorts],
--- a/src/dev/load.rs
+++ b/src/dev/load.rs
@@ -1,4 +1,4 @@
-//! The load test: jobs are submitted while workers, the leader and the state service fail.
+//! The load test, which submits jobs while workers, the leader and the state service fail.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -20,22 +20,22 @@
 use crate::ledger::fetch_pages;
 
 pub(super) const TEAMS: [&str; 2] = ["red", "blue"];
-/// The shapes of the jobs; those that are here twice are drawn twice as often.
+/// Shapes of the jobs. A shape that is listed twice is drawn twice as often.
 const SHAPES: [&str; 4] = ["array", "array", "group", "service"];
-/// Makes the jobs' draws differ from the emulators', which have the same seed.
+/// Makes the random numbers of the jobs differ from those of the emulators, which get the same seed.
 const SEED_MASK: u64 = 0x5eed;
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(700);
-/// The faults come again after this many jobs.
+/// Number of submitted jobs after which the sequence of faults repeats.
 const FAULT_CYCLE: u32 = 12;
-/// The leader stays down for this long. A peer takes over meanwhile, which knows the attempts that are not charged yet.
+/// Time for which a killed leader stays down. In this time a peer that knows the attempts not charged yet takes over.
 const LEADER_DOWNTIME: Duration = Duration::from_secs(8);
 const OUTAGE_SECONDS: u64 = 4;
-/// How long each job may still take once all are submitted.
+/// Maximum time to wait for each job after all jobs are submitted.
 const JOB_TIMEOUT: Duration = Duration::from_secs(120);
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// By the end of a worker's lease and this long after it the machines that died are given up, and their last charges
-/// are written.
-const LAST_CHARGES_SECONDS: u64 = 6;
+/// Time after the end of a worker's lease by which the machines that died are given up and their last charges are
+/// written.
+const LAST_CHARGES_DELAY_SECONDS: u64 = 6;
 
 /// A load test of a running cluster.
 pub(super) struct LoadTest<'a> {
@@ -44,13 +44,13 @@
     clients: Vec<Client>,
     emulators: mpsc::Sender<Command>,
     controllers: &'a mut Controllers,
-    /// The team of each job.
+    /// Team of each job.
     teams: HashMap<String, &'static str>,
-    /// Jobs that run until they are cancelled.
+    /// IDs of the services, which run until they are cancelled.
     services: Vec<String>,
 }
 
-/// The answer of a controller, with its body as JSON.
+/// A controller's answer with a JSON body.
 struct JsonAnswer {
     status: u16,
     body: Value,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Submits this many jobs, waits until all are over, and compares the ledger with what the workers recorded.
+    /// Submits this many jobs, waits until all are finished, and compares the ledger with the workers' own records.
     pub async fn run(mut self, jobs: u32) -> Result<(), DevError> {
         for number in 1..=jobs {
             self.submit(job_id(number)).await?;
@@ -86,10 +86,10 @@
             self.ask(Method::Post, &path, "").await?;
         }
         for number in 1..=jobs {
-            self.wait_until_over(job_id(number)).await?;
+            self.wait_until_finished(job_id(number)).await?;
         }
         sleep(Duration::from_secs(
-            WORKER_LEASE_SECONDS + LAST_CHARGES_SECONDS,
+            WORKER_LEASE_SECONDS + LAST_CHARGES_DELAY_SECONDS,
         ))
         .await;
         self.check_ledger().await
@@ -133,49 +133,49 @@
         Ok(())
     }
 
-    /// Injects the fault that is due after this many jobs, if one is.
+    /// Injects the fault, if any, that follows this number of submitted jobs.
     async fn inject_fault(&mut self, submitted: u32) -> Result<(), DevError> {
         match submitted % FAULT_CYCLE {
-            4 => self.tell_emulators(Command::KillBusyWorker).await,
+            4 => self.send_to_emulators(Command::KillBusyWorker).await,
             8 => self.kill_leader().await?,
             11 => {
                 println!("the state service is down for {OUTAGE_SECONDS} s");
-                self.tell_emulators(Command::SetOutage(true)).await;
+                self.send_to_emulators(Command::SetOutage(true)).await;
                 sleep(Duration::from_secs(OUTAGE_SECONDS)).await;
-                self.tell_emulators(Command::SetOutage(false)).await;
+                self.send_to_emulators(Command::SetOutage(false)).await;
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// Kills the leader and a machine with it, and starts the controller again.
+    /// Kills the leader and a machine that holds tasks, then starts the controller again.
     async fn kill_leader(&mut self) -> Result<(), DevError> {
-        let leader = self.ask_emulators(Command::Leader).await?;
+        let leader = self.query_emulators(Command::Leader).await?;
         let Some(index) = leader.and_then(|name| name.strip_prefix('n')?.parse().ok()) else {
             return Ok(());
         };
-        println!("the leader n{index} is killed, a machine with it");
+        println!("killing the leader n{index} and a machine that holds tasks");
         self.controllers.kill(index);
-        self.tell_emulators(Command::KillBusyWorker).await;
+        self.send_to_emulators(Command::KillBusyWorker).await;
         sleep(LEADER_DOWNTIME).await;
         Ok(self.controllers.start(index)?)
     }
 
-    async fn tell_emulators(&self, command: Command) {
+    async fn send_to_emulators(&self, command: Command) {
         let _ = self.emulators.send(command).await;
     }
 
-    async fn ask_emulators<T>(
+    async fn query_emulators<T>(
         &self,
         to_command: impl FnOnce(oneshot::Sender<T>) -> Command,
     ) -> Result<T, DevError> {
         let (reply, answer) = oneshot::channel();
-        self.tell_emulators(to_command(reply)).await;
+        self.send_to_emulators(to_command(reply)).await;
         answer.await.map_err(|_| DevError::EmulatorsEnded)
     }
 
-    async fn wait_until_over(&self, id: String) -> Result<(), DevError> {
+    async fn wait_until_finished(&self, id: String) -> Result<(), DevError> {
         let deadline = Instant::now() + JOB_TIMEOUT;
         let path = format!("/api/jobs/{id}");
         loop {
@@ -184,14 +184,14 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                return Err(DevError::JobNotOver { id, answer });
+                return Err(DevError::JobNotFinished { id, answer });
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn check_ledger(&self) -> Result<(), DevError> {
-        let recorded = self.ask_emulators(Command::Record).await?;
+        let recorded = self.query_emulators(Command::Record).await?;
         let (platform, _) = files::read_settings(&self.controllers.settings(0))?;
         let setup = files::read_ledger_setup(&self.controllers.ledger_settings(), &platform)?;
         let pages = fetch_pages(self.addrs).await?;
--- a/src/dev/region.rs
+++ b/src/dev/region.rs
@@ -1,4 +1,4 @@
-//! The emulated state service, cloud and workers on the real clock.
+//! The emulated state service, cloud and workers, driven by the real clock.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -22,52 +22,53 @@
 use crate::emulators::{EmulatorRequest, StateService, serve};
 use crate::http::{CallResult, Client};
 
-/// The emulators make a step at least this often.
+/// Maximum time between two steps of the emulators.
 const TICK: Duration = Duration::from_millis(10);
-/// Commands that wait for the emulators.
+/// Maximum number of commands that wait for the emulators.
 const QUEUE_CAPACITY: usize = 4096;
-/// The emulators take up to this many commands before they make a step.
+/// Maximum number of commands that the emulators take before a step.
 const COMMAND_BATCH_SIZE: usize = 256;
-/// How long a worker waits for the answer to a heartbeat.
+/// Maximum time that a worker waits for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// The members of a gang notice within this time that one of them is gone.
+/// Time, in microseconds, within which the members of a gang notice that one of them is gone.
 const GANG_PEER_TIMEOUT: u64 = 5 * SECOND;
-/// The limits of the state service: bytes of a value, operations of a transaction, and items of a page of a listing.
+/// Limits of the state service: bytes of a value, operations of a transaction, and items on a page of a listing.
 const STATE_VALUE_BYTES: usize = 16 * 1024;
 const STATE_TRANSACTION_OPERATIONS: usize = 16;
 const STATE_PAGE_ITEMS: usize = 200;
-/// Where the state service keeps who leads, and jobs that are not over.
+/// Keys in the state service: the leader's name, and the prefix of the jobs that are not finished.
 const LEADER_KEY: &str = "gh/lead/holder";
 const LIVE_JOB_PREFIX: &str = "gh/live/";
 const CONFLICT: u16 = 409;
 
-/// A command for the owner of the emulators.
+/// A command for the task that owns the emulators.
 pub(super) enum Command {
     StateRequest(EmulatorRequest),
     CloudRequest(EmulatorRequest),
-    /// A controller sends commands to a worker.
+    /// Carries the commands of a controller to a worker.
     WorkerRequest(EmulatorRequest),
-    /// A controller has answered a worker's heartbeat, or has not.
+    /// Carries a controller's answer to a worker's heartbeat, or the reason why no answer came.
     HeartbeatAnswer {
         worker: String,
         node: usize,
         sent_at: u64,
         answer: CallResult,
     },
-    /// The state service refuses everything from now on, or no longer.
+    /// Starts (`true`) or ends an outage in which the state service refuses every request.
     SetOutage(bool),
-    /// A machine that holds tasks dies.
+    /// Kills a machine that holds tasks.
     KillBusyWorker,
-    /// Asks for the name of the leader, as the state service has it.
+    /// Requests the name of the leader that is stored in the state service.
     Leader(oneshot::Sender<Option<String>>),
-    /// Asks for what the workers recorded of their attempts.
+    /// Requests the workers' own records of their attempts.
     Record(oneshot::Sender<BTreeMap<SpanKey, Span>>),
 }
 
-/// The emulators and what they know.
+/// The emulators and their shared state.
 pub(super) struct Region {
     started_at: Instant,
-    /// The time of the current command or step, in microseconds since the start: it stands still meanwhile.
+    /// Time of the current command or step, in microseconds since the start. The value does not change during a
+    /// command or step.
     now: u64,
     rng: StdRng,
     state_service: StateService,
@@ -76,7 +77,7 @@
     record: Record,
     jobs: HashMap<String, JobFacts>,
     done_tasks: HashSet<String>,
-    /// Where all workers take commands.
+    /// Address at which all workers take commands.
     workers_addr: String,
     /// The controllers, by number.
     controllers: Vec<Rc<Client>>,
@@ -84,7 +85,7 @@
 }
 
 impl Region {
-    /// Starts the emulators; they run until the process ends. Commands for them go into the returned queue.
+    /// Starts the emulators, which run until the process ends, and returns the queue of their commands.
     pub fn start(
         seed: u64,
         controllers: &[SocketAddrV4],
@@ -150,7 +151,7 @@
         match command {
             Command::StateRequest(request) => {
                 if request.path == "/commit" {
-                    self.learn_jobs(&request.body);
+                    self.keep_job_facts(&request.body);
                 }
                 self.state_service.handle(request, self.now);
             }
@@ -173,8 +174,8 @@
         self.now = self.started_at.elapsed().as_micros() as u64;
     }
 
-    /// Keeps the description of submitted jobs: their workers ask for it when they may be over already.
-    fn learn_jobs(&mut self, transaction: &[u8]) {
+    /// Keeps the descriptions of submitted jobs, since workers ask for them when the jobs may already be finished.
+    fn keep_job_facts(&mut self, transaction: &[u8]) {
         let transaction: Value = serde_json::from_slice(transaction).unwrap_or(Value::Null);
         for item in transaction["writes"].as_array().into_iter().flatten() {
             let key = item["write"].as_str();
@@ -198,7 +199,7 @@
     }
 
     fn handle_cloud_request(&mut self, request: EmulatorRequest) {
-        // Taken out while the cloud calls back into the region.
+        // The workers and the cloud are moved out of the region while the cloud calls back into it.
         let mut workers = std::mem::take(&mut self.workers);
         let mut cloud = std::mem::take(&mut self.cloud);
         let (status, body, returned) =
@@ -212,16 +213,17 @@
         request.answer(status, body);
     }
 
-    /// Hands commands to a worker. All workers are at one address here; the first task that the commands name tells
-    /// which of them is meant, as an attempt is on one of them.
+    /// Passes commands to a worker. All emulated workers share one address, so the first task named in the commands
+    /// determines the recipient, as an attempt is on only one worker.
     fn handle_worker_request(&mut self, request: EmulatorRequest) {
         let commands: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
         let task = commands["orders"][0]["piece"].as_str().unwrap_or("");
-        let is_meant = |worker: &&Worker| !worker.hung(self.now) && worker.tasks.contains_key(task);
+        let is_recipient =
+            |worker: &&Worker| !worker.hung(self.now) && worker.tasks.contains_key(task);
         let name = self
             .workers
             .values()
-            .find(is_meant)
+            .find(is_recipient)
             .map(|worker| worker.name.clone());
         let status = name
             .and_then(|name| {
@@ -242,7 +244,7 @@
         sent_at: u64,
         answer: CallResult,
     ) {
-        // Where no answer came the worker finds that out by its own clock.
+        // A worker detects a missing answer by its own clock.
         let Ok(answer) = answer else {
             return;
         };
@@ -254,14 +256,15 @@
         });
     }
 
-    /// Calls a function with a worker, which is taken out of the region meanwhile; `None` if there is no such worker.
+    /// Calls a function with a worker, which is moved out of the region during the call. Returns `None` if no worker
+    /// has this name.
     fn with_worker<T>(
         &mut self,
         name: &str,
-        act: impl FnOnce(&mut Worker, &mut Region) -> T,
+        action: impl FnOnce(&mut Worker, &mut Region) -> T,
     ) -> Option<T> {
         let mut worker = self.workers.remove(name)?;
-        let result = act(&mut worker, self);
+        let result = action(&mut worker, self);
         self.workers.insert(name.to_string(), worker);
         Some(result)
     }
@@ -276,13 +279,13 @@
         }
     }
 
-    /// The name of the leader, as the state service has it.
+    /// Returns the name of the leader that is stored in the state service.
     fn leader(&self) -> Option<String> {
         let record = self.state_service.state.value(LEADER_KEY)?;
         Some(record["holder"].as_str()?.to_string())
     }
 
-    /// Lets the time pass for all emulators.
+    /// Advances all emulators to the current time.
     fn step(&mut self) {
         self.read_clock();
         self.state_service.tick(self.now);
@@ -308,8 +311,8 @@
         self.rng.random_range(from..to)
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        self.rng.random_bool(part)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
     fn nodes(&self) -> usize {
@@ -325,7 +328,7 @@
     }
 
     fn run_time(&mut self, job: &JobFacts) -> u64 {
-        // The estimates of users are often wrong by half.
+        // Users' estimates are often wrong by up to half, so run times are drawn from 50% to 150% of the estimate.
         let estimate = job.estimate.max(SECOND);
         self.rng.random_range(estimate / 2..estimate + estimate / 2)
     }
