--- a/src/config/document_file.rs
+++ b/src/config/document_file.rs
@@ -1,4 +1,4 @@
-//! The file in which operators write a configuration.
+//! The configuration file that operators write.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::CommandError;
 use crate::files;
 
-/// Reads a file and checks it against the platform's settings.
+/// Reads a configuration file and checks the document against the platform's settings.
 pub fn read(file: &Path, base: &Settings) -> Result<Document, CommandError> {
     parse(&files::read_text(file)?, &file.display().to_string(), base)
 }
@@ -29,8 +29,8 @@
     }
 }
 
-/// The line, counted from 1, of a field such as `over_limit` or `teams[3].cpus`: that of its key, or of the header of
-/// the table that it should be in; 1 if neither is there.
+/// Returns the line, counted from 1, of a field such as `over_limit` or `teams[3].cpus`: the line of the field's key,
+/// else the header line of the field's table, else 1.
 fn line_of(text: &str, field: &str) -> usize {
     let Some(entry_field) = EntryField::parse(field) else {
         return text
@@ -73,7 +73,7 @@
     }
 }
 
-/// Whether a line gives a value to this key.
+/// Whether a line assigns a value to this key.
 fn is_key(line: &str, key: &str) -> bool {
     line.trim_start()
         .strip_prefix(key)
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! `gannethub config`: operators read and change the configuration while the service runs.
+//! `gannethub config`: the command with which operators read and change the configuration while the service runs.
 //!
 //! [`store`] reads and writes versions in the state service, and [`rollout`] asks the controllers which version is in
-//! force. [`document_file`] reads what operators write, and [`show`] prints what holds.
+//! force. [`document_file`] reads the operators' files, and [`show`] formats the configuration as text.
 
 mod document_file;
 mod rollout;
@@ -18,22 +18,22 @@
 
 use crate::files::{self, FileError};
 use crate::http::Client;
-use store::{Author, ConfigError, ConfigStore, Current};
+use store::{Author, ConfigError, ConfigStore, CurrentConfig};
 
-// The doc comments of the arguments are what `--help` prints.
+// `--help` prints the doc comments of the arguments.
 
 /// The arguments of `gannethub config`.
 #[derive(Args)]
 #[command(about = "Read and change the configuration while the service runs")]
 pub struct ConfigArgs {
-    /// The platform's settings file of a controller: where the state service is, and what holds where no version says
-    /// otherwise
+    /// Platform settings file of a controller, with the address of the state service and the values that hold where no
+    /// version sets them
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The policy file that the controllers are started with
+    /// Policy file that the controllers are started with
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// Controllers to ask which version is in force; the settings file's own where none is named
+    /// Controllers to ask which version is in force; defaults to the address in the settings file
     #[arg(long, value_delimiter = ',', value_name = "ADDR")]
     controllers: Vec<SocketAddrV4>,
     #[command(subcommand)]
@@ -42,28 +42,28 @@
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// What holds, and where each value comes from
+    /// Print the configuration and the origin of each value
     Show,
-    /// Check a file, and change nothing
+    /// Check a file without changing anything
     Check { file: PathBuf },
-    /// What a file would change
+    /// Print the changes that a file would make
     Diff { file: PathBuf },
     /// Make a file the next version
     Apply {
         file: PathBuf,
-        /// Why; it is kept with the version
+        /// Reason for the change, stored with the version
         #[arg(long)]
         why: String,
-        /// Who; the name of the user who runs this where it is not given
+        /// Author of the change; defaults to the user who runs the command
         #[arg(long)]
         by: Option<String>,
-        /// End when it is in force everywhere, and print after how long
+        /// Wait until the version is in force everywhere, and print the time that this took
         #[arg(long)]
         wait: bool,
     },
-    /// The versions that are kept, the newest first
+    /// Print the versions that are kept, newest first
     History,
-    /// Make an earlier version's document the next version; 0: the platform's settings alone
+    /// Make the document of an earlier version the next version; 0 restores the platform settings alone
     Rollback {
         version: u64,
         #[arg(long)]
@@ -75,7 +75,7 @@
     },
 }
 
-/// Why a command could not be carried out.
+/// Errors of the `config` commands.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     #[error("{0}")]
@@ -84,7 +84,7 @@
     File(#[from] FileError),
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// A field of the operators' file has a value that cannot be used.
+    /// A field of the operators' file has an invalid value.
     #[error("{file}:{line}: {field}: {reason}")]
     InvalidField {
         file: String,
@@ -97,19 +97,19 @@
         file: String,
         source: Box<toml::de::Error>,
     },
-    #[error("no controller of {0:?} tells which version is in force; nothing was changed")]
+    #[error("no controller of {0:?} reports the version in force; nothing was changed")]
     NoController(Vec<SocketAddrV4>),
-    /// These controllers would go on with what they have.
+    /// These controllers do not support versions and would keep their current configuration.
     #[error(
-        "{0:?} are of a release that knows of no configuration, or were never heard; nothing was changed"
+        "controllers {0:?} run a release without configuration versions, or were never heard from; nothing was changed"
     )]
     UnsupportedControllers(Vec<String>),
     #[error(
-        "version {version} is stored, and a controller cannot use it: {reason}; the one before holds"
+        "version {version} is stored, but a controller cannot use it: {reason}; the previous version stays in force"
     )]
     Unusable { version: u64, reason: String },
     #[error(
-        "version {version} is not known to be in force everywhere after {seconds} s: not at {missing:?}"
+        "version {version} is not known to be in force everywhere after {seconds} s; missing controllers: {missing:?}"
     )]
     NotInForce {
         version: u64,
@@ -118,7 +118,7 @@
     },
 }
 
-/// Carries out a command and prints its result.
+/// Runs a command and prints its result.
 pub fn run(args: ConfigArgs) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -146,10 +146,10 @@
     operator.run(args.command).await
 }
 
-/// What the commands work with.
+/// The store and the controllers that the commands use.
 struct Operator<'a> {
     store: ConfigStore<'a, Client>,
-    /// Asked which version is in force.
+    /// Controllers to ask which version is in force.
     controllers: Vec<SocketAddrV4>,
 }
 
@@ -159,7 +159,7 @@
         match command {
             ConfigCommand::Check { file } => {
                 let document = document_file::read(&file, base)?;
-                println!("{}: fine, {} teams", file.display(), document.teams.len());
+                println!("{}: valid, {} teams", file.display(), document.teams.len());
                 Ok(())
             }
             ConfigCommand::Show => {
@@ -200,10 +200,10 @@
         }
     }
 
-    /// Makes a document the next version, and waits until it is in force if that is asked for.
+    /// Stores a document as the next version. With `wait`, also waits until that version is in force everywhere.
     async fn change(
         &self,
-        current: Current,
+        current: CurrentConfig,
         wanted: Document,
         author: Author,
         wait: bool,
@@ -220,7 +220,7 @@
     }
 }
 
-/// The author of a change that is made now: the user who runs the command, unless another is named.
+/// Returns the author of a change made now: the given name, else the user who runs the command.
 fn author(name: Option<String>, reason: String) -> Author {
     let user = || std::env::var("USER").unwrap_or_else(|_| "unknown".into());
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/src/config/rollout.rs
+++ b/src/config/rollout.rs
@@ -1,4 +1,4 @@
-//! Which version is in force at which controller, as the controllers tell of themselves and of one another.
+//! The version in force at each controller, as the controllers report for themselves and for one another.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -11,35 +11,35 @@
 use super::CommandError;
 use crate::http::Client;
 
-/// How long an answer of a controller is waited for.
+/// Time limit of a request to a controller.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause between two rounds of questions.
+/// Interval between two rounds of requests to the controllers.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// No controller acts on an older version for longer than this, whether it is heard or not.
+/// Maximum time for which a controller acts on an older version, whether the controller is heard from or not.
 const MAX_VERSION_AGE: Duration = Duration::from_secs(7);
-/// How long the controllers are waited for to say that a version is in force with them.
+/// Maximum time to wait for the controllers to report that a version is in force.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The answer of one controller to `GET /api/config`, as far as it matters here.
+/// One controller's answer to `GET /api/config`, with only the fields that the rollout needs.
 #[derive(Debug, Deserialize)]
 struct ConfigStatus {
-    /// The newest version that it knows of.
+    /// Newest version that the controller knows of.
     newest: u64,
-    /// Why it cannot use that version, if it cannot.
+    /// Reason why the controller cannot use the newest version, if it cannot.
     refused: Option<String>,
     nodes: Vec<NodeStatus>,
 }
 
-/// What a controller tells of itself or of a peer.
+/// A controller's report on itself or on a peer.
 #[derive(Debug, Deserialize)]
 struct NodeStatus {
     name: String,
     heard: bool,
-    /// The version in force there; `None`: unknown, or it is of a release without versions.
+    /// Version in force at the controller; `None` if unknown, or if its release does not support versions.
     version: Option<u64>,
 }
 
-/// What the controllers that answered tell.
+/// The answers of the controllers that answered.
 struct RolloutStatus(Vec<ConfigStatus>);
 
 impl RolloutStatus {
@@ -62,7 +62,7 @@
         self.0.iter().flat_map(|status| &status.nodes)
     }
 
-    /// The newest version that any controller tells of each.
+    /// Returns the newest version that any controller reports for each controller, by name.
     fn versions(&self) -> BTreeMap<&str, Option<u64>> {
         let mut versions = BTreeMap::new();
         for node in self.nodes() {
@@ -72,16 +72,16 @@
         versions
     }
 
-    /// The controllers, by name, of which this is true of the newest version known.
-    fn controllers_where(&self, is_wanted: impl Fn(Option<u64>) -> bool) -> Vec<String> {
+    /// Returns the names of the controllers whose newest reported version satisfies the predicate.
+    fn controllers_where(&self, is_match: impl Fn(Option<u64>) -> bool) -> Vec<String> {
         self.versions()
             .into_iter()
-            .filter(|(_, version)| is_wanted(*version))
+            .filter(|(_, version)| is_match(*version))
             .map(|(name, _)| name.to_string())
             .collect()
     }
 
-    /// Why a controller cannot use this version, if one cannot.
+    /// Returns the reason why a controller cannot use this version, if any controller cannot.
     fn refusal_of(&self, version: u64) -> Option<&str> {
         self.0
             .iter()
@@ -95,7 +95,8 @@
     }
 }
 
-/// Refuses a change while a controller is heard that does not support versions, or one was never heard.
+/// Refuses a change if a controller that is heard from does not support versions, or if a controller was never heard
+/// from.
 pub async fn refuse_unsupported(controllers: &[SocketAddrV4]) -> Result<(), CommandError> {
     let status = RolloutStatus::fetch(controllers).await;
     if status.is_empty() {
@@ -109,8 +110,8 @@
     }
 }
 
-/// Waits until all controllers that are heard have a version in force, and no other can act on an older one. Returns
-/// how long that took.
+/// Waits until every controller that is heard from has a version in force and no other controller can act on an older
+/// version. Returns the time that this took.
 pub async fn wait_until_in_force(
     controllers: &[SocketAddrV4],
     version: u64,
@@ -130,7 +131,7 @@
             && !missing.iter().any(|name| status.is_heard(name));
         if !status.is_empty() && (missing.is_empty() || is_fenced) {
             for name in &missing {
-                println!("not heard from {name}, which starts nothing");
+                println!("controller {name} is not heard from and starts no tasks");
             }
             return Ok(started_at.elapsed());
         }
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -1,4 +1,4 @@
-//! The configuration as text for operators.
+//! Formats the configuration as text for operators.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -8,9 +8,9 @@
 use gannethub_core::settings::Settings;
 use gannethub_core::wire::configuration::HistoryRecord;
 
-use super::store::Current;
+use super::store::CurrentConfig;
 
-/// The origin of values that no version has changed.
+/// Displayed origin of values that no version has changed.
 const PLATFORM_FILE: &str = "the platform's file";
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -22,7 +22,7 @@
     table
 }
 
-/// A limit of zero stands for no limit.
+/// Formats a limit. A limit of zero means no limit.
 fn limit_text(limit: f64) -> String {
     if limit == 0.0 {
         "none".into()
@@ -31,7 +31,7 @@
     }
 }
 
-/// What is shown of a team after its name.
+/// Returns the displayed columns of a team after its name.
 fn team_values(team: &TeamEntry) -> [String; 4] {
     [
         team.cpus.to_string(),
@@ -53,8 +53,8 @@
     document.teams.iter().find(|team| team.name == name)
 }
 
-/// All values in force, and where each comes from.
-pub fn current(current: &Current, base: &Settings) -> String {
+/// Formats all values in force with the origin of each.
+pub fn current(current: &CurrentConfig, base: &Settings) -> String {
     let version_origin = format!("version {}", current.version());
     let document = &current.document;
     let mut text = match &current.record {
@@ -62,7 +62,7 @@
             "version {} by {}: {}\n",
             record.version, record.author, record.reason
         ),
-        None => "no version was ever stored: the platform's settings hold\n".to_string(),
+        None => "no version was ever stored: the platform's settings are in force\n".to_string(),
     };
     let teams = teams_table(document, base, &version_origin);
     let _ = writeln!(text, "{teams}");
@@ -82,12 +82,12 @@
                 policy.trim_end()
             );
         }
-        None => text += "policy: as the controllers were started\n",
+        None => text += "policy: the one that the controllers were started with\n",
     }
     text
 }
 
-/// The platform's teams, as the document changes them, and those that only the document has.
+/// Lists the platform's teams with the changes of the document, then the teams that only the document has.
 fn teams_table(document: &Document, base: &Settings, version_origin: &str) -> Table {
     let mut table = new_table(&["team", "cpus", "cpus_max", "gpus", "gpus_max", "from"]);
     for team in &base.teams {
@@ -105,7 +105,7 @@
     table
 }
 
-/// What would change if another document became the current one.
+/// Lists the changes that would result if the document `next` became the current one.
 pub fn differences(current: &Document, next: &Document, base: &Settings) -> String {
     let mut text = team_differences(current, next, base);
     if current.objectives != next.objectives {
@@ -127,7 +127,7 @@
     text
 }
 
-/// A line for each team that differs, by name.
+/// Returns one line for each team that differs, sorted by name.
 fn team_differences(current: &Document, next: &Document, base: &Settings) -> String {
     let entry = |document: &Document, name: &str| {
         let of_platform = || Some(TeamEntry::of(&base.teams[base.team(name)?]));
@@ -155,16 +155,16 @@
     text
 }
 
-/// A team's values in one line, if there is such a team.
+/// Formats a team's values in one line, or `absent` for a team that does not exist.
 fn team_summary(team: Option<&TeamEntry>) -> String {
     let Some(team) = team else {
-        return "not there".to_string();
+        return "absent".to_string();
     };
     let state = if team.removed { " removed," } else { "" };
     team_values(team).join(" ") + state
 }
 
-/// The versions that are kept, one a line.
+/// Formats the versions that are kept, one per line.
 pub fn history(history: &HistoryRecord) -> String {
     let mut table = new_table(&["version", "at (s since 1970)", "by", "why"]);
     for record in &history.versions {
--- a/src/config/show/tests.rs
+++ b/src/config/show/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn origins_of_values_and_differences_are_shown() {
+fn shows_origins_of_values_and_differences() {
     let base = base();
     let blue = TeamEntry {
         name: "blue".into(),
@@ -19,9 +19,9 @@
         teams: vec![blue],
         ..Document::default()
     };
-    let stored = Current {
+    let stored = CurrentConfig {
         document: document.clone(),
-        ..Current::default()
+        ..CurrentConfig::default()
     };
     let shown = current(&stored, &base);
     let line = |name: &str| {
@@ -34,6 +34,6 @@
     assert!(line("red").contains("16") && line("red").contains("the platform's file"));
     assert!(line("blue").contains("none") && line("blue").contains("version 0"));
     let change = differences(&Document::default(), &document, &base);
-    assert_eq!(change, "team blue: not there -> 1 none 0 none\n");
+    assert_eq!(change, "team blue: absent -> 1 none 0 none\n");
     assert_eq!(differences(&document, &document, &base), "no difference\n");
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,7 +1,8 @@
-//! Versions of the configuration in the state service, as operators read and write them.
+//! Reads and writes versions of the configuration in the state service, on behalf of operators.
 //!
-//! A version is written in two steps: its document in parts under keys of its own, in as many transactions as that takes,
-//! and then one transaction that makes it the version that holds, on the condition that the one before still does.
+//! A version is written in two steps. First its document is written in parts, under keys of its own and in as many
+//! transactions as needed. Then one transaction makes the version the current one, on the condition that the previous
+//! version is still current.
 
 use std::time::Duration;
 
@@ -19,14 +20,14 @@
 
 use crate::http::{Client, is_final};
 
-/// How long an answer is waited for.
+/// Time limit of a request to the state service.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// A request without a final answer is sent this often.
+/// Maximum number of times that a request without a final answer is sent.
 const MAX_ATTEMPTS: u32 = 30;
-/// The pause between two attempts.
+/// Delay between two attempts of a request.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client of the state service. Tests put a service in memory behind it.
+/// A client of the state service. Tests implement this trait with an in-memory service.
 pub trait StateClient {
     /// Sends one request once.
     fn call(&self, method: Method, path: &str, body: &[u8]) -> impl Future<Output = CallResult>;
@@ -38,65 +39,65 @@
     }
 }
 
-/// Why a version could not be read or stored.
+/// Errors of reading or storing a version.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    #[error("the state service does not answer; last: {last_status:?}")]
+    #[error("the state service gave no final answer; last status: {last_status:?}")]
     NoFinalAnswer { last_status: Option<u16> },
-    #[error("the state service answers {status} to {request}")]
+    #[error("the state service answered {request} with status {status}")]
     Refused { status: u16, request: String },
-    /// What is stored under a key is no record of this kind.
-    #[error("{0} holds no version; it was changed by something else")]
+    /// The value stored under this key is not a valid record.
+    #[error("cannot parse the value of {0}: another program changed it")]
     MalformedRecord(&'static str),
-    /// Another change became the next version first.
-    #[error("version {version} by {author} came between: {reason}")]
+    /// Another change became the next version before this one.
+    #[error("version {version} by {author} was stored first: {reason}")]
     Conflict {
         version: u64,
         author: String,
         reason: String,
     },
-    #[error("version {0} is not kept any more")]
+    #[error("version {0} is no longer kept")]
     NotKept(u64),
-    #[error("the document of version {version}: {source}")]
+    #[error("cannot read the document of version {version}: {source}")]
     InvalidDocument {
         version: u64,
         source: StoredDocumentError,
     },
-    /// The document that is to be stored cannot be used.
+    /// The document to be stored has an invalid field.
     #[error("{0}")]
     Unusable(#[from] DocumentError),
-    /// The document that is to be stored does not fit into the values of the state service.
-    #[error("the document: {0}")]
+    /// The document to be stored does not fit into the values of the state service.
+    #[error("cannot split the document: {0}")]
     CannotSplit(#[source] StoredDocumentError),
 }
 
-/// The configuration as it is in the state service, with the versions of its keys there. These make a change conditional
-/// on nobody else's having come first.
+/// The configuration that is stored in the state service, with the versions of the store keys. The key versions are
+/// the guards of a change: the change fails if another change was stored first.
 #[derive(Clone, Debug, Default)]
-pub struct Current {
-    /// The version that holds; `None`: none was ever stored.
+pub struct CurrentConfig {
+    /// Record of the current version; `None` if no version was ever stored.
     pub record: Option<VersionRecord>,
-    /// The version of the key that holds the record; 0 if there is none.
+    /// Version of the store key that holds the record; 0 if the key does not exist.
     pub key_version: u64,
     pub document: Document,
     pub history: HistoryRecord,
-    /// The version of the key that holds the history; 0 if there is none.
+    /// Version of the store key that holds the history; 0 if the key does not exist.
     pub(super) history_key_version: u64,
 }
 
-impl Current {
-    /// The number of the version that holds; 0 if none was ever stored.
+impl CurrentConfig {
+    /// Returns the number of the current version; 0 if no version was ever stored.
     pub fn version(&self) -> u64 {
         self.record.as_ref().map_or(0, |record| record.version)
     }
 }
 
-/// Who changes something, and why.
+/// The author of a change and the reason for it.
 #[derive(Clone, Debug)]
 pub struct Author {
     pub name: String,
     pub reason: String,
-    /// Time of day in microseconds since 1970.
+    /// Time of the change, in microseconds since 1970.
     pub changed_at: u64,
     /// Distinguishes documents that were written for the same version.
     pub nonce: u64,
@@ -104,14 +105,14 @@
 
 /// Reads and writes versions of the configuration.
 pub struct ConfigStore<'a, C> {
-    /// The state service's client.
+    /// Client of the state service.
     pub client: &'a C,
-    /// The platform's settings.
+    /// The platform's settings, which hold where a version sets no value.
     pub base: &'a Settings,
 }
 
 impl<C: StateClient> ConfigStore<'_, C> {
-    /// Sends a request until there is an answer that asking again would not change.
+    /// Sends a request until a final answer comes, which is one that sending the request again would not change.
     async fn call(&self, request: &StoreRequest) -> Result<Answer, ConfigError> {
         let mut last_status = None;
         for _ in 0..MAX_ATTEMPTS {
@@ -131,7 +132,7 @@
             .await
     }
 
-    /// A key's value and version; `None`: there is none.
+    /// Returns a key's value and version; `None` if the key does not exist.
     async fn get(&self, key: &str) -> Result<Option<StoredValue>, ConfigError> {
         let request = StoreRequest::get(key);
         match self.call(&request).await? {
@@ -141,9 +142,9 @@
         }
     }
 
-    /// The version that holds.
-    pub async fn current(&self) -> Result<Current, ConfigError> {
-        let mut current = Current::default();
+    /// Reads the current version with its document and the history.
+    pub async fn current(&self) -> Result<CurrentConfig, ConfigError> {
+        let mut current = CurrentConfig::default();
         if let Some(item) = self.get(HISTORY_KEY).await? {
             current.history = item
                 .decode()
@@ -162,7 +163,7 @@
         Ok(current)
     }
 
-    /// The document of a version.
+    /// Reads the document of a version.
     pub async fn read_document(&self, record: &VersionRecord) -> Result<Document, ConfigError> {
         let request = StoreRequest::list(&record.parts_prefix(), "");
         match self.call(&request).await? {
@@ -180,10 +181,10 @@
         }
     }
 
-    /// The document of a version that the history still has; that of version 0 is empty.
+    /// Reads the document of a version that is still in the history. The document of version 0 is empty.
     pub async fn kept_document(
         &self,
-        current: &Current,
+        current: &CurrentConfig,
         version: u64,
     ) -> Result<Document, ConfigError> {
         if version == 0 {
@@ -201,7 +202,7 @@
     /// Checks a document, makes it the next version after `current`, and returns that version.
     pub async fn store(
         &self,
-        current: &Current,
+        current: &CurrentConfig,
         wanted: Document,
         author: &Author,
     ) -> Result<VersionRecord, ConfigError> {
@@ -224,7 +225,7 @@
         Ok(record)
     }
 
-    /// Writes the parts of a version's document. Nobody reads them before the version is made the current one.
+    /// Writes the parts of a version's document. Nothing reads the parts before the version is made the current one.
     async fn write_parts(
         &self,
         record: &VersionRecord,
@@ -243,17 +244,18 @@
             let request = transaction.to_request();
             match self.call(&request).await? {
                 answer if answer.is_ok() => {}
-                answer => return Err(refused(&answer, "a part".into())),
+                answer => return Err(refused(&answer, "the write of a document part".into())),
             }
         }
         Ok(())
     }
 
-    /// Makes a version the one that holds; returns the versions that are not kept any more. An answer that is lost does
-    /// not matter: the same transaction is sent again, and fails where it or another was carried out.
+    /// Makes a version the current one and returns the versions that are no longer kept. A lost answer does no harm:
+    /// the same transaction is sent again, and its guards fail if the transaction or another change was already
+    /// carried out.
     async fn make_current(
         &self,
-        current: &Current,
+        current: &CurrentConfig,
         record: &VersionRecord,
     ) -> Result<Vec<VersionRecord>, ConfigError> {
         let mut history = current.history.clone();
@@ -269,21 +271,21 @@
             answer if answer.status == 409 && answer.decode::<Conflict>().is_some() => {
                 self.resolve_conflict(record).await.map(|()| dropped)
             }
-            answer => Err(refused(&answer, "the switch".into())),
+            answer => Err(refused(&answer, "the switch to the new version".into())),
         }
     }
 
-    /// Finds out why the versions of the keys were not those expected: this version itself was made the current one and
-    /// the answer was lost, which is no error, or another change came first.
+    /// Determines why the guards of a switch failed. Either this version itself was made the current one and the
+    /// answer was lost, which is no error, or another change was stored first.
     async fn resolve_conflict(&self, record: &VersionRecord) -> Result<(), ConfigError> {
-        let is_this = |other: &VersionRecord| other.id == record.id;
+        let is_same = |other: &VersionRecord| other.id == record.id;
         let item = self.get(CURRENT_VERSION_KEY).await?;
         let current: Option<VersionRecord> = item.and_then(|item| item.decode());
-        // Other versions may have followed this one since.
+        // Other versions may have followed this version by now, so the history is searched as well.
         let item = self.get(HISTORY_KEY).await?;
         let history: Option<HistoryRecord> = item.and_then(|item| item.decode());
-        let is_in_history = history.is_some_and(|history| history.versions.iter().any(is_this));
-        if current.as_ref().is_some_and(is_this) || is_in_history {
+        let is_in_history = history.is_some_and(|history| history.versions.iter().any(is_same));
+        if current.as_ref().is_some_and(is_same) || is_in_history {
             return Ok(());
         }
         self.delete_documents(std::slice::from_ref(record)).await;
@@ -297,7 +299,8 @@
         }
     }
 
-    /// Deletes the documents of versions that are not kept. It is tried once: what is left over does no harm.
+    /// Deletes the documents of versions that are not kept. Each delete is sent only once: keys that are left over do
+    /// no harm.
     async fn delete_documents(&self, versions: &[VersionRecord]) {
         for version in versions {
             let keys: Vec<String> = (0..version.parts as usize)
@@ -322,7 +325,7 @@
     }
 }
 
-/// As much of a text as is stored with a version.
+/// Returns a text cut to the [`MAX_TEXT_BYTES`] that are stored with a version, at a character boundary.
 fn truncated(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_TEXT_BYTES.min(text.len()))].to_string()
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,6 +1,6 @@
-//! `gannethub ledger`: reading, checking and exporting the ledger through any controller.
+//! `gannethub ledger`: the command that reads, checks and exports the ledger through any controller.
 //!
-//! `fetch` reads the pages, and `print` shows what is in them.
+//! `fetch` reads the pages, and `print` prints their content.
 
 mod fetch;
 mod print;
@@ -18,20 +18,20 @@
 pub(crate) use self::fetch::fetch_pages;
 use crate::files::{self, FileError};
 
-/// Exit codes of a command that failed.
+/// Exit codes of failed commands.
 const LEDGER_CHANGED: u8 = 1;
 const UNUSABLE_ARGUMENTS: u8 = 2;
 const NO_CONTROLLER: u8 = 3;
 
 #[derive(Args)]
 pub struct LedgerArgs {
-    /// The platform's settings file, for the teams and this controller's address
+    /// Platform settings file, with the teams and the controller's address
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// The ledger's settings file, for its keys and half-lives
+    /// Ledger settings file, with the keys and the half-lives
     #[arg(long, value_name = "FILE", global = true)]
     ledger: Option<PathBuf>,
-    /// Controllers to ask, in turn; the settings file's own address if none is named
+    /// Controllers to ask, in turn; defaults to the address in the settings file
     #[arg(long, value_name = "ADDRESS", global = true)]
     server: Vec<SocketAddrV4>,
     #[arg(long, value_enum, default_value = "table", global = true)]
@@ -48,63 +48,63 @@
 
 #[derive(Subcommand)]
 enum LedgerCommand {
-    /// Every charged attempt
+    /// Print every charged attempt
     List {
-        /// Of this team only
+        /// Only attempts of this team
         #[arg(long)]
         team: Option<String>,
     },
-    /// CPU-, GPU- and memory-hours by team and class
+    /// Print CPU-, GPU- and memory-hours by team and class
     Totals,
-    /// Each team's decayed part of all usage, and over what it is due
+    /// Print each team's decayed share of all usage, and that share divided by the team's due share
     Shares,
-    /// Check that every line is as it was written
+    /// Check that no line was changed since it was written
     Verify {
-        /// A line's number and tie as an earlier check printed them: it has to be there still
+        /// Number and tie of a line, as printed by an earlier check; the ledger must still contain this line
         #[arg(long, value_name = "NUMBER:TIE")]
         head: Option<String>,
     },
     /// Write every charged attempt to a .parquet or .csv file
     Export {
         file: PathBuf,
-        /// Of this team only
+        /// Only attempts of this team
         #[arg(long)]
         team: Option<String>,
     },
-    /// Make a key file, or add a key to one
+    /// Create a key file, or add a key to one
     Key {
         file: PathBuf,
-        /// Add a key that new pages are tied with; the old ones stay for old pages
+        /// Add a key that authenticates new pages; old keys are kept for old pages
         #[arg(long)]
         rotate: bool,
     },
 }
 
-/// Why a command came to nothing.
+/// Errors of the `ledger` commands.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
     #[error("{0}")]
     File(#[from] FileError),
-    #[error("{0} is needed")]
+    #[error("{0} is required")]
     MissingOption(&'static str),
-    #[error("--head: a number, a colon and a tie are needed")]
+    #[error("--head: expected NUMBER:TIE")]
     InvalidHead,
-    #[error("--team: there is no team {0:?}")]
+    #[error("--team: unknown team {0:?}")]
     UnknownTeam(String),
-    #[error("no controller answers; the last one said: {}", status_or_nothing(*.last_status))]
+    #[error("no controller gave a final answer; last status: {}", status_or_none(*.last_status))]
     NoAnswer { last_status: Option<u16> },
-    #[error("{status}: {body}")]
+    #[error("a controller answered with status {status}: {body}")]
     Refused { status: u16, body: String },
-    #[error("an answer makes no sense: {0}")]
+    #[error("cannot parse the answer of a controller: {0}")]
     MalformedAnswer(#[from] serde_json::Error),
     #[error("{0}: the name must end with .parquet or .csv")]
     UnknownFormat(PathBuf),
-    #[error("{file}: {source}")]
+    #[error("cannot create {file}: {source}")]
     CannotCreate {
         file: PathBuf,
         source: std::io::Error,
     },
-    /// The ledger is not as it was written, or does not have the given head.
+    /// The ledger was changed after it was written, or does not contain the given head.
     #[error("{0}")]
     Changed(#[from] gannethub_ledger::audit::Fault),
     #[error("{0}")]
@@ -114,7 +114,8 @@
 }
 
 impl LedgerError {
-    /// The program's exit code: 1 where the ledger is not as it was written, 3 where nobody answers, 2 otherwise.
+    /// Returns the exit code of the program: 1 if the ledger was changed after it was written, 3 if no controller gave
+    /// a final answer, 2 otherwise.
     pub fn exit_code(&self) -> u8 {
         match self {
             LedgerError::Changed(_) => LEDGER_CHANGED,
@@ -124,11 +125,11 @@
     }
 }
 
-fn status_or_nothing(status: Option<u16>) -> String {
-    status.map_or("nothing".into(), |status| status.to_string())
+fn status_or_none(status: Option<u16>) -> String {
+    status.map_or("none".into(), |status| status.to_string())
 }
 
-/// Carries out a command and prints its result to the standard output.
+/// Runs a command and prints its result to standard output.
 pub fn run(args: LedgerArgs) -> Result<(), LedgerError> {
     if let LedgerCommand::Key { file, rotate } = &args.command {
         let id = files::make_key(file, *rotate)?;
@@ -161,14 +162,14 @@
     reader.run(command, output)
 }
 
-/// The number and the tie of a ledger's last line.
+/// The number of a ledger's last line and its tie, which is the line's MAC.
 struct LedgerHead {
     number: u64,
     tie: LineMac,
 }
 
 impl LedgerHead {
-    /// Reads what an earlier check printed.
+    /// Parses a head in the form `NUMBER:TIE` that an earlier check printed.
     fn parse(text: &str) -> Result<LedgerHead, LedgerError> {
         let (number, tie) = text.split_once(':').ok_or(LedgerError::InvalidHead)?;
         Ok(LedgerHead {
@@ -178,11 +179,11 @@
     }
 }
 
-/// What the commands that read a ledger work with.
+/// The settings, keys and connections of the commands that read a ledger.
 struct LedgerReader {
     platform: Settings,
     setup: LedgerSetup,
-    /// Controllers that are asked in turn.
+    /// Controllers to ask, in turn.
     servers: Vec<SocketAddrV4>,
     runtime: tokio::runtime::Runtime,
 }
@@ -190,7 +191,7 @@
 impl LedgerReader {
     fn run(&self, command: LedgerCommand, output: Output) -> Result<(), LedgerError> {
         match command {
-            // Needs no ledger, and was carried out before.
+            // The key command needs no ledger and has already run in `run`.
             LedgerCommand::Key { .. } => Ok(()),
             LedgerCommand::List { team } => {
                 self.check_team(team.as_deref())?;
@@ -229,7 +230,8 @@
         self.runtime.block_on(fetch_pages(&self.servers))
     }
 
-    /// Reads all pages and checks that they are as they were written, and that a line of an earlier check is still there.
+    /// Reads all pages and checks that no line was changed since it was written, and that the line of an earlier check
+    /// is still present.
     fn fetch_verified(&self, head: Option<LedgerHead>) -> Result<Verified, LedgerError> {
         let pages = self.fetch()?;
         let head = head.map(|head| (head.number, head.tie));
@@ -238,7 +240,7 @@
     }
 }
 
-/// Writes every charged attempt to a file in the format that its name ends with.
+/// Writes every charged attempt to a file. The file name's extension selects the format.
 fn write_export(file: &Path, pages: &[Page], team: Option<&str>) -> Result<(), LedgerError> {
     let rows = export::rows(pages, team)?;
     let extension = file.extension().and_then(|extension| extension.to_str());
--- a/src/ledger/fetch.rs
+++ b/src/ledger/fetch.rs
@@ -1,4 +1,4 @@
-//! Reading the pages of the ledger from controllers.
+//! Reads the pages of the ledger from controllers.
 
 use std::net::SocketAddrV4;
 
@@ -10,10 +10,10 @@
 use super::LedgerError;
 use crate::http::{Client, NoFinalAnswer, ask_any};
 
-/// What a controller says of a page that does not exist; other answers with this status are errors.
+/// Text in a controller's 404 answer for a page that does not exist. Other answers with status 404 are errors.
 const NO_SUCH_PAGE: &str = "no such page";
 
-/// Reads all pages that are kept, the oldest first.
+/// Reads all pages that are kept, oldest first.
 pub(crate) async fn fetch_pages(servers: &[SocketAddrV4]) -> Result<Vec<Page>, LedgerError> {
     let clients: Vec<Client> = servers.iter().map(|addr| Client::new(*addr)).collect();
     let Some(body) = fetch(&clients, "/api/ledger").await? else {
@@ -25,15 +25,15 @@
         match fetch(&clients, &format!("/api/ledger?page={number}")).await? {
             Some(body) => pages.push(serde_json::from_slice(&body)?),
             None if number > head.newest => break,
-            // A page before the first one that exists is folded into a balance; one that is missing later is found by
-            // the check of the ledger.
+            // Pages before the first existing page are folded into a balance. A page that is missing later is
+            // detected by the verification of the ledger.
             None => {}
         }
     }
     Ok(pages)
 }
 
-/// Asks the controllers in turn until one answers; `None` if what is asked for does not exist.
+/// Asks the controllers in turn until one gives a final answer; `None` if the requested page does not exist.
 async fn fetch(clients: &[Client], path: &str) -> Result<Option<Bytes>, LedgerError> {
     let answer = match ask_any(clients, Method::Get, path, &[]).await {
         Ok(answer) => answer,
--- a/src/ledger/print.rs
+++ b/src/ledger/print.rs
@@ -1,4 +1,4 @@
-//! What is in the ledger, as a table or as one JSON object a line.
+//! Prints the content of the ledger as a table, or as one JSON object per line.
 
 use std::collections::BTreeMap;
 use std::time::SystemTime;
@@ -16,13 +16,14 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 const MICROS_PER_HOUR: f64 = 3.6e9;
-/// Resources are counted in thousandths, so usage is in thousandths times microseconds.
+/// Units of usage in one second of one CPU, GPU or GB. Resources are counted in thousandths, so the unit of usage is
+/// one thousandth times one microsecond.
 const USAGE_PER_SECOND: f64 = 1e9;
-/// The places of the resources in a sum of usage.
+/// Indexes of the resources in a sum of usage.
 const CPU: usize = 0;
 const GPU: usize = 1;
 const MEMORY: usize = 2;
-/// The place of the error bound in the times of an account.
+/// Index of the error bound in the times of an account.
 const BOUND: usize = 2;
 
 fn new_table(header: &[&str]) -> Table {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Prints every charged attempt, or those of one team.
+/// Prints every charged attempt, or only the attempts of one team.
 pub(super) fn attempts(
     pages: &[Page],
     team: Option<&str>,
@@ -63,7 +64,7 @@
     Ok(())
 }
 
-/// The cells of an exported attempt by the names of their columns.
+/// The cells of an exported attempt by column name.
 struct ExportRow<'a>(BTreeMap<&'a str, &'a Cell>);
 
 impl ExportRow<'_> {
@@ -121,7 +122,7 @@
     format!("{:.3}", micros as f64 / MICROS_PER_SECOND)
 }
 
-/// Usage as hours of one CPU, one GPU or one GB.
+/// Converts usage to hours of one CPU, one GPU or one GB.
 fn hours(usage: u128) -> f64 {
     usage as f64 / USAGE_PER_SECOND / SECONDS_PER_HOUR
 }
@@ -183,7 +184,7 @@
     account.times()[BOUND] as f64 / MICROS_PER_HOUR
 }
 
-/// Prints each team's decayed share of all usage, and over what it is due.
+/// Prints each team's decayed share of all usage, and that share divided by the share that the team is due.
 pub(super) fn shares(verified: &Verified, setup: &LedgerSetup, output: Output) {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let now = since_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64);
@@ -219,7 +220,7 @@
     print_table(&table, output);
 }
 
-/// Prints what a check has found, with the head that a later check can be given.
+/// Prints the result of a check, with the head that can be passed to a later check.
 pub(super) fn verification(verified: &Verified, output: Output) {
     let last_line = verified.next.checked_sub(1);
     let head = last_line.map(|number| format!("{number}:{}", verified.head));
@@ -231,7 +232,7 @@
     } = verified;
     match output {
         Output::Table => println!(
-            "{lines} lines on {pages} pages are as they were written; {charged} attempts are charged\n\
+            "{lines} lines on {pages} pages verified; {charged} attempts are charged\n\
              head: {}",
             head.unwrap_or_default()
         ),
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,5 @@
-//! Versions of the configuration in an in-memory state service, with answers that are lost and other operators.
+//! Tests the storage of configuration versions in an in-memory state service, with lost answers and concurrent
+//! operators.
 
 use std::cell::{Cell, RefCell};
 
@@ -10,12 +11,12 @@
 use gannethub_emulators::State;
 use gannethub_emulators::state::Outcome;
 
-/// A state service in memory, and the faults of the connection to it.
+/// An in-memory state service with faults on the connection to it.
 struct FaultyStateService {
     state: RefCell<State>,
-    /// The answers to this many transactions are lost from now on, though the transactions are carried out.
+    /// Number of coming transactions that are carried out but whose answers are lost.
     lost: Cell<usize>,
-    /// This many requests are answered 503 from now on.
+    /// Number of coming requests that are answered with status 503.
     refused: Cell<usize>,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// Counts down; whether a fault was left to be injected.
+/// Decrements the count of faults, and returns whether a fault is to be injected.
 fn take_fault(count: &Cell<usize>) -> bool {
     let left = count.get();
     count.set(left.saturating_sub(1));
@@ -63,7 +64,9 @@
                 [outside]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n[cluster.state]\n\
                 value_kb = 4.0\ntxn_ops = 8\n[[cluster.teams]]\nname = \"red\"\ncpus = 8.0\n\
                 cpus_max = 16.0\n";
-    Settings::parse(text, "test").expect("it is fine").0
+    Settings::parse(text, "test")
+        .expect("the settings are valid")
+        .0
 }
 
 fn author(name: &str, nonce: u64) -> Author {
@@ -89,7 +92,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn versions_of_three_hundred_teams_follow_one_another_and_come_back() {
+async fn versions_of_300_teams_are_stored_and_rolled_back() {
     let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
@@ -108,7 +111,10 @@
     let current = store.current().await.expect("read");
     assert_eq!((current.version(), current.document.teams.len()), (3, 300));
     assert_eq!(current.document.teams[7].cpus_max, 30.0);
-    let first = store.kept_document(&current, 1).await.expect("it is kept");
+    let first = store
+        .kept_document(&current, 1)
+        .await
+        .expect("version 1 is kept");
     let record = store
         .store(&current, first, &author("bob", 4))
         .await
@@ -126,7 +132,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_found_out_and_nothing_is_stored_twice() {
+async fn lost_answer_does_not_store_a_version_twice() {
     for lost in 1..4 {
         let (client, base) = (FaultyStateService::new(), base());
         let store = ConfigStore {
@@ -147,7 +153,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_operators_at_once_the_second_is_told_of_the_first() {
+async fn second_of_two_concurrent_changes_fails_with_conflict() {
     let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
@@ -171,7 +177,7 @@
         }
         other => panic!("{other:?}"),
     }
-    // What the second had written of its document is gone.
+    // The document parts that the second operator had written are deleted.
     let documents = client.state.borrow().keys("gh/config/doc/");
     assert!(
         documents.iter().all(|k| k.contains("/1-0000000000000001/")),
@@ -180,7 +186,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_cannot_be_used_is_never_stored() {
+async fn unusable_document_is_not_stored() {
     let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
@@ -203,7 +209,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn history_is_bounded_and_documents_beyond_it_are_deleted() {
+async fn history_is_bounded_and_older_documents_are_deleted() {
     let (client, base) = (FaultyStateService::new(), base());
     let store = ConfigStore {
         client: &client,
