--- a/src/emulators.rs
+++ b/src/emulators.rs
@@ -1,7 +1,7 @@
 //! The models of [`gannethub_emulators`] behind loopback sockets, for `gannethub dev` and the scale run.
 //!
-//! The models themselves have no sockets. One task owns them and works through a queue of commands; [`serve`] turns HTTP
-//! requests into such commands.
+//! The models themselves have no sockets. One task owns the models and works through a queue of commands, and
+//! [`serve`] turns HTTP requests into commands.
 
 use std::net::{Ipv4Addr, TcpListener as StdListener};
 use std::time::Duration;
@@ -18,13 +18,13 @@
 
 use crate::http::{BodyBudget, Connection};
 
-/// After a failed accept the next one is tried after this time.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A request to an emulated service, and where its response goes.
+/// A request to an emulated service, with the channel of its response.
 pub struct EmulatorRequest {
     pub method: Method,
-    /// With its query, if it has one.
+    /// Path, including the query if the request has one.
     pub path: String,
     pub body: Bytes,
     pub reply: oneshot::Sender<EmulatorResponse>,
@@ -37,14 +37,14 @@
 }
 
 impl EmulatorRequest {
-    /// Answers the request. If the client has gone away the response is dropped.
+    /// Answers the request. If the client has disconnected, the response is dropped.
     pub fn answer(self, status: u16, body: Value) {
         let _ = self.reply.send(EmulatorResponse { status, body });
     }
 }
 
-/// Serves an emulated service until the process ends: `to_command` turns each request into a command for the owner of
-/// the models. A request reaches the owner `delay` after it has arrived.
+/// Serves an emulated service until the process ends. `to_command` turns each request into a command for the task that
+/// owns the models. Each request reaches that task with the given `delay`.
 pub async fn serve<C: 'static>(
     listener: TcpListener,
     queue: mpsc::Sender<C>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Answers the requests of one connection, one after the other.
+/// Answers the requests of one connection in order, one at a time.
 async fn serve_connection<C: 'static>(
     mut connection: Connection,
     queue: mpsc::Sender<C>,
@@ -99,13 +99,13 @@
     }
 }
 
-/// A watch that waits for a change.
+/// A pending watch request, which waits for a change.
 struct Watch {
-    /// Changes of keys with this prefix end it,
+    /// Prefix of the watched keys. A change of such a key ends the watch.
     prefix: String,
-    /// if they come after this revision.
+    /// Revision of the state service after which changes count.
     after: u64,
-    /// It ends without a change at this time.
+    /// Time, in microseconds, at which the watch ends without a change.
     until: u64,
     request: EmulatorRequest,
 }
@@ -117,7 +117,7 @@
 }
 
 impl StateService {
-    /// A service with this state and no watches.
+    /// Creates a service with this state and no watches.
     pub fn new(state: State) -> StateService {
         StateService {
             state,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Answers a request, or keeps a watch until there is a change or its time is over.
+    /// Answers a request, or keeps a watch until a change arrives or the watch's time is over.
     pub fn handle(&mut self, request: EmulatorRequest, now: u64) {
         let method = request.method.as_str();
         match self.state.handle(method, &request.path, &request.body, now) {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Ends store leases that have run out, and answers watches that have a change to tell or are over. While the
-    /// service is down no watch is answered.
+    /// Ends expired store leases, and answers watches that have a change or whose time is over. While the service is
+    /// down, no watch is answered.
     pub fn tick(&mut self, now: u64) {
         self.state.tick(now);
         if self.state.down {
@@ -160,9 +160,9 @@
     }
 }
 
-/// Finds loopback ports that nobody uses now. Another process may take one before it is bound again.
+/// Finds unused loopback ports. Another process may take one of them before the caller binds it.
 pub fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    // All are held at once, so that none is found twice.
+    // All ports are held at the same time, so that no port is found twice.
     let listeners = (0..count)
         .map(|_| StdListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect::<Result<Vec<_>, _>>()?;
--- a/src/files.rs
+++ b/src/files.rs
@@ -1,4 +1,4 @@
-//! The files that operators write: settings, policies, and the ledger's settings and keys.
+//! Reads the files that operators write (settings, policies, ledger settings) and reads and writes ledger key files.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -11,23 +11,23 @@
 use gannethub_ledger::KeyRing;
 use gannethub_ledger::chain::KeyError;
 
-/// The permissions of a new key file: its owner alone may read and write it.
+/// Permissions of a new key file: only the owner may read and write the file.
 const KEY_FILE_MODE: u32 = 0o600;
-/// Any of these permissions opens a key file to other users.
+/// Permission bits that give users other than the owner access to a key file.
 const OTHER_USERS_MODE: u32 = 0o077;
 const SECRET_BYTES: usize = 32;
 
-/// Why a file cannot be used. The messages name the file.
+/// Errors of reading and writing files. The messages name the file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    #[error("{file}: cannot be read: {source}")]
+    #[error("cannot access {file}: {source}")]
     Unreadable { file: PathBuf, source: io::Error },
     #[error("{file}: {source}")]
     InvalidPolicy { file: PathBuf, source: PolicyError },
     #[error("{file}: {source}")]
     InvalidKeys { file: PathBuf, source: KeyError },
-    /// No random bytes were to be had for a new key.
-    #[error("{file}: {source}")]
+    /// The operating system provided no random bytes for a new key.
+    #[error("{file}: cannot generate a key: {source}")]
     NoRandomness {
         file: PathBuf,
         source: getrandom::Error,
@@ -36,13 +36,13 @@
     InvalidSettings(#[from] SettingsError),
     #[error("{0}")]
     InvalidLedgerSettings(#[from] gannethub_ledger::settings::SettingsError),
-    /// Other users than the owner of a key file may read it.
-    #[error("{0}: others can read it; chmod 600 it")]
+    /// Users other than the owner of a key file may access it.
+    #[error("{0}: other users have access to this key file; run chmod 600 on it")]
     KeysExposed(PathBuf),
 }
 
 impl FileError {
-    /// The error of reading, or of writing, this file.
+    /// Returns a function that turns an I/O error of reading or writing this file into a [`FileError`].
     pub fn unreadable(file: &Path) -> impl Fn(io::Error) -> FileError {
         move |source| FileError::Unreadable {
             file: file.into(),
@@ -51,12 +51,11 @@
     }
 }
 
-/// Reads a text file.
 pub fn read_text(file: &Path) -> Result<String, FileError> {
     fs::read_to_string(file).map_err(FileError::unreadable(file))
 }
 
-/// Reads and checks an operators' policy.
+/// Reads and checks an operator policy.
 pub fn read_policy(file: &Path) -> Result<Policy, FileError> {
     Policy::parse(&read_text(file)?).map_err(|source| FileError::InvalidPolicy {
         file: file.into(),
@@ -64,13 +63,13 @@
     })
 }
 
-/// Reads and checks the platform's settings. Also returns warnings about what is odd but usable in them.
+/// Reads and checks the platform's settings. Also returns warnings about settings that are unusual but usable.
 pub fn read_settings(file: &Path) -> Result<(Settings, Vec<String>), FileError> {
     let text = read_text(file)?;
     Ok(Settings::parse(&text, &file.display().to_string())?)
 }
 
-/// Reads and checks the ledger's settings and the keys that they name.
+/// Reads and checks the ledger settings and the key file that they name.
 pub fn read_ledger_setup(file: &Path, platform: &Settings) -> Result<LedgerSetup, FileError> {
     let text = read_text(file)?;
     let name = file.display().to_string();
@@ -82,7 +81,7 @@
     })
 }
 
-/// Reads a key file. One that other users can read is refused.
+/// Reads a key file. A file that other users can access is refused.
 pub fn read_keys(file: &Path) -> Result<KeyRing, FileError> {
     let text = read_text(file)?;
     let metadata = fs::metadata(file).map_err(FileError::unreadable(file))?;
@@ -95,8 +94,8 @@
     })
 }
 
-/// Adds a new key to a key file, or makes the file. A file that is there already stays as it is unless `rotate` says
-/// that new pages of the ledger are to use another key. Returns the newest key's id.
+/// Adds a new key to a key file, or creates the file. An existing file stays unchanged unless `rotate` asks for
+/// another key for new pages of the ledger. Returns the id of the newest key.
 pub fn make_key(file: &Path, rotate: bool) -> Result<String, FileError> {
     let existing = if file.exists() {
         Some(read_keys(file)?)
@@ -116,7 +115,7 @@
     Ok(id)
 }
 
-/// The first of `k1`, `k2` and so on that no key has.
+/// Returns the first id of the sequence `k1`, `k2`, ... that no key has.
 fn unused_key_id(existing: Option<&KeyRing>) -> String {
     let is_used = |id: &str| existing.is_some_and(|keys| keys.get(id).is_some());
     (1..)
--- a/src/files/tests.rs
+++ b/src/files/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn key_files_are_made_rotated_and_refused_when_others_can_read_them() {
+fn key_file_is_created_rotated_and_refused_if_readable_by_others() {
     let directory = std::env::temp_dir().join(format!("gannethub-keys-{}", std::process::id()));
     fs::create_dir_all(&directory).unwrap();
     let file = directory.join("ledger.keys");
@@ -11,7 +11,11 @@
     ));
     assert_eq!(make_key(&file, false).unwrap(), "k1");
     let first = fs::read_to_string(&file).unwrap();
-    assert_eq!(make_key(&file, false).unwrap(), "k1", "it stays as it is");
+    assert_eq!(
+        make_key(&file, false).unwrap(),
+        "k1",
+        "an existing key file stays unchanged"
+    );
     assert_eq!(make_key(&file, true).unwrap(), "k2");
     let keys = read_keys(&file).unwrap();
     assert_eq!(keys.ids().collect::<Vec<_>>(), ["k1", "k2"]);
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,8 @@
 //! HTTP/1.1 over TCP: a small server, and a client that keeps its connections open.
 //!
-//! Both take only what the service needs: requests with a `Content-Length` and JSON bodies, and responses with a length,
-//! in chunks or up to the end of the connection. The limits are constants of the two modules.
+//! Server and client support only the parts of HTTP that the service needs: requests with a `Content-Length` and JSON
+//! bodies, and responses with a length, in chunks, or up to the end of the connection. The limits are constants of the
+//! two modules.
 
 mod client;
 mod head;
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: requests to one server over connections that are kept open.
+//! The HTTP client, which sends requests to one server over connections that are kept open.
 
 use std::cell::RefCell;
 use std::io::{Error, ErrorKind};
@@ -13,35 +13,36 @@
 
 use super::head::ResponseHead;
 
-/// The largest response body that is taken; the watches of the state service may answer with much at once.
+/// Maximum size of a response body. The limit is high because one answer to a watch of the state service may hold many
+/// changes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Room that is made for the start of a response.
+/// Initial capacity of the buffer for a response.
 const RESPONSE_BUFFER_BYTES: usize = 2048;
-/// Idle connections beyond these are closed.
+/// Maximum number of idle connections; further ones are closed.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Each chunk is followed by this much: an end of line.
+/// Size of the end of line that follows each chunk.
 const CHUNK_END_BYTES: usize = 2;
-/// `No Content`: a response without a body, whatever its headers say.
+/// Status `No Content`, whose responses have no body regardless of their headers.
 const NO_CONTENT: u16 = 204;
 
-/// The status of a server that limits the rate of requests.
+/// Status of a request that exceeds the server's rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// How long [`ask_any`] waits for each answer.
+/// Maximum time that [`ask_any`] waits for each answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(5);
-/// For how long [`ask_any`] repeats its request.
+/// Time for which [`ask_any`] repeats the request.
 const ASK_PERIOD: Duration = Duration::from_secs(60);
-/// How long [`ask_any`] waits between two requests.
+/// Delay of [`ask_any`] between two requests.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The client's connections to one server.
+/// A client of one server, with the connections to that server.
 pub struct Client {
     addr: SocketAddrV4,
     idle: RefCell<Vec<TcpStream>>,
 }
 
 impl Client {
-    /// A client of the server at this address. Nothing is connected before the first call.
+    /// Creates a client of the server at this address. The first connection is opened by the first call.
     pub fn new(addr: SocketAddrV4) -> Client {
         Client {
             addr,
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Sends one request and waits for its answer. It is never repeated here: the server may have carried it out.
+    /// Sends one request and waits for its answer. The client never repeats a request, because the server may have
+    /// carried it out already.
     pub async fn call(
         &self,
         method: Method,
@@ -76,12 +78,12 @@
         stream.write_all(&bytes).await?;
         let response = read_response(&mut stream).await?;
         if !response.closes_connection {
-            self.keep(stream);
+            self.keep_idle(stream);
         }
         Ok(response.answer)
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     async fn connection(&self) -> std::io::Result<TcpStream> {
         let idle = self.idle.borrow_mut().pop();
         if let Some(stream) = idle.filter(is_open) {
@@ -92,7 +94,7 @@
         Ok(stream)
     }
 
-    fn keep(&self, stream: TcpStream) {
+    fn keep_idle(&self, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(stream);
@@ -100,26 +102,28 @@
     }
 }
 
-/// Whether the server has left an idle connection open. One that it has closed must not cost the next request.
+/// Whether an idle connection is still open at the server. A connection that the server has closed must not make the
+/// next request fail.
 fn is_open(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(stream.try_read(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// No server gave an answer that asking again would not change.
+/// No server gave a final answer, which is one that sending the request again would not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no server gave a final answer; the last status was {last_status:?}")]
 pub struct NoFinalAnswer {
-    /// The last status that came, if one did.
+    /// Status of the last answer, if any answer came.
     pub last_status: Option<u16>,
 }
 
-/// Whether sending the request again would not change the answer: it is neither a server error nor "too many requests".
+/// Whether an answer is final, which means that sending the request again would not change it. Server errors and "too
+/// many requests" are not final.
 pub fn is_final(answer: &Answer) -> bool {
     answer.status < 500 && answer.status != TOO_MANY_REQUESTS
 }
 
-/// Asks servers in turn, once a second for a minute, until one gives a final answer.
+/// Sends a request to the servers in turn, once a second for a minute, until one server gives a final answer.
 pub async fn ask_any(
     clients: &[Client],
     method: Method,
@@ -142,7 +146,7 @@
     Err(NoFinalAnswer { last_status })
 }
 
-/// A response, and whether the connection can be used again.
+/// A response, and whether the server closes the connection after it.
 struct ReceivedResponse {
     answer: Answer,
     closes_connection: bool,
@@ -175,7 +179,7 @@
     })
 }
 
-/// Reads what is there; the end of the connection is an error.
+/// Reads the available bytes. The end of the connection is an error.
 async fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> std::io::Result<()> {
     match stream.read_buf(buffer).await? {
         0 => Err(ErrorKind::UnexpectedEof.into()),
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -1,30 +1,30 @@
-//! The heads of requests and responses.
+//! Parses the heads of requests and responses.
 
 use bytes::Bytes;
 use gannethub_core::http::{Method, Request};
 
-/// A head that is longer is refused.
+/// Maximum length of a head in bytes. A head that is still incomplete beyond this length is refused.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// A head with more headers is refused.
+/// Maximum number of headers; a head with more headers is refused.
 const MAX_HEADERS: usize = 48;
 
-/// Why a head cannot be used.
+/// Errors of a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum HeadError {
     #[error("the head is too large")]
     TooLarge,
     #[error("too many headers")]
     TooManyHeaders,
-    #[error("not an HTTP request")]
+    #[error("malformed HTTP head")]
     Malformed,
     #[error("content-length is invalid")]
     InvalidLength,
-    #[error("a content-length is needed")]
+    #[error("content-length is required")]
     LengthRequired,
 }
 
 impl HeadError {
-    /// The status that a request with such a head is answered with.
+    /// Returns the status of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             HeadError::TooLarge | HeadError::TooManyHeaders => 431,
@@ -34,23 +34,24 @@
     }
 }
 
-/// The head of a request, once all of it is there.
+/// The complete head of a request.
 pub(super) struct RequestHead {
-    /// How many bytes the head takes; the body begins after them.
+    /// Length of the head in bytes; the body begins after the head.
     pub head_bytes: usize,
-    /// The request, with an empty body.
+    /// The request with an empty body.
     pub request: Request,
     pub body_bytes: usize,
 }
 
 impl RequestHead {
-    /// Reads the head at the start of a buffer; `None` if it needs more bytes.
+    /// Parses the head at the start of a buffer; `None` if more bytes are needed.
     ///
-    /// Not a part of the code that waits for these bytes, so that no connection that waits holds the table of headers.
+    /// This function is separate from the code that waits for the bytes, so that a waiting connection does not hold
+    /// the table of headers in its task.
     pub fn parse(buffer: &[u8]) -> Result<Option<RequestHead>, HeadError> {
         let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut table);
-        let Some(head_bytes) = complete_length(parsed.parse(buffer), buffer.len())? else {
+        let Some(head_bytes) = head_length(parsed.parse(buffer), buffer.len())? else {
             return Ok(None);
         };
         let framing = Framing::of(parsed.headers);
@@ -75,20 +76,20 @@
     }
 }
 
-/// The head of a response, once all of it is there.
+/// The complete head of a response.
 pub(super) struct ResponseHead {
-    /// How many bytes the head takes; the body begins after them.
+    /// Length of the head in bytes; the body begins after the head.
     pub head_bytes: usize,
     pub status: u16,
     pub framing: Framing,
 }
 
 impl ResponseHead {
-    /// Reads the head at the start of a buffer; `None` if it needs more bytes.
+    /// Parses the head at the start of a buffer; `None` if more bytes are needed.
     pub fn parse(buffer: &[u8]) -> Result<Option<ResponseHead>, HeadError> {
         let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut table);
-        let Some(head_bytes) = complete_length(parsed.parse(buffer), buffer.len())? else {
+        let Some(head_bytes) = head_length(parsed.parse(buffer), buffer.len())? else {
             return Ok(None);
         };
         Ok(Some(ResponseHead {
@@ -99,8 +100,8 @@
     }
 }
 
-/// How long a parsed head is; `None` if more bytes are needed and may still come.
-fn complete_length(
+/// Returns the length of a parsed head; `None` if more bytes are needed and the head is not too large yet.
+fn head_length(
     parsed: httparse::Result<usize>,
     buffered: usize,
 ) -> Result<Option<usize>, HeadError> {
@@ -113,14 +114,14 @@
     }
 }
 
-/// What the headers say of the body and of the connection.
+/// The information in the headers about the body and the connection.
 #[derive(Default)]
 pub(super) struct Framing {
     pub content_length: Option<usize>,
     pub is_chunked: bool,
-    /// The sender closes the connection after this message.
+    /// Whether the sender closes the connection after this message.
     pub closes_connection: bool,
-    /// A `Content-Length` is no number, or two of them differ.
+    /// Whether a `Content-Length` is not a number, or two of them differ.
     pub is_length_invalid: bool,
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of a connection.
+//! The server side of an HTTP connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,38 +12,39 @@
 
 use super::head::{HeadError, RequestHead};
 
-/// The largest request body that is taken.
+/// Maximum size of a request body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bodies up to this size are not counted in the [`BodyBudget`]: heartbeats, queries and most submissions.
+/// Maximum size of a body that is not counted in the [`BodyBudget`]. Heartbeats, queries and most submissions are this
+/// small.
 pub(super) const SMALL_BODY_BYTES: usize = 8 * 1024;
-/// Room that is made for each read.
+/// Buffer space reserved for each read.
 const READ_BYTES: usize = 4096;
-/// A connection on which no request begins for this long is closed.
+/// Time after which a connection without a new request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// A request has to be read, and a response written, within this time.
+/// Maximum time to read a request, and to write a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(8);
-/// `Retry-After`, in seconds, of requests that are refused because the server is busy.
+/// `Retry-After`, in seconds, of the response to a request that is refused because the server is busy.
 const BUSY_RETRY_AFTER: u32 = 1;
-/// Room for the status line and the headers of a response.
+/// Buffer space for the status line and the headers of a response.
 const RESPONSE_HEAD_BYTES: usize = 160;
-/// After a refusal this many reads of input are thrown away, each within [`DISCARD_TIMEOUT`].
-const DISCARDED_READS: usize = 64;
+/// Maximum number of reads whose input is discarded after a refusal. Each read has the time limit [`DISCARD_TIMEOUT`].
+const MAX_DISCARDED_READS: usize = 64;
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How many bytes of large request bodies a server holds at once, on all connections together. As many connections as
-/// there are sockets, each with the largest body, would be more than the memory of a small machine. A clone shares the
-/// budget.
+/// The number of bytes of large request bodies that a server holds at once, over all connections. If every socket had
+/// a connection with a body of the maximum size, the bodies would exceed the memory of a small machine. Clones share
+/// one budget.
 #[derive(Clone)]
 pub struct BodyBudget(Arc<Semaphore>);
 
 impl BodyBudget {
-    /// A budget of this many bytes, and of one body at least.
+    /// Creates a budget of this many bytes, but at least [`MAX_BODY_BYTES`], which is one body.
     pub fn new(bytes: usize) -> BodyBudget {
         let bytes = bytes.clamp(MAX_BODY_BYTES, u32::MAX as usize);
         BodyBudget(Arc::new(Semaphore::new(bytes)))
     }
 
-    /// Takes the bytes of a body out of the budget until the permit is dropped. Small bodies need no permit.
+    /// Reserves the bytes of a body in the budget until the returned permit is dropped. Small bodies need no permit.
     fn reserve(&self, bytes: usize) -> Result<Option<OwnedSemaphorePermit>, ReadError> {
         if bytes <= SMALL_BODY_BYTES {
             return Ok(None);
@@ -56,7 +57,7 @@
     }
 }
 
-/// Why no request could be read. All but [`ReadError::Closed`] are answered before the connection is closed.
+/// Errors of reading a request. All errors except [`ReadError::Closed`] are answered before the connection is closed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
     #[error("the connection is closed")]
@@ -67,12 +68,12 @@
     BodyTooLarge,
     #[error("too many large requests at once")]
     BudgetExhausted,
-    #[error("the request came too slowly")]
+    #[error("the request took too long to arrive")]
     TooSlow,
 }
 
 impl ReadError {
-    /// The response to a request that could not be read; `None` where nobody is left to read one.
+    /// Returns the response to a request that could not be read; `None` if the client has closed the connection.
     pub fn response(&self) -> Option<Response> {
         let status = match self {
             ReadError::Closed => return None,
@@ -89,17 +90,17 @@
     }
 }
 
-/// The server's side of one connection: requests are read, and answered with [`Connection::write`], one at a time.
+/// The server side of one connection. Requests are read, and answered with [`Connection::write`], one at a time.
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
     body_budget: BodyBudget,
-    /// What the request that is being answered takes of the budget.
+    /// Share of the body budget held by the request that is being answered.
     pub(super) body_permit: Option<OwnedSemaphorePermit>,
 }
 
 impl Connection {
-    /// Takes over an accepted connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream, body_budget: BodyBudget) -> Connection {
         Connection {
             stream,
@@ -109,8 +110,8 @@
         }
     }
 
-    /// The next request; `None` when there will be no more. A request that cannot be read is answered with the reason
-    /// first.
+    /// Returns the next request; `None` after the last one. A request that cannot be read is answered with the reason,
+    /// and no further request is read.
     pub async fn next(&mut self) -> Option<Request> {
         match self.read().await {
             Ok(request) => Some(request),
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Waits for a request and reads it. Idle and slow clients are given up.
+    /// Waits for a request and reads it. Returns an error for idle and slow clients.
     pub(super) async fn read(&mut self) -> Result<Request, ReadError> {
         if self.buffer.is_empty() {
             match timeout(IDLE_TIMEOUT, self.read_first_bytes()).await {
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Reads the first bytes of a request. Until they come the connection holds no buffer for them: most connections are
-    /// idle, and there may be as many as sockets.
+    /// Reads the first bytes of a request. The connection holds no read buffer until bytes arrive: most connections
+    /// are idle, and there may be as many connections as sockets.
     async fn read_first_bytes(&mut self) -> Result<(), ReadError> {
         match self.stream.readable().await {
             Ok(()) => self.read_more().await,
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Reads what is there. The buffer has room for a whole heartbeat: a read that fills its room has to be followed by
-    /// another.
+    /// Reads the available bytes. The reserved space is enough for a whole heartbeat, because a read that fills its
+    /// space has to be followed by another read.
     async fn read_more(&mut self) -> Result<(), ReadError> {
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(&mut self.buffer).await {
@@ -176,13 +177,13 @@
         let mut request = head.request;
         request.body = self.buffer.split_to(head.body_bytes).freeze();
         if self.buffer.is_empty() {
-            // Keeps an idle connection from holding the room of its largest request.
+            // An idle connection must not keep the buffer capacity of its largest request.
             self.buffer = BytesMut::new();
         }
         Ok(request)
     }
 
-    /// Writes the response to the request that was read last; `close` tells the client that it is the last one.
+    /// Writes the response to the most recently read request. `close` tells the client that no response will follow.
     pub async fn write(&mut self, response: &Response, close: bool) -> std::io::Result<()> {
         let bytes = encode(response, close)?;
         self.body_permit = None;
@@ -192,16 +193,18 @@
         }
     }
 
-    /// Answers a request that could not be read, and lets the client see the response before the connection is closed.
+    /// Answers a request that could not be read, and gives the client time to read the response before the connection
+    /// is closed.
     pub(super) async fn refuse(&mut self, response: &Response) {
         if self.write(response, true).await.is_err() {
             return;
         }
         let _ = self.stream.shutdown().await;
-        // Unread input would turn the close into a reset that destroys the response.
-        // On the heap: as a part of every connection's task it would be most of what an idle one holds.
+        // Unread input would turn the close into a reset that destroys the response, so input is read and discarded.
+        // The buffer is on the heap: inside the task of every connection it would be most of the memory that an idle
+        // connection holds.
         let mut discarded = vec![0u8; READ_BYTES];
-        for _ in 0..DISCARDED_READS {
+        for _ in 0..MAX_DISCARDED_READS {
             match timeout(DISCARD_TIMEOUT, self.stream.read(&mut discarded)).await {
                 Ok(Ok(count)) if count > 0 => {}
                 _ => break,
@@ -210,7 +213,7 @@
     }
 }
 
-/// The bytes of a response.
+/// Encodes a response for the wire.
 fn encode(response: &Response, close: bool) -> std::io::Result<Vec<u8>> {
     use std::io::Write;
     let mut bytes = Vec::with_capacity(RESPONSE_HEAD_BYTES + response.body.len());
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -18,7 +18,7 @@
     (listener, addr)
 }
 
-/// Serves one connection: each response tells what was read of its request.
+/// Serves one connection. Each response holds the method, the path and the body length of its request.
 async fn echo_requests(listener: &TcpListener) {
     let (stream, _) = listener.accept().await.unwrap();
     let mut connection = Connection::new(stream, BodyBudget::new(0));
@@ -33,7 +33,7 @@
     }
 }
 
-/// Sends these bytes over a connection of their own; returns all that comes back.
+/// Sends these bytes over a new connection and returns everything that the server sends back.
 async fn response_to(bytes: &[u8]) -> String {
     let (listener, addr) = listen().await;
     let ask = async {
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn valid_and_invalid_requests_are_answered() {
+async fn requests_get_the_expected_status() {
     let two = b"GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz";
     let text = response_to(two).await;
     assert!(
@@ -87,7 +87,7 @@
     assert!(text.starts_with("HTTP/1.1 431"));
 }
 
-/// The head of a request, and this much of its body.
+/// Returns the head of a POST request, followed by the first `sent` bytes of its body.
 fn post(content_length: usize, sent: usize) -> Vec<u8> {
     let mut bytes =
         format!("POST / HTTP/1.1\r\nContent-Length: {content_length}\r\n\r\n").into_bytes();
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn large_bodies_beyond_the_budget_are_refused_at_once_and_small_ones_never() {
+async fn large_body_over_budget_is_refused_and_small_body_is_not() {
     let (listener, addr) = listen().await;
     let body_budget = BodyBudget::new(100_000);
     let connect = async || {
@@ -109,20 +109,20 @@
     let (mut slow_client, mut first) = connect().await;
     let (mut refused_client, mut second) = connect().await;
     let (mut small_client, mut third) = connect().await;
-    // One client sends half of a large body and then nothing for a while.
+    // One client sends half of a large body and then pauses.
     let half = post(LARGE_BODY_BYTES, LARGE_BODY_BYTES / 2);
     slow_client.write_all(&half).await.unwrap();
     let waiting = timeout(Duration::from_millis(50), first.read()).await;
     assert!(
         waiting.is_err() && first.body_permit.is_some(),
-        "it waits for the rest"
+        "the server must wait for the rest of the body"
     );
-    // The next one is told to come back before its body is there.
+    // The next client is told to retry later, before its body has arrived.
     let head = post(LARGE_BODY_BYTES, 0);
     refused_client.write_all(&head).await.unwrap();
     let refusal = second.read().await.unwrap_err();
     assert!(matches!(refusal, ReadError::BudgetExhausted));
-    // The rest of the refused body is read and dropped until the client is through.
+    // The rest of the refused body is read and dropped until the client has finished.
     let response = refusal.response().unwrap();
     let (_, text) = tokio::join!(second.refuse(&response), async {
         let mut text = String::new();
@@ -137,7 +137,7 @@
     let small = post(SMALL_BODY_BYTES, SMALL_BODY_BYTES);
     small_client.write_all(&small).await.unwrap();
     assert_eq!(third.read().await.unwrap().body.len(), SMALL_BODY_BYTES);
-    // A request that is over, answered or not, gives its part of the budget back.
+    // A finished request, answered or not, returns its share of the budget.
     drop(first);
     let (mut client, mut fourth) = connect().await;
     let whole = post(LARGE_BODY_BYTES, LARGE_BODY_BYTES);
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_goes_away_while_idle_is_no_error() {
+async fn disconnect_of_idle_client_reads_as_closed() {
     let (listener, addr) = listen().await;
     let client = TcpStream::connect(addr).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn the_client_reads_plain_and_chunked_answers_and_reuses_its_connection() {
+async fn client_reads_chunked_answer_and_reuses_its_connection() {
     let (listener, addr) = listen().await;
     let serve = async {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn responses_have_this_form_on_the_wire() {
+async fn response_wire_format() {
     let (listener, addr) = listen().await;
     let write = async {
         let (stream, _) = listener.accept().await.unwrap();
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test]
-async fn requests_have_this_form_on_the_wire() {
+async fn request_wire_format() {
     let (listener, addr) = listen().await;
     let expected =
         format!("POST /commands HTTP/1.1\r\nHost: {addr}\r\nContent-Length: 2\r\n\r\n{{}}");
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,7 +1,8 @@
 //! The connections between controllers.
 //!
-//! Each controller connects to each of its peers and only writes to that connection; what it reads comes over the
-//! connections that it accepts. Messages may be lost: the protocol above repeats what matters.
+//! Each controller opens a connection to each of its peers and only writes to that connection. It receives messages
+//! only over the connections that it accepts. Messages may be lost: the protocol that uses these connections repeats
+//! important messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,26 +18,26 @@
 use gannethub_core::controller::Command;
 use gannethub_core::wire::peer::{Body, Envelope, decode_frame, encode_frame};
 
-/// Up to this many messages are written at once.
+/// Maximum number of messages in one write.
 const WRITE_BATCH_SIZE: usize = 64;
-/// Messages that wait to be written to a peer; more are dropped.
+/// Maximum number of messages that wait to be written to a peer; further messages are dropped.
 const OUTGOING_QUEUE_CAPACITY: usize = 256;
-/// Connections of peers that are served at once.
+/// Maximum number of concurrent connections from peers.
 const MAX_INCOMING_CONNECTIONS: usize = 32;
-/// After a failed accept the next one is tried after this time.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Room that is made for each read.
+/// Buffer space reserved for each read.
 const READ_BYTES: usize = 16 * 1024;
-/// A connection on which nothing comes for this long is closed: peers send heartbeats far more often.
+/// Time after which a connection without incoming data is closed. Peers send heartbeats far more often.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long connecting to a peer may take.
+/// Time limit of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// After a failed connect the next one is tried after this time.
+/// Delay before the next connect after a failed one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// A peer that does not take a batch within this time is connected to anew.
+/// Time limit of writing a batch; when it is exceeded, a new connection to the peer is opened.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Accepts the connections of peers and hands their messages to the controller, until the process ends.
+/// Accepts the connections of peers and passes their messages to the controller, until the process ends.
 pub async fn accept(listener: TcpListener, queue: mpsc::Sender<Command>) {
     let slots = Arc::new(Semaphore::new(MAX_INCOMING_CONNECTIONS));
     loop {
@@ -55,7 +56,8 @@
     }
 }
 
-/// Reads the messages of one connection until it ends, is idle for too long, or carries something else.
+/// Reads the messages of one connection until the connection ends, is idle for too long, or carries a malformed
+/// message.
 async fn receive_messages(mut stream: TcpStream, queue: mpsc::Sender<Command>) {
     let mut buffer = BytesMut::new();
     loop {
@@ -68,11 +70,11 @@
             }
             Ok(None) => {}
             Err(error) => {
-                tracing::info!(%error, "malformed message from a peer; closing");
+                tracing::info!(%error, "malformed message from a peer; closing the connection");
                 return;
             }
         }
-        // Decoded messages share the memory of the buffer, which leaves little of it for the next read.
+        // Decoded messages share the memory of the buffer, so little free space may be left for the next read.
         buffer.reserve(READ_BYTES);
         match timeout(READ_TIMEOUT, stream.read_buf(&mut buffer)).await {
             Ok(Ok(count)) if count > 0 => {}
@@ -81,15 +83,16 @@
     }
 }
 
-/// Keeps a connection to a peer; messages that cannot be sent are dropped. Relayed heartbeats are sent together, at most
-/// once a `relay_window`. The connection ends when the returned sender is dropped.
+/// Keeps a connection to a peer open and returns the sender of its messages. Messages that cannot be sent are
+/// dropped. Relayed heartbeats are sent together, at most once per `relay_window`. The connection ends when the
+/// returned sender is dropped.
 pub fn connect(addr: SocketAddr, relay_window: Duration) -> mpsc::Sender<Envelope> {
     let (sender, messages) = mpsc::channel(OUTGOING_QUEUE_CAPACITY);
     spawn_local(send_messages(addr, relay_window, messages));
     sender
 }
 
-/// Connects, again whenever the connection breaks, and writes the messages until nobody can send any more.
+/// Connects to a peer, reconnects whenever the connection breaks, and writes the messages until the sender is dropped.
 async fn send_messages(
     addr: SocketAddr,
     relay_window: Duration,
@@ -100,14 +103,14 @@
     loop {
         let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await else {
             sleep(RECONNECT_DELAY).await;
-            // By the time of the next connect these would be outdated.
+            // The queued messages would be outdated by the time of the next connect.
             while messages.try_recv().is_ok() {}
             continue;
         };
         let _ = stream.set_nodelay(true);
         let mut relay_at = Instant::now();
         loop {
-            if !collect(&mut messages, &mut batch, relay_at).await {
+            if !collect_batch(&mut messages, &mut batch, relay_at).await {
                 return;
             }
             relay_at = Instant::now() + relay_window;
@@ -123,13 +126,14 @@
     }
 }
 
-/// Collects the messages that are to be written next: relayed heartbeats wait for others until `relay_at`, unless a
-/// message of another kind comes, or a whole batch has come. False: there will be no more messages.
+/// Collects the messages for the next write. Relayed heartbeats wait for further ones until `relay_at`, unless a
+/// message of another kind arrives or the batch is full. Returns false if there will be no more messages.
 ///
-/// Each message that is written alone costs a packet and a poll of the socket at both ends, and each answer the same on
-/// its way back. The worker does not notice: its next heartbeat is due after a time many times as long, and its lease
-/// counts from when it *sent* the heartbeat, so a heartbeat that waits is only ever taken for younger than it is.
-async fn collect(
+/// A message that is written alone costs a packet and a poll of the socket at both ends, and so does its answer. The
+/// delay does not affect the worker: the interval to its next heartbeat is many times as long, and its lease counts
+/// from the time at which the worker *sent* the heartbeat, so a delayed heartbeat can only be taken for younger than
+/// it is.
+async fn collect_batch(
     messages: &mut mpsc::Receiver<Envelope>,
     batch: &mut Vec<Envelope>,
     relay_at: Instant,
@@ -139,7 +143,7 @@
         match timeout_at(relay_at, messages.recv_many(batch, WRITE_BATCH_SIZE)).await {
             Ok(0) => return false,
             Ok(_) => {}
-            // The window is over: whatever comes next is written at once.
+            // The relay window is over: the next message is written at once.
             Err(_) if batch.is_empty() => {
                 return messages.recv_many(batch, WRITE_BATCH_SIZE).await > 0;
             }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// The time of each batch that `collect` gives, in milliseconds, and how many messages are in it.
+/// Returns the time, in milliseconds, and the number of messages of each batch that `collect_batch` returns.
 async fn collected_batches(
     mut messages: mpsc::Receiver<Envelope>,
     relay_window: Duration,
@@ -27,7 +27,7 @@
     let mut batches = Vec::new();
     let mut batch = Vec::new();
     let mut relay_at = start;
-    while collect(&mut messages, &mut batch, relay_at).await {
+    while collect_batch(&mut messages, &mut batch, relay_at).await {
         relay_at = Instant::now() + relay_window;
         let at = start.elapsed().as_millis() as u64;
         batches.push((at, batch.drain(..).count()));
@@ -36,10 +36,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn relayed_heartbeats_are_sent_together_and_nothing_else_waits() {
+async fn relayed_heartbeats_are_batched_and_other_messages_are_not() {
     let (sender, messages) = mpsc::channel(OUTGOING_QUEUE_CAPACITY);
     let send = async move {
-        // A heartbeat is relayed every 5 ms for 100 ms; at 82 ms comes a message of another kind.
+        // A heartbeat is relayed every 5 ms for 100 ms. A message of another kind arrives at 82 ms.
         for i in 0..20u64 {
             sender.send(relayed_heartbeat(i)).await.unwrap();
             sleep(Duration::from_millis(5)).await;
@@ -49,7 +49,7 @@
             }
         }
         sleep(Duration::from_millis(200)).await;
-        // After a pause the first one goes at once. Then as many as are written at once come together.
+        // After a pause the first heartbeat is sent at once. Then a full batch of heartbeats arrives together.
         sender.send(relayed_heartbeat(20)).await.unwrap();
         sleep(Duration::from_millis(1)).await;
         for i in 0..WRITE_BATCH_SIZE as u64 {
--- a/tests/counted.rs
+++ b/tests/counted.rs
@@ -1,4 +1,4 @@
-//! What connections cost, counted by an allocator: the same on every run.
+//! Bounds the memory and the allocations of a connection. A counting allocator makes the figures equal on every run.
 
 use gannethub::http::{BodyBudget, Connection, Response};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -43,41 +43,45 @@
     assert!(answer[..n].starts_with(b"HTTP/1.1 200 OK") && answer[..n].ends_with(&body));
 }
 
-/// Lets what was woken run until nothing is left to do.
-async fn rest() {
+/// Yields until all woken tasks have finished their work.
+async fn run_pending_tasks() {
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
-async fn an_idle_connection_holds_little_and_an_exchange_asks_for_little() {
+async fn idle_memory_and_allocations_per_exchange_are_bounded() {
     let _profiler = dhat::Profiler::builder().testing().build();
-    let listen = async {
+    let measure = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addr = listener.local_addr().expect("it is bound");
+        let addr = listener.local_addr().expect("the listener is bound");
         spawn_local(serve(listener));
         let mut streams = Vec::with_capacity(CONNECTIONS);
         let mut first = TcpStream::connect(addr).await.expect("connected");
         exchange(&mut first).await;
-        rest().await;
+        run_pending_tasks().await;
         let before = dhat::HeapStats::get().curr_bytes;
         for _ in 0..CONNECTIONS {
             let mut stream = TcpStream::connect(addr).await.expect("connected");
             exchange(&mut stream).await;
             streams.push(stream);
         }
-        rest().await;
-        let each = (dhat::HeapStats::get().curr_bytes - before) / CONNECTIONS;
-        // This test's own end of it, the runtime's part of both, and the task that serves it.
-        assert!(each < 1_600, "an idle connection holds {each} bytes");
+        run_pending_tasks().await;
+        let bytes_per_connection = (dhat::HeapStats::get().curr_bytes - before) / CONNECTIONS;
+        // The bytes include the test's own end of the connection, the runtime's part of both ends, and the task that
+        // serves the connection.
+        assert!(
+            bytes_per_connection < 1_600,
+            "an idle connection holds {bytes_per_connection} bytes"
+        );
         let before = dhat::HeapStats::get().total_blocks;
         for stream in &mut streams {
             exchange(stream).await;
         }
         let blocks = (dhat::HeapStats::get().total_blocks - before) / CONNECTIONS as u64;
-        // Three of them are the test's: the head, and head and body together.
+        // Three of the allocations are the test's own: for the head, and for the head and the body together.
         assert!(blocks <= 8, "{blocks} allocations for an exchange");
     };
-    LocalSet::new().run_until(listen).await;
+    LocalSet::new().run_until(measure).await;
 }
