--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -57,7 +57,7 @@
         /// Author of the change; defaults to the user who runs the command
         #[arg(long)]
         by: Option<String>,
-        /// Wait until the version is in force everywhere, and print the time that this took
+        /// Wait until the version is in force everywhere, and print the time needed
         #[arg(long)]
         wait: bool,
     },
--- a/src/config/rollout.rs
+++ b/src/config/rollout.rs
@@ -111,7 +111,7 @@
 }
 
 /// Waits until every controller that is heard from has a version in force and no other controller can act on an older
-/// version. Returns the time that this took.
+/// version. Returns the waiting time.
 pub async fn wait_until_in_force(
     controllers: &[SocketAddrV4],
     version: u64,
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -45,7 +45,7 @@
     #[error("the state service gave no final answer; last status: {last_status:?}")]
     NoFinalAnswer { last_status: Option<u16> },
     #[error("the state service answered {request} with status {status}")]
-    Refused { status: u16, request: String },
+    UnexpectedAnswer { status: u16, request: String },
     /// The value stored under this key is not a valid record.
     #[error("cannot parse the value of {0}: another program changed it")]
     MalformedRecord(&'static str),
@@ -138,7 +138,7 @@
         match self.call(&request).await? {
             answer if answer.is_ok() => Ok(answer.decode()),
             answer if answer.status == 404 => Ok(None),
-            answer => Err(refused(&answer, request.path)),
+            answer => Err(unexpected_answer(&answer, request.path)),
         }
     }
 
@@ -170,14 +170,14 @@
             answer if answer.is_ok() => {
                 let listing: Listing = answer
                     .decode()
-                    .ok_or_else(|| refused(&answer, request.path))?;
+                    .ok_or_else(|| unexpected_answer(&answer, request.path))?;
                 let document = record.assemble(&listing);
                 document.map_err(|source| ConfigError::InvalidDocument {
                     version: record.version,
                     source,
                 })
             }
-            answer => Err(refused(&answer, request.path)),
+            answer => Err(unexpected_answer(&answer, request.path)),
         }
     }
 
@@ -244,7 +244,12 @@
             let request = transaction.to_request();
             match self.call(&request).await? {
                 answer if answer.is_ok() => {}
-                answer => return Err(refused(&answer, "the write of a document part".into())),
+                answer => {
+                    return Err(unexpected_answer(
+                        &answer,
+                        "the write of a document part".into(),
+                    ));
+                }
             }
         }
         Ok(())
@@ -271,7 +276,10 @@
             answer if answer.status == 409 && answer.decode::<Conflict>().is_some() => {
                 self.resolve_conflict(record).await.map(|()| dropped)
             }
-            answer => Err(refused(&answer, "the switch to the new version".into())),
+            answer => Err(unexpected_answer(
+                &answer,
+                "the switch to the new version".into(),
+            )),
         }
     }
 
@@ -318,8 +326,8 @@
     }
 }
 
-fn refused(answer: &Answer, request: String) -> ConfigError {
-    ConfigError::Refused {
+fn unexpected_answer(answer: &Answer, request: String) -> ConfigError {
+    ConfigError::UnexpectedAnswer {
         status: answer.status,
         request,
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -40,7 +40,7 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 /// `Retry-After`, in seconds, of the answer to a request without a reply within [`REPLY_TIMEOUT`].
 const REPLY_RETRY_AFTER: u32 = 2;
-/// Divisor of the controller's memory limit: the budget for large request bodies is one in this many bytes.
+/// Divisor of the controller's memory limit, in bytes, that gives the budget for large request bodies.
 const BODY_BUDGET_DIVISOR: usize = 8;
 /// Maximum number of writes of relayed heartbeats to one peer during one heartbeat interval of the workers.
 const RELAY_WRITES_PER_HEARTBEAT: u64 = 20;
--- a/src/dev/audit.rs
+++ b/src/dev/audit.rs
@@ -14,8 +14,8 @@
 
 /// Maximum error bound, in microseconds, of an attempt whose worker's heartbeats all arrived.
 const MAX_OBSERVED_BOUND: u64 = SECOND * 55 / 100;
-/// Tolerated difference, in microseconds, between a charge and the worker's record beyond the charge's error bound. It
-/// covers the time of messages and of the emulators' own steps.
+/// Tolerated difference, in microseconds, between a charge and the worker's record beyond the charge's error bound.
+/// The tolerance covers the time of messages and of the emulators' own steps.
 const TOLERANCE: u64 = SECOND / 10;
 
 /// The attempts that the ledger charges.
--- a/src/files.rs
+++ b/src/files.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     #[error("cannot access {file}: {source}")]
-    Unreadable { file: PathBuf, source: io::Error },
+    Inaccessible { file: PathBuf, source: io::Error },
     #[error("{file}: {source}")]
     InvalidPolicy { file: PathBuf, source: PolicyError },
     #[error("{file}: {source}")]
@@ -43,8 +43,8 @@
 
 impl FileError {
     /// Returns a function that turns an I/O error of reading or writing this file into a [`FileError`].
-    pub fn unreadable(file: &Path) -> impl Fn(io::Error) -> FileError {
-        move |source| FileError::Unreadable {
+    pub fn inaccessible(file: &Path) -> impl Fn(io::Error) -> FileError {
+        move |source| FileError::Inaccessible {
             file: file.into(),
             source,
         }
@@ -52,7 +52,7 @@
 }
 
 pub fn read_text(file: &Path) -> Result<String, FileError> {
-    fs::read_to_string(file).map_err(FileError::unreadable(file))
+    fs::read_to_string(file).map_err(FileError::inaccessible(file))
 }
 
 /// Reads and checks an operator policy.
@@ -84,7 +84,7 @@
 /// Reads a key file. A file that other users can access is refused.
 pub fn read_keys(file: &Path) -> Result<KeyRing, FileError> {
     let text = read_text(file)?;
-    let metadata = fs::metadata(file).map_err(FileError::unreadable(file))?;
+    let metadata = fs::metadata(file).map_err(FileError::inaccessible(file))?;
     if metadata.permissions().mode() & OTHER_USERS_MODE != 0 {
         return Err(FileError::KeysExposed(file.into()));
     }
@@ -111,7 +111,7 @@
         source,
     })?;
     let id = unused_key_id(existing.as_ref());
-    append(file, &KeyRing::write(&id, &secret)).map_err(FileError::unreadable(file))?;
+    append(file, &KeyRing::write(&id, &secret)).map_err(FileError::inaccessible(file))?;
     Ok(id)
 }
 
--- a/src/files/tests.rs
+++ b/src/files/tests.rs
@@ -7,7 +7,7 @@
     let file = directory.join("ledger.keys");
     assert!(matches!(
         read_keys(&file),
-        Err(FileError::Unreadable { .. })
+        Err(FileError::Inaccessible { .. })
     ));
     assert_eq!(make_key(&file, false).unwrap(), "k1");
     let first = fs::read_to_string(&file).unwrap();
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -8,7 +8,7 @@
 /// Maximum number of headers; a head with more headers is refused.
 const MAX_HEADERS: usize = 48;
 
-/// Errors of a head.
+/// Errors of parsing a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum HeadError {
     #[error("the head is too large")]
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -14,8 +14,8 @@
 
 /// Maximum size of a request body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Maximum size of a body that is not counted in the [`BodyBudget`]. Heartbeats, queries and most submissions are this
-/// small.
+/// Maximum size of a body that is not counted in the [`BodyBudget`]. Heartbeats, queries and most submissions do not
+/// exceed this size.
 pub(super) const SMALL_BODY_BYTES: usize = 8 * 1024;
 /// Buffer space reserved for each read.
 const READ_BYTES: usize = 4096;
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -94,7 +94,7 @@
     #[error("no controller gave a final answer; last status: {}", status_or_none(*.last_status))]
     NoAnswer { last_status: Option<u16> },
     #[error("a controller answered with status {status}: {body}")]
-    Refused { status: u16, body: String },
+    UnexpectedAnswer { status: u16, body: String },
     #[error("cannot parse the answer of a controller: {0}")]
     MalformedAnswer(#[from] serde_json::Error),
     #[error("{0}: the name must end with .parquet or .csv")]
@@ -162,19 +162,19 @@
     reader.run(command, output)
 }
 
-/// The number of a ledger's last line and its tie, which is the line's MAC.
+/// The number and the MAC of a ledger's last line. The command line calls the MAC a tie.
 struct LedgerHead {
     number: u64,
-    tie: LineMac,
+    mac: LineMac,
 }
 
 impl LedgerHead {
     /// Parses a head in the form `NUMBER:TIE` that an earlier check printed.
     fn parse(text: &str) -> Result<LedgerHead, LedgerError> {
-        let (number, tie) = text.split_once(':').ok_or(LedgerError::InvalidHead)?;
+        let (number, mac) = text.split_once(':').ok_or(LedgerError::InvalidHead)?;
         Ok(LedgerHead {
             number: number.parse().map_err(|_| LedgerError::InvalidHead)?,
-            tie: LineMac::parse(tie).ok_or(LedgerError::InvalidHead)?,
+            mac: LineMac::parse(mac).ok_or(LedgerError::InvalidHead)?,
         })
     }
 }
@@ -234,7 +234,7 @@
     /// is still present.
     fn fetch_verified(&self, head: Option<LedgerHead>) -> Result<Verified, LedgerError> {
         let pages = self.fetch()?;
-        let head = head.map(|head| (head.number, head.tie));
+        let head = head.map(|head| (head.number, head.mac));
         let LedgerSetup { settings, keys } = &self.setup;
         Ok(verify(&pages, keys, settings, head)?)
     }
--- a/src/ledger/fetch.rs
+++ b/src/ledger/fetch.rs
@@ -46,7 +46,7 @@
     if answer.status == 404 && body.contains(NO_SUCH_PAGE) {
         return Ok(None);
     }
-    Err(LedgerError::Refused {
+    Err(LedgerError::UnexpectedAnswer {
         status: answer.status,
         body,
     })
