--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -138,7 +138,7 @@
         match self.call(&request).await? {
             answer if answer.is_ok() => Ok(answer.decode()),
             answer if answer.status == 404 => Ok(None),
-            answer => Err(unexpected_answer(&answer, request.path)),
+            answer => Err(unexpected(&answer, request.path)),
         }
     }
 
@@ -170,14 +170,14 @@
             answer if answer.is_ok() => {
                 let listing: Listing = answer
                     .decode()
-                    .ok_or_else(|| unexpected_answer(&answer, request.path))?;
+                    .ok_or_else(|| unexpected(&answer, request.path))?;
                 let document = record.assemble(&listing);
                 document.map_err(|source| ConfigError::InvalidDocument {
                     version: record.version,
                     source,
                 })
             }
-            answer => Err(unexpected_answer(&answer, request.path)),
+            answer => Err(unexpected(&answer, request.path)),
         }
     }
 
@@ -244,12 +244,7 @@
             let request = transaction.to_request();
             match self.call(&request).await? {
                 answer if answer.is_ok() => {}
-                answer => {
-                    return Err(unexpected_answer(
-                        &answer,
-                        "the write of a document part".into(),
-                    ));
-                }
+                answer => return Err(unexpected(&answer, "the write of a document part".into())),
             }
         }
         Ok(())
@@ -276,10 +271,7 @@
             answer if answer.status == 409 && answer.decode::<Conflict>().is_some() => {
                 self.resolve_conflict(record).await.map(|()| dropped)
             }
-            answer => Err(unexpected_answer(
-                &answer,
-                "the switch to the new version".into(),
-            )),
+            answer => Err(unexpected(&answer, "the switch to the new version".into())),
         }
     }
 
@@ -326,7 +318,7 @@
     }
 }
 
-fn unexpected_answer(answer: &Answer, request: String) -> ConfigError {
+fn unexpected(answer: &Answer, request: String) -> ConfigError {
     ConfigError::UnexpectedAnswer {
         status: answer.status,
         request,
