--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -91,7 +91,7 @@
     InvalidHead,
     #[error("--team: unknown team {0:?}")]
     UnknownTeam(String),
-    #[error("no controller gave a final answer; last status: {}", status_or_none(*.last_status))]
+    #[error("no controller gave a final answer; the last one answered: {}", status_or_nothing(*.last_status))]
     NoAnswer { last_status: Option<u16> },
     #[error("a controller answered with status {status}: {body}")]
     UnexpectedAnswer { status: u16, body: String },
@@ -125,8 +125,8 @@
     }
 }
 
-fn status_or_none(status: Option<u16>) -> String {
-    status.map_or("none".into(), |status| status.to_string())
+fn status_or_nothing(status: Option<u16>) -> String {
+    status.map_or("nothing".into(), |status| status.to_string())
 }
 
 /// Runs a command and prints its result to standard output.
