--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -30,8 +30,8 @@
 use serde_json::json;
 
 const STEP: u64 = 50_000;
-const REPORT: u64 = 5 * SECOND;
-const CLOUD: u64 = 300_000;
+const HEARTBEAT_INTERVAL: u64 = 5 * SECOND;
+const CLOUD_DELAY: u64 = 300_000;
 
 #[derive(Parser)]
 struct Options {
@@ -59,7 +59,7 @@
 
 /// Processor time by kind of work, and what was asked of others.
 #[derive(Default)]
-struct Spent {
+struct Costs {
     reports: Duration,
     passes: Duration,
     plans: Duration,
@@ -72,7 +72,7 @@
     machines: usize,
 }
 
-impl Spent {
+impl Costs {
     fn total(&self) -> Duration {
         self.reports + self.passes + self.plans + self.rest
     }
@@ -87,7 +87,7 @@
     out
 }
 
-struct Day {
+struct Simulation {
     view: LeaderView,
     rng: StdRng,
     workers: HashMap<String, Worker>,
@@ -96,11 +96,11 @@
     stock: HashMap<(String, String, bool), usize>,
     calls: Vec<(u64, CloudCall)>,
     next_job: u32,
-    spent: Spent,
+    costs: Costs,
 }
 
-impl Day {
-    fn new(machines: usize) -> Day {
+impl Simulation {
+    fn new(machines: usize) -> Simulation {
         let share = machines as f64 * 7.0;
         let teams = [
             ("red", share * 0.3, share * 0.7),
@@ -118,7 +118,7 @@
                 stock.insert(("large".to_string(), zone.to_string(), spot), machines / 40);
             }
         }
-        Day {
+        Simulation {
             view,
             rng: StdRng::seed_from_u64(1),
             workers: HashMap::new(),
@@ -126,7 +126,7 @@
             stock,
             calls: Vec::new(),
             next_job: 1,
-            spent: Spent::default(),
+            costs: Costs::default(),
         }
     }
 
@@ -148,16 +148,16 @@
         };
         job.spot = true;
         job.image = format!("img-{}", self.rng.random_range(0..20));
-        let Spent {
+        let Costs {
             rest,
             longest: [.., longest],
             ..
-        } = &mut self.spent;
+        } = &mut self.costs;
         let view = &mut self.view;
         timed(rest, longest, || view.submit(&id, job));
     }
 
-    fn report(&mut self, name: &str) {
+    fn send_heartbeat(&mut self, name: &str) {
         let now = self.view.now;
         let Some(w) = self.workers.get_mut(name) else {
             return;
@@ -178,12 +178,12 @@
             });
         let tasks: Vec<_> = tasks.collect();
         let view = &mut self.view;
-        let Spent {
+        let Costs {
             reports,
             longest: [longest, ..],
             started,
             ..
-        } = &mut self.spent;
+        } = &mut self.costs;
         let outcome = timed(reports, longest, || {
             view.send(name, &w.flavor, &w.zone, w.spot, tasks)
         });
@@ -203,11 +203,12 @@
                 }
             }
         }
-        self.due.push(Reverse((now + REPORT, name.to_string())));
+        self.due
+            .push(Reverse((now + HEARTBEAT_INTERVAL, name.to_string())));
     }
 
     /// The cloud answers what was asked some time ago.
-    fn answer(&mut self, call: CloudCall) {
+    fn handle_cloud_call(&mut self, call: CloudCall) {
         let now = self.view.now;
         let body = match &call {
             CloudCall::Provision {
@@ -254,16 +255,16 @@
             Some(body) => (200, body.to_string()),
             None => (503, json!({"error": "no capacity"}).to_string()),
         };
-        let Spent {
+        let Costs {
             rest,
             longest: [.., longest],
             ..
-        } = &mut self.spent;
+        } = &mut self.costs;
         let answer = Ok(Answer::new(status, text));
         timed(rest, longest, || c.apply_cloud_answer(call, &answer, now));
     }
 
-    fn play(&mut self, machines: usize, seconds: u64, load: f64) {
+    fn run(&mut self, machines: usize, seconds: u64, load: f64) {
         // What the machines can do, in thousandths of a CPU; an average job is some 200 CPUs for 30 s.
         let cpus = machines as f64 * 6.8;
         let rate = load * cpus / (0.55 * 320.0 * 32.0 + 0.45 * 2.0 * 30.0 * 32.0);
@@ -280,16 +281,18 @@
             }
             while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
                 if let Some(Reverse((_, name))) = self.due.pop() {
-                    self.report(&name);
+                    self.send_heartbeat(&name);
                 }
             }
             let (ready, waiting) = std::mem::take(&mut self.calls)
                 .into_iter()
                 .partition::<Vec<_>, _>(|(at, _)| *at <= now);
             self.calls = waiting;
-            ready.into_iter().for_each(|(_, call)| self.answer(call));
+            ready
+                .into_iter()
+                .for_each(|(_, call)| self.handle_cloud_call(call));
             let c = &mut self.view.c;
-            let s = &mut self.spent;
+            let s = &mut self.costs;
             timed(&mut s.rest, &mut s.longest[3], || c.tick(now, WALL + now));
             if now >= schedule_at.max(c.passes.next_at)
                 && (c.passes.needed || now >= c.passes.last_at + SECOND)
@@ -304,7 +307,7 @@
                 let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_cloud_calls(now));
                 s.calls += calls.len() as u64;
                 self.calls
-                    .extend(calls.into_iter().map(|call| (now + CLOUD, call)));
+                    .extend(calls.into_iter().map(|call| (now + CLOUD_DELAY, call)));
             }
             if now >= write_at {
                 write_at = now + 100_000;
@@ -318,8 +321,8 @@
                 });
             }
         }
-        self.spent.queue = self.view.c.passes.placement_order.len();
-        self.spent.machines = self.view.c.machines.len();
+        self.costs.queue = self.view.c.passes.placement_order.len();
+        self.costs.machines = self.view.c.machines.len();
     }
 }
 
@@ -329,22 +332,22 @@
         "simulated machines; milliseconds of processor a simulated second, load {}",
         options.load
     );
-    let heads = [
+    let headings = [
         "size", "rented", "queue", "reports", "passes", "plans", "rest", "total", "starts",
     ];
-    let heads = heads
+    let headings = headings
         .into_iter()
         .chain(["changes", "calls"])
         .map(|h| format!("{h:>8}"));
-    println!("{}", heads.collect::<Vec<_>>().join(" "));
+    println!("{}", headings.collect::<Vec<_>>().join(" "));
     let mut first = None;
     for &machines in &options.machines {
-        let mut day = Day::new(machines);
-        day.play(machines, options.seconds, options.load);
-        let s = &day.spent;
+        let mut simulation = Simulation::new(machines);
+        simulation.run(machines, options.seconds, options.load);
+        let s = &simulation.costs;
         assert!(s.started > 0, "nothing was started");
         assert_eq!(
-            day.view.c.index_inconsistencies(),
+            simulation.view.c.index_inconsistencies(),
             Vec::<String>::new(),
             "the index of room is wrong"
         );
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -19,7 +19,7 @@
 const SIZES: [usize; 3] = [1000, 3000, 10_000];
 
 /// A full cluster with a queue to match.
-fn crowded(machines: usize) -> LeaderView {
+fn full_cluster(machines: usize) -> LeaderView {
     let cpus = machines as f64 * 6.8;
     let teams = [
         ("red", cpus * 0.5, cpus * 4.0),
@@ -56,7 +56,7 @@
     let mut group = c.benchmark_group("decide");
     group.sample_size(20);
     for machines in SIZES {
-        let mut f = crowded(machines);
+        let mut f = full_cluster(machines);
         group.bench_with_input(BenchmarkId::new("pass", machines), &machines, |b, _| {
             b.iter(|| {
                 f.now += 100_000;
@@ -67,7 +67,7 @@
             b.iter(|| black_box(f.c.machines_wanted(f.now)));
         });
         // One task ends at each report, and another takes its place; passes are kept apart from it.
-        let f = RefCell::new(crowded(machines));
+        let f = RefCell::new(full_cluster(machines));
         let names: Vec<String> = (0..machines * 9 / 10)
             .map(|i| format!("small-{i:04}"))
             .collect();
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -13,7 +13,7 @@
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
 /// A heartbeat with four tasks, as a worker's bytes.
-fn bytes(machine: &str, seq: u64, tasks: &[(String, u64)]) -> String {
+fn heartbeat_json(machine: &str, seq: u64, tasks: &[(String, u64)]) -> String {
     let pieces: Vec<String> = tasks
         .iter()
         .map(|(t, a)| format!("{{\"piece\":\"{t}\",\"try_no\":{a},\"status\":\"running\"}}"))
@@ -39,10 +39,12 @@
         .collect();
     assert_eq!(tasks.len(), 4);
     f.run_all();
-    let texts: Vec<String> = (0..50).map(|i| bytes(&machine, 100 + i, &tasks)).collect();
+    let texts: Vec<String> = (0..50)
+        .map(|i| heartbeat_json(&machine, 100 + i, &tasks))
+        .collect();
     let _profiler = dhat::Profiler::builder().testing().build();
     let mut parsing = 0;
-    let mut taking = 0;
+    let mut applying = 0;
     for (i, text) in texts.iter().enumerate() {
         f.now += SECOND / 10;
         let before = dhat::HeapStats::get().total_blocks;
@@ -54,10 +56,10 @@
         // The first one differs from what `run_all` showed only in its number.
         if i > 0 {
             parsing += parsed - before;
-            taking += done - parsed;
+            applying += done - parsed;
         }
     }
-    assert_eq!(taking, 0, "allocations for 49 reports that hold no news");
+    assert_eq!(applying, 0, "allocations for 49 reports that hold no news");
     assert_eq!(
         parsing, 49,
         "the list of tasks is the only thing that is kept of the bytes"
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -1,4 +1,4 @@
-//! Which module may import which: a folder imports only those below it, and no files import each other in a circle.
+//! Which module may import which: a folder imports only those below it, and no files import each other in a cycle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 type Imports = BTreeMap<ModulePath, BTreeSet<ModulePath>>;
 
 /// Folders of the core that a file names in a path.
-fn named(text: &str) -> impl Iterator<Item = &str> {
+fn named_layers(text: &str) -> impl Iterator<Item = &str> {
     text.split("crate::").skip(1).filter_map(|rest| {
         let end = rest
             .find(|c: char| !c.is_ascii_lowercase())
@@ -180,7 +180,7 @@
 
 /// What is left of the imports when files that import none of the others, or that none of the others imports, are taken
 /// away until nothing changes: the circles, and what connects them.
-fn in_circles(mut imports: Imports) -> Imports {
+fn cyclic_imports(mut imports: Imports) -> Imports {
     loop {
         let before = imports.len();
         let importing: BTreeSet<ModulePath> = imports.keys().cloned().collect();
@@ -204,7 +204,7 @@
         for path in source_files(&src.join(layer)) {
             let text = std::fs::read_to_string(&path).expect("it is text");
             read += 1;
-            let above = named(&text).filter(|other| rank(other) > rank(layer));
+            let above = named_layers(&text).filter(|other| rank(other) > rank(layer));
             upward.extend(above.map(|other| format!("{} names {other}", path.display())));
         }
     }
@@ -225,7 +225,9 @@
         for path in paths {
             let text = std::fs::read_to_string(&path).expect("a module");
             read += 1;
-            upward.extend(named(&text).map(|other| format!("{} names {other}", path.display())));
+            upward.extend(
+                named_layers(&text).map(|other| format!("{} names {other}", path.display())),
+            );
         }
     }
     assert!(read > 25, "{read} files");
@@ -238,7 +240,7 @@
     let edges: usize = imports.values().map(BTreeSet::len).sum();
     assert!(imports.len() > 100, "{} files", imports.len());
     assert!(edges > 300, "{edges} imports");
-    assert_eq!(in_circles(imports), Imports::new());
+    assert_eq!(cyclic_imports(imports), Imports::new());
 }
 
 #[test]
@@ -250,12 +252,12 @@
         edge("b", "c"),
         (module("c"), BTreeSet::new()),
     ]);
-    assert_eq!(in_circles(chain), Imports::new());
-    let circle = Imports::from([edge("a", "b"), edge("b", "c"), edge("c", "a")]);
-    assert_eq!(in_circles(circle.clone()), circle);
-    let mut with_others = circle.clone();
+    assert_eq!(cyclic_imports(chain), Imports::new());
+    let cycle = Imports::from([edge("a", "b"), edge("b", "c"), edge("c", "a")]);
+    assert_eq!(cyclic_imports(cycle.clone()), cycle);
+    let mut with_others = cycle.clone();
     with_others.extend([edge("above", "a"), edge("below", "none")]);
-    assert_eq!(in_circles(with_others), circle);
+    assert_eq!(cyclic_imports(with_others), cycle);
 }
 
 #[test]
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -7,7 +7,7 @@
 use harness::CANCEL;
 
 /// Waits until nothing is in trouble any more, then until all jobs are over, and asks once more at all nodes.
-fn to_the_end(mut w: World, seed: u64) {
+fn recover_and_finish(mut w: World, seed: u64) {
     w.all_well();
     w.run_until(300, "all are over", World::all_over);
     let ids: Vec<String> = w.jobs.keys().cloned().collect();
@@ -76,7 +76,7 @@
             w.state.keeps.is_none() || w.state.forgot > 0,
             "no watch fell behind"
         );
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
 }
 
@@ -108,7 +108,7 @@
             .values()
             .filter(|j| j.told_cancelled.is_some())
             .count();
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
     // The cancellations come from before the end is known until after it is stored.
     assert!(ends.0 > 10 && ends.1 > 10, "{ends:?}");
@@ -150,7 +150,7 @@
             "{} lost",
             w.counters.unanswered_commits
         );
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
 }
 
@@ -217,7 +217,7 @@
 
 /// One controller's work goes to another, and a job is cancelled at each tenth of a second of it: before, in and after each
 /// of the transactions and reads.
-fn cancelled_at_every_step(mut w: World, seed: u64, hand_over: impl Fn(&mut World)) {
+fn cancel_throughout_handover(mut w: World, seed: u64, hand_over: impl Fn(&mut World)) {
     w.runs = (300 * SECOND, 400 * SECOND);
     w.cloud.capacity = 30;
     w.run(5);
@@ -242,7 +242,7 @@
 #[test]
 fn whatever_is_cancelled_while_the_leaders_work_changes_hands_is_gone_in_time() {
     for seed in 1..=4 {
-        cancelled_at_every_step(World::new(3, seed), seed, |w| {
+        cancel_throughout_handover(World::new(3, seed), seed, |w| {
             let leader = w.leader().expect("one leads");
             match seed {
                 1 => w.crash(leader, 30 * SECOND),
@@ -262,7 +262,7 @@
 fn whatever_is_cancelled_while_a_shard_changes_owners_is_gone_in_time() {
     for seed in 1..=6 {
         let w = World::with_shards(3, seed, 3, &|text| text);
-        cancelled_at_every_step(w, seed, |w| {
+        cancel_throughout_handover(w, seed, |w| {
             let owner = w.shard_owner(seed as u32 % 3).expect("held")[1..]
                 .parse()
                 .expect("a node");
@@ -366,7 +366,7 @@
             "{} copies",
             w.counters.kept_copies_sent
         );
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
 }
 
@@ -637,7 +637,7 @@
         }
         w.faults.processor_delays.clear();
         w.cloud.capacity = 12;
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
 }
 
@@ -673,7 +673,7 @@
             .filter(|j| j.told_cancelled.is_some())
             .count();
         assert!(told >= 20, "{told} told");
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
 }
 
@@ -696,13 +696,13 @@
             w.cancel_at(i, leader);
             w.pause(SECOND * 4 / 10);
         }
-        to_the_end(w, seed);
+        recover_and_finish(w, seed);
     }
 }
 
 /// Jobs are called off while half of their tasks run and the others wait for their images, and a third of the workers reach
 /// nobody. Returns how many tasks started after that, for how many seconds tasks ran on, and how many commands were sent.
-fn called_off_at_once(policy: &str, seed: u64) -> (usize, usize, usize) {
+fn cancel_with_isolated_workers(policy: &str, seed: u64) -> (usize, usize, usize) {
     let mut w = World::new(3, seed);
     w.set_policy(policy);
     (0..3).for_each(|i| w.restart(i));
@@ -744,7 +744,7 @@
     let mut all = [(0, 0, 0); 2];
     for seed in 1..=4 {
         for (sum, policy) in all.iter_mut().zip(["halts_per_s = 0", "halts_per_s = 200"]) {
-            let (starts, ran_on, direct) = called_off_at_once(policy, seed);
+            let (starts, ran_on, direct) = cancel_with_isolated_workers(policy, seed);
             *sum = (sum.0 + starts, sum.1 + ran_on, sum.2 + direct);
         }
     }
@@ -804,7 +804,7 @@
         w.run(2);
         w.run_until(10, "one leads", |w| w.leader().is_some());
         w.run(5);
-        w.asked_since = w.now;
+        w.answers_expected_since = w.now;
         let term = w.state.value(TERM_KEY).cloned();
         let (mut next, requests) = (0, w.state.requests);
         let mut large = Vec::new();
--- a/crates/gannethub-core/tests/simulation/harness/answers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/answers.rs
@@ -1,24 +1,24 @@
-//! Answers to users, and the rules that hold for them.
+//! Answers to users, and the checks of the rules for these answers.
 
 use super::*;
 
-/// What the checker knows of a job, and of the jobs that it depends on, when an answer about it arrives.
+/// The checker's knowledge of a job and its upstream jobs at the time an answer about the job arrives.
 struct JobKnowledge {
-    /// When the request was sent.
+    /// Time at which the request was sent.
     asked: u64,
-    /// Each of its tasks has completed.
+    /// Whether each task of the job has completed.
     is_completed: bool,
-    /// A user has cancelled it, or a job that it depends on.
+    /// Whether a user has requested cancellation of the job or of one of its upstream jobs.
     cancel_asked: bool,
-    /// When a user was first told that a job it depends on is cancelled.
+    /// Time at which a user was first told that one of the upstream jobs is cancelled.
     upstream_cancelled: Option<u64>,
-    /// Every job that it depends on was accepted.
+    /// Whether every upstream job was accepted.
     upstream_accepted: bool,
     has_upstream: bool,
 }
 
 impl UserJob {
-    /// Whether its user was told that it is accepted, done, and cancelled.
+    /// Whether the job's user was told that the job is accepted, done and cancelled, in this order.
     fn milestones(&self) -> [bool; 3] {
         [
             self.accepted.is_some(),
@@ -29,11 +29,11 @@
 }
 
 impl World {
-    /// An answer reaches a user.
-    pub(super) fn user_answer(&mut self, id: &str, what: &str, asked: u64, response: &Response) {
+    /// Handles an answer that reaches a user: checks it and updates the user's view of the job.
+    pub(super) fn on_user_answer(&mut self, id: &str, what: &str, asked: u64, response: &Response) {
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         if self.odd.contains_key(id) {
-            return self.odd_answer(id, &body, response);
+            return self.on_invalid_submission_answer(id, &body, response);
         }
         let known = self.job_knowledge(id, asked);
         let Some(job) = self.jobs.get(id) else {
@@ -43,7 +43,7 @@
         let accepted = job.accepted;
         self.check_status(id, what, &body, response, &known);
         match response.status {
-            200 | 201 => self.job_answer(id, what, &body, &known),
+            200 | 201 => self.on_job_answer(id, what, &body, &known),
             404 | 400 | 422 if accepted.is_some_and(|t| t < asked) => {
                 self.broken
                     .push(format!("forgotten: {id} gets {}", response.status));
@@ -55,19 +55,19 @@
             _ => {}
         }
         if self.close_looks && before != self.jobs[id].milestones() {
-            self.look_closely(id);
+            self.request_at_all_nodes(id);
         }
     }
 
-    /// A submission that cannot be accepted is refused, and the refusal names the field.
-    fn odd_answer(&mut self, id: &str, body: &Value, response: &Response) {
+    /// Checks that a submission that cannot be accepted is refused, and that the refusal names the field.
+    fn on_invalid_submission_answer(&mut self, id: &str, body: &Value, response: &Response) {
         let Some(odd) = self.odd.get_mut(id) else {
             return;
         };
         let why = body["error"].as_str().unwrap_or("");
         match response.status {
             400 | 422 if why.contains(odd.field.as_str()) => odd.refused += 1,
-            // Asked again: it cannot be told yet.
+            // The controller cannot decide about the submission yet and asks the user to retry.
             503 if response.retry_after.is_some() => {}
             status => {
                 let text = format!("odd: {} gets {status} {why:?}, not {}", odd.body, odd.field);
@@ -77,7 +77,7 @@
     }
 
     fn job_knowledge(&self, id: &str, asked: u64) -> JobKnowledge {
-        let chain = self.upstream(id);
+        let chain = self.job_and_upstream(id);
         let told = |u: &String| self.jobs.get(u).and_then(|j| j.told_cancelled);
         JobKnowledge {
             asked,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// No valid job is refused, and none outlives a job that it depends on.
+    /// Checks that no valid job is refused, and that no job stays pending or running past the cancellation deadline
+    /// of one of its upstream jobs.
     fn check_status(
         &mut self,
         id: &str,
@@ -110,7 +111,8 @@
                 .push(format!("refused: {id} gets {}", response.status));
         }
         if response.status == 200 && matches!(status, "pending" | "running") {
-            // It counts from when the user was told, or from this job's acceptance if that is later.
+            // The deadline counts from the time at which the user was told of the cancellation, or from this job's
+            // acceptance if that is later.
             let accepted = self.jobs[id].accepted.unwrap_or(self.now);
             let since = known.upstream_cancelled.map(|t| t.max(accepted));
             if since.is_some_and(|t| known.asked > t + CANCEL) {
@@ -123,15 +125,17 @@
         }
     }
 
-    /// A user is told the status of a job; it never goes back.
-    fn job_answer(&mut self, id: &str, what: &str, body: &Value, known: &JobKnowledge) {
+    /// Records the status that a user is told, and checks that it never goes back to an earlier one.
+    fn on_job_answer(&mut self, id: &str, what: &str, body: &Value, known: &JobKnowledge) {
         let now = self.now;
         let status = body["status"].as_str().unwrap_or("").to_string();
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
-        let asked_since = self.asked_since.max(j.accepted.unwrap_or(now));
-        self.unanswered = self.unanswered.max(now - j.answered.max(asked_since));
+        let answers_expected_since = self.answers_expected_since.max(j.accepted.unwrap_or(now));
+        self.unanswered = self
+            .unanswered
+            .max(now - j.answered.max(answers_expected_since));
         j.answered = now;
         if what == "submit" {
             j.accepted.get_or_insert(now);
@@ -145,7 +149,7 @@
             j.waits_on = ids.filter_map(Value::as_str).map(String::from).collect();
             j.polls += 1;
         }
-        // Answers may overtake one another: only what was asked after being told counts.
+        // Answers may overtake one another, so the check covers only requests that were sent after the user was told.
         let knew = |told: Option<u64>| told.is_some_and(|t| t < known.asked);
         if (knew(j.told_done) && status != "done")
             || (knew(j.told_cancelled) && status != "cancelled")
@@ -157,11 +161,11 @@
         {
             self.counters.overtaken_answers += 1;
         }
-        self.job_end_answer(id, status, known);
+        self.on_job_end(id, status, known);
     }
 
-    /// A user is told of a job's end: of the two ends there is one.
-    fn job_end_answer(&mut self, id: &str, status: String, known: &JobKnowledge) {
+    /// Records that a user is told of a job's end, and checks that a job is never both done and cancelled.
+    fn on_job_end(&mut self, id: &str, status: String, known: &JobKnowledge) {
         let now = self.now;
         let Some(j) = self.jobs.get_mut(id) else {
             return;
@@ -175,7 +179,7 @@
         if status == "cancelled" {
             j.told_cancelled.get_or_insert(now);
         }
-        // In whatever order they were asked for.
+        // The check holds for answers in any order of their requests.
         if j.told_done.is_some() && j.told_cancelled.is_some() {
             self.broken.push(format!("two ends: {id}"));
         }
--- a/crates/gannethub-core/tests/simulation/harness/cloud.rs
+++ b/crates/gannethub-core/tests/simulation/harness/cloud.rs
@@ -1,12 +1,12 @@
-//! The cloud as controllers reach it.
+//! Controllers' requests to the simulated cloud.
 
 use super::*;
 
-/// How long the cloud takes for an answer.
+/// Response time of the cloud: 20 ms.
 const CLOUD_DELAY: u64 = 20_000;
 
 impl World {
-    /// A request reaches the cloud, which answers it.
+    /// Handles a request that reaches the cloud and schedules the answer.
     pub(super) fn handle_cloud_request(
         &mut self,
         node: usize,
@@ -17,7 +17,7 @@
     ) {
         let (status, body) = self.ask_cloud(path, body);
         let answer = Ok(Answer::new(status, body.to_string()));
-        self.at(
+        self.schedule(
             CLOUD_DELAY,
             Event::Command {
                 node,
@@ -34,7 +34,7 @@
         (self.workers, self.cloud) = (workers, cloud);
         for mut w in gone {
             w.tasks.clear();
-            self.log(&w);
+            self.record_worker(&w);
         }
         (status, answer)
     }
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -1,4 +1,4 @@
-//! Operators of the world: they change the configuration, and the checker knows what may hold at any time.
+//! Configuration changes by operators, and the team limits that the checker allows at any time.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +13,24 @@
 
 use super::{SECOND, World};
 
-/// By when no controller acts by an older version, and how long workers fetch the image of what they are told to launch.
-const EVERYWHERE: u64 = 7 * SECOND;
-const FETCH: u64 = SECOND;
-/// How late an answer may be that a worker still takes.
-pub const ANSWER: u64 = 4 * SECOND;
+/// Maximum time until no controller acts on an older version: 7 s.
+const ROLLOUT_TIME: u64 = 7 * SECOND;
+/// Time that a worker takes to fetch the image of a task before the task starts: 1 s.
+const FETCH_TIME: u64 = SECOND;
+/// Maximum age of a controller's answer that a worker still accepts: 4 s.
+pub const MAX_ANSWER_DELAY: u64 = 4 * SECOND;
 
-/// A version that was stored.
+/// A configuration version that an operator has stored.
 #[derive(Debug)]
-pub struct Changed {
-    /// By when the version before is acted on no more.
-    by: u64,
-    /// Teams' limits in processors.
+pub struct StoredVersion {
+    /// Time from which no controller acts on the previous version any more, and no task that was launched under it
+    /// starts.
+    superseded_at: u64,
+    /// Teams' limits in CPUs.
     limits: BTreeMap<String, f64>,
 }
 
-/// A team of a document.
+/// Returns a team entry for a configuration document.
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> TeamEntry {
     let (gpus, gpus_max) = (2.0, 8.0);
     TeamEntry {
@@ -49,19 +51,20 @@
 }
 
 impl World {
-    /// Stores a document as the next version; in force everywhere within seven seconds, unless `late` more pass, as in an
-    /// outage. Returns its number.
+    /// Stores a document as the next version and returns its number. The version must be in force at all controllers
+    /// within seven seconds plus `late` microseconds, the allowance for an outage.
     pub fn configure(&mut self, wanted: Document, late: u64) -> u64 {
         let base = self.settings[0].clone();
         let document = self.document.followed_by(wanted, &base);
         let effective = document
             .effective(&base, &base)
             .expect("the test's document is valid");
-        let parts = split_document(&document, base.value_bytes).expect("it fits");
-        let version = self.changes.len() as u64 + 1;
+        let parts =
+            split_document(&document, base.value_bytes).expect("the document fits into values");
+        let version = self.config_versions.len() as u64 + 1;
         let record = VersionRecord {
             version,
-            id: format!("{version}-story"),
+            id: format!("{version}-tests"),
             parts: parts.len() as u32,
             ..VersionRecord::default()
         };
@@ -87,65 +90,67 @@
         );
         assert!(
             matches!(stored, Outcome::Answer(200, _)),
-            "the operator's transaction"
+            "the operator's transaction was not stored"
         );
         let limits = effective.teams.iter().filter(|t| !t.closed);
         let limits = limits
             .map(|t| (t.name.clone(), t.limit.cpu as f64 / 1000.0))
             .collect();
-        self.changes.push(Changed {
-            by: self.now + EVERYWHERE + FETCH + self.answers_late + late,
+        self.config_versions.push(StoredVersion {
+            superseded_at: self.now + ROLLOUT_TIME + FETCH_TIME + self.max_answer_delay + late,
             limits,
         });
         self.document = document;
         version
     }
 
-    /// While the state service answers nobody, a version that no controller has heard of cannot be in force.
-    pub fn wait_out(&mut self, step: u64) {
+    /// Extends the rollout deadlines during an outage of the state service: controllers cannot learn of a new version
+    /// while the state service does not answer.
+    pub fn extend_rollouts_in_outage(&mut self, step: u64) {
         let now = self.now;
         if self.state.down {
-            self.changes
+            self.config_versions
                 .iter_mut()
-                .filter(|c| c.by > now)
-                .for_each(|c| c.by += step);
+                .filter(|c| c.superseded_at > now)
+                .for_each(|c| c.superseded_at += step);
         }
     }
 
-    /// The number of the last version; 0: none was ever stored.
+    /// Returns the number of the last version, or 0 if no version was ever stored.
     pub fn last_version(&self) -> u64 {
-        self.changes.len() as u64
+        self.config_versions.len() as u64
     }
 
-    /// Limits of a team that a controller may go by now, or that a task which starts now was launched under. A removed
-    /// team has the last one.
-    fn limits_of(&self, team: &str) -> Vec<f64> {
+    /// Returns the limits, in CPUs, that a controller may apply to a team now, and those under which a task that
+    /// starts now may have been launched. A removed team keeps its last limit.
+    fn possible_limits(&self, team: &str) -> Vec<f64> {
         let base = self.settings[0].teams.iter().find(|t| t.name == team);
         let mut limit = base.map_or(0.0, |t| t.limit.cpu as f64 / 1000.0);
         let mut limits = Vec::new();
-        for change in &self.changes {
-            if change.by > self.now {
+        for version in &self.config_versions {
+            if version.superseded_at > self.now {
                 limits.push(limit);
             }
-            limit = change.limits.get(team).copied().unwrap_or(limit);
+            limit = version.limits.get(team).copied().unwrap_or(limit);
         }
         limits.push(limit);
         limits
     }
 
-    /// The most that a team may use now.
-    pub fn most_allowed(&self, team: &str) -> f64 {
-        self.limits_of(team).into_iter().fold(0.0, f64::max)
+    /// Returns the largest limit of a team, in CPUs, under any version that may be acted on now.
+    pub fn max_possible_limit(&self, team: &str) -> f64 {
+        self.possible_limits(team).into_iter().fold(0.0, f64::max)
     }
 
-    /// What a team may use under any of the versions that may be acted on now.
-    pub fn surely_allowed(&self, team: &str) -> f64 {
-        self.limits_of(team)
+    /// Returns the smallest limit of a team, in CPUs, under any version that may be acted on now: usage up to this limit
+    /// is allowed by all of these versions.
+    pub fn min_possible_limit(&self, team: &str) -> f64 {
+        self.possible_limits(team)
             .into_iter()
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The version in force at each controller that is there, and whether it may be acted on.
+    /// Returns the version in force at each running controller, and whether the controller may act on it.
     pub fn versions(&self) -> Vec<ConfigurationState> {
         self.nodes
             .iter()
@@ -153,14 +158,14 @@
             .collect()
     }
 
-    /// This version is in force at all controllers that are there.
+    /// Whether this version is in force at all running controllers.
     pub fn in_force(&self, version: u64) -> bool {
         self.versions()
             .into_iter()
             .all(|state| state.version == version && state.is_fresh)
     }
 
-    /// No controller that is there would act by another version than this.
+    /// Whether no running controller would act on a version other than this one.
     pub fn none_older(&self, version: u64) -> bool {
         self.versions()
             .into_iter()
--- a/crates/gannethub-core/tests/simulation/harness/controllers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/controllers.rs
@@ -1,24 +1,26 @@
-//! Controllers: their clocks and lives, the commands that reach them, and the effects they ask for.
+//! Simulated controllers: their clocks, restarts and crashes, the commands that reach them, and the effects that they
+//! request.
 
 use super::*;
 
 pub struct Node {
     pub controller: Option<Controller>,
     pub life: u32,
-    pub(super) born: u64,
-    pub(super) stepped_at: u64,
-    /// How often it was woken with nothing to do but look at its clock.
+    pub(super) started_at: u64,
+    pub(super) last_step_at: u64,
+    /// Number of ticks sent to the controller: wake-ups in which the controller only looks at its clock.
     pub ticks: u64,
 }
 
 impl World {
-    /// Who owns a shard, as the state service has it.
+    /// Returns the owner of a shard as stored in the state service.
     pub fn shard_owner(&self, shard: u32) -> Option<String> {
         let key = assignment_keys(shard).owner;
         Some(self.state.value(&key)?["holder"].as_str()?.to_string())
     }
 
-    /// What the owner of a shard sees, whoever that is.
+    /// Returns the cluster state of the shard's owner. If several controllers hold the shard, the one with the highest
+    /// term is returned.
     pub fn shard(&self, shard: u32) -> Option<&Cluster> {
         let all = self.nodes.iter().filter_map(|n| n.controller.as_ref());
         all.flat_map(|c| c.clusters())
@@ -27,8 +29,8 @@
     }
 
     pub(super) fn clock(&self, node: usize) -> Clock {
-        // Steady clocks drift by a little, each in its own direction.
-        let t = self.now - self.nodes[node].born;
+        // The steady clocks of nodes with an odd number run fast by 1/2000; the other clocks are exact.
+        let t = self.now - self.nodes[node].started_at;
         let drift = (t / 2000) * (node as u64 % 2);
         Clock {
             now: t + drift,
@@ -38,7 +40,7 @@
 
     pub fn restart(&mut self, node: usize) {
         self.nodes[node].life += 1;
-        self.nodes[node].born = self.now;
+        self.nodes[node].started_at = self.now;
         let clock = self.clock(node);
         self.nodes[node].controller = Some(Controller::new(self.settings[node].clone(), clock));
     }
@@ -46,17 +48,18 @@
     pub fn crash(&mut self, node: usize, back_after: u64) {
         self.nodes[node].controller = None;
         self.nodes[node].life += 1;
-        self.at(back_after, Event::Restart { node });
+        self.schedule(back_after, Event::Restart { node });
     }
 
-    /// Whoever leads ends, and is back after so long.
+    /// Crashes the leader, if there is one, and restarts it after `back_after` microseconds.
     pub fn lose_leader(&mut self, back_after: u64) {
         if let Some(leader) = self.leader() {
             self.crash(leader, back_after);
         }
     }
 
-    /// The controller that leads, if one does.
+    /// Returns the node that leads, or `None`. If several nodes consider themselves leader, the one with the highest
+    /// term is returned.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
             .filter(|&i| {
@@ -71,38 +74,40 @@
             })
     }
 
-    pub(super) fn command(&mut self, node: usize, life: u32, command: Command) {
+    pub(super) fn deliver_command(&mut self, node: usize, life: u32, command: Command) {
         match self.faults.processor_delays.get(&node).copied() {
             Some(late) if !matches!(command, Command::Tick) => {
-                self.at(
+                self.schedule(
                     late,
-                    Event::Late {
+                    Event::DelayedCommand {
                         node,
                         life,
                         command,
                     },
                 );
             }
-            Some(late) if self.now < self.nodes[node].stepped_at + late => {}
-            _ => self.take(node, life, command),
+            Some(late) if self.now < self.nodes[node].last_step_at + late => {}
+            _ => self.handle_command(node, life, command),
         }
     }
 
-    /// A tick for each controller, unless it allowed to be left alone for longer and the test is about that.
+    /// Sends a tick to each controller. If `patient` is set, a controller that allows a longer idle time gets its tick
+    /// only after that time.
     pub(super) fn tick_controllers(&mut self) {
         for node in 0..self.nodes.len() {
             let n = &self.nodes[node];
             let pause = n.controller.as_ref().map_or(0, Controller::max_idle_time);
-            if self.patient && pause > TICK && self.now < n.stepped_at + pause {
+            if self.patient && pause > TICK && self.now < n.last_step_at + pause {
                 continue;
             }
             self.nodes[node].ticks += 1;
-            self.command(node, self.nodes[node].life, Command::Tick);
+            self.deliver_command(node, self.nodes[node].life, Command::Tick);
         }
     }
 
-    /// A controller handles a command, unless it is down or stands still.
-    pub(super) fn take(&mut self, node: usize, life: u32, command: Command) {
+    /// Passes a command to a controller. A command for an earlier incarnation or for a stopped controller is dropped.
+    /// While the controller is frozen, ticks are dropped and all other commands wait.
+    pub(super) fn handle_command(&mut self, node: usize, life: u32, command: Command) {
         if self.nodes[node].life != life {
             return;
         }
@@ -114,7 +119,7 @@
             .filter(|t| self.now < *t)
         {
             if !matches!(command, Command::Tick) {
-                self.at(
+                self.schedule(
                     until - self.now,
                     Event::Command {
                         node,
@@ -132,7 +137,7 @@
         let effects = controller.step(clock, [command]);
         let leading_term = controller.cluster().map(|c| c.term);
         let owned_terms: Vec<u64> = controller.clusters().map(|c| c.term).collect();
-        self.nodes[node].stepped_at = self.now;
+        self.nodes[node].last_step_at = self.now;
         for effect in effects {
             let delay = self.jitter();
             if let Effect::Reply { response, .. } = &effect {
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Carries out an effect that a controller asked for.
+    /// Carries out an effect that a controller requested.
     fn carry_out(&mut self, delay: u64, node: usize, life: u32, effect: Effect) {
         match effect {
             Effect::Reply {
@@ -154,7 +159,7 @@
             }
             Effect::CloudRequest { id, request } => {
                 let (path, body) = (request.path, request.body);
-                self.at(
+                self.schedule(
                     delay,
                     Event::Cloud {
                         node,
@@ -168,7 +173,7 @@
             Effect::WorkerCommands { addr, body } => {
                 self.counters.direct_commands += 1;
                 let addr = addr.to_string();
-                self.at(delay, Event::Direct { node, addr, body });
+                self.schedule(delay, Event::DirectCommands { node, addr, body });
             }
             Effect::PeerMessage { to, message } => {
                 self.send_peer_message(delay, node, to, message);
@@ -176,16 +181,16 @@
         }
     }
 
-    /// Sends an answer to the user or worker that waits for it.
+    /// Sends an answer to the user or worker that waits for it, and records confirmations of cancellations.
     fn send_reply(&mut self, delay: u64, life: u32, connection: u64, response: Response) {
-        let Some((origin, node, _)) = self.conns.remove(&connection) else {
+        let Some((origin, node, _)) = self.connections.remove(&connection) else {
             return;
         };
         let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
         if let Origin::User { job, .. } = &origin
             && body["status"] == json!("cancelled")
         {
-            self.told_by.insert((node, life, job.clone()));
+            self.cancellations_told.insert((node, life, job.clone()));
         }
         let is_slow =
             matches!(origin, Origin::Worker { .. }) && self.faults.max_worker_answer_delay > 0;
@@ -195,7 +200,7 @@
         } else {
             0
         };
-        self.at(
+        self.schedule(
             delay + slow,
             Event::Answer {
                 origin,
--- a/crates/gannethub-core/tests/simulation/harness/events.rs
+++ b/crates/gannethub-core/tests/simulation/harness/events.rs
@@ -1,8 +1,8 @@
-//! The event queue and the simulated clock: what happens in the world, and in which order.
+//! Event queue and simulated clock, which determine the order of all events in the simulation.
 
 use super::*;
 
-/// Who sent an HTTP request.
+/// Sender of an HTTP request.
 #[derive(Clone, Debug)]
 pub enum Origin {
     User {
@@ -22,8 +22,8 @@
         life: u32,
         command: Command,
     },
-    /// The same, at a controller that is short of processor and gets to it only now.
-    Late {
+    /// A command whose handling was delayed because the controller is short of CPU time.
+    DelayedCommand {
         node: usize,
         life: u32,
         command: Command,
@@ -55,19 +55,19 @@
     Restart {
         node: usize,
     },
-    /// A copy of a heartbeat that was delivered long ago, to this controller or to a random one.
-    Copy {
+    /// A copy of an old heartbeat, for the given controller, or for a random one if `node` is `None`.
+    HeartbeatCopy {
         node: Option<usize>,
         body: String,
     },
-    /// Commands that a controller sends to a worker directly.
-    Direct {
+    /// Commands that a controller sends directly to a worker, not in a heartbeat response.
+    DirectCommands {
         node: usize,
         addr: String,
         body: Bytes,
     },
-    /// A user sends a request.
-    Ask {
+    /// A user's request that is sent when the event is due.
+    UserRequest {
         job: String,
         what: &'static str,
         node: usize,
@@ -75,7 +75,7 @@
 }
 
 impl World {
-    pub(super) fn at(&mut self, delay: u64, event: Event) {
+    pub(super) fn schedule(&mut self, delay: u64, event: Event) {
         self.seq += 1;
         self.events.push(Reverse((self.now + delay, self.seq)));
         self.queue.insert(self.seq, event);
@@ -85,11 +85,12 @@
         self.rng.random_range(1_000..12_000)
     }
 
+    /// Runs the simulation for `seconds` seconds.
     pub fn run(&mut self, seconds: u64) {
         self.pause(seconds * SECOND);
     }
 
-    /// The same for a part of a second.
+    /// Runs the simulation for `micros` microseconds.
     pub fn pause(&mut self, micros: u64) {
         let end = self.now + micros;
         while self.now < end {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Runs until `done` holds; fails the test after `seconds`.
+    /// Runs the simulation until `done` holds, and fails the test if it does not hold after `seconds`.
     pub fn run_until(&mut self, seconds: u64, what: &str, mut done: impl FnMut(&World) -> bool) {
         let end = self.now + seconds * SECOND;
         while !done(self) {
@@ -108,7 +109,7 @@
                     .filter(|(_, j)| j.told_done.is_none())
                     .collect();
                 panic!(
-                    "not within {seconds} s: {what}; broken: {:?}; open: {open:?}",
+                    "condition not met within {seconds} s: {what}; broken: {:?}; open: {open:?}",
                     self.broken
                 );
             }
@@ -116,16 +117,17 @@
         }
     }
 
-    /// Advances the clock by one step, and everybody with it.
+    /// Advances the clock by [`STEP`], handles the due events and, every [`TICK`], gives all participants their turn.
+    /// The invariants that concern the whole cluster are checked once a second.
     fn step(&mut self) {
         if self.now.is_multiple_of(SECOND) {
             self.check_index();
             self.check_cancelled();
-            self.check_parts();
+            self.check_stored_completions();
             self.check_waiting();
         }
         self.now += STEP;
-        self.wait_out(STEP);
+        self.extend_rollouts_in_outage(STEP);
         self.state.tick(self.now);
         self.send_kept_copies();
         self.wake_watches();
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Handles the events whose time has come, in the order of their times.
+    /// Handles all due events, in the order of their times.
     fn handle_due_events(&mut self) {
         while self.events.peek().is_some_and(|e| e.0.0 <= self.now) {
             let Some(Reverse((_, seq))) = self.events.pop() else {
@@ -157,12 +159,12 @@
                 node,
                 life,
                 command,
-            } => self.command(node, life, command),
-            Event::Late {
+            } => self.deliver_command(node, life, command),
+            Event::DelayedCommand {
                 node,
                 life,
                 command,
-            } => self.take(node, life, command),
+            } => self.handle_command(node, life, command),
             Event::Store {
                 node,
                 life,
@@ -184,14 +186,14 @@
                 response,
             } => match origin {
                 Origin::User { job, what, asked } => {
-                    self.user_answer(&job, what, asked, &response);
+                    self.on_user_answer(&job, what, asked, &response);
                 }
-                Origin::Worker { name, sent } => self.worker_answer(name, sent, node, response),
+                Origin::Worker { name, sent } => self.on_worker_answer(name, sent, node, response),
             },
             Event::Restart { node } => self.restart(node),
-            Event::Direct { node, addr, body } => self.command_worker(node, addr, body),
-            Event::Ask { job, what, node } => self.ask_at(&job, what, node),
-            Event::Copy { node, body } => self.deliver_heartbeat_copy(node, body),
+            Event::DirectCommands { node, addr, body } => self.command_worker(node, addr, body),
+            Event::UserRequest { job, what, node } => self.ask_at(&job, what, node),
+            Event::HeartbeatCopy { node, body } => self.deliver_heartbeat_copy(node, body),
         }
     }
 }
--- a/crates/gannethub-core/tests/simulation/harness/faults.rs
+++ b/crates/gannethub-core/tests/simulation/harness/faults.rs
@@ -1,76 +1,77 @@
-//! Faults that a test puts into its world, and counts of what they led to.
+//! Faults that a test injects, and counters of their effects.
 
 use super::*;
 
-/// Faults that are in force; by default there are none.
+/// Faults in force. By default there are none.
 #[derive(Default)]
 pub struct Faults {
     /// Controllers whose requests the state service refuses.
     pub store_refuses: HashSet<usize>,
-    /// Controllers whose watches hang, while all else of theirs is answered.
+    /// Controllers whose watches hang, while the state service answers all their other requests.
     pub hung_watches: HashSet<usize>,
-    /// The state service's answers come later by up to so much.
+    /// Maximum additional delay of the state service's answers, in microseconds.
     pub max_store_delay: u64,
-    /// Answers to watches come later by up to so much, on top of `max_store_delay`.
+    /// Maximum additional delay of answers to watches, in microseconds, on top of `max_store_delay`.
     pub max_watch_delay: u64,
-    /// How much later answers to transactions come to these controllers.
+    /// Delay, in microseconds, of answers to transactions of these controllers. It replaces the usual delay.
     pub commit_answer_delays: HashMap<usize, u64>,
-    /// The share of transactions that are carried out late, with no answer.
+    /// Fraction of transactions that are carried out late and not answered.
     pub late_commit_rate: f64,
-    /// The share of transactions that are carried out at once, with no answer.
+    /// Fraction of transactions that are carried out without additional delay but not answered.
     pub lost_commit_answer_rate: f64,
-    /// Controllers that stand still until then; their clocks run on, and what comes meanwhile waits for them.
+    /// Controllers that are frozen until the given time. Their clocks run on, and messages that arrive meanwhile wait.
     pub frozen_until: HashMap<usize, u64>,
-    /// Controllers that are short of processor: by how much later they get to what comes for them, and how rarely to their
-    /// clocks.
+    /// Controllers that are short of CPU time, with the delay in microseconds by which they handle each message. The
+    /// same value is the minimum interval from their last step to the next tick.
     pub processor_delays: HashMap<usize, u64>,
-    /// Pairs of peers that cannot reach one another; messages are held and come late.
+    /// Directed links (sender, recipient) between peers that are interrupted. Messages are held and arrive late.
     pub partitioned: HashSet<(usize, usize)>,
-    /// The same, with messages lost.
+    /// Directed links (sender, recipient) between peers on which messages are lost.
     pub lossy_links: HashSet<(usize, usize)>,
-    /// Controllers whose votes are damaged on the way.
+    /// Controllers whose votes are corrupted in transit.
     pub corrupts_votes: HashSet<usize>,
-    /// Controllers of the previous release, whose messages say nothing of cancellations.
+    /// Controllers of the previous release, whose messages do not contain cancellations.
     pub previous_release: HashSet<usize>,
-    /// Zones whose workers a controller cannot hear.
+    /// Zones whose workers cannot exchange messages with the given controller.
     pub unreachable_zones: HashSet<(usize, String)>,
-    /// Workers that reach no controller, while direct commands reach them.
+    /// Workers whose heartbeats reach no controller, while direct commands still reach the workers.
     pub isolated_workers: HashSet<String>,
-    /// Workers whose heartbeats arrive, while no answer reaches them.
+    /// Workers whose heartbeats arrive, while neither answers nor direct commands reach the workers.
     pub unanswered_workers: HashSet<String>,
-    /// Answers to workers come later by up to so much.
+    /// Maximum additional delay of answers to workers, in microseconds.
     pub max_worker_answer_delay: u64,
-    /// The share of heartbeats of which a copy comes seconds to three leases later.
+    /// Fraction of heartbeats of which a copy arrives between 2 s and three leases (30 s) later.
     pub heartbeat_copy_rate: f64,
-    /// The share of heartbeats of which a copy is kept for the next leader, and then comes to every controller.
+    /// Fraction of heartbeats of which a copy is kept until the next term begins and then sent to every controller.
     pub kept_copy_rate: f64,
 }
 
-/// How often something happened that a test means to provoke.
+/// Counts of the situations that tests intend to provoke.
 #[derive(Default)]
 pub struct Counters {
-    /// Copies of old heartbeats that came.
+    /// Copies of old heartbeats that were sent to a controller.
     pub copied: usize,
     /// Kept copies of heartbeats that were sent to a new leader and its peers.
     pub kept_copies_sent: usize,
-    /// Transactions that were carried out at once, with no answer.
+    /// Transactions that were carried out without additional delay but not answered.
     pub unanswered_commits: usize,
-    /// Requests that users sent when they looked closely.
+    /// Requests that users repeated at all nodes after an acceptance, end or cancellation.
     pub close_look_requests: usize,
-    /// Tasks that started after their users were told that they are cancelled, by launches made before anybody who
-    /// launches knew.
+    /// Tasks that started after their users were told of the cancellation and before the cancellation deadline. Such
+    /// tasks were launched before the launching controller knew of the cancellation.
     pub late_starts: usize,
-    /// For how many seconds tasks have run on, together, after their users were told that they are cancelled, looked at once a
-    /// second.
+    /// Total time in seconds, sampled once a second, that tasks continued to run after their users were told of the
+    /// cancellation.
     pub cancelled_task_seconds: usize,
     /// Commands that controllers sent to workers directly.
     pub direct_commands: usize,
-    /// Answers that were older, when they came, than what a user had been told since they were asked for.
+    /// Answers that were outdated on arrival, because the user had been told a newer status since sending the request.
     pub overtaken_answers: usize,
 }
 
 impl World {
-    /// Troubles are over: from here on every accepted job is to be answered for.
+    /// Ends the faults of the state service and of the network. From this time on, every accepted job must be answered
+    /// for.
     pub fn all_well(&mut self) {
         self.state.down = false;
         self.faults.max_store_delay = 0;
@@ -88,11 +89,11 @@
         self.faults.lossy_links.clear();
         self.faults.unreachable_zones.clear();
         self.faults.unanswered_workers.clear();
-        self.asked_since = self.now;
+        self.answers_expected_since = self.now;
         self.unanswered = 0;
     }
 
-    /// A controller loses the state service and the other controllers, but not its workers and users.
+    /// Disconnects a controller from the state service and the other controllers, but not from its workers and users.
     pub fn isolate(&mut self, node: usize) {
         self.faults.store_refuses.insert(node);
         for other in (0..self.nodes.len()).filter(|i| *i != node) {
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -1,19 +1,20 @@
-//! The rules of the cluster, checked against what workers, users and the state service see.
+//! Invariants of the cluster, checked against the observations of workers, users and the state service.
 
 use super::*;
 
 impl World {
-    /// A task of `w` starts to count as on its machine now.
+    /// Checks the start of a task: from now on, the task counts as on the machine of `w`.
     pub fn check_start(&mut self, w: &Worker, name: &str) {
         self.starts += 1;
         let id = name.split('/').next().unwrap_or("").to_string();
         let Some(job) = self.jobs.get(&id) else {
-            self.broken.push(format!("unknown job started: {name}"));
+            self.broken
+                .push(format!("unknown job started: task {name}"));
             return;
         };
         let told_cancelled = job.told_cancelled;
         let mut broken = self.start_before_upstream(&id, name);
-        broken.extend(self.start_of_finished_task(&id, w, name));
+        broken.extend(self.start_of_done_or_running_task(&id, w, name));
         match told_cancelled {
             Some(t) if self.now > t + CANCEL => broken.push(format!("ran_cancelled: {name}")),
             Some(_) => self.counters.late_starts += 1,
@@ -23,10 +24,11 @@
         self.broken.extend(broken);
     }
 
-    /// A task starts after all jobs that its own depends on, and not once a user was told that one of them is cancelled.
+    /// Checks that a task starts after all upstream jobs of its job are done, and does not start after the cancellation
+    /// deadline of an upstream job whose user was told that it is cancelled.
     fn start_before_upstream(&self, id: &str, name: &str) -> Vec<String> {
         let mut broken = Vec::new();
-        for u in self.upstream(id).iter().filter(|u| **u != id) {
+        for u in self.job_and_upstream(id).iter().filter(|u| **u != id) {
             if !self.completed(u) {
                 broken.push(format!("too_early: {name} before {u} is done"));
             }
@@ -38,11 +40,11 @@
         broken
     }
 
-    /// A task starts neither after it is stored as done nor while it runs elsewhere.
-    fn start_of_finished_task(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
+    /// Checks that a task starts neither after it is stored as done nor while it runs on another machine.
+    fn start_of_done_or_running_task(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
         let mut broken = Vec::new();
         let index = name.split('/').nth(1).and_then(|n| n.parse::<u32>().ok());
-        if index.is_some_and(|index| self.stored(id, index)) {
+        if index.is_some_and(|index| self.is_stored_as_done(id, index)) {
             broken.push(format!("began again: {name} is stored as done"));
         }
         let mut others = self.other_workers(w);
@@ -52,14 +54,14 @@
         broken
     }
 
-    /// The workers that are there, but for `w`.
+    /// Returns the running workers other than `w`.
     fn other_workers<'a>(&'a self, w: &'a Worker) -> impl Iterator<Item = &'a Worker> {
         self.workers
             .values()
             .filter(|o| !o.gone(self.now) && o.name != w.name)
     }
 
-    /// A task starts on a machine and in a zone that its job allows, within its team's limit.
+    /// Checks that a task starts on a machine and in a zone that its job allows, within its team's limit.
     fn start_in_wrong_place(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
         let mut broken = Vec::new();
         let body = &self.jobs[id].body;
@@ -76,20 +78,24 @@
         }
         let (zones, used) = self.zones_and_usage(id, w);
         if body["together"] == json!(true) && zones.len() > 1 {
-            broken.push(format!("wrong_place: {name} splits its job over zones"));
+            broken.push(format!(
+                "wrong_place: {name} is in another zone than its job's other tasks"
+            ));
         }
         let half = body["pieces"].as_u64().unwrap_or(0).div_ceil(2);
         if body["scatter"] == json!(true) && zones.values().any(|n| *n > half) {
-            broken.push(format!("wrong_place: {name} crowds a zone"));
+            broken.push(format!(
+                "wrong_place: more than half of the tasks in one zone after {name}"
+            ));
         }
-        let limit = self.most_allowed(body["crew"].as_str().unwrap_or(""));
+        let limit = self.max_possible_limit(body["crew"].as_str().unwrap_or(""));
         if used > limit + 1e-6 {
             broken.push(format!("quota: {} uses {used}", body["crew"]));
         }
         broken
     }
 
-    /// How many tasks of a job are in each zone, and the CPUs that its team uses, with what is on `w`.
+    /// Returns the number of tasks of a job in each zone and the CPUs that its team uses, including the tasks on `w`.
     fn zones_and_usage<'a>(&'a self, id: &str, w: &'a Worker) -> (HashMap<&'a str, u64>, f64) {
         let team = &self.jobs[id].body["crew"];
         let mut zones: HashMap<&str, u64> = HashMap::new();
@@ -111,20 +117,22 @@
         (zones, used)
     }
 
-    /// Whoever has told a user that a job is cancelled launches none of its tasks.
+    /// Checks that a controller that has told a user of a job's cancellation launches none of the job's tasks.
     pub(super) fn check_launches(&mut self, node: usize, life: u32, body: &Value) {
         for order in body["orders"].as_array().into_iter().flatten() {
             let task = order["piece"].as_str().unwrap_or("");
             let job = task.split('/').next().unwrap_or("").to_string();
-            if order["verb"] == json!("launch") && self.told_by.contains(&(node, life, job)) {
+            if order["verb"] == json!("launch")
+                && self.cancellations_told.contains(&(node, life, job))
+            {
                 self.broken.push(format!(
-                    "launched: {task} by n{node}, which told it is cancelled"
+                    "launched: {task} by n{node}, which has told a user that its job is cancelled"
                 ));
             }
         }
     }
 
-    /// Copies that were kept come to every controller as soon as a new term begins.
+    /// Sends the kept copies of heartbeats to every controller, within 2 s after a new term begins.
     pub(super) fn send_kept_copies(&mut self) {
         if self.faults.kept_copy_rate == 0.0 && self.kept_copies.is_empty() {
             return;
@@ -134,15 +142,15 @@
             .value(TERM_KEY)
             .and_then(|v| v["term"].as_u64())
             .unwrap_or(0);
-        if term == std::mem::replace(&mut self.last_term, term) {
+        if term == std::mem::replace(&mut self.last_seen_term, term) {
             return;
         }
         for body in std::mem::take(&mut self.kept_copies) {
             for node in 0..self.nodes.len() {
                 let soon = self.rng.random_range(0..2 * SECOND);
-                self.at(
+                self.schedule(
                     soon,
-                    Event::Copy {
+                    Event::HeartbeatCopy {
                         node: Some(node),
                         body: body.clone(),
                     },
@@ -152,8 +160,8 @@
         }
     }
 
-    /// What a machine has left, by what is on it.
-    pub(super) fn room(&self, w: &Worker) -> (f64, f64, f64) {
+    /// Returns the free CPUs, GPUs and gigabytes of memory on a machine, computed from its tasks that have not ended.
+    pub(super) fn free_resources(&self, w: &Worker) -> (f64, f64, f64) {
         let rigs = self.cloud.flavors["rigs"]
             .as_array()
             .cloned()
@@ -172,9 +180,9 @@
         room
     }
 
-    /// There is room for this job now: for a task of an array, for all tasks of another, on machines that it allows and
-    /// under its team's limit.
-    pub(super) fn has_room(&self, body: &Value) -> bool {
+    /// Whether there is free capacity for this job now, on machines that it allows and under its team's limit: for one
+    /// task if the job is an array, otherwise for all tasks.
+    pub(super) fn has_capacity_for(&self, body: &Value) -> bool {
         let number = |f: &str| body[f].as_f64().unwrap_or(0.0);
         let need = (number("vcpus"), number("cards"), number("mem_gb"));
         let tasks = body["pieces"].as_u64().unwrap_or(1);
@@ -197,7 +205,7 @@
             if !up || !kind || !allowed("rigs", &w.flavor) || !allowed("yard", &w.zone) {
                 continue;
             }
-            let mut room = self.room(w);
+            let mut room = self.free_resources(w);
             while room.0 >= need.0 && room.1 >= need.1 && room.2 >= need.2 {
                 room = (room.0 - need.0, room.1 - need.1, room.2 - need.2);
                 let here = zones.entry(&w.zone).or_default();
@@ -207,7 +215,7 @@
                 }
             }
         }
-        let limit = self.surely_allowed(body["crew"].as_str().unwrap_or(""));
+        let limit = self.min_possible_limit(body["crew"].as_str().unwrap_or(""));
         let half = wanted.div_ceil(2);
         let fits = match (
             body["together"] == json!(true),
@@ -220,20 +228,20 @@
         fits && used <= limit + 1e-6
     }
 
-    /// Once troubles are over, no job waits 90 s while there is room for it.
+    /// Checks that after the end of all faults no job waits for 90 s while there is free capacity for it.
     pub(super) fn check_waiting(&mut self) {
-        if self.asked_since == 0 {
+        if self.answers_expected_since == 0 {
             return;
         }
         let begun: HashSet<String> = self
             .workers
             .values()
             .flat_map(|w| w.tasks.keys())
-            .chain(&self.done)
+            .chain(&self.completed_tasks)
             .map(|t| t.split('/').next().unwrap_or("").to_string())
             .collect();
         for id in self.jobs.keys().cloned().collect::<Vec<_>>() {
-            let chain = self.upstream(&id);
+            let chain = self.job_and_upstream(&id);
             let released = chain
                 .iter()
                 .filter(|u| **u != id)
@@ -247,7 +255,7 @@
                 && released
                 && !begun.contains(&id)
                 && j.body["jobclass"] != "broken";
-            let idle = waits && self.has_room(&j.body);
+            let idle = waits && self.has_capacity_for(&j.body);
             let now = self.now;
             let Some(j) = self.jobs.get_mut(&id) else {
                 continue;
@@ -256,15 +264,16 @@
                 (false, _) => j.idle_since = None,
                 (true, None) => j.idle_since = Some(now),
                 (true, Some(t)) if now == t + 90 * SECOND => {
-                    self.broken
-                        .push(format!("left waiting: {id}, though there is room for it"));
+                    self.broken.push(format!(
+                        "left waiting: {id}, although there is free capacity for it"
+                    ));
                 }
                 _ => {}
             }
         }
     }
 
-    /// A leader's index of room agrees with what it knows of its machines.
+    /// Checks that each leader's index of free capacity agrees with its machine state.
     pub(super) fn check_index(&mut self) {
         let leading = self
             .nodes
@@ -275,7 +284,8 @@
         self.check_shards();
     }
 
-    /// No machine is in two shards' records, and parts of a limit add up to no more than it, as is stored.
+    /// Checks that no machine is in the stored records of two shards, and that the stored partitions of each team's
+    /// limit do not add up to more than the limit.
     pub(super) fn check_shards(&mut self) {
         let mut seen: HashMap<String, String> = HashMap::new();
         let block_of = |key: &str| key.split('/').nth(2).unwrap_or("").to_string();
@@ -311,8 +321,8 @@
         }
     }
 
-    /// The state service has it that this task of a live job is done.
-    pub(super) fn stored(&self, id: &str, index: u32) -> bool {
+    /// Whether the state service holds this task of a live job as done.
+    pub(super) fn is_stored_as_done(&self, id: &str, index: u32) -> bool {
         let part = index / TASKS_PER_PART;
         let values = [
             (format!("gh/live/{id}"), 0),
@@ -326,8 +336,9 @@
         })
     }
 
-    /// What is stored as done stays so: a part of a job only grows, until it goes with the job.
-    pub(super) fn check_parts(&mut self) {
+    /// Checks that the number of finished tasks in a stored part of a job never decreases until the part is deleted with
+    /// the job.
+    pub(super) fn check_stored_completions(&mut self) {
         let mut parts = HashMap::new();
         for key in self.state.keys("gh/part/") {
             let index = key
@@ -344,18 +355,19 @@
             decode_done_part(text, index, &mut done);
             parts.insert(key, done.len() as usize);
         }
-        for (key, before) in std::mem::take(&mut self.parts) {
+        for (key, before) in std::mem::take(&mut self.stored_done_counts) {
             if parts.get(&key).is_some_and(|now| *now < before) {
                 self.broken.push(format!(
-                    "lost: {key} had {before} ends, and has {}",
+                    "lost: {key} had {before} finished tasks and now has {}",
                     parts[&key]
                 ));
             }
         }
-        self.parts = parts;
+        self.stored_done_counts = parts;
     }
 
-    /// Cancelled jobs must be gone from all machines in time, those that hung and went on among them.
+    /// Checks that tasks of cancelled jobs are gone from all machines by the cancellation deadline, including machines
+    /// that hung and resumed.
     pub fn check_cancelled(&mut self) {
         let mut broken = Vec::new();
         let mut ran_on = 0;
@@ -373,8 +385,8 @@
         self.broken.extend(broken);
     }
 
-    /// A controller's answer obeys the rules for leaders: it answers workers only while nobody can have replaced it, and
-    /// launches nothing that it told its user to be cancelled.
+    /// Checks that a controller's answer obeys the rules for leaders: a leader answers workers only while no other
+    /// controller can have replaced it, and launches no task of a job that it told a user is cancelled.
     pub(super) fn check_reply(
         &mut self,
         node: usize,
@@ -390,7 +402,7 @@
             let late = format!("acted: {leading_term:?} answered a worker under {last:?}");
             self.broken.push(late);
         }
-        // What it passes on was decided by another.
+        // An answer with another term is relayed: the launches in it were decided by another controller.
         if body["baton"]
             .as_u64()
             .is_some_and(|term| owned_terms.contains(&term))
@@ -399,12 +411,13 @@
         }
     }
 
-    /// Ends a test: the rules held, and something ran.
+    /// Ends a test: checks that no invariant was broken, that at least one task ran, that every job was accepted or
+    /// cancelled, and that after the end of all faults no accepted job went without an answer for 75 s.
     pub fn finish(mut self) {
         self.check_cancelled();
         assert_eq!(self.broken, Vec::<String>::new());
-        assert!(self.starts > 0, "nothing ran");
-        // Of one that was cancelled at once the end may be the first thing told.
+        assert!(self.starts > 0, "no task ran");
+        // The first status that a user is told of a job may be that it is cancelled, if it was cancelled at once.
         let untold = |j: &UserJob| j.accepted.is_none() && j.told_cancelled.is_none();
         let untold: Vec<&String> = self
             .jobs
@@ -413,8 +426,8 @@
             .map(|(id, _)| id)
             .collect();
         assert!(untold.is_empty(), "never accepted: {untold:?}");
-        if self.asked_since > 0 {
-            let quiet = |j: &UserJob| self.now - j.answered.max(self.asked_since);
+        if self.answers_expected_since > 0 {
+            let quiet = |j: &UserJob| self.now - j.answered.max(self.answers_expected_since);
             let quiet = self
                 .jobs
                 .values()
@@ -424,7 +437,7 @@
                 .max(self.unanswered);
             assert!(
                 quiet < 75 * SECOND,
-                "a job was not answered for {} s",
+                "a job got no answer for {} s",
                 quiet / SECOND
             );
         }
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated world for tests: controllers, workers, cloud, state service and users on one
-//! simulated clock, and an independent checker of the rules.
+//! Simulated cluster for tests: controllers, workers, cloud, state service and users on one simulated clock, and an
+//! independent checker of the cluster's invariants.
 
 mod answers;
 mod cloud;
@@ -43,45 +43,46 @@
 pub use controllers::Node;
 pub use events::{Event, Origin};
 pub use faults::{Counters, Faults};
-pub use users::{Odd, UserJob, job};
+pub use users::{InvalidSubmission, UserJob, job};
 
-/// In microseconds, as all times here.
+/// One second in microseconds, the unit of all times in the harness.
 pub const SECOND: u64 = 1_000_000;
-/// How far the clock advances at a time.
+/// Increment of the simulated clock: 10 ms.
 const STEP: u64 = 10_000;
-/// How often controllers, workers and users get their turn.
+/// Interval between turns of controllers, workers and users: 50 ms.
 const TICK: u64 = 50_000;
-/// How long a worker runs on without an answer from a leader.
+/// Duration of a worker's lease: 10 s. A worker that gets no answer from a leader for this long stops its tasks.
 pub const LEASE: u64 = 10 * SECOND;
-/// By when nothing runs of a job whose user was told that it is cancelled.
+/// Cancellation deadline: 35 s after a user was told that a job is cancelled, none of its tasks may run.
 pub const CANCEL: u64 = 35 * SECOND;
 
-/// A cluster in memory: everybody in it acts on one simulated clock, in microseconds, and draws from one generator of random
-/// numbers, so that a seed determines a run.
+/// In-memory cluster. All participants act on one simulated clock, in microseconds, and draw from one random number
+/// generator, so a seed determines a run.
 pub struct World {
     pub now: u64,
     pub rng: StdRng,
     pub nodes: Vec<Node>,
     settings: Vec<Arc<Settings>>,
-    /// Versions of the configuration that operators have stored, and the last one's document.
-    changes: Vec<config_changes::Changed>,
+    /// Configuration versions that operators have stored, and the document of the last one.
+    config_versions: Vec<config_changes::StoredVersion>,
     document: Document,
-    /// How late workers may get what a controller answered.
-    pub answers_late: u64,
+    /// Maximum age, in microseconds, of a controller's answer that a worker still accepts.
+    pub max_answer_delay: u64,
     pub state: State,
-    /// Messages between partitioned peers.
-    held: Vec<(usize, usize, Envelope)>,
-    /// Copies of heartbeats for the next leader, and the last term seen.
+    /// Messages between partitioned peers as sender, recipient and content, held until the partition ends.
+    held_messages: Vec<(usize, usize, Envelope)>,
+    /// Copies of heartbeats, kept until the next term begins, and the last term seen.
     kept_copies: Vec<String>,
-    last_term: u64,
-    /// Users look at all nodes within milliseconds after each acceptance, end and cancellation.
+    last_seen_term: u64,
+    /// Whether users repeat their requests at all nodes within 300 ms after each acceptance, end and cancellation.
     pub close_looks: bool,
-    /// The share of jobs that are called off, and asked about everywhere, at the moment at which their last task ends.
+    /// Fraction of jobs that are cancelled at about the time their last task ends. If it is above 0, users repeat
+    /// their requests for every job at all nodes when its last task ends.
     pub cancel_at_end: f64,
-    /// Submissions that lack a field or can never run.
-    pub odd: BTreeMap<String, Odd>,
-    /// Jobs that this life of a controller has told its users to be cancelled.
-    told_by: HashSet<(usize, u32, String)>,
+    /// Submissions that lack a field or can never run, by an id of their own.
+    pub odd: BTreeMap<String, InvalidSubmission>,
+    /// Cancellations that a controller has confirmed to a user: node, incarnation of its process and job id.
+    cancellations_told: HashSet<(usize, u32, String)>,
     pub faults: Faults,
     pub counters: Counters,
     pub workers: BTreeMap<String, Worker>,
@@ -90,28 +91,29 @@
     queue: HashMap<u64, Event>,
     seq: u64,
     watches: Vec<(usize, u32, u64, String, u64, u64)>,
-    conns: HashMap<u64, (Origin, usize, u32)>,
+    connections: HashMap<u64, (Origin, usize, u32)>,
     pub jobs: BTreeMap<String, UserJob>,
     pub broken: Vec<String>,
-    /// How long submissions waited for a refusal with a time to come back.
+    /// Response times, in microseconds, of submissions that were refused with a time after which to retry.
     pub refusals: Vec<u64>,
     pub starts: usize,
     pub gang_peer: u64,
-    /// Queries beyond the usual polls that come every 50 ms, for jobs at random.
+    /// Number of additional queries about random jobs, on top of the usual polls, in every interval of 50 ms.
     pub queries: usize,
-    /// Tasks that failed, and when.
-    pub errors: Vec<(u64, String)>,
-    /// Controllers are woken as rarely as they allow, as the daemon does; else every 50 ms.
+    /// Failed tasks, each with the time of its failure.
+    pub failures: Vec<(u64, String)>,
+    /// Whether controllers are woken only after the idle time that they allow, as in the daemon, instead of every 50 ms.
     pub patient: bool,
-    /// What workers themselves would say of each attempt that reached them, if a ledger is kept.
+    /// Each attempt that reached a worker, as observed at the worker. Recorded only if a ledger is kept.
     pub record: Record,
-    /// Tasks that have completed somewhere.
-    done: HashSet<String>,
-    /// Finished tasks that each part of a job has in the state service.
-    parts: HashMap<String, usize>,
-    /// The longest that an accepted job went without an answer to its user since `asked_since`.
+    /// Tasks that have completed on some machine.
+    completed_tasks: HashSet<String>,
+    /// Number of finished tasks in each stored part of a job, by the part's key in the state service.
+    stored_done_counts: HashMap<String, usize>,
+    /// Longest time, in microseconds, that an accepted job went without an answer to its user since
+    /// `answers_expected_since`.
     pub unanswered: u64,
-    pub asked_since: u64,
-    /// How long tasks run, at least and at most.
+    pub answers_expected_since: u64,
+    /// Minimum and maximum run time of tasks, in microseconds.
     pub runs: (u64, u64),
 }
--- a/crates/gannethub-core/tests/simulation/harness/network.rs
+++ b/crates/gannethub-core/tests/simulation/harness/network.rs
@@ -1,9 +1,9 @@
-//! The network: HTTP requests to controllers, and messages between them.
+//! Simulated network: HTTP requests to controllers, and messages between controllers.
 
 use super::*;
 
-/// Clears what the previous release does not write into a message.
-fn forget_cancellations(message: &mut Envelope) {
+/// Clears the fields that the previous release does not write into a message: those about cancellations.
+fn clear_cancellation_fields(message: &mut Envelope) {
     match &mut message.body {
         Some(Body::Vote(p)) => {
             let (round, term, block) = (p.round, p.term, p.shard);
@@ -20,12 +20,12 @@
 }
 
 impl World {
-    /// Sends an HTTP request; no answer ever comes from a dead node.
+    /// Sends an HTTP request. A controller that has stopped never answers.
     pub fn http(&mut self, origin: Origin, node: usize, method: Method, path: &str, body: Bytes) {
         self.seq += 1;
         let conn = self.seq;
         let life = self.nodes[node].life;
-        self.conns.insert(conn, (origin, node, life));
+        self.connections.insert(conn, (origin, node, life));
         let request = Request {
             method,
             path: path.into(),
@@ -37,7 +37,7 @@
             connection: conn,
             request,
         };
-        self.at(
+        self.schedule(
             delay,
             Event::Command {
                 node,
@@ -47,20 +47,20 @@
         );
     }
 
-    /// Messages between peers that can reach each other again are sent on.
+    /// Sends the held messages between peers that can reach each other again.
     pub(super) fn release_held_messages(&mut self) {
         let cut = self.faults.partitioned.clone();
-        let (still, free): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held)
+        let (still, free): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held_messages)
             .into_iter()
             .partition(|h| cut.contains(&(h.0, h.1)));
-        self.held = still;
+        self.held_messages = still;
         for (from, to, message) in free {
             let delay = self.jitter();
-            self.at(delay, Event::Peer { from, to, message });
+            self.schedule(delay, Event::Peer { from, to, message });
         }
     }
 
-    /// Sends a message to a peer, as this controller's release and the network make it arrive.
+    /// Sends a message to a peer, after the changes that this controller's release or a corrupting network makes to it.
     pub(super) fn send_peer_message(
         &mut self,
         delay: u64,
@@ -69,7 +69,7 @@
         mut message: Envelope,
     ) {
         if self.faults.previous_release.contains(&node) {
-            forget_cancellations(&mut message);
+            clear_cancellation_fields(&mut message);
         }
         if let (true, Some(Body::Vote(vote))) = (
             self.faults.corrupts_votes.contains(&node),
@@ -82,8 +82,8 @@
             .settings
             .iter()
             .position(|s| s.name == name)
-            .expect("known");
-        self.at(
+            .expect("the peer is one of the nodes");
+        self.schedule(
             delay,
             Event::Peer {
                 from: node,
@@ -93,24 +93,24 @@
         );
     }
 
-    /// A message reaches a peer, unless the two are cut off from each other.
+    /// Delivers a message to a peer. The message is dropped on a lossy link and held on a partitioned one.
     pub(super) fn deliver_peer_message(&mut self, from: usize, to: usize, message: Envelope) {
         if self.faults.lossy_links.contains(&(from, to)) {
             return;
         }
         if self.faults.partitioned.contains(&(from, to)) {
-            self.held.push((from, to, message));
+            self.held_messages.push((from, to, message));
         } else {
             let life = self.nodes[to].life;
-            self.command(to, life, Command::PeerMessage(message));
+            self.deliver_command(to, life, Command::PeerMessage(message));
         }
     }
 
-    /// A copy of an old heartbeat reaches a controller.
+    /// Delivers a copy of an old heartbeat to a controller.
     pub(super) fn deliver_heartbeat_copy(&mut self, node: Option<usize>, body: String) {
         let any = self.rng.random_range(0..self.nodes.len());
         let node = node.unwrap_or(any);
-        // Nobody waits for its answer any more.
+        // No worker has an empty name, so the answer reaches no worker.
         let origin = Origin::Worker {
             name: String::new(),
             sent: self.now,
--- a/crates/gannethub-core/tests/simulation/harness/setup.rs
+++ b/crates/gannethub-core/tests/simulation/harness/setup.rs
@@ -1,8 +1,8 @@
-//! Worlds of a test: how many controllers, with which settings and policy.
+//! Construction of a test's world: number of controllers, settings and policy.
 
 use super::*;
 
-/// The settings of the controller `i` of `n`, after `change` has edited the file.
+/// Returns the settings of controller `i` of `n`, after `change` has edited the settings file.
 fn settings(i: usize, n: usize, lease_s: f64, change: &dyn Fn(String) -> String) -> Arc<Settings> {
     let mut text = format!(
         "host_name = \"n{i}\"\narea = \"z{i}\"\nbind = \"10.0.0.{i}:80\"\n\
@@ -22,7 +22,7 @@
         text += &format!("peer_addr = \"10.0.0.{j}:81\"\n");
     }
     Arc::new(
-        Settings::parse(&change(text), "story")
+        Settings::parse(&change(text), "test.toml")
             .expect("the test's settings are valid")
             .0,
     )
@@ -33,12 +33,14 @@
         World::with_lease(nodes, seed, LEASE as f64 / SECOND as f64)
     }
 
-    /// Controllers that believe in another lease than the workers'.
+    /// Creates a world whose controllers are configured with a lease of `believed_s` seconds, which may differ from the
+    /// workers' actual lease.
     pub fn with_lease(nodes: usize, seed: u64, believed_s: f64) -> World {
         World::with_settings(nodes, seed, believed_s, &|text| text)
     }
 
-    /// Controllers whose settings file is changed.
+    /// Creates a world whose controllers are configured with a lease of `believed_s` seconds and a settings file that
+    /// `change` has edited.
     pub fn with_settings(
         nodes: usize,
         seed: u64,
@@ -53,13 +55,13 @@
                 .map(|i| settings(i, nodes, believed_s, change))
                 .collect(),
             state: State::new(16 * 1024, 8),
-            held: Vec::new(),
+            held_messages: Vec::new(),
             kept_copies: Vec::new(),
-            last_term: 0,
+            last_seen_term: 0,
             close_looks: false,
             cancel_at_end: 0.0,
             odd: BTreeMap::new(),
-            told_by: HashSet::new(),
+            cancellations_told: HashSet::new(),
             faults: Faults::default(),
             counters: Counters::default(),
             workers: BTreeMap::new(),
@@ -68,31 +70,31 @@
             queue: HashMap::new(),
             seq: 0,
             watches: Vec::new(),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             jobs: BTreeMap::new(),
             broken: Vec::new(),
             refusals: Vec::new(),
             starts: 0,
             gang_peer: 5 * SECOND,
             queries: 0,
-            errors: Vec::new(),
+            failures: Vec::new(),
             patient: false,
             record: Record::default(),
-            done: HashSet::new(),
-            parts: HashMap::new(),
-            changes: Vec::new(),
+            completed_tasks: HashSet::new(),
+            stored_done_counts: HashMap::new(),
+            config_versions: Vec::new(),
             document: Document::default(),
-            answers_late: config_changes::ANSWER,
+            max_answer_delay: config_changes::MAX_ANSWER_DELAY,
             unanswered: 0,
-            asked_since: 0,
+            answers_expected_since: 0,
             runs: (2 * SECOND, 8 * SECOND),
         };
         for i in 0..nodes {
             world.nodes.push(Node {
                 controller: None,
                 life: 0,
-                born: 0,
-                stepped_at: 0,
+                started_at: 0,
+                last_step_at: 0,
                 ticks: 0,
             });
             world.restart(i);
@@ -100,7 +102,7 @@
         world
     }
 
-    /// The same with a ledger that is kept.
+    /// Creates a world in which a ledger is kept.
     pub fn with_ledger(nodes: usize, seed: u64, change: &dyn Fn(String) -> String) -> World {
         let mut world = World::with_settings(nodes, seed, LEASE as f64 / SECOND as f64, change);
         let keys = KeyRing::parse(&KeyRing::write("k1", &[7; 32])).expect("a key");
@@ -118,7 +120,7 @@
         world
     }
 
-    /// The same with the machines divided into so many shards.
+    /// Creates a world whose machines are divided into `shards` shards.
     pub fn with_shards(
         nodes: usize,
         seed: u64,
@@ -131,12 +133,12 @@
         world
     }
 
-    /// Controllers that start from here on divide the machines into so many shards.
+    /// Sets the number of shards for controllers that start from now on.
     pub fn set_shard_count(&mut self, shards: u32) {
         self.set_policy(&format!("blocks = {shards}"));
     }
 
-    /// Controllers that start from here on go by this policy.
+    /// Sets the policy of controllers that start from now on.
     pub fn set_policy(&mut self, text: &str) {
         for settings in &mut self.settings {
             let mut own = (**settings).clone();
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The ledger's pages, as the state service holds them.
+    /// Returns the pages of the ledger that the state service holds.
     pub fn ledger(&self) -> Vec<Page> {
         let keys = self.state.keys("gh/ledger/page/");
         let page = |k: &String| {
--- a/crates/gannethub-core/tests/simulation/harness/state_service.rs
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -1,9 +1,9 @@
-//! The state service as controllers reach it: slow, silent, refusing or hanging.
+//! Controllers' requests to the state service, which may answer late, lose answers, refuse requests or let watches hang.
 
 use super::*;
 
 impl World {
-    /// A request reaches the state service.
+    /// Handles a request that reaches the state service and schedules its answer.
     pub(super) fn handle_store_request(
         &mut self,
         node: usize,
@@ -28,11 +28,11 @@
                 let answer = (!lost).then_some((status, body));
                 let late = self.faults.commit_answer_delays.get(&node).copied();
                 match late.filter(|_| request.path == "/commit") {
-                    Some(late) => self.answer_in(late, node, life, id, answer),
+                    Some(late) => self.schedule_store_answer(late, node, life, id, answer),
                     None => self.store_answer(node, life, id, answer),
                 }
             }
-            // A read that does not wait is no watch.
+            // A read that does not wait is not a watch, so it is answered even if watches hang.
             Outcome::Wait { until, .. }
                 if until <= self.now && self.faults.hung_watches.contains(&node) =>
             {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Sends a controller's request; of a transaction the answer may be lost, or it may be carried out late with no answer.
+    /// Sends a controller's request. The faults in force may carry out a transaction late or lose its answer. In both
+    /// cases the controller sees a timeout.
     pub(super) fn send_store_request(
         &mut self,
         delay: u64,
@@ -65,7 +66,7 @@
             && self.rng.random_bool(self.faults.lost_commit_answer_rate);
         if !late && !lost {
             let asked = self.now;
-            self.at(
+            self.schedule(
                 delay,
                 Event::Store {
                     node,
@@ -81,7 +82,7 @@
         let long = if lost { delay } else { long };
         self.counters.unanswered_commits += usize::from(lost);
         let patience = request.timeout;
-        self.at(
+        self.schedule(
             long,
             Event::Store {
                 node,
@@ -91,14 +92,14 @@
                 asked: 0,
             },
         );
-        self.time_out(patience, node, life, id);
+        self.schedule_store_timeout(patience, node, life, id);
     }
 
-    /// A controller gets no answer to its request.
-    fn time_out(&mut self, patience: u64, node: usize, life: u32, id: u64) {
+    /// Schedules the timeout of a controller's request after `patience` microseconds.
+    fn schedule_store_timeout(&mut self, patience: u64, node: usize, life: u32, id: u64) {
         let answer = Err(NoAnswer::Timeout);
         let command = Command::StoreAnswer { id, answer };
-        self.at(
+        self.schedule(
             patience,
             Event::Command {
                 node,
@@ -115,12 +116,12 @@
         id: u64,
         answer: Option<(u16, Value)>,
     ) {
-        let delay = self.slowness();
-        self.answer_in(delay, node, life, id, answer);
+        let delay = self.store_delay();
+        self.schedule_store_answer(delay, node, life, id, answer);
     }
 
-    /// How long the state service takes for an answer.
-    pub(super) fn slowness(&mut self) -> u64 {
+    /// Draws the delay of an answer from the state service, in microseconds.
+    pub(super) fn store_delay(&mut self) -> u64 {
         let slow = if self.faults.max_store_delay > 0 {
             self.rng.random_range(0..self.faults.max_store_delay)
         } else {
@@ -129,7 +130,7 @@
         self.jitter() + slow
     }
 
-    pub(super) fn answer_in(
+    pub(super) fn schedule_store_answer(
         &mut self,
         delay: u64,
         node: usize,
@@ -140,7 +141,7 @@
         let answer = answer
             .map(|(status, body)| Answer::new(status, body.to_string()))
             .ok_or(NoAnswer::Timeout);
-        self.at(
+        self.schedule(
             delay,
             Event::Command {
                 node,
@@ -158,7 +159,8 @@
             let hangs = self.faults.store_refuses.contains(&node)
                 || self.faults.hung_watches.contains(&node);
             if hangs && self.nodes[node].life == life {
-                // Its open watches wait, as they would in an outage, until it gives them up.
+                // The controller's open watches get no answer, as in an outage, until they time out 3 s after their
+                // normal end.
                 match self.now > until + 3 * SECOND {
                     true => self.store_answer(node, life, id, None),
                     false => self.watches.push((node, life, id, prefix, after, until)),
@@ -173,8 +175,8 @@
                     } else {
                         0
                     };
-                    let delay = slow + self.slowness();
-                    self.answer_in(delay, node, life, id, Some((200, changes)));
+                    let delay = slow + self.store_delay();
+                    self.schedule_store_answer(delay, node, life, id, Some((200, changes)));
                 }
                 None if until <= self.now => {
                     let quiet = self.state.quiet();
--- a/crates/gannethub-core/tests/simulation/harness/users.rs
+++ b/crates/gannethub-core/tests/simulation/harness/users.rs
@@ -1,8 +1,8 @@
-//! Users: what they submit, ask and cancel, and what they are told.
+//! Simulated users: their submissions, polls and cancellations, and the answers that they got.
 
 use super::*;
 
-/// A job as its user sees it.
+/// A job as its user sees it. All times are in microseconds.
 #[derive(Debug)]
 pub struct UserJob {
     pub body: Value,
@@ -13,21 +13,22 @@
     pub status: String,
     pub waits_on: Vec<String>,
     pub polls: usize,
-    /// When a question about it was last answered.
+    /// Time of the last answer to a request about the job.
     pub answered: u64,
-    /// Since when it waits though there is room for it.
+    /// Time since which the job waits although there is free capacity for it.
     pub(super) idle_since: Option<u64>,
 }
 
-/// What lacks a field or can never run: whom to ask about it, and the word that the refusal has to name.
+/// A submission that lacks a field or can never run: its body, the field that the refusal must name, and the number of
+/// refusals.
 #[derive(Debug)]
-pub struct Odd {
+pub struct InvalidSubmission {
     pub body: Value,
     pub field: String,
     pub refused: usize,
 }
 
-/// A submission's body. `more` overrides fields.
+/// Returns the body of a submission. The fields in `more` override the defaults.
 pub fn job(id: u32, tasks: u32, more: Value) -> Value {
     let mut body = json!({
         "id": format!("j-{id:06}"), "jobclass": "c", "crew": "blue", "shape": "array",
@@ -63,7 +64,7 @@
         self.ask(&id, "submit");
     }
 
-    /// A user submits at this node, once, whatever the answer.
+    /// Submits a job at this node once. The answer is ignored.
     pub fn ask_quietly(&mut self, body: Value, node: usize) {
         let id = body["id"].as_str().unwrap_or("").to_string();
         let origin = Origin::User {
@@ -80,7 +81,8 @@
         );
     }
 
-    /// A user submits at this node what lacks a field or can never run; the refusal has to name the field.
+    /// Submits at this node a job that lacks a field or can never run. The checker requires that the refusal names
+    /// `field`.
     pub fn submit_odd(&mut self, body: Value, field: &str, node: usize) {
         let id = format!("odd {} {}", field, self.odd.len());
         let origin = Origin::User {
@@ -91,7 +93,7 @@
         let text = Bytes::from(body.to_string());
         self.odd.insert(
             id,
-            Odd {
+            InvalidSubmission {
                 body,
                 field: field.into(),
                 refused: 0,
@@ -100,18 +102,18 @@
         self.http(origin, node, Method::Post, "/api/jobs", text);
     }
 
-    /// Users look at all nodes, again and again within milliseconds, and repeat what they asked for.
-    pub(super) fn look_closely(&mut self, id: &str) {
+    /// Repeats a user's requests at all nodes several times within 300 ms.
+    pub(super) fn request_at_all_nodes(&mut self, id: &str) {
         for node in 0..self.nodes.len() {
             for what in ["poll", "submit", "poll", "cancel", "poll"] {
-                // Only who has called it off repeats that.
+                // A cancellation is repeated only if the user has requested it before.
                 if what == "cancel" && !self.jobs.get(id).is_some_and(|j| j.cancel_asked) {
                     continue;
                 }
                 let soon = self.rng.random_range(0..300_000);
-                self.at(
+                self.schedule(
                     soon,
-                    Event::Ask {
+                    Event::UserRequest {
                         job: id.into(),
                         what,
                         node,
@@ -130,7 +132,7 @@
         self.ask(&id, "cancel");
     }
 
-    /// A user cancels a job at this controller, and goes on asking anywhere until that is answered.
+    /// Cancels a job at this controller. The user then repeats the request at random nodes until it is answered.
     pub fn cancel_at(&mut self, id: u32, node: usize) {
         let id = format!("j-{id:06}");
         if let Some(j) = self.jobs.get_mut(&id) {
@@ -139,7 +141,7 @@
         self.ask_at(&id, "cancel", node);
     }
 
-    /// Sends a user's request to some node.
+    /// Sends a user's request to a random node.
     pub fn ask(&mut self, id: &str, what: &'static str) {
         let node = self.rng.random_range(0..self.nodes.len());
         self.ask_at(id, what, node);
@@ -164,7 +166,7 @@
         self.http(origin, node, method, &path, body);
     }
 
-    /// Every job is polled, and what has not been answered is asked again.
+    /// Polls every accepted job every 2 s, and repeats submissions and cancellations that have not been answered.
     pub(super) fn poll_jobs(&mut self) {
         if !self.now.is_multiple_of(2 * SECOND) {
             return;
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Requests about random jobs that come on top of the usual polls.
+    /// Sends `queries` requests about random jobs, in addition to the usual polls.
     pub(super) fn send_random_queries(&mut self) {
         for _ in 0..self.queries {
             let accepted = self.jobs.iter().filter(|(_, j)| j.accepted.is_some());
@@ -195,8 +197,8 @@
         }
     }
 
-    /// The job itself and all that it needs, directly or through others.
-    pub(super) fn upstream(&self, id: &str) -> Vec<String> {
+    /// Returns the job itself and all its direct and indirect upstream jobs.
+    pub(super) fn job_and_upstream(&self, id: &str) -> Vec<String> {
         let mut all = vec![id.to_string()];
         let mut next = 0;
         while let Some(id) = all.get(next).cloned() {
@@ -212,21 +214,22 @@
         all
     }
 
-    /// Whether each of the job's tasks has completed on some machine at some time.
+    /// Whether each of the job's tasks has completed on some machine.
     pub(super) fn completed(&self, id: &str) -> bool {
         let n = self
             .jobs
             .get(id)
             .and_then(|j| j.body["pieces"].as_u64())
             .unwrap_or(0);
-        (0..n).all(|i| self.done.contains(&format!("{id}/{i}")))
+        (0..n).all(|i| self.completed_tasks.contains(&format!("{id}/{i}")))
     }
 
-    /// What a job's user was last told that it waits for.
+    /// Returns the upstream jobs that the job waits for, according to the last poll of its user.
     pub fn waits_on(&self, id: &str) -> &[String] {
         &self.jobs[id].waits_on
     }
 
+    /// Whether every job has ended as far as its user was told. An accepted service counts as ended.
     pub fn all_over(&self) -> bool {
         self.jobs.values().all(|j| {
             j.told_done.is_some()
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -1,13 +1,13 @@
-//! Workers on the machines of the cloud, and what they see of the world.
+//! Simulated workers on the machines of the cloud, and the interface through which they reach the simulation.
 
 use super::*;
 
-/// How long an answer to a heartbeat waits for a machine that hangs.
-const HUNG_ANSWER: u64 = 4 * SECOND;
+/// Maximum time after a heartbeat was sent for which its answer waits for a hung machine: 4 s.
+const HUNG_ANSWER_LIFETIME: u64 = 4 * SECOND;
 
 impl World {
-    /// Notes what a worker has and no longer has.
-    pub(super) fn log(&mut self, w: &Worker) {
+    /// Records the worker's current attempts and the ends of earlier ones, if a ledger is kept.
+    pub(super) fn record_worker(&mut self, w: &Worker) {
         if self.settings[0].ledger.is_none() {
             return;
         }
@@ -22,7 +22,7 @@
                 continue;
             };
             w.step(self);
-            self.log(&w);
+            self.record_worker(&w);
             self.workers.insert(name, w);
         }
         let mut workers = std::mem::take(&mut self.workers);
@@ -31,7 +31,9 @@
         self.workers = workers;
     }
 
-    /// Direct commands reach a worker that reaches no controller, and wait for one that hangs, whoever may lead by then.
+    /// Delivers direct commands to a worker, even to one that reaches no controller, and checks that they only stop
+    /// tasks. Commands for a hung machine wait until it resumes if that is less than 60 s away, regardless of changes of
+    /// the leader.
     pub(super) fn command_worker(&mut self, node: usize, addr: String, body: Bytes) {
         let text: Value = serde_json::from_slice(&body).unwrap_or_default();
         let verbs = text["orders"]
@@ -53,7 +55,7 @@
         let late = w.hung_until.saturating_sub(self.now);
         if late > 0 {
             if late < 60 * SECOND {
-                self.at(late, Event::Direct { node, addr, body });
+                self.schedule(late, Event::DirectCommands { node, addr, body });
             }
             return;
         }
@@ -63,13 +65,13 @@
         };
         if !w.hung(self.now) && !w.lease_over(self.now) {
             w.commanded(self, &body);
-            self.log(&w);
+            self.record_worker(&w);
         }
         self.workers.insert(name, w);
     }
 
-    /// The answer to a heartbeat reaches its worker, if anybody there can read it.
-    pub(super) fn worker_answer(
+    /// Delivers the answer to a heartbeat, if the worker can receive it.
+    pub(super) fn on_worker_answer(
         &mut self,
         name: String,
         sent: u64,
@@ -84,10 +86,10 @@
             .filter(|w| w.hung(self.now) && !w.dead)
             .map(|w| w.hung_until)
         {
-            // It lies there until the machine goes on, if it does within its patience.
-            if until > self.now && until < sent + HUNG_ANSWER {
+            // The answer waits until the machine resumes, if it does so before the worker gives up on the answer.
+            if until > self.now && until < sent + HUNG_ANSWER_LIFETIME {
                 let origin = Origin::Worker { name, sent };
-                self.at(
+                self.schedule(
                     until - self.now,
                     Event::Answer {
                         origin,
@@ -101,7 +103,7 @@
         let mut worker = self.workers.remove(&name);
         if let Some(w) = worker.as_mut().filter(|w| !w.hung(self.now)) {
             w.answered(self, node, sent, response.status, &response.body);
-            self.log(w);
+            self.record_worker(w);
         }
         worker.map(|w| self.workers.insert(name, w));
     }
@@ -146,11 +148,11 @@
     }
 
     fn is_done(&self, task: &str) -> bool {
-        self.done.contains(task)
+        self.completed_tasks.contains(task)
     }
 
     fn done(&mut self, task: &str) {
-        self.done.insert(task.into());
+        self.completed_tasks.insert(task.into());
         let id = task.split('/').next().unwrap_or("").to_string();
         if self.cancel_at_end == 0.0 || !self.completed(&id) {
             return;
@@ -158,20 +160,20 @@
         if self.rng.random_bool(self.cancel_at_end)
             && let Some(j) = self.jobs.get_mut(&id)
         {
-            // From before its worker says so until some time after it was stored.
+            // The delays cover the time from before the worker reports the end until after the end is stored.
             j.cancel_asked = true;
             let node = self.rng.random_range(0..self.nodes.len());
             let soon = self.rng.random_range(0..SECOND * 5 / 2);
-            self.at(
+            self.schedule(
                 soon,
-                Event::Ask {
+                Event::UserRequest {
                     job: id.clone(),
                     what: "cancel",
                     node,
                 },
             );
         }
-        self.look_closely(&id);
+        self.request_at_all_nodes(&id);
     }
 
     fn starts(&mut self, worker: &Worker, task: &str) {
@@ -179,7 +181,7 @@
     }
 
     fn failed(&mut self, task: &str) {
-        self.errors.push((self.now, task.into()));
+        self.failures.push((self.now, task.into()));
     }
 
     fn forgets(&mut self, task: &str) {
@@ -188,11 +190,11 @@
         let over = self.state.value(&format!("gh/over/{id}")).is_some();
         let live = self.state.value(&format!("gh/live/{id}"));
         let cancelled = live.is_some_and(|v| v["cancelled"] == json!(true));
-        if over || cancelled || self.stored(id, index) {
+        if over || cancelled || self.is_stored_as_done(id, index) {
             return;
         }
         self.broken.push(format!(
-            "lost: the end of {task} is forgotten and not stored"
+            "lost: the worker forgets the end of {task}, which is not stored"
         ));
     }
 
@@ -208,9 +210,9 @@
             && self.rng.random_bool(self.faults.heartbeat_copy_rate)
         {
             let late = self.rng.random_range(2 * SECOND..3 * LEASE);
-            self.at(
+            self.schedule(
                 late,
-                Event::Copy {
+                Event::HeartbeatCopy {
                     node: None,
                     body: body.clone(),
                 },
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -63,14 +63,14 @@
     w.submit(job(4, 2, json!({"jobclass": "broken", "shape": "service"})));
     w.run(30);
     let (failed, machines) = (
-        w.errors.len(),
+        w.failures.len(),
         w.workers.keys().cloned().collect::<Vec<_>>(),
     );
     let old = w.leader().expect("someone leads");
     w.crash(old, 6 * SECOND);
     w.run(90);
     // Three jobs, each with a handful of trials: a successor knows what its predecessor found out.
-    let more = w.errors.len() - failed;
+    let more = w.failures.len() - failed;
     assert!((3..36).contains(&more), "{more} failures in 90 s");
     let cluster = w
         .leader()
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -41,14 +41,14 @@
 }
 
 /// The state service refuses the leader, and users cancel these jobs at one other controller, which tells them so.
-fn refused_and_cancelled(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
+fn cancel_while_leader_is_refused(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
     w.faults.store_refuses.insert(old);
     jobs.iter().for_each(|i| w.cancel_at(*i, near));
     w.run_until(1, "the users are told", |w| told(w, jobs));
 }
 
 /// The outage goes on well past what a cancellation has. Then all is well again, and everything ends.
-fn outlast(mut w: World, seed: u64) {
+fn outlast_cancel_deadline(mut w: World, seed: u64) {
     w.state.down = true;
     w.run(CANCEL / SECOND + 25);
     assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
@@ -75,8 +75,8 @@
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (3, 4), (5, 5), (5, 6)] {
         let mut w = long(nodes, seed);
         let (old, others) = roles(&w, seed);
-        refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
-        outlast(w, seed);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -88,13 +88,13 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         w.faults.previous_release.extend(others.iter().copied());
-        refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(9);
         assert_eq!(w.leader(), Some(old), "they carry it for a while");
         w.run(17);
         assert_eq!(w.leader(), None, "and no further");
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -105,11 +105,11 @@
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
         w.faults.corrupts_votes.insert(others[0]);
-        refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(27);
         assert_eq!(w.leader(), None);
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -145,7 +145,7 @@
         assert!(!told(&w, &[1]), "nobody is told yet");
         w.state.down = true;
         w.run_until(3, "the users are told", |w| told(w, &[1, 2, 3, 4]));
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -155,10 +155,10 @@
     for (seed, back) in [(1, 7), (2, 7), (3, 3), (4, 2_000), (5, 2_000)] {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.crash(others[0], back * SECOND / 10);
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -178,12 +178,12 @@
             }
             _ => w.faults.partitioned.extend([(old, third), (third, old)]),
         }
-        refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         if seed > 6 {
             // The one that confirmed cannot tell the leader itself.
             w.faults.partitioned.extend([(others[0], old)]);
         }
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -213,8 +213,8 @@
         w.run_until(5, "it is accepted", |w| {
             w.jobs["j-000014"].accepted.is_some()
         });
-        refused_and_cancelled(&mut w, old, others[0], &[11, 12, 14]);
-        outlast(w, seed);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[11, 12, 14]);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -262,8 +262,8 @@
         } else {
             roles(&w, seed)
         };
-        refused_and_cancelled(&mut w, old, others[0], &jobs);
-        outlast(w, seed);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &jobs);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -280,8 +280,8 @@
             w.faults.store_refuses.remove(&old);
             w.run(1);
         }
-        refused_and_cancelled(&mut w, old, others[0], &[7]);
-        outlast(w, seed);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[7]);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -298,8 +298,8 @@
         w.state.down = false;
         w.faults.store_refuses.insert(old);
         w.run(1);
-        refused_and_cancelled(&mut w, old, others[0], &[1, 2, 3, 4]);
-        outlast(w, seed);
+        cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -322,7 +322,7 @@
         } else {
             w.run_until(15, "another leads", |w| w.leader().is_some());
         }
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
@@ -339,7 +339,7 @@
             .extend(&refused[..1 + seed as usize % 2]);
         (1..=4).for_each(|i| w.cancel_at(i, near));
         w.run_until(1, "the users are told", |w| told(w, &[1, 2, 3, 4]));
-        outlast(w, seed);
+        outlast_cancel_deadline(w, seed);
     }
 }
 
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -15,11 +15,12 @@
 use crate::harness::{SECOND, World, job};
 
 const SPEC: &str = r#"{"class":"scale-ticket","team":"blue","shape":"Array","priority":"Low","tasks":70,"need":{"cpu":1000,"gpu":0,"mem":2300},"image":"img-07","image_gb":0.6,"types":["small"],"zone":null,"one_zone":false,"spread":false,"spot":true,"estimate":30500000,"checkpoint_every":0,"save":0,"deadline":71000000}"#;
-const TAIL: &str = r#","at":1790000000000000,"done":"0-2,9","cancelled":false}"#;
-const FAILING: &str = r#","at":1790000000000000,"done":"","cancelled":true,"failing":true}"#;
-const OVER: &str = r#"{"cancelled":false,"tasks":70}"#;
-const PART: &str = r#"{"done":"4096-4100"}"#;
-const LEAD: &str = r#"{"holder":"n0","term":7}"#;
+const RECORD_TAIL: &str = r#","at":1790000000000000,"done":"0-2,9","cancelled":false}"#;
+const CRASH_LOOPING_TAIL: &str =
+    r#","at":1790000000000000,"done":"","cancelled":true,"failing":true}"#;
+const FINISHED_JOB: &str = r#"{"cancelled":false,"tasks":70}"#;
+const DONE_PART: &str = r#"{"done":"4096-4100"}"#;
+const LEASE: &str = r#"{"holder":"n0","term":7}"#;
 const CHUNK: &str = r#"{"term":7,"holder":"n0","machines":{"host-000001":{"flavor":"small","zone":"a","spot":true},"host-000002":{"flavor":"gpu","zone":"b","spot":false}}}"#;
 const FRAMES: &str = "000000170a026e31121108071001180122090a036a2d31100218030000000c0a026e31\
     1a06080912027b7d0000000f0a026e312209080910c8011a027b7d0000000f0a026e312a090801100718c096b102\
@@ -31,7 +32,7 @@
 
 /// What the leader of the version before reads of a live job; every field without a default is needed.
 #[derive(Deserialize)]
-struct OldJob {
+struct PreviousJobRecord {
     spec: JobSpec,
     at: u64,
     #[serde(default)]
@@ -44,20 +45,20 @@
 
 /// What its copy for queries reads.
 #[derive(Deserialize)]
-struct OldBrief {
-    spec: OldSize,
+struct PreviousJobSummary {
+    spec: PreviousSpecSummary,
     #[serde(default)]
     cancelled: bool,
 }
 
 #[derive(Deserialize)]
-struct OldSize {
+struct PreviousSpecSummary {
     tasks: u32,
 }
 
 #[test]
 fn what_the_version_before_writes_is_read_and_written_as_it_was() {
-    for tail in [TAIL, FAILING] {
+    for tail in [RECORD_TAIL, CRASH_LOOPING_TAIL] {
         let text = record(tail);
         let LiveRecord::Job(r) = LiveRecord::parse(&text).expect("a job") else {
             panic!("it does not wait")
@@ -68,12 +69,12 @@
             "not a byte differs where nothing is new"
         );
     }
-    let over: FinishedJobRecord = serde_json::from_str(OVER).expect("an end");
-    assert_eq!(store::to_raw_value(&over).get(), OVER);
-    let part: DonePartRecord = serde_json::from_str(PART).expect("a part");
-    assert_eq!(store::to_raw_value(&part).get(), PART);
-    let lead: LeaseRecord = serde_json::from_str(LEAD).expect("a leader");
-    assert_eq!(store::to_raw_value(&lead).get(), LEAD);
+    let over: FinishedJobRecord = serde_json::from_str(FINISHED_JOB).expect("an end");
+    assert_eq!(store::to_raw_value(&over).get(), FINISHED_JOB);
+    let part: DonePartRecord = serde_json::from_str(DONE_PART).expect("a part");
+    assert_eq!(store::to_raw_value(&part).get(), DONE_PART);
+    let lead: LeaseRecord = serde_json::from_str(LEASE).expect("a leader");
+    assert_eq!(store::to_raw_value(&lead).get(), LEASE);
     let chunk: ChunkRecord = serde_json::from_str(CHUNK).expect("a chunk");
     assert_eq!(store::to_raw_value(&chunk).get(), CHUNK);
 }
@@ -107,7 +108,7 @@
 
 #[test]
 fn the_version_before_answers_from_a_waiting_record_and_cannot_start_it() {
-    let LiveRecord::Job(r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+    let LiveRecord::Job(r) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
     let on = [JobId::from("j-000398")];
@@ -115,10 +116,11 @@
         let waiting = WaitingRecord::new(r.spec.clone(), r.accepted_at, cancelled, &on);
         let text = store::to_raw_value(&waiting).get().to_string();
         assert!(
-            serde_json::from_str::<OldJob>(&text).is_err(),
+            serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
             "its leader finds nothing to run"
         );
-        let brief: OldBrief = serde_json::from_str(&text).expect("its copy has an answer");
+        let brief: PreviousJobSummary =
+            serde_json::from_str(&text).expect("its copy has an answer");
         assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
         assert_eq!(
             LiveRecord::parse(&text).expect("ours"),
@@ -129,7 +131,7 @@
     let mut released = JobRecord::new(r.spec.clone(), r.accepted_at);
     released.ready_at = Some(r.accepted_at + 5);
     released.done = "0-2,9".into();
-    let old: OldJob =
+    let old: PreviousJobRecord =
         serde_json::from_str(store::to_raw_value(&released).get()).expect("a job to it too");
     assert_eq!(
         (old.spec, old.at, &*old.done),
@@ -140,15 +142,15 @@
 
 #[test]
 fn the_version_before_answers_for_a_job_of_another_shard_and_cannot_start_it() {
-    let LiveRecord::Job(mut r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+    let LiveRecord::Job(mut r) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
     r.watermark = Some(40);
     // Its leader runs a job of shard 0, and a watermark is nothing to it; in turn it loses that, and we take all for
     // launched.
-    let old: OldJob = serde_json::from_str(r.to_value().get()).expect("a job to it too");
+    let old: PreviousJobRecord = serde_json::from_str(r.to_value().get()).expect("a job to it too");
     assert_eq!(old.done, r.done);
-    let LiveRecord::Job(lost) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+    let LiveRecord::Job(lost) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
     assert_eq!(
@@ -161,10 +163,11 @@
         r.cancelled = cancelled;
         let text = r.to_value().get().to_string();
         assert!(
-            serde_json::from_str::<OldJob>(&text).is_err(),
+            serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
             "its leader finds nothing to run"
         );
-        let brief: OldBrief = serde_json::from_str(&text).expect("its copy has an answer");
+        let brief: PreviousJobSummary =
+            serde_json::from_str(&text).expect("its copy has an answer");
         assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
         assert_eq!(
             LiveRecord::parse(&text).expect("ours"),
@@ -182,8 +185,8 @@
 }
 
 /// A job record as the version before keeps it, with these tasks done.
-fn old_record(tasks: u32, done: &str) -> String {
-    let mut record: Value = serde_json::from_str(&record(TAIL)).expect("JSON");
+fn previous_record(tasks: u32, done: &str) -> String {
+    let mut record: Value = serde_json::from_str(&record(RECORD_TAIL)).expect("JSON");
     record["spec"]["tasks"] = json!(tasks);
     record["spec"]["class"] = json!("c".repeat(120));
     record["done"] = json!(done);
@@ -207,7 +210,7 @@
     let chunk = json!({"term": 1, "holder": "n0", "machines": machines});
     assert!(chunk.to_string().len() > 4096);
     w.state.put("gh/block/0/0", &chunk.to_string());
-    w.state.put("gh/live/j-000077", &old_record(4, ""));
+    w.state.put("gh/live/j-000077", &previous_record(4, ""));
     w.submit(job(77, 4, json!({})));
     w.submit(job(1, 2, json!({"waits_on": ["j-000077"]})));
     // The limits fall while they are still in store.
@@ -236,7 +239,7 @@
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(1, 81, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     let ranges: Vec<String> = (0..2000).step_by(2).map(|i| i.to_string()).collect();
-    let mut record: Value = serde_json::from_str(&old_record(2000, "")).expect("JSON");
+    let mut record: Value = serde_json::from_str(&previous_record(2000, "")).expect("JSON");
     let mut done = gannethub_core::model::TaskSet::default();
     for r in &ranges {
         done.insert(r.parse().expect("a number"));
@@ -256,7 +259,8 @@
     assert_eq!(w.state.too_large, 0);
     let live = w.state.value("gh/live/j-000077").expect("alive");
     let part = w.state.value("gh/part/j-000077/0").expect("its part");
-    let old: OldJob = serde_json::from_value(live.clone()).expect("the version before reads it");
+    let old: PreviousJobRecord =
+        serde_json::from_value(live.clone()).expect("the version before reads it");
     assert_eq!(old.done, "");
     let mut back = gannethub_core::model::TaskSet::default();
     store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut back);
