--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -142,8 +142,8 @@
         self.possible_limits(team).into_iter().fold(0.0, f64::max)
     }
 
-    /// Returns the smallest limit of a team, in CPUs, under any version that may be acted on now: usage up to this limit
-    /// is allowed by all of these versions.
+    /// Returns the smallest limit of a team, in CPUs, under any version that may be acted on now. All of these versions
+    /// allow usage up to this limit.
     pub fn min_possible_limit(&self, team: &str) -> f64 {
         self.possible_limits(team)
             .into_iter()
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -336,8 +336,8 @@
         })
     }
 
-    /// Checks that the number of finished tasks in a stored part of a job never decreases until the part is deleted with
-    /// the job.
+    /// Checks that the number of finished tasks in a stored part of a job never decreases, until the part is deleted
+    /// with the job.
     pub(super) fn check_stored_completions(&mut self) {
         let mut parts = HashMap::new();
         for key in self.state.keys("gh/part/") {
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -102,7 +102,8 @@
     pub queries: usize,
     /// Failed tasks, each with the time of its failure.
     pub failures: Vec<(u64, String)>,
-    /// Whether controllers are woken only after the idle time that they allow, as in the daemon, instead of every 50 ms.
+    /// Whether controllers are woken only after the idle time that they allow, as in the daemon. Otherwise they are
+    /// woken every 50 ms.
     pub patient: bool,
     /// Each attempt that reached a worker, as observed at the worker. Recorded only if a ledger is kept.
     pub record: Record,
--- a/crates/gannethub-core/tests/simulation/harness/state_service.rs
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -1,4 +1,4 @@
-//! Controllers' requests to the state service, which may answer late, lose answers, refuse requests or let watches hang.
+//! Controllers' requests to the state service. It may answer late, lose answers, refuse requests or let watches hang.
 
 use super::*;
 
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -32,8 +32,8 @@
     }
 
     /// Delivers direct commands to a worker, even to one that reaches no controller, and checks that they only stop
-    /// tasks. Commands for a hung machine wait until it resumes if that is less than 60 s away, regardless of changes of
-    /// the leader.
+    /// tasks. Commands for a hung machine wait until it resumes if that is less than 60 s away, whichever controller
+    /// leads by then.
     pub(super) fn command_worker(&mut self, node: usize, addr: String, body: Bytes) {
         let text: Value = serde_json::from_slice(&body).unwrap_or_default();
         let verbs = text["orders"]
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -1,4 +1,5 @@
-//! What operators met: storms of queries, guests, machines that come late, jobs that never succeed.
+//! Situations that operators encountered: query storms, teams without a guarantee, machines that boot late, jobs that
+//! never succeed.
 
 use serde_json::json;
 
@@ -10,14 +11,14 @@
 use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
 
-/// The rates of a small state service.
+/// Sets the request rates of a small state service: 70 requests and 25 writes per second.
 fn slow_state(text: String) -> String {
     text.replace("write_rps = 100.0", "write_rps = 25.0")
         .replace("rps = 200.0", "rps = 70.0")
 }
 
 #[test]
-fn a_storm_of_queries_does_not_keep_a_cancellation_from_the_leader() {
+fn query_storm_does_not_delay_cancellations() {
     let mut w = World::with_settings(3, 60, 10.0, &slow_state);
     w.run(2);
     (0..150).for_each(|i| w.submit(job(i, 1, json!({"shape": "service"}))));
@@ -28,7 +29,7 @@
     w.run(5);
     (0..10).for_each(|i| w.cancel(i));
     w.run(60);
-    // The users were told, and nothing is left on any machine.
+    // The users were told of the cancellations, and no cancelled task is left on any machine.
     w.check_cancelled();
     let told = w
         .jobs
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_limit_of_zero_is_none_and_a_team_that_is_not_listed_is_still_refused() {
+fn zero_limit_means_unlimited_and_unlisted_teams_are_refused() {
     let guest = "[[cluster.teams]]\nname = \"guest\"\n";
     let mut w = World::with_settings(1, 61, 10.0, &|text| text + guest);
     w.run(2);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_job_submitted_with_a_mistake_is_tried_ever_more_rarely_and_no_machine_is_blamed() {
+fn crash_looping_jobs_are_retried_less_and_no_machine_is_quarantined() {
     let mut w = World::new(3, 62);
     w.run(2);
     w.submit(job(1, 20, json!({"shape": "service"})));
@@ -69,7 +70,8 @@
     let old = w.leader().expect("someone leads");
     w.crash(old, 6 * SECOND);
     w.run(90);
-    // Three jobs, each with a handful of trials: a successor knows what its predecessor found out.
+    // Each of the three jobs is tried only a few times: the new leader knows from its predecessor that they are
+    // crash-looping.
     let more = w.failures.len() - failed;
     assert!((3..36).contains(&more), "{more} failures in 90 s");
     let cluster = w
@@ -88,9 +90,9 @@
             .filter(|m| w.workers.contains_key(*m))
             .count()
             >= 5,
-        "all returned"
+        "fewer than five machines were kept"
     );
-    // The mistake is mended: the job does well at its next trial, and the others at once.
+    // The cause of the failures is fixed: the array's next probe succeeds, and its other tasks start at once.
     w.jobs.get_mut("j-000002").expect("known").body["jobclass"] = json!("c");
     w.run_until(180, "the array is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_comes_after_its_machine_was_deleted_shows_nothing() {
+fn late_heartbeat_of_a_deleted_machine_is_ignored() {
     let mut f = LeaderView::new();
     f.machines("host", 2, "large", "a");
     f.submit("j-1", spec(Shape::Array, "red", 2, 30.0));
@@ -112,7 +114,7 @@
         .keys()
         .map(|id| (id.task.to_string(), id.number))
         .collect();
-    // It falls silent for longer than its lease and is deleted; the other goes on.
+    // The first machine sends no heartbeat for longer than its lease and is deleted. The second one continues.
     for _ in 0..6 {
         f.pass(2);
         f.heartbeat("host-0001", "large", "a", &[]);
@@ -122,11 +124,12 @@
         .into_iter()
         .find(|c| matches!(c, CloudCall::Delete { .. }));
     f.c.apply_cloud_answer(
-        delete.expect("the silent one is returned"),
+        delete.expect("the silent machine is deleted"),
         &Ok(Answer::new(200, "{}")),
         f.now,
     );
-    // What it had sent before was held back in the network. Its task must not wait for it again.
+    // A heartbeat that the deleted machine had sent before was delayed in the network. Its task must not be taken as
+    // running there again.
     f.pass(60);
     let tasks: Vec<_> = mine.iter().map(|(t, n)| (t.as_str(), *n, false)).collect();
     assert_eq!(
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn long_work_is_moved_together_once_nothing_waits_and_the_emptied_machine_is_returned() {
+fn consolidation_empties_and_returns_a_machine_when_idle() {
     let mut f = LeaderView::new();
     let names = f.machines("host", 3, "small", "a");
     f.submit("j-1", spec(Shape::Array, "red", 3, 3.0));
@@ -161,7 +164,7 @@
     );
     f.c.run_scheduling_pass(f.now);
     f.run_all();
-    // The others end, and each machine is left with one long task.
+    // The tasks of j-1 end, and each machine is left with one long task.
     for name in &names {
         let attempts = f.c.machines[name.as_str()].attempts.keys();
         let tasks: Vec<_> = attempts
@@ -189,10 +192,13 @@
             .collect::<Vec<_>>()
     };
     f.submit("j-3", spec(Shape::Array, "red", 1, 30.0));
-    assert!(wait(&mut f).is_empty(), "something waits for room");
+    assert!(
+        wait(&mut f).is_empty(),
+        "no consolidation while a task waits for capacity"
+    );
     f.c.apply_job_end("j-3", u64::MAX, None);
     let leaving = wait(&mut f);
-    assert_eq!(leaving.len(), 1, "a part at a time");
+    assert_eq!(leaving.len(), 1, "only a part of the machines is drained at a time");
     let m = &f.c.machines[leaving[0].as_str()];
     assert!(
         m.attempts
@@ -200,7 +206,7 @@
             .all(|a| a.stop_grace.is_some_and(|grace| grace > save))
     );
     assert!(!m.is_schedulable(f.now, SECOND));
-    // Its task has saved: the machine goes, and the task goes on beside another.
+    // After the task has saved a checkpoint, the machine is deleted and the task continues on another machine.
     f.heartbeat(&leaving[0], "small", "a", &[]);
     f.c.run_scheduling_pass(f.now);
     f.c.plan_cloud_calls(f.now);
@@ -216,7 +222,7 @@
 }
 
 #[test]
-fn a_takeover_does_not_wait_out_the_lease_of_one_dead_machine() {
+fn takeover_does_not_wait_for_one_dead_machines_lease() {
     let mut w = World::new(3, 65);
     w.run(2);
     w.submit(job(1, 30, json!({"shape": "service"})));
@@ -238,7 +244,7 @@
 }
 
 #[test]
-fn a_takeover_waits_for_a_zone_that_is_cut_off() {
+fn takeover_waits_for_an_unreachable_zone() {
     let mut w = World::new(3, 64);
     w.run(2);
     w.submit(job(1, 30, json!({"shape": "service"})));
@@ -258,14 +264,14 @@
     w.run(9);
     assert!(
         cut.iter().all(|m| w.workers.contains_key(m)),
-        "its work goes on"
+        "a machine of the unreachable zone was deleted"
     );
     w.finish();
 }
 
 #[test]
-fn guests_that_save_make_way_for_work_within_a_guarantee_and_for_no_more() {
-    let saving = |team: &str| JobSpec {
+fn preemption_covers_only_tasks_within_the_guarantee() {
+    let checkpointing = |team: &str| JobSpec {
         checkpoint_interval: 30 * SECOND,
         save_time: 3 * SECOND,
         ..spec(Shape::Array, team, 80, 1.0)
@@ -277,24 +283,24 @@
     for (team, expected) in [("guest", 20), ("blue", 0)] {
         let mut f = LeaderView::new();
         f.machines("host", 20, "small", "a");
-        f.submit("j-1", saving(team));
+        f.submit("j-1", checkpointing(team));
         f.c.run_scheduling_pass(f.now);
         f.run_all();
         f.pass(2);
         f.run_all();
-        // Twenty tasks lie within the guarantee, a hundred more do not.
+        // Twenty tasks are within the guarantee of their team, the other hundred are not.
         f.submit("j-2", spec(Shape::Array, "red", 20, 1.0));
         f.submit("j-3", spec(Shape::Array, "red", 100, 1.0));
         for _ in 0..3 {
             f.c.run_scheduling_pass(f.now);
             f.pass(1);
         }
-        assert_eq!(stopped(&f), expected, "work of {team} that makes way");
+        assert_eq!(stopped(&f), expected, "preempted tasks of team {team}");
     }
 }
 
 #[test]
-fn queries_share_reads_and_ids_that_nobody_submitted_cost_one_each() {
+fn queries_share_reads_and_unknown_ids_cost_one_read_each() {
     let mut w = World::new(3, 65);
     w.run(2);
     (0..60).for_each(|i| w.submit(job(i, 1, json!({"shape": "service"}))));
@@ -313,12 +319,12 @@
     let answered = polls(&w) - asked;
     assert!(answered > 5500, "{answered} of some 6000 queries answered");
     let more = w.state.requests - before;
-    // Ten reads a second on each of three controllers.
+    // 330 more requests in 10 s allow for ten reads per second on each of three controllers.
     assert!(
         more < usual + 330,
         "{more} requests against {usual} without the storm"
     );
-    // A flood of queries for ten ids that were never submitted, on three controllers.
+    // Users send 200 queries per second for ten ids that were never submitted, to three controllers.
     let before = w.state.requests;
     for _ in 0..10 {
         (0..200).for_each(|i| w.ask(&format!("j-77{:04}", i % 10), "poll"));
@@ -333,7 +339,7 @@
 }
 
 #[test]
-fn machines_that_come_late_or_never_are_given_up_and_one_that_sends_a_heartbeat_first_is_used() {
+fn late_machines_are_given_up_and_early_heartbeats_are_used() {
     let mut w = World::new(3, 66);
     w.run(2);
     w.cloud.never_boot = 0.3;
@@ -341,18 +347,18 @@
     w.cloud.list_lag = 15 * SECOND;
     w.submit(job(1, 60, json!({})));
     w.run_until(200, "the array is done", World::all_over);
-    // Nothing is left of what never came up.
+    // Machines that never booted have been returned as well.
     w.run(60);
     assert!(
         w.workers.is_empty(),
         "{} are still paid for",
         w.workers.len()
     );
-    // Now they are up at once, before the rental's answer, and long before any list names them.
+    // Now machines boot at once, before the answer to the provision call and long before any list contains them.
     (w.cloud.never_boot, w.cloud.boot) = (0.0, (1, 2));
-    let rented = w.starts;
+    let starts_before = w.starts;
     w.submit(job(2, 8, json!({})));
-    w.run_until(12, "all run", |w| w.starts >= rented + 8);
+    w.run_until(12, "all run", |w| w.starts >= starts_before + 8);
     w.run_until(60, "the second is done", World::all_over);
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -1,30 +1,34 @@
-//! The first of the meetings in `docs/design-concurrent-failures.md`, a cancellation that the old leader never hears of: the state service refuses the leader alone; another controller confirms cancellations; then the state
-//! service is down for all, for longer than a cancellation has, while workers send heartbeats to the old leader. The checker counts
-//! from when a user was told, at whichever controller, and looks at every machine every second.
+//! A cancellation that the old leader never learns of, the first combination of failures in
+//! `docs/design-concurrent-failures.md`. The state service refuses only the leader, and another controller confirms
+//! cancellations. Then the state service is down for all controllers, for longer than the cancellation deadline, while
+//! workers send heartbeats to the old leader. The checker counts the deadline from the time at which any controller told
+//! the user, and checks every machine once a second.
 
 use crate::*;
 use gannethub_core::wire::store::TERM_KEY;
 use harness::CANCEL;
 
-/// Work that outlasts any outage here: eight arrays of two tasks each, on machines.
+/// Returns a world in which eight arrays of two tasks each run. Tasks run for 300 to 400 s, longer than any outage in
+/// these tests.
 pub fn long(nodes: usize, seed: u64) -> World {
     begin(World::new(nodes, seed))
 }
 
+/// Submits eight arrays of two tasks each, which run for 300 to 400 s, and waits until all tasks run.
 pub fn begin(mut w: World) -> World {
     w.runs = (300 * SECOND, 400 * SECOND);
     w.run(2);
     for i in 1..=8 {
         w.submit(job(i, 2, json!({"guess_s": 350.0, "rigs": ["small"]})));
     }
-    w.run_until(60, "all of it runs", |w| w.starts >= 16);
+    w.run_until(60, "all tasks run", |w| w.starts >= 16);
     w.run(5);
     w
 }
 
-/// The leader and the others, in an order drawn by the seed.
+/// Returns the leader and the other nodes, in an order that depends on the seed.
 pub fn roles(w: &World, seed: u64) -> (usize, Vec<usize>) {
-    let old = w.leader().expect("one leads");
+    let old = w.leader().expect("a leader");
     let mut others: Vec<usize> = (0..w.nodes.len()).filter(|i| *i != old).collect();
     let first = seed as usize % others.len();
     others.rotate_left(first);
@@ -40,14 +44,15 @@
         .all(|i| w.jobs[&id(*i)].told_cancelled.is_some())
 }
 
-/// The state service refuses the leader, and users cancel these jobs at one other controller, which tells them so.
+/// Makes the state service refuse the leader, and cancels these jobs at one other controller, which confirms the
+/// cancellations.
 fn cancel_while_leader_is_refused(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
     w.faults.store_refuses.insert(old);
     jobs.iter().for_each(|i| w.cancel_at(*i, near));
     w.run_until(1, "the users are told", |w| told(w, jobs));
 }
 
-/// The outage goes on well past what a cancellation has. Then all is well again, and everything ends.
+/// Runs an outage of the state service until 25 s past the cancellation deadline, then recovers and ends all jobs.
 fn outlast_cancel_deadline(mut w: World, seed: u64) {
     w.state.down = true;
     w.run(CANCEL / SECOND + 25);
@@ -55,6 +60,7 @@
     recover(w, seed);
 }
 
+/// Ends the faults, cancels all jobs, and checks that everything ends and no invariant was broken.
 pub fn recover(mut w: World, seed: u64) {
     w.all_well();
     w.run(15);
@@ -63,7 +69,7 @@
     open.iter()
         .for_each(|i| w.cancel(i[2..].parse().expect("a number")));
     w.run_until(240, "all are over", World::all_over);
-    w.run_until(60, "nothing is left", |w| {
+    w.run_until(60, "no live job's record is left", |w| {
         w.state.keys("gh/live/").is_empty()
     });
     assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
@@ -71,7 +77,7 @@
 }
 
 #[test]
-fn a_cancellation_that_the_old_leader_never_read_is_carried_out_in_time() {
+fn cancellation_unseen_by_the_old_leader_meets_its_deadline() {
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (3, 4), (5, 5), (5, 6)] {
         let mut w = long(nodes, seed);
         let (old, others) = roles(&w, seed);
@@ -80,10 +86,10 @@
     }
 }
 
-/// Nobody's word is needed: the same with peers of the version before, which say nothing of what is cancelled. Their
-/// leader gives up when it cannot know for too long.
+/// Cancellations meet their deadline even if peers of the previous release report none: a leader with such peers steps
+/// down after it could not learn of cancellations for too long.
 #[test]
-fn peers_that_say_nothing_of_cancellations_carry_a_leader_only_so_far() {
+fn votes_without_cancellations_extend_leadership_only_briefly() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -91,16 +97,16 @@
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(9);
-        assert_eq!(w.leader(), Some(old), "they carry it for a while");
+        assert_eq!(w.leader(), Some(old), "the votes extend its leadership for a while");
         w.run(17);
-        assert_eq!(w.leader(), None, "and no further");
+        assert_eq!(w.leader(), None, "the votes must not extend its leadership further");
         outlast_cancel_deadline(w, seed);
     }
 }
 
-/// Nor is anything built on votes that cannot be read in full.
+/// A leader must not rely on votes that it cannot parse completely.
 #[test]
-fn votes_that_make_no_sense_carry_a_leader_only_so_far() {
+fn unparsable_votes_extend_leadership_only_briefly() {
     for seed in 1..=3 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -113,21 +119,22 @@
     }
 }
 
-/// What is asked by a leader of the version before is answered by a new peer as ever.
+/// Peers of the current release grant votes to a leader of the previous release, whose vote requests do not contain the
+/// version that it knows.
 #[test]
-fn a_leader_that_does_not_say_what_it_knows_gets_its_votes() {
+fn leader_of_the_previous_release_still_gets_votes() {
     let mut w = long(3, 7);
     let (old, _) = roles(&w, 7);
     w.faults.previous_release.insert(old);
     w.state.down = true;
     w.run(9);
-    assert_eq!(w.leader(), Some(old), "longer than its grant");
+    assert_eq!(w.leader(), Some(old), "leads for longer than its lease");
     recover(w, 7);
 }
 
-/// The transaction is carried out, its answer is late, and the vote was given in between.
+/// The transaction of a cancellation is carried out, its answer is late, and the vote is granted in between.
 #[test]
-fn a_cancellation_that_is_confirmed_after_the_vote_is_carried_out_in_time() {
+fn cancellation_confirmed_after_the_vote_meets_its_deadline() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -141,17 +148,18 @@
                 value.is_some_and(|v| v["cancelled"] == json!(true))
             })
         };
-        w.run_until(1, "it is stored", stored);
-        assert!(!told(&w, &[1]), "nobody is told yet");
+        w.run_until(1, "the cancellations are stored", stored);
+        assert!(!told(&w, &[1]), "no user is told yet");
         w.state.down = true;
         w.run_until(3, "the users are told", |w| told(w, &[1, 2, 3, 4]));
         outlast_cancel_deadline(w, seed);
     }
 }
 
-/// The controller that confirmed is gone, or back with nothing read, inside the outage.
+/// The controller that confirmed the cancellations crashes during the outage. It stays down, or restarts and has read
+/// nothing from the state service.
 #[test]
-fn a_controller_that_confirmed_and_forgot_is_not_taken_at_its_word() {
+fn confirming_controller_that_restarts_gives_no_valid_vote() {
     for (seed, back) in [(1, 7), (2, 7), (3, 3), (4, 2_000), (5, 2_000)] {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -162,9 +170,10 @@
     }
 }
 
-/// Another controller confirms and the rest vote; one of them is refused as well, halted, or cut off from the leader.
+/// Another controller confirms the cancellations and the rest vote. One of these is also refused by the state service,
+/// frozen, or partitioned from the leader.
 #[test]
-fn whoever_else_is_in_trouble_the_cancellation_is_carried_out() {
+fn cancellation_meets_its_deadline_despite_a_third_failing_node() {
     for seed in 1..=9 {
         let mut w = long(if seed % 2 == 0 { 3 } else { 5 }, seed);
         let (old, others) = roles(&w, seed);
@@ -180,16 +189,17 @@
         }
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         if seed > 6 {
-            // The one that confirmed cannot tell the leader itself.
+            // The controller that confirmed the cancellations cannot send messages to the leader.
             w.faults.partitioned.extend([(others[0], old)]);
         }
         outlast_cancel_deadline(w, seed);
     }
 }
 
-/// Gangs, a job that waits for a cancelled one, tasks that were told to save, and launches still on their way.
+/// Cancels a gang, a job with a downstream job, tasks that were told to save a checkpoint, and a job whose launches may
+/// still be in transit.
 #[test]
-fn whatever_state_its_tasks_are_in_a_cancelled_job_goes() {
+fn cancelled_jobs_end_whatever_state_their_tasks_are_in() {
     for seed in 1..=6 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -200,9 +210,9 @@
             json!({"shape": "group", "guess_s": 350.0, "crew": "red"}),
         ));
         w.submit(job(12, 4, save));
-        w.run_until(60, "they run", |w| w.starts >= 23);
+        w.run_until(60, "the gang and the tasks that save run", |w| w.starts >= 23);
         w.submit(job(13, 2, json!({"waits_on": ["j-000011"]})));
-        // Told to save shortly before, since its machine is to be taken away.
+        // A preemption notice for the machines shortly before makes the leader tell these tasks to save.
         let on = |x: &harness::Worker| x.tasks.keys().any(|t| t.starts_with("j-000012"));
         w.workers
             .values_mut()
@@ -210,7 +220,7 @@
             .for_each(|x| x.notice = true);
         w.run(1);
         w.submit(job(14, 6, json!({"guess_s": 350.0, "rigs": ["small"]})));
-        w.run_until(5, "it is accepted", |w| {
+        w.run_until(5, "the job is accepted", |w| {
             w.jobs["j-000014"].accepted.is_some()
         });
         cancel_while_leader_is_refused(&mut w, old, others[0], &[11, 12, 14]);
@@ -218,9 +228,10 @@
     }
 }
 
-/// Machines that hear nothing, hang, or are heard only through a peer, and a zone that is cut off.
+/// Machines with tasks of cancelled jobs get no answers, hang, reach the leader only through a peer, or are in a zone that
+/// no controller can reach.
 #[test]
-fn machines_that_cannot_be_told_lose_what_is_cancelled_with_their_leases() {
+fn unreachable_machines_stop_cancelled_tasks_by_lease_expiry() {
     for seed in 1..=8 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -245,7 +256,7 @@
                     .iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
-            // The leader hears its workers through its peers alone.
+            // The leader gets its workers' heartbeats only through its peers.
             2 => w
                 .faults
                 .unreachable_zones
@@ -267,9 +278,10 @@
     }
 }
 
-/// Refused, served, refused in turn: renewals come through now and then, and reads perhaps not.
+/// The state service alternates between refusing and serving the leader every second. Some lease renewals succeed, while
+/// reads may not.
 #[test]
-fn a_leader_that_is_refused_by_turns_still_learns_what_is_cancelled() {
+fn intermittently_refused_leader_learns_of_cancellations() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -285,10 +297,10 @@
     }
 }
 
-/// An outage, votes, the state service back for all but the leader, cancellations while the votes last, and the next
-/// outage.
+/// Votes carry the leader through an outage. Then the state service serves all but the leader, jobs are cancelled while
+/// the votes are still valid, and the next outage begins.
 #[test]
-fn what_is_cancelled_between_two_outages_is_known_in_the_second() {
+fn cancellations_between_two_outages_meet_their_deadline() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -303,10 +315,10 @@
     }
 }
 
-/// A peer takes over, and the outage begins before it has read anything. What it cannot know to run on, it does not
-/// keep: the cancellation was confirmed while nobody led.
+/// The cancellations are confirmed while no controller leads. A peer takes over, and the outage begins before it has
+/// read anything. The new leader must not keep tasks running that it does not know to be still wanted.
 #[test]
-fn an_outage_in_the_middle_of_a_takeover_keeps_nothing_that_is_cancelled() {
+fn outage_during_takeover_does_not_revive_cancelled_jobs() {
     for seed in 1..=8 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -315,20 +327,21 @@
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
         w.run_until(1, "the users are told", |w| told(w, &[1, 2, 3, 4]));
         if seed > 4 {
-            // Back with nothing read: its copy knows nothing either.
+            // The confirming controller restarts and has read nothing, so its job replica does not contain the
+            // cancellations either.
             let last = others[1];
             w.crash(others[0], SECOND / 2);
-            w.run_until(15, "another leads", |w| w.leader() == Some(last));
+            w.run_until(15, "another controller leads", |w| w.leader() == Some(last));
         } else {
-            w.run_until(15, "another leads", |w| w.leader().is_some());
+            w.run_until(15, "another controller leads", |w| w.leader().is_some());
         }
         outlast_cancel_deadline(w, seed);
     }
 }
 
-/// The same where there are several shards, for each owner.
+/// With several shards, each shard owner must learn of the cancellations, while the state service refuses some of them.
 #[test]
-fn each_shard_owner_learns_what_is_cancelled() {
+fn each_shard_owner_learns_of_cancellations() {
     for seed in 1..=4 {
         let mut w = begin(World::with_shards(3, seed, 3, &|text| text));
         w.run(10);
@@ -343,9 +356,10 @@
     }
 }
 
-/// A watch that hangs, while all else is answered, costs the leader neither its place nor a cancellation its time.
+/// The leader's watch hangs, while the state service answers all its other requests. The leader keeps its leadership and
+/// the cancellations meet their deadline.
 #[test]
-fn a_leader_whose_watch_hangs_looks_for_itself() {
+fn leader_with_hung_watch_still_learns_of_cancellations() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
@@ -357,14 +371,14 @@
         w.run(10);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
         w.run(CANCEL / SECOND + 25);
-        assert_eq!(w.state.value(TERM_KEY).cloned(), term, "it leads on");
+        assert_eq!(w.state.value(TERM_KEY).cloned(), term, "the leader changed");
         recover(w, seed);
     }
 }
 
-/// An ordinary outage, with no cancellation in doubt, carries all work through, however long it lasts.
+/// During an ordinary outage of any length, with no unknown cancellation, all tasks keep running.
 #[test]
-fn an_outage_for_all_loses_nothing_however_long() {
+fn long_outage_without_cancellations_loses_no_task() {
     for (nodes, seed) in [(3, 1), (3, 2), (5, 3)] {
         let mut w = long(nodes, seed);
         let (old, _) = roles(&w, seed);
@@ -376,7 +390,7 @@
             w.workers.values().all(|x| x.session == 1),
             "a lease ran out"
         );
-        assert_eq!(w.starts, starts, "nothing began anew");
+        assert_eq!(w.starts, starts, "a task was started again");
         recover(w, seed);
     }
 }
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -1,6 +1,6 @@
-//! Both versions on each other's data. The fixtures are what the version before pipelines writes:
-//! they were printed by its own record types and frames in a test added to that commit. Its reading
-//! side is kept here as small types of the same fields.
+//! Compatibility of stored records and peer frames with the previous version, in both directions. The previous version
+//! is the last one without pipelines. The fixtures were printed by its own record types and frames, in a test that was
+//! added to its commit. Its deserialization is reproduced here by small types with the same fields.
 
 use bytes::BytesMut;
 use gannethub_core::model::{JobId, JobSpec};
@@ -30,7 +30,7 @@
     format!("{{\"spec\":{SPEC}{tail}")
 }
 
-/// What the leader of the version before reads of a live job; every field without a default is needed.
+/// Fields of a live job's record that a leader of the previous version reads. Every field without a default is required.
 #[derive(Deserialize)]
 struct PreviousJobRecord {
     spec: JobSpec,
@@ -43,7 +43,7 @@
     failing: bool,
 }
 
-/// What its copy for queries reads.
+/// Fields of a live job's record that the job replica of the previous version reads to answer queries.
 #[derive(Deserialize)]
 struct PreviousJobSummary {
     spec: PreviousSpecSummary,
@@ -57,30 +57,30 @@
 }
 
 #[test]
-fn what_the_version_before_writes_is_read_and_written_as_it_was() {
+fn records_of_the_previous_version_round_trip_unchanged() {
     for tail in [RECORD_TAIL, CRASH_LOOPING_TAIL] {
         let text = record(tail);
         let LiveRecord::Job(r) = LiveRecord::parse(&text).expect("a job") else {
-            panic!("it does not wait")
+            panic!("the job does not wait for upstream jobs")
         };
         assert_eq!(
             store::to_raw_value(&r).get(),
             text,
-            "not a byte differs where nothing is new"
+            "the record has no new fields, so its bytes must not change"
         );
     }
-    let over: FinishedJobRecord = serde_json::from_str(FINISHED_JOB).expect("an end");
-    assert_eq!(store::to_raw_value(&over).get(), FINISHED_JOB);
-    let part: DonePartRecord = serde_json::from_str(DONE_PART).expect("a part");
+    let finished: FinishedJobRecord = serde_json::from_str(FINISHED_JOB).expect("a finished job");
+    assert_eq!(store::to_raw_value(&finished).get(), FINISHED_JOB);
+    let part: DonePartRecord = serde_json::from_str(DONE_PART).expect("a record of finished tasks");
     assert_eq!(store::to_raw_value(&part).get(), DONE_PART);
-    let lead: LeaseRecord = serde_json::from_str(LEASE).expect("a leader");
+    let lead: LeaseRecord = serde_json::from_str(LEASE).expect("a lease record");
     assert_eq!(store::to_raw_value(&lead).get(), LEASE);
-    let chunk: ChunkRecord = serde_json::from_str(CHUNK).expect("a chunk");
+    let chunk: ChunkRecord = serde_json::from_str(CHUNK).expect("a chunk record");
     assert_eq!(store::to_raw_value(&chunk).get(), CHUNK);
 }
 
 #[test]
-fn frames_between_controllers_are_as_they_were() {
+fn peer_frames_of_the_previous_version_round_trip_unchanged() {
     let bytes: Vec<u8> = (0..FRAMES.len() / 2)
         .map(|i| u8::from_str_radix(&FRAMES[2 * i..2 * i + 2], 16).expect("hex"))
         .collect();
@@ -96,7 +96,7 @@
             Body::VoteRequest(p) => (p.term, p.duration as usize),
             Body::Vote(p) => (p.term, p.round as usize),
             Body::JobChanged(c) => (c.version, c.job.len()),
-            other => panic!("the version before had no {other:?}"),
+            other => panic!("the previous version had no message {other:?}"),
         });
     }
     assert_eq!(
@@ -107,32 +107,33 @@
 }
 
 #[test]
-fn the_version_before_answers_from_a_waiting_record_and_cannot_start_it() {
+fn previous_version_answers_for_but_cannot_start_waiting_jobs() {
     let LiveRecord::Job(r) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
-    let on = [JobId::from("j-000398")];
+    let upstream = [JobId::from("j-000398")];
     for cancelled in [false, true] {
-        let waiting = WaitingRecord::new(r.spec.clone(), r.accepted_at, cancelled, &on);
+        let waiting = WaitingRecord::new(r.spec.clone(), r.accepted_at, cancelled, &upstream);
         let text = store::to_raw_value(&waiting).get().to_string();
         assert!(
             serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
-            "its leader finds nothing to run"
+            "a leader of the previous version cannot parse the record"
         );
-        let brief: PreviousJobSummary =
-            serde_json::from_str(&text).expect("its copy has an answer");
-        assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
+        let summary: PreviousJobSummary =
+            serde_json::from_str(&text).expect("the replica of the previous version reads it");
+        assert_eq!((summary.spec.tasks, summary.cancelled), (70, cancelled));
         assert_eq!(
-            LiveRecord::parse(&text).expect("ours"),
+            LiveRecord::parse(&text).expect("a readable record"),
             LiveRecord::Waiting(waiting)
         );
     }
-    // Once released it is a job like any other, and losing `ready` only costs it its place.
+    // A released job has an ordinary record. If the previous version drops the field `ready`, the job only loses its
+    // place in the queue.
     let mut released = JobRecord::new(r.spec.clone(), r.accepted_at);
     released.ready_at = Some(r.accepted_at + 5);
     released.done = "0-2,9".into();
-    let old: PreviousJobRecord =
-        serde_json::from_str(store::to_raw_value(&released).get()).expect("a job to it too");
+    let old: PreviousJobRecord = serde_json::from_str(store::to_raw_value(&released).get())
+        .expect("the previous version reads it");
     assert_eq!(
         (old.spec, old.at, &*old.done),
         (r.spec, r.accepted_at, "0-2,9")
@@ -141,20 +142,26 @@
 }
 
 #[test]
-fn the_version_before_answers_for_a_job_of_another_shard_and_cannot_start_it() {
+fn previous_version_answers_for_but_cannot_start_sharded_jobs() {
     let LiveRecord::Job(mut r) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
     r.watermark = Some(40);
-    // Its leader runs a job of shard 0, and a watermark is nothing to it; in turn it loses that, and we take all for
-    // launched.
-    let old: PreviousJobRecord = serde_json::from_str(r.to_value().get()).expect("a job to it too");
+    // A leader of the previous version runs jobs of shard 0 and ignores the launch watermark. The records that it writes
+    // lack the watermark, so the current version treats all tasks as launched.
+    let old: PreviousJobRecord =
+        serde_json::from_str(r.to_value().get()).expect("the previous version reads it");
     assert_eq!(old.done, r.done);
-    let LiveRecord::Job(lost) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
+    let LiveRecord::Job(without_watermark) =
+        LiveRecord::parse(&record(RECORD_TAIL)).expect("a job")
+    else {
         panic!()
     };
     assert_eq!(
-        (r.effective_watermark(), lost.effective_watermark()),
+        (
+            r.effective_watermark(),
+            without_watermark.effective_watermark()
+        ),
         (40, 70)
     );
     r.shard = 2;
@@ -164,27 +171,28 @@
         let text = r.to_value().get().to_string();
         assert!(
             serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
-            "its leader finds nothing to run"
+            "a leader of the previous version cannot parse the record"
         );
-        let brief: PreviousJobSummary =
-            serde_json::from_str(&text).expect("its copy has an answer");
-        assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
+        let summary: PreviousJobSummary =
+            serde_json::from_str(&text).expect("the replica of the previous version reads it");
+        assert_eq!((summary.spec.tasks, summary.cancelled), (70, cancelled));
         assert_eq!(
-            LiveRecord::parse(&text).expect("ours"),
+            LiveRecord::parse(&text).expect("a readable record"),
             LiveRecord::Job(r.clone())
         );
     }
     let cancelled = LiveRecord::Job(r.clone()).into_cancelled_value(16 * 1024);
-    let LiveRecord::Job(back) = LiveRecord::parse(cancelled.get()).expect("ours") else {
+    let LiveRecord::Job(parsed) = LiveRecord::parse(cancelled.get()).expect("a readable record")
+    else {
         panic!()
     };
     assert_eq!(
-        (back.shard, back.watermark, back.cancelled),
+        (parsed.shard, parsed.watermark, parsed.cancelled),
         (2, Some(40), true)
     );
 }
 
-/// A job record as the version before keeps it, with these tasks done.
+/// Returns a job record in the previous version's format, with `tasks` tasks of which those in `done` are done.
 fn previous_record(tasks: u32, done: &str) -> String {
     let mut record: Value = serde_json::from_str(&record(RECORD_TAIL)).expect("JSON");
     record["spec"]["tasks"] = json!(tasks);
@@ -194,11 +202,11 @@
 }
 
 #[test]
-fn large_values_of_the_version_before_are_taken_over_and_split_under_smaller_limits() {
+fn large_records_are_read_and_split_after_limits_shrink() {
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(3, 80, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     w.cloud.capacity = 100;
-    // A shard of 90 machines in one chunk, all of them gone, and a job that nobody has started.
+    // A shard record with 90 machines in one chunk, none of which exists any more, and a job with no task started.
     let machines: serde_json::Map<String, Value> = (0..90)
         .map(|i| {
             (
@@ -213,17 +221,17 @@
     w.state.put("gh/live/j-000077", &previous_record(4, ""));
     w.submit(job(77, 4, json!({})));
     w.submit(job(1, 2, json!({"waits_on": ["j-000077"]})));
-    // The limits fall while they are still in store.
+    // The limits on values and transactions shrink while the large records are still stored.
     w.state.limits = (2048, 4);
     w.run_until(
         120,
-        "the job left behind is done, and the new one after it",
+        "the stored job is done, and its new downstream job after it",
         World::all_over,
     );
     for n in 0..3 {
         w.crash(n, SECOND);
     }
-    w.run_until(120, "the shard is small again", |w| {
+    w.run_until(120, "the shard's record fits into the smaller limit", |w| {
         w.state
             .value("gh/block/0/0")
             .is_some_and(|v| v.to_string().len() < 2048)
@@ -233,9 +241,9 @@
 }
 
 #[test]
-fn finished_tasks_that_a_value_has_no_room_for_go_to_a_part_that_both_versions_read() {
-    // As many ranges as a value of the version before could have under its larger limit, and a
-    // name as long as they may be.
+fn finished_tasks_beyond_the_value_limit_go_to_a_readable_part() {
+    // The record has as many ranges of finished tasks as the previous version could store under its larger limit, and an
+    // image name of the maximum length (128 bytes).
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(1, 81, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     let ranges: Vec<String> = (0..2000).step_by(2).map(|i| i.to_string()).collect();
@@ -253,21 +261,24 @@
     w.state.put("gh/live/j-000077", &record.to_string());
     w.submit(job(77, 2000, json!({})));
     w.state.limits = (2048, 4);
-    w.run_until(60, "progress is written", |w| {
+    w.run_until(60, "the part with the finished tasks is written", |w| {
         w.state.value("gh/part/j-000077/0").is_some()
     });
     assert_eq!(w.state.too_large, 0);
-    let live = w.state.value("gh/live/j-000077").expect("alive");
-    let part = w.state.value("gh/part/j-000077/0").expect("its part");
+    let live = w.state.value("gh/live/j-000077").expect("the job is live");
+    let part = w.state.value("gh/part/j-000077/0").expect("the job's part");
     let old: PreviousJobRecord =
-        serde_json::from_value(live.clone()).expect("the version before reads it");
+        serde_json::from_value(live.clone()).expect("the previous version reads it");
     assert_eq!(old.done, "");
-    let mut back = gannethub_core::model::TaskSet::default();
-    store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut back);
+    let mut stored_done = gannethub_core::model::TaskSet::default();
+    store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut stored_done);
     assert!(
         ranges
             .iter()
-            .all(|r| back.contains(r.parse().expect("a number")))
+            .all(|r| stored_done.contains(r.parse().expect("a number")))
+    );
+    assert!(
+        stored_done.len() > 1000,
+        "tasks that were done before and after the split are kept"
     );
-    assert!(back.len() > 1000, "what was done before and since");
 }
