--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -1,13 +1,13 @@
-//! What it costs to lead a cluster, against its size: the core under a driver of its own, with simulated
-//! machines that run tasks by the clock, a cloud that grants what it has and a state service that
-//! carries out every transaction.
+//! Cost of leading a cluster in relation to the cluster's size. The core runs under its own driver, with simulated
+//! machines that run tasks by the clock, a cloud that provisions what it has in stock and a state service that carries
+//! out every transaction.
 //!
 //!     cargo bench -p gannethub-core --bench day -- [--machines 1000,3000,10000] [--seconds 120] [--load 1.0]
 //!
-//! Prints, for each size, processor time a simulated second by kind of work, and state changes and
-//! cloud calls a started task; then the cost against the first size's, which is the figure: as long as
-//! it is no more than the ratio of the sizes, deciding does not outgrow the cluster. Absolute times are
-//! this machine's. `--load` above 1 keeps a long queue.
+//! For each size, the benchmark prints the CPU time per simulated second by kind of work, and the state changes and
+//! cloud calls per started task. It then prints the cost relative to the first size, which is the result: if this ratio
+//! does not exceed the ratio of the sizes, the cost of decisions does not grow faster than the cluster. Absolute times
+//! depend on the machine that runs the benchmark. With `--load` above 1 the queue stays long.
 
 #[allow(dead_code)]
 #[path = "../tests/simulation/leader_view.rs"]
@@ -29,22 +29,25 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
+/// Increment of the simulated clock: 50 ms.
 const STEP: u64 = 50_000;
+/// Interval between heartbeats of a machine: 5 s.
 const HEARTBEAT_INTERVAL: u64 = 5 * SECOND;
+/// Response time of the cloud: 300 ms.
 const CLOUD_DELAY: u64 = 300_000;
 
 #[derive(Parser)]
 struct Options {
-    /// Sizes to play, in machines.
+    /// Cluster sizes to simulate, in machines.
     #[arg(long, value_delimiter = ',', default_values_t = [1000usize, 3000, 10_000])]
     machines: Vec<usize>,
-    /// Simulated seconds.
+    /// Duration of the simulation, in simulated seconds.
     #[arg(long, default_value_t = 120)]
     seconds: u64,
-    /// Work that arrives, as a part of what the machines can do.
+    /// Arriving work, as a fraction of the machines' capacity.
     #[arg(long, default_value_t = 0.8)]
     load: f64,
-    /// Given by cargo.
+    /// Passed by cargo.
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -53,11 +56,11 @@
     flavor: String,
     zone: String,
     spot: bool,
-    /// Task, attempt, when it runs, when it is done.
+    /// Start and end times of attempts in microseconds, by task and attempt number.
     tasks: BTreeMap<(String, u64), (u64, u64)>,
 }
 
-/// Processor time by kind of work, and what was asked of others.
+/// CPU time by kind of work, and the numbers of started tasks, state changes and cloud calls.
 #[derive(Default)]
 struct Costs {
     reports: Duration,
@@ -67,6 +70,7 @@
     started: u64,
     changes: u64,
     calls: u64,
+    /// Longest single heartbeat, scheduling pass, plan and other operation.
     longest: [Duration; 4],
     queue: usize,
     machines: usize,
@@ -92,7 +96,7 @@
     rng: StdRng,
     workers: HashMap<String, Worker>,
     due: BinaryHeap<Reverse<(u64, String)>>,
-    /// Machines of each kind that the cloud still has.
+    /// Number of machines that the cloud still has, by machine type, zone and whether they are spot instances.
     stock: HashMap<(String, String, bool), usize>,
     calls: Vec<(u64, CloudCall)>,
     next_job: u32,
@@ -207,7 +211,7 @@
             .push(Reverse((now + HEARTBEAT_INTERVAL, name.to_string())));
     }
 
-    /// The cloud answers what was asked some time ago.
+    /// Handles a cloud call whose answer is due.
     fn handle_cloud_call(&mut self, call: CloudCall) {
         let now = self.view.now;
         let body = match &call {
@@ -247,7 +251,7 @@
                 }
                 Some(json!({}))
             }
-            // The machine types do not change, and a list would only repeat what is known.
+            // These calls get no answer: the machine types do not change, and a list would contain no new information.
             CloudCall::MachineTypes | CloudCall::List { .. } => None,
         };
         let c = &mut self.view.c;
@@ -265,7 +269,7 @@
     }
 
     fn run(&mut self, machines: usize, seconds: u64, load: f64) {
-        // What the machines can do, in thousandths of a CPU; an average job is some 200 CPUs for 30 s.
+        // `cpus` is the total capacity of the machines in CPUs. An average job takes some 200 CPUs for 30 s.
         let cpus = machines as f64 * 6.8;
         let rate = load * cpus / (0.55 * 320.0 * 32.0 + 0.45 * 2.0 * 30.0 * 32.0);
         let end = self.view.now + seconds * SECOND;
@@ -329,7 +333,7 @@
 fn main() {
     let options = Options::parse();
     println!(
-        "simulated machines; milliseconds of processor a simulated second, load {}",
+        "simulated machines; milliseconds of CPU time per simulated second, load {}",
         options.load
     );
     let headings = [
@@ -345,11 +349,11 @@
         let mut simulation = Simulation::new(machines);
         simulation.run(machines, options.seconds, options.load);
         let s = &simulation.costs;
-        assert!(s.started > 0, "nothing was started");
+        assert!(s.started > 0, "no task was started");
         assert_eq!(
             simulation.view.c.index_inconsistencies(),
             Vec::<String>::new(),
-            "the index of room is wrong"
+            "the index of free capacity is inconsistent"
         );
         let ms = |d: Duration| d.as_secs_f64() * 1000.0 / options.seconds as f64;
         let each = |n: u64| n as f64 / s.started as f64;
@@ -367,13 +371,13 @@
             .longest
             .map(|d| format!("{:.1}", d.as_secs_f64() * 1000.0));
         println!(
-            "{:>8} longest report, pass, plan, other: {} ms",
+            "{:>8} longest heartbeat, pass, plan, other: {} ms",
             "",
             longest.join(", ")
         );
         let (size, cost) = *first.get_or_insert((machines, ms(s.total())));
         println!(
-            "{:>8} {:.1} times the machines cost {:.1} times the processor",
+            "{:>8} {:.1} times the machines cost {:.1} times the CPU time",
             "",
             machines as f64 / size as f64,
             ms(s.total()) / cost
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -1,5 +1,5 @@
-//! The pieces of a leader's work at three sizes: a report that frees room, a pass over a queue that
-//! finds none, a plan of the fleet, and a takeover. The ratio between sizes is the figure.
+//! Parts of a leader's work at three cluster sizes: a heartbeat that frees capacity, a scheduling pass over a queue for
+//! which there is no capacity, a plan of the fleet, and a takeover. The result is the ratio between the sizes.
 //!
 //!     cargo bench -p gannethub-core --bench decide
 
@@ -16,9 +16,10 @@
 use gannethub_core::wire::store::JobRecord;
 use leader_view::{LeaderView, WALL, spec};
 
+/// Cluster sizes, in machines.
 const SIZES: [usize; 3] = [1000, 3000, 10_000];
 
-/// A full cluster with a queue to match.
+/// Returns a full cluster with a queue whose length grows with the number of machines.
 fn full_cluster(machines: usize) -> LeaderView {
     let cpus = machines as f64 * 6.8;
     let teams = [
@@ -66,7 +67,8 @@
         group.bench_with_input(BenchmarkId::new("plan", machines), &machines, |b, _| {
             b.iter(|| black_box(f.c.machines_wanted(f.now)));
         });
-        // One task ends at each report, and another takes its place; passes are kept apart from it.
+        // One task ends with each heartbeat, and another one takes its place. Scheduling passes are kept out of the
+        // measurement by setting the time of the last pass.
         let f = RefCell::new(full_cluster(machines));
         let names: Vec<String> = (0..machines * 9 / 10)
             .map(|i| format!("small-{i:04}"))
@@ -103,7 +105,8 @@
     group.finish();
 }
 
-/// Reads the records of jobs and machines, hears every machine, and places.
+/// Runs a takeover: reads the records of jobs and machines, handles a heartbeat of every machine, and runs a scheduling
+/// pass. Returns the length of the queue.
 fn takeover(machines: usize) -> usize {
     let cpus = machines as f64 * 6.8;
     let mut f = LeaderView::unread(&[("red", cpus * 0.5, cpus * 4.0)], Some(20.0));
--- a/crates/gannethub-core/tests/architecture.rs
+++ b/crates/gannethub-core/tests/architecture.rs
@@ -1,17 +1,17 @@
-//! The page on the architecture names functions, types and modules of the core: each of them is there.
+//! Checks that every function, type and module that the architecture page names exists in the sources.
 
 use std::collections::HashSet;
 use std::path::Path;
 
-/// All words of the sources below a folder.
+/// Adds all words and file names of the sources below a folder to `words`.
 fn words_below(folder: &Path, words: &mut HashSet<String>) {
-    for entry in std::fs::read_dir(folder).expect("the folder is there") {
-        let path = entry.expect("it can be read").path();
+    for entry in std::fs::read_dir(folder).expect("cannot read the folder") {
+        let path = entry.expect("cannot read a folder entry").path();
         if path.is_dir() {
             words_below(&path, words);
             continue;
         }
-        let text = std::fs::read_to_string(&path).expect("it is text");
+        let text = std::fs::read_to_string(&path).expect("cannot read a source file");
         let split = text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_');
         words.extend(split.map(str::to_string));
         let stem = path.file_stem().and_then(|stem| stem.to_str());
@@ -19,7 +19,8 @@
     }
 }
 
-/// The identifiers in the code spans of a page: `name` and `Type::name`, and no paths, commands or keys.
+/// Returns the identifiers in the code spans of a page, such as `name` and `Type::name`. Paths, commands and keys are
+/// left out.
 fn identifiers(page: &str) -> Vec<&str> {
     let is_identifier = |name: &&str| {
         let mut characters = name.chars();
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn names_on_the_architecture_page_are_in_the_sources() {
+fn names_on_the_architecture_page_exist_in_the_sources() {
     let core = Path::new(env!("CARGO_MANIFEST_DIR"));
     let root = core.join("../..");
     let mut words = HashSet::new();
@@ -47,8 +48,9 @@
     ] {
         words_below(&root.join(folder), &mut words);
     }
-    let page = std::fs::read_to_string(root.join("ARCHITECTURE.md")).expect("the page is there");
-    // Blocks of diagrams are no code spans.
+    let page =
+        std::fs::read_to_string(root.join("ARCHITECTURE.md")).expect("cannot read ARCHITECTURE.md");
+    // Diagrams in fenced blocks are not code spans.
     let text: Vec<&str> = page.split("```").step_by(2).collect();
     let text = text.concat();
     let named = identifiers(&text);
--- a/crates/gannethub-core/tests/counted.rs
+++ b/crates/gannethub-core/tests/counted.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat costs an owner, counted by an allocator: the same on every run.
+//! Cost of handling a heartbeat at a shard owner, in memory allocations. The count is the same on every run.
 
 #[allow(dead_code)]
 #[path = "simulation/leader_view.rs"]
@@ -12,7 +12,7 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// A heartbeat with four tasks, as a worker's bytes.
+/// Returns a heartbeat that reports `tasks` as running, as the JSON text that a worker sends.
 fn heartbeat_json(machine: &str, seq: u64, tasks: &[(String, u64)]) -> String {
     let pieces: Vec<String> = tasks
         .iter()
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_says_nothing_new_asks_for_no_memory() {
+fn unchanged_heartbeats_allocate_only_their_task_list() {
     let mut f = LeaderView::new();
     let machine = f.machines("m", 1, "small", "a").remove(0);
     f.submit("j-000001", spec(Shape::Array, "red", 4, 1.0));
@@ -53,18 +53,21 @@
         let outcome = f.c.apply_heartbeat(f.now, &report);
         let done = dhat::HeapStats::get().total_blocks;
         assert_eq!(outcome, HeartbeatOutcome::Orders(Vec::new()));
-        // The first one differs from what `run_all` showed only in its number.
+        // The first heartbeat is not counted. It differs from the one that `run_all` sent only in its sequence number.
         if i > 0 {
             parsing += parsed - before;
             applying += done - parsed;
         }
     }
-    assert_eq!(applying, 0, "allocations for 49 reports that hold no news");
+    assert_eq!(
+        applying, 0,
+        "allocations for applying 49 unchanged heartbeats"
+    );
     assert_eq!(
         parsing, 49,
-        "the list of tasks is the only thing that is kept of the bytes"
+        "parsing a heartbeat allocates only the list of tasks"
     );
-    // One that does hold news shows that the count counts.
+    // A heartbeat with a changed task state allocates, which shows that allocations are counted.
     let mut changed: WorkerHeartbeat<'_> = serde_json::from_str(&texts[0]).expect("a report");
     changed.sequence = 1000;
     let ended: &mut ReportedTask<'_> = &mut changed.tasks[0];
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -1,18 +1,19 @@
-//! Which module may import which: a folder imports only those below it, and no files import each other in a cycle.
+//! Checks the imports between modules of the core: a folder imports only lower layers, and no files import each other
+//! in a cycle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// The folders of the core, the lowest first.
+/// Folders of the core, from the lowest layer to the highest.
 const LAYERS: [&str; 5] = ["wire", "state", "scheduling", "reconcile", "controller"];
 
-/// Where a module is, from the root of the crate on.
+/// Path of a module from the root of the crate.
 type ModulePath = Vec<String>;
 
-/// The files that each file imports, by the paths of their modules.
+/// Files that each file imports, by the paths of their modules.
 type Imports = BTreeMap<ModulePath, BTreeSet<ModulePath>>;
 
-/// Folders of the core that a file names in a path.
+/// Returns the layers that a file's text names in `crate::` paths.
 fn named_layers(text: &str) -> impl Iterator<Item = &str> {
     text.split("crate::").skip(1).filter_map(|rest| {
         let end = rest
@@ -22,11 +23,11 @@
     })
 }
 
-/// All files below a folder.
+/// Returns all files below a folder.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("the folder is there") {
-        let path = entry.expect("it can be read").path();
+    for entry in std::fs::read_dir(folder).expect("cannot read the folder") {
+        let path = entry.expect("cannot read a folder entry").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else {
@@ -40,7 +41,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// The module that a file of the core holds; the root of the crate has an empty path.
+/// Returns the path of the module that a file of the core contains. The root of the crate has an empty path.
 fn module_of(file: &Path, src: &Path) -> ModulePath {
     let relative = file.strip_prefix(src).expect("a file of the core");
     let path = relative.with_extension("");
@@ -54,7 +55,7 @@
     module
 }
 
-/// The text without comments, up to the end of each line.
+/// Returns the text without line comments.
 fn without_comments(text: &str) -> String {
     let lines = text
         .lines()
@@ -62,7 +63,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// The text as identifiers, `::` and single characters.
+/// Splits the text into identifiers, `::` and single characters.
 fn tokens(text: &str) -> Vec<&str> {
     let is_word = |c: char| c.is_ascii_alphanumeric() || c == '_';
     let mut rest = text.trim_start();
@@ -82,7 +83,8 @@
     found
 }
 
-/// Every path in the tokens of a file, with the groups of `use` items resolved: `a::{b, c::d}` is `a::b` and `a::c::d`.
+/// Returns every path in the tokens of a file. Groups of `use` items are resolved: `a::{b, c::d}` becomes `a::b` and
+/// `a::c::d`.
 fn paths(tokens: &[&str]) -> Vec<Vec<String>> {
     let mut found = Vec::new();
     let mut prefixes: Vec<Vec<String>> = Vec::new();
@@ -91,7 +93,7 @@
     for token in tokens {
         match *token {
             "::" => after_separator = true,
-            // The group of a `use` item follows `::`; any other brace opens a block of its own.
+            // The group of a `use` item follows `::`. Any other brace opens a block, in which no prefix applies.
             "{" => {
                 let prefix = if after_separator {
                     std::mem::take(&mut path)
@@ -124,7 +126,7 @@
     found
 }
 
-/// A path in a module as one from the root of the crate, if it leads into this crate.
+/// Converts a path in a module to a path from the root of the crate, or returns `None` if it leads to another crate.
 fn absolute(
     path: &[String],
     module: &ModulePath,
@@ -147,14 +149,14 @@
     }
 }
 
-/// What each file of the core imports, tests aside.
+/// Returns the imports of each file of the core, without the files of unit tests.
 fn imports() -> Imports {
     let src = source_folder();
     let files = source_files(&src);
     let files = files.iter().filter(|file| !file.ends_with("tests.rs"));
     let texts: BTreeMap<ModulePath, String> = files
         .map(|file| {
-            let text = std::fs::read_to_string(file).expect("it is text");
+            let text = std::fs::read_to_string(file).expect("cannot read a source file");
             (module_of(file, &src), without_comments(&text))
         })
         .collect();
@@ -178,8 +180,8 @@
         .collect()
 }
 
-/// What is left of the imports when files that import none of the others, or that none of the others imports, are taken
-/// away until nothing changes: the circles, and what connects them.
+/// Returns the imports that are part of a cycle or lie on a path between cycles. Files that import none of the
+/// remaining files, or that none of the remaining files imports, are removed until nothing changes.
 fn cyclic_imports(mut imports: Imports) -> Imports {
     loop {
         let before = imports.len();
@@ -196,19 +198,19 @@
 }
 
 #[test]
-fn modules_import_downwards_only() {
+fn modules_import_only_lower_layers() {
     let src = source_folder();
     let rank = |layer: &str| LAYERS.iter().position(|l| *l == layer).expect("a layer");
     let (mut read, mut upward) = (0, Vec::new());
     for layer in LAYERS {
         for path in source_files(&src.join(layer)) {
-            let text = std::fs::read_to_string(&path).expect("it is text");
+            let text = std::fs::read_to_string(&path).expect("cannot read a source file");
             read += 1;
             let above = named_layers(&text).filter(|other| rank(other) > rank(layer));
-            upward.extend(above.map(|other| format!("{} names {other}", path.display())));
+            upward.extend(above.map(|other| format!("{} imports {other}", path.display())));
         }
     }
-    // What lies beside the folders is below them all.
+    // Modules beside the folders are below all layers.
     for module in [
         "configuration",
         "http",
@@ -223,10 +225,10 @@
             paths.extend(source_files(&folder));
         }
         for path in paths {
-            let text = std::fs::read_to_string(&path).expect("a module");
+            let text = std::fs::read_to_string(&path).expect("cannot read a module");
             read += 1;
             upward.extend(
-                named_layers(&text).map(|other| format!("{} names {other}", path.display())),
+                named_layers(&text).map(|other| format!("{} imports {other}", path.display())),
             );
         }
     }
@@ -235,7 +237,7 @@
 }
 
 #[test]
-fn no_files_import_each_other_in_a_circle() {
+fn imports_between_files_have_no_cycle() {
     let imports = imports();
     let edges: usize = imports.values().map(BTreeSet::len).sum();
     assert!(imports.len() > 100, "{} files", imports.len());
@@ -244,7 +246,7 @@
 }
 
 #[test]
-fn a_circle_of_imports_is_found() {
+fn import_cycle_is_found() {
     let module = |name: &str| vec![name.to_string()];
     let edge = |from: &str, to: &str| (module(from), BTreeSet::from([module(to)]));
     let chain = Imports::from([
@@ -261,7 +263,7 @@
 }
 
 #[test]
-fn paths_of_grouped_imports_are_resolved() {
+fn grouped_import_paths_are_resolved() {
     let text = "use super::{first::{One, Two}, second::Three}; fn f() { third::run(super::Four) }";
     let found = paths(&tokens(text));
     let joined: Vec<String> = found.iter().map(|path| path.join("::")).collect();
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -1,12 +1,13 @@
-//! The further meetings of two troubles: a test for every row of the table at the top of `docs/design-concurrent-failures.md` that
-//! names this module. What must hold in all of them is the checker's: it looks at every machine, answer and launch.
+//! Further combinations of two concurrent failures: one test for every row of the table at the top of
+//! `docs/design-concurrent-failures.md` that names this module. The checker verifies the invariants in all of these
+//! tests: it checks every machine, answer and launch.
 
 use crate::unseen_cancellation::{begin, id, long, recover, roles};
 use crate::*;
 use gannethub_core::wire::store::TERM_KEY;
 use harness::CANCEL;
 
-/// Waits until nothing is in trouble any more, then until all jobs are over, and asks once more at all nodes.
+/// Ends the faults, waits until all jobs are over, and repeats a poll and the submission of every job at all nodes.
 fn recover_and_finish(mut w: World, seed: u64) {
     w.all_well();
     w.run_until(300, "all are over", World::all_over);
@@ -22,11 +23,12 @@
     w.finish();
 }
 
-/// Many short jobs, some that wait for others; users look at all nodes within milliseconds after each acceptance, end and
-/// cancellation, and call some off at once. Meanwhile one controller after the other is back with nothing read, watches
-/// fall behind and are refused, and changes come in another order than that of their versions.
+/// Users submit many short jobs, some with upstream jobs, cancel some of them at once, and repeat their requests at all
+/// nodes within 300 ms after each acceptance, end and cancellation. Meanwhile one controller after the other restarts
+/// and has read nothing, watches fall behind and are refused, and changes arrive in an order other than that of their
+/// versions.
 #[test]
-fn no_node_answers_anything_older_however_closely_users_look() {
+fn no_node_answers_with_an_older_state() {
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (3, 5), (3, 6)] {
         let mut w = World::new(nodes, seed);
         w.state.unordered = seed % 2 == 1;
@@ -38,7 +40,7 @@
         for round in 0..24 {
             for _ in 0..2 {
                 next += 1;
-                let on: Vec<String> = match next % 5 {
+                let upstream: Vec<String> = match next % 5 {
                     0 if w.jobs[&id(next - 1)].accepted.is_some() => vec![id(next - 1)],
                     _ => Vec::new(),
                 };
@@ -46,11 +48,11 @@
                 w.submit(job(
                     next,
                     1 + next % 2,
-                    json!({"shape": shape, "waits_on": on}),
+                    json!({"shape": shape, "waits_on": upstream}),
                 ));
             }
             if round % 3 == 0 {
-                // As soon as it is accepted, or before; the one that waits for it goes with it.
+                // The job is cancelled as soon as it is accepted. A downstream job is cancelled with it.
                 w.run_until(15, "accepted", |w| w.jobs[&id(next - 1)].accepted.is_some());
                 w.cancel(next - 1);
             }
@@ -60,7 +62,7 @@
                 4 => {
                     w.lose_leader(SECOND / 2);
                 }
-                // For a while a node is refused, with questions under way.
+                // The state service refuses a node for a while, with users' requests in flight.
                 5 => {
                     w.faults.store_refuses.insert(round as usize % nodes);
                 }
@@ -69,7 +71,7 @@
         }
         assert!(
             w.counters.close_look_requests > 500,
-            "{} looks",
+            "only {} repeated requests",
             w.counters.close_look_requests
         );
         assert!(
@@ -80,10 +82,10 @@
     }
 }
 
-/// A cancellation, questions and repeats meet the end of a job's last task, with no other trouble: of the two ends there is
-/// one, at every node, for ever.
+/// A cancellation, queries and repeated requests coincide with the end of a job's last task, with no other fault. Every
+/// node must answer with the same end from then on: either done or cancelled.
 #[test]
-fn a_job_that_is_called_off_as_it_ends_has_one_end_at_every_node() {
+fn job_cancelled_as_it_ends_has_one_end_at_every_node() {
     let mut ends = (0, 0);
     for seed in 1..=4 {
         let mut w = World::new(3, seed);
@@ -110,16 +112,17 @@
             .count();
         recover_and_finish(w, seed);
     }
-    // The cancellations come from before the end is known until after it is stored.
+    // The cancellations are sent between a time before the end is known and a time after it is stored, so both ends
+    // must occur.
     assert!(ends.0 > 10 && ends.1 > 10, "{ends:?}");
 }
 
-/// Transactions are carried out at once and only their answers are lost, while users look at all nodes and repeat at
-/// others, and leaders end before they read back. Every transaction there is: acceptances, releases, cancellations, watermarks,
-/// ends, parts of a large array, records of machines, clean-up, takeovers; moves, parts of limits and seats with several
-/// shards; pages of a ledger.
+/// Transactions are carried out at once and only their answers are lost, while users repeat their requests at all nodes
+/// and leaders crash before they read the result back. The test covers every kind of transaction: acceptances,
+/// releases, cancellations, launch watermarks, ends, parts of a large array, records of machines, clean-up and
+/// takeovers; with several shards also machine transfers, quota partitions and shard assignments; and pages of a ledger.
 #[test]
-fn a_transaction_whose_answer_alone_is_lost_is_done_once() {
+fn transactions_with_lost_answers_take_effect_once() {
     for seed in 1..=9 {
         let mut w = match seed % 3 {
             0 => World::with_shards(3, seed, 3, &|text| text),
@@ -130,14 +133,14 @@
         w.run(4);
         w.close_looks = true;
         for round in 0..10 {
-            // Now and then all of them, so that reading back and sending again meet the same.
+            // In every third round, 90% of the answers are lost, so that reading back and sending again fail as well.
             w.faults.lost_commit_answer_rate = [0.3, 0.3, 0.9][round as usize % 3];
             let i = 3 * round + 1;
             w.submit(job(i, 1 + round % 3, json!({"guess_s": 4.0})));
             w.submit(job(i + 1, 2, json!({"shape": "group"})));
             w.run(3);
-            let on: Vec<String> = w.jobs[&id(i)].accepted.iter().map(|_| id(i)).collect();
-            w.submit(job(i + 2, 1, json!({"waits_on": on})));
+            let upstream: Vec<String> = w.jobs[&id(i)].accepted.iter().map(|_| id(i)).collect();
+            w.submit(job(i + 2, 1, json!({"waits_on": upstream})));
             w.run(2);
             w.cancel(i + round % 3);
             if round % 3 == 2 {
@@ -147,17 +150,18 @@
         }
         assert!(
             w.counters.unanswered_commits > 20,
-            "{} lost",
+            "only {} lost answers",
             w.counters.unanswered_commits
         );
         recover_and_finish(w, seed);
     }
 }
 
-/// Both teams are at their limits and more waits. Jobs are cancelled whose machines are cut off, hang, reach nobody or hear
-/// nothing, and the leader changes. What may be there counts until it is known gone, and then its room is given out.
+/// Both teams are at their limits and have more tasks waiting. Jobs are cancelled whose machines are in an unreachable
+/// zone, hang, reach no controller or get no answers, and the leader changes. Tasks that may still run count towards
+/// the limit until they are known to be gone, and then their capacity is used again.
 #[test]
-fn full_teams_whose_cancelled_tasks_cannot_be_reached_stay_within_their_limits() {
+fn unreachable_cancelled_tasks_count_towards_team_limits() {
     for seed in 1..=12 {
         let mut w = World::new(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.cloud.capacity = 40;
@@ -171,8 +175,8 @@
                 json!({"crew": crew, "guess_s": 150.0, "rigs": ["small"]}),
             ));
         }
-        // 16 of red, 40 of blue: as much as their limits allow.
-        w.run_until(90, "both teams are at their limits", |w| w.starts >= 56);
+        // The limits allow 16 tasks of red and 40 tasks of blue, 56 in total.
+        w.run_until(90, "both teams reach their limits", |w| w.starts >= 56);
         w.run(3);
         let on = |x: &harness::Worker| x.tasks.keys().any(|t| t[7..8].parse().unwrap_or(0) <= 4);
         let some: Vec<String> = w
@@ -203,20 +207,20 @@
         w.run(25);
         w.cloud.no_deletes = false;
         w.all_well();
-        // What was cancelled has made room for the rest of its team.
+        // The capacity of the cancelled tasks of red is used by the team's other jobs.
         let red = |w: &World| {
             let tasks = w.workers.values().flat_map(|x| x.tasks.values());
             tasks
                 .filter(|t| t.on_machine() && matches!(&t.name[..8], "j-000006" | "j-000008"))
                 .count()
         };
-        w.run_until(60, "the room is given out", |w| red(w) == 16);
+        w.run_until(60, "the free capacity is used", |w| red(w) == 16);
         recover(w, seed);
     }
 }
 
-/// One controller's work goes to another, and a job is cancelled at each tenth of a second of it: before, in and after each
-/// of the transactions and reads.
+/// Hands one controller's work over to another, and cancels one job every tenth of a second of the handover: before,
+/// during and after each of its transactions and reads.
 fn cancel_throughout_handover(mut w: World, seed: u64, hand_over: impl Fn(&mut World)) {
     w.runs = (300 * SECOND, 400 * SECOND);
     w.cloud.capacity = 30;
@@ -224,7 +228,7 @@
     for i in 1..=36 {
         w.submit(job(i, 1, json!({"guess_s": 350.0, "rigs": ["small"]})));
     }
-    w.run_until(90, "all of it runs", |w| w.starts >= 36);
+    w.run_until(90, "all tasks run", |w| w.starts >= 36);
     w.run(3);
     hand_over(&mut w);
     for i in 1..=36 {
@@ -240,14 +244,14 @@
 }
 
 #[test]
-fn whatever_is_cancelled_while_the_leaders_work_changes_hands_is_gone_in_time() {
+fn cancellations_during_a_leader_change_meet_their_deadline() {
     for seed in 1..=4 {
         cancel_throughout_handover(World::new(3, seed), seed, |w| {
-            let leader = w.leader().expect("one leads");
+            let leader = w.leader().expect("a leader");
             match seed {
                 1 => w.crash(leader, 30 * SECOND),
                 2 => w.crash(leader, SECOND / 5),
-                // It gives its lease back, as it hears nobody.
+                // The leader gives its store lease back because it receives no heartbeats.
                 3 => w
                     .faults
                     .unreachable_zones
@@ -259,18 +263,18 @@
 }
 
 #[test]
-fn whatever_is_cancelled_while_a_shard_changes_owners_is_gone_in_time() {
+fn cancellations_during_a_shard_owner_change_meet_their_deadline() {
     for seed in 1..=6 {
         let w = World::with_shards(3, seed, 3, &|text| text);
         cancel_throughout_handover(w, seed, |w| {
-            let owner = w.shard_owner(seed as u32 % 3).expect("held")[1..]
+            let owner = w.shard_owner(seed as u32 % 3).expect("an owner")[1..]
                 .parse()
                 .expect("a node");
             match seed {
                 1 | 2 => w.crash(owner, 20 * SECOND),
                 3 | 4 => w.crash(owner, SECOND / 5),
                 5 => w.isolate(owner),
-                // All shards are to become one: tasks, jobs and machines go to shard 0's owner.
+                // All shards are merged into one: tasks, jobs and machines move to the owner of shard 0.
                 _ => {
                     w.set_shard_count(1);
                     (0..3).for_each(|i| w.crash(i, SECOND / 5 + i as u64 * SECOND));
@@ -280,10 +284,11 @@
     }
 }
 
-/// New machines are up within two seconds, not listed for long, and get work at once, while the leader's transactions are
-/// slow or late. The leader ends at the moment of the first launches, and again.
+/// New machines boot within two seconds, appear in the cloud's list only 12 s later, and get tasks at once, while the
+/// leader's transactions are carried out late or answered late. The leader crashes at the first launches, and again in
+/// each of the following rounds.
 #[test]
-fn machines_that_are_up_at_once_are_known_to_a_successor() {
+fn new_leader_knows_machines_that_booted_just_before() {
     for seed in 1..=10 {
         let mut w = World::new(3, seed);
         w.cloud.boot = (SECOND / 10, 2 * SECOND);
@@ -303,12 +308,13 @@
             let more = json!({"guess_s": 60.0, "rigs": ["small"]});
             w.submit(job(1 + round, 6, more));
             let until = w.now + 25 * SECOND;
-            w.run_until(26, "it starts, if it may", |w| {
+            w.run_until(26, "tasks start, or 25 s have passed", |w| {
                 w.starts > before || w.now >= until
             });
             w.run(seed % 2);
             w.lose_leader([SECOND / 5, 20 * SECOND][round as usize % 2]);
-            // They can tell the successor nothing for a while: only the record tells of them.
+            // Hung machines send no heartbeats to the new leader for a while, so it knows of them only from the shard's
+            // record.
             let until = w.now + LEASE - SECOND;
             let busy = w.workers.values_mut().filter(|x| !x.tasks.is_empty());
             busy.step_by(2).for_each(|x| x.hung_until = until);
@@ -320,10 +326,10 @@
     }
 }
 
-/// Copies of heartbeats are kept, and all of them reach every controller as a new leader begins: of sessions that have ended
-/// since, of attempts that were replaced or had not ended, of machines that were returned.
+/// Copies of old heartbeats reach every controller as a new term begins. They come from incarnations of workers that
+/// have ended since, contain attempts that were replaced or had not ended, or come from machines that were returned.
 #[test]
-fn old_heartbeats_that_reach_every_controller_as_a_leader_begins_count_for_nothing() {
+fn old_heartbeats_at_the_start_of_a_term_are_ignored() {
     for seed in 1..=8 {
         let mut w = World::new(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.runs = (5 * SECOND, 60 * SECOND);
@@ -341,7 +347,7 @@
                 json!({"shape": "group", "crew": "red"}),
             ));
             w.run(8);
-            // A session ends, another machine is gone, and a job is called off.
+            // One worker's lease expires, another machine dies in every second round, and a job is cancelled.
             let busy = w.workers.values().filter(|x| !x.tasks.is_empty());
             let busy: Vec<String> = busy.map(|x| x.name.clone()).collect();
             let until = w.now + LEASE + 2 * SECOND;
@@ -363,14 +369,15 @@
         }
         assert!(
             w.counters.kept_copies_sent > 100,
-            "{} copies",
+            "only {} copies",
             w.counters.kept_copies_sent
         );
         recover_and_finish(w, seed);
     }
 }
 
-/// Ten leaders in two minutes, the last of them inside outages, while jobs are submitted, called off and asked about.
+/// Ten leader crashes in two minutes, with a further crash during an outage in each of the last four rounds, while jobs
+/// are submitted, cancelled and queried.
 #[test]
 fn ten_leaders_in_two_minutes_break_no_rule() {
     for seed in 1..=6 {
@@ -396,9 +403,9 @@
     }
 }
 
-/// A third of the workers reach no controller, whoever leads; jobs on them are called off.
+/// Half of the workers reach no controller, whichever controller leads, and jobs on them are cancelled.
 #[test]
-fn workers_that_reach_nobody_run_nothing_on_beyond_their_leases() {
+fn isolated_workers_stop_tasks_when_their_leases_expire() {
     for seed in 1..=8 {
         let mut w = long(3, seed);
         let names: Vec<String> = w.workers.keys().cloned().collect();
@@ -420,16 +427,17 @@
     }
 }
 
-/// Jobs are called off at every twentieth of a second around the leader's refusal, at it and at others; a second later the
-/// state service is out for all, for longer than a cancellation has.
+/// One job is cancelled every twentieth of a second around the time at which the state service begins to refuse the
+/// leader, at the leader and at other controllers. A second later the state service is down for all controllers, for
+/// longer than the cancellation deadline.
 #[test]
-fn what_is_called_off_at_the_moment_of_the_refusal_is_gone_in_time() {
+fn cancellations_around_the_leaders_refusal_meet_their_deadline() {
     for seed in 1..=6 {
         let mut w = begin(World::new(if seed % 3 == 0 { 5 } else { 3 }, seed));
         for i in 9..=28 {
             w.submit(job(i, 1, json!({"guess_s": 350.0, "rigs": ["small"]})));
         }
-        w.run_until(60, "all of it runs", |w| w.starts >= 36);
+        w.run_until(60, "all tasks run", |w| w.starts >= 36);
         w.run(3);
         let (old, others) = roles(&w, seed);
         for i in 1..=28 {
@@ -447,10 +455,11 @@
     }
 }
 
-/// The state service refuses the leader, and up to a second and a half later everybody, for longer than a lease. The grant
-/// has not run out then, and the peers see the outage in time to vote: no work is lost.
+/// The state service refuses the leader, and up to 1.5 s later it is down for all controllers, for two leases (20 s).
+/// The leader's store lease has not expired when the outage begins, and the peers notice the outage in time to vote, so
+/// no task is lost.
 #[test]
-fn a_refusal_that_becomes_an_outage_loses_no_work() {
+fn refusal_that_becomes_an_outage_loses_no_task() {
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
         let (old, others) = roles(&w, seed);
@@ -459,7 +468,11 @@
         w.pause(seed * SECOND / 5 - SECOND / 10);
         w.state.down = true;
         w.run(2 * LEASE / SECOND);
-        assert_eq!(w.leader(), Some(old), "seed {seed}: votes carry it");
+        assert_eq!(
+            w.leader(),
+            Some(old),
+            "seed {seed}: votes extend its leadership"
+        );
         assert!(
             w.workers.values().all(|x| x.session == 1),
             "a lease ran out"
@@ -468,10 +481,11 @@
     }
 }
 
-/// Takeovers are carried out and have no answer, and the state service refuses everybody just when their grants are to be
-/// given back, until none of the controllers knows what became of its own. One leads soon after the last trouble all the same.
+/// The transactions of takeovers are carried out but not answered, and the state service is down just when the
+/// controllers want to give their store leases back, until no controller knows the outcome of its own takeover. Even
+/// so, a controller leads within 20 s after the last fault.
 #[test]
-fn controllers_that_do_not_know_of_their_takeovers_find_out() {
+fn leader_is_found_after_takeovers_with_unknown_outcome() {
     for seed in 1..=4 {
         let mut w = long(3, seed);
         w.lose_leader(2 * SECOND);
@@ -481,22 +495,22 @@
             let until = w.now + 15 * SECOND;
             let taken = |w: &World| w.state.value(TERM_KEY).cloned() != term || w.now > until;
             w.run_until(16, "a takeover is carried out", taken);
-            // Its answer is missed after two seconds, and the grant given back at once.
+            // The takeover's answer times out after two seconds, and the store lease is given back at once.
             w.pause(SECOND * 3 / 2);
             w.state.down = true;
             w.run(2);
             w.state.down = false;
         }
         w.all_well();
-        w.run_until(20, "one leads", |w| w.leader().is_some());
+        w.run_until(20, "a controller leads", |w| w.leader().is_some());
         recover(w, seed);
     }
 }
 
-/// A zone with workers and a controller, the leader or another, is cut off from everything for longer than a lease; jobs
-/// that run in it are cancelled outside, and others go on.
+/// A zone with workers and a controller, the leader or another one, is partitioned from everything else for longer than
+/// a lease. Jobs that run in the zone are cancelled at a controller outside, and other jobs continue.
 #[test]
-fn a_zone_with_a_controller_that_is_cut_off_runs_nothing_twice() {
+fn partitioned_zone_with_a_controller_runs_no_task_twice() {
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
         let (old, others) = roles(&w, seed);
@@ -527,9 +541,10 @@
     }
 }
 
-/// All controllers are away, for less than a lease, just about one, and for longer; one or all return, and end again.
+/// All controllers are down for less than a lease, for slightly longer than a lease, or for two or four leases. They
+/// return together or one by one, and crash again.
 #[test]
-fn all_controllers_away_for_longer_than_a_lease_lose_no_job() {
+fn crash_of_all_controllers_beyond_a_lease_loses_no_job() {
     for seed in 1..=8 {
         let mut w = long(3, seed);
         let away =
@@ -546,9 +561,10 @@
     }
 }
 
-/// Jobs bound to one zone, arrays, gangs and services, lose machines there, while the leader changes.
+/// Arrays, gangs and services with zone constraints lose machines in one zone after the other, while the leader
+/// changes.
 #[test]
-fn jobs_of_one_zone_that_lose_machines_stay_in_it() {
+fn zone_constraints_hold_after_machine_losses() {
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.runs = (10 * SECOND, 40 * SECOND);
@@ -607,9 +623,10 @@
     }
 }
 
-/// More work than room, urgent and not, with controllers and state service that are slow to answer; some of it is called off.
+/// More tasks of all priorities than the cluster has capacity for, with controllers and a state service that answer
+/// slowly. Some of the jobs are cancelled.
 #[test]
-fn more_work_than_room_over_slow_links_breaks_no_rule() {
+fn overload_with_slow_answers_breaks_no_rule() {
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 6;
@@ -641,10 +658,11 @@
     }
 }
 
-/// The leader itself tells users that jobs are cancelled which wait for room, while its watch brings nothing and room comes
-/// free all the time. It launches nothing of what it has told.
+/// The leader itself confirms cancellations of jobs that wait for capacity, while its watch hangs or the state service
+/// is slow and capacity becomes free all the time. The leader must not launch tasks of jobs whose cancellation it has
+/// confirmed.
 #[test]
-fn whoever_tells_of_a_cancellation_launches_nothing_of_it() {
+fn leader_launches_nothing_it_has_confirmed_as_cancelled() {
     for seed in 1..=4 {
         let mut w = World::new(3, seed);
         w.runs = (SECOND / 5, SECOND);
@@ -653,8 +671,8 @@
         for i in 1..=40 {
             w.submit(job(i, 6, json!({"guess_s": 1.0, "rigs": ["small"]})));
         }
-        w.run_until(60, "some of it runs", |w| w.starts >= 30);
-        let leader = w.leader().expect("one leads");
+        w.run_until(60, "30 tasks have started", |w| w.starts >= 30);
+        let leader = w.leader().expect("a leader");
         match seed {
             1 | 2 => {
                 w.faults.hung_watches.insert(leader);
@@ -662,7 +680,7 @@
             _ => w.faults.max_store_delay = SECOND / 2,
         }
         for i in 5..=40 {
-            // In the order in which they would be served.
+            // The jobs are cancelled in the order in which they would be scheduled.
             w.cancel_at(i, leader);
             w.pause(SECOND / 20);
         }
@@ -672,23 +690,23 @@
             .values()
             .filter(|j| j.told_cancelled.is_some())
             .count();
-        assert!(told >= 20, "{told} told");
+        assert!(told >= 20, "only {told} cancellations confirmed");
         recover_and_finish(w, seed);
     }
 }
 
-/// Jobs are accepted and called off at once at the leader itself, while what its watch brings is slow: the acceptance comes
-/// after the user was told, and without the cancellation.
+/// Jobs are cancelled at the leader as soon as they are accepted, while its watch is slow. The watch delivers the
+/// acceptance after the user was told of the cancellation, and without the cancellation.
 #[test]
-fn what_is_called_off_before_the_leader_knows_it_is_not_launched() {
+fn job_cancelled_before_the_leader_read_it_is_not_launched() {
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 20;
         w.runs = (20 * SECOND, 30 * SECOND);
         w.run(2);
         w.submit(job(1, 20, json!({"guess_s": 25.0, "rigs": ["small"]})));
-        w.run_until(60, "it runs", |w| w.starts >= 20);
-        let leader = w.leader().expect("one leads");
+        w.run_until(60, "all tasks of the first job run", |w| w.starts >= 20);
+        let leader = w.leader().expect("a leader");
         w.faults.max_watch_delay = SECOND / 2;
         for i in 2..=30 {
             w.submit(job(i, 3, json!({"rigs": ["small"]})));
@@ -700,8 +718,9 @@
     }
 }
 
-/// Jobs are called off while half of their tasks run and the others wait for their images, and a third of the workers reach
-/// nobody. Returns how many tasks started after that, for how many seconds tasks ran on, and how many commands were sent.
+/// Cancels jobs of which some have running tasks and the others wait for their images, while a third of the workers
+/// reach no controller. Returns the number of tasks that started after their cancellation was confirmed, the total
+/// seconds that cancelled tasks continued to run, and the number of direct commands that were sent.
 fn cancel_with_isolated_workers(policy: &str, seed: u64) -> (usize, usize, usize) {
     let mut w = World::new(3, seed);
     w.set_policy(policy);
@@ -712,7 +731,7 @@
     for i in 1..=6 {
         w.submit(job(i, 4, json!({"guess_s": 150.0, "rigs": ["small"]})));
     }
-    w.run_until(60, "some of it runs", |w| w.starts >= 24);
+    w.run_until(60, "24 tasks have started", |w| w.starts >= 24);
     let names: Vec<String> = w.workers.keys().cloned().collect();
     w.faults
         .isolated_workers
@@ -725,7 +744,7 @@
         let tasks = w.workers.values().flat_map(|x| x.tasks.values());
         tasks.filter(|t| !t.on_machine()).count()
     };
-    w.run_until(30, "some of it is fetched", |w| fetches(w) >= 6);
+    w.run_until(30, "six tasks fetch their images", |w| fetches(w) >= 6);
     (1..=10).for_each(|i| w.cancel(i));
     w.run(LEASE / SECOND + 5);
     let figures = (
@@ -737,10 +756,12 @@
     figures
 }
 
-/// Workers are told at once what is called off, those too that reach no controller: less starts after its user was told and
-/// less runs on, for no more messages than there are machines. Without that everything is told by answers as ever.
+/// With direct commands, workers are told of cancellations at once, even those that reach no controller. Less than half
+/// as many tasks start after a confirmed cancellation, and tasks continue for less than a third of the time, with no
+/// more messages than machines in each run. With `halts_per_s = 0`, workers learn of cancellations only from heartbeat
+/// responses.
 #[test]
-fn what_is_called_off_is_told_to_workers_at_once() {
+fn direct_commands_stop_cancelled_tasks_sooner() {
     let mut all = [(0, 0, 0); 2];
     for seed in 1..=4 {
         for (sum, policy) in all.iter_mut().zip(["halts_per_s = 0", "halts_per_s = 200"]) {
@@ -749,7 +770,7 @@
         }
     }
     let [without, with] = all;
-    println!("starts after a confirmation, seconds run on, commands: {without:?}, {with:?}");
+    println!("starts after a confirmation, seconds run on, direct commands: {without:?}, {with:?}");
     assert_eq!(without.2, 0);
     assert!(with.2 > 0 && with.2 <= 4 * 20, "{with:?}");
     assert!(
@@ -758,10 +779,10 @@
     );
 }
 
-/// Jobs are called off as their machines hang, for less than a lease or more, with an answer that renews the lease in flight.
-/// What goes on is stopped, and nothing of it is left after `cancel_s`.
+/// Jobs are cancelled as their machines hang, for less than a lease or for longer, with an answer in flight that renews
+/// the lease. Tasks that resume must be stopped, and none of them may be left after `cancel_s`.
 #[test]
-fn a_hang_that_meets_a_cancellation_lets_nothing_run_on() {
+fn hung_machines_do_not_keep_cancelled_tasks_running() {
     for seed in 1..=12 {
         let mut w = long(3, seed);
         w.faults.max_worker_answer_delay = 3 * SECOND;
@@ -775,7 +796,7 @@
         if seed % 3 == 0 {
             w.lose_leader(SECOND / 2);
         }
-        // Again, just as they go on.
+        // Every second machine hangs again, at the time at which the first hang ends.
         w.run(hang / SECOND);
         let until = w.now + LEASE - SECOND;
         w.workers
@@ -787,10 +808,11 @@
     }
 }
 
-/// One-task jobs come four a second for two minutes, a quarter of them cancelled, at the rates of a small state service.
-/// Questions, cancellations and renewals are served, larger jobs begin, and what a job costs is counted.
+/// Users submit four one-task jobs per second for two minutes and cancel a quarter of them, at the request rates of a
+/// small state service (70 requests and 25 writes per second). Queries, cancellations and lease renewals must be
+/// served, larger jobs must complete, and the number of state service requests per job is limited to 25.
 #[test]
-fn many_small_jobs_keep_nobody_from_being_served() {
+fn many_small_jobs_do_not_starve_other_requests() {
     for seed in 1..=2 {
         let small = |text: String| {
             let text = text.replace("write_rps = 100.0", "write_rps = 25.0");
@@ -802,7 +824,7 @@
         w.cloud.capacity = 30;
         w.runs = (SECOND, 6 * SECOND);
         w.run(2);
-        w.run_until(10, "one leads", |w| w.leader().is_some());
+        w.run_until(10, "a controller leads", |w| w.leader().is_some());
         w.run(5);
         w.answers_expected_since = w.now;
         let term = w.state.value(TERM_KEY).cloned();
@@ -833,15 +855,15 @@
         assert_eq!(
             w.state.value(TERM_KEY).cloned(),
             term,
-            "its renewals are served"
+            "the leader changed: its lease renewals were not served"
         );
         for (i, _) in &large {
             let at = w.jobs[&id(*i)].told_done;
-            assert!(at.is_some(), "the end of {i} waits behind those of others");
+            assert!(at.is_some(), "large job {i} is not done");
         }
         assert!(
             w.unanswered < 20 * SECOND,
-            "not answered for {} s",
+            "a job got no answer for {} s",
             w.unanswered / SECOND
         );
         let requests = (w.state.requests - requests) as f64 / f64::from(next);
@@ -852,16 +874,17 @@
             .values()
             .filter(|j| j.told_cancelled.is_some())
             .count();
-        assert!(told > 60, "{told} cancelled");
+        assert!(told > 60, "only {told} cancelled");
         assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
         w.finish();
     }
 }
 
-/// What lacks a field or can never run is refused with the field's name at every node, in every trouble in which it can be
-/// told, and is never accepted; what can run is accepted beside it, and known ever after.
+/// A submission that lacks a field or can never run is refused with the field's name at every node, during every fault
+/// in which a controller can decide, and is never accepted. Submissions that can run are accepted meanwhile, and every
+/// node knows them from then on.
 #[test]
-fn what_can_never_run_is_refused_by_name_and_what_can_is_not() {
+fn only_invalid_submissions_are_refused_naming_the_field() {
     let mut w = World::new(3, 1);
     w.run(4);
     let good = job(1, 2, json!({"shape": "group"}));
@@ -874,7 +897,7 @@
         .cloned()
         .collect();
     let nullable = ["rigs", "yard", "due_s", "waits_on"];
-    let mut odd: Vec<(serde_json::Value, String)> = Vec::new();
+    let mut invalid: Vec<(serde_json::Value, String)> = Vec::new();
     let mut next = 100;
     let mut fresh = |more: serde_json::Value| {
         next += 1;
@@ -882,14 +905,14 @@
     };
     for field in &fields {
         if !nullable.contains(&field.as_str()) {
-            let mut lacks = fresh(json!({}));
-            lacks.as_object_mut().expect("an object").remove(field);
-            odd.push((lacks, field.clone()));
-            odd.push((fresh(json!({field.clone(): null})), field.clone()));
+            let mut incomplete = fresh(json!({}));
+            incomplete.as_object_mut().expect("an object").remove(field);
+            invalid.push((incomplete, field.clone()));
+            invalid.push((fresh(json!({field.clone(): null})), field.clone()));
         }
-        odd.push((fresh(json!({field.clone(): {"x": 1}})), field.clone()));
+        invalid.push((fresh(json!({field.clone(): {"x": 1}})), field.clone()));
     }
-    let wrong = [
+    let invalid_values = [
         ("id", json!("j-")),
         ("id", json!("j-00x001")),
         ("id", json!("J-000001")),
@@ -925,13 +948,13 @@
         ("cards", json!(5.0)),
         ("mem_gb", json!(65.0)),
     ];
-    odd.extend(
-        wrong
+    invalid.extend(
+        invalid_values
             .into_iter()
             .map(|(f, v)| (fresh(json!({f: v})), f.to_string())),
     );
-    let never = [
-        // Each of these is allowed, and not together.
+    let contradictory = [
+        // Each of these values is allowed on its own, but they exclude each other.
         ("mem_gb", json!({"rigs": ["small"], "mem_gb": 17.0})),
         ("cards", json!({"rigs": ["small"], "cards": 1.0})),
         ("pieces", json!({"pieces": 41, "shape": "group"})),
@@ -961,12 +984,12 @@
             json!({"shape": "service", "scatter": true, "together": true}),
         ),
     ];
-    odd.extend(
-        never
+    invalid.extend(
+        contradictory
             .into_iter()
             .map(|(f, more)| (fresh(more), f.to_string())),
     );
-    let fine = [
+    let valid = [
         json!({"pieces": 41}),
         json!({"scatter": true, "yard": "a"}),
         json!({"scatter": true, "together": true}),
@@ -978,43 +1001,44 @@
         json!({"vcpus": 8.0, "cards": 4.0, "mem_gb": 64.0, "crew": "blue"}),
         json!({"cards": 0.5}),
     ];
-    let count = odd.len();
-    let all = |w: &mut World, odd: &[(serde_json::Value, String)]| {
-        for (body, field) in odd {
+    let count = invalid.len();
+    let submit_all = |w: &mut World, submissions: &[(serde_json::Value, String)]| {
+        for (body, field) in submissions {
             for node in 0..3 {
                 w.submit_odd(body.clone(), field, node);
             }
         }
     };
-    all(&mut w, &odd);
+    submit_all(&mut w, &invalid);
     w.run(3);
     assert_eq!(w.broken, Vec::<String>::new());
     assert_eq!(w.odd.values().map(|o| o.refused).sum::<usize>(), 3 * count);
-    for (i, more) in (10..).zip(fine) {
+    for (i, more) in (10..).zip(valid) {
         w.submit(job(i, 2, more));
     }
-    // Beside valid ones, with a node refused, answers lost, a leader lost, and slow.
+    // The invalid submissions are repeated alongside valid ones, with one node refused by the state service, lost
+    // answers to transactions, a crashed leader and a slow state service.
     w.faults.lost_commit_answer_rate = 0.2;
     w.faults.store_refuses.insert(1);
     w.lose_leader(SECOND);
-    // Some come to a controller that has just begun and knows no machine types yet.
+    // Some submissions reach a controller that has just started and does not know the machine types yet.
     w.pause(SECOND + SECOND / 20);
-    all(&mut w, &odd);
+    submit_all(&mut w, &invalid);
     w.run(5);
     w.faults.max_store_delay = SECOND / 2;
-    all(&mut w, &odd);
+    submit_all(&mut w, &invalid);
     w.run(6);
     w.state.down = true;
     w.run(2);
-    all(&mut w, &odd);
+    submit_all(&mut w, &invalid);
     w.run(4);
-    // What nobody could have submitted before is refused even then: it has no id.
-    let without: Vec<_> = w.odd.values().filter(|o| o.field == "id").collect();
-    assert!(without.iter().all(|o| o.refused == 1), "{without:?}");
+    // A submission without an id is refused even during the outage, since it cannot be a repeated submission.
+    let without_id: Vec<_> = w.odd.values().filter(|o| o.field == "id").collect();
+    assert!(without_id.iter().all(|o| o.refused == 1), "{without_id:?}");
     w.all_well();
     w.run(3);
     w.run_until(200, "all are over", World::all_over);
-    // The fleet has been given back; what was accepted is known all the same, with another body too.
+    // All machines have been returned. Accepted jobs are still known, even if the repeated submission has another body.
     w.run_until(120, "the machines are returned", |w| w.workers.is_empty());
     let known: Vec<String> = w.jobs.keys().cloned().collect();
     for id in &known {
@@ -1025,7 +1049,7 @@
         (0..3).for_each(|n| w.ask_at(id, "submit", n));
         w.run(1);
         let job = w.jobs.get_mut(id).expect("it is there");
-        assert!(job.answered > before, "{id} is not answered for");
+        assert!(job.answered > before, "{id} got no answer");
         job.body = body;
     }
     assert_eq!(w.broken, Vec::<String>::new());
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -67,7 +67,7 @@
         w.failures.len(),
         w.workers.keys().cloned().collect::<Vec<_>>(),
     );
-    let old = w.leader().expect("someone leads");
+    let old = w.leader().expect("a leader");
     w.crash(old, 6 * SECOND);
     w.run(90);
     // Each of the three jobs is tried only a few times: the new leader knows from its predecessor that they are
@@ -198,7 +198,11 @@
     );
     f.c.apply_job_end("j-3", u64::MAX, None);
     let leaving = wait(&mut f);
-    assert_eq!(leaving.len(), 1, "only a part of the machines is drained at a time");
+    assert_eq!(
+        leaving.len(),
+        1,
+        "only a part of the machines is drained at a time"
+    );
     let m = &f.c.machines[leaving[0].as_str()];
     assert!(
         m.attempts
@@ -227,7 +231,7 @@
     w.run(2);
     w.submit(job(1, 30, json!({"shape": "service"})));
     w.run_until(30, "the replicas run", |w| w.starts >= 30);
-    let old = w.leader().expect("someone leads");
+    let old = w.leader().expect("a leader");
     w.crash(old, 20 * SECOND);
     let dead = w.workers.values_mut().next().expect("a machine");
     dead.dead = true;
@@ -249,7 +253,7 @@
     w.run(2);
     w.submit(job(1, 30, json!({"shape": "service"})));
     w.run_until(30, "the replicas run", |w| w.starts >= 30);
-    let old = w.leader().expect("someone leads");
+    let old = w.leader().expect("a leader");
     w.crash(old, 20 * SECOND);
     let hung = w.now + 9 * SECOND;
     let zone = w.workers.values().next().expect("a machine").zone.clone();
@@ -319,7 +323,7 @@
     let answered = polls(&w) - asked;
     assert!(answered > 5500, "{answered} of some 6000 queries answered");
     let more = w.state.requests - before;
-    // 330 more requests in 10 s allow for ten reads per second on each of three controllers.
+    // Each of the three controllers makes at most ten additional reads per second.
     assert!(
         more < usual + 330,
         "{more} requests against {usual} without the storm"
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -1,8 +1,8 @@
 //! A cancellation that the old leader never learns of, the first combination of failures in
 //! `docs/design-concurrent-failures.md`. The state service refuses only the leader, and another controller confirms
 //! cancellations. Then the state service is down for all controllers, for longer than the cancellation deadline, while
-//! workers send heartbeats to the old leader. The checker counts the deadline from the time at which any controller told
-//! the user, and checks every machine once a second.
+//! workers send heartbeats to the old leader. The checker counts the deadline from the time at which any controller
+//! told the user, and checks every machine once a second.
 
 use crate::*;
 use gannethub_core::wire::store::TERM_KEY;
@@ -69,7 +69,7 @@
     open.iter()
         .for_each(|i| w.cancel(i[2..].parse().expect("a number")));
     w.run_until(240, "all are over", World::all_over);
-    w.run_until(60, "no live job's record is left", |w| {
+    w.run_until(60, "no live job is left", |w| {
         w.state.keys("gh/live/").is_empty()
     });
     assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
@@ -97,9 +97,17 @@
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.run(9);
-        assert_eq!(w.leader(), Some(old), "the votes extend its leadership for a while");
+        assert_eq!(
+            w.leader(),
+            Some(old),
+            "the votes extend its leadership for a while"
+        );
         w.run(17);
-        assert_eq!(w.leader(), None, "the votes must not extend its leadership further");
+        assert_eq!(
+            w.leader(),
+            None,
+            "the votes must not extend its leadership further"
+        );
         outlast_cancel_deadline(w, seed);
     }
 }
@@ -128,7 +136,11 @@
     w.faults.previous_release.insert(old);
     w.state.down = true;
     w.run(9);
-    assert_eq!(w.leader(), Some(old), "leads for longer than its lease");
+    assert_eq!(
+        w.leader(),
+        Some(old),
+        "leads for longer than its store lease"
+    );
     recover(w, 7);
 }
 
@@ -210,7 +222,7 @@
             json!({"shape": "group", "guess_s": 350.0, "crew": "red"}),
         ));
         w.submit(job(12, 4, save));
-        w.run_until(60, "the gang and the tasks that save run", |w| w.starts >= 23);
+        w.run_until(60, "all 23 tasks run", |w| w.starts >= 23);
         w.submit(job(13, 2, json!({"waits_on": ["j-000011"]})));
         // A preemption notice for the machines shortly before makes the leader tell these tasks to save.
         let on = |x: &harness::Worker| x.tasks.keys().any(|t| t.starts_with("j-000012"));
@@ -228,8 +240,8 @@
     }
 }
 
-/// Machines with tasks of cancelled jobs get no answers, hang, reach the leader only through a peer, or are in a zone that
-/// no controller can reach.
+/// Machines with tasks of cancelled jobs get no answers, hang, reach the leader only through a peer, or are in a zone
+/// that no controller can reach.
 #[test]
 fn unreachable_machines_stop_cancelled_tasks_by_lease_expiry() {
     for seed in 1..=8 {
@@ -278,8 +290,8 @@
     }
 }
 
-/// The state service alternates between refusing and serving the leader every second. Some lease renewals succeed, while
-/// reads may not.
+/// The state service alternates between refusing and serving the leader every second. Some lease renewals succeed,
+/// while reads may not.
 #[test]
 fn intermittently_refused_leader_learns_of_cancellations() {
     for seed in 1..=4 {
@@ -356,8 +368,8 @@
     }
 }
 
-/// The leader's watch hangs, while the state service answers all its other requests. The leader keeps its leadership and
-/// the cancellations meet their deadline.
+/// The leader's watch hangs, while the state service answers all its other requests. The leader keeps its leadership
+/// and the cancellations meet their deadline.
 #[test]
 fn leader_with_hung_watch_still_learns_of_cancellations() {
     for seed in 1..=4 {
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -30,7 +30,8 @@
     format!("{{\"spec\":{SPEC}{tail}")
 }
 
-/// Fields of a live job's record that a leader of the previous version reads. Every field without a default is required.
+/// Fields of a live job's record that a leader of the previous version reads. Every field without a default is
+/// required.
 #[derive(Deserialize)]
 struct PreviousJobRecord {
     spec: JobSpec,
@@ -147,8 +148,8 @@
         panic!()
     };
     r.watermark = Some(40);
-    // A leader of the previous version runs jobs of shard 0 and ignores the launch watermark. The records that it writes
-    // lack the watermark, so the current version treats all tasks as launched.
+    // A leader of the previous version runs jobs of shard 0 and ignores the launch watermark. The records that it
+    // writes lack the watermark, so the current version treats all tasks as launched.
     let old: PreviousJobRecord =
         serde_json::from_str(r.to_value().get()).expect("the previous version reads it");
     assert_eq!(old.done, r.done);
@@ -242,8 +243,8 @@
 
 #[test]
 fn finished_tasks_beyond_the_value_limit_go_to_a_readable_part() {
-    // The record has as many ranges of finished tasks as the previous version could store under its larger limit, and an
-    // image name of the maximum length (128 bytes).
+    // The record has as many ranges of finished tasks as the previous version could store under its larger limit, and
+    // an image name of the maximum length (128 bytes).
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(1, 81, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     let ranges: Vec<String> = (0..2000).step_by(2).map(|i| i.to_string()).collect();
