--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -120,7 +120,8 @@
 /// Transactions are carried out at once and only their answers are lost, while users repeat their requests at all nodes
 /// and leaders crash before they read the result back. The test covers every kind of transaction: acceptances,
 /// releases, cancellations, launch watermarks, ends, parts of a large array, records of machines, clean-up and
-/// takeovers; with several shards also machine transfers, quota partitions and shard assignments; and pages of a ledger.
+/// takeovers; with several shards also machine transfers, quota partitions and shard assignments; and pages of a
+/// ledger.
 #[test]
 fn transactions_with_lost_answers_take_effect_once() {
     for seed in 1..=9 {
@@ -244,7 +245,7 @@
 }
 
 #[test]
-fn cancellations_during_a_leader_change_meet_their_deadline() {
+fn cancellations_during_leader_change_meet_their_deadline() {
     for seed in 1..=4 {
         cancel_throughout_handover(World::new(3, seed), seed, |w| {
             let leader = w.leader().expect("a leader");
@@ -263,7 +264,7 @@
 }
 
 #[test]
-fn cancellations_during_a_shard_owner_change_meet_their_deadline() {
+fn cancellations_during_shard_owner_change_meet_their_deadline() {
     for seed in 1..=6 {
         let w = World::with_shards(3, seed, 3, &|text| text);
         cancel_throughout_handover(w, seed, |w| {
--- a/crates/gannethub-core/tests/simulation/harness/answers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/answers.rs
@@ -18,7 +18,8 @@
 }
 
 impl UserJob {
-    /// Whether the job's user was told that the job is accepted, done and cancelled, in this order.
+    /// Returns three flags: whether the user was told that the job is accepted, that it is done, and that it is
+    /// cancelled.
     fn milestones(&self) -> [bool; 3] {
         [
             self.accepted.is_some(),
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -79,13 +79,13 @@
         let (zones, used) = self.zones_and_usage(id, w);
         if body["together"] == json!(true) && zones.len() > 1 {
             broken.push(format!(
-                "wrong_place: {name} is in another zone than its job's other tasks"
+                "wrong_place: the job of {name} has tasks in several zones"
             ));
         }
         let half = body["pieces"].as_u64().unwrap_or(0).div_ceil(2);
         if body["scatter"] == json!(true) && zones.values().any(|n| *n > half) {
             broken.push(format!(
-                "wrong_place: more than half of the tasks in one zone after {name}"
+                "wrong_place: the job of {name} has too many tasks in one zone"
             ));
         }
         let limit = self.max_possible_limit(body["crew"].as_str().unwrap_or(""));
--- a/crates/gannethub-core/tests/simulation/harness/network.rs
+++ b/crates/gannethub-core/tests/simulation/harness/network.rs
@@ -110,7 +110,7 @@
     pub(super) fn deliver_heartbeat_copy(&mut self, node: Option<usize>, body: String) {
         let any = self.rng.random_range(0..self.nodes.len());
         let node = node.unwrap_or(any);
-        // No worker has an empty name, so the answer reaches no worker.
+        // No worker waits for the answer any more, so the sender's name is empty.
         let origin = Origin::Worker {
             name: String::new(),
             sent: self.now,
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn crash_looping_jobs_are_retried_less_and_no_machine_is_quarantined() {
+fn crash_looping_jobs_are_retried_less_and_blame_no_machine() {
     let mut w = World::new(3, 62);
     w.run(2);
     w.submit(job(1, 20, json!({"shape": "service"})));
@@ -128,8 +128,8 @@
         &Ok(Answer::new(200, "{}")),
         f.now,
     );
-    // A heartbeat that the deleted machine had sent before was delayed in the network. Its task must not be taken as
-    // running there again.
+    // A heartbeat that the deleted machine had sent before was delayed in the network. The machine's former task must
+    // not wait for that machine again.
     f.pass(60);
     let tasks: Vec<_> = mine.iter().map(|(t, n)| (t.as_str(), *n, false)).collect();
     assert_eq!(
