--- a/crates/gannethub-ledger/src/account.rs
+++ b/crates/gannethub-ledger/src/account.rs
@@ -1,4 +1,4 @@
-//! What lines come to, by team and class: exact sums, and usage that decays.
+//! Accounts by team and job class: exact sums of the charged lines, and decayed usage.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,18 @@
 use crate::meter::STAGES;
 use crate::settings::Settings;
 
-/// Sums of an account: for each stage CPU-, GPU- and memory-time, the same for useful and for lost run time, the
-/// time held, the time at workers, and how far that may be off. Times in microseconds, amounts in thousandths.
+/// Number of sums in an account: CPU, GPU and memory time of each stage; CPU, GPU and memory time of useful and of
+/// lost run time; the time held; the time at workers; and the maximum error of the time at workers. Times are in
+/// microseconds, resource amounts in thousandths.
 const SUM_COUNT: usize = 3 * STAGES.len() + 9;
 const USEFUL_OFFSET: usize = 3 * STAGES.len();
 const LOST_OFFSET: usize = USEFUL_OFFSET + 3;
 const HELD_OFFSET: usize = LOST_OFFSET + 3;
 
-/// One team's jobs of one class.
+/// Sums over the charged attempts of one team's jobs of one class.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Account {
-    /// Charged attempts.
+    /// Number of charged attempts.
     pub entries: u64,
     sums: Vec<u128>,
     pub decayed: Decayed,
@@ -34,57 +35,60 @@
         self.sums.get(i).copied().unwrap_or(0)
     }
 
-    fn charge(&mut self, charge: &Charge, settings: &Settings) {
-        let common = &charge.group;
-        let need = [common.resources.0, common.resources.1, common.resources.2].map(u128::from);
-        let rate = settings.rate(common.resources);
-        let half = settings.half_life(&common.team);
+    fn add_charge(&mut self, charge: &Charge, settings: &Settings) {
+        let group = &charge.group;
+        let amounts = [group.resources.0, group.resources.1, group.resources.2].map(u128::from);
+        let rate = settings.rate(group.resources);
+        let half_life = settings.half_life(&group.team);
         for e in &charge.entries {
             self.entries += 1;
             for (stage, time) in e.stage_times.0.iter().enumerate() {
-                for (r, need) in need.iter().enumerate() {
-                    self.add(3 * stage + r, need * u128::from(*time));
+                for (r, amount) in amounts.iter().enumerate() {
+                    self.add(3 * stage + r, amount * u128::from(*time));
                 }
             }
-            let run = match common.usefulness {
+            let run_offset = match group.usefulness {
                 Usefulness::Useful | Usefulness::Saved => USEFUL_OFFSET,
                 Usefulness::Lost => LOST_OFFSET,
             };
-            for (r, need) in need.iter().enumerate() {
-                self.add(run + r, need * u128::from(e.stage_times.running()));
+            for (r, amount) in amounts.iter().enumerate() {
+                self.add(run_offset + r, amount * u128::from(e.stage_times.running()));
             }
             self.add(HELD_OFFSET, u128::from(e.stage_times.held()));
             self.add(HELD_OFFSET + 1, u128::from(e.stage_times.at_worker()));
             self.add(HELD_OFFSET + 2, u128::from(e.max_error));
-            self.decayed.add(&half.weigh(rate, e.begin, e.end()));
+            self.decayed.add(&half_life.weight(rate, e.begin, e.end()));
         }
     }
 
-    /// CPU-, GPU- and memory-time held, in thousandths times microseconds.
+    /// Returns the CPU, GPU and memory time held over all stages, in thousandths times microseconds.
     pub fn held(&self) -> [u128; 3] {
         [0, 1, 2].map(|r| (0..STAGES.len()).map(|s| self.sum(3 * s + r)).sum())
     }
 
-    /// The same of one stage, by its place in [`STAGES`].
+    /// Returns the CPU, GPU and memory time held in one stage, in thousandths times microseconds. `stage` is an index
+    /// into [`STAGES`].
     pub fn stage(&self, stage: usize) -> [u128; 3] {
         [0, 1, 2].map(|r| self.sum(3 * stage + r))
     }
 
-    /// The same of run time that was worth something, and of run time that was not.
+    /// Returns the CPU, GPU and memory time of useful run time (useful or saved), in thousandths times microseconds.
     pub fn useful(&self) -> [u128; 3] {
         [0, 1, 2].map(|r| self.sum(USEFUL_OFFSET + r))
     }
 
+    /// Returns the CPU, GPU and memory time of lost run time, in thousandths times microseconds.
     pub fn lost(&self) -> [u128; 3] {
         [0, 1, 2].map(|r| self.sum(LOST_OFFSET + r))
     }
 
-    /// Times, whatever was needed: places held, what the workers would say, and how far that may be off.
+    /// Returns times in microseconds, not weighted by resources: the time held, the time at workers as the workers
+    /// would measure it, and the maximum error of the time at workers.
     pub fn times(&self) -> [u128; 3] {
         [0, 1, 2].map(|i| self.sum(HELD_OFFSET + i))
     }
 
-    /// Takes out what was added before.
+    /// Subtracts charges that were added before.
     fn subtract(&mut self, other: &Account) {
         self.entries -= other.entries.min(self.entries);
         for (sum, less) in self.sums.iter_mut().zip(&other.sums) {
@@ -94,54 +98,55 @@
     }
 }
 
-/// Accounts by team and class.
+/// Accounts, keyed by team and job class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Accounts(BTreeMap<(String, String), Account>);
 
 impl Accounts {
-    /// Takes a line in. Lines come to the same in any order; those of a balance are not taken twice.
-    pub fn line(&mut self, line: &Line, settings: &Settings) {
+    /// Adds a line. The sums do not depend on the order of the lines. Lines of a balance are ignored, because a balance
+    /// repeats charges that earlier lines already hold.
+    pub fn add_line(&mut self, line: &Line, settings: &Settings) {
         if let LineBody::Charge(c) = &line.body {
-            self.charge(c, settings);
+            self.add_charge(c, settings);
         }
     }
 
-    pub fn charge(&mut self, charge: &Charge, settings: &Settings) {
+    pub fn add_charge(&mut self, charge: &Charge, settings: &Settings) {
         let name = (charge.group.team.clone(), charge.group.class.clone());
-        self.0.entry(name).or_default().charge(charge, settings);
+        self.0.entry(name).or_default().add_charge(charge, settings);
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&(String, String), &Account)> {
         self.0.iter()
     }
 
-    /// Takes out what is counted already and is to be written after a balance.
+    /// Subtracts charges that these accounts already count but that will be written after a balance.
     pub(crate) fn subtract_pending(
         &mut self,
-        later: &BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
+        pending: &BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
         settings: &Settings,
     ) {
-        let mut out = Accounts::default();
-        for (common, entries) in later {
+        let mut pending_accounts = Accounts::default();
+        for (group, entries) in pending {
             let entries = entries.iter().map(|e| e.1.clone()).collect();
-            out.charge(
+            pending_accounts.add_charge(
                 &Charge {
-                    group: common.clone(),
+                    group: group.clone(),
                     entries,
                 },
                 settings,
             );
         }
-        for (name, later) in &out.0 {
+        for (name, pending) in &pending_accounts.0 {
             if let Some(account) = self.0.get_mut(name) {
-                account.subtract(later);
+                account.subtract(pending);
             }
         }
         self.0.retain(|_, account| account.entries > 0);
     }
 
-    /// The parts of a balance that says what these accounts come to.
-    pub fn parts(&self, settings: &Settings) -> Vec<BalancePart> {
+    /// Returns the parts of a balance that records the sums of these accounts.
+    pub fn balance_parts(&self, settings: &Settings) -> Vec<BalancePart> {
         let part = |((team, class), a): (&(String, String), &Account)| BalancePart {
             team: team.clone(),
             class: class.clone(),
@@ -153,9 +158,9 @@
         self.0.iter().map(part).collect()
     }
 
-    /// What the parts of a balance say. Usage that decayed by another half-life than it does now cannot be
-    /// taken over; it starts from nothing.
-    pub fn from_parts<'a>(
+    /// Returns the accounts that the parts of a balance record. Decayed usage that was summed with another half-life
+    /// than the team's present one cannot be converted; such usage starts from zero.
+    pub fn from_balance_parts<'a>(
         parts: impl IntoIterator<Item = &'a BalancePart>,
         settings: &Settings,
     ) -> Accounts {
@@ -175,15 +180,16 @@
         all
     }
 
-    /// What a team's usage has decayed to, in cost times seconds.
+    /// Returns a team's decayed usage at `now`, in cost times seconds.
     pub fn usage(&self, team: &str, settings: &Settings, now: Micros) -> f64 {
-        let half = settings.half_life(team);
+        let half_life = settings.half_life(team);
         let own = self.0.iter().filter(|(name, _)| name.0 == team);
-        own.map(|(_, a)| a.decayed.at(half, now)).sum::<f64>() / 1e9
+        own.map(|(_, a)| a.decayed.at(half_life, now)).sum::<f64>() / 1e9
     }
 
-    /// Each team's part of all usage now, and that part over the part it is due: above one, it has had more.
-    /// `open` is what work under way adds to each team's usage.
+    /// Returns for each team its fraction of all usage at `now`, and that fraction divided by the team's configured
+    /// share: a ratio above one means that the team has used more than its share. `open` is the usage that running
+    /// attempts add to each team.
     pub fn shares(
         &self,
         settings: &Settings,
@@ -192,18 +198,18 @@
     ) -> BTreeMap<String, (f64, f64)> {
         let own = |t: &String| self.usage(t, settings, now) + open.get(t).copied().unwrap_or(0.0);
         let usage: BTreeMap<&String, f64> = settings.teams.keys().map(|t| (t, own(t))).collect();
-        let all: f64 = usage.values().sum();
+        let total: f64 = usage.values().sum();
         let share = |(team, used): (&String, f64)| {
-            let part = if all > 0.0 { used / all } else { 0.0 };
-            let due = settings.teams[team].share;
-            let over = match (all > 0.0, due > 0.0) {
+            let fraction = if total > 0.0 { used / total } else { 0.0 };
+            let configured = settings.teams[team].share;
+            let ratio = match (total > 0.0, configured > 0.0) {
                 (false, _) => 1.0,
-                (true, true) => part / due,
-                // What is due to nobody is too much as soon as it is used.
-                (true, false) if part > 0.0 => 1e6,
+                (true, true) => fraction / configured,
+                // Any usage by a team with a share of zero is over its share.
+                (true, false) if fraction > 0.0 => 1e6,
                 (true, false) => 1.0,
             };
-            (team.clone(), (part, over))
+            (team.clone(), (fraction, ratio))
         };
         usage.into_iter().map(share).collect()
     }
--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -1,4 +1,4 @@
-//! Pages as they are kept, and whether they are as they were written.
+//! Stored pages, and the verification that they are unchanged since they were written.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -11,50 +11,52 @@
 use crate::line::{BalanceAssembler, Line, LineBody};
 use crate::settings::Settings;
 
-/// A page as the state service holds it.
+/// A page as the state service stores it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Page {
-    /// Its number, from zero without gaps.
+    /// Page number. Pages are numbered from zero without gaps.
     pub page: u64,
-    /// The number of its first line, and the tie of the line before that.
+    /// Number of the first line of the page.
     pub first: u64,
+    /// MAC of the line before the first line.
     pub prev: String,
-    /// The key that its lines are tied with.
+    /// Id of the key of the MACs of the page's lines.
     pub key: String,
     pub lines: Vec<Value>,
 }
 
 impl Page {
-    /// Its lines and their ties; an error is the place of the first that is none.
+    /// Returns the lines and their MACs. The error is the index of the first value that is not a line.
     pub fn read(&self) -> Result<Vec<(Line, LineMac)>, usize> {
         let read = |(i, v)| Line::read(v).ok_or(i);
         self.lines.iter().enumerate().map(read).collect()
     }
 }
 
-/// What is wrong with a ledger.
+/// Kind of fault that verification finds in a ledger.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultKind {
-    /// It is not a line, or not the one that was tied here.
+    /// The value is not a line, or its text does not match the MAC.
     Altered,
-    /// The line before it is missing.
-    Dropped,
-    /// It, or a line with its number, has come before.
-    Doubled,
-    /// A later line stands before it.
+    /// The expected line is missing.
+    Missing,
+    /// The same line, or a line with the same number, already appeared earlier.
+    Duplicated,
+    /// A line with a higher number comes before the expected line.
     Reordered,
     /// The page names a key that is not in the key file.
     UnknownKey,
-    /// A balance does not say what the lines before it come to.
+    /// A balance differs from the sums of the lines before it.
     Unbalanced,
 }
 
-/// The first line that is not as it was written.
+/// The first fault of a ledger: the line at which verification stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     pub page: u64,
-    /// The line's place in the page and the number that it should have.
+    /// Index of the line in its page, from zero.
     pub position: usize,
+    /// Number that the line should have.
     pub line: u64,
     pub kind: FaultKind,
 }
@@ -63,17 +65,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let what = match self.kind {
             FaultKind::Altered => "was altered",
-            FaultKind::Dropped => "is missing",
-            FaultKind::Doubled => "stands where another one should: a line appears twice",
-            FaultKind::Reordered => "is not in its place: lines were reordered",
+            FaultKind::Missing => "is missing",
+            FaultKind::Duplicated => "is displaced by a duplicate of an earlier line",
+            FaultKind::Reordered => "is out of order: a line with a higher number precedes it",
             FaultKind::UnknownKey => {
                 "cannot be checked: the key of its page is not in the key file"
             }
-            FaultKind::Unbalanced => "is part of a balance that the lines before it do not come to",
+            FaultKind::Unbalanced => "belongs to a balance that differs from the lines before it",
         };
         write!(
             f,
-            "page {}, line {}: line {} {what}",
+            "page {}, position {}: line {} {what}",
             self.page, self.position, self.line
         )
     }
@@ -92,24 +94,28 @@
     }
 }
 
-/// What a ledger that verifies comes to.
+/// Result of verifying a ledger without a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verified {
     pub pages: usize,
     pub lines: u64,
+    /// Number of charged attempts.
     pub charged: u64,
-    /// The numbers of the first and of the next line, and the tie of the last one.
+    /// Number of the first line.
     pub first: u64,
+    /// Number after that of the last line.
     pub next: u64,
+    /// MAC of the last line.
     pub head: LineMac,
     pub accounts: Accounts,
-    /// Lines from the first one on are in the accounts, and those before it by a balance, if one says so.
-    pub whole: bool,
+    /// Whether the accounts cover the ledger from line zero: either the first line is line zero, or a balance supplied
+    /// the sums of the lines before the first one.
+    pub covers_all_lines: bool,
 }
 
 impl Verified {
-    /// Nothing yet, before the line with this number and after the one with this tie.
-    fn before(first: u64, head: LineMac) -> Verified {
+    /// Returns an empty result that starts at line number `first`, after the line with the MAC `head`.
+    fn starting_at(first: u64, head: LineMac) -> Verified {
         Verified {
             pages: 0,
             lines: 0,
@@ -118,13 +124,13 @@
             next: first,
             head,
             accounts: Accounts::default(),
-            whole: first == 0,
+            covers_all_lines: first == 0,
         }
     }
 }
 
-/// Checks pages in the order in which they are given. `head`: a line's number and MAC as an earlier check gave
-/// them; it has to be there still, or to have been folded since.
+/// Verifies pages in the given order. `head` is the number and the MAC of a line, as returned by an earlier
+/// verification: that line must still be present, or have been folded into a balance since.
 pub fn verify(
     pages: &[Page],
     keys: &KeyRing,
@@ -143,21 +149,21 @@
         verifier.verify_page(page, expected)?;
     }
     let kept = verifier.balances.kept;
-    let nothing = || Verified::before(0, LineMac::default());
-    let end = verifier.verified.unwrap_or_else(nothing);
-    let dropped = |page, line| Fault::new(page, 0, line, FaultKind::Dropped);
+    let empty = || Verified::starting_at(0, LineMac::default());
+    let end = verifier.verified.unwrap_or_else(empty);
+    let missing = |page, line| Fault::new(page, 0, line, FaultKind::Missing);
     if head.is_some_and(|(number, _)| number >= end.next) {
-        // Lines that an earlier check has seen are missing at the end.
+        // Lines that an earlier verification saw are missing at the end.
         let next_page = first_page + pages.len() as u64;
-        return Err(dropped(next_page, end.next));
+        return Err(missing(next_page, end.next));
     }
     if !pages.is_empty() && first_page > kept {
-        return Err(dropped(first_page, end.first.saturating_sub(1)));
+        return Err(missing(first_page, end.first.saturating_sub(1)));
     }
     Ok(end)
 }
 
-/// Goes through the pages one by one.
+/// Verifies the pages one by one.
 struct Verifier<'a> {
     keys: &'a KeyRing,
     settings: &'a Settings,
@@ -171,8 +177,8 @@
         let first_line = self.verified.as_ref().map_or(page.first, |seen| seen.next);
         let fault = |line, kind| Err(Fault::new(page.page, 0, line, kind));
         match page.page.cmp(&expected) {
-            Ordering::Greater => return fault(first_line, FaultKind::Dropped),
-            Ordering::Less => return fault(first_line, FaultKind::Doubled),
+            Ordering::Greater => return fault(first_line, FaultKind::Missing),
+            Ordering::Less => return fault(first_line, FaultKind::Duplicated),
             Ordering::Equal => {}
         }
         let Some(key) = self.keys.get(&page.key) else {
@@ -183,7 +189,7 @@
         };
         let verified = self
             .verified
-            .get_or_insert_with(|| Verified::before(first_line, previous));
+            .get_or_insert_with(|| Verified::starting_at(first_line, previous));
         if verified.head != previous || page.first != verified.next {
             return fault(verified.next, FaultKind::Altered);
         }
@@ -199,17 +205,17 @@
                     &page.lines[position..],
                 )));
             }
-            let is_known_line = |(number, known)| number == line.number && known != mac;
-            if self.head.is_some_and(is_known_line) {
+            let differs_from_known = |(number, known)| number == line.number && known != mac;
+            if self.head.is_some_and(differs_from_known) {
                 return Err(fault(FaultKind::Altered));
             }
-            if !self.balances.take(&line, verified, self.settings) {
+            if !self.balances.check_line(&line, verified, self.settings) {
                 return Err(fault(FaultKind::Unbalanced));
             }
             if let LineBody::Charge(charge) = &line.body {
                 verified.charged += charge.entries.len() as u64;
             }
-            verified.accounts.line(&line, self.settings);
+            verified.accounts.add_line(&line, self.settings);
             verified.head = mac;
             verified.next = line.number + 1;
             verified.lines += 1;
@@ -218,59 +224,62 @@
     }
 }
 
-/// What is wrong with a line that is not the expected one, or not as it was written. `rest`: it and the page's
-/// lines after it.
+/// Returns the fault of a line that is not the expected line or does not match its MAC. `rest` holds that line and the
+/// lines after it in the page.
 fn fault_of_line(line: &Line, expected: u64, rest: &[Value]) -> FaultKind {
     let mut later = rest.iter().filter_map(Line::read).skip(1);
     match line.number.cmp(&expected) {
         Ordering::Equal => FaultKind::Altered,
-        Ordering::Less => FaultKind::Doubled,
+        Ordering::Less => FaultKind::Duplicated,
         Ordering::Greater if later.any(|(other, _)| other.number == expected) => {
             FaultKind::Reordered
         }
-        Ordering::Greater => FaultKind::Dropped,
+        Ordering::Greater => FaultKind::Missing,
     }
 }
 
-/// Holds balances against the lines before them.
+/// Compares each balance with the sums of the lines before it.
 #[derive(Default)]
 struct BalanceChecker {
-    /// Pages before this one may be gone.
+    /// First page that must still exist; earlier pages are folded into a balance and may be deleted.
     kept: u64,
     parts: BalanceAssembler,
 }
 
 impl BalanceChecker {
-    /// Takes the next line; whether it balances.
-    fn take(&mut self, line: &Line, v: &mut Verified, settings: &Settings) -> bool {
+    /// Processes the next line. Returns false if the line belongs to a balance that differs from the lines before it.
+    fn check_line(&mut self, line: &Line, verified: &mut Verified, settings: &Settings) -> bool {
         if let LineBody::Balance(b) = &line.body {
-            // It speaks of all lines before itself, so its parts can be held against them.
+            // A balance covers exactly the lines before itself, so its parts can be compared with those lines.
             self.kept = self.kept.max(b.kept);
-            if b.upto != line.number {
+            if b.end_line != line.number {
                 return false;
             }
         }
-        let Some(parts) = self.parts.take(&line.body) else {
+        let Some(parts) = self.parts.add_line(&line.body) else {
             return true;
         };
-        let said = Accounts::from_parts(&parts, settings);
-        if v.whole {
-            return account_sums(&said) == account_sums(&v.accounts);
+        let recorded = Accounts::from_balance_parts(&parts, settings);
+        if verified.covers_all_lines {
+            return account_sums(&recorded) == account_sums(&verified.accounts);
         }
-        // What came before the first line that is left is what the balance has more.
-        v.accounts = said;
-        v.whole = true;
+        // The first balance after the oldest remaining line also covers the deleted lines, so its sums replace those of
+        // the lines read so far.
+        verified.accounts = recorded;
+        verified.covers_all_lines = true;
         true
     }
 }
 
-/// An account's team and class, its entries, what they held and for how long.
+/// An account's team, class and number of entries, and the sums of [`Account::held`](crate::Account::held) and
+/// [`Account::times`](crate::Account::times).
 type AccountSums<'a> = (&'a str, &'a str, u64, [u128; 3], [u128; 3]);
 
-/// What is compared: decayed usage depends on half-lives, which the operator may change.
+/// Returns the sums by which accounts are compared. Decayed usage is excluded, because it depends on half-lives, which
+/// the operator may change.
 fn account_sums(accounts: &Accounts) -> Vec<AccountSums<'_>> {
     let sums = accounts
         .iter()
-        .map(|((t, c), a)| (&**t, &**c, a.entries, a.held(), a.times()));
+        .map(|((team, class), a)| (&**team, &**class, a.entries, a.held(), a.times()));
     sums.collect()
 }
--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -1,10 +1,11 @@
-//! The ledger as its keeper writes it: charges in, pages out.
+//! Writer of the ledger: accepts charges and produces pages.
 //!
-//! There is one keeper at a time, the leader, and every page goes out in a transaction that fails once it is
-//! deposed. A line is tied once, and is then part of its page for good: a page whose write had no answer is
-//! written again with the same lines and perhaps more, so whichever of the two is carried out, and in whatever
-//! order, no line is in the ledger twice. What is not known to be written stays open, and the attempt's worker
-//! is not told to forget it: that is where a successor finds what this keeper could not write any more.
+//! One controller at a time, the leader, writes the ledger, and every page is written in a transaction that fails once
+//! the leader is deposed. A line is chained (given its number and MAC) once and then stays in its page: a page whose
+//! write got no answer is written again with the same lines and possibly more, so whichever of the two writes is
+//! carried out, and in whatever order, no line is in the ledger twice. A charge stays open until its write is
+//! confirmed, and until then the attempt's worker is not told to forget the attempt: from the worker the next leader
+//! learns of each attempt whose charge this leader could no longer write.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -18,68 +19,71 @@
 use crate::settings::Settings;
 use crate::{Micros, SECOND};
 
-/// What a page takes beside its lines.
+/// Bytes of a page besides its lines.
 const PAGE_OVERHEAD_BYTES: usize = 160;
-/// A balance may take one page in so many.
+/// Minimum number of pages from one balance to the next, per page that a balance takes: balances take at most one page
+/// in eight.
 const MIN_PAGES_PER_BALANCE_PAGE: u64 = 8;
-/// Marks of time in the head, for folding.
+/// Maximum number of time marks in the head. The time marks decide which pages are old enough to be folded.
 const MAX_TIME_MARKS: usize = 64;
-/// Folded pages that are deleted in one transaction.
+/// Maximum number of folded pages that one transaction deletes.
 const MAX_DELETES_PER_WRITE: usize = 4;
 
-/// What a charge's line takes beside what all its attempts have in common: its tie, and the least attempt and
-/// begin.
+/// Bytes of a charge line besides its group and its entries: the MAC (28 bytes), and the lowest attempt and begin
+/// (40 bytes).
 const CHARGE_OVERHEAD_BYTES: usize = 28 + 40;
 
-/// What tells an attempt on a machine from every other: its job, task, number and machine.
+/// Unique key of an attempt on a machine: job, task, attempt number and machine.
 pub type ChargedAttempt = (String, u32, u64, String);
 
-/// A page in so many brings the head along.
+/// Number of pages after which the head is written again, together with a new page.
 const PAGES_PER_HEAD_WRITE: u64 = 8;
 
-/// About where the ledger stands, in a value of its own; pages after `newest` may be there.
+/// Position of the ledger, stored in a value of its own. The head is not written with every page, so pages after
+/// `newest` may exist.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// The newest page when this was written.
+    /// Newest page at the time the head was written.
     pub newest: u64,
-    /// A successor reads from this page on: it and later ones hold a whole balance, unless there is none yet,
-    /// and every line that may be met again.
+    /// First page that the next leader reads. The pages from this one on hold a complete balance, unless no balance
+    /// exists yet, and the charge of every attempt that a worker may still report.
     pub from: u64,
-    /// Pages before this one are folded and may be gone.
+    /// First page that must still exist; earlier pages are folded into a balance and may be deleted.
     pub kept: u64,
-    /// Pages that began a balance, and when.
+    /// Pages in which a balance began, with the wall-clock time at which it began.
     #[serde(default)]
     pub marks: Vec<(u64, Micros)>,
 }
 
-/// Part of a transaction. The caller names the keys.
+/// Ledger writes that belong in one transaction. The caller chooses the keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PageWrite {
     pub page: u64,
-    /// The version the page has to have; 0: it is new.
+    /// Version that the stored page must have; 0 if the page must not exist yet.
     pub version: u64,
     pub value: String,
     pub head: Option<Head>,
-    /// Folded pages to be deleted.
+    /// Folded pages that the transaction deletes.
     pub deleted_pages: Vec<u64>,
 }
 
-/// A page of the ledger that is not as its keeper wrote it. It is kept, and another is begun.
+/// A page of the ledger that is missing or differs from what was written. A damaged page is kept as it is, and a new
+/// page is begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("page {0} of the ledger is not as it was written")]
+#[error("page {0} of the ledger differs from what was written")]
 pub struct DamagedPage(pub u64);
 
-/// What a new keeper goes on with.
+/// State of the ledger that a new leader continues with.
 #[derive(Debug)]
 pub struct OpenedBook {
     pub book: Book,
-    /// Attempts that the pages charge, as far as they may be met again.
+    /// Attempts that the pages charge. Attempts that no worker can report any more may be absent.
     pub charged: HashSet<ChargedAttempt>,
-    /// Pages that are not as they were written.
+    /// Pages that are missing or differ from what was written.
     pub damaged: Vec<DamagedPage>,
 }
 
-/// The page that lines are added to.
+/// The page to which lines are added.
 #[derive(Debug)]
 struct OpenPage {
     page: u64,
@@ -89,50 +93,59 @@
     version: u64,
     lines: Vec<String>,
     bytes: usize,
-    /// Lines of it that are known to be written.
+    /// Number of lines of the page whose write is confirmed.
     confirmed_lines: usize,
 }
 
+/// The ledger as the leader writes it: accounts, the open page, and charges that are not written yet.
 #[derive(Debug)]
 pub struct Book {
     settings: Arc<Settings>,
     keys: Arc<KeyRing>,
     max_value_bytes: usize,
-    /// Lines older than this are met no more.
+    /// Time for which a worker may report an attempt again after the attempt was charged, in microseconds.
     duplicate_window: Micros,
     accounts: Accounts,
     next_line: u64,
     last_mac: LineMac,
     open_page: OpenPage,
     head: Head,
-    /// The head has been written: the number that it names is used, whatever became of the page.
+    /// Whether a head exists or a write was started. The open page's number then counts as used, even if the page was
+    /// never written.
     has_started: bool,
-    /// The newest page when the head was last written.
+    /// Newest page at the last confirmed write of the head.
     head_written_at_page: Option<u64>,
-    /// Pages that are full, and when the last line of each was tied.
+    /// Full pages that may charge attempts that workers can still report, with the time of the last line of each page.
     full_pages: VecDeque<(u64, Micros)>,
+    /// Lines other than charges that are not chained yet.
     queued_lines: VecDeque<LineBody>,
+    /// Charges that are not chained yet, with their tickets.
     charges: BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
-    /// When the oldest of what is not tied yet came.
+    /// Time at which the oldest line or charge that is not chained yet arrived.
     waiting_since: Option<Micros>,
     last_ticket: u64,
+    /// Tickets of all charges whose write is not confirmed.
     unwritten: BTreeSet<u64>,
-    /// Tickets of lines that are tied and not known to be written, with the lines' numbers.
+    /// Line number and ticket of each charge that is chained but whose write is not confirmed.
     unconfirmed_lines: Vec<(u64, u64)>,
+    /// Number of lines of the open page in the write in flight.
     lines_in_flight: Option<usize>,
+    /// Newest page according to the head that the write in flight includes.
     in_flight_head: Option<u64>,
+    /// Whether the last write may or may not have been carried out.
     outcome_unknown: bool,
-    /// The page where the newest balance begins that is written as a whole.
+    /// First page of the newest balance whose write is confirmed completely.
     balance_page: Option<u64>,
-    /// The one being written: its first page, the number of the line after it, and what it folds.
+    /// The balance being written: its first page, the number of the line after it, and the first page that is kept.
     pending_balance: Option<(u64, u64, u64)>,
-    /// Where the last balance began, and how many pages it took.
+    /// First page of the last balance.
     balance_began_at_page: u64,
+    /// Number of pages of the last balance.
     balance_page_count: u64,
     pages_to_delete: VecDeque<u64>,
 }
 
-/// What is read of the pages that a book goes on after.
+/// Collects the contents of the stored pages when a book is opened.
 #[derive(Default)]
 struct PageReader {
     charged: HashSet<ChargedAttempt>,
@@ -141,7 +154,7 @@
     lines_since_balance: Vec<Line>,
 }
 
-/// The attempts that a line charges.
+/// Returns the attempts that a line charges.
 fn attempts_of(line: &Line) -> Vec<ChargedAttempt> {
     let LineBody::Charge(c) = &line.body else {
         return Vec::new();
@@ -151,9 +164,9 @@
 }
 
 impl Book {
-    /// A book that goes on after `pages`: from the head's `from` to its `newest`, with their versions.
-    /// `max_value_bytes`: the most bytes of a value. `duplicate_window`: for how long an attempt that was charged
-    /// may be met again.
+    /// Opens a book that continues after `pages`: the pages from the head's `from` on, with their versions.
+    /// `max_value_bytes` is the maximum size of a stored value in bytes. `duplicate_window` is the time in microseconds
+    /// for which a worker may report an attempt again after it was charged.
     pub fn open(
         settings: Arc<Settings>,
         keys: Arc<KeyRing>,
@@ -176,15 +189,15 @@
             is_newest_intact = book.read_pages(&mut reader, pages);
         }
         for line in &reader.lines_since_balance {
-            book.accounts.line(line, &book.settings);
+            book.accounts.add_line(line, &book.settings);
         }
         if !is_newest_intact || book.open_page.key_id != book.keys.newest().id {
             book.begin_page(0);
         }
-        // What the last keeper folded may not have been deleted.
-        let folded = book.head.kept;
-        let first_folded = folded.saturating_sub(MAX_DELETES_PER_WRITE as u64);
-        book.pages_to_delete.extend(first_folded..folded);
+        // The previous leader may have folded pages without deleting them.
+        let first_kept = book.head.kept;
+        let first_folded = first_kept.saturating_sub(MAX_DELETES_PER_WRITE as u64);
+        book.pages_to_delete.extend(first_folded..first_kept);
         OpenedBook {
             book,
             charged: reader.charged,
@@ -192,7 +205,7 @@
         }
     }
 
-    /// A book before any page has been read.
+    /// Returns a book that has read no page.
     fn new(
         settings: Arc<Settings>,
         keys: Arc<KeyRing>,
@@ -239,7 +252,7 @@
         }
     }
 
-    /// Reads the pages from the head's first to its newest. Returns whether the newest is as it was written.
+    /// Reads the pages from the head's `from` to its `newest`. Returns whether the newest page is intact.
     fn read_pages(&mut self, reader: &mut PageReader, pages: &[(Page, u64)]) -> bool {
         let by_number: HashMap<u64, &(Page, u64)> =
             pages.iter().map(|entry| (entry.0.page, entry)).collect();
@@ -256,7 +269,7 @@
         is_intact
     }
 
-    /// Reads a page. False: it is not as it was written.
+    /// Reads a page. Returns false if the page differs from what was written.
     fn read_page(&mut self, reader: &mut PageReader, page: &Page, version: u64) -> bool {
         let lines = page.read().unwrap_or_default();
         for (line, _) in &lines {
@@ -275,8 +288,8 @@
             if let LineBody::Balance(_) = line.body {
                 self.balance_began_at_page = page.page;
             }
-            if let Some(parts) = reader.balance.take(&line.body) {
-                self.accounts = Accounts::from_parts(&parts, &self.settings);
+            if let Some(parts) = reader.balance.add_line(&line.body) {
+                self.accounts = Accounts::from_balance_parts(&parts, &self.settings);
                 self.balance_page = Some(self.balance_began_at_page);
                 self.balance_page_count = page.page - self.balance_began_at_page + 1;
                 reader.lines_since_balance.clear();
@@ -291,7 +304,7 @@
         true
     }
 
-    /// Goes on with the newest page.
+    /// Makes the newest page the open page, so that more lines are added to it.
     fn continue_page(&mut self, page: &Page, version: u64) {
         let lines: Vec<String> = page.lines.iter().map(ToString::to_string).collect();
         self.open_page = OpenPage {
@@ -306,16 +319,19 @@
         };
     }
 
-    /// Whether a page's lines are as they were tied, as far as the keys tell. One that cannot be read has none.
+    /// Whether the numbers and MACs of a page's lines are as they were chained. If the page's key is not known, only
+    /// the line numbers are checked. `lines` is empty if a line of the page is unreadable; the page is then not
+    /// intact.
     fn is_chained(&self, page: &Page, lines: &[(Line, LineMac)]) -> bool {
-        let Some(mut tie) = LineMac::parse(&page.prev).filter(|_| lines.len() == page.lines.len())
+        let Some(mut last_mac) =
+            LineMac::parse(&page.prev).filter(|_| lines.len() == page.lines.len())
         else {
             return false;
         };
         let key = self.keys.get(&page.key);
-        (page.first..).zip(lines).all(|(seq, (line, its))| {
-            let before = std::mem::replace(&mut tie, *its);
-            line.number == seq && key.is_none_or(|k| before.next(k, &line.text()) == *its)
+        (page.first..).zip(lines).all(|(number, (line, mac))| {
+            let before = std::mem::replace(&mut last_mac, *mac);
+            line.number == number && key.is_none_or(|k| before.next(k, &line.text()) == *mac)
         })
     }
 
@@ -323,18 +339,18 @@
         &self.settings
     }
 
-    /// What all charges come to, those that are not written yet among them.
+    /// Returns the accounts of all charges, including those that are not written yet.
     pub fn accounts(&self) -> &Accounts {
         &self.accounts
     }
 
-    /// Charges an attempt. The ticket tells later whether that is written.
-    pub fn charge(&mut self, common: ChargeGroup, entry: Entry, now: Micros) -> u64 {
+    /// Charges an attempt. Returns a ticket for [`Book::is_written`].
+    pub fn charge(&mut self, charge_group: ChargeGroup, entry: Entry, now: Micros) -> u64 {
         let charge = Charge {
-            group: common,
+            group: charge_group,
             entries: vec![entry],
         };
-        self.accounts.charge(&charge, &self.settings);
+        self.accounts.add_charge(&charge, &self.settings);
         self.last_ticket += 1;
         self.unwritten.insert(self.last_ticket);
         self.waiting_since.get_or_insert(now);
@@ -346,49 +362,49 @@
         self.last_ticket
     }
 
-    /// Writes down something else.
+    /// Queues a line other than a charge.
     pub fn queue_line(&mut self, body: LineBody, now: Micros) {
         self.queued_lines.push_back(body);
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Whether the charge with this ticket is known to be written.
+    /// Whether the write of the charge with this ticket is confirmed.
     pub fn is_written(&self, ticket: u64) -> bool {
         !self.unwritten.contains(&ticket)
     }
 
-    /// Charges that are not known to be written.
+    /// Returns the number of charges whose write is not confirmed.
     pub fn unwritten_charges(&self) -> usize {
         self.unwritten.len()
     }
 
-    /// What is to be written now, if anything is. `at`: the time of day; `room`: the most puts and deletes it
-    /// may have. One write is under way at a time.
+    /// Returns the next write, if one is due. `now` is the monotonic time and `at` the wall-clock time, both in
+    /// microseconds; `room` is the maximum number of puts and deletes. One write is in flight at a time.
     pub fn next_write(&mut self, now: Micros, at: Micros, room: usize) -> Option<PageWrite> {
-        // A page may come with the head.
+        // A write may put both a page and the head.
         if self.lines_in_flight.is_some() || self.outcome_unknown || room < 2 {
             return None;
         }
         let due = self
             .waiting_since
             .is_some_and(|t| now >= t + self.settings.write_interval);
-        let left = self.open_page.lines.len() > self.open_page.confirmed_lines;
-        if !due && !left {
+        let has_unconfirmed = self.open_page.lines.len() > self.open_page.confirmed_lines;
+        if !due && !has_unconfirmed {
             return None;
         }
         self.fill_page(at);
         if self.open_page.lines.len() == self.open_page.confirmed_lines {
-            // Nothing more went in: the page is full.
+            // No line was added: the page is full.
             self.begin_page(at);
             self.fill_page(at);
         }
         self.lines_in_flight = Some(self.open_page.lines.len());
         self.has_started = true;
-        let due = self
+        let is_head_due = self
             .head_written_at_page
             .is_none_or(|n| self.open_page.page >= n + PAGES_PER_HEAD_WRITE);
-        let tells = self.open_page.version == 0 && due;
-        let deletes = match tells {
+        let writes_head = self.open_page.version == 0 && is_head_due;
+        let deletes = match writes_head {
             true => Vec::new(),
             false => self
                 .pages_to_delete
@@ -401,24 +417,24 @@
                 )
                 .collect(),
         };
-        self.in_flight_head = tells.then_some(self.open_page.page);
+        self.in_flight_head = writes_head.then_some(self.open_page.page);
         Some(PageWrite {
             page: self.open_page.page,
             version: self.open_page.version,
             value: self.page_value(),
-            head: tells.then(|| self.head.clone()),
+            head: writes_head.then(|| self.head.clone()),
             deleted_pages: deletes,
         })
     }
 
     /// Begins the next page.
     fn begin_page(&mut self, at: Micros) {
-        let stands = self.open_page.version > 0 || !self.open_page.lines.is_empty();
-        if stands {
+        let is_used = self.open_page.version > 0 || !self.open_page.lines.is_empty();
+        if is_used {
             self.full_pages.push_back((self.open_page.page, at));
         }
         self.open_page = OpenPage {
-            page: self.open_page.page + u64::from(stands || self.has_started),
+            page: self.open_page.page + u64::from(is_used || self.has_started),
             first_line: self.next_line,
             previous_mac: self.last_mac,
             key_id: self.keys.newest().id.clone(),
@@ -435,50 +451,52 @@
             self.full_pages.pop_front();
         }
         self.head.newest = self.open_page.page;
-        let met = self.full_pages.front().map_or(self.open_page.page, |f| f.0);
-        self.head.from = met.min(self.balance_page.unwrap_or(self.head.from));
-        let since = self
+        let first_needed = self.full_pages.front().map_or(self.open_page.page, |f| f.0);
+        self.head.from = first_needed.min(self.balance_page.unwrap_or(self.head.from));
+        let pages_since_balance = self
             .open_page
             .page
             .saturating_sub(self.balance_began_at_page);
-        let every = self
+        let pages_per_balance = self
             .settings
             .balance_pages
             .max(MIN_PAGES_PER_BALANCE_PAGE * self.balance_page_count);
         if at > 0
             && self.pending_balance.is_none()
-            && since >= every
+            && pages_since_balance >= pages_per_balance
             && self.queued_lines.is_empty()
         {
             self.queue_balance(at);
         }
     }
 
-    /// Puts a balance at the head of what is to be written: it speaks of all lines so far.
+    /// Queues a balance that covers all lines chained so far. Queued lines are chained before pending charges.
     fn queue_balance(&mut self, at: Micros) {
-        // What waits to be tied is in the accounts already, but comes after the balance.
+        // Charges that are not chained yet are already in the accounts but will come after the balance.
         let mut before = self.accounts.clone();
         before.subtract_pending(&self.charges, &self.settings);
-        let parts = before.parts(&self.settings);
+        let parts = before.balance_parts(&self.settings);
         if parts.is_empty() {
             return;
         }
-        let old = |m: &&(u64, Micros)| m.1 + self.settings.retention < at;
-        let folded = self.head.marks.iter().filter(old).map(|m| m.0).max();
-        let kept = folded.filter(|_| self.settings.retention > 0).unwrap_or(0);
+        let is_old = |m: &&(u64, Micros)| m.1 + self.settings.retention < at;
+        let newest_old = self.head.marks.iter().filter(is_old).map(|m| m.0).max();
+        let kept = newest_old
+            .filter(|_| self.settings.retention > 0)
+            .unwrap_or(0);
         let kept = kept.max(self.head.kept).min(self.head.from);
-        let mark = Balance {
-            upto: self.next_line,
+        let balance = Balance {
+            end_line: self.next_line,
             parts: parts.len() as u32,
             kept,
             at,
         };
-        self.queued_lines.push_back(LineBody::Balance(mark));
+        self.queued_lines.push_back(LineBody::Balance(balance));
         self.queued_lines
             .extend(parts.into_iter().map(LineBody::Part));
     }
 
-    /// Ties what fits into the page.
+    /// Chains queued lines and charges into the open page until the page is full.
     fn fill_page(&mut self, at: Micros) {
         while let Some(body) = self.queued_lines.front() {
             let line = Line {
@@ -493,11 +511,11 @@
             };
             self.line_appended(&body, at);
         }
-        while let Some((common, mut entries)) = self.charges.pop_first() {
-            let most = self.entries_that_fit(&common, &entries);
-            let rest = entries.split_off(most);
+        while let Some((charge_group, mut entries)) = self.charges.pop_first() {
+            let count = self.entries_that_fit(&charge_group, &entries);
+            let rest = entries.split_off(count);
             if !rest.is_empty() {
-                self.charges.insert(common.clone(), rest);
+                self.charges.insert(charge_group.clone(), rest);
             }
             if entries.is_empty() {
                 return;
@@ -506,7 +524,7 @@
             let line = Line {
                 number: self.next_line,
                 body: LineBody::Charge(Charge {
-                    group: common,
+                    group: charge_group,
                     entries,
                 }),
             };
@@ -542,10 +560,10 @@
         }
     }
 
-    /// How many of these the page has room for. A page takes one at least.
-    fn entries_that_fit(&self, common: &ChargeGroup, entries: &[(u64, Entry)]) -> usize {
+    /// Returns how many of the entries fit into the open page. An empty page takes at least one entry.
+    fn entries_that_fit(&self, group: &ChargeGroup, entries: &[(u64, Entry)]) -> usize {
         let empty = Charge {
-            group: common.clone(),
+            group: group.clone(),
             entries: Vec::new(),
         };
         let line = Line {
@@ -557,7 +575,7 @@
             .saturating_sub(line.text().len() + CHARGE_OVERHEAD_BYTES);
         let mut n = 0;
         for (_, e) in entries {
-            let bytes = e.most_bytes();
+            let bytes = e.max_bytes();
             if bytes > room {
                 break;
             }
@@ -576,47 +594,53 @@
             .saturating_sub(self.open_page.bytes)
     }
 
-    /// Ties a line, if the page has room for it.
+    /// Chains a line and appends it to the open page. Returns false if the page has no room for the line.
     fn append_line(&mut self, line: &Line) -> bool {
         let Some(key) = self.keys.get(&self.open_page.key_id) else {
             return false;
         };
-        let (text, tie) = line.to_chained_text(key, &self.last_mac);
+        let (text, mac) = line.to_chained_text(key, &self.last_mac);
         if text.len() + 1 > self.remaining_bytes() && !self.open_page.lines.is_empty() {
             return false;
         }
         self.open_page.bytes += text.len() + 1;
         self.open_page.lines.push(text);
-        self.last_mac = tie;
+        self.last_mac = mac;
         self.next_line += 1;
         true
     }
 
-    /// The open page as it is kept.
+    /// Returns the open page as it is stored.
     fn page_value(&self) -> String {
-        let o = &self.open_page;
-        let lines = o.lines.join(",");
+        let page = &self.open_page;
+        let lines = page.lines.join(",");
         format!(
             "{{\"page\":{},\"first\":{},\"prev\":\"{}\",\"key\":\"{}\",\"lines\":[{lines}]}}",
-            o.page, o.first_line, o.previous_mac, o.key_id
+            page.page, page.first_line, page.previous_mac, page.key_id
         )
     }
 
-    /// The write under way was carried out, at this version. Returns the tickets of what is now written.
-    pub fn write_succeeded(&mut self, stamp: u64) -> Vec<u64> {
+    /// Handles the success of the write in flight. `version` is the new version of the page. Returns the tickets of the
+    /// charges that are now written.
+    pub fn write_succeeded(&mut self, version: u64) -> Vec<u64> {
         let Some(lines) = self.lines_in_flight.take() else {
             return Vec::new();
         };
-        self.open_page.version = stamp;
+        self.open_page.version = version;
         self.head_written_at_page = self.head_written_at_page.max(self.in_flight_head.take());
         self.confirm_lines(lines)
     }
 
+    /// Marks the first `lines` lines of the open page as written. Returns the tickets of the charges in them.
     fn confirm_lines(&mut self, lines: usize) -> Vec<u64> {
         self.open_page.confirmed_lines = self.open_page.confirmed_lines.max(lines);
-        let upto = self.open_page.first_line + self.open_page.confirmed_lines as u64;
-        if let Some((page, _, kept)) = self.pending_balance.take_if(|c| c.1 <= upto) {
-            // Only now may a successor begin with it, and what it folds be deleted.
+        let end_line = self.open_page.first_line + self.open_page.confirmed_lines as u64;
+        if let Some((page, _, kept)) = self
+            .pending_balance
+            .take_if(|balance| balance.1 <= end_line)
+        {
+            // The next leader can start from this balance only now that it is written completely, and only now may the
+            // pages that the balance folds be deleted.
             self.balance_page = Some(page);
             self.pages_to_delete.extend(self.head.kept..kept);
             self.head.kept = kept;
@@ -625,7 +649,7 @@
         let (done, left) = self
             .unconfirmed_lines
             .iter()
-            .partition(|(seq, _)| *seq < upto);
+            .partition(|(number, _)| *number < end_line);
         self.unconfirmed_lines = left;
         let done: Vec<(u64, u64)> = done;
         let tickets: Vec<u64> = done.into_iter().map(|(_, t)| t).collect();
@@ -635,61 +659,63 @@
         tickets
     }
 
-    /// The write under way was not carried out. `unsure`: or perhaps it was, or will be; then nothing is written
-    /// before the page has been [`reread`](Book::handle_reread).
-    pub fn write_failed(&mut self, unsure: bool) {
+    /// Handles the failure of the write in flight. `outcome_unknown` means that the write may have been carried out or
+    /// may still be carried out; no page is then written before this page has been [`reread`](Book::handle_reread).
+    pub fn write_failed(&mut self, outcome_unknown: bool) {
         if self.lines_in_flight.take().is_some() {
-            self.outcome_unknown = unsure;
+            self.outcome_unknown = outcome_unknown;
         }
     }
 
-    /// The page to be read again, if one is.
+    /// Returns the page that must be read again because the outcome of its write is unknown.
     pub fn page_to_reread(&self) -> Option<u64> {
         self.outcome_unknown.then_some(self.open_page.page)
     }
 
-    /// The page as it was read, with its version, or that there is none.
+    /// Handles the reread page. `found` is the page and its version, or `None` if the page does not exist. Returns the
+    /// tickets of the charges that are now confirmed, or an error if the page was not written by this book.
     pub fn handle_reread(&mut self, found: Option<(&Page, u64)>) -> Result<Vec<u64>, DamagedPage> {
         if !std::mem::take(&mut self.outcome_unknown) {
             return Ok(Vec::new());
         }
-        let Some((page, stamp)) = found else {
+        let Some((page, version)) = found else {
             return Ok(Vec::new());
         };
-        let ours = page.read().ok().filter(|lines| {
-            let tied = |n: usize| serde_json::from_str(self.open_page.lines.get(n)?).ok();
-            let same = |n: usize| tied(n).and_then(|v| Line::read(&v)).as_ref() == lines.last();
+        let own_lines = page.read().ok().filter(|lines| {
+            let chained = |n: usize| serde_json::from_str(self.open_page.lines.get(n)?).ok();
+            let same = |n: usize| chained(n).and_then(|v| Line::read(&v)).as_ref() == lines.last();
             lines.len() <= self.open_page.lines.len() && lines.len().checked_sub(1).is_none_or(same)
         });
-        let Some(lines) = ours else {
-            // Somebody else has been there. What is written is kept; what is not goes to another page.
+        let Some(lines) = own_lines else {
+            // Another writer changed the page. The stored page is kept; unconfirmed lines go to a new page.
             return Err(self.abandon_page());
         };
-        self.open_page.version = stamp;
-        // The head came with it, if it did.
+        self.open_page.version = version;
+        // If the write included the head, the head was written in the same transaction.
         self.head_written_at_page = self.head_written_at_page.max(self.in_flight_head.take());
         Ok(self.confirm_lines(lines.len()))
     }
 
-    /// Leaves the open page as it is found, and ties what is not known to be written anew on the next.
+    /// Leaves the stored page unchanged and begins a new page. The unconfirmed lines are queued again, to be chained in
+    /// the new page.
     pub fn abandon_page(&mut self) -> DamagedPage {
         self.outcome_unknown = false;
         let damaged = DamagedPage(self.open_page.page);
-        let lost: Vec<Line> = self.open_page.lines[self.open_page.confirmed_lines..]
+        let unconfirmed: Vec<Line> = self.open_page.lines[self.open_page.confirmed_lines..]
             .iter()
             .filter_map(|text| Line::read(&serde_json::from_str(text).ok()?))
             .map(|(line, _)| line)
             .collect();
         let mut tickets: VecDeque<u64> = self.unconfirmed_lines.drain(..).map(|t| t.1).collect();
         self.begin_page(0);
-        for line in lost {
+        for line in unconfirmed {
             match line.body {
                 LineBody::Charge(c) => {
-                    let again = c
+                    let entries = c
                         .entries
                         .into_iter()
                         .filter_map(|e| Some((tickets.pop_front()?, e)));
-                    self.charges.entry(c.group).or_default().extend(again);
+                    self.charges.entry(c.group).or_default().extend(entries);
                 }
                 body => self.queued_lines.push_back(body),
             }
@@ -698,7 +724,7 @@
         damaged
     }
 
-    /// How long an attempt that was charged may be met again.
+    /// Returns the time in microseconds for which a worker may report an attempt again after it was charged.
     pub fn duplicate_window(lease: Micros, settings: &Settings) -> Micros {
         10 * lease + 2 * settings.max_clock_offset + 30 * SECOND
     }
--- a/crates/gannethub-ledger/src/chain.rs
+++ b/crates/gannethub-ledger/src/chain.rs
@@ -1,23 +1,23 @@
-//! Keys, and the keyed hash that ties every line to the one before it.
+//! Signing keys, and the keyed hash (MAC) that chains every line to the line before it.
 
 use std::fmt;
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 
-/// What ties a line to all before it: the first sixteen bytes of a keyed BLAKE3 hash.
+/// MAC that chains a line to all lines before it: the first sixteen bytes of a keyed BLAKE3 hash.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 pub struct LineMac([u8; 16]);
 
 impl LineMac {
-    /// Of a line with this text after a line with `self`.
+    /// Returns the MAC of a line with the given text that follows the line with the MAC `self`.
     pub fn next(&self, key: &SigningKey, text: &str) -> LineMac {
         let mut hasher = blake3::Hasher::new_keyed(&key.secret);
         hasher.update(&self.0);
         hasher.update(text.as_bytes());
-        let mut tie = [0; 16];
-        tie.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        LineMac(tie)
+        let mut mac = [0; 16];
+        mac.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        LineMac(mac)
     }
 
     pub fn parse(text: &str) -> Option<LineMac> {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A key and the name it goes by in pages.
+/// A secret key, and the id by which pages refer to the key.
 #[derive(Clone)]
 pub struct SigningKey {
     pub id: String,
@@ -47,29 +47,30 @@
 
 impl fmt::Debug for SigningKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Key({})", self.id)
+        write!(f, "SigningKey({})", self.id)
     }
 }
 
 /// Why a key file cannot be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum KeyError {
-    #[error("line {0}: a key is written as its id, a space, and 64 hexadecimal digits")]
+    #[error("line {0}: expected a key id, a space, and 64 hexadecimal digits")]
     Malformed(usize),
-    #[error("line {0}: an id has 1 to 16 letters, digits or dashes")]
+    #[error("line {0}: a key id must consist of 1 to 16 letters, digits or dashes")]
     BadId(usize),
-    #[error("line {0}: the id {1:?} appears twice")]
-    Twice(usize, String),
-    #[error("there is no key in it")]
+    #[error("line {0}: the key id {1:?} appears twice")]
+    DuplicateId(usize, String),
+    #[error("the file contains no key")]
     Empty,
 }
 
-/// Keys by their ids. New pages use the last one of the file; the others are kept for what they tied.
+/// Keys of a key file, in the order of the file. New pages use the last key; the earlier keys are kept to verify the
+/// pages written with them.
 #[derive(Clone, Debug)]
 pub struct KeyRing(Vec<SigningKey>);
 
 impl KeyRing {
-    /// Reads a key file: a line for each key, its id and 64 hexadecimal digits. What follows `#` is ignored.
+    /// Parses a key file: one line per key, with the key id and 64 hexadecimal digits. Text after `#` is ignored.
     pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
         let mut keys: Vec<SigningKey> = Vec::new();
         for (number, line) in (1..).zip(text.lines()) {
@@ -78,12 +79,12 @@
                 continue;
             }
             let (id, hex) = line.split_once(' ').ok_or(KeyError::Malformed(number))?;
-            let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-';
-            if !(1..=16).contains(&id.len()) || !id.bytes().all(plain) {
+            let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-';
+            if !(1..=16).contains(&id.len()) || !id.bytes().all(is_allowed) {
                 return Err(KeyError::BadId(number));
             }
             if keys.iter().any(|k| k.id == id) {
-                return Err(KeyError::Twice(number, id.into()));
+                return Err(KeyError::DuplicateId(number, id.into()));
             }
             let secret = parse_secret(hex.trim()).ok_or(KeyError::Malformed(number))?;
             keys.push(SigningKey {
@@ -98,15 +99,15 @@
         }
     }
 
-    /// A line of a key file.
+    /// Returns a key as a line of a key file.
     pub fn write(id: &str, secret: &[u8; 32]) -> String {
         let hex: String = secret.iter().map(|b| format!("{b:02x}")).collect();
         format!("{id} {hex}\n")
     }
 
-    /// The key that new pages are tied with.
+    /// Returns the key for new pages.
     pub fn newest(&self) -> &SigningKey {
-        // There is at least one.
+        // The index is valid: `parse` rejects a file without a key.
         &self.0[self.0.len() - 1]
     }
 
--- a/crates/gannethub-ledger/src/export.rs
+++ b/crates/gannethub-ledger/src/export.rs
@@ -1,4 +1,4 @@
-//! Charged attempts as tables for other programs: a row each, in the order of the ledger.
+//! Export of charged attempts as CSV and Parquet tables: one row per attempt, in the order of the ledger.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::line::LineBody;
 use crate::meter::STAGES;
 
-/// Why a table could not be written.
+/// Reason why a table could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum ExportError {
     #[error("page {0} of the ledger cannot be read")]
@@ -26,7 +26,8 @@
     File(#[from] std::io::Error),
 }
 
-/// A value of a row. Times are microseconds, amounts thousandths, prices millionths an hour.
+/// Value in one column of a row. Times are in microseconds, resource amounts in thousandths, and prices in millionths
+/// per hour.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Cell {
     Int(i64),
@@ -35,55 +36,55 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum ColumnKind {
     Int,
     Text,
     Flag,
 }
 
-/// The columns, in order.
-const COLUMNS: [(&str, Kind); 27] = [
-    ("page", Kind::Int),
-    ("line", Kind::Int),
-    ("team", Kind::Text),
-    ("class", Kind::Text),
-    ("job", Kind::Text),
-    ("task", Kind::Int),
-    ("attempt", Kind::Int),
-    ("machine", Kind::Text),
-    ("type", Kind::Text),
-    ("zone", Kind::Text),
-    ("spot", Kind::Flag),
-    ("price", Kind::Int),
-    ("reason", Kind::Text),
-    ("worth", Kind::Text),
-    ("cpu", Kind::Int),
-    ("gpu", Kind::Int),
-    ("mem", Kind::Int),
-    ("begin", Kind::Int),
-    ("end", Kind::Int),
-    (STAGES[0], Kind::Int),
-    (STAGES[1], Kind::Int),
-    (STAGES[2], Kind::Int),
-    (STAGES[3], Kind::Int),
-    (STAGES[4], Kind::Int),
-    (STAGES[5], Kind::Int),
-    ("bound", Kind::Int),
-    ("estimate", Kind::Flag),
+/// Columns of the tables, in order.
+const COLUMNS: [(&str, ColumnKind); 27] = [
+    ("page", ColumnKind::Int),
+    ("line", ColumnKind::Int),
+    ("team", ColumnKind::Text),
+    ("class", ColumnKind::Text),
+    ("job", ColumnKind::Text),
+    ("task", ColumnKind::Int),
+    ("attempt", ColumnKind::Int),
+    ("machine", ColumnKind::Text),
+    ("type", ColumnKind::Text),
+    ("zone", ColumnKind::Text),
+    ("spot", ColumnKind::Flag),
+    ("price", ColumnKind::Int),
+    ("reason", ColumnKind::Text),
+    ("worth", ColumnKind::Text),
+    ("cpu", ColumnKind::Int),
+    ("gpu", ColumnKind::Int),
+    ("mem", ColumnKind::Int),
+    ("begin", ColumnKind::Int),
+    ("end", ColumnKind::Int),
+    (STAGES[0], ColumnKind::Int),
+    (STAGES[1], ColumnKind::Int),
+    (STAGES[2], ColumnKind::Int),
+    (STAGES[3], ColumnKind::Int),
+    (STAGES[4], ColumnKind::Int),
+    (STAGES[5], ColumnKind::Int),
+    ("bound", ColumnKind::Int),
+    ("estimate", ColumnKind::Flag),
 ];
 
-/// The columns' names, in order.
+/// Returns the column names, in order.
 pub fn names() -> impl Iterator<Item = &'static str> {
     COLUMNS.iter().map(|c| c.0)
 }
 
-/// A name as it is written in lines.
-fn name(value: &impl serde::Serialize) -> String {
+/// Returns the name of an enum value as lines contain it.
+fn serialized_name(value: &impl serde::Serialize) -> String {
     let text = serde_json::to_string(value).unwrap_or_default();
     text.trim_matches('"').to_string()
 }
 
-/// The rows of some pages; of one team, if it is named.
+/// Returns one row per charged attempt in the pages, or per charged attempt of one team if `team` is given.
 pub fn rows(pages: &[Page], team: Option<&str>) -> Result<Vec<Vec<Cell>>, ExportError> {
     let int = |x: u64| Cell::Int(i64::try_from(x).unwrap_or(i64::MAX));
     let mut rows = Vec::new();
@@ -92,8 +93,8 @@
             let LineBody::Charge(c) = line.body else {
                 continue;
             };
-            let k = &c.group;
-            if team.is_some_and(|t| t != k.team) {
+            let group = &c.group;
+            if team.is_some_and(|t| t != group.team) {
                 continue;
             }
             for e in &c.entries {
@@ -101,21 +102,21 @@
                 let mut row = vec![
                     int(page.page),
                     int(line.number),
-                    text(&k.team),
-                    text(&k.class),
-                    text(&k.job),
+                    text(&group.team),
+                    text(&group.class),
+                    text(&group.job),
                     int(u64::from(e.task)),
                     int(e.attempt),
                     text(&e.machine),
-                    text(&k.machine_type),
-                    text(&k.zone),
-                    Cell::Flag(k.spot),
-                    int(k.price),
-                    Cell::Text(name(&k.reason)),
-                    Cell::Text(name(&k.usefulness)),
-                    int(k.resources.0),
-                    int(k.resources.1),
-                    int(k.resources.2),
+                    text(&group.machine_type),
+                    text(&group.zone),
+                    Cell::Flag(group.spot),
+                    int(group.price),
+                    Cell::Text(serialized_name(&group.reason)),
+                    Cell::Text(serialized_name(&group.usefulness)),
+                    int(group.resources.0),
+                    int(group.resources.1),
+                    int(group.resources.2),
                     int(e.begin),
                     int(e.end()),
                 ];
@@ -128,7 +129,7 @@
     Ok(rows)
 }
 
-/// Writes rows as CSV, with the columns' names first.
+/// Writes rows as CSV, with a header line of column names.
 pub fn csv(rows: &[Vec<Cell>], out: impl Write) -> Result<(), ExportError> {
     let mut writer = csv::Writer::from_writer(out);
     writer.write_record(names())?;
@@ -145,10 +146,10 @@
 
 /// Writes rows as Parquet.
 pub fn parquet(rows: &[Vec<Cell>], out: impl Write + Send) -> Result<(), ExportError> {
-    let field = |(name, kind): (&str, Kind)| match kind {
-        Kind::Int => format!("REQUIRED INT64 {name};"),
-        Kind::Text => format!("REQUIRED BYTE_ARRAY {name} (UTF8);"),
-        Kind::Flag => format!("REQUIRED BOOLEAN {name};"),
+    let field = |(name, kind): (&str, ColumnKind)| match kind {
+        ColumnKind::Int => format!("REQUIRED INT64 {name};"),
+        ColumnKind::Text => format!("REQUIRED BYTE_ARRAY {name} (UTF8);"),
+        ColumnKind::Flag => format!("REQUIRED BOOLEAN {name};"),
     };
     let fields: String = COLUMNS.into_iter().map(field).collect();
     let schema = Arc::new(parse_message_type(&format!(
@@ -165,14 +166,14 @@
         };
         let cells = rows.iter().filter_map(|r| r.get(i));
         match kind {
-            Kind::Int => {
+            ColumnKind::Int => {
                 let int = |c: &Cell| if let Cell::Int(x) = c { *x } else { 0 };
                 let values: Vec<i64> = cells.map(int).collect();
                 column
                     .typed::<Int64Type>()
                     .write_batch(&values, None, None)?;
             }
-            Kind::Text => {
+            ColumnKind::Text => {
                 let text = |c: &Cell| {
                     if let Cell::Text(t) = c {
                         t.as_str()
@@ -186,7 +187,7 @@
                     .typed::<ByteArrayType>()
                     .write_batch(&values, None, None)?;
             }
-            Kind::Flag => {
+            ColumnKind::Flag => {
                 let values: Vec<bool> = cells.map(|c| *c == Cell::Flag(true)).collect();
                 column
                     .typed::<BoolType>()
--- a/crates/gannethub-ledger/src/export/tests.rs
+++ b/crates/gannethub-ledger/src/export/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::chain::{KeyRing, LineMac};
-use crate::line::tests::{common, entry};
+use crate::line::tests::{charge_group, entry};
 use crate::line::{Charge, Line};
 
 fn page() -> Page {
@@ -9,7 +9,7 @@
     let line = Line {
         number: 4,
         body: LineBody::Charge(Charge {
-            group: common("red", "j-7"),
+            group: charge_group("red", "j-7"),
             entries,
         }),
     };
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn both_tables_hold_a_row_for_each_attempt() {
+fn csv_and_parquet_have_one_row_per_attempt() {
     use parquet::file::reader::{FileReader, SerializedFileReader};
     use parquet::record::RowAccessor;
     let rows = rows(&[page()], None).unwrap();
--- a/crates/gannethub-ledger/src/lib.rs
+++ b/crates/gannethub-ledger/src/lib.rs
@@ -1,11 +1,12 @@
-//! What every attempt of a task used: charged once, decayed into shares, and open to audit.
+//! Usage ledger: charges the usage of each task attempt exactly once, decays it into team shares, and can be audited.
 //!
-//! Nothing here reads a clock, a file or a socket, and nothing knows the scheduler: the leader tells a [`Meter`]
-//! what it sees of an attempt, hands the result to its [`Book`], and writes the pages that the book asks for. Anyone who holds the pages and the keys can [`verify`](audit::verify)
-//! them and work out the same [`Accounts`].
+//! The crate reads no clock, file or socket and does not depend on the scheduler. The leader reports its observations
+//! of an attempt to a [`Meter`], passes the resulting usage to its [`Book`], and writes the pages that the book
+//! returns. Any holder of the pages and the keys can [`verify`](audit::verify) the pages and compute the same
+//! [`Accounts`].
 //!
-//! Times are whole microseconds. Those in lines are times of day, as the leader's clock had it; durations are
-//! measured on its steady clock, so a time of day that steps back makes no charge negative.
+//! Times are whole microseconds. Timestamps in lines are wall-clock times of the leader; durations are measured on
+//! the leader's monotonic clock, so a wall clock that steps back cannot make a charge negative.
 
 pub mod account;
 pub mod audit;
@@ -25,8 +26,8 @@
 pub use meter::Meter;
 pub use settings::Settings;
 
-/// A time or a duration in whole microseconds.
+/// A timestamp or a duration in whole microseconds.
 pub type Micros = u64;
 
-/// One second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/gannethub-ledger/src/line.rs
+++ b/crates/gannethub-ledger/src/line.rs
@@ -1,8 +1,9 @@
-//! The lines of the ledger and how they are written.
+//! Lines of the ledger and their stored form.
 //!
-//! A line is a JSON array of its number, its kind, what it says, and its tie to the line before. It is tied as it
-//! is written here, so what the state service does to white space or to the order of keys does not matter.
-//! There are no fractions in it: times are microseconds, amounts thousandths, prices millionths.
+//! A line is a JSON array of the line number, the kind, the contents, and the MAC that chains the line to the line
+//! before. The MAC is computed over the text that this module produces, so the state service may change white space or
+//! the order of keys without breaking the chain. A line contains no fractions: times are in microseconds, resource
+//! amounts in thousandths, and prices in millionths.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -11,13 +12,13 @@
 use crate::chain::{LineMac, SigningKey};
 use crate::meter::StageTimes;
 
-/// CPUs, GPUs and memory of one task, in thousandths (of a CPU, a GPU and a GB).
+/// CPUs, GPUs and memory of one task, in thousandths of a CPU, of a GPU and of a GB.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct ResourceAmounts(pub u64, pub u64, pub u64);
 
-/// Why an attempt's place came free.
+/// Reason why an attempt no longer holds its place on the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -29,54 +30,57 @@
     NoRoom,
     Busy,
     Unknown,
-    /// A reason that the protocol did not have.
+    /// The worker gave a reason that this version of the protocol does not define.
     Other,
-    /// Its worker no longer shows it.
+    /// The worker no longer reports the attempt.
     Missing,
-    /// Its worker's session ended, or its lease ran out.
+    /// The worker's session ended, or the worker's lease expired.
     Lease,
-    /// Its machine was returned or is gone.
+    /// The machine was returned or no longer exists.
     Machine,
 }
 
-/// What an attempt's run was good for.
+/// Whether the run time of an attempt produced a lasting result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Usefulness {
-    /// It was done, or is a replica: all of its run counts.
+    /// The attempt finished its task, or belongs to a service: all of its run time counts.
     Useful,
-    /// Its progress was saved.
+    /// The attempt's progress was saved.
     Saved,
-    /// What it did since its last checkpoint, if it has any, is to be done again.
+    /// The work since the attempt's last checkpoint, or all of its work without a checkpoint, must be repeated.
     Lost,
 }
 
-/// One attempt of one task: a charged line of its own, though it may be written beside others like it.
+/// Charge of one attempt of one task. Entries with a common [`ChargeGroup`] may share a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub task: u32,
     pub attempt: u64,
     pub machine: String,
-    /// Time of day when its place was taken.
+    /// Wall-clock time at which the attempt was placed on the machine.
     pub begin: Micros,
     pub stage_times: StageTimes,
-    /// How far the time at its worker may be off.
+    /// Maximum error of the time at the worker, in microseconds.
     pub max_error: Micros,
+    /// Whether the begin or the end of the attempt was not observed.
     pub is_estimate: bool,
 }
 
-/// An entry as it is kept: its task, its attempt and begin from the line's least ones on, its machine, its times
-/// up to the last that is not zero, and twice the bound, plus one for an estimate. Pages are small.
+/// Stored form of an entry: the task; the attempt as its difference from the line's lowest attempt; the machine; the
+/// begin as its difference from the line's earliest begin; the stage times up to the last one that is not zero; and
+/// twice the maximum error, plus one for an estimate. The form is compact because pages are small.
 type EntryWire = (u32, u64, String, Micros, Vec<Micros>, u64);
 
 impl Entry {
-    /// Time of day when its place was known to be free.
+    /// Returns the wall-clock time at which the attempt was known to have released its place on the machine.
     pub fn end(&self) -> Micros {
         self.begin.saturating_add(self.stage_times.held())
     }
 
-    /// What it takes in a line, with the comma; less where attempts and begins are kept as differences.
-    pub(crate) fn most_bytes(&self) -> usize {
+    /// Returns the maximum number of bytes that the entry takes in a line, including the comma. The stored form is
+    /// shorter where the attempt and the begin are stored as differences.
+    pub(crate) fn max_bytes(&self) -> usize {
         serde_json::to_string(&self.wire((0, 0))).map_or(0, |text| text.len() + 1)
     }
 
@@ -87,7 +91,7 @@
             .iter()
             .rposition(|t| *t > 0)
             .map_or(0, |i| i + 1);
-        let spent = self.stage_times.0[..used].to_vec();
+        let times = self.stage_times.0[..used].to_vec();
         let bound = self.max_error.saturating_mul(2) | u64::from(self.is_estimate);
         let machine = self.machine.clone();
         (
@@ -95,125 +99,130 @@
             self.attempt - attempt,
             machine,
             self.begin - begin,
-            spent,
+            times,
             bound,
         )
     }
 
     fn read(wire: EntryWire, least: (u64, Micros)) -> Option<Entry> {
         let (task, attempt, machine, begin, times, bound) = wire;
-        let mut spent = StageTimes::default();
-        spent.0.get_mut(..times.len())?.copy_from_slice(&times);
+        let mut read_times = StageTimes::default();
+        read_times.0.get_mut(..times.len())?.copy_from_slice(&times);
         Some(Entry {
             task,
             attempt: attempt.checked_add(least.0)?,
             machine,
             begin: begin.checked_add(least.1)?,
-            stage_times: spent,
+            stage_times: read_times,
             max_error: bound / 2,
             is_estimate: bound % 2 == 1,
         })
     }
 }
 
-/// What attempts that share a line have in common.
+/// Fields that all attempts in one charge line have in common.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ChargeGroup {
     pub team: String,
     pub class: String,
     pub job: String,
     pub resources: ResourceAmounts,
-    /// The machine's type, zone and kind.
     pub machine_type: String,
     pub zone: String,
+    /// Whether the machine was a spot instance.
     pub spot: bool,
-    /// Its price an hour then, in millionths.
+    /// Price of the machine per hour at that time, in millionths.
     pub price: u64,
     pub reason: Reason,
     pub usefulness: Usefulness,
 }
 
-/// Charged attempts of one job that ran on machines of one kind and ended alike.
+/// Charged attempts of one job that ran on machines of the same type, zone, price and spot status and ended with the
+/// same reason and usefulness.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Charge {
     pub group: ChargeGroup,
     pub entries: Vec<Entry>,
 }
 
-/// A controller began to keep the ledger.
+/// Record that a new leader began to write the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerChange {
     pub term: u64,
     pub owner: String,
     pub at: Micros,
-    /// It knew of everything that was open under the leader before it.
+    /// Whether the new leader knew of all usage that was open under the previous leader.
     pub complete: bool,
 }
 
-/// A machine was given up of which nobody knows what it held.
+/// Record that a machine was given up without knowing which attempts ran on the machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnmeteredInterval {
     pub machine: String,
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    /// From when nobody knows, until when it was given up.
+    /// Start of the interval whose attempts are unknown.
     pub from: Micros,
+    /// Time at which the machine was given up.
     pub to: Micros,
 }
 
-/// The first line of a balance: what all lines up to and without `upto` come to follows in `parts` lines.
-/// Pages before `kept` were folded into it and may be gone.
+/// First line of a balance. The sums of all lines before line `end_line` follow in `parts` lines. Pages before `kept`
+/// are folded into the balance and may be deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Balance {
-    pub upto: u64,
+    pub end_line: u64,
     pub parts: u32,
     pub kept: u64,
     pub at: Micros,
 }
 
-/// What one team's jobs of one class come to, as part of a balance.
+/// Sums of one team's jobs of one class, as part of a balance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancePart {
     pub team: String,
     pub class: String,
     pub entries: u64,
-    /// Time in each stage, times the need: CPUs, GPUs and memory, each in hexadecimal.
+    /// Sums of the account, in thousandths times microseconds or in microseconds, as in [`Account`](crate::Account).
+    /// The stored form is hexadecimal.
     pub amounts: Vec<u128>,
-    /// Decayed usage and the half-life it goes by.
+    /// Half-life of the decayed usage, in microseconds.
     pub half_life: Micros,
+    /// Epochs and sums of the decayed usage.
     pub decayed: Vec<(u64, u128)>,
 }
 
-/// Puts a balance together from the lines that it was written in. Its keeper may have ended amid it: then what
-/// follows is something else, and the next keeper writes another.
+/// Assembles a balance from its lines. The leader may have ended before it wrote all lines of a balance: a line of
+/// another kind then follows, the incomplete balance is dropped, and the next leader writes another balance.
 #[derive(Debug, Default)]
 pub struct BalanceAssembler {
-    missing: u32,
+    missing_parts: u32,
     parts: Vec<BalancePart>,
 }
 
 impl BalanceAssembler {
-    /// Takes the next line; all parts, once the last one has come.
-    pub fn take(&mut self, body: &LineBody) -> Option<Vec<BalancePart>> {
+    /// Adds the next line. Returns all parts once the last part has been added.
+    pub fn add_line(&mut self, body: &LineBody) -> Option<Vec<BalancePart>> {
         match body {
             LineBody::Balance(b) => {
                 *self = BalanceAssembler {
-                    missing: b.parts,
+                    missing_parts: b.parts,
                     parts: Vec::new(),
                 }
             }
-            LineBody::Part(p) if self.missing > 0 => {
+            LineBody::Part(p) if self.missing_parts > 0 => {
                 self.parts.push(p.clone());
-                self.missing -= 1;
-                return (self.missing == 0).then(|| std::mem::take(&mut self.parts));
+                self.missing_parts -= 1;
+                return (self.missing_parts == 0).then(|| std::mem::take(&mut self.parts));
             }
-            _ => self.missing = 0,
+            _ => self.missing_parts = 0,
         }
         None
     }
 }
 
+/// Contents of a line, by kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LineBody {
     Charge(Charge),
@@ -223,7 +232,7 @@
     Part(BalancePart),
 }
 
-/// A line of the ledger, numbered from zero without gaps.
+/// A line of the ledger. Lines are numbered from zero without gaps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
     pub number: u64,
@@ -252,12 +261,13 @@
 }
 
 impl Line {
-    /// The line without its tie, as it is tied. It always ends with a bracket.
+    /// Returns the text over which the MAC is computed: the line without its MAC. The text always ends with a
+    /// bracket.
     pub fn text(&self) -> String {
         let text = match &self.body {
             LineBody::Charge(c) => {
                 let k = &c.group;
-                let common: ChargeGroupWire = (
+                let group: ChargeGroupWire = (
                     k.team.clone(),
                     k.class.clone(),
                     k.job.clone(),
@@ -273,7 +283,7 @@
                 let begin = c.entries.iter().map(|e| e.begin).min().unwrap_or(0);
                 let least = (attempt, begin);
                 let entries: Vec<EntryWire> = c.entries.iter().map(|e| e.wire(least)).collect();
-                serde_json::to_string(&(self.number, "charge", common, least, entries))
+                serde_json::to_string(&(self.number, "charge", group, least, entries))
             }
             LineBody::OwnerChanged(t) => {
                 serde_json::to_string(&(self.number, "took", t.term, &t.owner, t.at, t.complete))
@@ -283,7 +293,7 @@
                 serde_json::to_string(&(self.number, "gap", machine, g.from, g.to))
             }
             LineBody::Balance(b) => {
-                serde_json::to_string(&(self.number, "balance", b.upto, b.parts, b.kept, b.at))
+                serde_json::to_string(&(self.number, "balance", b.end_line, b.parts, b.kept, b.at))
             }
             LineBody::Part(p) => {
                 let amounts: Vec<String> = p.amounts.iter().copied().map(to_hex).collect();
@@ -294,11 +304,11 @@
                 serde_json::to_string(&(self.number, "part", name, sums))
             }
         };
-        // Strings, whole numbers and flags always serialize.
+        // Serialization cannot fail: the values are strings, whole numbers and booleans.
         text.unwrap_or_default()
     }
 
-    /// Reads a line and its MAC. `None`: it is not a line of this version.
+    /// Parses a line and its MAC. Returns `None` if the value is not a line of this version.
     pub fn read(value: &Value) -> Option<(Line, LineMac)> {
         let (mac, items) = value.as_array()?.split_last()?;
         let mac = LineMac::parse(mac.as_str()?)?;
@@ -308,15 +318,16 @@
         Some((Line { number, body }, mac))
     }
 
-    /// The line as it is kept, tied to the one before, and its tie.
+    /// Returns the stored form of the line, which ends with the MAC, and the MAC itself. `before` is the MAC of the
+    /// previous line.
     pub fn to_chained_text(&self, key: &SigningKey, before: &LineMac) -> (String, LineMac) {
         let mut text = self.text();
-        let tie = before.next(key, &text);
+        let mac = before.next(key, &text);
         text.truncate(text.len().saturating_sub(1));
-        (format!("{text},\"{tie}\"]"), tie)
+        (format!("{text},\"{mac}\"]"), mac)
     }
 
-    /// When the last of what it tells of happened, if it tells of something that has a time.
+    /// Returns the wall-clock time of the latest event in the line, or `None` if the line contains no time.
     pub fn last_event_at(&self) -> Option<Micros> {
         match &self.body {
             LineBody::Charge(c) => c.entries.iter().map(Entry::end).max(),
@@ -328,7 +339,7 @@
     }
 }
 
-/// Reads what a line of a kind says.
+/// Parses the contents of a line of the given kind.
 fn read_body(kind: &str, items: &[Value]) -> Option<LineBody> {
     match (kind, items) {
         ("charge", [group, least, entries]) => read_charge(group, least, entries),
@@ -349,8 +360,8 @@
                 to: to.as_u64()?,
             }))
         }
-        ("balance", [upto, parts, kept, at]) => Some(LineBody::Balance(Balance {
-            upto: upto.as_u64()?,
+        ("balance", [end_line, parts, kept, at]) => Some(LineBody::Balance(Balance {
+            end_line: end_line.as_u64()?,
             parts: u32::try_from(parts.as_u64()?).ok()?,
             kept: kept.as_u64()?,
             at: at.as_u64()?,
@@ -391,7 +402,7 @@
     }))
 }
 
-/// The sums of a part of a balance as they are kept: entries, amounts, half-life and decayed usage.
+/// Stored form of the sums of a balance part: entries, amounts, half-life and decayed usage.
 type BalancePartWire = (u64, Vec<String>, Micros, Vec<(u64, String)>);
 
 fn read_balance_part(names: &Value, sums: &Value) -> Option<LineBody> {
--- a/crates/gannethub-ledger/src/line/tests.rs
+++ b/crates/gannethub-ledger/src/line/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::chain::KeyRing;
 
-pub fn common(team: &str, job: &str) -> ChargeGroup {
+pub fn charge_group(team: &str, job: &str) -> ChargeGroup {
     ChargeGroup {
         team: team.into(),
         class: "survey".into(),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn lines_come_back_as_they_were_written_and_are_tied_to_their_neighbours() {
+fn lines_round_trip_and_chain_to_the_line_before() {
     let ring = KeyRing::parse(&KeyRing::write("k", &[3; 32])).unwrap();
     let bodies = [
         LineBody::OwnerChanged(OwnerChange {
@@ -39,7 +39,7 @@
             complete: false,
         }),
         LineBody::Charge(Charge {
-            group: common("red", "j-7"),
+            group: charge_group("red", "j-7"),
             entries: vec![entry(0, 5, 6), entry(9, 7, 8)],
         }),
         LineBody::Unmetered(UnmeteredInterval {
@@ -51,7 +51,7 @@
             to: 2,
         }),
         LineBody::Balance(Balance {
-            upto: 3,
+            end_line: 3,
             parts: 1,
             kept: 0,
             at: 11,
@@ -65,16 +65,23 @@
             decayed: vec![(4, 1 << 100)],
         }),
     ];
-    let mut tie = LineMac::default();
-    for (seq, body) in (0..).zip(bodies) {
-        let line = Line { number: seq, body };
-        let (sealed, next) = line.to_chained_text(ring.newest(), &tie);
-        let value: Value = serde_json::from_str(&sealed).unwrap();
-        let (back, its) = Line::read(&value).unwrap();
-        assert_eq!((&back, its), (&line, next));
-        assert_eq!(back.text(), line.text(), "it is tied as it was");
-        assert_ne!(next, tie.next(ring.newest(), "[0]"));
-        tie = next;
+    let mut last_mac = LineMac::default();
+    for (line_number, body) in (0..).zip(bodies) {
+        let line = Line {
+            number: line_number,
+            body,
+        };
+        let (text, mac) = line.to_chained_text(ring.newest(), &last_mac);
+        let value: Value = serde_json::from_str(&text).unwrap();
+        let (read_line, read_mac) = Line::read(&value).unwrap();
+        assert_eq!((&read_line, read_mac), (&line, mac));
+        assert_eq!(
+            read_line.text(),
+            line.text(),
+            "the chained text must not change"
+        );
+        assert_ne!(mac, last_mac.next(ring.newest(), "[0]"));
+        last_mac = mac;
     }
     for bad in [
         "{}",
--- a/crates/gannethub-ledger/src/meter.rs
+++ b/crates/gannethub-ledger/src/meter.rs
@@ -1,40 +1,41 @@
-//! What the leader sees of one attempt, as time spent in each stage.
+//! Meters of attempts: the time that an attempt spent in each stage, as observed by the leader.
 //!
-//! A report does not say when something happened, only that it had when the report was sent. A worker reports a
-//! change at once, but not within half a second of another report: an end is known that much too late at most,
-//! or by the time since the last report that came, where some were lost. A launch takes effect when the answer
-//! that carries it arrives, so a fetch begins with the last answer before the attempt is shown, unless an earlier
-//! one had arrived after all.
+//! A heartbeat does not say when a change happened, only that the change had happened when the heartbeat was sent. A
+//! worker reports a change at once, but not within half a second of another heartbeat: an end is therefore observed at
+//! most half a second late, or, if heartbeats were lost, late by at most the time since the last heartbeat that
+//! arrived. A launch takes effect when the heartbeat response that carries it arrives, so fetching begins with the last
+//! response before the worker reports the attempt, unless an earlier response had arrived after all.
 
 use crate::{Micros, SECOND};
 
-/// A worker reports no more often than this.
+/// Minimum interval between two heartbeats of a worker, in microseconds.
 const MIN_HEARTBEAT_SPACING: Micros = SECOND / 2;
-/// A report may have been sent this long before it is heard: then its worker gives up.
+/// Maximum time between sending and receiving a heartbeat, in microseconds: after this time the worker gives up
+/// sending the heartbeat.
 const MAX_TRANSIT_TIME: Micros = 4 * SECOND;
-/// Reports come this much late or early.
+/// Maximum deviation of a heartbeat from its interval, late or early, in microseconds.
 const HEARTBEAT_JITTER: Micros = SECOND / 20;
 
-/// What an attempt does with the place that it holds.
+/// Stage of an attempt that holds a place on a machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Stage {
-    /// Placed; its launch has not reached the worker, as far as is known.
+    /// The attempt is placed; as far as the leader knows, the launch has not reached the worker.
     Starting,
     Fetching,
-    /// In its place, waiting for the rest of its gang.
+    /// The attempt is ready on its machine and waits for the other tasks of its gang.
     Waiting,
     Running,
     Saving,
 }
 
-/// The stages in the order in which [`StageTimes`] holds them, and time in which nothing was heard.
+/// Names of the stages in the order of [`StageTimes`]. The last entry, `silent`, is time without heartbeats.
 pub const STAGES: [&str; 6] = [
     "starting", "fetching", "waiting", "running", "saving", "silent",
 ];
 const SILENT_STAGE: usize = 5;
 
 impl Stage {
-    /// Its place in [`StageTimes`].
+    /// Returns the index of the stage in [`StageTimes`].
     pub fn index(self) -> usize {
         self as usize
     }
@@ -51,17 +52,17 @@
     }
 }
 
-/// Time in each stage, in the order of [`STAGES`].
+/// Time in each stage in microseconds, in the order of [`STAGES`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageTimes(pub [Micros; 6]);
 
 impl StageTimes {
-    /// From when the place was taken until it was known to be free.
+    /// Returns the time from the placement of the attempt until its place was known to be free.
     pub fn held(&self) -> Micros {
         self.0.iter().sum()
     }
 
-    /// What the worker itself would say that it spent, as far as the leader can tell.
+    /// Returns the time of the attempt at its worker, as the worker would measure it and as far as the leader can tell.
     pub fn at_worker(&self) -> Micros {
         self.held() - self.0[Stage::Starting.index()] - self.0[SILENT_STAGE]
     }
@@ -71,17 +72,18 @@
     }
 }
 
-/// How an attempt's end came to be known.
+/// How the leader learned of the end of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndObservation {
-    /// Its worker reported it. When the worker's report before that came, if one did.
-    /// `missed`: it has sent others in between.
+    /// The worker reported the end. `before` is the time at which the worker's previous heartbeat arrived, if there was
+    /// one; `missed` means that the worker sent heartbeats in between that did not arrive.
     Reported {
         before: Option<Micros>,
         missed: bool,
     },
-    /// Its machine fell silent and is given up. When it was last heard with it, if ever, and how long it went on
-    /// after that, most likely: half the time between two reports, or its lease if that is known to have run out.
+    /// The machine sent no more heartbeats and is given up. `heard` is the time of the last heartbeat that contained
+    /// the attempt, if any. `likely` is the most likely time that the attempt continued after that heartbeat, in
+    /// microseconds: half the heartbeat interval, or the lease duration if the lease is known to have expired.
     Silence {
         heard: Option<Micros>,
         likely: Micros,
@@ -89,7 +91,7 @@
 }
 
 impl MeteredUsage {
-    /// The silence at its end was longer by this.
+    /// Extends the silent time at the end of the attempt, and the maximum error, by `more` microseconds.
     pub fn quiet(mut self, more: Micros) -> MeteredUsage {
         self.spent.0[SILENT_STAGE] += more;
         self.bound += more;
@@ -97,33 +99,34 @@
     }
 }
 
-/// One attempt's clock, on its leader's steady clock.
+/// Meter of one attempt. All times are times of the leader's monotonic clock, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Meter {
     pub stage: Stage,
-    /// When that stage began, or it was found in it.
+    /// Time at which the stage began, or at which the attempt was first observed in the stage.
     pub since: Micros,
-    /// When the launch was first and last handed out.
+    /// Times at which the launch was first and last sent to the worker.
     pub sent: Option<(Micros, Micros)>,
+    /// Time counted in each stage so far, without the time in the present stage since `since`.
     pub spent: StageTimes,
-    /// How far the begin may be off.
+    /// Maximum error of the begin, in microseconds.
     pub unsure: Micros,
-    /// The begin was not seen.
+    /// Whether the begin was estimated because it was not observed.
     pub guessed: bool,
 }
 
-/// What an ended attempt has come to.
+/// Metered usage of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeteredUsage {
     pub spent: StageTimes,
-    /// How far the time at its worker may be off.
+    /// Maximum error of the time at the worker, in microseconds.
     pub bound: Micros,
-    /// Its begin or its end was not seen.
+    /// Whether the begin or the end was estimated because it was not observed.
     pub estimate: bool,
 }
 
 impl Meter {
-    /// Its place was taken now.
+    /// Returns the meter of an attempt that is placed now.
     pub fn placed(now: Micros) -> Meter {
         let (stage, spent) = (Stage::Starting, StageTimes::default());
         Meter {
@@ -136,9 +139,10 @@
         }
     }
 
-    /// An attempt that is shown in this stage and was placed by another leader this long ago, give or take
-    /// `unsure`. What it did since then is put down to the stage that it is in. Its age is no time of this
-    /// process's clock: that may have begun later.
+    /// Returns the meter of an attempt that another leader placed `age` microseconds ago, with a maximum error of
+    /// `unsure`, and that its worker now reports in `stage`. All time since the placement counts as time in `stage`.
+    /// The placement is given as an age and not as a time of this process's clock, because that clock may have started
+    /// later.
     pub fn adopted(age: Micros, unsure: Micros, stage: Stage, now: Micros) -> Meter {
         let mut spent = StageTimes::default();
         spent.0[stage.index()] = age;
@@ -152,52 +156,53 @@
         }
     }
 
-    /// It went on for so long before this process knew of it.
+    /// Adds `more` microseconds to the present stage: time that passed before this process knew of the attempt.
     pub fn wait(&mut self, more: Micros) {
         self.spent.0[self.stage.index()] += more;
     }
 
-    /// For how long its place has been held.
+    /// Returns the time since the attempt was placed, in microseconds.
     pub fn age(&self, now: Micros) -> Micros {
         self.spent.held() + now.saturating_sub(self.since)
     }
 
-    /// Its launch goes out, perhaps once more.
+    /// Records that the launch is sent to the worker, for the first time or again.
     pub fn sent(&mut self, now: Micros) {
         if self.stage == Stage::Starting {
             self.sent = Some((self.sent.map_or(now, |s| s.0), now));
         }
     }
 
-    /// It is shown in another stage than before.
+    /// Records that the worker reports the attempt in a new stage.
     pub fn enter(&mut self, stage: Stage, now: Micros) {
-        let from = match (self.stage, self.sent) {
+        let began_at = match (self.stage, self.sent) {
             (Stage::Starting, Some((first, last))) => {
                 self.unsure += last - first;
                 last.max(self.since)
             }
             _ => now.max(self.since),
         };
-        self.spent.0[self.stage.index()] += from - self.since;
-        (self.stage, self.since) = (stage, from);
+        self.spent.0[self.stage.index()] += began_at - self.since;
+        (self.stage, self.since) = (stage, began_at);
     }
 
-    /// It is known to be gone.
-    pub fn end(mut self, now: Micros, news: EndObservation) -> MeteredUsage {
+    /// Ends the meter: the attempt is known to have ended. Returns the usage of the attempt.
+    pub fn end(mut self, now: Micros, observation: EndObservation) -> MeteredUsage {
         let now = now.max(self.since);
-        let (heard, mut bound, mut estimate) = match news {
+        let (estimated_end, mut bound, mut estimate) = match observation {
             EndObservation::Reported { before, missed } => {
                 let gap = before.map_or(MIN_HEARTBEAT_SPACING, |t| now.saturating_sub(t));
-                // A report that came as soon as it might after the one before was held up by that, and one after
-                // others that were lost tells of any time since: then it ended in the middle, on average.
-                let held = missed || gap <= MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER;
-                let late = if held {
+                // A heartbeat that came as soon as possible after the previous one may have been delayed by the minimum
+                // spacing, and a heartbeat that follows lost ones reports a change of any time since the previous one:
+                // in both cases the attempt ended, on average, in the middle of the gap.
+                let is_delayed = missed || gap <= MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER;
+                let delay = if is_delayed {
                     (gap / 2).min(now - self.since)
                 } else {
                     0
                 };
                 (
-                    now - late,
+                    now - delay,
                     if missed {
                         gap
                     } else {
@@ -215,13 +220,14 @@
                 )
             }
         };
-        // What was never shown was never at the worker, or its end came before its first report.
+        // The worker never reported the attempt: either the attempt was never at the worker, or it ended before its
+        // first heartbeat.
         if self.stage == Stage::Starting {
             bound = self.sent.map_or(0, |sent| now.saturating_sub(sent.0));
             estimate &= self.sent.is_some();
         }
-        self.spent.0[self.stage.index()] += heard - self.since;
-        self.spent.0[SILENT_STAGE] += now - heard;
+        self.spent.0[self.stage.index()] += estimated_end - self.since;
+        self.spent.0[SILENT_STAGE] += now - estimated_end;
         estimate |= self.guessed;
         MeteredUsage {
             spent: self.spent,
--- a/crates/gannethub-ledger/src/meter/tests.rs
+++ b/crates/gannethub-ledger/src/meter/tests.rs
@@ -3,7 +3,7 @@
 const S: Micros = SECOND;
 
 #[test]
-fn stages_add_up_to_the_time_the_place_was_held() {
+fn stage_times_add_up_to_held_time() {
     let mut m = Meter::placed(10 * S);
     m.sent(11 * S);
     m.sent(12 * S);
@@ -22,7 +22,7 @@
         (r.spent.held(), r.bound),
         (44 * S, S + MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER)
     );
-    // Right after another report it is later by no more than the time between.
+    // Directly after another heartbeat, the error of the end is at most the time between the two heartbeats.
     let r = m.end(
         54 * S,
         EndObservation::Reported {
@@ -31,7 +31,8 @@
         },
     );
     assert_eq!((r.bound, r.estimate), (S / 4 + S, false));
-    // Reports before it were lost, and a launch was handed out twice.
+    // If heartbeats before the end were lost, the error is the time since the last one that arrived, plus the second
+    // between the two sends of the launch.
     let r = m.end(
         60 * S,
         EndObservation::Reported {
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn silence_is_set_apart_and_marked() {
+fn silent_time_is_separate_and_estimated() {
     let mut m = Meter::placed(0);
     m.sent(0);
     m.enter(Stage::Running, S);
@@ -56,7 +57,7 @@
     );
     assert_eq!(r.spent, StageTimes([0, 0, 0, 21 * S, 0, 9 * S]));
     assert_eq!((r.bound, r.estimate), (10 * S + MAX_TRANSIT_TIME, true));
-    // It did not go on after it was known to be gone.
+    // The attempt does not continue after it is known to have ended.
     let r = m.end(
         20 * S,
         EndObservation::Silence {
@@ -65,7 +66,7 @@
         },
     );
     assert_eq!(r.spent.held(), 20 * S);
-    // A place that was held for nothing is charged, and there is nothing to estimate.
+    // A place held without a launch is charged, and nothing is estimated.
     let r = Meter::placed(0).end(
         9 * S,
         EndObservation::Silence {
@@ -74,7 +75,7 @@
         },
     );
     assert_eq!((r.spent.held(), r.bound, r.estimate), (9 * S, 0, false));
-    // Found with an uncertain begin; and no clock that goes back makes time negative.
+    // An adopted attempt has an uncertain begin, and a clock that goes back does not make a time negative.
     let m = Meter::adopted(90 * S, S, Stage::Running, 8 * S);
     assert_eq!(m.age(9 * S), 91 * S);
     let r = m.end(
--- a/crates/gannethub-ledger/src/settings.rs
+++ b/crates/gannethub-ledger/src/settings.rs
@@ -1,4 +1,4 @@
-//! The ledger's own settings file: read, checked, and explained when wrong.
+//! Settings file of the ledger: parsing, validation and error messages.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -9,7 +9,7 @@
 use crate::line::ResourceAmounts;
 use crate::{Micros, SECOND};
 
-/// Why a settings file cannot be used.
+/// Reason why a settings file is rejected.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     #[error("{file}: {reason}")]
@@ -22,38 +22,41 @@
     },
 }
 
-/// What a team is due, and how its usage decays.
+/// Share of a team, and the half-life of its usage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamShare {
-    /// Its part of all usage; all teams' together make one.
+    /// Fraction of all usage that the team should have. The shares of all teams add up to one.
     pub share: f64,
     pub half_life: HalfLife,
 }
 
-/// Shares are given to so many decimals.
-const ROUNDING: f64 = 1e-6;
+/// Maximum deviation of the sum of all shares from one: shares are given to six decimals.
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
-/// Bounds of what the file may say.
+/// Maximum of every time in the file, in seconds.
 const MAX_SECONDS: f64 = 1e9;
 const MIN_HALF_LIFE_SECONDS: f64 = 1e-3;
+/// Maximum usage weight of a resource, per unit.
 const MAX_WEIGHT: f64 = 1e4;
+/// Allowed values of `balance_pages`.
 const BALANCE_PAGES: RangeInclusive<u64> = 1..=10_000;
 
+/// Settings of the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where the keys are, relative to the place the program runs in.
+    /// Path of the key file, relative to the program's working directory.
     pub keys: String,
-    /// By team, every one of the platform's.
+    /// Share of each team of the platform.
     pub teams: BTreeMap<String, TeamShare>,
-    /// What a thousandth of a CPU, of a GPU and of a GB counts in usage, in thousandths.
+    /// Usage weight of one CPU, one GPU and one GB, in thousandths.
     pub resource_weights: ResourceAmounts,
-    /// Charges are written this often at least.
+    /// Maximum interval between writes while charges are waiting.
     pub write_interval: Micros,
-    /// Pages are kept at least this long. Zero: for ever.
+    /// Minimum time that pages are kept. Zero keeps pages for ever.
     pub retention: Micros,
-    /// A balance is written after so many pages, or after more if it takes many itself.
+    /// Number of pages after which a balance is written. The number is higher if the balance itself takes many pages.
     pub balance_pages: u64,
-    /// How far two controllers' times of day may be apart.
+    /// Maximum difference between the wall clocks of two controllers.
     pub max_clock_offset: Micros,
 }
 
@@ -114,7 +117,7 @@
     }
 }
 
-/// Checks the fields of one file.
+/// Validates the fields of one file.
 struct FieldChecker<'a> {
     file: &'a str,
 }
@@ -132,22 +135,25 @@
         if seconds.is_finite() && (min_seconds..=MAX_SECONDS).contains(&seconds) {
             return Ok((seconds * SECOND as f64) as Micros);
         }
-        Err(self.error(field, format!("{seconds} is not a usable time")))
+        Err(self.error(
+            field,
+            format!("{seconds} is not between {min_seconds} and {MAX_SECONDS} seconds"),
+        ))
     }
 
     fn half_life(&self, field: &str, seconds: f64) -> Result<HalfLife, SettingsError> {
         let half_life = HalfLife::new(self.time(field, seconds, MIN_HALF_LIFE_SECONDS)?);
-        half_life.ok_or_else(|| self.error(field, format!("{seconds} s is longer than a year")))
+        half_life.ok_or_else(|| self.error(field, format!("{seconds} s is longer than 366 days")))
     }
 
     fn weight(&self, field: &str, weight: f64) -> Result<u64, SettingsError> {
         if weight.is_finite() && (0.0..=MAX_WEIGHT).contains(&weight) {
             return Ok((weight * 1000.0).round() as u64);
         }
-        Err(self.error(field, format!("{weight} is not a usable weight")))
+        Err(self.error(field, format!("{weight} is not between 0 and {MAX_WEIGHT}")))
     }
 
-    /// The share of each team that the file names.
+    /// Validates the teams that the file lists and returns the share of each.
     fn named_shares(
         &self,
         named: &[raw::Team],
@@ -188,7 +194,7 @@
         teams: &[(String, f64)],
     ) -> Result<(), SettingsError> {
         let sum: f64 = shares.values().map(|team| team.share).sum();
-        if (sum - 1.0).abs() > ROUNDING {
+        if (sum - 1.0).abs() > SHARE_SUM_TOLERANCE {
             let reason = format!("the shares add up to {sum}, not to 1");
             return Err(self.error("teams", reason));
         }
@@ -202,13 +208,14 @@
     }
 }
 
-/// Shares where the file names no team: as their guarantees are to one another; alike where nobody has one.
+/// Returns the shares for a file that lists no team: proportional to the teams' guarantees, or equal if no team has a
+/// guarantee.
 fn default_shares(teams: &[(String, f64)], half_life: HalfLife) -> BTreeMap<String, TeamShare> {
-    let total: f64 = teams.iter().map(|(_, due)| due).sum();
+    let total: f64 = teams.iter().map(|(_, guarantee)| guarantee).sum();
     let equal_share = 1.0 / teams.len().max(1) as f64;
-    let shares = teams.iter().map(|(name, due)| {
+    let shares = teams.iter().map(|(name, guarantee)| {
         let share = if total > 0.0 {
-            due / total
+            guarantee / total
         } else {
             equal_share
         };
@@ -218,7 +225,8 @@
 }
 
 impl Settings {
-    /// Checks a file's text. `teams`: the platform's teams, with what each is due where the file names none.
+    /// Parses and validates the text of a settings file. `teams` holds the platform's teams and their guarantees, from
+    /// which the shares are computed if the file lists no team.
     pub fn parse(
         text: &str,
         file: &str,
@@ -241,10 +249,10 @@
             check.weight("cost.mem_gb", raw.cost.mem_gb)?,
         );
         if raw.keys.is_empty() {
-            return Err(check.error("keys", "the name of a key file is needed"));
+            return Err(check.error("keys", "must name a key file"));
         }
         if !BALANCE_PAGES.contains(&raw.balance_pages) {
-            return Err(check.error("balance_pages", "a number from 1 to 10000 is needed"));
+            return Err(check.error("balance_pages", "must be a number from 1 to 10000"));
         }
         Ok(Settings {
             keys: raw.keys,
@@ -257,27 +265,27 @@
         })
     }
 
-    /// The half-life that a team's usage decays by. A team that is not the platform's any more decays like
-    /// the slowest.
+    /// Returns the half-life of a team's usage. The usage of a team that no longer exists decays with the longest
+    /// half-life of all teams, or one hour if there is no team.
     pub fn half_life(&self, team: &str) -> HalfLife {
-        let slowest = || {
+        let longest = || {
             self.teams
                 .values()
                 .map(|t| t.half_life)
                 .max_by_key(|h| h.time())
         };
-        let known = self.teams.get(team).map(|t| t.half_life).or_else(slowest);
+        let known = self.teams.get(team).map(|t| t.half_life).or_else(longest);
         known
             .or_else(|| HalfLife::new(3600 * SECOND))
-            .unwrap_or_else(|| unreachable!("an hour"))
+            .unwrap_or_else(|| unreachable!("one hour is a valid half-life"))
     }
 
-    /// What a task that needs this counts in usage while it holds its place.
-    pub fn rate(&self, need: ResourceAmounts) -> u64 {
+    /// Returns the usage rate of a task with these resources while the task holds its place, in thousandths of cost.
+    pub fn rate(&self, resources: ResourceAmounts) -> u64 {
         let part = |amount: u64, weight: u64| amount.saturating_mul(weight) / 1000;
-        part(need.0, self.resource_weights.0)
-            .saturating_add(part(need.1, self.resource_weights.1))
-            .saturating_add(part(need.2, self.resource_weights.2))
+        part(resources.0, self.resource_weights.0)
+            .saturating_add(part(resources.1, self.resource_weights.1))
+            .saturating_add(part(resources.2, self.resource_weights.2))
     }
 }
 
--- a/crates/gannethub-ledger/src/settings/tests.rs
+++ b/crates/gannethub-ledger/src/settings/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn settings_good_and_bad() {
+fn settings_parsing_and_errors() {
     let s = sample("").unwrap();
     assert_eq!((s.teams["red"].share, s.teams["blue"].share), (0.75, 0.25));
     assert_eq!(
--- a/crates/gannethub-ledger/tests/formats.rs
+++ b/crates/gannethub-ledger/tests/formats.rs
@@ -1,8 +1,8 @@
-//! Every format of the ledger, pinned as literal text: lines, pages, the head, the key file and the settings file.
+//! All formats of the ledger, pinned as literal text: lines, pages, the head, the key file and the settings file.
 //!
-//! Pages are kept for years, tied by a hash of their exact text, so a renamed Rust field must not show in them. The
-//! literals were printed by the code before its names changed. When Rust names change, edit those in this file and
-//! nothing else: a literal that has to change is an incompatible change.
+//! Pages are kept for years and chained by a hash of their exact text, so renaming a Rust field must not change a page.
+//! The literals were printed by an earlier version of the code, before its Rust names changed. When Rust names change,
+//! edit only the Rust names in this file: a literal that has to change is an incompatible change.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use gannethub_ledger::meter::StageTimes;
 use gannethub_ledger::{KeyRing, SECOND, Settings};
 
-/// What is written is the pinned text.
+/// Asserts that the written text equals the pinned text.
 fn pin(actual: &str, pinned: &str) {
     assert_eq!(actual, pinned);
 }
@@ -29,19 +29,19 @@
     KeyRing::parse(&KeyRing::write("k-1", &[3; 32])).unwrap()
 }
 
-/// A line is sealed as it is pinned, and comes back from the pinned text.
+/// Asserts that a line is written as the pinned text, and that the pinned text is read as that line.
 fn pin_line(body: LineBody, pinned: &str) {
     let (keys, before) = (keys(), LineMac::default());
     let line = Line { number: 41, body };
-    let (sealed, tie) = line.to_chained_text(keys.newest(), &before);
-    pin(&sealed, pinned);
+    let (text, mac) = line.to_chained_text(keys.newest(), &before);
+    pin(&text, pinned);
     let value = serde_json::from_str(pinned).unwrap();
-    let (read, read_tie) = Line::read(&value).unwrap();
-    assert_eq!((&read, read_tie), (&line, tie));
+    let (read, read_mac) = Line::read(&value).unwrap();
+    assert_eq!((&read, read_mac), (&line, mac));
     assert_eq!(read.to_chained_text(keys.newest(), &before).0, pinned);
 }
 
-fn common(reason: Reason, worth: Usefulness) -> ChargeGroup {
+fn charge_group(reason: Reason, value: Usefulness) -> ChargeGroup {
     ChargeGroup {
         team: "blue".into(),
         class: "train".into(),
@@ -52,7 +52,7 @@
         spot: true,
         price: 4_500_000,
         reason,
-        usefulness: worth,
+        usefulness: value,
     }
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn line_charge() {
     let charge = Charge {
-        group: common(Reason::PeersGone, Usefulness::Lost),
+        group: charge_group(Reason::PeersGone, Usefulness::Lost),
         entries: vec![entry(0), entry(1)],
     };
     pin_line(
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn line_charge_reasons() {
+fn charge_reasons_and_usefulness() {
     let reasons = [
         Reason::Done,
         Reason::Stopped,
@@ -96,33 +96,33 @@
         Reason::Lease,
         Reason::Machine,
     ];
-    let worths = [Usefulness::Useful, Usefulness::Saved, Usefulness::Lost];
+    let usefulness = [Usefulness::Useful, Usefulness::Saved, Usefulness::Lost];
     pin(
-        &json(&(reasons, worths)),
+        &json(&(reasons, usefulness)),
         r#"[["done","stopped","peers_gone","alone","error","no_room","busy","unknown","other","missing","lease","machine"],["useful","saved","lost"]]"#,
     );
-    let text = json(&(reasons, worths));
+    let text = json(&(reasons, usefulness));
     let read: ([Reason; 12], [Usefulness; 3]) = serde_json::from_str(&text).unwrap();
-    assert_eq!(read, (reasons, worths));
+    assert_eq!(read, (reasons, usefulness));
 }
 
 #[test]
-fn line_took() {
-    let took = OwnerChange {
+fn line_owner_change() {
+    let owner_change = OwnerChange {
         term: 7,
         owner: "n0".into(),
         at: 1_700_000_000_000_001,
         complete: true,
     };
     pin_line(
-        LineBody::OwnerChanged(took),
+        LineBody::OwnerChanged(owner_change),
         r#"[41,"took",7,"n0",1700000000000001,true,"Vw7UZRBnSYsqf71eJADcXA"]"#,
     );
 }
 
 #[test]
-fn line_gap() {
-    let gap = UnmeteredInterval {
+fn line_unmetered_interval() {
+    let interval = UnmeteredInterval {
         machine: "host-000231".into(),
         flavor: "g8".into(),
         zone: "a".into(),
@@ -131,7 +131,7 @@
         to: 1_700_000_000_000_002,
     };
     pin_line(
-        LineBody::Unmetered(gap),
+        LineBody::Unmetered(interval),
         r#"[41,"gap",["host-000231","g8","a",true],1700000000000001,1700000000000002,"DNhfaMw55kXJczaDTA28Nw"]"#,
     );
 }
@@ -139,7 +139,7 @@
 #[test]
 fn line_balance() {
     let balance = Balance {
-        upto: 40,
+        end_line: 40,
         parts: 2,
         kept: 3,
         at: 1_700_000_000_000_001,
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn line_part() {
+fn line_balance_part() {
     let part = BalancePart {
         team: "blue".into(),
         class: "train".into(),
@@ -196,14 +196,18 @@
     let (settings, keys) = (Arc::new(settings()), Arc::new(keys()));
     let opened = Book::open(settings.clone(), keys.clone(), 4096, SECOND, None, &[]);
     let mut book = opened.book;
-    let took = OwnerChange {
+    let owner_change = OwnerChange {
         term: 7,
         owner: "n0".into(),
         at: 1_700_000_000_000_001,
         complete: true,
     };
-    book.queue_line(LineBody::OwnerChanged(took), SECOND);
-    book.charge(common(Reason::Done, Usefulness::Useful), entry(0), SECOND);
+    book.queue_line(LineBody::OwnerChanged(owner_change), SECOND);
+    book.charge(
+        charge_group(Reason::Done, Usefulness::Useful),
+        entry(0),
+        SECOND,
+    );
     let write = book
         .next_write(9 * SECOND, 1_700_000_000_000_009, 16)
         .unwrap();
@@ -226,7 +230,7 @@
 }
 
 #[test]
-fn head() {
+fn head_with_time_marks() {
     let head = Head {
         newest: 7,
         from: 5,
