--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -1,13 +1,13 @@
-//! What it costs to lead a cluster, against its size: the core under a driver of its own, with simulated
-//! machines that run tasks by the clock, a cloud that grants what it has and a state service that
-//! carries out every transaction.
+//! Cost of leading a cluster in relation to the cluster's size. The core runs under its own driver, with simulated
+//! machines that run tasks by the clock, a cloud that provisions what it has in stock and a state service that carries
+//! out every transaction.
 //!
 //!     cargo bench -p gannethub-core --bench day -- [--machines 1000,3000,10000] [--seconds 120] [--load 1.0]
 //!
-//! Prints, for each size, processor time a simulated second by kind of work, and state changes and
-//! cloud calls a started task; then the cost against the first size's, which is the figure: as long as
-//! it is no more than the ratio of the sizes, deciding does not outgrow the cluster. Absolute times are
-//! this machine's. `--load` above 1 keeps a long queue.
+//! For each size, the benchmark prints the CPU time per simulated second by kind of work, and the state changes and
+//! cloud calls per started task. It then prints the cost relative to the first size, which is the result: if this ratio
+//! does not exceed the ratio of the sizes, the cost of decisions does not grow faster than the cluster. Absolute times
+//! depend on the machine that runs the benchmark. With `--load` above 1 the queue stays long.
 
 #[allow(dead_code)]
 #[path = "../tests/simulation/leader_view.rs"]
@@ -29,22 +29,25 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
+/// Increment of the simulated clock: 50 ms.
 const STEP: u64 = 50_000;
-const REPORT: u64 = 5 * SECOND;
-const CLOUD: u64 = 300_000;
+/// Interval between heartbeats of a machine: 5 s.
+const HEARTBEAT_INTERVAL: u64 = 5 * SECOND;
+/// Response time of the cloud: 300 ms.
+const CLOUD_DELAY: u64 = 300_000;
 
 #[derive(Parser)]
 struct Options {
-    /// Sizes to play, in machines.
+    /// Cluster sizes to simulate, in machines.
     #[arg(long, value_delimiter = ',', default_values_t = [1000usize, 3000, 10_000])]
     machines: Vec<usize>,
-    /// Simulated seconds.
+    /// Duration of the simulation, in simulated seconds.
     #[arg(long, default_value_t = 120)]
     seconds: u64,
-    /// Work that arrives, as a part of what the machines can do.
+    /// Arriving work, as a fraction of the machines' capacity.
     #[arg(long, default_value_t = 0.8)]
     load: f64,
-    /// Given by cargo.
+    /// Passed by cargo.
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -53,13 +56,13 @@
     flavor: String,
     zone: String,
     spot: bool,
-    /// Task, attempt, when it runs, when it is done.
+    /// Start and end times of attempts in microseconds, by task and attempt number.
     tasks: BTreeMap<(String, u64), (u64, u64)>,
 }
 
-/// Processor time by kind of work, and what was asked of others.
+/// CPU time by kind of work, and the numbers of started tasks, state changes and cloud calls.
 #[derive(Default)]
-struct Spent {
+struct Costs {
     reports: Duration,
     passes: Duration,
     plans: Duration,
@@ -67,12 +70,13 @@
     started: u64,
     changes: u64,
     calls: u64,
+    /// Longest single heartbeat, scheduling pass, plan and other operation.
     longest: [Duration; 4],
     queue: usize,
     machines: usize,
 }
 
-impl Spent {
+impl Costs {
     fn total(&self) -> Duration {
         self.reports + self.passes + self.plans + self.rest
     }
@@ -87,20 +91,20 @@
     out
 }
 
-struct Day {
+struct Simulation {
     view: LeaderView,
     rng: StdRng,
     workers: HashMap<String, Worker>,
     due: BinaryHeap<Reverse<(u64, String)>>,
-    /// Machines of each kind that the cloud still has.
+    /// Number of machines that the cloud still has, by machine type, zone and whether they are spot instances.
     stock: HashMap<(String, String, bool), usize>,
     calls: Vec<(u64, CloudCall)>,
     next_job: u32,
-    spent: Spent,
+    costs: Costs,
 }
 
-impl Day {
-    fn new(machines: usize) -> Day {
+impl Simulation {
+    fn new(machines: usize) -> Simulation {
         let share = machines as f64 * 7.0;
         let teams = [
             ("red", share * 0.3, share * 0.7),
@@ -118,7 +122,7 @@
                 stock.insert(("large".to_string(), zone.to_string(), spot), machines / 40);
             }
         }
-        Day {
+        Simulation {
             view,
             rng: StdRng::seed_from_u64(1),
             workers: HashMap::new(),
@@ -126,7 +130,7 @@
             stock,
             calls: Vec::new(),
             next_job: 1,
-            spent: Spent::default(),
+            costs: Costs::default(),
         }
     }
 
@@ -148,16 +152,16 @@
         };
         job.spot = true;
         job.image = format!("img-{}", self.rng.random_range(0..20));
-        let Spent {
+        let Costs {
             rest,
             longest: [.., longest],
             ..
-        } = &mut self.spent;
+        } = &mut self.costs;
         let view = &mut self.view;
         timed(rest, longest, || view.submit(&id, job));
     }
 
-    fn report(&mut self, name: &str) {
+    fn send_heartbeat(&mut self, name: &str) {
         let now = self.view.now;
         let Some(w) = self.workers.get_mut(name) else {
             return;
@@ -178,12 +182,12 @@
             });
         let tasks: Vec<_> = tasks.collect();
         let view = &mut self.view;
-        let Spent {
+        let Costs {
             reports,
             longest: [longest, ..],
             started,
             ..
-        } = &mut self.spent;
+        } = &mut self.costs;
         let outcome = timed(reports, longest, || {
             view.send(name, &w.flavor, &w.zone, w.spot, tasks)
         });
@@ -203,11 +207,12 @@
                 }
             }
         }
-        self.due.push(Reverse((now + REPORT, name.to_string())));
+        self.due
+            .push(Reverse((now + HEARTBEAT_INTERVAL, name.to_string())));
     }
 
-    /// The cloud answers what was asked some time ago.
-    fn answer(&mut self, call: CloudCall) {
+    /// Handles a cloud call whose answer is due.
+    fn handle_cloud_call(&mut self, call: CloudCall) {
         let now = self.view.now;
         let body = match &call {
             CloudCall::Provision {
@@ -246,7 +251,7 @@
                 }
                 Some(json!({}))
             }
-            // The machine types do not change, and a list would only repeat what is known.
+            // These calls get no answer: the machine types do not change, and a list would contain no new information.
             CloudCall::MachineTypes | CloudCall::List { .. } => None,
         };
         let c = &mut self.view.c;
@@ -254,17 +259,17 @@
             Some(body) => (200, body.to_string()),
             None => (503, json!({"error": "no capacity"}).to_string()),
         };
-        let Spent {
+        let Costs {
             rest,
             longest: [.., longest],
             ..
-        } = &mut self.spent;
+        } = &mut self.costs;
         let answer = Ok(Answer::new(status, text));
         timed(rest, longest, || c.apply_cloud_answer(call, &answer, now));
     }
 
-    fn play(&mut self, machines: usize, seconds: u64, load: f64) {
-        // What the machines can do, in thousandths of a CPU; an average job is some 200 CPUs for 30 s.
+    fn run(&mut self, machines: usize, seconds: u64, load: f64) {
+        // `cpus` is the total capacity of the machines in CPUs. An average job takes some 200 CPUs for 30 s.
         let cpus = machines as f64 * 6.8;
         let rate = load * cpus / (0.55 * 320.0 * 32.0 + 0.45 * 2.0 * 30.0 * 32.0);
         let end = self.view.now + seconds * SECOND;
@@ -280,16 +285,18 @@
             }
             while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
                 if let Some(Reverse((_, name))) = self.due.pop() {
-                    self.report(&name);
+                    self.send_heartbeat(&name);
                 }
             }
             let (ready, waiting) = std::mem::take(&mut self.calls)
                 .into_iter()
                 .partition::<Vec<_>, _>(|(at, _)| *at <= now);
             self.calls = waiting;
-            ready.into_iter().for_each(|(_, call)| self.answer(call));
+            ready
+                .into_iter()
+                .for_each(|(_, call)| self.handle_cloud_call(call));
             let c = &mut self.view.c;
-            let s = &mut self.spent;
+            let s = &mut self.costs;
             timed(&mut s.rest, &mut s.longest[3], || c.tick(now, WALL + now));
             if now >= schedule_at.max(c.passes.next_at)
                 && (c.passes.needed || now >= c.passes.last_at + SECOND)
@@ -304,7 +311,7 @@
                 let calls = timed(&mut s.plans, &mut s.longest[2], || c.plan_cloud_calls(now));
                 s.calls += calls.len() as u64;
                 self.calls
-                    .extend(calls.into_iter().map(|call| (now + CLOUD, call)));
+                    .extend(calls.into_iter().map(|call| (now + CLOUD_DELAY, call)));
             }
             if now >= write_at {
                 write_at = now + 100_000;
@@ -318,35 +325,35 @@
                 });
             }
         }
-        self.spent.queue = self.view.c.passes.placement_order.len();
-        self.spent.machines = self.view.c.machines.len();
+        self.costs.queue = self.view.c.passes.placement_order.len();
+        self.costs.machines = self.view.c.machines.len();
     }
 }
 
 fn main() {
     let options = Options::parse();
     println!(
-        "simulated machines; milliseconds of processor a simulated second, load {}",
+        "simulated machines; milliseconds of CPU time per simulated second, load {}",
         options.load
     );
-    let heads = [
+    let headings = [
         "size", "rented", "queue", "reports", "passes", "plans", "rest", "total", "starts",
     ];
-    let heads = heads
+    let headings = headings
         .into_iter()
         .chain(["changes", "calls"])
         .map(|h| format!("{h:>8}"));
-    println!("{}", heads.collect::<Vec<_>>().join(" "));
+    println!("{}", headings.collect::<Vec<_>>().join(" "));
     let mut first = None;
     for &machines in &options.machines {
-        let mut day = Day::new(machines);
-        day.play(machines, options.seconds, options.load);
-        let s = &day.spent;
-        assert!(s.started > 0, "nothing was started");
+        let mut simulation = Simulation::new(machines);
+        simulation.run(machines, options.seconds, options.load);
+        let s = &simulation.costs;
+        assert!(s.started > 0, "no task was started");
         assert_eq!(
-            day.view.c.index_inconsistencies(),
+            simulation.view.c.index_inconsistencies(),
             Vec::<String>::new(),
-            "the index of room is wrong"
+            "the index of free capacity is inconsistent"
         );
         let ms = |d: Duration| d.as_secs_f64() * 1000.0 / options.seconds as f64;
         let each = |n: u64| n as f64 / s.started as f64;
@@ -364,13 +371,13 @@
             .longest
             .map(|d| format!("{:.1}", d.as_secs_f64() * 1000.0));
         println!(
-            "{:>8} longest report, pass, plan, other: {} ms",
+            "{:>8} longest heartbeat, pass, plan, other: {} ms",
             "",
             longest.join(", ")
         );
         let (size, cost) = *first.get_or_insert((machines, ms(s.total())));
         println!(
-            "{:>8} {:.1} times the machines cost {:.1} times the processor",
+            "{:>8} {:.1} times the machines cost {:.1} times the CPU time",
             "",
             machines as f64 / size as f64,
             ms(s.total()) / cost
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -1,6 +1,6 @@
-//! Both versions on each other's data. The fixtures are what the version before pipelines writes:
-//! they were printed by its own record types and frames in a test added to that commit. Its reading
-//! side is kept here as small types of the same fields.
+//! Compatibility of stored records and peer frames with the previous version, in both directions. The previous version
+//! is the last one without pipelines. The fixtures were printed by its own record types and frames, in a test that was
+//! added to its commit. Its deserialization is reproduced here by small types with the same fields.
 
 use bytes::BytesMut;
 use gannethub_core::model::{JobId, JobSpec};
@@ -15,11 +15,12 @@
 use crate::harness::{SECOND, World, job};
 
 const SPEC: &str = r#"{"class":"scale-ticket","team":"blue","shape":"Array","priority":"Low","tasks":70,"need":{"cpu":1000,"gpu":0,"mem":2300},"image":"img-07","image_gb":0.6,"types":["small"],"zone":null,"one_zone":false,"spread":false,"spot":true,"estimate":30500000,"checkpoint_every":0,"save":0,"deadline":71000000}"#;
-const TAIL: &str = r#","at":1790000000000000,"done":"0-2,9","cancelled":false}"#;
-const FAILING: &str = r#","at":1790000000000000,"done":"","cancelled":true,"failing":true}"#;
-const OVER: &str = r#"{"cancelled":false,"tasks":70}"#;
-const PART: &str = r#"{"done":"4096-4100"}"#;
-const LEAD: &str = r#"{"holder":"n0","term":7}"#;
+const RECORD_TAIL: &str = r#","at":1790000000000000,"done":"0-2,9","cancelled":false}"#;
+const CRASH_LOOPING_TAIL: &str =
+    r#","at":1790000000000000,"done":"","cancelled":true,"failing":true}"#;
+const FINISHED_JOB: &str = r#"{"cancelled":false,"tasks":70}"#;
+const DONE_PART: &str = r#"{"done":"4096-4100"}"#;
+const LEASE: &str = r#"{"holder":"n0","term":7}"#;
 const CHUNK: &str = r#"{"term":7,"holder":"n0","machines":{"host-000001":{"flavor":"small","zone":"a","spot":true},"host-000002":{"flavor":"gpu","zone":"b","spot":false}}}"#;
 const FRAMES: &str = "000000170a026e31121108071001180122090a036a2d31100218030000000c0a026e31\
     1a06080912027b7d0000000f0a026e312209080910c8011a027b7d0000000f0a026e312a090801100718c096b102\
@@ -29,9 +30,10 @@
     format!("{{\"spec\":{SPEC}{tail}")
 }
 
-/// What the leader of the version before reads of a live job; every field without a default is needed.
+/// Fields of a live job's record that a leader of the previous version reads. Every field without a default is
+/// required.
 #[derive(Deserialize)]
-struct OldJob {
+struct PreviousJobRecord {
     spec: JobSpec,
     at: u64,
     #[serde(default)]
@@ -42,44 +44,44 @@
     failing: bool,
 }
 
-/// What its copy for queries reads.
+/// Fields of a live job's record that the job replica of the previous version reads to answer queries.
 #[derive(Deserialize)]
-struct OldBrief {
-    spec: OldSize,
+struct PreviousJobSummary {
+    spec: PreviousSpecSummary,
     #[serde(default)]
     cancelled: bool,
 }
 
 #[derive(Deserialize)]
-struct OldSize {
+struct PreviousSpecSummary {
     tasks: u32,
 }
 
 #[test]
-fn what_the_version_before_writes_is_read_and_written_as_it_was() {
-    for tail in [TAIL, FAILING] {
+fn records_of_the_previous_version_round_trip_unchanged() {
+    for tail in [RECORD_TAIL, CRASH_LOOPING_TAIL] {
         let text = record(tail);
         let LiveRecord::Job(r) = LiveRecord::parse(&text).expect("a job") else {
-            panic!("it does not wait")
+            panic!("the job does not wait for upstream jobs")
         };
         assert_eq!(
             store::to_raw_value(&r).get(),
             text,
-            "not a byte differs where nothing is new"
+            "the record has no new fields, so its bytes must not change"
         );
     }
-    let over: FinishedJobRecord = serde_json::from_str(OVER).expect("an end");
-    assert_eq!(store::to_raw_value(&over).get(), OVER);
-    let part: DonePartRecord = serde_json::from_str(PART).expect("a part");
-    assert_eq!(store::to_raw_value(&part).get(), PART);
-    let lead: LeaseRecord = serde_json::from_str(LEAD).expect("a leader");
-    assert_eq!(store::to_raw_value(&lead).get(), LEAD);
-    let chunk: ChunkRecord = serde_json::from_str(CHUNK).expect("a chunk");
+    let finished: FinishedJobRecord = serde_json::from_str(FINISHED_JOB).expect("a finished job");
+    assert_eq!(store::to_raw_value(&finished).get(), FINISHED_JOB);
+    let part: DonePartRecord = serde_json::from_str(DONE_PART).expect("a record of finished tasks");
+    assert_eq!(store::to_raw_value(&part).get(), DONE_PART);
+    let lead: LeaseRecord = serde_json::from_str(LEASE).expect("a lease record");
+    assert_eq!(store::to_raw_value(&lead).get(), LEASE);
+    let chunk: ChunkRecord = serde_json::from_str(CHUNK).expect("a chunk record");
     assert_eq!(store::to_raw_value(&chunk).get(), CHUNK);
 }
 
 #[test]
-fn frames_between_controllers_are_as_they_were() {
+fn peer_frames_of_the_previous_version_round_trip_unchanged() {
     let bytes: Vec<u8> = (0..FRAMES.len() / 2)
         .map(|i| u8::from_str_radix(&FRAMES[2 * i..2 * i + 2], 16).expect("hex"))
         .collect();
@@ -95,7 +97,7 @@
             Body::VoteRequest(p) => (p.term, p.duration as usize),
             Body::Vote(p) => (p.term, p.round as usize),
             Body::JobChanged(c) => (c.version, c.job.len()),
-            other => panic!("the version before had no {other:?}"),
+            other => panic!("the previous version had no message {other:?}"),
         });
     }
     assert_eq!(
@@ -106,31 +108,33 @@
 }
 
 #[test]
-fn the_version_before_answers_from_a_waiting_record_and_cannot_start_it() {
-    let LiveRecord::Job(r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+fn previous_version_answers_for_but_cannot_start_waiting_jobs() {
+    let LiveRecord::Job(r) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
-    let on = [JobId::from("j-000398")];
+    let upstream = [JobId::from("j-000398")];
     for cancelled in [false, true] {
-        let waiting = WaitingRecord::new(r.spec.clone(), r.accepted_at, cancelled, &on);
+        let waiting = WaitingRecord::new(r.spec.clone(), r.accepted_at, cancelled, &upstream);
         let text = store::to_raw_value(&waiting).get().to_string();
         assert!(
-            serde_json::from_str::<OldJob>(&text).is_err(),
-            "its leader finds nothing to run"
+            serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
+            "a leader of the previous version cannot parse the record"
         );
-        let brief: OldBrief = serde_json::from_str(&text).expect("its copy has an answer");
-        assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
+        let summary: PreviousJobSummary =
+            serde_json::from_str(&text).expect("the replica of the previous version reads it");
+        assert_eq!((summary.spec.tasks, summary.cancelled), (70, cancelled));
         assert_eq!(
-            LiveRecord::parse(&text).expect("ours"),
+            LiveRecord::parse(&text).expect("a readable record"),
             LiveRecord::Waiting(waiting)
         );
     }
-    // Once released it is a job like any other, and losing `ready` only costs it its place.
+    // A released job has an ordinary record. If the previous version drops the field `ready`, the job only loses its
+    // place in the queue.
     let mut released = JobRecord::new(r.spec.clone(), r.accepted_at);
     released.ready_at = Some(r.accepted_at + 5);
     released.done = "0-2,9".into();
-    let old: OldJob =
-        serde_json::from_str(store::to_raw_value(&released).get()).expect("a job to it too");
+    let old: PreviousJobRecord = serde_json::from_str(store::to_raw_value(&released).get())
+        .expect("the previous version reads it");
     assert_eq!(
         (old.spec, old.at, &*old.done),
         (r.spec, r.accepted_at, "0-2,9")
@@ -139,20 +143,26 @@
 }
 
 #[test]
-fn the_version_before_answers_for_a_job_of_another_shard_and_cannot_start_it() {
-    let LiveRecord::Job(mut r) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+fn previous_version_answers_for_but_cannot_start_sharded_jobs() {
+    let LiveRecord::Job(mut r) = LiveRecord::parse(&record(RECORD_TAIL)).expect("a job") else {
         panic!()
     };
     r.watermark = Some(40);
-    // Its leader runs a job of shard 0, and a watermark is nothing to it; in turn it loses that, and we take all for
-    // launched.
-    let old: OldJob = serde_json::from_str(r.to_value().get()).expect("a job to it too");
+    // A leader of the previous version runs jobs of shard 0 and ignores the launch watermark. The records that it
+    // writes lack the watermark, so the current version treats all tasks as launched.
+    let old: PreviousJobRecord =
+        serde_json::from_str(r.to_value().get()).expect("the previous version reads it");
     assert_eq!(old.done, r.done);
-    let LiveRecord::Job(lost) = LiveRecord::parse(&record(TAIL)).expect("a job") else {
+    let LiveRecord::Job(without_watermark) =
+        LiveRecord::parse(&record(RECORD_TAIL)).expect("a job")
+    else {
         panic!()
     };
     assert_eq!(
-        (r.effective_watermark(), lost.effective_watermark()),
+        (
+            r.effective_watermark(),
+            without_watermark.effective_watermark()
+        ),
         (40, 70)
     );
     r.shard = 2;
@@ -161,29 +171,31 @@
         r.cancelled = cancelled;
         let text = r.to_value().get().to_string();
         assert!(
-            serde_json::from_str::<OldJob>(&text).is_err(),
-            "its leader finds nothing to run"
+            serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
+            "a leader of the previous version cannot parse the record"
         );
-        let brief: OldBrief = serde_json::from_str(&text).expect("its copy has an answer");
-        assert_eq!((brief.spec.tasks, brief.cancelled), (70, cancelled));
+        let summary: PreviousJobSummary =
+            serde_json::from_str(&text).expect("the replica of the previous version reads it");
+        assert_eq!((summary.spec.tasks, summary.cancelled), (70, cancelled));
         assert_eq!(
-            LiveRecord::parse(&text).expect("ours"),
+            LiveRecord::parse(&text).expect("a readable record"),
             LiveRecord::Job(r.clone())
         );
     }
     let cancelled = LiveRecord::Job(r.clone()).into_cancelled_value(16 * 1024);
-    let LiveRecord::Job(back) = LiveRecord::parse(cancelled.get()).expect("ours") else {
+    let LiveRecord::Job(parsed) = LiveRecord::parse(cancelled.get()).expect("a readable record")
+    else {
         panic!()
     };
     assert_eq!(
-        (back.shard, back.watermark, back.cancelled),
+        (parsed.shard, parsed.watermark, parsed.cancelled),
         (2, Some(40), true)
     );
 }
 
-/// A job record as the version before keeps it, with these tasks done.
-fn old_record(tasks: u32, done: &str) -> String {
-    let mut record: Value = serde_json::from_str(&record(TAIL)).expect("JSON");
+/// Returns a job record in the previous version's format, with `tasks` tasks of which those in `done` are done.
+fn previous_record(tasks: u32, done: &str) -> String {
+    let mut record: Value = serde_json::from_str(&record(RECORD_TAIL)).expect("JSON");
     record["spec"]["tasks"] = json!(tasks);
     record["spec"]["class"] = json!("c".repeat(120));
     record["done"] = json!(done);
@@ -191,11 +203,11 @@
 }
 
 #[test]
-fn large_values_of_the_version_before_are_taken_over_and_split_under_smaller_limits() {
+fn large_records_are_read_and_split_after_limits_shrink() {
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(3, 80, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     w.cloud.capacity = 100;
-    // A shard of 90 machines in one chunk, all of them gone, and a job that nobody has started.
+    // A shard record with 90 machines in one chunk, none of which exists any more, and a job with no task started.
     let machines: serde_json::Map<String, Value> = (0..90)
         .map(|i| {
             (
@@ -207,20 +219,20 @@
     let chunk = json!({"term": 1, "holder": "n0", "machines": machines});
     assert!(chunk.to_string().len() > 4096);
     w.state.put("gh/block/0/0", &chunk.to_string());
-    w.state.put("gh/live/j-000077", &old_record(4, ""));
+    w.state.put("gh/live/j-000077", &previous_record(4, ""));
     w.submit(job(77, 4, json!({})));
     w.submit(job(1, 2, json!({"waits_on": ["j-000077"]})));
-    // The limits fall while they are still in store.
+    // The limits on values and transactions shrink while the large records are still stored.
     w.state.limits = (2048, 4);
     w.run_until(
         120,
-        "the job left behind is done, and the new one after it",
+        "the stored job is done, and its new downstream job after it",
         World::all_over,
     );
     for n in 0..3 {
         w.crash(n, SECOND);
     }
-    w.run_until(120, "the shard is small again", |w| {
+    w.run_until(120, "the shard's record fits into the smaller limit", |w| {
         w.state
             .value("gh/block/0/0")
             .is_some_and(|v| v.to_string().len() < 2048)
@@ -230,13 +242,13 @@
 }
 
 #[test]
-fn finished_tasks_that_a_value_has_no_room_for_go_to_a_part_that_both_versions_read() {
-    // As many ranges as a value of the version before could have under its larger limit, and a
-    // name as long as they may be.
+fn finished_tasks_beyond_the_value_limit_go_to_a_readable_part() {
+    // The record has as many ranges of finished tasks as the previous version could store under its larger limit, and
+    // an image name of the maximum length (128 bytes).
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(1, 81, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     let ranges: Vec<String> = (0..2000).step_by(2).map(|i| i.to_string()).collect();
-    let mut record: Value = serde_json::from_str(&old_record(2000, "")).expect("JSON");
+    let mut record: Value = serde_json::from_str(&previous_record(2000, "")).expect("JSON");
     let mut done = gannethub_core::model::TaskSet::default();
     for r in &ranges {
         done.insert(r.parse().expect("a number"));
@@ -250,20 +262,24 @@
     w.state.put("gh/live/j-000077", &record.to_string());
     w.submit(job(77, 2000, json!({})));
     w.state.limits = (2048, 4);
-    w.run_until(60, "progress is written", |w| {
+    w.run_until(60, "the part with the finished tasks is written", |w| {
         w.state.value("gh/part/j-000077/0").is_some()
     });
     assert_eq!(w.state.too_large, 0);
-    let live = w.state.value("gh/live/j-000077").expect("alive");
-    let part = w.state.value("gh/part/j-000077/0").expect("its part");
-    let old: OldJob = serde_json::from_value(live.clone()).expect("the version before reads it");
+    let live = w.state.value("gh/live/j-000077").expect("the job is live");
+    let part = w.state.value("gh/part/j-000077/0").expect("the job's part");
+    let old: PreviousJobRecord =
+        serde_json::from_value(live.clone()).expect("the previous version reads it");
     assert_eq!(old.done, "");
-    let mut back = gannethub_core::model::TaskSet::default();
-    store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut back);
+    let mut stored_done = gannethub_core::model::TaskSet::default();
+    store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut stored_done);
     assert!(
         ranges
             .iter()
-            .all(|r| back.contains(r.parse().expect("a number")))
+            .all(|r| stored_done.contains(r.parse().expect("a number")))
+    );
+    assert!(
+        stored_done.len() > 1000,
+        "tasks that were done before and after the split are kept"
     );
-    assert!(back.len() > 1000, "what was done before and since");
 }
