--- a/crates/gannethub-scale/src/lib.rs
+++ b/crates/gannethub-scale/src/lib.rs
@@ -1,7 +1,8 @@
 //! Scale runs: gannethub's controllers, as real processes, under the load of many workers on one machine.
 //!
-//! The state service and the cloud are stand-ins in processes of their own, most workers are hollow (they speak the whole
-//! protocol, and run tasks by the clock), some are real processes. The rules are checked by what workers and users saw.
+//! Emulators of the state service and of the cloud run in processes of their own. Most workers are hollow: they speak
+//! the whole protocol, but run their tasks by the clock only. Some workers are real processes. The rules are checked
+//! against the events that workers and users observed.
 
 pub mod changes;
 pub mod cloud_role;
--- a/crates/gannethub-scale/src/load.rs
+++ b/crates/gannethub-scale/src/load.rs
@@ -1,4 +1,5 @@
-//! The load file: machines, limits, classes of jobs and faults, and the jobs that are drawn from it.
+//! The load file with machines, limits, job classes, faults and configuration changes, and the jobs that are drawn
+//! from it.
 
 use std::path::{Path, PathBuf};
 
@@ -7,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// The load that holds where no file is named: the target's own.
-const TARGET: &str = include_str!("../load/target.toml");
+/// The built-in load, used if no load file is named: the load of the target.
+const TARGET_LOAD: &str = include_str!("../load/target.toml");
 
-/// Why a load file cannot be used.
+/// The reason why a load file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    #[error("{0}: cannot be read: {1}")]
+    #[error("cannot read load file {0}: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    #[error("{0}: {1}")]
+    #[error("cannot parse {0}: {1}")]
     Parse(String, Box<toml::de::Error>),
     #[error("{file}: {field}: {reason}")]
     Field {
@@ -42,7 +43,7 @@
     pub changes: Vec<ConfigChange>,
 }
 
-/// The one type of machine.
+/// The only machine type of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
@@ -50,11 +51,11 @@
     pub cpus: f64,
     pub memory_gb: f64,
     pub price: f64,
-    /// Least and most, in seconds.
+    /// Minimum and maximum boot time, in seconds.
     pub boot_s: [f64; 2],
 }
 
-/// The workers' protocol times, in seconds.
+/// Times of the workers' protocol, in seconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
@@ -66,7 +67,7 @@
     pub fetch_s: f64,
 }
 
-/// What the state service allows, all controllers together, and how long each request takes.
+/// Limits of the state service, for all controllers together, and the latency of each request in milliseconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateLimits {
@@ -94,7 +95,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Users {
-    /// How often the user of a job asks about it, in seconds.
+    /// Interval at which the user of a job polls the job's status, in seconds.
     pub poll_s: f64,
 }
 
@@ -111,15 +112,16 @@
     pub name: String,
     pub shape: Shape,
     pub rank: String,
-    /// Its part of all task starts.
+    /// Share of all task starts, above 0 and at most 1.
     pub share: f64,
-    /// Least and most tasks of a job.
+    /// Minimum and maximum number of tasks of a job.
     pub tasks: [u32; 2],
+    /// Mean run time of a task in seconds, before it is scaled to the requested number of running tasks.
     pub run_s: f64,
-    /// Processors that a task takes.
+    /// Number of processors of each task.
     #[serde(default = "one")]
     pub cpus: f64,
-    /// The part of its jobs that their users cancel.
+    /// Share of the jobs that their users cancel, from 0 to 1.
     pub cancelled: f64,
 }
 
@@ -130,17 +132,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process with a rack's hollow workers ends.
+    /// The process with the hollow workers of the rack is killed.
     Rack,
     /// All hollow workers of the first zone end.
     Zone,
-    /// The leader is killed, and started again.
+    /// The leader is killed and started again.
     Leader,
-    /// Half of the controllers are killed, and started again.
+    /// Half of the controllers, rounded up, are killed and started again.
     Half,
-    /// The state service refuses everybody.
+    /// The state service refuses all requests.
     Outage,
-    /// The state service refuses the leader alone.
+    /// The state service refuses the requests of the leader only.
     RefuseLeader,
 }
 
@@ -148,14 +150,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: FaultKind,
-    /// When, in seconds from the beginning of the load.
+    /// Time of the fault, in seconds from the beginning of the load.
     pub at_s: f64,
-    /// How long an outage or a refusal lasts.
+    /// Duration of an outage or a refusal, in seconds.
     #[serde(default)]
     pub for_s: f64,
 }
 
-/// Changes of the configuration: so many, so far apart, from a time on.
+/// A series of `count` configuration changes. The first change is made `at_s` seconds after the beginning of the
+/// load, and each later one `every_s` seconds after the change before.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigChange {
@@ -164,7 +167,7 @@
     pub every_s: f64,
 }
 
-/// A job as its user submits it.
+/// A job with the facts that its user needs to submit and cancel it.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub id: String,
@@ -176,10 +179,10 @@
 }
 
 impl Load {
-    /// Reads a load file, or the built-in one.
+    /// Reads and checks a load file, or the built-in load if no file is given.
     pub fn read(file: Option<&Path>) -> Result<Load, LoadError> {
         let (name, text) = match file {
-            None => ("the built-in load".to_string(), TARGET.to_string()),
+            None => ("the built-in load".to_string(), TARGET_LOAD.to_string()),
             Some(path) => {
                 let text = std::fs::read_to_string(path);
                 let text = text.map_err(|e| LoadError::Unreadable(path.into(), e))?;
@@ -193,7 +196,7 @@
     }
 
     fn check(&self, file: &str) -> Result<(), LoadError> {
-        let wrong = |field: String, reason: &str| {
+        let invalid = |field: String, reason: &str| {
             Err(LoadError::Field {
                 file: file.into(),
                 field,
@@ -201,27 +204,30 @@
             })
         };
         if self.classes.is_empty() {
-            return wrong("class".into(), "at least one is needed");
+            return invalid("class".into(), "at least one class is required");
         }
         for (i, class) in self.classes.iter().enumerate() {
-            let [least, most] = class.tasks;
-            if least == 0 || most < least {
-                return wrong(format!("class[{i}].tasks"), "least and most, from 1 on");
+            let [min, max] = class.tasks;
+            if min == 0 || max < min {
+                return invalid(
+                    format!("class[{i}].tasks"),
+                    "must be a minimum of at least 1 and a maximum not below it",
+                );
             }
             if !(class.share > 0.0 && class.share <= 1.0) {
-                return wrong(format!("class[{i}].share"), "above 0 and at most 1");
+                return invalid(format!("class[{i}].share"), "must be above 0 and at most 1");
             }
             if class.run_s.is_nan() || class.run_s <= 0.0 {
-                return wrong(format!("class[{i}].run_s"), "must be above zero");
+                return invalid(format!("class[{i}].run_s"), "must be above zero");
             }
             if !(class.cpus > 0.0 && class.cpus <= self.machine.cpus) {
-                return wrong(
+                return invalid(
                     format!("class[{i}].cpus"),
-                    "above 0 and at most a machine's",
+                    "must be above 0 and at most machine.cpus",
                 );
             }
             if !(0.0..=1.0).contains(&class.cancelled) {
-                return wrong(format!("class[{i}].cancelled"), "from 0 to 1");
+                return invalid(format!("class[{i}].cancelled"), "must be from 0 to 1");
             }
         }
         let positive = [
@@ -234,23 +240,24 @@
             ("users.poll_s", self.users.poll_s),
         ];
         match positive.iter().find(|(_, x)| x.is_nan() || *x <= 0.0) {
-            Some((field, _)) => wrong((*field).into(), "must be above zero"),
+            Some((field, _)) => invalid((*field).into(), "must be above zero"),
             None => Ok(()),
         }
     }
 
-    /// The most tasks that a machine can have at once.
-    pub fn tasks_a_machine(&self) -> usize {
-        let least = self
+    /// Returns the maximum number of tasks that a machine can run at once.
+    pub fn max_tasks_per_machine(&self) -> usize {
+        let min = self
             .classes
             .iter()
             .map(|c| c.cpus)
             .fold(f64::INFINITY, f64::min);
-        (self.machine.cpus / least) as usize
+        (self.machine.cpus / min) as usize
     }
 
-    /// The mean run time of a started task, before it is scaled, in seconds.
-    pub fn mean_run(&self) -> f64 {
+    /// Returns the mean run time of a started task in seconds, before it is scaled to the requested number of running
+    /// tasks.
+    pub fn mean_run_s(&self) -> f64 {
         let (sum, shares) = self
             .classes
             .iter()
@@ -258,7 +265,8 @@
         sum / shares
     }
 
-    /// Jobs of each class a second that bring so many task starts a second, gangs being at most of this size.
+    /// Returns the jobs per second of each class that together cause `starts` task starts per second, with gangs of
+    /// at most `gang` tasks.
     pub fn job_rates(&self, starts: f64, gang: u32) -> Vec<f64> {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         let rate = |c: &Class| starts * c.share / shares / c.mean_tasks(gang);
@@ -267,39 +275,40 @@
 }
 
 impl Class {
-    fn most(&self, gang: u32) -> u32 {
+    fn max_tasks(&self, gang: u32) -> u32 {
         match self.shape {
             Shape::Group => gang.max(self.tasks[0]),
             Shape::Array => self.tasks[1],
         }
     }
 
-    /// Gangs' sizes follow a density of 1/size, arrays' are spread evenly.
+    /// Returns the mean number of tasks of a job. Sizes of gangs follow a density of 1/size, sizes of arrays are
+    /// uniformly distributed.
     pub fn mean_tasks(&self, gang: u32) -> f64 {
-        let (least, most) = (f64::from(self.tasks[0]), f64::from(self.most(gang)));
+        let (min, max) = (f64::from(self.tasks[0]), f64::from(self.max_tasks(gang)));
         match self.shape {
-            Shape::Group if most > least => (most - least) / (most / least).ln(),
-            _ => (least + most) / 2.0,
+            Shape::Group if max > min => (max - min) / (max / min).ln(),
+            _ => (min + max) / 2.0,
         }
     }
 
     pub fn draw_tasks(&self, gang: u32, rng: &mut StdRng) -> u32 {
-        let (least, most) = (self.tasks[0], self.most(gang));
+        let (min, max) = (self.tasks[0], self.max_tasks(gang));
         match self.shape {
-            Shape::Group if most > least => {
+            Shape::Group if max > min => {
                 let part: f64 = rng.random();
-                let size = f64::from(least) * (f64::from(most) / f64::from(least)).powf(part);
-                // Rounded up, so that the largest size comes.
-                (size.ceil() as u32).clamp(least, most)
+                let size = f64::from(min) * (f64::from(max) / f64::from(min)).powf(part);
+                // The size is rounded up so that the largest size is drawn at times.
+                (size.ceil() as u32).clamp(min, max)
             }
-            _ => rng.random_range(least..=most),
+            _ => rng.random_range(min..=max),
         }
     }
 }
 
 impl Job {
-    /// The body of its submission.
-    pub fn body(&self, load: &Load) -> Value {
+    /// Returns the body of the request that submits this job.
+    pub fn submission_body(&self, load: &Load) -> Value {
         let class = &load.classes[self.class];
         json!({"id": self.id, "jobclass": class.name, "crew": team_name(self.team),
             "shape": class.shape, "rank": class.rank, "pieces": self.tasks, "vcpus": class.cpus,
--- a/crates/gannethub-scale/src/load/tests.rs
+++ b/crates/gannethub-scale/src/load/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_built_in_load_is_sound_and_gangs_reach_their_largest_size() {
+fn built_in_load_is_valid_and_gangs_reach_the_largest_size() {
     let load = Load::read(None).unwrap();
     let class = load
         .classes
@@ -20,9 +20,12 @@
 }
 
 #[test]
-fn a_bad_load_names_its_field() {
-    let text = TARGET.replace("tasks = [1, 20]", "tasks = [20, 1]");
+fn load_error_names_the_invalid_field() {
+    let text = TARGET_LOAD.replace("tasks = [1, 20]", "tasks = [20, 1]");
     let load: Load = toml::from_str(&text).unwrap();
     let error = load.check("x.toml").unwrap_err().to_string();
-    assert_eq!(error, "x.toml: class[3].tasks: least and most, from 1 on");
+    assert_eq!(
+        error,
+        "x.toml: class[3].tasks: must be a minimum of at least 1 and a maximum not below it"
+    );
 }
--- a/crates/gannethub-scale/src/main.rs
+++ b/crates/gannethub-scale/src/main.rs
@@ -23,34 +23,34 @@
 enum Command {
     /// Run controllers under the load of many workers, measure, and check the rules
     Run(Box<RunOptions>),
-    /// Print slopes and runs as tables from the reports of runs
+    /// Print tables of fitted slopes and of runs from the reports of several runs
     Fit {
         #[arg(required = true)]
         reports: Vec<PathBuf>,
     },
-    /// A run's stand-in for the state service
+    /// Emulate the state service of a run
     #[command(hide = true)]
     State(StateArgs),
-    /// A run's stand-in for the cloud
+    /// Emulate the cloud of a run
     #[command(hide = true)]
     Cloud(CloudArgs),
-    /// A run's workers
+    /// Run workers of a run
     #[command(hide = true)]
     Hosts(HostsArgs),
-    /// A real worker's task: it takes so many microseconds
+    /// Run a task of a real worker for a number of microseconds
     #[command(hide = true)]
     Task { micros: u64 },
 }
 
 fn main() -> ExitCode {
     let result = match Options::parse().command {
-        Command::Run(options) => return measured(&options),
+        Command::Run(options) => return run_and_report(&options),
         Command::Fit { reports } => match fit::tables(&reports) {
             Ok(text) => {
                 println!("{text}");
                 return ExitCode::SUCCESS;
             }
-            Err(e) => return failed(&e),
+            Err(e) => return report_error(&e),
         },
         Command::State(args) => run_local(state_role::run(args)).flatten(),
         Command::Cloud(args) => run_local(cloud_role::run(args)).flatten(),
@@ -62,21 +62,22 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => failed(&e),
+        Err(e) => report_error(&e),
     }
 }
 
-/// A task takes its time, or ends with its worker, which holds the other end of its standard input.
+/// Runs a task of a real worker: returns after `time`, or earlier if the worker ends. The worker holds the other end
+/// of the task's standard input, which is closed when the worker ends.
 fn run_task(time: Duration) {
-    let (ended, wait) = mpsc::channel();
+    let (input_closed, closed) = mpsc::channel();
     std::thread::spawn(move || {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
-        let _ = ended.send(());
+        let _ = input_closed.send(());
     });
-    let _ = wait.recv_timeout(time);
+    let _ = closed.recv_timeout(time);
 }
 
-fn measured(options: &RunOptions) -> ExitCode {
+fn run_and_report(options: &RunOptions) -> ExitCode {
     match run::run(options) {
         Ok(report) => {
             println!("{}", report.show());
@@ -86,11 +87,11 @@
                 ExitCode::FAILURE
             }
         }
-        Err(e) => failed(&e),
+        Err(e) => report_error(&e),
     }
 }
 
-fn failed(error: &dyn std::error::Error) -> ExitCode {
+fn report_error(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("gannethub-scale: {error}");
     ExitCode::from(2)
 }
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -28,7 +28,7 @@
     FromCloud, FromHosts, JobDescription, KindCount, Rented, ReportCounts, StateCounts, TaskEvent,
     ToCloud, ToHosts, ToState,
 };
-use crate::options::{HOLLOW_IN_A_PROCESS, RunOptions, SizeError};
+use crate::options::{HOLLOW_PER_PROCESS, RunOptions, SizeError};
 use crate::process::{ControllerProcess, Talker, Usage, bytes_between, machine_busy};
 use crate::record::{HostFacts, LimitFrom, Record};
 use crate::report::{Agreement, Asked, Reached, Report, Times, role_usage};
@@ -423,7 +423,7 @@
 
     fn submit(&mut self, class: usize) {
         let facts = &self.load.classes[class];
-        let stretch = self.options.tasks_running() / (self.options.starts * self.load.mean_run());
+        let stretch = self.options.tasks_running() / (self.options.starts * self.load.mean_run_s());
         self.jobs += 1;
         let job = Job {
             id: format!("j-{:06}", self.jobs),
--- a/crates/gannethub-scale/src/run/start.rs
+++ b/crates/gannethub-scale/src/run/start.rs
@@ -81,8 +81,8 @@
     let mut processes = Vec::new();
     for index in 0..hollow + options.real {
         let (kind, room) = match index {
-            i if i + 1 < hollow => (HostKind::Hollow, HOLLOW_IN_A_PROCESS),
-            i if i < hollow => (HostKind::Rack, options.rack()),
+            i if i + 1 < hollow => (HostKind::Hollow, HOLLOW_PER_PROCESS),
+            i if i < hollow => (HostKind::Rack, options.rack_workers()),
             _ => (HostKind::Real, 1),
         };
         let mut arguments = arguments([
--- a/crates/gannethub-scale/src/users.rs
+++ b/crates/gannethub-scale/src/users.rs
@@ -118,7 +118,7 @@
             ..JobRecord::default()
         };
         self.record.borrow_mut().jobs.insert(job.id.clone(), record);
-        let body = job.body(&self.load).to_string();
+        let body = job.submission_body(&self.load).to_string();
         let good = [200, 201, 400, 422];
         let answer = self
             .repeat(Method::Post, "/api/jobs", body.as_bytes(), &good)
