--- a/crates/gannethub-scale/src/changes.rs
+++ b/crates/gannethub-scale/src/changes.rs
@@ -1,4 +1,5 @@
-//! Operators of a run: they change the configuration and see how long each version takes to be in force everywhere.
+//! Operators of a run. The operators change the configuration and measure the time until each version is in force at
+//! all controllers.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -15,55 +16,62 @@
 use tokio::time::sleep;
 
 use crate::load::{ConfigChange, team_name};
-use crate::record::{LimitFrom, Record};
+use crate::record::{LimitEntry, Record};
 use crate::report::Times;
 use crate::role::RunClock;
 
-/// How often controllers are asked while a version is not in force everywhere, and how long an answer may take.
-const ASK_EVERY: Duration = Duration::from_millis(100);
-const PATIENCE: Duration = Duration::from_secs(1);
-/// A version that is not in force everywhere after this time is given up, in microseconds.
-const GIVEN_UP: u64 = 60_000_000;
-/// No controller acts by an older version for longer than this after one was stored, in microseconds.
-const EVERYWHERE: u64 = 7_000_000;
-/// How long after that an answer may still reach a worker, in microseconds.
-const ANSWERS: u64 = 4_000_000;
-/// A team's limit is lowered to this part of it.
-const LOWERED: f64 = 0.75;
+/// Interval at which controllers are polled while a version is not in force at all of them.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a poll of one controller.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time for which a version is polled, in microseconds. A version that is not in force at all controllers by
+/// then is counted as never in force.
+const MAX_POLL_TIME: u64 = 60_000_000;
+/// Maximum time for which a controller may act on an older version after a new version was stored, in microseconds.
+const MAX_OLDER_VERSION_TIME: u64 = 7_000_000;
+/// Maximum time after [`MAX_OLDER_VERSION_TIME`] in which a controller's answer may still reach a worker, in
+/// microseconds.
+const MAX_ANSWER_DELAY: u64 = 4_000_000;
+/// Factor by which each change lowers a team's limit.
+const LIMIT_FACTOR: f64 = 0.75;
 
-/// What came of the changes.
+/// Outcome of the configuration changes of a run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ChangesReport {
+    /// Number of versions that were stored.
     pub stored: u64,
+    /// Number of changes that could not be stored.
     pub failed: u64,
-    /// From the time at which a version was stored until all controllers that answered had it in force.
+    /// Time from when a version was stored until all controllers that answered had the version in force.
     pub in_force: Times,
+    /// Number of versions that were not in force at all controllers after 60 s.
     pub never_in_force: u64,
-    /// Controllers that would have acted by an older version more than seven seconds after one was stored.
+    /// Number of cases in which a controller would have acted on an older version more than 7 s after a new version
+    /// was stored.
     pub acted_on_older: u64,
 }
 
-/// The operators' side of a run.
+/// Changes the configuration during a run and measures when each version is in force.
 pub struct Operators {
     pub clock: RunClock,
     pub controllers: Vec<SocketAddrV4>,
     pub state: Client,
     pub base: Settings,
     pub record: Rc<RefCell<Record>>,
-    /// How long a worker fetches an image, in microseconds.
-    pub fetch: u64,
-    seen: RefCell<Seen>,
+    /// Time that a worker takes to fetch an image, in microseconds.
+    pub fetch_time: u64,
+    outcome: RefCell<Outcome>,
 }
 
 #[derive(Default)]
-struct Seen {
+struct Outcome {
     report: ChangesReport,
-    took: Vec<u64>,
+    times: Vec<u64>,
     limits: Vec<f64>,
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct ConfigStatus {
     version: u64,
     fresh: bool,
 }
@@ -75,7 +83,7 @@
         state: SocketAddrV4,
         platform: &Path,
         record: Rc<RefCell<Record>>,
-        fetch: u64,
+        fetch_time: u64,
     ) -> Result<Operators, FileError> {
         let (base, _) = read_settings(platform)?;
         let limits = base
@@ -83,9 +91,9 @@
             .iter()
             .map(|t| TeamEntry::of(t).cpus_max)
             .collect();
-        let seen = RefCell::new(Seen {
+        let outcome = RefCell::new(Outcome {
             limits,
-            ..Seen::default()
+            ..Outcome::default()
         });
         let state = Client::new(state);
         Ok(Operators {
@@ -94,32 +102,33 @@
             state,
             base,
             record,
-            fetch,
-            seen,
+            fetch_time,
+            outcome,
         })
     }
 
-    /// Makes a row of changes, each whether or not the one before is in force.
-    pub async fn change(self: Rc<Self>, row: ConfigChange, began: u64) {
-        for i in 0..row.count {
-            let at = began + ((row.at_s + row.every_s * f64::from(i)) * 1e6) as u64;
+    /// Makes a series of changes. Each change is made at its time, whether or not the change before is in force.
+    pub async fn make_changes(self: Rc<Self>, series: ConfigChange, began: u64) {
+        for i in 0..series.count {
+            let at = began + ((series.at_s + series.every_s * f64::from(i)) * 1e6) as u64;
             sleep(Duration::from_micros(at.saturating_sub(self.clock.now()))).await;
-            match self.store().await {
+            match self.store_lowered_limit().await {
                 Ok(version) => {
                     let stored = self.clock.now();
-                    self.seen.borrow_mut().report.stored += 1;
-                    tokio::task::spawn_local(self.clone().follow(version, stored));
+                    self.outcome.borrow_mut().report.stored += 1;
+                    tokio::task::spawn_local(self.clone().poll_until_in_force(version, stored));
                 }
                 Err(e) => {
-                    eprintln!("a change of the configuration failed: {e}");
-                    self.seen.borrow_mut().report.failed += 1;
+                    eprintln!("cannot store a configuration change: {e}");
+                    self.outcome.borrow_mut().report.failed += 1;
                 }
             }
         }
     }
 
-    /// Lowers the next team's limit, in a document that names all teams.
-    async fn store(&self) -> Result<u64, ConfigError> {
+    /// Stores a configuration that names all teams and lowers the limit of one of them. Successive versions lower the
+    /// limits of successive teams. Returns the version.
+    async fn store_lowered_limit(&self) -> Result<u64, ConfigError> {
         let store = ConfigStore {
             client: &self.state,
             base: &self.base,
@@ -127,8 +136,8 @@
         let current = store.current().await?;
         let team = current.version() as usize % self.base.teams.len();
         let lowered = {
-            let limits = &mut self.seen.borrow_mut().limits;
-            limits[team] = (limits[team] * LOWERED).floor();
+            let limits = &mut self.outcome.borrow_mut().limits;
+            limits[team] = (limits[team] * LIMIT_FACTOR).floor();
             limits[team]
         };
         let document = self.document();
@@ -139,9 +148,10 @@
             nonce: current.version(),
         };
         let record = store.store(&current, document, &author).await?;
-        let counts_from = self.clock.now() + EVERYWHERE + ANSWERS + self.fetch;
-        let limit = LimitFrom {
-            at: counts_from,
+        let enforced_from =
+            self.clock.now() + MAX_OLDER_VERSION_TIME + MAX_ANSWER_DELAY + self.fetch_time;
+        let limit = LimitEntry {
+            at: enforced_from,
             cpus: lowered,
         };
         self.record.borrow_mut().limits[team].push(limit);
@@ -149,12 +159,12 @@
     }
 
     fn document(&self) -> Document {
-        let seen = self.seen.borrow();
+        let outcome = self.outcome.borrow();
         let teams = self
             .base
             .teams
             .iter()
-            .zip(&seen.limits)
+            .zip(&outcome.limits)
             .map(|(team, limit)| {
                 let entry = TeamEntry::of(team);
                 TeamEntry {
@@ -169,43 +179,50 @@
         }
     }
 
-    /// Asks all controllers until each that answers has a version in force.
-    async fn follow(self: Rc<Self>, version: u64, stored: u64) {
-        let mut late = vec![false; self.controllers.len()];
-        while self.clock.now() < stored + GIVEN_UP {
-            let (mut answered, mut behind) = (0, 0);
+    /// Polls all controllers until every controller that answers has the version in force, for at most
+    /// [`MAX_POLL_TIME`] microseconds.
+    async fn poll_until_in_force(self: Rc<Self>, version: u64, stored: u64) {
+        let mut acted_on_older = vec![false; self.controllers.len()];
+        while self.clock.now() < stored + MAX_POLL_TIME {
+            let (mut answered, mut outdated) = (0, 0);
             for (i, addr) in self.controllers.iter().enumerate() {
                 let client = Client::new(*addr);
-                let answer = client.call(Method::Get, "/api/config", b"", PATIENCE).await;
-                let told = answer.ok().and_then(|answer| answer.decode::<Told>());
-                let Some(told) = told else { continue };
+                let answer = client
+                    .call(Method::Get, "/api/config", b"", POLL_TIMEOUT)
+                    .await;
+                let status = answer
+                    .ok()
+                    .and_then(|answer| answer.decode::<ConfigStatus>());
+                let Some(status) = status else { continue };
                 answered += 1;
-                behind += usize::from(told.version < version);
+                outdated += usize::from(status.version < version);
                 let now = self.clock.now();
-                late[i] |= told.version < version && told.fresh && now > stored + EVERYWHERE;
+                acted_on_older[i] |= status.version < version
+                    && status.fresh
+                    && now > stored + MAX_OLDER_VERSION_TIME;
             }
-            if behind == 0 && answered > 0 {
-                let took = self.clock.now() - stored;
-                self.seen.borrow_mut().took.push(took);
-                self.count_late(&late);
+            if outdated == 0 && answered > 0 {
+                let elapsed = self.clock.now() - stored;
+                self.outcome.borrow_mut().times.push(elapsed);
+                self.count_acted_on_older(&acted_on_older);
                 return;
             }
-            sleep(ASK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.seen.borrow_mut().report.never_in_force += 1;
-        self.count_late(&late);
+        self.outcome.borrow_mut().report.never_in_force += 1;
+        self.count_acted_on_older(&acted_on_older);
     }
 
-    fn count_late(&self, late: &[bool]) {
-        let count = late.iter().filter(|l| **l).count();
-        self.seen.borrow_mut().report.acted_on_older += count as u64;
+    fn count_acted_on_older(&self, acted_on_older: &[bool]) {
+        let count = acted_on_older.iter().filter(|l| **l).count();
+        self.outcome.borrow_mut().report.acted_on_older += count as u64;
     }
 
     pub fn report(&self) -> ChangesReport {
-        let seen = self.seen.borrow();
+        let outcome = self.outcome.borrow();
         ChangesReport {
-            in_force: Times::of(seen.took.iter().copied()),
-            ..seen.report.clone()
+            in_force: Times::of(outcome.times.iter().copied()),
+            ..outcome.report.clone()
         }
     }
 }
--- a/crates/gannethub-scale/src/fit.rs
+++ b/crates/gannethub-scale/src/fit.rs
@@ -1,4 +1,5 @@
-//! Slopes: what each size of the deployment adds to what a role uses, by least squares over the reports of several runs.
+//! Fits slopes by least squares over the reports of several runs. A slope is the amount that each unit of a
+//! deployment size adds to a measured quantity, such as the cores of a role.
 
 use std::path::{Path, PathBuf};
 
@@ -6,26 +7,26 @@
 
 use crate::report::Report;
 
-/// Why no slopes can be told.
+/// The reason why no slopes can be fitted.
 #[derive(Debug, thiserror::Error)]
 pub enum FitError {
-    #[error("{0}: cannot be read: {1}")]
+    #[error("cannot read report {0}: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    #[error("{0}: not a report of a scale run: {1}")]
+    #[error("cannot parse {0} as the report of a scale run: {1}")]
     Parse(PathBuf, serde_json::Error),
-    #[error("{0} reports are too few: {1} are needed")]
+    #[error("cannot fit slopes: {0} reports are too few, at least {1} are needed")]
     TooFew(usize, usize),
-    #[error("the runs do not tell {0} apart from the other sizes")]
-    Alike(&'static str),
+    #[error("cannot fit slopes: in these runs {0} depends linearly on the other sizes")]
+    Collinear(&'static str),
 }
 
-/// The sizes that a run is told by, a constant first.
+/// Names of the sizes of a run, beginning with the constant.
 const SIZES: [&str; 6] = [
     "constant", "workers", "starts/s", "running", "teams", "zones",
 ];
 
-/// The target's sizes.
-pub const TARGET: [f64; 6] = [1.0, 4500.0, 990.0, 59_000.0, 300.0, 12.0];
+/// Sizes of the target, in the order of `SIZES`.
+pub const TARGET_SIZES: [f64; 6] = [1.0, 4500.0, 990.0, 59_000.0, 300.0, 12.0];
 
 fn sizes(report: &Report) -> [f64; 6] {
     let reached = &report.reached;
@@ -40,7 +41,7 @@
     ]
 }
 
-/// What is fitted, with its unit and how a report tells it.
+/// A fitted quantity: its name with the unit, and the function that reads it from a report.
 type Quantity = (&'static str, fn(&Report) -> f64);
 
 const QUANTITIES: [Quantity; 17] = [
@@ -105,17 +106,17 @@
     bytes as f64 / report.reached.seconds / report.asked.real.max(1) as f64
 }
 
-/// A fitted quantity: its slopes, their standard errors, and the largest miss of any run.
+/// Result of a fit: the slopes, their standard errors, and the largest relative residual of any run.
 #[derive(Clone, Debug)]
 pub struct Fitted {
     pub slopes: Vec<f64>,
-    pub errors: Vec<f64>,
-    pub worst: f64,
+    pub standard_errors: Vec<f64>,
+    pub max_relative_residual: f64,
 }
 
 impl Fitted {
-    /// What it comes to at these sizes.
-    pub fn at(&self, sizes: &[f64]) -> f64 {
+    /// Returns the value of the fitted quantity at these sizes.
+    pub fn value_at(&self, sizes: &[f64]) -> f64 {
         self.slopes
             .iter()
             .zip(sizes)
@@ -124,13 +125,13 @@
     }
 }
 
-/// Least squares: `rows` of sizes against what was measured.
+/// Fits the measured values to `rows` of sizes by least squares.
 pub fn least_squares(rows: &[Vec<f64>], measured: &[f64]) -> Result<Fitted, FitError> {
     let n = rows.first().map_or(0, Vec::len);
     if rows.len() <= n {
         return Err(FitError::TooFew(rows.len(), n + 1));
     }
-    // Sizes differ by orders of magnitude: each is told in units of its largest.
+    // Sizes differ by orders of magnitude, so each size is scaled by its largest value.
     let scale: Vec<f64> = (0..n)
         .map(|i| rows.iter().map(|r| r[i].abs()).fold(1e-12, f64::max))
         .collect();
@@ -139,35 +140,39 @@
         .map(|r| r.iter().zip(&scale).map(|(x, s)| x / s).collect())
         .collect();
     let product = |i: usize, j: usize| scaled.iter().map(|r| r[i] * r[j]).sum::<f64>();
-    let normal: Vec<Vec<f64>> = (0..n)
+    let normal_matrix: Vec<Vec<f64>> = (0..n)
         .map(|i| (0..n).map(|j| product(i, j)).collect())
         .collect();
-    let inverse = invert(normal)?;
-    let right: Vec<f64> = (0..n)
+    let inverse = invert(normal_matrix)?;
+    let right_side: Vec<f64> = (0..n)
         .map(|i| scaled.iter().zip(measured).map(|(r, y)| r[i] * y).sum())
         .collect();
     let solution: Vec<f64> = inverse
         .iter()
-        .map(|row| row.iter().zip(&right).map(|(a, b)| a * b).sum())
+        .map(|row| row.iter().zip(&right_side).map(|(a, b)| a * b).sum())
         .collect();
     let predicted = |r: &Vec<f64>| r.iter().zip(&solution).map(|(x, s)| x * s).sum::<f64>();
-    let misses: Vec<f64> = scaled
+    let residuals: Vec<f64> = scaled
         .iter()
         .zip(measured)
         .map(|(r, y)| y - predicted(r))
         .collect();
-    let variance = misses.iter().map(|m| m * m).sum::<f64>() / (rows.len() - n) as f64;
-    let miss = |(m, y): (&f64, &f64)| (m / y.abs().max(1e-12)).abs();
+    let variance = residuals.iter().map(|m| m * m).sum::<f64>() / (rows.len() - n) as f64;
+    let relative = |(m, y): (&f64, &f64)| (m / y.abs().max(1e-12)).abs();
     Ok(Fitted {
         slopes: solution.iter().zip(&scale).map(|(s, k)| s / k).collect(),
-        errors: (0..n)
+        standard_errors: (0..n)
             .map(|i| (variance * inverse[i][i]).max(0.0).sqrt() / scale[i])
             .collect(),
-        worst: misses.iter().zip(measured).map(miss).fold(0.0, f64::max),
+        max_relative_residual: residuals
+            .iter()
+            .zip(measured)
+            .map(relative)
+            .fold(0.0, f64::max),
     })
 }
 
-/// Gauss and Jordan, with the largest pivot of a column.
+/// Inverts a matrix by Gauss-Jordan elimination with partial pivoting: the pivot is the largest element of a column.
 fn invert(mut matrix: Vec<Vec<f64>>) -> Result<Vec<Vec<f64>>, FitError> {
     let n = matrix.len();
     for (i, row) in matrix.iter_mut().enumerate() {
@@ -181,7 +186,7 @@
         };
         let pivot = (column..n).max_by(largest).unwrap_or(column);
         if matrix[pivot][column].abs() < 1e-9 {
-            return Err(FitError::Alike(
+            return Err(FitError::Collinear(
                 SIZES.get(column).copied().unwrap_or("a size"),
             ));
         }
@@ -210,7 +215,8 @@
     serde_json::from_str(&text).map_err(|e| FitError::Parse(file.into(), e))
 }
 
-/// The tables of the capacity page, in Markdown: slopes and their standard errors, and the runs themselves.
+/// Returns the tables of the capacity page in Markdown: a table of the runs, and a table of the slopes with their
+/// standard errors.
 pub fn tables(files: &[PathBuf]) -> Result<String, FitError> {
     let reports: Vec<Report> = files.iter().map(|f| read(f)).collect::<Result<_, _>>()?;
     let rows: Vec<Vec<f64>> = reports.iter().map(|r| sizes(r).to_vec()).collect();
@@ -227,18 +233,18 @@
             continue;
         }
         let fitted = least_squares(&rows, &measured)?;
-        let slope = |(s, e): (&f64, &f64)| format!("{} ± {}", figure(*s), figure(*e));
+        let slope = |(s, e): (&f64, &f64)| format!("{} ± {}", format_figure(*s), format_figure(*e));
         let mut row = vec![name.to_string()];
-        row.extend(fitted.slopes.iter().zip(&fitted.errors).map(slope));
-        row.push(format!("{:.0}%", 100.0 * fitted.worst));
-        row.push(figure(fitted.at(&TARGET)));
+        row.extend(fitted.slopes.iter().zip(&fitted.standard_errors).map(slope));
+        row.push(format!("{:.0}%", 100.0 * fitted.max_relative_residual));
+        row.push(format_figure(fitted.value_at(&TARGET_SIZES)));
         table.add_row(row);
     }
-    Ok(format!("{}\n\n{table}\n", runs(files, &reports)))
+    Ok(format!("{}\n\n{table}\n", runs_table(files, &reports)))
 }
 
-/// What each run came to.
-fn runs(files: &[PathBuf], reports: &[Report]) -> String {
+/// Returns a table of the sizes and quantities of each run.
+fn runs_table(files: &[PathBuf], reports: &[Report]) -> String {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::ASCII_MARKDOWN);
     let mut head = vec![
@@ -253,14 +259,14 @@
         let mut row = vec![name];
         row.extend(sizes(report)[1..].iter().map(|x| format!("{x:.0}")));
         row.push(format!("{:.0}%", 100.0 * report.machine_busy));
-        row.extend(QUANTITIES.iter().map(|q| figure(q.1(report))));
+        row.extend(QUANTITIES.iter().map(|q| format_figure(q.1(report))));
         table.add_row(row);
     }
     table.to_string()
 }
 
-/// Three significant digits.
-fn figure(x: f64) -> String {
+/// Formats a number with three significant digits.
+fn format_figure(x: f64) -> String {
     if x == 0.0 || !x.is_finite() {
         return if x.is_nan() {
             "-".into()
--- a/crates/gannethub-scale/src/fit/tests.rs
+++ b/crates/gannethub-scale/src/fit/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn slopes_are_found_again() {
+fn known_slopes_are_recovered() {
     let rows: Vec<Vec<f64>> = (0..8)
         .map(|i| vec![1.0, f64::from(i * 100), f64::from(i * i)])
         .collect();
@@ -13,26 +13,29 @@
     for (slope, expected) in fitted.slopes.iter().zip([3.0, 0.02, 0.5]) {
         assert!((slope - expected).abs() < 1e-6, "{fitted:?}");
     }
-    assert!(fitted.worst < 1e-6 && (fitted.at(&[1.0, 1000.0, 100.0]) - 73.0).abs() < 1e-3);
+    assert!(
+        fitted.max_relative_residual < 1e-6
+            && (fitted.value_at(&[1.0, 1000.0, 100.0]) - 73.0).abs() < 1e-3
+    );
 }
 
 #[test]
-fn runs_that_are_alike_or_too_few_are_refused() {
-    let alike: Vec<Vec<f64>> = (1..8)
+fn collinear_or_too_few_runs_are_refused() {
+    let collinear: Vec<Vec<f64>> = (1..8)
         .map(|i| vec![1.0, f64::from(i), f64::from(2 * i)])
         .collect();
     assert!(matches!(
-        least_squares(&alike, &[1.0; 7]),
-        Err(FitError::Alike(_))
+        least_squares(&collinear, &[1.0; 7]),
+        Err(FitError::Collinear(_))
     ));
     assert!(matches!(
-        least_squares(&alike[..3], &[1.0; 3]),
+        least_squares(&collinear[..3], &[1.0; 3]),
         Err(FitError::TooFew(3, 4))
     ));
 }
 
 #[test]
-fn figures_have_three_digits() {
-    let shown = [1234.0, 12.34, 0.01234, 0.00001234].map(figure);
+fn figures_have_three_significant_digits() {
+    let shown = [1234.0, 12.34, 0.01234, 0.00001234].map(format_figure);
     assert_eq!(shown, ["1234", "12.3", "0.0123", "1.2e-5"]);
 }
--- a/crates/gannethub-scale/src/main.rs
+++ b/crates/gannethub-scale/src/main.rs
@@ -80,7 +80,7 @@
 fn run_and_report(options: &RunOptions) -> ExitCode {
     match run::run(options) {
         Ok(report) => {
-            println!("{}", report.show());
+            println!("{}", report.summary_text());
             if report.passed() {
                 ExitCode::SUCCESS
             } else {
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -1,5 +1,5 @@
-//! What workers and users themselves saw, and the rules that it is held against. Nothing here comes from a controller's
-//! own account of what it did.
+//! Records the events that workers and users observed, and checks the rules against these events. No entry of the
+//! record comes from a controller's own account of its actions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,122 +8,128 @@
 
 use crate::messages::{Happened, TaskEvent};
 
-/// An attempt's time on a machine, in microseconds of the run's clock.
+/// The time that an attempt of a task spent on a machine, in microseconds of the run's clock.
 #[derive(Clone, Debug)]
-pub struct Stay {
+pub struct Placement {
     pub host: String,
     pub attempt: u64,
     pub began: u64,
-    /// `None`: it is still there.
+    /// `None` while the attempt is on the machine.
     pub ended: Option<u64>,
     pub done: bool,
 }
 
-/// A machine as the cloud rented it.
+/// A machine as the cloud provisioned it.
 #[derive(Clone, Debug)]
-pub struct HostFacts {
+pub struct HostInfo {
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
 }
 
-/// A job as its user knows it.
+/// A job as its user knows it. All times are microseconds of the run's clock.
 #[derive(Clone, Debug, Default)]
 pub struct JobRecord {
     pub team: usize,
     pub tasks: u32,
     pub cpus: f64,
-    pub together: bool,
+    pub is_gang: bool,
     pub spot_allowed: bool,
     pub urgent: bool,
-    /// When its user first asked to submit it.
-    pub asked: u64,
+    /// Time at which the user first sent the submission.
+    pub sent_at: u64,
     pub accepted: Option<u64>,
     pub told_done: Option<u64>,
-    pub cancel_asked: Option<u64>,
+    pub cancel_requested: Option<u64>,
     pub told_cancelled: Option<u64>,
-    /// What was answered against the protocol.
-    pub broken: Vec<(&'static str, String)>,
+    /// Answers that violated the protocol: the rule's name and a description of each.
+    pub violations: Vec<(&'static str, String)>,
 }
 
-/// A team's limit in force from a time on. Before, `cpus` or what stood before counts, whichever is more.
+/// Limit of a team in processors that counts from the time `at` on, in microseconds of the run's clock. Before `at`,
+/// `cpus` or the preceding limit counts, whichever is more.
 #[derive(Clone, Copy, Debug)]
-pub struct LimitFrom {
+pub struct LimitEntry {
     pub at: u64,
     pub cpus: f64,
 }
 
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
-pub struct Broken {
+pub struct Violation {
     pub rule: &'static str,
     pub what: String,
 }
 
-/// A team uses more or less from a moment on, by a task.
-type UseChange<'a> = (usize, f64, &'a str);
+/// Change of a team's use by a task: the team, the added processors (negative at an end), and the task.
+type UsageChange<'a> = (usize, f64, &'a str);
 
-/// All that was seen.
+/// All events that workers and users observed.
 #[derive(Default)]
 pub struct Record {
-    pub hosts: HashMap<String, HostFacts>,
+    pub hosts: HashMap<String, HostInfo>,
     pub jobs: HashMap<String, JobRecord>,
-    pub stays: HashMap<String, Vec<Stay>>,
-    /// By team: its limits, in the order of time.
-    pub limits: Vec<Vec<LimitFrom>>,
-    pub cancel: u64,
-    open: HashMap<String, BTreeSet<String>>,
-    broken: Vec<Broken>,
+    pub placements: HashMap<String, Vec<Placement>>,
+    /// Limits of each team, in order of time.
+    pub limits: Vec<Vec<LimitEntry>>,
+    /// Maximum time from the confirmed cancellation of a job until its last task is gone, in microseconds.
+    pub max_cancel_time: u64,
+    /// Tasks on each machine now.
+    tasks_by_host: HashMap<String, BTreeSet<String>>,
+    violations: Vec<Violation>,
 }
 
 impl Record {
-    /// A record that holds each team to its limits, and cancelled tasks to be gone within `cancel` microseconds.
-    pub fn new(limits: Vec<Vec<LimitFrom>>, cancel: u64) -> Record {
+    /// Returns an empty record. The checks require that each team stays within its limits, and that cancelled tasks
+    /// are gone within `max_cancel_time` microseconds.
+    pub fn new(limits: Vec<Vec<LimitEntry>>, max_cancel_time: u64) -> Record {
         Record {
             limits,
-            cancel,
+            max_cancel_time,
             ..Record::default()
         }
     }
 
-    pub fn event(&mut self, event: &TaskEvent) {
-        let stays = self.stays.entry(event.task.clone()).or_default();
+    pub fn record_event(&mut self, event: &TaskEvent) {
+        let placements = self.placements.entry(event.task.clone()).or_default();
         match event.what {
             Happened::Started => {
-                stays.push(Stay {
+                placements.push(Placement {
                     host: event.host.clone(),
                     attempt: event.attempt,
                     began: event.at,
                     ended: None,
                     done: false,
                 });
-                self.open
+                self.tasks_by_host
                     .entry(event.host.clone())
                     .or_default()
                     .insert(event.task.clone());
             }
             Happened::Done | Happened::Gone => {
-                let same = |s: &&mut Stay| {
+                let same = |s: &&mut Placement| {
                     s.host == event.host && s.attempt == event.attempt && s.ended.is_none()
                 };
-                if let Some(stay) = stays.iter_mut().rev().find(same) {
-                    stay.ended = Some(event.at);
-                    stay.done = event.what == Happened::Done;
+                if let Some(placement) = placements.iter_mut().rev().find(same) {
+                    placement.ended = Some(event.at);
+                    placement.done = event.what == Happened::Done;
                 }
-                if let Some(open) = self.open.get_mut(&event.host) {
-                    open.remove(&event.task);
+                if let Some(tasks) = self.tasks_by_host.get_mut(&event.host) {
+                    tasks.remove(&event.task);
                 }
             }
         }
     }
 
-    /// A machine ended without a word of what was on it: that is gone as well, as is returned.
+    /// Records that a machine ended without reporting its tasks. All tasks on the machine are recorded as gone, and
+    /// the events of these tasks are returned.
     pub fn host_ended(&mut self, host: &str, at: u64) -> Vec<TaskEvent> {
         let mut gone = Vec::new();
-        for task in self.open.remove(host).unwrap_or_default() {
-            let stays = self.stays.get_mut(&task).into_iter().flatten();
-            for stay in stays.filter(|s| s.host == host && s.ended.is_none()) {
-                stay.ended = Some(at);
-                let (host, task, attempt) = (host.to_string(), task.clone(), stay.attempt);
+        for task in self.tasks_by_host.remove(host).unwrap_or_default() {
+            let placements = self.placements.get_mut(&task).into_iter().flatten();
+            for placement in placements.filter(|s| s.host == host && s.ended.is_none()) {
+                placement.ended = Some(at);
+                let (host, task, attempt) = (host.to_string(), task.clone(), placement.attempt);
                 gone.push(TaskEvent {
                     at,
                     host,
@@ -136,56 +142,61 @@
         gone
     }
 
-    /// How many tasks are on machines now.
+    /// Returns the number of tasks that are on machines now.
     pub fn running(&self) -> usize {
-        self.open.values().map(BTreeSet::len).sum()
+        self.tasks_by_host.values().map(BTreeSet::len).sum()
     }
 
-    /// A task that is on a machine, its attempt and the machine.
+    /// Returns any task that is on a machine, with its attempt and the machine.
     pub fn any_running(&self) -> Option<(String, u64, String)> {
-        let (host, tasks) = self.open.iter().find(|(_, tasks)| !tasks.is_empty())?;
+        let (host, tasks) = self
+            .tasks_by_host
+            .iter()
+            .find(|(_, tasks)| !tasks.is_empty())?;
         let task = tasks.first()?;
-        let stay = self.stays.get(task)?.last()?;
-        Some((task.clone(), stay.attempt, host.clone()))
+        let placement = self.placements.get(task)?.last()?;
+        Some((task.clone(), placement.attempt, host.clone()))
     }
 
-    /// Stays that began within a time.
-    pub fn starts(&self, from: u64, to: u64) -> usize {
-        let within = |s: &&Stay| (from..to).contains(&s.began);
-        self.stays.values().flatten().filter(within).count()
+    /// Returns the number of attempts that began from `from` until before `to`.
+    pub fn count_starts(&self, from: u64, to: u64) -> usize {
+        let within = |s: &&Placement| (from..to).contains(&s.began);
+        self.placements.values().flatten().filter(within).count()
     }
 
-    /// The mean number of tasks on machines within a time.
+    /// Returns the mean number of tasks on machines between `from` and `to`.
     pub fn mean_running(&self, from: u64, to: u64) -> f64 {
-        let time = |s: &Stay| {
+        let time_within = |s: &Placement| {
             s.ended
                 .unwrap_or(to)
                 .min(to)
                 .saturating_sub(s.began.max(from))
         };
-        let sum: u64 = self.stays.values().flatten().map(time).sum();
+        let sum: u64 = self.placements.values().flatten().map(time_within).sum();
         sum as f64 / (to - from).max(1) as f64
     }
 
-    /// How long urgent jobs waited for their first task, of those submitted within a time.
-    pub fn urgent_starts(&self, from: u64, to: u64) -> Vec<u64> {
+    /// Returns the times in microseconds from the submission of urgent jobs until their first task began, for the
+    /// jobs submitted from `from` until before `to`.
+    pub fn urgent_start_times(&self, from: u64, to: u64) -> Vec<u64> {
         let mut first: HashMap<&str, u64> = HashMap::new();
-        for (task, stays) in &self.stays {
-            let began = stays.iter().map(|s| s.began).min().unwrap_or(u64::MAX);
+        for (task, placements) in &self.placements {
+            let began = placements.iter().map(|s| s.began).min().unwrap_or(u64::MAX);
             let entry = first.entry(job_of(task)).or_insert(u64::MAX);
             *entry = (*entry).min(began);
         }
-        let urgent = |j: &&JobRecord| j.urgent && (from..to).contains(&j.asked);
+        let urgent = |j: &&JobRecord| j.urgent && (from..to).contains(&j.sent_at);
         let jobs = self.jobs.iter().filter(|(_, j)| urgent(j));
-        jobs.filter_map(|(id, j)| first.get(id.as_str()).map(|at| at.saturating_sub(j.asked)))
+        jobs.filter_map(|(id, j)| first.get(id.as_str()).map(|t| t.saturating_sub(j.sent_at)))
             .collect()
     }
 
-    /// How long after its confirmation each cancelled job's last task was gone.
-    pub fn cancellations_gone(&self, until: u64) -> Vec<u64> {
+    /// Returns, for each cancelled job, the time in microseconds from the confirmed cancellation until the last task
+    /// was gone.
+    pub fn cancellation_times(&self, until: u64) -> Vec<u64> {
         let mut last: HashMap<&str, u64> = HashMap::new();
-        for (task, stays) in &self.stays {
-            let ended = stays
+        for (task, placements) in &self.placements {
+            let ended = placements
                 .iter()
                 .map(|s| s.ended.unwrap_or(until))
                 .max()
@@ -193,48 +204,48 @@
             let entry = last.entry(job_of(task)).or_default();
             *entry = (*entry).max(ended);
         }
-        let told = |(id, j): (&String, &JobRecord)| {
-            let told = j.told_cancelled?;
+        let time_until_gone = |(id, j): (&String, &JobRecord)| {
+            let told_at = j.told_cancelled?;
             Some(
                 last.get(id.as_str())
-                    .map_or(0, |at| at.saturating_sub(told)),
+                    .map_or(0, |at| at.saturating_sub(told_at)),
             )
         };
-        self.jobs.iter().filter_map(told).collect()
+        self.jobs.iter().filter_map(time_until_gone).collect()
     }
 
-    /// Holds all that was seen against the rules. `until`: up to when everything that workers saw has been heard; what
-    /// users were told after that is left out.
-    pub fn check(&mut self, until: u64) -> Vec<Broken> {
+    /// Checks all observed events against the rules and returns the violations. All events that workers observed
+    /// before `until` must have been recorded; answers that users received later are not checked.
+    pub fn check_rules(&mut self, until: u64) -> Vec<Violation> {
         self.check_tasks(until);
         self.check_quota(until);
         self.check_places(until);
         for (id, job) in &self.jobs {
-            for (rule, what) in &job.broken {
-                self.broken.push(Broken {
+            for (rule, what) in &job.violations {
+                self.violations.push(Violation {
                     rule,
                     what: format!("{id}: {what}"),
                 });
             }
         }
-        std::mem::take(&mut self.broken)
+        std::mem::take(&mut self.violations)
     }
 
     fn check_tasks(&mut self, until: u64) {
         let mut done: HashMap<&str, Vec<u64>> = HashMap::new();
-        for (task, stays) in &self.stays {
-            let mut in_order: Vec<&Stay> = stays.iter().collect();
+        for (task, placements) in &self.placements {
+            let mut in_order: Vec<&Placement> = placements.iter().collect();
             in_order.sort_by_key(|s| s.began);
             for (a, b) in in_order.iter().zip(in_order.iter().skip(1)) {
                 if b.host != a.host && b.began < a.ended.unwrap_or(u64::MAX) {
                     let what = format!("{task} on {} and on {} at {}", a.host, b.host, b.began);
-                    self.broken.push(Broken {
+                    self.violations.push(Violation {
                         rule: "ran_twice",
                         what,
                     });
                 }
             }
-            if let Some(at) = stays
+            if let Some(at) = placements
                 .iter()
                 .filter(|s| s.done)
                 .filter_map(|s| s.ended)
@@ -245,28 +256,28 @@
             let Some(job) = self.jobs.get(job_of(task)) else {
                 continue;
             };
-            let Some(told) = job.told_cancelled.filter(|t| *t <= until) else {
+            let Some(told_at) = job.told_cancelled.filter(|t| *t <= until) else {
                 continue;
             };
-            let late = |s: &&Stay| s.ended.unwrap_or(until) > told + self.cancel;
-            if let Some(stay) = stays.iter().find(late) {
-                let what = format!("{task} on {} after {told}", stay.host);
-                self.broken.push(Broken {
+            let late = |s: &&Placement| s.ended.unwrap_or(until) > told_at + self.max_cancel_time;
+            if let Some(placement) = placements.iter().find(late) {
+                let what = format!("{task} on {} after {told_at}", placement.host);
+                self.violations.push(Violation {
                     rule: "ran_cancelled",
                     what,
                 });
             }
         }
         for (id, job) in &self.jobs {
-            let Some(told) = job.told_done.filter(|t| *t <= until) else {
+            let Some(told_at) = job.told_done.filter(|t| *t <= until) else {
                 continue;
             };
             let ended = done
                 .get(id.as_str())
-                .map_or(0, |d| d.iter().filter(|at| **at <= told).count());
+                .map_or(0, |d| d.iter().filter(|at| **at <= told_at).count());
             if ended < job.tasks as usize {
                 let what = format!("{id}: told done with {ended} of {} tasks done", job.tasks);
-                self.broken.push(Broken {
+                self.violations.push(Violation {
                     rule: "not_done",
                     what,
                 });
@@ -274,19 +285,20 @@
         }
     }
 
-    /// What a team's tasks use against its limit. After a limit is lowered what runs above it is let run, so each
-    /// start is held against the limit, and a use above it that nothing was added to is none.
+    /// Checks the use of each team against its limit. Tasks that run above the limit when the limit is lowered may
+    /// continue. Therefore only starts are checked: a use above the limit without a new start is no violation.
     fn check_quota(&mut self, until: u64) {
-        let mut changes: BTreeMap<(u64, bool), Vec<UseChange<'_>>> = BTreeMap::new();
-        for (task, stays) in &self.stays {
+        let mut changes: BTreeMap<(u64, bool), Vec<UsageChange<'_>>> = BTreeMap::new();
+        for (task, placements) in &self.placements {
             let Some(job) = self.jobs.get(job_of(task)) else {
                 continue;
             };
-            for stay in stays {
-                let ended = stay.ended.unwrap_or(until);
-                // At the same moment what ends makes room for what begins.
+            for placement in placements {
+                let ended = placement.ended.unwrap_or(until);
+                // Ends are applied before starts of the same time, because an ending task makes room for a starting
+                // one.
                 changes
-                    .entry((stay.began, true))
+                    .entry((placement.began, true))
                     .or_default()
                     .push((job.team, job.cpus, task));
                 changes
@@ -305,7 +317,7 @@
                         "team {team} uses {} of {limit} with {task} at {at}",
                         used[team]
                     );
-                    self.broken.push(Broken {
+                    self.violations.push(Violation {
                         rule: "quota",
                         what,
                     });
@@ -315,42 +327,45 @@
     }
 
     fn check_places(&mut self, until: u64) {
-        let mut by_job: HashMap<&str, Vec<(&Stay, &HostFacts)>> = HashMap::new();
-        for (task, stays) in &self.stays {
-            for stay in stays {
-                let Some(host) = self.hosts.get(&stay.host) else {
+        let mut by_job: HashMap<&str, Vec<(&Placement, &HostInfo)>> = HashMap::new();
+        for (task, placements) in &self.placements {
+            for placement in placements {
+                let Some(host) = self.hosts.get(&placement.host) else {
                     continue;
                 };
                 let Some(job) = self.jobs.get(job_of(task)) else {
                     continue;
                 };
                 if host.spot && !job.spot_allowed {
-                    let what = format!("{task} on the spot machine {}", stay.host);
-                    self.broken.push(Broken {
+                    let what = format!("{task} on the spot machine {}", placement.host);
+                    self.violations.push(Violation {
                         rule: "wrong_place",
                         what,
                     });
                 }
-                if job.together {
-                    by_job.entry(job_of(task)).or_default().push((stay, host));
+                if job.is_gang {
+                    by_job
+                        .entry(job_of(task))
+                        .or_default()
+                        .push((placement, host));
                 }
             }
         }
-        for (job, stays) in by_job {
-            let overlap = |a: &Stay, b: &Stay| {
+        for (job, placements) in by_job {
+            let overlap = |a: &Placement, b: &Placement| {
                 a.began < b.ended.unwrap_or(until) && b.began < a.ended.unwrap_or(until)
             };
-            let apart = stays.iter().enumerate().find_map(|(i, (a, at))| {
+            let apart = placements.iter().enumerate().find_map(|(i, (a, at))| {
                 let other =
-                    |(b, there): &&(&Stay, &HostFacts)| at.zone != there.zone && overlap(a, b);
-                stays[i + 1..]
+                    |(b, there): &&(&Placement, &HostInfo)| at.zone != there.zone && overlap(a, b);
+                placements[i + 1..]
                     .iter()
                     .find(other)
                     .map(|(b, _)| (a.host.clone(), b.host.clone()))
             });
             if let Some((a, b)) = apart {
                 let what = format!("{job} at the same time on {a} and {b}, in two zones");
-                self.broken.push(Broken {
+                self.violations.push(Violation {
                     rule: "wrong_place",
                     what,
                 });
@@ -359,8 +374,8 @@
     }
 }
 
-/// The limit that holds at a time.
-fn limit_at(limits: &[LimitFrom], at: u64) -> f64 {
+/// Returns the limit that counts at a time.
+fn limit_at(limits: &[LimitEntry], at: u64) -> f64 {
     limits
         .iter()
         .rev()
--- a/crates/gannethub-scale/src/report.rs
+++ b/crates/gannethub-scale/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: what is written to its file, and the lines that are shown.
+//! The report of a run, as written to the report file, and the summary that is printed.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 use crate::messages::{KindCount, ReportCounts, StateCounts};
 use crate::process::Usage;
 
-/// Hollow workers' reports may differ so far from the real ones'.
-pub const AGREEMENT: f64 = 0.05;
-/// With fewer reports than this on one side chance decides.
-const FEWEST: u64 = 200;
+/// Maximum relative difference between the reports of hollow workers and those of real workers.
+pub const MAX_DIFFERENCE: f64 = 0.05;
+/// Minimum number of reports of each kind of worker for a comparison. With fewer reports chance decides the result.
+const MIN_REPORTS: u64 = 200;
 
-/// What was asked for.
+/// The requested sizes of a run. Times are in seconds, `starts` is in task starts per second.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Asked {
+pub struct AskedSizes {
     pub workers: usize,
     pub starts: f64,
     pub running: f64,
@@ -31,9 +31,9 @@
     pub real: usize,
 }
 
-/// What the run came to while it was measured.
+/// The sizes that a run reached in the measured time. `starts` and `jobs_submitted` are per second.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Reached {
+pub struct ReachedSizes {
     pub seconds: f64,
     pub workers: f64,
     pub starts: f64,
@@ -41,19 +41,23 @@
     pub jobs_submitted: f64,
 }
 
-/// A role's processes, together.
+/// Resource use of all processes of a role.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct RoleUsage {
     pub processes: usize,
-    /// Cores that a process used on the average, and the busiest one.
+    /// Mean number of cores that a process used in user mode.
     pub user: f64,
+    /// Mean number of cores that a process used in system mode.
     pub system: f64,
+    /// Number of cores that the busiest process used in both modes.
     pub busiest: f64,
+    /// Maximum memory of any process, in MiB.
     pub peak_mb: f64,
+    /// Maximum number of sockets of any process.
     pub sockets: usize,
 }
 
-/// Times of one kind, in milliseconds.
+/// Distribution of times of one kind, in milliseconds.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Times {
     pub count: u64,
@@ -63,13 +67,13 @@
 }
 
 impl Times {
-    /// Of times in microseconds.
+    /// Returns the distribution of times that are given in microseconds.
     pub fn of(times: impl IntoIterator<Item = u64>) -> Times {
         let Ok(mut histogram) = Histogram::<u64>::new(3) else {
             return Times::default();
         };
         for time in times {
-            // It grows with its values; none is beyond 64 bits.
+            // Recording cannot fail: the histogram grows with its values, and no value exceeds 64 bits.
             let _ = histogram.record(time);
         }
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
@@ -82,30 +86,33 @@
     }
 }
 
-/// Reports of hollow workers against those of real ones under the same conditions: what the real ones sent, and what
-/// hollow ones would have sent in their place.
+/// Comparison of the reports of real workers with those of hollow workers under the same conditions. Each pair holds
+/// the figure of the real workers, and the figure that hollow workers would have had in their place.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Agreement {
+    /// Mean size of a report, in bytes.
     pub report_bytes: [f64; 2],
+    /// Mean interval between two reports of a worker, in milliseconds.
     pub interval_ms: [f64; 2],
-    /// Changes told for each start or end of a task. How many go with one report is a matter of the load.
+    /// Number of reported task state changes for each start or end of a task. The number of changes in one report is
+    /// not compared, because it depends on the load.
     pub changes_a_start: [f64; 2],
     pub agree: bool,
 }
 
 impl Agreement {
-    /// `None`: there is nothing to compare.
+    /// Compares the reports of real and hollow workers. Returns `None` if there are too few reports to compare.
     pub fn of(real: &ReportCounts, hollow: &ReportCounts) -> Option<Agreement> {
-        if real.reports < FEWEST || hollow.reports < FEWEST {
+        if real.reports < MIN_REPORTS || hollow.reports < MIN_REPORTS {
             return None;
         }
-        let report_bytes = alike(&real.by_tasks, &hollow.by_tasks)?;
-        let interval = alike(&real.intervals, &hollow.intervals)?;
-        let a_start = |c: &ReportCounts| c.changes as f64 / (c.starts + c.ends).max(1) as f64;
-        let changes_a_start = [a_start(real), a_start(hollow)];
+        let report_bytes = weighted_means(&real.by_tasks, &hollow.by_tasks)?;
+        let interval = weighted_means(&real.intervals, &hollow.intervals)?;
+        let per_start = |c: &ReportCounts| c.changes as f64 / (c.starts + c.ends).max(1) as f64;
+        let changes_a_start = [per_start(real), per_start(hollow)];
         let interval_ms = interval.map(|us| us / 1e3);
-        let near = |[a, b]: [f64; 2]| (a - b).abs() <= AGREEMENT * a.max(b);
-        let agree = near(report_bytes) && near(interval_ms) && near(changes_a_start);
+        let agrees = |[a, b]: [f64; 2]| (a - b).abs() <= MAX_DIFFERENCE * a.max(b);
+        let agree = agrees(report_bytes) && agrees(interval_ms) && agrees(changes_a_start);
         Some(Agreement {
             report_bytes,
             interval_ms,
@@ -115,36 +122,38 @@
     }
 }
 
-/// The real workers' mean, and the hollow ones' where each condition counts as often as with the real ones.
-fn alike<K: Ord>(
+/// Returns the mean of the real workers, and the mean of the hollow workers in which each condition is weighted as
+/// often as it occurred with the real workers. Conditions that did not occur with hollow workers are left out.
+fn weighted_means<K: Ord>(
     real: &BTreeMap<K, (u64, u64)>,
     hollow: &BTreeMap<K, (u64, u64)>,
 ) -> Option<[f64; 2]> {
     let (mut count, mut sum, mut expected) = (0.0, 0.0, 0.0);
     for (key, (reports, total)) in real {
-        let Some((others, their_total)) = hollow.get(key).filter(|h| h.0 > 0) else {
+        let Some((hollow_reports, hollow_total)) = hollow.get(key).filter(|h| h.0 > 0) else {
             continue;
         };
         count += *reports as f64;
         sum += *total as f64;
-        expected += *reports as f64 * *their_total as f64 / *others as f64;
+        expected += *reports as f64 * *hollow_total as f64 / *hollow_reports as f64;
     }
     (count > 0.0).then(|| [sum / count, expected / count])
 }
 
+/// The report of a run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Report {
-    pub asked: Asked,
-    pub reached: Reached,
+    pub asked: AskedSizes,
+    pub reached: ReachedSizes,
     pub commit: String,
     pub machine_cores: usize,
-    /// The part of the machine's processors that was busy.
+    /// Busy share of the machine's processors, from 0 to 1.
     pub machine_busy: f64,
     pub leader: String,
     pub roles: BTreeMap<String, RoleUsage>,
     pub state: StateCounts,
     pub cloud: BTreeMap<String, KindCount>,
-    /// Bytes a second between all controllers; `None`: not measured.
+    /// Bytes per second between all controllers. `None` if not measured.
     pub between_controllers: Option<f64>,
     pub hollow: ReportCounts,
     pub real: ReportCounts,
@@ -156,28 +165,31 @@
     pub faults: Vec<String>,
     #[serde(default)]
     pub changes: ChangesReport,
+    /// Number of controller processes that ended without being killed by the run.
     pub ended_by_themselves: usize,
-    /// Rules broken, and how often; the first of each in words.
+    /// Number of violations of each violated rule.
     pub rules: BTreeMap<String, usize>,
+    /// Descriptions of the first violations.
     pub broken: Vec<String>,
 }
 
-/// A role's processes and what each used in so many seconds.
-pub fn role_usage(of: &[Usage], seconds: f64) -> RoleUsage {
-    let n = of.len().max(1) as f64;
+/// Returns the resource use of a role whose processes have used `usages` in a time of `seconds`.
+pub fn role_usage(usages: &[Usage], seconds: f64) -> RoleUsage {
+    let n = usages.len().max(1) as f64;
     let cores = |u: &Usage| (u.user_s + u.system_s) / seconds;
     RoleUsage {
-        processes: of.len(),
-        user: of.iter().map(|u| u.user_s).sum::<f64>() / seconds / n,
-        system: of.iter().map(|u| u.system_s).sum::<f64>() / seconds / n,
-        busiest: of.iter().map(cores).fold(0.0, f64::max),
-        peak_mb: of.iter().map(|u| u.peak_bytes).max().unwrap_or(0) as f64 / 1_048_576.0,
-        sockets: of.iter().map(|u| u.sockets).max().unwrap_or(0),
+        processes: usages.len(),
+        user: usages.iter().map(|u| u.user_s).sum::<f64>() / seconds / n,
+        system: usages.iter().map(|u| u.system_s).sum::<f64>() / seconds / n,
+        busiest: usages.iter().map(cores).fold(0.0, f64::max),
+        peak_mb: usages.iter().map(|u| u.peak_bytes).max().unwrap_or(0) as f64 / 1_048_576.0,
+        sockets: usages.iter().map(|u| u.sockets).max().unwrap_or(0),
     }
 }
 
 impl Report {
-    /// No rule was broken, no process ended by itself, and hollow workers are like real ones.
+    /// Whether no rule was violated, no controller ended by itself, every configuration version came into force in
+    /// time, and hollow workers agree with real ones.
     pub fn passed(&self) -> bool {
         self.rules.is_empty()
             && self.ended_by_themselves == 0
@@ -186,8 +198,8 @@
             && self.agreement.as_ref().is_none_or(|a| a.agree)
     }
 
-    /// One line a role, and what users saw.
-    pub fn show(&self) -> String {
+    /// Returns a table of the roles, a table of the latencies that users saw, and a summary.
+    pub fn summary_text(&self) -> String {
         let mut roles = Table::new();
         roles.load_preset(comfy_table::presets::NOTHING);
         roles.set_header([
@@ -226,7 +238,7 @@
     }
 
     fn summary(&self) -> String {
-        let Reached {
+        let ReachedSizes {
             seconds,
             workers,
             starts,
@@ -236,7 +248,7 @@
         let requests: u64 = self.state.kinds.values().map(|k| k.count).sum();
         let mut text = format!(
             "measured {seconds:.0} s: {workers:.0} workers, {starts:.0} starts/s, {running:.0} running; leader {}\n\
-             state service: {:.1} requests/s, {:.1} changes/s ({:.3} a start), {} refused, {} keys, {} bytes\n\
+             state service: {:.1} requests/s, {:.1} changes/s ({:.3} per start), {} refused, {} keys, {} bytes\n\
              machine: {:.0}% of {} cores busy\n",
             self.leader,
             requests as f64 / seconds,
@@ -251,7 +263,7 @@
         text += &match &self.agreement {
             None => "hollow and real workers: nothing to compare\n".to_string(),
             Some(a) => format!(
-                "real and hollow workers {}: bytes a report {:.0?}, interval {:.0?} ms, changes told for a start or end {:.3?}\n",
+                "real and hollow workers {}: bytes per report {:.0?}, interval {:.0?} ms, reported changes per start or end {:.3?}\n",
                 if a.agree { "agree" } else { "DO NOT AGREE" },
                 a.report_bytes,
                 a.interval_ms,
@@ -268,7 +280,7 @@
             } = &self.changes;
             text += &format!(
                 "configuration: {stored} changes, {failed} failed; in force everywhere after p50 {:.0}, p99 {:.0}, \
-                 at most {:.0} ms; {never_in_force} never, {acted_on_older} times acted on an older one\n",
+                 at most {:.0} ms; {never_in_force} never in force, {acted_on_older} times acted on an older version\n",
                 in_force.p50_ms, in_force.p99_ms, in_force.max_ms
             );
         }
--- a/crates/gannethub-scale/src/report/tests.rs
+++ b/crates/gannethub-scale/src/report/tests.rs
@@ -2,7 +2,7 @@
 
 fn counts(bytes: u64, interval: u64) -> ReportCounts {
     ReportCounts {
-        reports: FEWEST,
+        reports: MIN_REPORTS,
         changes: 40,
         starts: 10,
         ends: 10,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn hollow_workers_agree_within_five_in_a_hundred_and_not_beyond() {
+fn hollow_workers_agree_up_to_five_percent_difference() {
     let real = counts(1000, 5000);
     assert!(Agreement::of(&real, &counts(1040, 5000)).unwrap().agree);
     assert!(!Agreement::of(&real, &counts(1100, 5000)).unwrap().agree);
--- a/crates/gannethub-scale/src/run/faults.rs
+++ b/crates/gannethub-scale/src/run/faults.rs
@@ -1,12 +1,12 @@
-//! Faults that a run brings: what ends, and what is refused.
+//! Injects the faults of a run: kills of processes, and outages and refusals of the state service.
 
 use super::*;
 
 impl Driver {
-    pub(super) async fn fault(&mut self, fault: &Fault) -> Result<(), RunError> {
+    pub(super) async fn inject_fault(&mut self, fault: &Fault) -> Result<(), RunError> {
         let now = self.clock.now();
-        let over = now + (fault.for_s * 1e6) as u64;
-        let what = match fault.kind {
+        let ends_at = now + (fault.for_s * 1e6) as u64;
+        let description = match fault.kind {
             FaultKind::Rack => self.end_rack().await,
             FaultKind::Zone => {
                 self.tell_hosts(&ToHosts::EndZone(zone_name(0)));
@@ -14,23 +14,34 @@
             }
             FaultKind::Leader => {
                 let leader = self.leader().await;
-                self.kill(leader.iter().filter_map(|name| node_of(name)).collect())
-                    .await
+                self.kill_controllers(
+                    leader
+                        .iter()
+                        .filter_map(|name| controller_index(name))
+                        .collect(),
+                )
+                .await
             }
             FaultKind::Half => {
                 let half = self.controllers.len().div_ceil(2);
-                self.kill((0..half).collect()).await
+                self.kill_controllers((0..half).collect()).await
             }
             FaultKind::Outage => {
                 self.state.tell(&ToState::Outage(true));
-                self.later.entry(over).or_default().push(Later::EndOutage);
+                self.scheduled
+                    .entry(ends_at)
+                    .or_default()
+                    .push(ScheduledAction::EndOutage);
                 format!("the state service refuses all for {} s", fault.for_s)
             }
             FaultKind::RefuseLeader => {
                 let leader = self.leader().await;
-                let node = leader.as_deref().and_then(node_of);
+                let node = leader.as_deref().and_then(controller_index);
                 self.state.tell(&ToState::Refuse(node));
-                self.later.entry(over).or_default().push(Later::EndRefusal);
+                self.scheduled
+                    .entry(ends_at)
+                    .or_default()
+                    .push(ScheduledAction::EndRefusal);
                 format!(
                     "the state service refuses {leader:?} alone for {} s",
                     fault.for_s
@@ -38,7 +49,7 @@
             }
         };
         self.faults
-            .push(format!("{:.1} s: {what}", now as f64 / 1e6));
+            .push(format!("{:.1} s: {description}", now as f64 / 1e6));
         Ok(())
     }
 
@@ -55,7 +66,7 @@
         let (at, hosts) = (self.clock.now(), std::mem::take(&mut rack.hosts));
         for host in &hosts {
             let gone = self.record.borrow_mut().host_ended(host, at);
-            gone.iter().for_each(|event| self.on_gang(event));
+            gone.iter().for_each(|event| self.on_gang_event(event));
         }
         let count = hosts.len();
         self.cloud
@@ -63,29 +74,29 @@
         format!("a process with {count} hollow workers is killed")
     }
 
-    pub(super) async fn kill(&mut self, nodes: Vec<usize>) -> String {
-        let back = self.clock.now() + RESTART;
+    pub(super) async fn kill_controllers(&mut self, nodes: Vec<usize>) -> String {
+        let restart_at = self.clock.now() + RESTART_DELAY;
         for node in &nodes {
             self.controllers[*node].kill().await;
-            self.later
-                .entry(back)
+            self.scheduled
+                .entry(restart_at)
                 .or_default()
-                .push(Later::StartController(*node));
+                .push(ScheduledAction::StartController(*node));
         }
         format!(
             "controllers {nodes:?} are killed, back after {} s",
-            RESTART / SECOND
+            RESTART_DELAY / MICROS_PER_SECOND
         )
     }
 
-    /// Who leads, as the state service has it.
+    /// Returns the name of the leader according to the leader lease record in the state service.
     pub(super) async fn leader(&self) -> Option<String> {
         let client = Client::new(state_role::address(
             self.options.controllers,
             self.ports.state,
         ));
         let path = "/kv/gh/lead/holder";
-        let answer = client.call(Method::Get, path, b"", PATIENCE).await;
+        let answer = client.call(Method::Get, path, b"", RESPONSE_TIMEOUT).await;
         let body: serde_json::Value = decode_ok(&answer)?;
         Some(body["v"]["holder"].as_str()?.to_string())
     }
--- a/crates/gannethub-scale/src/run/measuring.rs
+++ b/crates/gannethub-scale/src/run/measuring.rs
@@ -1,51 +1,56 @@
-//! What is measured of a run, and its report.
+//! Measures a run and builds its report.
 
 use super::*;
 
-/// What was read of all processes at one moment.
-pub(super) struct Moment {
+/// Resource use of all processes at one time.
+pub(super) struct Snapshot {
+    /// Time of the snapshot, in microseconds of the run's clock.
     pub(super) at: u64,
+    /// Usage of each process, by process id.
     pub(super) usage: BTreeMap<u32, Usage>,
-    pub(super) machine: Option<(f64, f64)>,
-    pub(super) between: Option<u64>,
+    /// Busy and total processor time of the machine, in seconds.
+    pub(super) machine_cpu: Option<(f64, f64)>,
+    /// Bytes sent between controllers so far. `None` if the count is not available.
+    pub(super) peer_bytes: Option<u64>,
 }
 
 impl Driver {
-    /// Takes everything down that was measured since the first moment.
-    pub(super) async fn conclude(
+    /// Builds the report of the time since the first snapshot. Takes the last snapshot, requests the status of some
+    /// jobs once more, and checks the rules.
+    pub(super) async fn build_report(
         &mut self,
-        first: Moment,
-        heard: &mut mpsc::Receiver<Heard>,
+        first: Snapshot,
+        messages: &mut mpsc::Receiver<DriverMessage>,
     ) -> Result<Report, RunError> {
-        let last = self.moment().await;
-        self.measure(heard).await?;
+        let last = self.take_snapshot().await;
+        self.collect_counts(messages).await?;
         let leader = self.leader().await.unwrap_or_default();
-        self.users.ask_again(ASKED_AGAIN).await;
+        self.users.recheck_jobs(MAX_RECHECKED_JOBS).await;
         let until = last.at;
-        let broken = self.record.borrow_mut().check(until);
+        let violations = self.record.borrow_mut().check_rules(until);
         let mut rules = BTreeMap::new();
-        broken
+        violations
             .iter()
-            .for_each(|b| *rules.entry(b.rule.to_string()).or_default() += 1);
-        let words = broken.iter().take(TOLD_IN_WORDS);
+            .for_each(|v| *rules.entry(v.rule.to_string()).or_default() += 1);
+        let described = violations.iter().take(MAX_DESCRIBED_VIOLATIONS);
         let (from, to) = (first.at, last.at);
         let seconds = (to - from) as f64 / 1e6;
-        let between = last.between.zip(first.between);
-        let busy = last.machine.zip(first.machine);
+        let peer_bytes = last.peer_bytes.zip(first.peer_bytes);
+        let busy = last.machine_cpu.zip(first.machine_cpu);
         let (record, latencies) = (self.record.borrow(), self.users.latencies.borrow());
         let submitted = record
             .jobs
             .values()
-            .filter(|j| (from..to).contains(&j.asked))
+            .filter(|j| (from..to).contains(&j.sent_at))
             .count();
         let workers = self.hosts.iter().map(|h| h.hosts.len()).sum::<usize>();
-        let counted = std::mem::take(&mut self.counted);
+        let measured = std::mem::take(&mut self.measured);
         Ok(Report {
-            asked: asked(&self.options),
-            reached: Reached {
+            asked: asked_sizes(&self.options),
+            reached: ReachedSizes {
                 seconds,
                 workers: workers as f64,
-                starts: record.starts(from, to) as f64 / seconds,
+                starts: record.count_starts(from, to) as f64 / seconds,
                 running: record.mean_running(from, to),
                 jobs_submitted: submitted as f64 / seconds,
             },
@@ -54,13 +59,13 @@
             machine_busy: busy.map_or(0.0, |(l, f)| (l.0 - f.0) / (l.1 - f.1).max(0.01)),
             roles: self.roles(&first, &last, &leader),
             leader,
-            state: counted.state.unwrap_or_default(),
-            cloud: counted.cloud.unwrap_or_default(),
-            between_controllers: between.map(|(l, f)| l.saturating_sub(f) as f64 / seconds),
-            agreement: Agreement::of(&counted.real, &counted.alike),
-            hollow: counted.hollow,
-            real: counted.real,
-            users: users_times(&record, &latencies, from, to, until),
+            state: measured.state.unwrap_or_default(),
+            cloud: measured.cloud.unwrap_or_default(),
+            between_controllers: peer_bytes.map(|(l, f)| l.saturating_sub(f) as f64 / seconds),
+            agreement: Agreement::of(&measured.real, &measured.comparable_hollow),
+            hollow: measured.hollow,
+            real: measured.real,
+            users: user_times(&record, &latencies, from, to, until),
             turned_away: latencies.turned_away,
             unanswered: latencies.unanswered,
             given_up: latencies.given_up,
@@ -68,24 +73,26 @@
             changes: self.operators.report(),
             ended_by_themselves: self.ended_by_themselves,
             rules,
-            broken: words.map(|b| format!("{}: {}", b.rule, b.what)).collect(),
+            broken: described
+                .map(|v| format!("{}: {}", v.rule, v.what))
+                .collect(),
         })
     }
 
-    pub(super) async fn moment(&self) -> Moment {
+    pub(super) async fn take_snapshot(&self) -> Snapshot {
         let pids = self.pids();
-        let all = pids.values().flatten();
-        Moment {
+        let all_pids = pids.values().flatten();
+        Snapshot {
             at: self.clock.now(),
-            usage: all
+            usage: all_pids
                 .filter_map(|pid| Some((*pid, Usage::of(*pid)?)))
                 .collect(),
-            machine: machine_busy(),
-            between: bytes_between(&self.ports.cluster).await,
+            machine_cpu: machine_busy(),
+            peer_bytes: bytes_between(&self.ports.cluster).await,
         }
     }
 
-    /// The processes of each role.
+    /// Returns the process ids of each role.
     pub(super) fn pids(&self) -> BTreeMap<String, Vec<u32>> {
         let mut pids: BTreeMap<String, Vec<u32>> = BTreeMap::new();
         let mut add =
@@ -112,19 +119,19 @@
 
     pub(super) fn roles(
         &self,
-        first: &Moment,
-        last: &Moment,
+        first: &Snapshot,
+        last: &Snapshot,
         leader: &str,
     ) -> BTreeMap<String, crate::report::RoleUsage> {
         let seconds = (last.at - first.at) as f64 / 1e6;
         let mut roles: BTreeMap<String, Vec<Usage>> = BTreeMap::new();
         for (role, pids) in self.pids() {
-            let role = match node_of(&role) {
+            let role = match controller_index(&role) {
                 Some(_) if role == leader => "leader".to_string(),
                 Some(_) => "follower".to_string(),
                 None => role,
             };
-            // One that was not there at first has used all of it since.
+            // A process that is missing in the first snapshot was started later, so its whole usage counts.
             let used = pids.iter().filter_map(|pid| {
                 let before = first.usage.get(pid).copied().unwrap_or_default();
                 Some(last.usage.get(pid)?.since(before))
@@ -137,35 +144,35 @@
             .collect()
     }
 
-    /// Has all processes tell their counts since the last time.
-    pub(super) async fn measure(
+    /// Makes all child processes report their counts since the previous call, and waits for these counts.
+    pub(super) async fn collect_counts(
         &mut self,
-        heard: &mut mpsc::Receiver<Heard>,
+        messages: &mut mpsc::Receiver<DriverMessage>,
     ) -> Result<(), RunError> {
-        self.counted = Counted::default();
+        self.measured = MeasuredCounts::default();
         self.state.tell(&ToState::Measure);
         self.cloud.tell(&ToCloud::Measure);
         self.tell_hosts(&ToHosts::Measure);
-        let told = self.hosts.iter().filter(|h| !h.ended).count();
-        let all = async {
-            while self.counted.hosts_told < told
-                || self.counted.state.is_none()
-                || self.counted.cloud.is_none()
+        let expected = self.hosts.iter().filter(|h| !h.ended).count();
+        let all_reported = async {
+            while self.measured.worker_processes_counted < expected
+                || self.measured.state.is_none()
+                || self.measured.cloud.is_none()
             {
-                match heard.recv().await {
-                    Some(message) => self.heard(message),
+                match messages.recv().await {
+                    Some(message) => self.on_message(message),
                     None => return,
                 }
             }
         };
-        timeout(PATIENCE, all)
+        timeout(RESPONSE_TIMEOUT, all_reported)
             .await
-            .map_err(|_| RunError::Silent("a process"))
+            .map_err(|_| RunError::NoAnswer("a process"))
     }
 }
 
-fn asked(options: &RunOptions) -> Asked {
-    Asked {
+fn asked_sizes(options: &RunOptions) -> AskedSizes {
+    AskedSizes {
         workers: options.workers,
         starts: options.starts,
         running: options.tasks_running(),
@@ -180,36 +187,41 @@
     }
 }
 
-fn users_times(
+fn user_times(
     record: &Record,
     latencies: &crate::users::Latencies,
     from: u64,
     to: u64,
     until: u64,
 ) -> BTreeMap<String, Times> {
-    let within = |list: &[(u64, u64)]| {
-        let inside = list.iter().filter(|(asked, _)| (from..to).contains(asked));
-        Times::of(inside.map(|(_, took)| *took))
+    let within_time = |list: &[(u64, u64)]| {
+        let inside = list
+            .iter()
+            .filter(|(sent_at, _)| (from..to).contains(sent_at));
+        Times::of(inside.map(|(_, latency)| *latency))
     };
     BTreeMap::from([
-        ("submission".to_string(), within(&latencies.submissions)),
-        ("question".to_string(), within(&latencies.questions)),
+        (
+            "submission".to_string(),
+            within_time(&latencies.submissions),
+        ),
+        ("question".to_string(), within_time(&latencies.status_polls)),
         (
             "cancellation told".to_string(),
-            within(&latencies.cancellations),
+            within_time(&latencies.cancellations),
         ),
         (
             "cancellation gone".to_string(),
-            Times::of(record.cancellations_gone(until)),
+            Times::of(record.cancellation_times(until)),
         ),
         (
             "urgent start".to_string(),
-            Times::of(record.urgent_starts(from, to)),
+            Times::of(record.urgent_start_times(from, to)),
         ),
     ])
 }
 
-/// The sources that are measured, where they can be told.
+/// Returns the short hash of the measured commit, or an empty text if git fails.
 fn commit() -> String {
     let output = std::process::Command::new("git")
         .args(["rev-parse", "--short", "HEAD"])
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! The driver of a run: it starts all processes, brings the load and the faults, and measures.
+//! The driver of a run. The driver starts all processes, submits the load, injects the faults, and measures.
 
 mod faults;
 mod measuring;
@@ -30,8 +30,8 @@
 };
 use crate::options::{HOLLOW_PER_PROCESS, RunOptions, SizeError};
 use crate::process::{ControllerProcess, Talker, Usage, bytes_between, machine_busy};
-use crate::record::{HostFacts, LimitFrom, Record};
-use crate::report::{Agreement, Asked, Reached, Report, Times, role_usage};
+use crate::record::{HostInfo, LimitEntry, Record};
+use crate::report::{Agreement, AskedSizes, ReachedSizes, Report, Times, role_usage};
 use crate::role::{QUEUE, RunClock, run_local};
 use crate::state_role;
 use crate::users::Users;
@@ -39,17 +39,17 @@
 use start::{HostKind, HostProcess, start_cloud, start_hosts, start_state};
 
 const TICK: Duration = Duration::from_millis(20);
-const SECOND: u64 = 1_000_000;
-/// A controller that was killed is started again after this time, in microseconds.
-const RESTART: u64 = 6 * SECOND;
-/// How long processes have to begin, and to tell their counts.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Jobs that are asked about once more at the end.
-const ASKED_AGAIN: usize = 400;
-/// Broken rules that a report tells in words.
-const TOLD_IN_WORDS: usize = 20;
-
-/// Why there is no report.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+/// Delay from the kill of a controller until it is started again, in microseconds.
+const RESTART_DELAY: u64 = 6 * MICROS_PER_SECOND;
+/// Timeout for processes to become ready, to answer a request, and to report their counts.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of jobs whose status is requested once more at the end of a run.
+const MAX_RECHECKED_JOBS: usize = 400;
+/// Maximum number of violations that a report describes in words.
+const MAX_DESCRIBED_VIOLATIONS: usize = 20;
+
+/// The reason why a run has no report.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     #[error("{0}")]
@@ -63,18 +63,18 @@
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("{0} did not answer in time")]
-    Silent(&'static str),
+    NoAnswer(&'static str),
 }
 
-/// What the driver hears.
-enum Heard {
+/// Message from a child process to the driver.
+enum DriverMessage {
     Hosts(usize, FromHosts),
     State(StateCounts),
     Cloud(FromCloud),
 }
 
-/// What happens later by itself.
-enum Later {
+/// Action that the driver carries out at a scheduled time.
+enum ScheduledAction {
     StartController(usize),
     EndOutage,
     EndRefusal,
@@ -95,30 +95,32 @@
     users: Rc<Users>,
     operators: Rc<Operators>,
     gangs: Gangs,
-    /// How many tasks a gang has and how long it runs.
-    gang_facts: HashMap<String, (u32, u64)>,
-    /// When the next job of each class comes, in microseconds of the run's clock.
-    arrivals: Vec<u64>,
+    /// Number of tasks and run time in microseconds of each gang, by job id.
+    gang_info: HashMap<String, (u32, u64)>,
+    /// Time of the next submission of each class, in microseconds of the run's clock.
+    next_submissions: Vec<u64>,
     jobs: u64,
-    later: BTreeMap<u64, Vec<Later>>,
+    /// Scheduled actions, by time in microseconds of the run's clock.
+    scheduled: BTreeMap<u64, Vec<ScheduledAction>>,
     faults: Vec<String>,
     ended_by_themselves: usize,
-    counted: Counted,
+    measured: MeasuredCounts,
 }
 
-/// What the processes told of a time that was measured.
+/// Counts that the child processes reported for one measured time.
 #[derive(Default)]
-struct Counted {
+struct MeasuredCounts {
     hollow: ReportCounts,
     real: ReportCounts,
-    /// Hollow workers that were rented right after the real ones, and so have the same kind of load.
-    alike: ReportCounts,
-    hosts_told: usize,
+    /// Counts of the hollow workers whose machines were provisioned right after those of the real workers. These
+    /// workers therefore have the same kind of load as the real ones.
+    comparable_hollow: ReportCounts,
+    worker_processes_counted: usize,
     state: Option<StateCounts>,
     cloud: Option<BTreeMap<String, KindCount>>,
 }
 
-/// Makes a run; its report is written if a file is named.
+/// Carries out a run and returns its report. The report is also written to a file if the options name one.
 pub fn run(options: &RunOptions) -> Result<Report, RunError> {
     let load = Load::read(options.load.as_deref())?;
     options.check(&load)?;
@@ -128,10 +130,10 @@
 async fn drive(options: RunOptions, load: Load) -> Result<Report, RunError> {
     let dir = std::env::temp_dir().join(format!("gannethub-scale-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
-    let (queue, mut heard) = mpsc::channel(QUEUE);
+    let (queue, mut messages) = mpsc::channel(QUEUE);
     let mut driver = Driver::start(options, load, dir.clone(), queue).await?;
-    let result = driver.play(&mut heard).await;
-    driver.end().await;
+    let result = driver.run_load(&mut messages).await;
+    driver.kill_processes().await;
     if !driver.options.keep {
         std::fs::remove_dir_all(&dir)?;
     }
@@ -143,12 +145,12 @@
 }
 
 impl Driver {
-    /// Starts all processes.
+    /// Starts all processes of the run and waits until every controller is healthy.
     async fn start(
         options: RunOptions,
         load: Load,
         dir: PathBuf,
-        queue: mpsc::Sender<Heard>,
+        queue: mpsc::Sender<DriverMessage>,
     ) -> Result<Driver, RunError> {
         let (clock, ports) = (RunClock::begin(), Ports::find(options.controllers)?);
         write_settings(&dir, &options, &load, &ports)?;
@@ -156,7 +158,7 @@
         let cloud = start_cloud(&options, &load, &ports, clock, queue.clone())?;
         let hosts = start_hosts(&options, &load, &ports, clock, &queue)?;
         let load = Rc::new(load);
-        let record = Rc::new(RefCell::new(first_record(&options, &load)));
+        let record = Rc::new(RefCell::new(new_record(&options, &load)));
         let users = Users::new(
             clock,
             load.clone(),
@@ -182,13 +184,13 @@
             users: Rc::new(users),
             operators: Rc::new(operators),
             gangs: Gangs::default(),
-            gang_facts: HashMap::new(),
-            arrivals: vec![0; load.classes.len()],
+            gang_info: HashMap::new(),
+            next_submissions: vec![0; load.classes.len()],
             jobs: 0,
-            later: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             faults: Vec::new(),
             ended_by_themselves: 0,
-            counted: Counted::default(),
+            measured: MeasuredCounts::default(),
             options,
             load,
             clock,
@@ -213,7 +215,7 @@
         let ready = async {
             for client in &self.users.clients {
                 while !client
-                    .call(Method::Get, "/healthz", b"", PATIENCE)
+                    .call(Method::Get, "/healthz", b"", RESPONSE_TIMEOUT)
                     .await
                     .is_ok_and(|answer| answer.is_ok())
                 {
@@ -221,104 +223,108 @@
                 }
             }
         };
-        timeout(PATIENCE, ready)
+        timeout(RESPONSE_TIMEOUT, ready)
             .await
-            .map_err(|_| RunError::Silent("a controller"))
+            .map_err(|_| RunError::NoAnswer("a controller"))
     }
 
-    /// Brings the load for its time and tells what was measured.
-    async fn play(&mut self, heard: &mut mpsc::Receiver<Heard>) -> Result<Report, RunError> {
+    /// Submits the load and injects the faults for the duration of the run, and returns the report.
+    async fn run_load(
+        &mut self,
+        messages: &mut mpsc::Receiver<DriverMessage>,
+    ) -> Result<Report, RunError> {
         let began = self.clock.now();
-        self.arrivals = self.first_arrivals(began);
-        let until = began + self.options.seconds * SECOND;
-        let measured = began + self.options.warm_up * SECOND;
+        self.next_submissions = self.first_submissions(began);
+        let end = began + self.options.seconds * MICROS_PER_SECOND;
+        let measured_from = began + self.options.warm_up * MICROS_PER_SECOND;
         let mut faults = self.load.faults.clone();
         faults.sort_by(|a, b| b.at_s.total_cmp(&a.at_s));
-        for row in self.load.changes.clone() {
-            spawn_local(self.operators.clone().change(row, began));
+        for series in self.load.changes.clone() {
+            spawn_local(self.operators.clone().make_changes(series, began));
         }
-        let bar = ProgressBar::new(self.options.seconds).with_style(style());
-        let (mut first, mut batch) = (None, Vec::new());
+        let bar = ProgressBar::new(self.options.seconds).with_style(progress_style());
+        let (mut first_snapshot, mut batch) = (None, Vec::new());
         let mut pretend = self.options.pretend;
         loop {
-            let _ = timeout(TICK, heard.recv_many(&mut batch, 1024)).await;
-            batch.drain(..).for_each(|message| self.heard(message));
+            let _ = timeout(TICK, messages.recv_many(&mut batch, 1024)).await;
+            batch.drain(..).for_each(|message| self.on_message(message));
             let now = self.clock.now();
-            if first.is_none() && now >= measured {
-                first = Some(self.moment().await);
-                self.measure(heard).await?;
-                self.counted = Counted::default();
+            if first_snapshot.is_none() && now >= measured_from {
+                first_snapshot = Some(self.take_snapshot().await);
+                self.collect_counts(messages).await?;
+                self.measured = MeasuredCounts::default();
             }
-            if now >= until {
+            if now >= end {
                 break;
             }
             if let Some(fault) = faults.pop_if(|f| began + (f.at_s * 1e6) as u64 <= now) {
-                self.fault(&fault).await?;
+                self.inject_fault(&fault).await?;
             }
-            if pretend && now >= measured {
-                pretend = !self.pretend();
+            if pretend && now >= measured_from {
+                pretend = !self.report_false_start();
             }
             self.tick(now)?;
-            bar.set_position((now - began) / SECOND);
+            bar.set_position((now - began) / MICROS_PER_SECOND);
             bar.set_message(format!("{} tasks", self.record.borrow().running()));
         }
         bar.finish_and_clear();
-        let first = match first {
-            Some(first) => first,
-            None => self.moment().await,
+        let first_snapshot = match first_snapshot {
+            Some(snapshot) => snapshot,
+            None => self.take_snapshot().await,
         };
-        self.conclude(first, heard).await
+        self.build_report(first_snapshot, messages).await
     }
 
-    // ---- What is heard ----
+    // ---- Messages from child processes ----
 
-    fn heard(&mut self, message: Heard) {
+    fn on_message(&mut self, message: DriverMessage) {
         match message {
-            Heard::Hosts(process, FromHosts::Events(events)) => {
+            DriverMessage::Hosts(process, FromHosts::Events(events)) => {
                 if !self.hosts[process].ended {
-                    events.iter().for_each(|event| self.event(event));
+                    events.iter().for_each(|event| self.on_event(event));
                 }
             }
-            Heard::Hosts(process, FromHosts::Ended(hosts)) => {
+            DriverMessage::Hosts(process, FromHosts::Ended(hosts)) => {
                 self.hosts[process].hosts.retain(|h| !hosts.contains(h));
                 self.cloud.tell(&ToCloud::Failed(hosts));
             }
-            Heard::Hosts(process, FromHosts::Counts(counts)) => {
-                let counted = &mut self.counted;
+            DriverMessage::Hosts(process, FromHosts::Counts(counts)) => {
+                let measured = &mut self.measured;
                 match self.hosts[process].kind {
-                    HostKind::Real => counted.real.add(&counts),
-                    HostKind::Hollow => counted.hollow.add(&counts),
+                    HostKind::Real => measured.real.add(&counts),
+                    HostKind::Hollow => measured.hollow.add(&counts),
                     HostKind::Rack => {
-                        counted.hollow.add(&counts);
-                        counted.alike.add(&counts);
+                        measured.hollow.add(&counts);
+                        measured.comparable_hollow.add(&counts);
                     }
                 }
-                counted.hosts_told += 1;
+                measured.worker_processes_counted += 1;
             }
-            Heard::State(counts) => self.counted.state = Some(counts),
-            Heard::Cloud(FromCloud::Counts(counts)) => self.counted.cloud = Some(counts),
-            Heard::Cloud(FromCloud::Rented(rented)) => self.rented(rented),
-            Heard::Cloud(FromCloud::Deleted(hosts)) => self.deleted(&hosts),
+            DriverMessage::State(counts) => self.measured.state = Some(counts),
+            DriverMessage::Cloud(FromCloud::Counts(counts)) => self.measured.cloud = Some(counts),
+            DriverMessage::Cloud(FromCloud::Rented(rented)) => self.on_rented(rented),
+            DriverMessage::Cloud(FromCloud::Deleted(hosts)) => self.on_deleted(&hosts),
         }
     }
 
-    fn event(&mut self, event: &TaskEvent) {
-        self.record.borrow_mut().event(event);
-        self.on_gang(event);
+    fn on_event(&mut self, event: &TaskEvent) {
+        self.record.borrow_mut().record_event(event);
+        self.on_gang_event(event);
     }
 
-    /// A task of a gang may make it whole, or leave it without one.
-    fn on_gang(&mut self, event: &TaskEvent) {
+    /// Passes an event of a gang's task to [`Gangs`]: a start may complete the gang, and an end may leave the gang
+    /// incomplete.
+    fn on_gang_event(&mut self, event: &TaskEvent) {
         let job = job_of(&event.task);
-        if let Some((tasks, run)) = self.gang_facts.get(job).copied() {
+        if let Some((tasks, run)) = self.gang_info.get(job).copied() {
             let notices = (self.load.workers.gang_peer_s * 1e6) as u64;
             if let Some(step) = self.gangs.event(event, tasks, run, notices) {
-                self.gang_step(step);
+                self.send_gang_step(step);
             }
         }
     }
 
-    fn gang_step(&self, step: GangStep) {
+    fn send_gang_step(&self, step: GangStep) {
         self.tell_hosts(&match step {
             GangStep::Starts((job, attempt)) => ToHosts::GangStarts { job, attempt },
             GangStep::Ends((job, attempt), done) => ToHosts::GangEnds { job, attempt, done },
@@ -332,9 +338,10 @@
             .for_each(|h| h.talker.tell(message));
     }
 
-    /// A machine was rented: its worker goes to a process with room, the first ones to those of real workers.
-    fn rented(&mut self, rented: Rented) {
-        let facts = HostFacts {
+    /// Records a provisioned machine and assigns its worker to the emptiest process with free capacity. Processes of
+    /// real workers are filled first, then the rack, then the other hollow processes.
+    fn on_rented(&mut self, rented: Rented) {
+        let info = HostInfo {
             flavor: rented.flavor.clone(),
             zone: rented.zone.clone(),
             spot: rented.spot,
@@ -342,9 +349,9 @@
         self.record
             .borrow_mut()
             .hosts
-            .insert(rented.host.clone(), facts);
-        let free = |p: &&mut HostProcess| !p.ended && p.hosts.len() < p.room;
-        let emptiest = self.hosts.iter_mut().filter(free).min_by_key(|p| {
+            .insert(rented.host.clone(), info);
+        let free = |p: &&mut HostProcess| !p.ended && p.hosts.len() < p.capacity;
+        let process = self.hosts.iter_mut().filter(free).min_by_key(|p| {
             let order = match p.kind {
                 HostKind::Real => 0,
                 HostKind::Rack => 1,
@@ -352,17 +359,17 @@
             };
             (order, p.hosts.len())
         });
-        match emptiest {
+        match process {
             Some(process) => {
                 process.hosts.insert(rented.host.clone());
                 process.talker.tell(&ToHosts::Boot(rented));
             }
-            // Its process is gone: it never boots.
+            // No process with free capacity is left, so the machine never boots.
             None => self.cloud.tell(&ToCloud::Failed(vec![rented.host])),
         }
     }
 
-    fn deleted(&mut self, hosts: &[String]) {
+    fn on_deleted(&mut self, hosts: &[String]) {
         for process in self.hosts.iter_mut().filter(|p| !p.ended) {
             let own: Vec<String> = hosts
                 .iter()
@@ -375,21 +382,21 @@
         }
     }
 
-    // ---- What is brought ----
+    // ---- Load and scheduled actions ----
 
     fn tick(&mut self, now: u64) -> Result<(), RunError> {
         for step in self.gangs.over(now) {
-            self.gang_step(step);
+            self.send_gang_step(step);
         }
         self.submit_due(now);
-        while let Some(entry) = self.later.first_entry().filter(|e| *e.key() <= now) {
-            for later in entry.remove() {
-                match later {
-                    Later::StartController(node) => {
+        while let Some(entry) = self.scheduled.first_entry().filter(|e| *e.key() <= now) {
+            for action in entry.remove() {
+                match action {
+                    ScheduledAction::StartController(node) => {
                         self.controllers[node] = self.start_controller(node)?;
                     }
-                    Later::EndOutage => self.state.tell(&ToState::Outage(false)),
-                    Later::EndRefusal => self.state.tell(&ToState::Refuse(None)),
+                    ScheduledAction::EndOutage => self.state.tell(&ToState::Outage(false)),
+                    ScheduledAction::EndRefusal => self.state.tell(&ToState::Refuse(None)),
                 }
             }
         }
@@ -402,40 +409,42 @@
         Ok(())
     }
 
-    /// The first job of each class comes within what lies between two of them.
-    fn first_arrivals(&mut self, began: u64) -> Vec<u64> {
+    /// Returns the time of the first submission of each class, drawn uniformly from one mean interval between
+    /// submissions.
+    fn first_submissions(&mut self, began: u64) -> Vec<u64> {
         let rates = self.load.job_rates(self.options.starts, self.options.gang);
-        let first = |rate: f64| began + (self.rng.random_range(0.0..1.0) / rate * 1e6) as u64;
-        rates.into_iter().map(first).collect()
+        let first_at = |rate: f64| began + (self.rng.random_range(0.0..1.0) / rate * 1e6) as u64;
+        rates.into_iter().map(first_at).collect()
     }
 
-    /// Submits the jobs whose time has come, however the earlier ones were answered.
+    /// Submits the jobs whose time has come, whether or not earlier submissions were answered.
     fn submit_due(&mut self, now: u64) {
         let rates = self.load.job_rates(self.options.starts, self.options.gang);
         for (class, rate) in rates.into_iter().enumerate() {
-            while self.arrivals[class] <= now {
-                let pause = self.rng.random_range(0.5..1.5) / rate;
-                self.arrivals[class] += (pause * 1e6) as u64;
+            while self.next_submissions[class] <= now {
+                let interval = self.rng.random_range(0.5..1.5) / rate;
+                self.next_submissions[class] += (interval * 1e6) as u64;
                 self.submit(class);
             }
         }
     }
 
     fn submit(&mut self, class: usize) {
-        let facts = &self.load.classes[class];
-        let stretch = self.options.tasks_running() / (self.options.starts * self.load.mean_run_s());
+        let class_facts = &self.load.classes[class];
+        let run_time_scale =
+            self.options.tasks_running() / (self.options.starts * self.load.mean_run_s());
         self.jobs += 1;
         let job = Job {
             id: format!("j-{:06}", self.jobs),
             class,
             team: self.rng.random_range(0..self.options.teams),
-            tasks: facts.draw_tasks(self.options.gang, &mut self.rng),
-            run_s: facts.run_s * stretch,
-            cancelled: self.rng.random_bool(facts.cancelled),
+            tasks: class_facts.draw_tasks(self.options.gang, &mut self.rng),
+            run_s: class_facts.run_s * run_time_scale,
+            cancelled: self.rng.random_bool(class_facts.cancelled),
         };
-        let (gang, run) = (facts.shape == Shape::Group, (job.run_s * 1e6) as u64);
+        let (gang, run) = (class_facts.shape == Shape::Group, (job.run_s * 1e6) as u64);
         if gang {
-            self.gang_facts.insert(job.id.clone(), (job.tasks, run));
+            self.gang_info.insert(job.id.clone(), (job.tasks, run));
         }
         let description = JobDescription {
             id: job.id.clone(),
@@ -444,11 +453,12 @@
             run,
         };
         self.tell_hosts(&ToHosts::Describe(description));
-        spawn_local(self.users.clone().live(job));
+        spawn_local(self.users.clone().run_job(job));
     }
 
-    /// A hollow worker says that it started what another runs. False: nothing runs yet.
-    fn pretend(&mut self) -> bool {
+    /// Makes a hollow worker report the start of a task that another worker runs. Returns false if no task runs yet
+    /// or no hollow process has two workers.
+    fn report_false_start(&mut self) -> bool {
         let Some((task, attempt, not_on)) = self.record.borrow().any_running() else {
             return false;
         };
@@ -468,7 +478,7 @@
         true
     }
 
-    async fn end(&mut self) {
+    async fn kill_processes(&mut self) {
         for process in &mut self.controllers {
             process.kill().await;
         }
@@ -480,18 +490,18 @@
     }
 }
 
-fn first_record(options: &RunOptions, load: &Load) -> Record {
+fn new_record(options: &RunOptions, load: &Load) -> Record {
     let (_, limit) = team_cpus(options, load);
-    let limits = vec![vec![LimitFrom { at: 0, cpus: limit }]; options.teams];
+    let limits = vec![vec![LimitEntry { at: 0, cpus: limit }]; options.teams];
     Record::new(limits, (load.workers.cancel_s * 1e6) as u64)
 }
 
-/// The number of the controller with this name.
-fn node_of(name: &str) -> Option<usize> {
+/// Returns the index of the controller with this name.
+fn controller_index(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
-fn style() -> ProgressStyle {
+fn progress_style() -> ProgressStyle {
     ProgressStyle::with_template("{bar:40} {pos}/{len} s, {msg}")
         .unwrap_or_else(|_| ProgressStyle::default_bar())
 }
--- a/crates/gannethub-scale/src/run/start.rs
+++ b/crates/gannethub-scale/src/run/start.rs
@@ -1,4 +1,4 @@
-//! Starting the processes of a run.
+//! Starts the child processes of a run.
 
 use super::*;
 
@@ -9,11 +9,12 @@
     Real,
 }
 
-/// A process with workers.
+/// Child process with workers.
 pub(super) struct HostProcess {
     pub(super) kind: HostKind,
     pub(super) talker: Talker,
-    pub(super) room: usize,
+    /// Maximum number of workers in the process.
+    pub(super) capacity: usize,
     pub(super) hosts: BTreeSet<String>,
     pub(super) ended: bool,
 }
@@ -23,7 +24,7 @@
     load: &Load,
     ports: &Ports,
     clock: RunClock,
-    queue: mpsc::Sender<Heard>,
+    queue: mpsc::Sender<DriverMessage>,
 ) -> std::io::Result<Talker> {
     let limits = &load.state;
     let arguments = arguments([
@@ -39,7 +40,7 @@
         ("txn-ops", limits.txn_ops.to_string()),
         ("lag-ms", limits.lag_ms.to_string()),
     ]);
-    Talker::start("state", &arguments, queue, Heard::State)
+    Talker::start("state", &arguments, queue, DriverMessage::State)
 }
 
 pub(super) fn start_cloud(
@@ -47,9 +48,9 @@
     load: &Load,
     ports: &Ports,
     clock: RunClock,
-    queue: mpsc::Sender<Heard>,
+    queue: mpsc::Sender<DriverMessage>,
 ) -> std::io::Result<Talker> {
-    let [boot_least, boot_most] = load.machine.boot_s.map(|s| (s * 1e6) as u64);
+    let [boot_min, boot_max] = load.machine.boot_s.map(|s| (s * 1e6) as u64);
     let arguments = arguments([
         ("epoch", clock.0.to_string()),
         ("port", ports.cloud.to_string()),
@@ -57,15 +58,15 @@
         ("controllers", options.controllers.to_string()),
         ("capacity", options.workers.to_string()),
         ("flavors", flavors(options, load).to_string()),
-        ("boot-least-us", boot_least.to_string()),
-        ("boot-most-us", boot_most.max(boot_least + 1).to_string()),
+        ("boot-least-us", boot_min.to_string()),
+        ("boot-most-us", boot_max.max(boot_min + 1).to_string()),
         (
             "list-lag-us",
             ((load.cloud.list_lag_s * 1e6) as u64).to_string(),
         ),
         ("seed", options.seed.to_string()),
     ]);
-    Talker::start("cloud", &arguments, queue, Heard::Cloud)
+    Talker::start("cloud", &arguments, queue, DriverMessage::Cloud)
 }
 
 pub(super) fn start_hosts(
@@ -73,14 +74,14 @@
     load: &Load,
     ports: &Ports,
     clock: RunClock,
-    queue: &mpsc::Sender<Heard>,
+    queue: &mpsc::Sender<DriverMessage>,
 ) -> std::io::Result<Vec<HostProcess>> {
     let controllers: Vec<String> = ports.controllers().iter().map(|a| a.to_string()).collect();
     let micros = |s: f64| ((s * 1e6) as u64).to_string();
     let hollow = options.hollow_processes();
     let mut processes = Vec::new();
     for index in 0..hollow + options.real {
-        let (kind, room) = match index {
+        let (kind, capacity) = match index {
             i if i + 1 < hollow => (HostKind::Hollow, HOLLOW_PER_PROCESS),
             i if i < hollow => (HostKind::Rack, options.rack_workers()),
             _ => (HostKind::Real, 1),
@@ -98,12 +99,12 @@
         if kind == HostKind::Real {
             arguments.push("--real".into());
         }
-        let heard = move |message| Heard::Hosts(index, message);
-        let talker = Talker::start("hosts", &arguments, queue.clone(), heard)?;
+        let wrap = move |message| DriverMessage::Hosts(index, message);
+        let talker = Talker::start("hosts", &arguments, queue.clone(), wrap)?;
         processes.push(HostProcess {
             kind,
             talker,
-            room,
+            capacity,
             hosts: BTreeSet::new(),
             ended: false,
         });
--- a/crates/gannethub-scale/src/users.rs
+++ b/crates/gannethub-scale/src/users.rs
@@ -1,5 +1,6 @@
-//! Users: they submit jobs at their times whatever the answers, ask about them, cancel some, and take down what they are
-//! told. A late answer delays no later request.
+//! Users of a run. The users submit jobs at their scheduled times whether or not earlier requests were answered, poll
+//! the status of the jobs, cancel some jobs, and record the answers. A late answer does not delay any later request
+//! of another job.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -16,27 +17,34 @@
 use crate::record::{JobRecord, Record};
 use crate::role::RunClock;
 
-const SUBMIT_PATIENCE: Duration = Duration::from_secs(5);
-const POLL_PATIENCE: Duration = Duration::from_secs(2);
-const RETRY: Duration = Duration::from_secs(1);
-/// A request is repeated for this long, in microseconds.
-const REPEATS: u64 = 60_000_000;
-/// Every poll for a job failing for this long is a rule broken, in microseconds.
-const FORGOTTEN: u64 = 90_000_000;
+/// Timeout of one attempt to submit or cancel a job.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a status poll.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay between two attempts of a request.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Time for which a request is repeated, in microseconds.
+const MAX_RETRY_TIME: u64 = 60_000_000;
+/// Maximum time in which every status poll of a job may fail, in microseconds. A longer time violates a rule.
+const MAX_UNANSWERED_TIME: u64 = 90_000_000;
 
-/// How long requests took, in microseconds, and how many had no good answer.
+/// Latencies of requests, and the number of requests without a good answer. Each latency is a pair: the time at which
+/// the request was made, and the time until the answer, both in microseconds.
 #[derive(Default)]
 pub struct Latencies {
     pub submissions: Vec<(u64, u64)>,
-    pub questions: Vec<(u64, u64)>,
+    /// Latencies of status polls.
+    pub status_polls: Vec<(u64, u64)>,
     pub cancellations: Vec<(u64, u64)>,
-    /// Answers that sent the user away to come back.
+    /// Number of answers that sent the user away to retry later.
     pub turned_away: u64,
+    /// Number of requests that were not answered in time.
     pub unanswered: u64,
+    /// Number of requests that were given up after repeated attempts.
     pub given_up: u64,
 }
 
-/// What all users of a run share.
+/// State that all users of a run share.
 pub struct Users {
     pub clock: RunClock,
     pub load: Rc<Load>,
@@ -67,23 +75,24 @@
         }
     }
 
-    fn draw(&self, to: usize) -> usize {
+    fn random_index(&self, to: usize) -> usize {
         self.rng.borrow_mut().random_range(0..to.max(1))
     }
 
-    /// Sends a request to one controller after another until one of these statuses comes. `None`: none did in time.
-    async fn repeat(
+    /// Sends a request to one controller after another until an answer has one of the `good_statuses`.
+    /// Returns `None` if no such answer came in time.
+    async fn send_with_retries(
         &self,
         method: Method,
         path: &str,
         body: &[u8],
-        good: &[u16],
+        good_statuses: &[u16],
     ) -> Option<(u16, Value)> {
-        let until = self.clock.now() + REPEATS;
-        let first = self.draw(self.clients.len());
+        let until = self.clock.now() + MAX_RETRY_TIME;
+        let first = self.random_index(self.clients.len());
         for client in self.clients.iter().cycle().skip(first) {
-            match client.call(method, path, body, SUBMIT_PATIENCE).await {
-                Ok(Answer { status, body }) if good.contains(&status) => {
+            match client.call(method, path, body, REQUEST_TIMEOUT).await {
+                Ok(Answer { status, body }) if good_statuses.contains(&status) => {
                     return Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)));
                 }
                 Ok(_) => self.latencies.borrow_mut().turned_away += 1,
@@ -92,36 +101,37 @@
             if self.clock.now() > until {
                 break;
             }
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
         self.latencies.borrow_mut().given_up += 1;
         None
     }
 
-    fn note(&self, id: &str, change: impl FnOnce(&mut JobRecord)) {
+    /// Applies a change to the record of a job, if the record has the job.
+    fn edit(&self, id: &str, change: impl FnOnce(&mut JobRecord)) {
         if let Some(job) = self.record.borrow_mut().jobs.get_mut(id) {
             change(job);
         }
     }
 
-    /// Lives through a job, from its submission to the answer that it is over.
-    pub async fn live(self: Rc<Self>, job: Job) {
-        let asked = self.clock.now();
+    /// Acts as the user of a job, from the submission of the job until an answer says that the job is over.
+    pub async fn run_job(self: Rc<Self>, job: Job) {
+        let sent_at = self.clock.now();
         let class = &self.load.classes[job.class];
         let record = JobRecord {
             team: job.team,
             tasks: job.tasks,
             cpus: class.cpus,
-            together: class.shape == Shape::Group,
+            is_gang: class.shape == Shape::Group,
             urgent: class.rank == "urgent",
-            asked,
+            sent_at,
             ..JobRecord::default()
         };
         self.record.borrow_mut().jobs.insert(job.id.clone(), record);
         let body = job.submission_body(&self.load).to_string();
-        let good = [200, 201, 400, 422];
+        let good_statuses = [200, 201, 400, 422];
         let answer = self
-            .repeat(Method::Post, "/api/jobs", body.as_bytes(), &good)
+            .send_with_retries(Method::Post, "/api/jobs", body.as_bytes(), &good_statuses)
             .await;
         let Some((status, answer)) = answer else {
             return;
@@ -129,87 +139,91 @@
         let now = self.clock.now();
         if status >= 400 {
             let what = format!("{status} {answer}");
-            return self.note(&job.id, |j| j.broken.push(("refused", what)));
+            return self.edit(&job.id, |j| j.violations.push(("refused", what)));
         }
         self.latencies
             .borrow_mut()
             .submissions
-            .push((asked, now - asked));
-        self.note(&job.id, |j| j.accepted = Some(now));
+            .push((sent_at, now - sent_at));
+        self.edit(&job.id, |j| j.accepted = Some(now));
         let cancel_after = job.cancelled.then(|| {
-            let most = (job.run_s * 1e6) as usize;
-            now + self.draw(most) as u64
+            let run_time = (job.run_s * 1e6) as usize;
+            now + self.random_index(run_time) as u64
         });
-        self.follow(&job, cancel_after).await;
+        self.poll_until_over(&job, cancel_after).await;
     }
 
-    async fn follow(&self, job: &Job, cancel_after: Option<u64>) {
+    async fn poll_until_over(&self, job: &Job, cancel_after: Option<u64>) {
         let path = format!("/api/jobs/{}", job.id);
-        let mut heard = self.clock.now();
+        let mut answered_at = self.clock.now();
         loop {
             sleep(Duration::from_secs_f64(self.load.users.poll_s)).await;
             if cancel_after.is_some_and(|at| self.clock.now() >= at) {
                 return self.cancel(job).await;
             }
-            let asked = self.clock.now();
-            let client = self.clients[self.draw(self.clients.len())].clone();
-            let answer = client.call(Method::Get, &path, b"", POLL_PATIENCE).await;
+            let sent_at = self.clock.now();
+            let client = self.clients[self.random_index(self.clients.len())].clone();
+            let answer = client.call(Method::Get, &path, b"", POLL_TIMEOUT).await;
             let now = self.clock.now();
             match answer {
                 Ok(Answer { status: 200, body }) => {
-                    heard = now;
+                    answered_at = now;
                     self.latencies
                         .borrow_mut()
-                        .questions
-                        .push((asked, now - asked));
+                        .status_polls
+                        .push((sent_at, now - sent_at));
                     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
                     match body["status"].as_str() {
-                        Some("done") => return self.note(&job.id, |j| j.told_done = Some(now)),
+                        Some("done") => return self.edit(&job.id, |j| j.told_done = Some(now)),
                         Some("cancelled") => {
                             let what = "called cancelled, which nobody asked for".to_string();
-                            return self.note(&job.id, |j| j.broken.push(("went_back", what)));
+                            return self.edit(&job.id, |j| j.violations.push(("went_back", what)));
                         }
                         _ => {}
                     }
                 }
                 Ok(Answer { status: 404, .. }) => {
                     let what = "404 for an accepted job".to_string();
-                    return self.note(&job.id, |j| j.broken.push(("forgotten", what)));
+                    return self.edit(&job.id, |j| j.violations.push(("forgotten", what)));
                 }
                 Ok(_) => self.latencies.borrow_mut().turned_away += 1,
                 Err(_) => self.latencies.borrow_mut().unanswered += 1,
             }
-            if now > heard + FORGOTTEN {
+            if now > answered_at + MAX_UNANSWERED_TIME {
                 let what = "no poll was answered for 90 s".to_string();
-                return self.note(&job.id, |j| j.broken.push(("forgotten", what)));
+                return self.edit(&job.id, |j| j.violations.push(("forgotten", what)));
             }
         }
     }
 
     async fn cancel(&self, job: &Job) {
-        let asked = self.clock.now();
-        self.note(&job.id, |j| j.cancel_asked = Some(asked));
+        let requested_at = self.clock.now();
+        self.edit(&job.id, |j| j.cancel_requested = Some(requested_at));
         let path = format!("/api/jobs/{}/cancel", job.id);
-        let Some((_, answer)) = self.repeat(Method::Post, &path, b"", &[200]).await else {
+        let Some((_, answer)) = self
+            .send_with_retries(Method::Post, &path, b"", &[200])
+            .await
+        else {
             return;
         };
         let now = self.clock.now();
         self.latencies
             .borrow_mut()
             .cancellations
-            .push((asked, now - asked));
+            .push((requested_at, now - requested_at));
         match answer["status"].as_str() {
-            Some("cancelled") => self.note(&job.id, |j| j.told_cancelled = Some(now)),
-            Some("done") => self.note(&job.id, |j| j.told_done = Some(now)),
+            Some("cancelled") => self.edit(&job.id, |j| j.told_cancelled = Some(now)),
+            Some("done") => self.edit(&job.id, |j| j.told_done = Some(now)),
             _ => {
                 let what = format!("a cancellation was answered with {answer}");
-                self.note(&job.id, |j| j.broken.push(("went_back", what)));
+                self.edit(&job.id, |j| j.violations.push(("went_back", what)));
             }
         }
     }
 
-    /// Asks once more about jobs that are known to be accepted, done or cancelled.
-    pub async fn ask_again(&self, most: usize) {
+    /// Requests the status of up to `limit` accepted jobs once more, and records a violation where a job is unknown
+    /// or no longer has the final status that its user was told.
+    pub async fn recheck_jobs(&self, limit: usize) {
         let known: Vec<(String, Option<&'static str>)> = self
             .record
             .borrow()
@@ -220,24 +234,24 @@
                 let done = j.told_done.map(|_| "done");
                 (id.clone(), done.or(j.told_cancelled.map(|_| "cancelled")))
             })
-            .take(most)
+            .take(limit)
             .collect();
         for (id, expected) in known {
             let path = format!("/api/jobs/{id}");
-            let client = self.clients[self.draw(self.clients.len())].clone();
-            let answer = client.call(Method::Get, &path, b"", POLL_PATIENCE).await;
+            let client = self.clients[self.random_index(self.clients.len())].clone();
+            let answer = client.call(Method::Get, &path, b"", POLL_TIMEOUT).await;
             let Ok(Answer { status, body }) = answer else {
                 continue;
             };
             let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
             if status == 404 {
-                self.note(&id, |j| {
-                    j.broken.push(("forgotten", "404 at the end".into()))
+                self.edit(&id, |j| {
+                    j.violations.push(("forgotten", "404 at the end".into()))
                 });
             }
             if let Some(expected) = expected.filter(|e| status == 200 && body["status"] != **e) {
                 let what = format!("once {expected}, then {}", body["status"]);
-                self.note(&id, |j| j.broken.push(("went_back", what)));
+                self.edit(&id, |j| j.violations.push(("went_back", what)));
             }
         }
     }
--- a/crates/gannethub-scale/tests/loopback.rs
+++ b/crates/gannethub-scale/tests/loopback.rs
@@ -1,22 +1,27 @@
-//! The tool as a whole: a cluster of some twenty workers on loopback for some seconds, with faults, and once with a
-//! defect that is put in on purpose.
+//! Runs the whole tool: a cluster of 20 workers on loopback for 24 s, once with faults only, and once also with an
+//! injected defect that the rules must detect.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use gannethub_scale::report::Report;
 
-/// The controllers' program, which the workspace's tests have built beside this one's.
-fn controllers() -> PathBuf {
+/// Returns the path of the controllers' program. A build of the workspace's tests puts the program beside this
+/// tool's.
+fn controller_program() -> PathBuf {
     let own = Path::new(env!("CARGO_BIN_EXE_gannethub-scale"));
     let program = own.with_file_name("gannethub");
-    assert!(program.is_file(), "cargo build makes {}", program.display());
+    assert!(
+        program.is_file(),
+        "{} is missing; `cargo build` builds it",
+        program.display()
+    );
     program
 }
 
-fn run(name: &str, more: &[&str]) -> (bool, Report) {
+fn run(name: &str, extra_arguments: &[&str]) -> (bool, Report) {
     let dir = std::env::temp_dir().join(format!("gannethub-loopback-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a directory");
+    std::fs::create_dir_all(&dir).expect("cannot create the directory");
     let file = dir.join(name);
     let load = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/small.toml");
     let output = Command::new(env!("CARGO_BIN_EXE_gannethub-scale"))
@@ -42,22 +47,23 @@
             "10",
         ])
         .args(["--load".as_ref(), load.as_os_str()])
-        .args(["--program".as_ref(), controllers().as_os_str()])
+        .args(["--program".as_ref(), controller_program().as_os_str()])
         .args(["--report".as_ref(), file.as_os_str()])
-        .args(more)
+        .args(extra_arguments)
         .output()
-        .expect("the tool can be run");
-    let said = String::from_utf8_lossy(&output.stderr);
-    let text = std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{e}: {said}"));
-    std::fs::remove_file(&file).expect("it was there");
+        .expect("cannot run the tool");
+    let errors = String::from_utf8_lossy(&output.stderr);
+    let text = std::fs::read_to_string(&file)
+        .unwrap_or_else(|e| panic!("cannot read the report: {e}: {errors}"));
+    std::fs::remove_file(&file).expect("cannot remove the report");
     (
         output.status.success(),
-        serde_json::from_str(&text).expect("it is a report"),
+        serde_json::from_str(&text).expect("cannot parse the report"),
     )
 }
 
 #[test]
-fn a_small_cluster_is_measured_and_no_rule_is_broken_through_the_loss_of_a_rack_and_the_leader() {
+fn rack_and_leader_loss_violate_no_rule() {
     let (passed, report) = run("plain.json", &[]);
     assert!(passed && report.broken.is_empty(), "{:?}", report.broken);
     assert_eq!(report.faults.len(), 2, "{:?}", report.faults);
@@ -89,7 +95,7 @@
 }
 
 #[test]
-fn a_worker_that_says_it_started_what_another_runs_is_caught() {
+fn false_start_report_of_a_worker_is_detected() {
     let (passed, report) = run("pretend.json", &["--pretend"]);
     assert!(
         !passed && report.rules["ran_twice"] > 0,
