--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -364,7 +364,7 @@
                 process.hosts.insert(rented.host.clone());
                 process.talker.tell(&ToHosts::Boot(rented));
             }
-            // No process with free capacity is left, so the machine never boots.
+            // The process that had room for the machine has ended, so the machine never boots.
             None => self.cloud.tell(&ToCloud::Failed(vec![rented.host])),
         }
     }
