--- a/crates/gannethub-emulators/src/cloud.rs
+++ b/crates/gannethub-emulators/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud, by its published protocol.
+//! A model of the cloud, by its published protocol.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,21 +7,26 @@
 use crate::SECOND;
 use crate::worker::{Site, Worker};
 
-/// The cloud's side of its machines; the workers on them are the caller's.
+/// The cloud's state of its machines. The caller owns the workers that run on the machines.
 pub struct Cloud {
+    /// Machine types, as the body of the answer to `GET /flavors`.
     pub flavors: Value,
-    /// Machines it has at once.
+    /// Maximum number of machines at the same time.
     pub capacity: usize,
-    /// How long machines take to boot, at least and at most, and one in how many never does; 0: none.
+    /// Minimum and maximum boot time of a machine, in microseconds.
     pub boot: (u64, u64),
+    /// Probability that a machine never boots; 0 if all machines boot.
     pub never_boot: f64,
-    /// How far its list lags behind.
+    /// Delay in microseconds after which a provisioned machine appears in the machine list.
     pub list_lag: u64,
-    /// It fails to delete machines, or to do anything.
+    /// Whether requests to delete machines fail.
     pub no_deletes: bool,
+    /// Whether all requests fail.
     pub down: bool,
-    rentals: HashMap<String, Vec<String>>,
-    rented: usize,
+    /// Machines of each provision request, by the request's id. A repeated request provisions no further machines.
+    machines_by_request: HashMap<String, Vec<String>>,
+    /// Number of machines provisioned so far, from which machine ids are made.
+    provisioned_count: usize,
 }
 
 impl Default for Cloud {
@@ -40,14 +45,15 @@
             list_lag: 2 * SECOND,
             no_deletes: false,
             down: false,
-            rentals: HashMap::new(),
-            rented: 0,
+            machines_by_request: HashMap::new(),
+            provisioned_count: 0,
         }
     }
 }
 
 impl Cloud {
-    /// Answers a request. Rented machines appear among `workers`; what is deleted is taken out and returned.
+    /// Answers a request with a status, a body and the deleted workers. The workers of provisioned machines are added
+    /// to `workers`; the workers of deleted machines are removed from `workers` and returned.
     pub fn handle(
         &mut self,
         path: &str,
@@ -64,11 +70,11 @@
             "/rentals/delete" if self.no_deletes => answer(500, json!({"error": "trouble"})),
             "/rentals/delete" => {
                 let names = body["hosts"].as_array().into_iter().flatten();
-                let gone = names.filter_map(|n| workers.remove(n.as_str()?)).collect();
-                (200, json!({}), gone)
+                let deleted = names.filter_map(|n| workers.remove(n.as_str()?)).collect();
+                (200, json!({}), deleted)
             }
             "/rentals" if !body.is_null() => {
-                let (status, body) = self.rent(&body, workers, site);
+                let (status, body) = self.provision(&body, workers, site);
                 answer(status, body)
             }
             "/rentals" => {
@@ -93,34 +99,34 @@
         }
     }
 
-    fn rent(
+    fn provision(
         &mut self,
         body: &Value,
         workers: &mut BTreeMap<String, Worker>,
         site: &mut dyn Site,
     ) -> (u16, Value) {
-        let name = body["hire"].as_str().unwrap_or("").to_string();
-        if let Some(hosts) = self.rentals.get(&name) {
+        let request_id = body["hire"].as_str().unwrap_or("").to_string();
+        if let Some(hosts) = self.machines_by_request.get(&request_id) {
             return (200, json!({"hosts": hosts}));
         }
-        let room = self.capacity.saturating_sub(workers.len());
-        let count = (body["how_many"].as_u64().unwrap_or(0) as usize).min(room);
+        let free_capacity = self.capacity.saturating_sub(workers.len());
+        let count = (body["how_many"].as_u64().unwrap_or(0) as usize).min(free_capacity);
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
         let mut hosts = Vec::new();
         for _ in 0..count {
-            self.rented += 1;
-            let id = format!("host-{:06}", self.rented);
+            self.provisioned_count += 1;
+            let id = format!("host-{:06}", self.provisioned_count);
             let boot = site.draw(self.boot.0, self.boot.1);
-            let never = self.never_boot > 0.0 && site.chance(self.never_boot);
-            let boot = if never { u64::MAX } else { boot };
-            let first = site.draw(0, site.nodes() as u64) as usize;
-            let worker = Worker::new(&id, body, site.now(), boot, first, site.lease());
+            let never_boots = self.never_boot > 0.0 && site.chance(self.never_boot);
+            let boot = if never_boots { u64::MAX } else { boot };
+            let first_node = site.draw(0, site.nodes() as u64) as usize;
+            let worker = Worker::new(&id, body, site.now(), boot, first_node, site.lease());
             workers.insert(id.clone(), worker);
             hosts.push(id);
         }
-        self.rentals.insert(name, hosts.clone());
+        self.machines_by_request.insert(request_id, hosts.clone());
         (200, json!({"hosts": hosts}))
     }
 }
--- a/crates/gannethub-emulators/src/record.rs
+++ b/crates/gannethub-emulators/src/record.rs
@@ -1,74 +1,84 @@
-//! What workers themselves would say of the attempts that they had.
+//! The workers' own record of their attempts, with which the usage ledger is compared.
 
 use std::collections::BTreeMap;
 
 use crate::worker::Worker;
 
-/// An attempt's time at its worker.
+/// The time that one attempt spent at its worker. All times are in microseconds.
 #[derive(Debug, Clone)]
 pub struct Span {
-    pub began: u64,
+    /// Beginning of the last run.
+    pub began_at: u64,
+    /// End of the last run; `None` while the attempt is at its worker.
     pub ended: Option<u64>,
-    /// It went with its machine or its worker's lease.
+    /// Whether the attempt was lost with its machine or its worker's lease.
     pub lost: bool,
-    /// A gang's task that is replaced where it was keeps its number. How often that was, and the time until then.
+    /// Number of runs. A gang's task that is replaced on its machine keeps its attempt number, and runs again.
     pub stints: usize,
-    pub before: u64,
+    /// Total time of the runs before the last one.
+    pub earlier_time: u64,
 }
 
 impl Span {
-    fn new(began: u64) -> Span {
+    fn new(began_at: u64) -> Span {
         Span {
-            began,
+            began_at,
             ended: None,
             lost: false,
             stints: 1,
-            before: 0,
+            earlier_time: 0,
         }
     }
 
-    /// All time at its worker, once it has ended.
+    /// Returns the attempt's total time at its worker over all runs, once the last run has ended.
     pub fn time(&self) -> Option<u64> {
-        Some(self.before + self.ended? - self.began)
+        Some(self.earlier_time + self.ended? - self.began_at)
     }
 }
 
-/// By machine, task and attempt.
+/// Machine, task and attempt number of a span.
 pub type SpanKey = (String, String, u64);
 
-/// The workers' own record, which no controller sees.
+/// The workers' own record of their attempts, which no controller sees.
 #[derive(Debug, Default)]
 pub struct Record {
     pub spans: BTreeMap<SpanKey, Span>,
 }
 
 impl Record {
-    /// Takes down what a worker has now, and no longer has.
-    pub fn note(&mut self, w: &Worker, now: u64) {
-        for t in w.tasks.values() {
-            let key = (w.name.clone(), t.name.clone(), t.attempt);
+    /// Records which attempts a worker has now, and ends the spans of attempts that have ended or were lost.
+    pub fn note(&mut self, worker: &Worker, now: u64) {
+        for task in worker.tasks.values() {
+            let key = (worker.name.clone(), task.name.clone(), task.attempt);
             let span = self.spans.entry(key).or_insert_with(|| Span::new(now));
-            if t.ended() {
+            if task.ended() {
                 span.ended.get_or_insert(now);
-            } else if let Some(before) = span.time().filter(|_| !w.dead && !w.lease_over(now)) {
+            } else if let Some(earlier_time) = span
+                .time()
+                .filter(|_| !worker.dead && !worker.lease_over(now))
+            {
                 *span = Span {
-                    before,
+                    earlier_time,
                     stints: span.stints + 1,
                     ..Span::new(now)
                 };
             }
         }
-        let gone = |(k, s): &(&SpanKey, &mut Span)| {
-            let shown = w.tasks.get(&k.1).is_some_and(|t| t.attempt == k.2);
-            // A machine that hangs past its lease never goes on with them.
-            s.ended.is_none() && (w.dead || !shown || w.lease_over(now))
+        let is_lost = |(key, span): &(&SpanKey, &mut Span)| {
+            let listed = worker
+                .tasks
+                .get(&key.1)
+                .is_some_and(|task| task.attempt == key.2);
+            // A machine that hangs past its lease never resumes its attempts.
+            span.ended.is_none() && (worker.dead || !listed || worker.lease_over(now))
         };
-        let first = (w.name.clone(), String::new(), 0);
-        let own = self
+        let first_key = (worker.name.clone(), String::new(), 0);
+        let worker_spans = self
             .spans
-            .range_mut(first..)
-            .take_while(|(k, _)| k.0 == w.name);
-        own.filter(gone)
-            .for_each(|(_, s)| (s.ended, s.lost) = (Some(now), true));
+            .range_mut(first_key..)
+            .take_while(|(key, _)| key.0 == worker.name);
+        worker_spans
+            .filter(is_lost)
+            .for_each(|(_, span)| (span.ended, span.lost) = (Some(now), true));
     }
 }
--- a/crates/gannethub-emulators/src/state.rs
+++ b/crates/gannethub-emulators/src/state.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service, in memory, by its published protocol.
+//! A model of the state service, in memory, by its published protocol.
 
 use std::collections::BTreeMap;
 
@@ -7,54 +7,66 @@
 #[derive(Clone)]
 struct Entry {
     value: Value,
-    stamp: u64,
-    grant: Option<u64>,
+    /// Version of the key's last change.
+    version: u64,
+    /// Id of the lease that the key is bound to, if any: the key is deleted when the lease ends.
+    lease: Option<u64>,
 }
 
+/// The state service. All times are in microseconds.
 #[derive(Default)]
 pub struct State {
     entries: BTreeMap<String, Entry>,
-    log: Vec<(u64, String, Option<Value>)>,
-    grants: BTreeMap<u64, (u64, u64)>,
-    revision: u64,
-    next_grant: u64,
+    /// Version, key and new value of every change, in the order of versions; a value of `None` is a delete.
+    change_log: Vec<(u64, String, Option<Value>)>,
+    /// Duration and expiry time of each lease, by the lease's id.
+    leases: BTreeMap<u64, (u64, u64)>,
+    version: u64,
+    last_lease_id: u64,
+    /// Whether the service is in an outage: all requests fail, and no lease expires.
     pub down: bool,
-    /// Items in a page: few, so that paging is always at work.
+    /// Maximum number of items in a page of a listing. The default is small, so that clients always have to page.
     pub page: usize,
-    /// Requests so far.
+    /// Number of requests so far.
     pub requests: usize,
-    /// Bytes of a value and changes of a transaction that it allows; they may fall without notice.
+    /// Maximum size of a value in bytes and maximum number of changes in a transaction. Both may be lowered without
+    /// notice.
     pub limits: (usize, usize),
-    /// Transactions refused for their size.
+    /// Number of transactions refused for their size.
     pub too_large: usize,
-    /// Changes a second that it allows, if it counts them; and requests refused for coming too often.
+    /// Maximum number of changes per second; `None` for no limit.
     pub rate: Option<f64>,
+    /// Number of requests refused because of `rate` or `request_rate`.
     pub too_many: usize,
-    /// Requests a second that it allows, if it counts them; those refused count in `too_many` as well.
+    /// Maximum number of requests per second; `None` for no limit.
     pub request_rate: Option<f64>,
-    /// What is left of this second's changes, and when that was.
-    left: (f64, u64),
-    /// The same of this second's requests.
-    requests_left: (f64, u64),
-    /// A watch's answer has its changes in another order than that of their versions.
+    /// Token bucket of `rate`: number of changes left, and the time of the last refill.
+    change_bucket: (f64, u64),
+    /// Token bucket of `request_rate`: number of requests left, and the time of the last refill.
+    request_bucket: (f64, u64),
+    /// Whether a watch's answer lists its changes in another order than that of their versions.
     pub unordered: bool,
-    /// It keeps so many changes, if not all, and refused so many watches that asked for older ones.
+    /// Number of most recent changes that watches can ask for; `None` for all changes.
     pub keeps: Option<usize>,
+    /// Number of watches refused because they asked for older changes.
     pub forgot: usize,
 }
 
-/// Takes `amount` off a bucket that fills at `rate` a second and holds one second's worth; false: there is too little.
-fn take(bucket: &mut (f64, u64), rate: f64, amount: f64, now: u64) -> bool {
-    let earned = now.saturating_sub(bucket.1) as f64 / 1e6 * rate;
-    *bucket = ((bucket.0 + earned).min(rate), now);
+/// Takes `amount` out of a token bucket that refills at `rate` per second and holds at most one second's worth.
+/// Returns false, and takes nothing, if the bucket holds less than `amount`.
+fn take_tokens(bucket: &mut (f64, u64), rate: f64, amount: f64, now: u64) -> bool {
+    let refill = now.saturating_sub(bucket.1) as f64 / 1e6 * rate;
+    *bucket = ((bucket.0 + refill).min(rate), now);
     let enough = bucket.0 >= amount;
     bucket.0 -= if enough { amount } else { 0.0 };
     enough
 }
 
-/// What a request comes to: an answer, or a watch that waits.
+/// The result of a request: an answer with its status and body, or a watch that waits.
 pub enum Outcome {
     Answer(u16, Value),
+    /// The watch waits for a change after version `after` to a key with this prefix, until the time `until` in
+    /// microseconds.
     Wait {
         prefix: String,
         after: u64,
@@ -63,73 +75,85 @@
 }
 
 impl State {
-    pub fn new(value: usize, changes: usize) -> State {
+    /// Creates an empty state service with the maximum size of a value in bytes and the maximum number of changes in a
+    /// transaction.
+    pub fn new(max_value_bytes: usize, max_changes: usize) -> State {
         State {
-            limits: (value, changes),
+            limits: (max_value_bytes, max_changes),
             page: 5,
             ..State::default()
         }
     }
 
+    /// Writes a key's value and lease, or deletes the key, at the current version.
     fn change(&mut self, key: &str, value: Option<(Value, Option<u64>)>) {
-        let revision = self.revision;
+        let current_version = self.version;
         match value {
-            Some((value, grant)) => {
-                self.log.push((revision, key.into(), Some(value.clone())));
+            Some((value, lease)) => {
+                self.change_log
+                    .push((current_version, key.into(), Some(value.clone())));
                 self.entries.insert(
                     key.into(),
                     Entry {
                         value,
-                        stamp: revision,
-                        grant,
+                        version: current_version,
+                        lease,
                     },
                 );
             }
             None => {
                 if self.entries.remove(key).is_some() {
-                    self.log.push((revision, key.into(), None));
+                    self.change_log.push((current_version, key.into(), None));
                 }
             }
         }
     }
 
-    fn end_grant(&mut self, id: u64) {
-        self.grants.remove(&id);
+    /// Ends a lease and deletes the keys that are bound to it.
+    fn end_lease(&mut self, id: u64) {
+        self.leases.remove(&id);
         let keys: Vec<String> = self
             .entries
             .iter()
-            .filter(|(_, e)| e.grant == Some(id))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, entry)| entry.lease == Some(id))
+            .map(|(key, _)| key.clone())
             .collect();
         if !keys.is_empty() {
-            self.revision += 1;
-            keys.iter().for_each(|k| self.change(k, None));
+            self.version += 1;
+            keys.iter().for_each(|key| self.change(key, None));
         }
     }
 
-    /// Lets grants run out. In an outage none does, and afterwards each has its full time again.
+    /// Ends leases that have expired. During an outage no lease expires, and after the outage each lease has its full
+    /// duration again.
     pub fn tick(&mut self, now: u64) {
         if self.down {
-            self.grants.values_mut().for_each(|g| g.1 = now + g.0);
+            self.leases
+                .values_mut()
+                .for_each(|lease| lease.1 = now + lease.0);
             return;
         }
-        let over: Vec<u64> = self
-            .grants
+        let expired: Vec<u64> = self
+            .leases
             .iter()
-            .filter(|(_, g)| g.1 <= now)
-            .map(|g| *g.0)
+            .filter(|(_, lease)| lease.1 <= now)
+            .map(|lease| *lease.0)
             .collect();
-        over.into_iter().for_each(|id| self.end_grant(id));
+        expired.into_iter().for_each(|id| self.end_lease(id));
     }
 
+    /// Returns a watch's answer with the changes after version `after` to keys with this prefix; `None` if there are no
+    /// such changes.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Value> {
-        let first = self.log.partition_point(|(r, _, _)| *r <= after);
-        let log: Vec<Value> = self.log[first..]
+        let first = self
+            .change_log
+            .partition_point(|(version, _, _)| *version <= after);
+        let log: Vec<Value> = self.change_log[first..]
             .iter()
-            .filter(|(_, k, _)| k.starts_with(prefix))
-            .map(|(r, k, v)| match v {
-                Some(v) => json!({"write": k, "v": v, "stamp": r}),
-                None => json!({"delete": k, "stamp": r}),
+            .filter(|(_, key, _)| key.starts_with(prefix))
+            .map(|(version, key, value)| match value {
+                Some(value) => json!({"write": key, "v": value, "stamp": version}),
+                None => json!({"delete": key, "stamp": version}),
             })
             .collect();
         let log = if self.unordered {
@@ -137,21 +161,25 @@
         } else {
             log
         };
-        (!log.is_empty()).then(|| json!({"ledger_no": self.revision, "log": log}))
+        (!log.is_empty()).then(|| json!({"ledger_no": self.version, "log": log}))
     }
 
-    /// Changes after this version are not kept any more.
-    fn forgotten(&self, after: u64) -> bool {
-        let gone = self.keeps.and_then(|n| self.log.len().checked_sub(n + 1));
-        gone.and_then(|i| self.log.get(i))
-            .is_some_and(|(r, _, _)| *r > after)
+    /// Whether some change after this version is no longer available to watches.
+    fn has_dropped_changes(&self, after: u64) -> bool {
+        let newest_dropped = self
+            .keeps
+            .and_then(|n| self.change_log.len().checked_sub(n + 1));
+        newest_dropped
+            .and_then(|i| self.change_log.get(i))
+            .is_some_and(|(version, _, _)| *version > after)
     }
 
+    /// Returns the answer to a watch that ends without a change.
     pub fn quiet(&self) -> Value {
-        json!({"ledger_no": self.revision, "log": []})
+        json!({"ledger_no": self.version, "log": []})
     }
 
-    /// Answers a request: its method, its path with its query, and its body.
+    /// Answers a request, given the request's method, path with query, and body.
     pub fn handle(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> Outcome {
         self.requests += 1;
         if self.down {
@@ -159,7 +187,7 @@
         }
         if self
             .request_rate
-            .is_some_and(|rate| !take(&mut self.requests_left, rate, 1.0, now))
+            .is_some_and(|rate| !take_tokens(&mut self.request_bucket, rate, 1.0, now))
         {
             self.too_many += 1;
             return Outcome::Answer(429, json!({"error": "too many"}));
@@ -177,7 +205,7 @@
             ("GET", "/follow") => {
                 let prefix = arg("starts").unwrap_or("").to_string();
                 let after = arg("from").and_then(|a| a.parse().ok()).unwrap_or(0);
-                if self.forgotten(after) {
+                if self.has_dropped_changes(after) {
                     self.forgot += 1;
                     return Outcome::Answer(410, json!({"error": "too old"}));
                 }
@@ -193,7 +221,7 @@
             }
             ("GET", "/kv") => {
                 let (prefix, from) = (arg("starts").unwrap_or(""), arg("from").unwrap_or(""));
-                let asked = arg("page")
+                let requested = arg("page")
                     .and_then(|p| p.parse().ok())
                     .unwrap_or(usize::MAX);
                 let first = prefix.max(from).to_string();
@@ -204,34 +232,34 @@
                 let mut keys = keys.filter(|(k, _)| k.as_str() > from);
                 let page: Vec<Value> = keys
                     .by_ref()
-                    .take(self.page.min(asked))
+                    .take(self.page.min(requested))
                     .map(
-                        |(k, e)| json!({"k": k, "v": e.value, "stamp": e.stamp, "permit": e.grant}),
+                        |(key, entry)| json!({"k": key, "v": entry.value, "stamp": entry.version, "permit": entry.lease}),
                     )
                     .collect();
                 let more = keys.next().is_some();
                 (
                     200,
-                    json!({"items": page, "truncated": more, "ledger_no": self.revision}),
+                    json!({"items": page, "truncated": more, "ledger_no": self.version}),
                 )
             }
             ("GET", p) => match self.entries.get(p.trim_start_matches("/kv/")) {
-                Some(e) => {
+                Some(entry) => {
                     let key = p.trim_start_matches("/kv/");
                     (
                         200,
-                        json!({"k": key, "v": e.value, "stamp": e.stamp, "permit": e.grant}),
+                        json!({"k": key, "v": entry.value, "stamp": entry.version, "permit": entry.lease}),
                     )
                 }
-                None => (404, json!({"ledger_no": self.revision})),
+                None => (404, json!({"ledger_no": self.version})),
             },
             ("POST", "/grants") => {
                 let ttl = body["ttl_ms"].as_u64().unwrap_or(0) * 1000;
-                self.next_grant += 1;
-                self.grants.insert(self.next_grant, (ttl, now + ttl));
-                (200, json!({"permit": self.next_grant}))
+                self.last_lease_id += 1;
+                self.leases.insert(self.last_lease_id, (ttl, now + ttl));
+                (200, json!({"permit": self.last_lease_id}))
             }
-            ("POST", "/commit") if !self.may_change(&body, now) => {
+            ("POST", "/commit") if !self.take_changes(&body, now) => {
                 self.too_many += 1;
                 (429, json!({"error": "too many"}))
             }
@@ -241,9 +269,9 @@
                     .trim_start_matches("/grants/")
                     .trim_end_matches("/renew")
                     .parse();
-                match id.ok().and_then(|id: u64| self.grants.get_mut(&id)) {
-                    Some(g) => {
-                        g.1 = now + g.0;
+                match id.ok().and_then(|id: u64| self.leases.get_mut(&id)) {
+                    Some(lease) => {
+                        lease.1 = now + lease.0;
                         (200, json!({}))
                     }
                     None => (404, json!({"error": "no such lease"})),
@@ -251,8 +279,8 @@
             }
             ("DELETE", p) => {
                 let id = p.trim_start_matches("/grants/").parse().unwrap_or(0);
-                let known = self.grants.contains_key(&id);
-                self.end_grant(id);
+                let known = self.leases.contains_key(&id);
+                self.end_lease(id);
                 (if known { 200 } else { 404 }, json!({}))
             }
             _ => (400, json!({"error": "malformed"})),
@@ -260,13 +288,15 @@
         Outcome::Answer(status, answer)
     }
 
-    /// Takes a transaction's changes off the rate; bursts of one second's worth are allowed.
-    fn may_change(&mut self, body: &Value, now: u64) -> bool {
+    /// Takes a transaction's changes out of the token bucket of changes, and returns whether `rate` allows them. Bursts of
+    /// up to one second's worth of changes are allowed.
+    fn take_changes(&mut self, body: &Value, now: u64) -> bool {
         let Some(rate) = self.rate else { return true };
         let changes = body["writes"].as_array().map_or(0, Vec::len) as f64;
-        take(&mut self.left, rate, changes, now)
+        take_tokens(&mut self.change_bucket, rate, changes, now)
     }
 
+    /// Executes a transaction: all of its changes at one new version if all guards match, otherwise none.
     fn commit(&mut self, body: &Value) -> (u16, Value) {
         let empty = Vec::new();
         let guards = body["guards"].as_array().unwrap_or(&empty);
@@ -274,73 +304,76 @@
         for w in writes {
             if w["permit"]
                 .as_u64()
-                .is_some_and(|g| !self.grants.contains_key(&g))
+                .is_some_and(|id| !self.leases.contains_key(&id))
             {
                 return (400, json!({"error": "no such lease"}));
             }
         }
-        let (value, changes) = self.limits;
-        let large = |w: &Value| w["v"].to_string().len() > value;
-        if writes.len() > changes || writes.iter().any(large) || guards.len() > 4 * changes {
+        let (max_value_bytes, max_changes) = self.limits;
+        let too_large = |w: &Value| w["v"].to_string().len() > max_value_bytes;
+        if writes.len() > max_changes
+            || writes.iter().any(too_large)
+            || guards.len() > 4 * max_changes
+        {
             self.too_large += 1;
             return (400, json!({"error": "too large"}));
         }
-        let stamp = |k: &str| self.entries.get(k).map_or(0, |e| e.stamp);
+        let version_of = |key: &str| self.entries.get(key).map_or(0, |entry| entry.version);
         let failed: Vec<&str> = guards
             .iter()
-            .filter_map(|g| Some((g["k"].as_str()?, g["stamp"].as_u64()?)))
-            .filter(|(k, s)| stamp(k) != *s)
-            .map(|g| g.0)
+            .filter_map(|guard| Some((guard["k"].as_str()?, guard["stamp"].as_u64()?)))
+            .filter(|(key, version)| version_of(key) != *version)
+            .map(|guard| guard.0)
             .collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "ledger_no": self.revision}));
+            return (409, json!({"failed": failed, "ledger_no": self.version}));
         }
-        self.revision += 1;
+        self.version += 1;
         for w in writes {
-            if let Some(k) = w["write"].as_str() {
-                self.change(k, Some((w["v"].clone(), w["permit"].as_u64())));
-            } else if let Some(k) = w["delete"].as_str() {
-                self.change(k, None);
+            if let Some(key) = w["write"].as_str() {
+                self.change(key, Some((w["v"].clone(), w["permit"].as_u64())));
+            } else if let Some(key) = w["delete"].as_str() {
+                self.change(key, None);
             }
         }
-        (200, json!({"ledger_no": self.revision}))
+        (200, json!({"ledger_no": self.version}))
     }
 
-    /// What an earlier version has left behind.
+    /// Writes a key without guards and without a lease, as records of an earlier software version are found.
     pub fn put(&mut self, key: &str, value: &str) {
-        self.revision += 1;
+        self.version += 1;
         let value = serde_json::from_str(value).unwrap_or(Value::Null);
         self.change(key, Some((value, None)));
     }
 
-    /// Takes a key out, as an operator might.
+    /// Deletes a key without guards, as an operator might.
     pub fn remove(&mut self, key: &str) {
-        self.revision += 1;
+        self.version += 1;
         self.change(key, None);
     }
 
-    /// The version of a key's last change, for the tests to look at; 0: it is not there.
+    /// Returns the version of a key's last change, for tests; 0 if there is no such key.
     pub fn stamp(&self, key: &str) -> u64 {
-        self.entries.get(key).map_or(0, |e| e.stamp)
+        self.entries.get(key).map_or(0, |entry| entry.version)
     }
 
-    /// A key's value, for the tests to look at.
+    /// Returns a key's value, for tests.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.entries.get(key).map(|e| &e.value)
     }
 
-    /// How many keys there are, and how many bytes their values take.
+    /// Returns the number of keys and the total size of their values in bytes.
     pub fn size(&self) -> (usize, usize) {
         let bytes = self.entries.values().map(|e| e.value.to_string().len());
         (self.entries.len(), bytes.sum())
     }
 
-    /// How many changes there have been.
-    pub fn changed(&self) -> usize {
-        self.log.len()
+    /// Returns the number of changes so far.
+    pub fn change_count(&self) -> usize {
+        self.change_log.len()
     }
 
-    /// Keys with a prefix, for the tests to look at.
+    /// Returns the keys with a prefix, for tests.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.entries
             .keys()
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -148,7 +148,7 @@
         let (keys, bytes) = state.size();
         let leader = state.value(LEADER).and_then(|v| v["holder"].as_str());
         let counts = StateCounts {
-            changes: (state.changed() - self.changed_before) as u64,
+            changes: (state.change_count() - self.changed_before) as u64,
             refused: (state.too_many - self.refused_before) as u64,
             too_large: (state.too_large - self.too_large_before) as u64,
             keys: keys as u64,
@@ -156,7 +156,7 @@
             leader: leader.map(str::to_string),
             ..std::mem::take(&mut *self.counts.borrow_mut())
         };
-        self.changed_before = state.changed();
+        self.changed_before = state.change_count();
         self.refused_before = state.too_many;
         self.too_large_before = state.too_large;
         tell(&counts);
