--- a/crates/gannethub-emulators/src/cloud.rs
+++ b/crates/gannethub-emulators/src/cloud.rs
@@ -81,10 +81,10 @@
                 let now = site.now();
                 let listed = workers
                     .values()
-                    .filter(|w| now > w.rented_at + self.list_lag);
+                    .filter(|w| now > w.provisioned_at + self.list_lag);
                 let hosts: Vec<Value> = listed
                     .map(|w| {
-                        let status = match (w.dead, now < w.boots_at) {
+                        let status = match (w.dead, now < w.boot_ends_at) {
                             (true, _) => "failed",
                             (false, true) => "booting",
                             (false, false) => "running",
--- a/crates/gannethub-emulators/src/worker.rs
+++ b/crates/gannethub-emulators/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker, by the published protocol.
+//! A model of a worker, by the published protocol. All times are in microseconds.
 
 use std::collections::BTreeMap;
 
@@ -6,58 +6,65 @@
 
 use crate::SECOND;
 
-/// What a worker knows of a job: its users upload that.
+/// Facts about a job that a worker knows, because the job's users upload them.
 #[derive(Clone, Debug, Default)]
 pub struct JobFacts {
     pub tasks: u32,
     pub gang: bool,
     pub service: bool,
-    /// Submitted with a mistake: it fails on every machine.
+    /// Whether the job was submitted with a mistake, so that its tasks fail on every machine.
     pub broken: bool,
-    /// How long a task takes to save; 0: it never saves.
+    /// Time that a task takes to save a checkpoint, in microseconds; 0 if tasks never save.
     pub save: u64,
-    /// Its owner's estimate of a task's run time.
+    /// The owner's estimate of a task's run time, in microseconds.
     pub estimate: u64,
 }
 
-/// Where workers are: the time, chance, the jobs, and the way to the controllers.
+/// The environment of the workers: the time, randomness, the jobs, and the connections to the controllers. All times are
+/// in microseconds.
 pub trait Site {
     fn now(&self) -> u64;
-    /// A number from `from` on and below `to`.
+    /// Returns a random number of at least `from` and below `to`.
     fn draw(&mut self, from: u64, to: u64) -> u64;
-    fn chance(&mut self, part: f64) -> bool;
-    /// How many controllers there are, and how long leases are.
+    /// Returns true with this probability.
+    fn chance(&mut self, probability: f64) -> bool;
+    /// Returns the number of controllers.
     fn nodes(&self) -> usize;
+    /// Returns the duration of a worker's lease.
     fn lease(&self) -> u64;
-    /// How often a worker reports, give or take a quarter.
+    /// Returns the mean interval between a worker's heartbeats. Each interval differs from the mean by up to a quarter.
     fn report_every(&self) -> u64 {
         SECOND
     }
-    /// How long a task waits for its image, and a gang's task for the others.
+    /// Returns the time that a task takes to fetch its image.
     fn fetch_time(&self) -> u64 {
         SECOND
     }
+    /// Returns the maximum time that a gang's task waits for the gang's other tasks to start.
     fn gang_wait(&self) -> u64 {
         30 * SECOND
     }
+    /// Returns the facts about a job; `None` if the job is unknown.
     fn job(&self, id: &str) -> Option<JobFacts>;
-    /// How long the next task of a job runs.
+    /// Returns the run time of the job's next task.
     fn run_time(&mut self, job: &JobFacts) -> u64;
-    /// Whether a task has completed somewhere, and that it has.
+    /// Whether a task has completed on some machine.
     fn is_done(&self, _task: &str) -> bool {
         false
     }
+    /// Records that a task has completed.
     fn done(&mut self, _task: &str) {}
-    /// A task starts to count as on its machine; another has failed.
+    /// Records that a task is now present on its machine.
     fn starts(&mut self, _worker: &Worker, _task: &str) {}
+    /// Records that a task has failed.
     fn failed(&mut self, _task: &str) {}
-    /// The end of a task that is done is forgotten by its worker.
+    /// Records that a worker has forgotten the end of a completed task.
     fn forgets(&mut self, _task: &str) {}
-    /// Whether a worker in this zone and a controller can reach each other.
+    /// Whether a worker in this zone and this controller can reach each other.
     fn reaches(&self, _node: usize, _zone: &str) -> bool {
         true
     }
-    /// Where a worker takes commands.
+    /// Returns the address at which a worker takes commands.
     fn addr(&self, worker: &str) -> String {
         let n: u32 = worker
             .rsplit('-')
@@ -66,13 +73,13 @@
             .unwrap_or(0);
         format!("10.9.{}.{}:9000", n / 250 % 250, n % 250 + 1)
     }
-    /// Sends a worker's report; the answer goes to [`Worker::answered`].
+    /// Sends a worker's heartbeat to a controller. The answer is passed to [`Worker::answered`].
     fn send(&mut self, worker: &str, node: usize, body: String);
-    /// The number of the controller with this name.
+    /// Returns the index of the controller with this name.
     fn named(&self, name: &str) -> Option<usize>;
 }
 
-/// The job of a task's name.
+/// Returns the id of a task's job, which is the first part of the task's name.
 pub fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or("")
 }
@@ -90,12 +97,14 @@
     pub name: String,
     pub attempt: u64,
     pub phase: Phase,
-    pub until: u64,
+    /// Time at which the phase ends, unless an order or the gang ends it.
+    pub phase_ends_at: u64,
     pub gang: bool,
     pub service: bool,
     pub broken: bool,
-    pub lonely: Option<u64>,
-    /// Its progress was saved when it was stopped.
+    /// Time since which a running gang task misses a peer, or has a peer on a machine that hangs.
+    pub peers_missing_since: Option<u64>,
+    /// Whether the task saved a checkpoint when it was stopped.
     pub kept: bool,
 }
 
@@ -118,87 +127,112 @@
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    pub rented_at: u64,
-    pub boots_at: u64,
+    pub provisioned_at: u64,
+    pub boot_ends_at: u64,
     pub dead: bool,
     pub hung_until: u64,
+    /// Whether the worker has received a preemption notice.
     pub notice: bool,
-    /// Every task fails here.
+    /// Whether every task fails on this worker.
     pub faulty: bool,
     pub tasks: BTreeMap<String, Task>,
+    /// Incarnation of the worker.
     pub session: u64,
-    seq: u64,
+    sequence: u64,
+    /// Highest fencing token that a controller has sent.
     pub token: u64,
+    /// Duration of the lease.
     lease: u64,
-    lease_from: u64,
+    lease_start: u64,
+    /// Index of the controller that the worker sends heartbeats to.
     node: usize,
-    waiting: Option<u64>,
-    sent_at: u64,
-    next: u64,
+    /// Time at which the unanswered heartbeat was sent; `None` if no answer is awaited.
+    unanswered_since: Option<u64>,
+    last_heartbeat_at: u64,
+    next_heartbeat_at: u64,
 }
 
 impl Worker {
-    pub fn new(name: &str, rental: &Value, now: u64, boot: u64, node: usize, lease: u64) -> Worker {
-        let boots_at = now.saturating_add(boot);
-        let text = |f: &str| rental[f].as_str().unwrap_or("").to_string();
+    pub fn new(
+        name: &str,
+        provision_request: &Value,
+        now: u64,
+        boot_time: u64,
+        node: usize,
+        lease: u64,
+    ) -> Worker {
+        let boot_ends_at = now.saturating_add(boot_time);
+        let text = |f: &str| provision_request[f].as_str().unwrap_or("").to_string();
         Worker {
             name: name.into(),
             flavor: text("rig"),
             zone: text("yard"),
-            spot: rental["loaners"] == json!(true),
-            rented_at: now,
-            boots_at,
+            spot: provision_request["loaners"] == json!(true),
+            provisioned_at: now,
+            boot_ends_at,
             dead: false,
             hung_until: 0,
             notice: false,
             faulty: false,
             tasks: BTreeMap::new(),
             session: 1,
-            seq: 0,
+            sequence: 0,
             token: 0,
             lease,
-            lease_from: boots_at,
+            lease_start: boot_ends_at,
             node,
-            waiting: None,
-            sent_at: 0,
-            next: boots_at,
+            unanswered_since: None,
+            last_heartbeat_at: 0,
+            next_heartbeat_at: boot_ends_at,
         }
     }
 
-    /// Something changed: it reports soon.
-    pub fn hasten(&mut self, now: u64) {
-        // At once, but not within half a second of the last report.
-        self.next = self.next.min(now.max(self.sent_at + SECOND / 2));
+    /// Brings the next heartbeat forward because something changed.
+    pub fn send_heartbeat_soon(&mut self, now: u64) {
+        // The heartbeat is sent at once, but not within half a second of the last one.
+        self.next_heartbeat_at = self
+            .next_heartbeat_at
+            .min(now.max(self.last_heartbeat_at + SECOND / 2));
     }
 
+    /// Whether the worker's lease has expired.
     pub fn lease_over(&self, now: u64) -> bool {
-        now > self.lease_from.saturating_add(self.lease)
+        now > self.lease_start.saturating_add(self.lease)
     }
 
-    /// Nothing that was on it runs any more. One that hangs may go on within its lease; past it, it kills all it has
+    /// Whether all tasks that the worker had have stopped, because the worker is dead or hangs past its lease. A worker
+    /// that hangs may resume its tasks within its lease. After the lease has expired, the worker kills all of its tasks
     /// before it does anything else.
     pub fn gone(&self, now: u64) -> bool {
-        self.dead || self.hung(now) && now >= self.boots_at && self.lease_over(now)
+        self.dead || self.hung(now) && now >= self.boot_ends_at && self.lease_over(now)
     }
 
+    /// Whether the worker does nothing now: the worker is dead, hangs, or has not booted yet.
     pub fn hung(&self, now: u64) -> bool {
-        self.dead || now < self.hung_until || now < self.boots_at
+        self.dead || now < self.hung_until || now < self.boot_ends_at
     }
 
-    /// When [`Worker::step`] has something to do next, if nothing reaches the worker before.
-    pub fn due(&self) -> u64 {
-        let own = match self.waiting {
+    /// Returns the time at which [`Worker::step`] next has something to do, if no message reaches the worker earlier.
+    pub fn next_step_at(&self) -> u64 {
+        let heartbeat = match self.unanswered_since {
             Some(sent) => sent + 4 * SECOND + 1,
-            None => self.next,
+            None => self.next_heartbeat_at,
         };
         let running = |t: &&Task| !(t.ended() || t.gang && t.phase == Phase::Running);
-        let tasks = self.tasks.values().filter(running).map(|t| t.until).min();
-        let lease = self.lease_from.saturating_add(self.lease) + 1;
-        own.min(lease)
+        let tasks = self
+            .tasks
+            .values()
+            .filter(running)
+            .map(|t| t.phase_ends_at)
+            .min();
+        let lease = self.lease_start.saturating_add(self.lease) + 1;
+        heartbeat
+            .min(lease)
             .min(tasks.unwrap_or(u64::MAX))
-            .max(self.boots_at)
+            .max(self.boot_ends_at)
     }
 
+    /// Moves the worker and its tasks on to the present time, and sends a heartbeat if one is due.
     pub fn step(&mut self, site: &mut dyn Site) {
         let now = site.now();
         if self.hung(now) {
@@ -207,8 +241,8 @@
         if self.lease_over(now) {
             self.tasks.clear();
             self.session += 1;
-            self.lease_from = now;
-            self.waiting = None;
+            self.lease_start = now;
+            self.unanswered_since = None;
         }
         let names: Vec<String> = self.tasks.keys().cloned().collect();
         let mut changed = false;
@@ -216,7 +250,7 @@
             let Some(t) = self.tasks.get_mut(&name) else {
                 continue;
             };
-            if now < t.until {
+            if now < t.phase_ends_at {
                 continue;
             }
             let before = t.phase;
@@ -226,26 +260,26 @@
                     site.failed(&name);
                 }
                 Phase::Fetching => {
-                    let known = site.is_done(&name);
+                    let already_done = site.is_done(&name);
                     let facts = site.job(job_of(&name)).unwrap_or_default();
                     if t.gang {
                         t.phase = Phase::Waiting;
-                        t.until = now + site.gang_wait();
+                        t.phase_ends_at = now + site.gang_wait();
                     } else {
                         t.phase = Phase::Running;
-                        t.until = if known {
+                        t.phase_ends_at = if already_done {
                             now
                         } else {
                             now + site.run_time(&facts)
                         };
                         if t.service {
-                            t.until = u64::MAX;
+                            t.phase_ends_at = u64::MAX;
                         }
                     }
                     site.starts(self, &name);
                 }
                 Phase::Waiting => t.end("alone"),
-                // A gang's end is the world's affair: its tasks complete together.
+                // A gang's tasks complete together, so code outside the worker ends them, such as `step_gangs`.
                 Phase::Running if !t.gang => {
                     t.end("done");
                     site.done(&name);
@@ -258,22 +292,25 @@
             }
             changed |= self.tasks.get(&name).is_some_and(|t| t.phase != before);
         }
-        if self.waiting.is_some_and(|sent| now > sent + 4 * SECOND) {
-            self.waiting = None;
+        if self
+            .unanswered_since
+            .is_some_and(|sent| now > sent + 4 * SECOND)
+        {
+            self.unanswered_since = None;
             self.node = (self.node + 1) % site.nodes();
-            self.next = now + SECOND;
+            self.next_heartbeat_at = now + SECOND;
         }
         if changed {
-            self.hasten(now);
+            self.send_heartbeat_soon(now);
         }
-        if self.waiting.is_none() && now >= self.next {
-            self.report(site);
+        if self.unanswered_since.is_none() && now >= self.next_heartbeat_at {
+            self.send_heartbeat(site);
         }
     }
 
-    fn report(&mut self, site: &mut dyn Site) {
+    fn send_heartbeat(&mut self, site: &mut dyn Site) {
         let now = site.now();
-        self.seq += 1;
+        self.sequence += 1;
         let pieces: Vec<Value> = self
             .tasks
             .values()
@@ -291,20 +328,20 @@
             .collect();
         let body = json!({
             "host": self.name, "addr": site.addr(&self.name), "rig": self.flavor, "yard": self.zone,
-            "loaners": self.spot, "shift": self.session, "tally": self.seq, "baton": self.token,
+            "loaners": self.spot, "shift": self.session, "tally": self.sequence, "baton": self.token,
             "warning_s": if self.notice { json!(15.0) } else { Value::Null }, "pieces": pieces
         });
-        self.waiting = Some(now);
-        self.sent_at = now;
-        let every = site.report_every();
-        self.next = now + site.draw(3 * every / 4, 5 * every / 4);
+        self.unanswered_since = Some(now);
+        self.last_heartbeat_at = now;
+        let interval = site.report_every();
+        self.next_heartbeat_at = now + site.draw(3 * interval / 4, 5 * interval / 4);
         if !site.reaches(self.node, &self.zone) {
             return;
         }
         site.send(&self.name, self.node, body.to_string());
     }
 
-    /// The answer of a controller to the report that was sent at this time.
+    /// Handles a controller's answer to the heartbeat that was sent at the time `sent`.
     pub fn answered(
         &mut self,
         site: &mut dyn Site,
@@ -313,20 +350,20 @@
         status: u16,
         body: &[u8],
     ) {
-        if self.waiting != Some(sent) || !site.reaches(node, &self.zone) {
+        if self.unanswered_since != Some(sent) || !site.reaches(node, &self.zone) {
             return;
         }
-        self.waiting = None;
+        self.unanswered_since = None;
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let named = body["foreman"].as_str().and_then(|n| site.named(n));
-        if let Some(other) = named.filter(|n| status == 421 && *n != self.node) {
+        let redirect = body["foreman"].as_str().and_then(|n| site.named(n));
+        if let Some(other) = redirect.filter(|n| status == 421 && *n != self.node) {
             self.node = other;
-            self.next = site.now() + SECOND / 4;
+            self.next_heartbeat_at = site.now() + SECOND / 4;
             return;
         }
         if status != 200 {
             self.node = (self.node + 1) % site.nodes();
-            self.next = site.now() + SECOND;
+            self.next_heartbeat_at = site.now() + SECOND;
             return;
         }
         let token = body["baton"].as_u64().unwrap_or(0);
@@ -334,22 +371,23 @@
             return;
         }
         if token > self.token {
-            self.hasten(site.now());
+            self.send_heartbeat_soon(site.now());
         }
         self.token = token;
-        self.lease_from = self.lease_from.max(sent);
+        self.lease_start = self.lease_start.max(sent);
         for order in body["orders"].as_array().into_iter().flatten() {
             self.execute(site, order);
         }
     }
 
-    /// Commands that came directly. Returns the status of the answer, whose body would be the worker's report.
+    /// Executes commands that a controller sent directly. Returns the status of the answer. In the protocol the body of
+    /// this answer is the worker's heartbeat, which the model does not build.
     pub fn commanded(&mut self, site: &mut dyn Site, body: &[u8]) -> u16 {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (Some(token), Some(session)) = (body["baton"].as_u64(), body["shift"].as_u64()) else {
             return 400;
         };
-        self.seq += 1;
+        self.sequence += 1;
         if token < self.token || session != self.session {
             return 409;
         }
@@ -365,28 +403,29 @@
     fn execute(&mut self, site: &mut dyn Site, order: &Value) {
         let name = order["piece"].as_str().unwrap_or("").to_string();
         let attempt = order["try_no"].as_u64().unwrap_or(0);
-        let held = self.tasks.get(&name).map(|t| (t.attempt, t.ended()));
+        let existing = self.tasks.get(&name).map(|t| (t.attempt, t.ended()));
         match order["verb"].as_str().unwrap_or("") {
             "launch" => {
-                if held.is_some_and(|h| h.0 == attempt) {
+                if existing.is_some_and(|h| h.0 == attempt) {
                     return;
                 }
                 let Some(facts) = site.job(job_of(&name)) else {
                     return;
                 };
-                // A task that ended under another attempt makes way; one that has not refuses.
-                if held.is_some_and(|h| !h.1) {
+                // A task that ended under another attempt is replaced. While a task has not ended under another
+                // attempt, the launch is refused.
+                if existing.is_some_and(|h| !h.1) {
                     return;
                 }
                 let task = Task {
                     name: name.clone(),
                     attempt,
                     phase: Phase::Fetching,
-                    until: site.now() + site.fetch_time(),
+                    phase_ends_at: site.now() + site.fetch_time(),
                     gang: facts.gang,
                     service: facts.service,
                     broken: facts.broken,
-                    lonely: None,
+                    peers_missing_since: None,
                     kept: false,
                 };
                 self.tasks.insert(name, task);
@@ -401,7 +440,7 @@
                         Phase::Ended(_) => {}
                         Phase::Running if saves => {
                             t.phase = Phase::Saving;
-                            t.until = now + save;
+                            t.phase_ends_at = now + save;
                         }
                         Phase::Saving if grace > 0.0 => {}
                         _ => t.end("stopped"),
@@ -409,7 +448,7 @@
                 }
             }
             _ => {
-                if held.is_some_and(|h| h.0 == attempt && h.1) {
+                if existing.is_some_and(|h| h.0 == attempt && h.1) {
                     let ended = self.tasks.remove(&name);
                     if ended.is_some_and(|t| t.phase == Phase::Ended("done")) {
                         site.forgets(&name);
@@ -417,12 +456,13 @@
                 }
             }
         }
-        self.hasten(site.now());
+        self.send_heartbeat_soon(site.now());
     }
 }
 
-/// Gangs start, complete and fail together.
-pub fn step_gangs(workers: &mut BTreeMap<String, Worker>, gang_peer: u64, site: &mut dyn Site) {
+/// Starts, completes and fails gangs: the tasks of a gang do so together. A running task ends after `peer_timeout`
+/// microseconds without a peer, or with a peer on a machine that hangs.
+pub fn step_gangs(workers: &mut BTreeMap<String, Worker>, peer_timeout: u64, site: &mut dyn Site) {
     let now = site.now();
     let mut gangs: BTreeMap<(String, u64), Vec<(String, String)>> = BTreeMap::new();
     for w in workers.values().filter(|w| !w.dead) {
@@ -438,23 +478,23 @@
         let Some(facts) = site.job(&job) else {
             continue;
         };
-        let whole = members.len() == facts.tasks as usize;
+        let is_complete = members.len() == facts.tasks as usize;
         let phase = |(w, t): &(String, String)| {
             workers
                 .get(w)
                 .and_then(|w| w.tasks.get(t))
-                .map(|t| (t.phase, t.until))
+                .map(|t| (t.phase, t.phase_ends_at))
         };
         let ready = members
             .iter()
             .all(|m| phase(m).is_some_and(|p| p.0 == Phase::Waiting));
         let run = site.run_time(&facts);
-        // A hung machine holds the whole gang up, and the others leave after a while.
-        let moving = members
+        // A hung machine blocks its whole gang, and the gang's other tasks end after `peer_timeout`.
+        let all_responsive = members
             .iter()
             .all(|(w, _)| workers.get(w).is_some_and(|w| !w.hung(now)));
-        let ran = |m| phase(m).is_some_and(|p| p.0 == Phase::Running && now >= p.1);
-        let over = whole && moving && members.iter().all(ran);
+        let has_run = |m| phase(m).is_some_and(|p| p.0 == Phase::Running && now >= p.1);
+        let finished = is_complete && all_responsive && members.iter().all(has_run);
         for (w, t) in members {
             let Some(worker) = workers.get_mut(&w) else {
                 continue;
@@ -463,20 +503,20 @@
                 continue;
             };
             let before = task.phase;
-            if whole && ready {
+            if is_complete && ready {
                 task.phase = Phase::Running;
-                task.until = now + run;
-            } else if over {
+                task.phase_ends_at = now + run;
+            } else if finished {
                 task.end("done");
                 site.done(&t);
-            } else if (!whole || !moving) && task.phase == Phase::Running {
-                let since = *task.lonely.get_or_insert(now);
-                if now > since + gang_peer {
+            } else if (!is_complete || !all_responsive) && task.phase == Phase::Running {
+                let since = *task.peers_missing_since.get_or_insert(now);
+                if now > since + peer_timeout {
                     task.end("mates_gone");
                 }
             }
             if task.phase != before {
-                worker.hasten(now);
+                worker.send_heartbeat_soon(now);
             }
         }
     }
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -1,4 +1,5 @@
-//! The process that stands in for the cloud. The workers on its machines are in other processes, which the driver tells.
+//! The process that emulates the cloud. The workers on the cloud's machines run in other processes; the driver tells
+//! them about machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 
 use crate::host_role::worker_address;
 use crate::messages::{FromCloud, KindCount, Rented, ToCloud};
-use crate::role::{QUEUE, RunClock, read_driver, tell};
+use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
 
 #[derive(Args)]
 pub struct CloudArgs {
@@ -29,7 +30,7 @@
     controllers: usize,
     #[arg(long)]
     capacity: usize,
-    /// Its types of machines, as `GET /flavors` answers
+    /// Machine types, as the body of the answer to `GET /flavors`
     #[arg(long)]
     flavors: String,
     #[arg(long)]
@@ -44,26 +45,26 @@
 
 enum Command {
     Driver(ToCloud),
-    Asked(EmulatorRequest),
+    Request(EmulatorRequest),
 }
 
-/// What the model of the cloud asks of its surroundings.
-struct Surroundings {
+/// The environment of the cloud model: the time, randomness and the addresses of workers. No workers run in it.
+struct CloudSite {
     now: u64,
     rng: StdRng,
     controllers: usize,
     worker_port: u16,
 }
 
-impl Site for Surroundings {
+impl Site for CloudSite {
     fn now(&self) -> u64 {
         self.now
     }
     fn draw(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to.max(from + 1))
     }
-    fn chance(&mut self, part: f64) -> bool {
-        self.rng.random_bool(part)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
     fn nodes(&self) -> usize {
         self.controllers
@@ -86,10 +87,10 @@
     }
 }
 
-struct Owner {
+struct CloudEmulator {
     cloud: Cloud,
     machines: BTreeMap<String, Worker>,
-    surroundings: Surroundings,
+    site: CloudSite,
     kinds: BTreeMap<String, KindCount>,
 }
 
@@ -101,35 +102,35 @@
         listener,
         queue.clone(),
         Duration::ZERO,
-        Command::Asked,
+        Command::Request,
     ));
-    read_driver(queue, Command::Driver);
+    read_from_driver(queue, Command::Driver);
     let mut cloud = Cloud::default();
     cloud.flavors = serde_json::from_str(&args.flavors).unwrap_or(Value::Null);
     cloud.capacity = args.capacity;
     cloud.boot = (args.boot_least_us, args.boot_most_us);
     cloud.list_lag = args.list_lag_us;
-    let surroundings = Surroundings {
+    let site = CloudSite {
         now: 0,
         rng: StdRng::seed_from_u64(args.seed),
         controllers: args.controllers,
         worker_port: args.worker_port,
     };
-    let mut owner = Owner {
+    let mut emulator = CloudEmulator {
         cloud,
         machines: BTreeMap::new(),
-        surroundings,
+        site,
         kinds: BTreeMap::new(),
     };
     while let Some(command) = commands.recv().await {
-        owner.surroundings.now = clock.now();
-        owner.command(command);
+        emulator.site.now = clock.now();
+        emulator.execute(command);
     }
     Ok(())
 }
 
-impl Owner {
-    fn command(&mut self, command: Command) {
+impl CloudEmulator {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Driver(ToCloud::Failed(hosts)) => {
                 for host in hosts {
@@ -139,44 +140,44 @@
                 }
             }
             Command::Driver(ToCloud::Measure) => {
-                tell(&FromCloud::Counts(std::mem::take(&mut self.kinds)));
+                send_to_driver(&FromCloud::Counts(std::mem::take(&mut self.kinds)));
             }
-            Command::Asked(asked) => self.asked(asked),
+            Command::Request(request) => self.answer(request),
         }
     }
 
-    fn asked(&mut self, asked: EmulatorRequest) {
-        let path = asked.path.split('?').next().unwrap_or("");
+    fn answer(&mut self, request: EmulatorRequest) {
+        let path = request.path.split('?').next().unwrap_or("");
         let kind = match path {
-            "/rentals" if asked.body.is_empty() => "list",
+            "/rentals" if request.body.is_empty() => "list",
             "/rentals" => "rent",
             "/rentals/delete" => "delete",
             _ => "flavors",
         };
         if kind == "list" {
-            let (status, body) = self.list(&asked.path);
-            self.count(kind, &asked, status, &body);
-            return asked.answer(status, body);
+            let (status, body) = self.list(&request.path);
+            self.count(kind, &request, status, &body);
+            return request.answer(status, body);
         }
         let (status, body, deleted) = self.cloud.handle(
-            &asked.path,
-            &asked.body,
+            &request.path,
+            &request.body,
             &mut self.machines,
-            &mut self.surroundings,
+            &mut self.site,
         );
         if !deleted.is_empty() {
-            tell(&FromCloud::Deleted(
+            send_to_driver(&FromCloud::Deleted(
                 deleted.into_iter().map(|w| w.name).collect(),
             ));
         }
         if kind == "rent" && status == 200 {
-            self.tell_rented(&body);
+            self.report_provisioned(&body);
         }
-        self.count(kind, &asked, status, &body);
-        asked.answer(status, body);
+        self.count(kind, &request, status, &body);
+        request.answer(status, body);
     }
 
-    /// A page of all machines, in the order of their names.
+    /// Answers with a page of all machines, in the order of their names.
     fn list(&self, path: &str) -> (u16, Value) {
         let query = path.split_once('?').map_or("", |p| p.1);
         let argument = |name: &str| {
@@ -191,24 +192,24 @@
             .and_then(|p| p.parse().ok())
             .unwrap_or(500usize)
             .min(500);
-        let now = self.surroundings.now;
-        let old = |w: &&Worker| now > w.rented_at + self.cloud.list_lag;
+        let now = self.site.now;
+        let visible = |w: &&Worker| now > w.provisioned_at + self.cloud.list_lag;
         let mut listed = self
             .machines
             .values()
-            .filter(old)
+            .filter(visible)
             .filter(|w| w.name.as_str() > from);
         let hosts: Vec<Value> = listed
             .by_ref()
             .take(page)
             .map(|w| {
-                let status = match (w.dead, now < w.boots_at) {
+                let status = match (w.dead, now < w.boot_ends_at) {
                     (true, _) => "failed",
                     (false, true) => "booting",
                     (false, false) => "running",
                 };
-                let held = (now - w.rented_at) as f64 / 1e6;
-                json!({"id": w.name, "addr": self.surroundings.addr(&w.name), "rig": w.flavor,
+                let held = (now - w.provisioned_at) as f64 / 1e6;
+                json!({"id": w.name, "addr": self.site.addr(&w.name), "rig": w.flavor,
                        "yard": w.zone, "loaners": w.spot, "status": status, "held_s": held})
             })
             .collect();
@@ -216,16 +217,17 @@
         (200, json!({"hosts": hosts, "truncated": truncated}))
     }
 
-    /// Machines that are new: their workers are started elsewhere. A repeated request rents nothing.
-    fn tell_rented(&mut self, body: &Value) {
+    /// Tells the driver about the machines that this request has provisioned: their workers are started in other
+    /// processes. A repeated request provisions nothing, so machines of an earlier time are skipped.
+    fn report_provisioned(&mut self, body: &Value) {
         for host in body["hosts"]
             .as_array()
             .into_iter()
             .flatten()
             .filter_map(Value::as_str)
         {
-            let new = |w: &&Worker| w.rented_at == self.surroundings.now;
-            let Some(machine) = self.machines.get(host).filter(new) else {
+            let is_new = |w: &&Worker| w.provisioned_at == self.site.now;
+            let Some(machine) = self.machines.get(host).filter(is_new) else {
                 continue;
             };
             let rented = Rented {
@@ -233,20 +235,17 @@
                 flavor: machine.flavor.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
-                boot: machine.boots_at - machine.rented_at,
-                node: self
-                    .surroundings
-                    .rng
-                    .random_range(0..self.surroundings.controllers),
+                boot: machine.boot_ends_at - machine.provisioned_at,
+                node: self.site.rng.random_range(0..self.site.controllers),
             };
-            tell(&FromCloud::Rented(rented));
+            send_to_driver(&FromCloud::Rented(rented));
         }
     }
 
-    fn count(&mut self, kind: &str, asked: &EmulatorRequest, status: u16, answer: &Value) {
+    fn count(&mut self, kind: &str, request: &EmulatorRequest, status: u16, answer: &Value) {
         let count = self.kinds.entry(kind.to_string()).or_default();
         count.count += 1;
-        count.bytes_in += (asked.path.len() + asked.body.len()) as u64;
+        count.bytes_in += (request.path.len() + request.body.len()) as u64;
         count.bytes_out += answer.to_string().len() as u64;
         count.refused += u64::from(status >= 400);
     }
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -25,7 +25,7 @@
 use crate::messages::{
     FromHosts, Happened, JobDescription, Rented, ReportCounts, TaskEvent, ToHosts,
 };
-use crate::role::{QUEUE, RunClock, read_driver, tell};
+use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
 
 const TICK: Duration = Duration::from_millis(20);
 /// A worker drops an answer that comes later.
@@ -206,7 +206,7 @@
 pub async fn run(args: HostsArgs) -> std::io::Result<()> {
     let clock = RunClock(args.epoch);
     let (queue, mut commands) = mpsc::channel(QUEUE);
-    read_driver(queue.clone(), Command::Driver);
+    read_from_driver(queue.clone(), Command::Driver);
     let site = Surroundings {
         now: 0,
         rng: StdRng::seed_from_u64(args.seed),
@@ -234,7 +234,7 @@
         }
         hosts.step_due();
         if !hosts.events.is_empty() {
-            tell(&FromHosts::Events(std::mem::take(&mut hosts.events)));
+            send_to_driver(&FromHosts::Events(std::mem::take(&mut hosts.events)));
         }
     }
 }
@@ -274,7 +274,7 @@
                 let in_zone = self.places.iter().filter(|(_, p)| p.worker.zone == zone);
                 let ended: Vec<String> = in_zone.map(|(host, _)| host.clone()).collect();
                 ended.iter().for_each(|host| self.end(host));
-                tell(&FromHosts::Ended(ended));
+                send_to_driver(&FromHosts::Ended(ended));
             }
             ToHosts::Pretend {
                 task,
@@ -283,8 +283,8 @@
             } => self.pretend(&task, attempt, &not_on),
             ToHosts::Measure => {
                 // What was seen until now comes first.
-                tell(&FromHosts::Events(std::mem::take(&mut self.events)));
-                tell(&FromHosts::Counts(std::mem::take(&mut self.site.counts)));
+                send_to_driver(&FromHosts::Events(std::mem::take(&mut self.events)));
+                send_to_driver(&FromHosts::Counts(std::mem::take(&mut self.site.counts)));
             }
         }
     }
@@ -309,7 +309,7 @@
             self.site.queue.clone(),
         ));
         let place = Place {
-            due: worker.due(),
+            due: worker.next_step_at(),
             worker,
             on_machine: BTreeMap::new(),
             told: BTreeMap::new(),
@@ -358,7 +358,7 @@
         let result = act(&mut place.worker, &mut self.site);
         self.look(host, &mut place);
         self.count_reports(&mut place);
-        place.due = place.worker.due();
+        place.due = place.worker.next_step_at();
         self.places.insert(host.to_string(), place);
         Some(result)
     }
@@ -482,7 +482,7 @@
                     .values_mut()
                     .filter(|t| member(t))
                     .for_each(|t| t.phase = to);
-                worker.hasten(site.now);
+                worker.send_heartbeat_soon(site.now);
             });
         }
     }
@@ -538,7 +538,7 @@
         self.with(host, |worker, site| {
             let ended = worker.tasks.get_mut(task).filter(|t| t.attempt == attempt);
             if let Some(t) = ended.filter(|t| t.phase == Phase::Running) {
-                t.until = now;
+                t.phase_ends_at = now;
                 worker.step(site);
             }
         });
--- a/crates/gannethub-scale/src/messages.rs
+++ b/crates/gannethub-scale/src/messages.rs
@@ -1,80 +1,80 @@
-//! What the driver of a scale run and its child processes tell each other: one JSON object a line, on the child's
-//! standard input and output.
+//! Messages between the driver of a scale run and its child processes: one JSON object per line, on the child's standard
+//! input and output.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What all processes of a run go by: microseconds since 1970 at which the run's clock began.
+/// Start of the run's clock in microseconds since 1970, the same in all processes of a run.
 pub type Epoch = u64;
 
-/// A job as its tasks' machines have to know it.
+/// Facts about a job that the machines of its tasks need.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct JobDescription {
     pub id: String,
     pub tasks: u32,
     pub gang: bool,
-    /// The mean run time of its tasks, in microseconds.
+    /// Mean run time of the job's tasks, in microseconds.
     pub run: u64,
 }
 
-/// A machine that was rented.
+/// A machine that was provisioned.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Rented {
     pub host: String,
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    /// How long it boots, in microseconds.
+    /// Boot time in microseconds.
     pub boot: u64,
-    /// The controller that it reports to first.
+    /// Index of the controller that receives the worker's first heartbeat.
     pub node: usize,
 }
 
-/// To a process with workers.
+/// A message to a process with workers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToHosts {
     Describe(JobDescription),
     Boot(Rented),
     Delete(Vec<String>),
-    /// All tasks of a gang are there: they run.
+    /// All tasks of a gang are on their machines, and start to run.
     GangStarts {
         job: String,
         attempt: u64,
     },
-    /// Its tasks complete together, or leave since one of them is gone.
+    /// A gang's tasks complete together, or end because one of the gang's tasks is gone.
     GangEnds {
         job: String,
         attempt: u64,
         done: bool,
     },
-    /// All workers of a zone end.
+    /// Ends all workers of a zone.
     EndZone(String),
-    /// A fault put in on purpose: some worker says that it started a task of which another machine runs an attempt.
+    /// An injected fault: some worker reports the start of a task while another machine runs an attempt of that task.
     Pretend {
         task: String,
         attempt: u64,
         not_on: String,
     },
-    /// Tell the counts since the last time.
+    /// Asks for the counts since the last measurement.
     Measure,
 }
 
-/// What happened to a task on a machine.
+/// The kind of a task event on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Happened {
-    /// It has its image and is on the machine.
+    /// The task has its image and is on the machine.
     Started,
     Done,
-    /// It is on the machine no more, and not done.
+    /// The task left the machine without having completed.
     Gone,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TaskEvent {
-    /// Microseconds of the run's clock.
+    /// Time of the event on the run's clock, in microseconds.
     pub at: u64,
     pub host: String,
     pub task: String,
@@ -82,27 +82,31 @@
     pub what: Happened,
 }
 
-/// Reports of workers, counted.
+/// Counts of workers' heartbeats and of task events since the last measurement.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ReportCounts {
+    /// Number of heartbeats sent.
     pub reports: u64,
     pub report_bytes: u64,
+    /// Number of heartbeats that a controller answered with 200.
     pub answers: u64,
     pub answer_bytes: u64,
-    /// Reports that no controller answered with 200.
+    /// Number of heartbeats that no controller answered with 200.
     pub unanswered: u64,
-    /// Tasks that came on a machine, and that left it.
+    /// Number of tasks that started on a machine.
     pub starts: u64,
+    /// Number of tasks that left a machine.
     pub ends: u64,
-    /// Changes of tasks' states, each of which is told in a report.
+    /// Number of changes of tasks' states. Each change is reported in a heartbeat.
     pub changes: u64,
-    /// Reports that tell of such a change.
+    /// Number of heartbeats that report at least one such change.
     pub with_change: u64,
-    /// Reports and their bytes, by how many tasks they list.
+    /// Number and total bytes of heartbeats, by the number of tasks that the heartbeat lists.
     pub by_tasks: BTreeMap<u32, (u64, u64)>,
-    /// Reports and the microseconds since the one before, by twice the tasks that they list, and one more if they tell of
-    /// a change.
+    /// Number of heartbeats and total time since the worker's previous heartbeat in microseconds. The key is twice the
+    /// number of tasks that the heartbeat lists, plus one if the heartbeat reports a change.
     pub intervals: BTreeMap<u32, (u64, u64)>,
+    /// Number of command requests that controllers sent directly to workers.
     pub direct: u64,
     pub direct_bytes: u64,
 }
@@ -131,28 +135,28 @@
     }
 }
 
-/// From a process with workers.
+/// A message from a process with workers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromHosts {
     Events(Vec<TaskEvent>),
-    /// These workers have ended, as they were told.
+    /// These workers have ended, as [`ToHosts::EndZone`] asked.
     Ended(Vec<String>),
     Counts(ReportCounts),
 }
 
-/// To the stand-in of the state service.
+/// A message to the emulated state service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToState {
-    /// It refuses everybody, or no longer.
+    /// Begins (`true`) or ends (`false`) an outage, in which the service refuses all requests.
     Outage(bool),
-    /// It refuses this controller alone, or nobody.
+    /// Refuses all requests of this controller only, or with `None` of no controller.
     Refuse(Option<usize>),
     Measure,
 }
 
-/// Requests of one kind.
+/// Counts of the requests of one kind.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct KindCount {
     pub count: u64,
@@ -161,33 +165,36 @@
     pub refused: u64,
 }
 
-/// What the state service has counted.
+/// Counts of the state service since the last measurement.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct StateCounts {
     pub kinds: BTreeMap<String, KindCount>,
-    /// Requests by controller.
+    /// Number of requests by controller index.
     pub by_node: BTreeMap<usize, u64>,
-    /// Puts and deletes that were carried out.
+    /// Number of puts and deletes that were carried out.
     pub changes: u64,
+    /// Number of requests refused because of the rate limits.
     pub refused: u64,
+    /// Number of transactions refused for their size.
     pub too_large: u64,
-    /// What it holds now.
+    /// Number of keys that the service holds at the time of the measurement.
     pub keys: u64,
+    /// Total bytes of the values of those keys.
     pub bytes: u64,
-    /// The holder's name in the leader's key.
+    /// Name of the owner in the leader's key.
     pub leader: Option<String>,
 }
 
-/// To the stand-in of the cloud.
+/// A message to the emulated cloud.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToCloud {
-    /// These machines have stopped by themselves.
+    /// These machines have failed on their own.
     Failed(Vec<String>),
     Measure,
 }
 
-/// From the stand-in of the cloud.
+/// A message from the emulated cloud.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromCloud {
--- a/crates/gannethub-scale/src/role.rs
+++ b/crates/gannethub-scale/src/role.rs
@@ -1,4 +1,4 @@
-//! What the child processes of a run share: its clock, and the lines that go to and from the driver.
+//! Code that all child processes of a run share: the run's clock, and the messages to and from the driver.
 
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,26 +11,27 @@
 
 use crate::messages::Epoch;
 
-/// Commands that may wait for the owner of a child's state.
+/// Maximum number of commands that wait in a child's queue.
 pub const QUEUE: usize = 8192;
 
-/// The run's clock, the same in all its processes: they are on one machine.
+/// The run's clock. It is the same in all processes of the run, because they are on one machine.
 #[derive(Clone, Copy)]
 pub struct RunClock(pub Epoch);
 
 impl RunClock {
-    /// A clock that begins now.
+    /// Starts a clock now.
     pub fn begin() -> RunClock {
-        RunClock(wall())
+        RunClock(wall_clock_us())
     }
 
-    /// Microseconds since the run's clock began.
+    /// Returns the time in microseconds since the run's clock began.
     pub fn now(self) -> u64 {
-        wall().saturating_sub(self.0)
+        wall_clock_us().saturating_sub(self.0)
     }
 }
 
-fn wall() -> u64 {
+/// Returns the system time in microseconds since 1970.
+fn wall_clock_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64)
@@ -44,8 +45,9 @@
     Ok(tokio::task::LocalSet::new().block_on(&runtime, work))
 }
 
-/// Hands what the driver says to the child's owner. The process ends with its driver: no line will come any more.
-pub fn read_driver<M, C>(queue: mpsc::Sender<C>, wrap: fn(M) -> C)
+/// Passes the driver's messages to the child's queue. The process exits when its standard input ends, because the driver
+/// has ended then and sends no more messages.
+pub fn read_from_driver<M, C>(queue: mpsc::Sender<C>, wrap: fn(M) -> C)
 where
     M: DeserializeOwned + 'static,
     C: 'static,
@@ -59,22 +61,22 @@
                         break;
                     }
                 }
-                Err(e) => eprintln!("a line of the driver makes no sense: {e}"),
+                Err(e) => eprintln!("cannot parse message from the driver: {e}"),
             }
         }
         std::process::exit(0);
     });
 }
 
-/// Tells the driver something.
-pub fn tell(message: &impl Serialize) {
+/// Sends a message to the driver. The process exits if the driver has closed the pipe.
+pub fn send_to_driver(message: &impl Serialize) {
     let Ok(mut line) = serde_json::to_vec(message) else {
         return;
     };
     line.push(b'\n');
     let mut out = std::io::stdout().lock();
     if out.write_all(&line).and_then(|()| out.flush()).is_err() {
-        // Nobody listens any more.
+        // The driver has ended.
         std::process::exit(0);
     }
 }
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -1,6 +1,7 @@
-//! The process that stands in for the state service, with its limits, and counts what it is asked.
+//! The process that emulates the state service, with its limits, and counts requests.
 //!
-//! Each controller reaches it at an address of its own, so that requests can be told apart and refused by controller.
+//! Each controller has its own address for the state service, so that requests can be counted and refused per
+//! controller.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -18,12 +19,14 @@
 use tokio::time::timeout;
 
 use crate::messages::{StateCounts, ToState};
-use crate::role::{QUEUE, RunClock, read_driver, tell};
+use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
 
+/// Maximum interval between ticks of the state service.
 const TICK: Duration = Duration::from_millis(5);
-/// Items in a page of a listing.
-const PAGE: usize = 1000;
-const LEADER: &str = "gh/lead/holder";
+/// Maximum number of items in a page of a listing.
+const PAGE_ITEMS: usize = 1000;
+/// Key of the leader's record.
+const LEADER_KEY: &str = "gh/lead/holder";
 
 #[derive(Args)]
 pub struct StateArgs {
@@ -47,50 +50,55 @@
 
 enum Command {
     Driver(ToState),
-    Asked(usize, EmulatorRequest),
+    /// A request, and the index of the controller whose address it came to.
+    Request(usize, EmulatorRequest),
 }
 
-/// Where the state service is for this controller; operators come after the last one.
+/// Returns the address of the state service for this controller. The index after the last controller's is the address
+/// for operators.
 pub fn address(node: usize, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 0, 1, node as u8 + 1), port)
 }
 
 type Counts = Rc<RefCell<StateCounts>>;
 
-struct Owner {
+struct StateEmulator {
     service: StateService,
-    refuses: Option<usize>,
+    /// Index of the controller whose requests are refused, if any.
+    refused_node: Option<usize>,
     counts: Counts,
-    changed_before: usize,
-    refused_before: usize,
-    too_large_before: usize,
+    /// Total number of changes at the last measurement. Each measurement reports the changes since the one before, and
+    /// likewise for the two totals below.
+    last_changes: usize,
+    last_refused: usize,
+    last_too_large: usize,
 }
 
 pub async fn run(args: StateArgs) -> std::io::Result<()> {
     let clock = RunClock(args.epoch);
     let (queue, mut commands) = mpsc::channel(QUEUE);
-    // The last one is for operators, and for the driver itself.
+    // The last address is for operators and for the driver itself.
     for node in 0..=args.controllers {
         let listener = TcpListener::bind(address(node, args.port)).await?;
         let lag = Duration::from_millis(args.lag_ms);
         spawn_local(serve(listener, queue.clone(), lag, move |a| {
-            Command::Asked(node, a)
+            Command::Request(node, a)
         }));
     }
-    read_driver(queue, Command::Driver);
+    read_from_driver(queue, Command::Driver);
     let mut state = State::new(args.value_bytes, args.txn_ops);
-    state.page = PAGE;
+    state.page = PAGE_ITEMS;
     state.rate = Some(args.write_rps);
     state.request_rate = Some(args.rps);
-    // As many as the published protocol keeps.
+    // The published protocol keeps this many changes.
     state.keeps = Some(10_000);
-    let mut owner = Owner {
+    let mut emulator = StateEmulator {
         service: StateService::new(state),
-        refuses: None,
+        refused_node: None,
         counts: Counts::default(),
-        changed_before: 0,
-        refused_before: 0,
-        too_large_before: 0,
+        last_changes: 0,
+        last_refused: 0,
+        last_too_large: 0,
     };
     let mut batch = Vec::new();
     loop {
@@ -98,37 +106,37 @@
         let now = clock.now();
         batch
             .drain(..)
-            .for_each(|command| owner.command(command, now));
-        owner.service.tick(now);
+            .for_each(|command| emulator.execute(command, now));
+        emulator.service.tick(now);
     }
 }
 
-impl Owner {
-    fn command(&mut self, command: Command, now: u64) {
+impl StateEmulator {
+    fn execute(&mut self, command: Command, now: u64) {
         match command {
             Command::Driver(ToState::Outage(down)) => self.service.state.down = down,
-            Command::Driver(ToState::Refuse(node)) => self.refuses = node,
+            Command::Driver(ToState::Refuse(node)) => self.refused_node = node,
             Command::Driver(ToState::Measure) => self.measure(),
-            Command::Asked(node, asked) => {
-                let asked = self.counted(node, asked);
-                if self.refuses == Some(node) {
-                    return asked.answer(503, json!({"error": "refused"}));
+            Command::Request(node, request) => {
+                let request = self.count(node, request);
+                if self.refused_node == Some(node) {
+                    return request.answer(503, json!({"error": "refused"}));
                 }
-                self.service.handle(asked, now);
+                self.service.handle(request, now);
             }
         }
     }
 
-    /// The same request, whose answer is counted on its way.
-    fn counted(&self, node: usize, asked: EmulatorRequest) -> EmulatorRequest {
-        let kind = kind(&asked);
+    /// Counts a request. Returns the same request with a reply channel that counts the response before passing it on.
+    fn count(&self, node: usize, request: EmulatorRequest) -> EmulatorRequest {
+        let kind = kind(&request);
         let mut counts = self.counts.borrow_mut();
         *counts.by_node.entry(node).or_default() += 1;
         let count = counts.kinds.entry(kind.to_string()).or_default();
         count.count += 1;
-        count.bytes_in += (asked.path.len() + asked.body.len()) as u64;
+        count.bytes_in += (request.path.len() + request.body.len()) as u64;
         let (reply, answer) = oneshot::channel::<EmulatorResponse>();
-        let (to, counts) = (asked.reply, self.counts.clone());
+        let (reply_to_client, counts) = (request.reply, self.counts.clone());
         spawn_local(async move {
             let Ok(response) = answer.await else {
                 return;
@@ -137,34 +145,35 @@
                 count.bytes_out += response.body.to_string().len() as u64;
                 count.refused += u64::from(matches!(response.status, 429 | 503));
             }
-            // A client that has gone away hears nothing.
-            let _ = to.send(response);
+            // If the client has gone away the response is dropped.
+            let _ = reply_to_client.send(response);
         });
-        EmulatorRequest { reply, ..asked }
+        EmulatorRequest { reply, ..request }
     }
 
+    /// Sends the counts since the last measurement to the driver.
     fn measure(&mut self) {
         let state = &self.service.state;
         let (keys, bytes) = state.size();
-        let leader = state.value(LEADER).and_then(|v| v["holder"].as_str());
+        let leader = state.value(LEADER_KEY).and_then(|v| v["holder"].as_str());
         let counts = StateCounts {
-            changes: (state.change_count() - self.changed_before) as u64,
-            refused: (state.too_many - self.refused_before) as u64,
-            too_large: (state.too_large - self.too_large_before) as u64,
+            changes: (state.change_count() - self.last_changes) as u64,
+            refused: (state.too_many - self.last_refused) as u64,
+            too_large: (state.too_large - self.last_too_large) as u64,
             keys: keys as u64,
             bytes: bytes as u64,
             leader: leader.map(str::to_string),
             ..std::mem::take(&mut *self.counts.borrow_mut())
         };
-        self.changed_before = state.change_count();
-        self.refused_before = state.too_many;
-        self.too_large_before = state.too_large;
-        tell(&counts);
+        self.last_changes = state.change_count();
+        self.last_refused = state.too_many;
+        self.last_too_large = state.too_large;
+        send_to_driver(&counts);
     }
 }
 
-fn kind(asked: &EmulatorRequest) -> &'static str {
-    match (asked.method, asked.path.as_str()) {
+fn kind(request: &EmulatorRequest) -> &'static str {
+    match (request.method, request.path.as_str()) {
         (_, "/commit") => "commit",
         (Method::Get, path) if path.starts_with("/follow") && path.contains("block_ms=0") => {
             "changes"
