--- a/crates/gannethub-scale/src/deployment.rs
+++ b/crates/gannethub-scale/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The controllers' settings files, as a platform would write them.
+//! The ports of a run, and the controllers' settings files as a platform would write them.
 
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
@@ -8,38 +8,48 @@
 use crate::options::RunOptions;
 use crate::state_role;
 
-/// A controller's memory in its settings, in MB, and its sockets.
+/// Memory of a controller in its settings, in MB.
 const MEMORY_MB: f64 = 512.0;
-const CONNECTIONS: f64 = 8000.0;
+/// Maximum number of open sockets of a controller in its settings.
+const MAX_CONNECTIONS: f64 = 8000.0;
 
-/// Ports that no connection which goes out takes by chance: a controller binds its own again after it was killed.
-const PORTS: std::ops::Range<u16> = 10_000..30_000;
+/// Range of ports that outgoing connections never take by chance, so that a controller that was killed can bind its ports
+/// again.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
 
-/// Ports of that range that nobody uses now. Runs that begin together look from different ports on.
+/// Returns ports of [`PORT_RANGE`] that are not in use now. The search begins at a port that depends on the process id, so
+/// that runs that start at the same time begin at different ports.
 fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    let first = std::process::id().wrapping_mul(61) % u32::from(PORTS.end - PORTS.start);
-    let all = PORTS.cycle().skip(first as usize).take(PORTS.len());
-    let free = all.filter(|port| TcpListener::bind((Ipv4Addr::LOCALHOST, *port)).is_ok());
+    let offset = std::process::id().wrapping_mul(61) % u32::from(PORT_RANGE.end - PORT_RANGE.start);
+    let candidates = PORT_RANGE
+        .cycle()
+        .skip(offset as usize)
+        .take(PORT_RANGE.len());
+    let free = candidates.filter(|port| TcpListener::bind((Ipv4Addr::LOCALHOST, *port)).is_ok());
     let ports: Vec<u16> = free.take(count).collect();
     match ports.len() == count {
         true => Ok(ports),
         false => Err(std::io::Error::other(format!(
-            "{count} free ports are not to be had"
+            "cannot find {count} free ports in {PORT_RANGE:?}"
         ))),
     }
 }
 
-/// Where everything of a run is.
+/// The ports of all processes of a run.
 #[derive(Clone, Debug)]
 pub struct Ports {
+    /// Port of each controller for users' requests and workers' heartbeats.
     pub users: Vec<u16>,
+    /// Port of each controller for its peers.
     pub cluster: Vec<u16>,
     pub state: u16,
     pub cloud: u16,
+    /// Port at which every worker takes commands, each worker at its own address.
     pub workers: u16,
 }
 
 impl Ports {
+    /// Finds free ports for a run with this number of controllers.
     pub fn find(controllers: usize) -> std::io::Result<Ports> {
         let ports = free_ports(2 * controllers + 3)?;
         let (users, rest) = ports.split_at(controllers);
@@ -53,7 +63,7 @@
         })
     }
 
-    /// Where controllers take users' requests and workers' reports.
+    /// Returns the addresses at which the controllers take users' requests and workers' heartbeats.
     pub fn controllers(&self) -> Vec<SocketAddrV4> {
         self.users
             .iter()
@@ -62,20 +72,22 @@
     }
 }
 
-/// What a team is guaranteed and may use, in processors.
+/// Returns the guarantee and the limit of a team, in processors.
 pub fn team_cpus(options: &RunOptions, load: &Load) -> (f64, f64) {
-    let all = options.workers as f64 * load.machine.cpus;
-    let guarantee = (all * load.teams.guaranteed / options.teams as f64)
+    let candidates = options.workers as f64 * load.machine.cpus;
+    let guarantee = (candidates * load.teams.guaranteed / options.teams as f64)
         .floor()
         .max(1.0);
-    let largest = f64::from(options.gang);
+    let largest_gang = f64::from(options.gang);
     (
         guarantee,
-        (guarantee * load.teams.limit_times).max(largest).floor(),
+        (guarantee * load.teams.limit_times)
+            .max(largest_gang)
+            .floor(),
     )
 }
 
-/// The types of machines, as the cloud answers.
+/// Returns the machine types, as the body of the cloud's answer to `GET /flavors`.
 pub fn flavors(options: &RunOptions, load: &Load) -> serde_json::Value {
     let machine = &load.machine;
     let zones: Vec<String> = (0..options.zones).map(zone_name).collect();
@@ -94,13 +106,13 @@
 ) -> std::io::Result<()> {
     let shared = shared_settings(options, load);
     for node in 0..options.controllers {
-        let text = own_settings(node, options, ports) + &shared;
+        let text = node_settings(node, options, ports) + &shared;
         std::fs::write(dir.join(format!("n{node}.toml")), text)?;
     }
     Ok(())
 }
 
-fn own_settings(node: usize, options: &RunOptions, ports: &Ports) -> String {
+fn node_settings(node: usize, options: &RunOptions, ports: &Ports) -> String {
     let zone = |node: usize| zone_name(node % options.zones);
     let mut text = format!(
         "host_name = \"n{node}\"\narea = \"{}\"\nbind = \"127.0.0.1:{}\"\n\
@@ -135,7 +147,7 @@
          gang_peer_s = {:.3}\ncancel_s = {:.3}\n\
          [cluster.state]\nrps = {:.1}\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n\
          [cluster.cloud]\nrps = {:.1}\nlist_lag_s = {:.1}\n\
-         [cluster.quota]\nmemory_mb = {MEMORY_MB:.1}\nmax_connections = {CONNECTIONS:.1}\n",
+         [cluster.quota]\nmemory_mb = {MEMORY_MB:.1}\nmax_connections = {MAX_CONNECTIONS:.1}\n",
         workers.report_s,
         workers.lease_s,
         workers.gang_wait_s,
@@ -158,7 +170,7 @@
         );
     }
     for class in &load.classes {
-        // Users expect most tasks to begin within a time that follows the rank.
+        // The time within which users expect most tasks to start, in seconds, depends on the class's rank.
         let within = match class.rank.as_str() {
             "urgent" => 3.4,
             "low" => 60.0,
--- a/crates/gannethub-scale/src/gangs.rs
+++ b/crates/gannethub-scale/src/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs across processes: their tasks start together once all are there, and end together.
+//! Gangs whose tasks are in several processes: the tasks of a gang start to run together once all of them are on machines,
+//! and end together.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -6,42 +7,45 @@
 
 use crate::messages::{Happened, TaskEvent};
 
-/// An attempt of a gang.
+/// Job and attempt number of a gang.
 pub type GangKey = (String, u64);
 
-/// What is to be told to all processes with workers.
+/// A change of a gang of which all processes with workers have to be informed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GangStep {
     Starts(GangKey),
+    /// The gang ends. The flag tells whether the gang has completed.
     Ends(GangKey, bool),
 }
 
 #[derive(Default)]
 struct Gang {
+    /// Tasks that are on machines.
     present: BTreeSet<String>,
-    /// Since when it runs.
+    /// Whether the gang has started to run.
     running: bool,
-    /// When it is over, and whether it is done then.
-    ends: Option<(u64, bool)>,
+    /// Time in microseconds at which the gang ends, and whether the gang has completed then.
+    end: Option<(u64, bool)>,
 }
 
 /// All gangs that have a task on a machine.
 #[derive(Default)]
 pub struct Gangs {
     gangs: HashMap<GangKey, Gang>,
-    /// By when they end.
-    ends: BTreeMap<(u64, GangKey), bool>,
+    /// Gangs with a set end and whether they have completed then, in the order of end times in microseconds.
+    ends_by_time: BTreeMap<(u64, GangKey), bool>,
 }
 
 impl Gangs {
-    /// Takes in that a task of a gang of so many came or went. `run`: how long the gang runs once it is whole;
-    /// `notices`: how long its tasks take to notice that one of them is gone.
+    /// Handles an event of a task whose gang has `tasks` tasks. `run_time` is the time that the gang runs once all of its
+    /// tasks are on machines. `notice_time` is the time that the tasks take to notice that one of them is gone. Both are in
+    /// microseconds.
     pub fn event(
         &mut self,
         event: &TaskEvent,
         tasks: u32,
-        run: u64,
-        notices: u64,
+        run_time: u64,
+        notice_time: u64,
     ) -> Option<GangStep> {
         let job = job_of(&event.task).to_string();
         let key = (job, event.attempt);
@@ -53,8 +57,9 @@
                     return None;
                 }
                 gang.running = true;
-                gang.ends = Some((event.at + run, true));
-                self.ends.insert((event.at + run, key.clone()), true);
+                gang.end = Some((event.at + run_time, true));
+                self.ends_by_time
+                    .insert((event.at + run_time, key.clone()), true);
                 return Some(GangStep::Starts(key));
             }
             Happened::Done => {
@@ -62,37 +67,37 @@
             }
             Happened::Gone => {
                 gang.present.remove(&event.task);
-                if let Some((at, true)) = gang.ends {
-                    let soon = (event.at + notices).min(at);
-                    self.ends.remove(&(at, key.clone()));
-                    gang.ends = Some((soon, false));
-                    self.ends.insert((soon, key.clone()), false);
+                if let Some((at, true)) = gang.end {
+                    let earlier = (event.at + notice_time).min(at);
+                    self.ends_by_time.remove(&(at, key.clone()));
+                    gang.end = Some((earlier, false));
+                    self.ends_by_time.insert((earlier, key.clone()), false);
                 }
             }
         }
         if gang.present.is_empty() {
-            if let Some((at, _)) = gang.ends {
-                self.ends.remove(&(at, key.clone()));
+            if let Some((at, _)) = gang.end {
+                self.ends_by_time.remove(&(at, key.clone()));
             }
             self.gangs.remove(&key);
         }
         None
     }
 
-    /// Gangs that are over by now.
+    /// Returns the gangs that end by `now`, each as [`GangStep::Ends`], and removes their end times.
     pub fn over(&mut self, now: u64) -> Vec<GangStep> {
-        let mut over = Vec::new();
-        while let Some(entry) = self.ends.first_entry() {
+        let mut due = Vec::new();
+        while let Some(entry) = self.ends_by_time.first_entry() {
             if entry.key().0 > now {
                 break;
             }
             let ((_, key), done) = entry.remove_entry();
             if let Some(gang) = self.gangs.get_mut(&key) {
-                gang.ends = None;
+                gang.end = None;
             }
-            over.push(GangStep::Ends(key, done));
+            due.push(GangStep::Ends(key, done));
         }
-        over
+        due
     }
 }
 
--- a/crates/gannethub-scale/src/gangs/tests.rs
+++ b/crates/gannethub-scale/src/gangs/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_gang_runs_once_it_is_whole_and_leaves_when_one_is_gone() {
+fn gang_starts_when_complete_and_ends_when_a_task_is_gone() {
     let mut gangs = Gangs::default();
     let key = ("j-1".to_string(), 4);
     assert_eq!(
@@ -31,11 +31,11 @@
         gangs.event(&event(66, "j-1/0", Happened::Gone), 2, 100, 5),
         None
     );
-    assert!(gangs.gangs.is_empty() && gangs.ends.is_empty());
+    assert!(gangs.gangs.is_empty() && gangs.ends_by_time.is_empty());
 }
 
 #[test]
-fn a_whole_gang_is_done_after_its_run() {
+fn complete_gang_is_done_after_its_run_time() {
     let mut gangs = Gangs::default();
     let starts = gangs.event(&event(20, "j-1/0", Happened::Started), 1, 100, 5);
     assert_eq!(starts, Some(GangStep::Starts(("j-1".into(), 4))));
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -1,5 +1,5 @@
-//! A process with workers. Hollow ones, some hundreds in a process, speak the whole protocol on sockets of their own and
-//! run their tasks by the clock; a real one is alone in its process and starts a child process for each task.
+//! A process with workers. Hollow workers, some hundreds per process, speak the whole protocol on sockets of their own and
+//! run their tasks by the clock. A real worker is alone in its process and starts a child process for each task.
 
 use std::collections::{BTreeMap, HashMap};
 use std::mem::{Discriminant, discriminant};
@@ -27,13 +27,14 @@
 };
 use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
 
+/// Maximum interval between steps of the workers.
 const TICK: Duration = Duration::from_millis(20);
-/// A worker drops an answer that comes later.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(4);
-/// What a request or an answer takes beside its body, about, in bytes.
-const HEAD: usize = 100;
-/// The run time of a task whose end its own process or its gang tells, in microseconds.
-const UNTIL_TOLD: u64 = 1 << 50;
+/// Time after which a worker no longer accepts the answer to a heartbeat.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Approximate size of a request or an answer without its body, in bytes.
+const HEADER_BYTES: usize = 100;
+/// Run time, in microseconds, of a task that ends when its process or its gang ends, and not after a set time.
+const RUN_TIME_UNTIL_ENDED: u64 = 1 << 50;
 
 #[derive(Args)]
 pub struct HostsArgs {
@@ -41,7 +42,7 @@
     epoch: u64,
     #[arg(long)]
     seed: u64,
-    /// Where the controllers take reports
+    /// Addresses at which the controllers take heartbeats
     #[arg(long, value_delimiter = ',')]
     controllers: Vec<SocketAddrV4>,
     #[arg(long)]
@@ -54,12 +55,12 @@
     fetch_us: u64,
     #[arg(long)]
     gang_wait_us: u64,
-    /// Each task is a process
+    /// Run each task as a process
     #[arg(long)]
     real: bool,
 }
 
-/// Where the worker on this machine takes commands: each has a loopback address of its own.
+/// Returns the address at which the worker on this machine takes commands. Each worker has its own loopback address.
 pub fn worker_address(host: &str, port: u16) -> SocketAddrV4 {
     let n: u32 = host
         .rsplit('-')
@@ -72,14 +73,16 @@
 
 enum Command {
     Driver(ToHosts),
+    /// The answer of controller `node` to the heartbeat that the worker sent at the time `sent`, in microseconds.
     Answer {
         host: String,
         node: usize,
         sent: u64,
         answer: CallResult,
     },
+    /// Commands that a controller sent directly to the worker on this machine.
     Direct(String, EmulatorRequest),
-    /// The process of a task has ended by itself.
+    /// The process of a task has ended on its own.
     Exited {
         host: String,
         task: String,
@@ -87,44 +90,44 @@
     },
 }
 
-/// A worker and what is kept beside it.
-struct Place {
+/// A worker and the state that this process keeps about it. All times are in microseconds.
+struct HostedWorker {
     worker: Worker,
-    /// When it is to be stepped next.
-    due: u64,
-    /// Its tasks on the machine, as last told, and their attempts.
+    /// Time of the worker's next step.
+    next_step_at: u64,
+    /// Tasks on the machine and their attempts, as the task events have reported them to the driver.
     on_machine: BTreeMap<String, u64>,
-    /// What its reports tell of its tasks: attempts and phases.
-    told: BTreeMap<String, (u64, Discriminant<Phase>)>,
-    /// These have changed since the last report.
+    /// Attempt and phase of each task, as the worker's heartbeats report them.
+    reported: BTreeMap<String, (u64, Discriminant<Phase>)>,
+    /// Whether `reported` has changed since the last heartbeat.
     changed: bool,
-    reported_at: Option<u64>,
+    last_heartbeat_at: Option<u64>,
     listener: Option<JoinHandle<()>>,
 }
 
-/// What workers ask of their surroundings.
-struct Surroundings {
+/// The environment of the workers.
+struct WorkerSite {
     now: u64,
     rng: StdRng,
     args: HostsArgs,
     jobs: HashMap<String, JobFacts>,
-    /// Each worker's connection to the controller that it reports to.
+    /// Each worker's connection to a controller, with the index of the controller.
     clients: HashMap<String, (usize, Rc<Client>)>,
     queue: mpsc::Sender<Command>,
-    /// Reports that went out in this step: whose, and how many bytes.
+    /// Worker and bytes of each heartbeat sent in this step.
     sent: Vec<(String, usize)>,
     counts: ReportCounts,
 }
 
-impl Site for Surroundings {
+impl Site for WorkerSite {
     fn now(&self) -> u64 {
         self.now
     }
     fn draw(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
-    fn chance(&mut self, part: f64) -> bool {
-        self.rng.random_bool(part)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
     fn nodes(&self) -> usize {
         self.args.controllers.len()
@@ -146,7 +149,7 @@
     }
     fn run_time(&mut self, job: &JobFacts) -> u64 {
         if self.args.real {
-            return UNTIL_TOLD;
+            return RUN_TIME_UNTIL_ENDED;
         }
         run_time(job.estimate, &mut self.rng)
     }
@@ -166,12 +169,12 @@
                 client
             }
         };
-        self.sent.push((worker.into(), body.len() + HEAD));
+        self.sent.push((worker.into(), body.len() + HEADER_BYTES));
         let (host, sent, queue) = (worker.to_string(), self.now, self.queue.clone());
         spawn_local(async move {
             let report = body.as_bytes();
             let answer = client
-                .call(Method::Post, "/v1/report", report, ANSWER_PATIENCE)
+                .call(Method::Post, "/v1/report", report, ANSWER_TIMEOUT)
                 .await;
             let _ = queue
                 .send(Command::Answer {
@@ -188,7 +191,8 @@
     }
 }
 
-/// Owners' estimates are often wrong by half.
+/// Returns a random run time in microseconds of half to one and a half times the mean, because owners' estimates are often
+/// wrong by half.
 fn run_time(mean: u64, rng: &mut StdRng) -> u64 {
     let mean = mean.max(2);
     rng.random_range(mean / 2..mean + mean / 2)
@@ -196,9 +200,9 @@
 
 struct Hosts {
     clock: RunClock,
-    site: Surroundings,
-    places: BTreeMap<String, Place>,
-    /// Processes of tasks; dropping one ends it.
+    site: WorkerSite,
+    workers: BTreeMap<String, HostedWorker>,
+    /// Stop channels of the tasks' processes, by machine and task. Dropping a channel ends its process.
     processes: HashMap<(String, String), oneshot::Sender<()>>,
     events: Vec<TaskEvent>,
 }
@@ -207,7 +211,7 @@
     let clock = RunClock(args.epoch);
     let (queue, mut commands) = mpsc::channel(QUEUE);
     read_from_driver(queue.clone(), Command::Driver);
-    let site = Surroundings {
+    let site = WorkerSite {
         now: 0,
         rng: StdRng::seed_from_u64(args.seed),
         args,
@@ -217,11 +221,11 @@
         sent: Vec::new(),
         counts: ReportCounts::default(),
     };
-    let (places, processes) = (BTreeMap::new(), HashMap::new());
+    let (workers, processes) = (BTreeMap::new(), HashMap::new());
     let mut hosts = Hosts {
         clock,
         site,
-        places,
+        workers,
         processes,
         events: Vec::new(),
     };
@@ -230,7 +234,7 @@
         let _ = timeout(TICK, commands.recv_many(&mut batch, 256)).await;
         for command in batch.drain(..) {
             hosts.site.now = hosts.clock.now();
-            hosts.command(command);
+            hosts.execute(command);
         }
         hosts.step_due();
         if !hosts.events.is_empty() {
@@ -240,56 +244,56 @@
 }
 
 impl Hosts {
-    fn command(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
-            Command::Driver(message) => self.told(message),
+            Command::Driver(message) => self.handle_message(message),
             Command::Answer {
                 host,
                 node,
                 sent,
                 answer,
-            } => self.answered(&host, node, sent, answer),
-            Command::Direct(host, asked) => self.commanded(&host, asked),
+            } => self.handle_answer(&host, node, sent, answer),
+            Command::Direct(host, request) => self.handle_commands(&host, request),
             Command::Exited {
                 host,
                 task,
                 attempt,
-            } => self.exited(&host, &task, attempt),
+            } => self.handle_exit(&host, &task, attempt),
         }
     }
 
-    fn told(&mut self, message: ToHosts) {
+    fn handle_message(&mut self, message: ToHosts) {
         match message {
-            ToHosts::Describe(job) => self.describe(&job),
+            ToHosts::Describe(job) => self.add_job(&job),
             ToHosts::Boot(rented) => self.boot(&rented),
-            ToHosts::Delete(hosts) => hosts.iter().for_each(|host| self.end(host)),
+            ToHosts::Delete(hosts) => hosts.iter().for_each(|host| self.remove_machine(host)),
             ToHosts::GangStarts { job, attempt } => {
-                self.on_gang(&job, attempt, Phase::Waiting, Phase::Running);
+                self.move_gang_tasks(&job, attempt, Phase::Waiting, Phase::Running);
             }
             ToHosts::GangEnds { job, attempt, done } => {
                 let end = if done { "done" } else { "mates_gone" };
-                self.on_gang(&job, attempt, Phase::Running, Phase::Ended(end));
+                self.move_gang_tasks(&job, attempt, Phase::Running, Phase::Ended(end));
             }
             ToHosts::EndZone(zone) => {
-                let in_zone = self.places.iter().filter(|(_, p)| p.worker.zone == zone);
+                let in_zone = self.workers.iter().filter(|(_, p)| p.worker.zone == zone);
                 let ended: Vec<String> = in_zone.map(|(host, _)| host.clone()).collect();
-                ended.iter().for_each(|host| self.end(host));
+                ended.iter().for_each(|host| self.remove_machine(host));
                 send_to_driver(&FromHosts::Ended(ended));
             }
             ToHosts::Pretend {
                 task,
                 attempt,
                 not_on,
-            } => self.pretend(&task, attempt, &not_on),
+            } => self.pretend_start(&task, attempt, &not_on),
             ToHosts::Measure => {
-                // What was seen until now comes first.
+                // The events so far are sent before the counts.
                 send_to_driver(&FromHosts::Events(std::mem::take(&mut self.events)));
                 send_to_driver(&FromHosts::Counts(std::mem::take(&mut self.site.counts)));
             }
         }
     }
 
-    fn describe(&mut self, job: &JobDescription) {
+    fn add_job(&mut self, job: &JobDescription) {
         let facts = JobFacts {
             tasks: job.tasks,
             gang: job.gang,
@@ -308,92 +312,92 @@
             worker_address(&rented.host, self.site.args.worker_port),
             self.site.queue.clone(),
         ));
-        let place = Place {
-            due: worker.next_step_at(),
+        let hosted = HostedWorker {
+            next_step_at: worker.next_step_at(),
             worker,
             on_machine: BTreeMap::new(),
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
             changed: false,
-            reported_at: None,
+            last_heartbeat_at: None,
             listener: Some(listener),
         };
-        self.places.insert(rented.host.clone(), place);
+        self.workers.insert(rented.host.clone(), hosted);
     }
 
-    /// A machine and all that was on it is gone.
-    fn end(&mut self, host: &str) {
-        let Some(mut place) = self.places.remove(host) else {
+    /// Removes a machine, its worker and all of its tasks.
+    fn remove_machine(&mut self, host: &str) {
+        let Some(mut hosted) = self.workers.remove(host) else {
             return;
         };
-        place.worker.tasks.clear();
-        self.look(host, &mut place);
-        if let Some(listener) = place.listener.take() {
+        hosted.worker.tasks.clear();
+        self.record_task_changes(host, &mut hosted);
+        if let Some(listener) = hosted.listener.take() {
             listener.abort();
         }
         self.site.clients.remove(host);
     }
 
-    /// Steps the workers that have something to do.
+    /// Steps the workers whose next step is due.
     fn step_due(&mut self) {
         let now = self.clock.now();
         self.site.now = now;
         let due: Vec<String> = self
-            .places
+            .workers
             .iter()
-            .filter(|(_, p)| p.due <= now)
+            .filter(|(_, p)| p.next_step_at <= now)
             .map(|(host, _)| host.clone())
             .collect();
         for host in due {
-            self.with(&host, |worker, site| worker.step(site));
+            self.update_worker(&host, |worker, site| worker.step(site));
         }
     }
 
-    /// Has a worker do something, and takes down what came of it.
-    fn with<T>(
+    /// Runs `act` on a worker, and then records the worker's task events and heartbeats and the time of its next step.
+    fn update_worker<T>(
         &mut self,
         host: &str,
-        act: impl FnOnce(&mut Worker, &mut Surroundings) -> T,
+        act: impl FnOnce(&mut Worker, &mut WorkerSite) -> T,
     ) -> Option<T> {
-        let mut place = self.places.remove(host)?;
-        let result = act(&mut place.worker, &mut self.site);
-        self.look(host, &mut place);
-        self.count_reports(&mut place);
-        place.due = place.worker.next_step_at();
-        self.places.insert(host.to_string(), place);
+        let mut hosted = self.workers.remove(host)?;
+        let result = act(&mut hosted.worker, &mut self.site);
+        self.record_task_changes(host, &mut hosted);
+        self.count_heartbeats(&mut hosted);
+        hosted.next_step_at = hosted.worker.next_step_at();
+        self.workers.insert(host.to_string(), hosted);
         Some(result)
     }
 
-    /// Compares a worker's tasks with what was last told of them.
-    fn look(&mut self, host: &str, place: &mut Place) {
-        let changes = changes(&mut place.told, &place.worker);
+    /// Compares a worker's tasks with those last reported, and records the changes as task events and counts.
+    fn record_task_changes(&mut self, host: &str, hosted: &mut HostedWorker) {
+        let changes = count_task_changes(&mut hosted.reported, &hosted.worker);
         self.site.counts.changes += changes;
-        place.changed |= changes > 0;
-        let now_there: BTreeMap<String, u64> = place
+        hosted.changed |= changes > 0;
+        let present: BTreeMap<String, u64> = hosted
             .worker
             .tasks
             .values()
             .filter(|t| t.on_machine())
             .map(|t| (t.name.clone(), t.attempt))
             .collect();
-        if now_there == place.on_machine {
+        if present == hosted.on_machine {
             return;
         }
-        let before = std::mem::replace(&mut place.on_machine, now_there);
+        let before = std::mem::replace(&mut hosted.on_machine, present);
         for (task, attempt) in &before {
-            if place.on_machine.get(task) != Some(attempt) {
-                let held = place
+            if hosted.on_machine.get(task) != Some(attempt) {
+                let existing = hosted
                     .worker
                     .tasks
                     .get(task)
                     .filter(|t| t.attempt == *attempt);
-                let done = held.is_some_and(|t| t.phase == Phase::Ended("done"));
+                let done = existing.is_some_and(|t| t.phase == Phase::Ended("done"));
                 let what = if done { Happened::Done } else { Happened::Gone };
                 self.site.counts.ends += 1;
-                self.note(host, task, *attempt, what);
+                self.add_event(host, task, *attempt, what);
                 self.processes.remove(&(host.to_string(), task.clone()));
             }
         }
-        let started: Vec<(String, u64)> = place
+        let started: Vec<(String, u64)> = hosted
             .on_machine
             .iter()
             .filter(|(task, attempt)| before.get(*task) != Some(attempt))
@@ -401,14 +405,14 @@
             .collect();
         for (task, attempt) in started {
             self.site.counts.starts += 1;
-            self.note(host, &task, attempt, Happened::Started);
+            self.add_event(host, &task, attempt, Happened::Started);
             if self.site.args.real {
                 self.start_process(host, &task, attempt);
             }
         }
     }
 
-    fn note(&mut self, host: &str, task: &str, attempt: u64, what: Happened) {
+    fn add_event(&mut self, host: &str, task: &str, attempt: u64, what: Happened) {
         let (host, task) = (host.to_string(), task.to_string());
         self.events.push(TaskEvent {
             at: self.site.now,
@@ -419,17 +423,18 @@
         });
     }
 
-    fn count_reports(&mut self, place: &mut Place) {
+    /// Counts the heartbeats that a worker sent in this step.
+    fn count_heartbeats(&mut self, hosted: &mut HostedWorker) {
         let counts = &mut self.site.counts;
         for (_, bytes) in self.site.sent.drain(..) {
             counts.reports += 1;
             counts.report_bytes += bytes as u64;
-            let tasks = place.worker.tasks.len() as u32;
+            let tasks = hosted.worker.tasks.len() as u32;
             let by_tasks = counts.by_tasks.entry(tasks).or_default();
             *by_tasks = (by_tasks.0 + 1, by_tasks.1 + bytes as u64);
-            let changed = std::mem::take(&mut place.changed);
+            let changed = std::mem::take(&mut hosted.changed);
             counts.with_change += u64::from(changed);
-            if let Some(before) = place.reported_at.replace(self.site.now) {
+            if let Some(before) = hosted.last_heartbeat_at.replace(self.site.now) {
                 let interval = counts
                     .intervals
                     .entry(2 * tasks + u32::from(changed))
@@ -439,44 +444,44 @@
         }
     }
 
-    fn answered(&mut self, host: &str, node: usize, sent: u64, answer: CallResult) {
+    fn handle_answer(&mut self, host: &str, node: usize, sent: u64, answer: CallResult) {
         match &answer {
             Ok(Answer { status: 200, body }) => {
                 self.site.counts.answers += 1;
-                self.site.counts.answer_bytes += (body.len() + HEAD) as u64;
+                self.site.counts.answer_bytes += (body.len() + HEADER_BYTES) as u64;
             }
             _ => self.site.counts.unanswered += 1,
         }
-        // Where nothing came the worker finds out by its own clock.
+        // If no answer came, the worker notices by its own clock.
         if let Ok(Answer { status, body }) = answer {
-            self.with(host, |worker, site| {
+            self.update_worker(host, |worker, site| {
                 worker.answered(site, node, sent, status, &body)
             });
         }
     }
 
-    fn commanded(&mut self, host: &str, asked: EmulatorRequest) {
+    fn handle_commands(&mut self, host: &str, request: EmulatorRequest) {
         self.site.counts.direct += 1;
-        self.site.counts.direct_bytes += (asked.body.len() + HEAD) as u64;
-        let body = asked.body.clone();
-        let status = self.with(host, |worker, site| worker.commanded(site, &body));
-        asked.answer(status.unwrap_or(503), json!({}));
+        self.site.counts.direct_bytes += (request.body.len() + HEADER_BYTES) as u64;
+        let body = request.body.clone();
+        let status = self.update_worker(host, |worker, site| worker.commanded(site, &body));
+        request.answer(status.unwrap_or(503), json!({}));
     }
 
-    /// Moves all tasks of a gang's attempt that are in one phase to another.
-    fn on_gang(&mut self, job: &str, attempt: u64, from: Phase, to: Phase) {
+    /// Moves all tasks of a gang's attempt that are in phase `from` to phase `to`.
+    fn move_gang_tasks(&mut self, job: &str, attempt: u64, from: Phase, to: Phase) {
         let prefix = format!("{job}/");
         let member =
             |t: &Task| t.phase == from && t.attempt == attempt && t.name.starts_with(&prefix);
-        let holds = |p: &&Place| p.worker.tasks.values().any(member);
+        let has_member = |p: &&HostedWorker| p.worker.tasks.values().any(member);
         let hosts: Vec<String> = self
-            .places
+            .workers
             .values()
-            .filter(holds)
+            .filter(has_member)
             .map(|p| p.worker.name.clone())
             .collect();
         for host in hosts {
-            self.with(&host, |worker, site| {
+            self.update_worker(&host, |worker, site| {
                 worker
                     .tasks
                     .values_mut()
@@ -487,20 +492,20 @@
         }
     }
 
-    /// Says on purpose that another worker started an attempt which is on its machine already.
-    fn pretend(&mut self, task: &str, attempt: u64, not_on: &str) {
-        let other = self.places.keys().find(|host| *host != not_on).cloned();
+    /// Injects a fault: reports that another machine has started an attempt that is already on machine `not_on`.
+    fn pretend_start(&mut self, task: &str, attempt: u64, not_on: &str) {
+        let other = self.workers.keys().find(|host| *host != not_on).cloned();
         if let Some(host) = other {
-            self.note(&host, task, attempt, Happened::Started);
+            self.add_event(&host, task, attempt, Happened::Started);
         }
     }
 
     fn start_process(&mut self, host: &str, task: &str, attempt: u64) {
         let job = job_of(task);
         let facts = self.site.jobs.get(job).cloned().unwrap_or_default();
-        // A gang's tasks are told when it is over.
+        // The driver ends a gang's tasks when the gang is over.
         let run = if facts.gang {
-            UNTIL_TOLD
+            RUN_TIME_UNTIL_ENDED
         } else {
             run_time(facts.estimate, &mut self.site.rng)
         };
@@ -515,7 +520,7 @@
             .kill_on_drop(true)
             .spawn();
         let Ok(mut child) = child else { return };
-        // A task ends with its worker, however that ends: it waits for the end of this pipe as well.
+        // A task's process also ends when this pipe closes, so it ends with its worker however the worker ends.
         let input = child.stdin.take();
         let (stop, stopped) = oneshot::channel();
         self.processes.insert((host.into(), task.into()), stop);
@@ -533,9 +538,10 @@
         });
     }
 
-    fn exited(&mut self, host: &str, task: &str, attempt: u64) {
+    /// Completes the task whose process has ended, if the worker still runs the task.
+    fn handle_exit(&mut self, host: &str, task: &str, attempt: u64) {
         let now = self.site.now;
-        self.with(host, |worker, site| {
+        self.update_worker(host, |worker, site| {
             let ended = worker.tasks.get_mut(task).filter(|t| t.attempt == attempt);
             if let Some(t) = ended.filter(|t| t.phase == Phase::Running) {
                 t.phase_ends_at = now;
@@ -545,37 +551,44 @@
     }
 }
 
-/// How many tasks are told of otherwise than before; `told` is brought up to date.
-fn changes(told: &mut BTreeMap<String, (u64, Discriminant<Phase>)>, worker: &Worker) -> u64 {
-    // That a gang is whole is told as well, but which of its tasks are here is a matter of the load.
+/// Returns the number of tasks that are new, gone or in another state than in `reported`, and updates `reported`.
+fn count_task_changes(
+    reported: &mut BTreeMap<String, (u64, Discriminant<Phase>)>,
+    worker: &Worker,
+) -> u64 {
+    // Waiting and running count as the same state: heartbeats also report that a gang is complete, but which of the gang's
+    // tasks are on this worker is a matter of the load.
     let phase = |t: &Task| match t.phase {
         Phase::Waiting => discriminant(&Phase::Running),
         phase => discriminant(&phase),
     };
     let state = |t: &Task| (t.attempt, phase(t));
-    let now: BTreeMap<_, _> = worker
+    let current: BTreeMap<_, _> = worker
         .tasks
         .values()
         .map(|t| (t.name.clone(), state(t)))
         .collect();
-    let other = now
+    let different = current
         .iter()
-        .filter(|(task, state)| told.get(*task) != Some(*state))
+        .filter(|(task, state)| reported.get(*task) != Some(*state))
         .count();
-    let gone = told.keys().filter(|task| !now.contains_key(*task)).count();
-    *told = now;
-    (other + gone) as u64
+    let gone = reported
+        .keys()
+        .filter(|task| !current.contains_key(*task))
+        .count();
+    *reported = current;
+    (different + gone) as u64
 }
 
-/// Takes the commands that controllers send to a worker directly.
+/// Serves the commands that controllers send directly to a worker.
 async fn take_commands(host: String, addr: SocketAddrV4, queue: mpsc::Sender<Command>) {
     match TcpListener::bind(addr).await {
         Ok(listener) => {
-            let (direct, mut asked) = mpsc::channel(16);
+            let (direct, mut request) = mpsc::channel(16);
             spawn_local(async move {
-                while let Some(asked) = asked.recv().await {
+                while let Some(request) = request.recv().await {
                     if queue
-                        .send(Command::Direct(host.clone(), asked))
+                        .send(Command::Direct(host.clone(), request))
                         .await
                         .is_err()
                     {
@@ -583,8 +596,8 @@
                     }
                 }
             });
-            serve(listener, direct, Duration::ZERO, |asked| asked).await;
+            serve(listener, direct, Duration::ZERO, |request| request).await;
         }
-        Err(e) => eprintln!("{host} cannot take commands at {addr}: {e}"),
+        Err(e) => eprintln!("cannot listen for commands of {host} at {addr}: {e}"),
     }
 }
--- a/crates/gannethub-scale/src/messages.rs
+++ b/crates/gannethub-scale/src/messages.rs
@@ -189,7 +189,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToCloud {
-    /// These machines have failed on their own.
+    /// These machines have failed, without a delete request.
     Failed(Vec<String>),
     Measure,
 }
--- a/crates/gannethub-scale/src/process.rs
+++ b/crates/gannethub-scale/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of a run, and what the operating system says of them.
+//! Child processes of a run, and the operating system's figures of their resource usage.
 
 use std::path::Path;
 use std::process::Stdio;
@@ -10,18 +10,19 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// A child that is told things by lines on its standard input.
+/// A child process that receives and sends messages as lines on its standard input and output.
 pub struct Talker {
     child: Child,
     lines: mpsc::UnboundedSender<Vec<u8>>,
 }
 
 impl Talker {
-    /// Starts a role of this program. What it says goes to `heard`.
+    /// Starts a role of this program as a child process. The child's messages are wrapped by `wrap` and sent to
+    /// `received`.
     pub fn start<M, C>(
         role: &str,
         arguments: &[String],
-        heard: mpsc::Sender<C>,
+        received: mpsc::Sender<C>,
         wrap: impl Fn(M) -> C + 'static,
     ) -> std::io::Result<Talker>
     where
@@ -35,25 +36,25 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let missing = || std::io::Error::other("a child without its pipes");
-        let mut input = child.stdin.take().ok_or_else(missing)?;
-        let output = child.stdout.take().ok_or_else(missing)?;
-        let (lines, mut to_write) = mpsc::unbounded_channel::<Vec<u8>>();
+        let missing_pipe = || std::io::Error::other("cannot talk to child process: pipe missing");
+        let mut input = child.stdin.take().ok_or_else(missing_pipe)?;
+        let output = child.stdout.take().ok_or_else(missing_pipe)?;
+        let (lines, mut queued_lines) = mpsc::unbounded_channel::<Vec<u8>>();
         spawn_local(async move {
-            while let Some(line) = to_write.recv().await {
-                // A child that has ended hears nothing.
+            while let Some(line) = queued_lines.recv().await {
+                // The child has ended, so all further messages are dropped.
                 if input.write_all(&line).await.is_err() {
                     return;
                 }
             }
         });
         spawn_local(async move {
-            let mut said = BufReader::new(output).lines();
-            while let Ok(Some(line)) = said.next_line().await {
+            let mut output_lines = BufReader::new(output).lines();
+            while let Ok(Some(line)) = output_lines.next_line().await {
                 let Ok(message) = serde_json::from_str(&line) else {
                     continue;
                 };
-                if heard.send(wrap(message)).await.is_err() {
+                if received.send(wrap(message)).await.is_err() {
                     return;
                 }
             }
@@ -61,6 +62,7 @@
         Ok(Talker { child, lines })
     }
 
+    /// Sends a message to the child. If the child has ended the message is dropped.
     pub fn tell(&self, message: &impl Serialize) {
         if let Ok(mut line) = serde_json::to_vec(message) {
             line.push(b'\n');
@@ -72,13 +74,13 @@
         self.child.id()
     }
 
-    /// Ends it at once, and waits until it is gone.
+    /// Kills the process at once, and waits until it is gone.
     pub async fn kill(&mut self) {
         let _ = self.child.kill().await;
     }
 }
 
-/// A controller's process, which writes its log to a file.
+/// A controller process that appends its log to a file.
 pub struct ControllerProcess {
     child: Option<Child>,
 }
@@ -108,7 +110,7 @@
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// It has ended by itself.
+    /// Whether the process has ended on its own.
     pub fn ended(&mut self) -> bool {
         self.child
             .as_mut()
@@ -122,18 +124,19 @@
     }
 }
 
-/// What a process has used so far.
+/// Resource usage of a process so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     pub user_s: f64,
     pub system_s: f64,
-    /// The most memory that it held at once.
+    /// Peak memory in bytes.
     pub peak_bytes: u64,
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
 impl Usage {
-    /// `None`: there is no such process any more.
+    /// Returns the usage of a process; `None` if the process no longer exists.
     pub fn of(pid: u32) -> Option<Usage> {
         let process = procfs::process::Process::new(pid as i32).ok()?;
         let stat = process.stat().ok()?;
@@ -151,7 +154,7 @@
         })
     }
 
-    /// What was used since then.
+    /// Returns the processor time used since `before`, with the peak memory and the sockets of `self`.
     pub fn since(self, before: Usage) -> Usage {
         Usage {
             user_s: self.user_s - before.user_s,
@@ -161,8 +164,8 @@
     }
 }
 
-/// Bytes that went from controller to controller so far on the connections that stand, by the system's own socket
-/// statistics; `None` where they cannot be had. A connection that was closed meanwhile is not among them.
+/// Returns the number of bytes sent so far from controller to controller on open connections, from the system's own
+/// socket statistics; `None` if the statistics are not available. Connections that have been closed are not counted.
 pub async fn bytes_between(ports: &[u16]) -> Option<u64> {
     let output = Command::new("ss").args(["-tinH"]).output().await.ok()?;
     let text = String::from_utf8_lossy(&output.stdout);
@@ -170,7 +173,7 @@
     let mut lines = text.lines();
     while let Some(head) = lines.next() {
         let Some(details) = lines.next() else { break };
-        // The connecting side: its remote end is a controller's port for its siblings.
+        // A connection's connecting side is counted: its remote end is a controller's port for peers.
         let remote = head
             .split_whitespace()
             .nth(4)
@@ -186,7 +189,7 @@
     Some(sum)
 }
 
-/// The processor time that the whole machine has used and had, in seconds.
+/// Returns the processor time that the whole machine has used, and the processor time that was available, in seconds.
 pub fn machine_busy() -> Option<(f64, f64)> {
     use procfs::CurrentSI;
     let total = procfs::KernelStats::current().ok()?.total;
@@ -201,7 +204,7 @@
     Some((busy as f64 / ticks, (busy + idle) as f64 / ticks))
 }
 
-/// The machine's memory in bytes.
+/// Returns the machine's memory in bytes.
 pub fn machine_memory() -> Option<u64> {
     use procfs::Current;
     Some(procfs::Meminfo::current().ok()?.mem_total)
