--- a/crates/gannethub-emulators/src/cloud.rs
+++ b/crates/gannethub-emulators/src/cloud.rs
@@ -7,7 +7,7 @@
 use crate::SECOND;
 use crate::worker::{Site, Worker};
 
-/// The cloud's state of its machines. The caller owns the workers that run on the machines.
+/// The cloud's own state of its machines. The caller owns the workers that run on the machines.
 pub struct Cloud {
     /// Machine types, as the body of the answer to `GET /flavors`.
     pub flavors: Value,
--- a/crates/gannethub-emulators/src/state.rs
+++ b/crates/gannethub-emulators/src/state.rs
@@ -75,8 +75,8 @@
 }
 
 impl State {
-    /// Creates an empty state service with the maximum size of a value in bytes and the maximum number of changes in a
-    /// transaction.
+    /// Creates an empty state service with the maximum size of a value in bytes and the maximum number of changes in
+    /// a transaction.
     pub fn new(max_value_bytes: usize, max_changes: usize) -> State {
         State {
             limits: (max_value_bytes, max_changes),
@@ -142,8 +142,8 @@
         expired.into_iter().for_each(|id| self.end_lease(id));
     }
 
-    /// Returns a watch's answer with the changes after version `after` to keys with this prefix; `None` if there are no
-    /// such changes.
+    /// Returns a watch's answer with the changes after version `after` to keys with this prefix; `None` if there are
+    /// no such changes.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Value> {
         let first = self
             .change_log
@@ -234,7 +234,7 @@
                     .by_ref()
                     .take(self.page.min(requested))
                     .map(
-                        |(key, entry)| json!({"k": key, "v": entry.value, "stamp": entry.version, "permit": entry.lease}),
+                        |(k, e)| json!({"k": k, "v": e.value, "stamp": e.version, "permit": e.lease}),
                     )
                     .collect();
                 let more = keys.next().is_some();
@@ -288,8 +288,8 @@
         Outcome::Answer(status, answer)
     }
 
-    /// Takes a transaction's changes out of the token bucket of changes, and returns whether `rate` allows them. Bursts of
-    /// up to one second's worth of changes are allowed.
+    /// Takes a transaction's changes out of the token bucket of changes, and returns whether `rate` allows them.
+    /// Bursts of up to one second's worth of changes are allowed.
     fn take_changes(&mut self, body: &Value, now: u64) -> bool {
         let Some(rate) = self.rate else { return true };
         let changes = body["writes"].as_array().map_or(0, Vec::len) as f64;
@@ -339,7 +339,8 @@
         (200, json!({"ledger_no": self.version}))
     }
 
-    /// Writes a key without guards and without a lease, as records of an earlier software version are found.
+    /// Writes a key without guards and without a lease, in place of a record that an earlier software version has left
+    /// behind.
     pub fn put(&mut self, key: &str, value: &str) {
         self.version += 1;
         let value = serde_json::from_str(value).unwrap_or(Value::Null);
--- a/crates/gannethub-emulators/src/worker.rs
+++ b/crates/gannethub-emulators/src/worker.rs
@@ -20,8 +20,8 @@
     pub estimate: u64,
 }
 
-/// The environment of the workers: the time, randomness, the jobs, and the connections to the controllers. All times are
-/// in microseconds.
+/// The environment of the workers: the time, randomness, the jobs, and the connections to the controllers. All times
+/// are in microseconds.
 pub trait Site {
     fn now(&self) -> u64;
     /// Returns a random number of at least `from` and below `to`.
@@ -32,7 +32,8 @@
     fn nodes(&self) -> usize;
     /// Returns the duration of a worker's lease.
     fn lease(&self) -> u64;
-    /// Returns the mean interval between a worker's heartbeats. Each interval differs from the mean by up to a quarter.
+    /// Returns the mean interval between a worker's heartbeats. Each interval differs from the mean by up to a
+    /// quarter.
     fn report_every(&self) -> u64 {
         SECOND
     }
@@ -97,7 +98,7 @@
     pub name: String,
     pub attempt: u64,
     pub phase: Phase,
-    /// Time at which the phase ends, unless an order or the gang ends it.
+    /// Time at which the phase ends, unless an order or the task's gang ends the phase earlier.
     pub phase_ends_at: u64,
     pub gang: bool,
     pub service: bool,
@@ -200,8 +201,8 @@
         now > self.lease_start.saturating_add(self.lease)
     }
 
-    /// Whether all tasks that the worker had have stopped, because the worker is dead or hangs past its lease. A worker
-    /// that hangs may resume its tasks within its lease. After the lease has expired, the worker kills all of its tasks
+    /// Whether the worker's tasks have all stopped, because the worker is dead or hangs past its lease. A worker that
+    /// hangs may resume its tasks within its lease. After the lease has expired, the worker kills all of its tasks
     /// before it does anything else.
     pub fn gone(&self, now: u64) -> bool {
         self.dead || self.hung(now) && now >= self.boot_ends_at && self.lease_over(now)
@@ -380,8 +381,8 @@
         }
     }
 
-    /// Executes commands that a controller sent directly. Returns the status of the answer. In the protocol the body of
-    /// this answer is the worker's heartbeat, which the model does not build.
+    /// Executes commands that a controller sent directly. Returns the status of the answer. In the protocol the body
+    /// of this answer is the worker's heartbeat, which the model does not build.
     pub fn commanded(&mut self, site: &mut dyn Site, body: &[u8]) -> u16 {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (Some(token), Some(session)) = (body["baton"].as_u64(), body["shift"].as_u64()) else {
@@ -460,8 +461,8 @@
     }
 }
 
-/// Starts, completes and fails gangs: the tasks of a gang do so together. A running task ends after `peer_timeout`
-/// microseconds without a peer, or with a peer on a machine that hangs.
+/// Starts, completes and fails gangs. All tasks of a gang start, complete and fail together. A running task ends
+/// after `peer_timeout` microseconds without a peer, or with a peer on a machine that hangs.
 pub fn step_gangs(workers: &mut BTreeMap<String, Worker>, peer_timeout: u64, site: &mut dyn Site) {
     let now = site.now();
     let mut gangs: BTreeMap<(String, u64), Vec<(String, String)>> = BTreeMap::new();
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -1,5 +1,5 @@
-//! The process that emulates the cloud. The workers on the cloud's machines run in other processes; the driver tells
-//! them about machines.
+//! The process that emulates the cloud. The workers on the cloud's machines run in other processes; the driver
+//! informs those processes of the machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/gannethub-scale/src/deployment.rs
+++ b/crates/gannethub-scale/src/deployment.rs
@@ -10,15 +10,15 @@
 
 /// Memory of a controller in its settings, in MB.
 const MEMORY_MB: f64 = 512.0;
-/// Maximum number of open sockets of a controller in its settings.
+/// Maximum number of a controller's open sockets in its settings.
 const MAX_CONNECTIONS: f64 = 8000.0;
 
-/// Range of ports that outgoing connections never take by chance, so that a controller that was killed can bind its ports
-/// again.
+/// Range of ports that outgoing connections never take by chance, so that a controller that was killed can bind its
+/// ports again.
 const PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
 
-/// Returns ports of [`PORT_RANGE`] that are not in use now. The search begins at a port that depends on the process id, so
-/// that runs that start at the same time begin at different ports.
+/// Returns ports of [`PORT_RANGE`] that are not in use now. The search begins at a port that depends on the process
+/// id, so that runs that start at the same time begin at different ports.
 fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
     let offset = std::process::id().wrapping_mul(61) % u32::from(PORT_RANGE.end - PORT_RANGE.start);
     let candidates = PORT_RANGE
@@ -40,7 +40,7 @@
 pub struct Ports {
     /// Port of each controller for users' requests and workers' heartbeats.
     pub users: Vec<u16>,
-    /// Port of each controller for its peers.
+    /// Port of each controller for connections from its peers.
     pub cluster: Vec<u16>,
     pub state: u16,
     pub cloud: u16,
--- a/crates/gannethub-scale/src/gangs.rs
+++ b/crates/gannethub-scale/src/gangs.rs
@@ -1,5 +1,5 @@
-//! Gangs whose tasks are in several processes: the tasks of a gang start to run together once all of them are on machines,
-//! and end together.
+//! Gangs whose tasks are in several processes: the tasks of a gang start to run together once all of them are on
+//! machines, and end together.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,7 +10,7 @@
 /// Job and attempt number of a gang.
 pub type GangKey = (String, u64);
 
-/// A change of a gang of which all processes with workers have to be informed.
+/// A change of a gang that has to be sent to all processes with workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GangStep {
     Starts(GangKey),
@@ -37,9 +37,9 @@
 }
 
 impl Gangs {
-    /// Handles an event of a task whose gang has `tasks` tasks. `run_time` is the time that the gang runs once all of its
-    /// tasks are on machines. `notice_time` is the time that the tasks take to notice that one of them is gone. Both are in
-    /// microseconds.
+    /// Handles an event of a task whose gang has `tasks` tasks. `run_time` is the time that the gang runs once all of
+    /// its tasks are on machines. `notice_time` is the time that the tasks take to notice that one of them is gone.
+    /// Both are in microseconds.
     pub fn event(
         &mut self,
         event: &TaskEvent,
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -1,5 +1,6 @@
-//! A process with workers. Hollow workers, some hundreds per process, speak the whole protocol on sockets of their own and
-//! run their tasks by the clock. A real worker is alone in its process and starts a child process for each task.
+//! A process with workers. Hollow workers, some hundreds per process, speak the whole protocol on sockets of their
+//! own and run their tasks by the clock. A real worker is alone in its process and starts a child process for each
+//! task.
 
 use std::collections::{BTreeMap, HashMap};
 use std::mem::{Discriminant, discriminant};
@@ -191,8 +192,8 @@
     }
 }
 
-/// Returns a random run time in microseconds of half to one and a half times the mean, because owners' estimates are often
-/// wrong by half.
+/// Returns a random run time in microseconds of half to one and a half times the mean, because owners' estimates are
+/// often wrong by half.
 fn run_time(mean: u64, rng: &mut StdRng) -> u64 {
     let mean = mean.max(2);
     rng.random_range(mean / 2..mean + mean / 2)
@@ -352,7 +353,8 @@
         }
     }
 
-    /// Runs `act` on a worker, and then records the worker's task events and heartbeats and the time of its next step.
+    /// Runs `act` on a worker, and then records the worker's task events and heartbeats and the time of its next
+    /// step.
     fn update_worker<T>(
         &mut self,
         host: &str,
@@ -556,8 +558,8 @@
     reported: &mut BTreeMap<String, (u64, Discriminant<Phase>)>,
     worker: &Worker,
 ) -> u64 {
-    // Waiting and running count as the same state: heartbeats also report that a gang is complete, but which of the gang's
-    // tasks are on this worker is a matter of the load.
+    // Waiting and running count as the same state: heartbeats also report that a gang is complete, but which of the
+    // gang's tasks are on this worker is a matter of the load.
     let phase = |t: &Task| match t.phase {
         Phase::Waiting => discriminant(&Phase::Running),
         phase => discriminant(&phase),
--- a/crates/gannethub-scale/src/messages.rs
+++ b/crates/gannethub-scale/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the driver of a scale run and its child processes: one JSON object per line, on the child's standard
-//! input and output.
+//! Messages between the driver of a scale run and its child processes: one JSON object per line, on the child's
+//! standard input and output.
 
 use std::collections::BTreeMap;
 
@@ -103,8 +103,8 @@
     pub with_change: u64,
     /// Number and total bytes of heartbeats, by the number of tasks that the heartbeat lists.
     pub by_tasks: BTreeMap<u32, (u64, u64)>,
-    /// Number of heartbeats and total time since the worker's previous heartbeat in microseconds. The key is twice the
-    /// number of tasks that the heartbeat lists, plus one if the heartbeat reports a change.
+    /// Number of heartbeats and total time since the worker's previous heartbeat in microseconds. The key is twice
+    /// the number of tasks that the heartbeat lists, plus one if the heartbeat reports a change.
     pub intervals: BTreeMap<u32, (u64, u64)>,
     /// Number of command requests that controllers sent directly to workers.
     pub direct: u64,
--- a/crates/gannethub-scale/src/process.rs
+++ b/crates/gannethub-scale/src/process.rs
@@ -173,7 +173,8 @@
     let mut lines = text.lines();
     while let Some(head) = lines.next() {
         let Some(details) = lines.next() else { break };
-        // A connection's connecting side is counted: its remote end is a controller's port for peers.
+        // Only the connecting side of a connection is counted: the remote end of that side is a controller's port for
+        // peers.
         let remote = head
             .split_whitespace()
             .nth(4)
--- a/crates/gannethub-scale/src/role.rs
+++ b/crates/gannethub-scale/src/role.rs
@@ -11,7 +11,7 @@
 
 use crate::messages::Epoch;
 
-/// Maximum number of commands that wait in a child's queue.
+/// Maximum number of commands that wait in a process's queue.
 pub const QUEUE: usize = 8192;
 
 /// The run's clock. It is the same in all processes of the run, because they are on one machine.
@@ -45,8 +45,8 @@
     Ok(tokio::task::LocalSet::new().block_on(&runtime, work))
 }
 
-/// Passes the driver's messages to the child's queue. The process exits when its standard input ends, because the driver
-/// has ended then and sends no more messages.
+/// Passes the driver's messages to the child's queue. The process exits when its standard input ends, because the
+/// driver has ended then and sends no more messages.
 pub fn read_from_driver<M, C>(queue: mpsc::Sender<C>, wrap: fn(M) -> C)
 where
     M: DeserializeOwned + 'static,
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -67,10 +67,11 @@
     /// Index of the controller whose requests are refused, if any.
     refused_node: Option<usize>,
     counts: Counts,
-    /// Total number of changes at the last measurement. Each measurement reports the changes since the one before, and
-    /// likewise for the two totals below.
+    /// Total number of changes at the last measurement.
     last_changes: usize,
+    /// Total number of requests refused because of the rate limits at the last measurement.
     last_refused: usize,
+    /// Total number of transactions refused for their size at the last measurement.
     last_too_large: usize,
 }
 
