--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -1,5 +1,6 @@
-//! Two troubles meet: a test for every row of `docs/design-concurrent-failures.md` but the first, which are in `unheard_of`. Tasks
-//! are long, users cancel throughout, and the checker looks at everything every second.
+//! Tests of two concurrent failures: one test for every row of `docs/design-concurrent-failures.md` except the first row,
+//! whose tests are in the module `unseen_cancellation`. Tasks are long, users cancel jobs throughout, and the checker
+//! examines the whole cluster every second.
 
 use gannethub_core::configuration::{Document, OverLimit};
 
@@ -7,10 +8,11 @@
 use crate::unseen_cancellation::{id, long, recover, roles, told};
 use crate::*;
 
-/// Copies of heartbeats come up to three leases late: of sessions that have ended, of attempts that have been replaced, under
-/// tokens of leaders that were replaced, and at leaders that never saw the original.
+/// Guards against old heartbeats that are taken for new ones. Copies of heartbeats arrive up to three leases late:
+/// from ended incarnations, with replaced attempts, under fencing tokens of replaced leaders, and at leaders that
+/// never received the original.
 #[test]
-fn old_heartbeats_of_sessions_and_attempts_that_are_gone_count_for_nothing() {
+fn late_copies_of_old_heartbeats_have_no_effect() {
     for seed in 1..=6 {
         let mut w = long(3, seed);
         w.faults.heartbeat_copy_rate = 0.8;
@@ -20,7 +22,7 @@
                 3,
                 json!({"shape": "group", "guess_s": 30.0, "crew": "red"}),
             ));
-            // A session ends, the attempts in it are replaced elsewhere, and the machine comes back.
+            // An incarnation ends, its attempts are replaced on other machines, and the machine comes back.
             let busy = w
                 .workers
                 .values()
@@ -35,54 +37,62 @@
             }
             w.run(12);
         }
-        assert!(w.counters.copied > 100, "{} copies", w.counters.copied);
+        assert!(
+            w.counters.copied > 100,
+            "only {} copies of heartbeats arrived",
+            w.counters.copied
+        );
         recover(w, seed);
     }
 }
 
-/// The leader is cut from the state service and its peers while workers and users still reach it, and jobs are
-/// cancelled through the new one.
+/// Guards against an isolated leader that keeps cancelled tasks running. The leader is cut off from the state service
+/// and from its peers while workers and users still reach it, and jobs are cancelled through the new leader.
 #[test]
-fn a_leader_that_only_workers_and_users_reach_runs_nothing_that_its_successor_cancelled() {
+fn an_isolated_leader_runs_no_job_cancelled_at_its_successor() {
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (5, 5)] {
         let mut w = long(nodes, seed);
         let (old, others) = roles(&w, seed);
         w.isolate(old);
-        w.run_until(15, "another leads", |w| {
+        w.run_until(15, "another controller leads", |w| {
             w.leader().is_some_and(|l| l != old)
         });
-        // Its users ask the old one too, which may not know; what it answers is not older than what they were told.
+        // Users ask the old leader too, which may not know of the cancellation; its answers must not be older than the
+        // answers that the users already have.
         for i in 1..=4 {
             w.cancel_at(i, others[i as usize % others.len()]);
             w.run(2);
             w.ask_at(&id(i), "poll", old);
             w.ask_at(&id(i), "submit", old);
         }
-        w.run_until(10, "the users are told", |w| told(w, &[1, 2, 3, 4]));
+        w.run_until(10, "the users are told of the cancellations", |w| {
+            told(w, &[1, 2, 3, 4])
+        });
         w.run(40);
         recover(w, seed);
     }
 }
 
-/// Controllers end one after the other, hand over and back, all end, and one returns: within a fraction of a second, in
-/// the middle of elections, takeovers and votes.
+/// Guards against obligations, such as votes, that a controller forgets in a fast restart. Controllers crash one
+/// after the other, hand leadership over and back, all crash at once, and one returns: within a fraction of a second,
+/// in the middle of elections, takeovers and votes.
 #[test]
-fn controllers_that_are_back_within_a_second_forget_nothing_that_counts() {
+fn controllers_that_restart_fast_keep_their_obligations() {
     for seed in 1..=10 {
         let mut w = long(if seed % 3 == 0 { 5 } else { 3 }, seed);
         let mut next = 1;
         for round in 0..10 {
             let n = w.nodes.len();
             match round % 5 {
-                // Whoever leads ends, again and again.
+                // The controller that leads crashes, repeatedly.
                 0 | 1 => {
                     if let Some(leader) = w.leader() {
                         w.crash(leader, SECOND / 5);
                     }
                 }
-                // All end; one is back at once, the others somewhat later.
+                // All controllers crash; the first returns after 0.1 s, each further one a second later.
                 2 => (0..n).for_each(|i| w.crash(i, SECOND / 10 + i as u64 * SECOND)),
-                // The same in an outage that just began, with votes given and forgotten.
+                // All crash in an outage that has just begun, and forget the votes that they gave.
                 3 => {
                     w.state.down = true;
                     w.run(1 + seed % 4);
@@ -105,16 +115,20 @@
     }
 }
 
-/// A peer ends within its vote and is back at once, and the state service serves it again while it still refuses the
-/// leader, which acts by that vote.
+/// Guards against two leaders after a forgotten vote. A peer crashes while its vote is valid and returns after 0.2 s;
+/// the state service serves the peer again while it still refuses the leader, which acts by that vote.
 #[test]
-fn a_vote_that_was_forgotten_is_kept() {
+fn a_vote_holds_although_the_voter_restarted() {
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
         let (old, others) = roles(&w, seed);
         w.state.down = true;
         w.run(5);
-        assert_eq!(w.leader(), Some(old), "votes carry it");
+        assert_eq!(
+            w.leader(),
+            Some(old),
+            "the leader keeps its authority by votes"
+        );
         w.faults.store_refuses.insert(old);
         w.state.down = false;
         w.run(seed % 3);
@@ -126,10 +140,11 @@
     }
 }
 
-/// Answers to workers are held up for up to their patience, with launches and halts in them; machines stop for a while and
-/// go on; leaders change meanwhile.
+/// Guards against commands that take effect too late. Answers to workers are delayed by up to 4 s, the longest delay
+/// at which a worker still accepts an answer, with launches and stops in them; machines hang for a while and resume;
+/// leaders change meanwhile.
 #[test]
-fn commands_that_are_held_up_start_and_end_nothing_late() {
+fn delayed_commands_start_and_stop_no_task_late() {
     for seed in 1..=6 {
         let mut w = long(3, seed);
         w.faults.max_worker_answer_delay = 4 * SECOND;
@@ -145,10 +160,10 @@
             busy.step_by(2).for_each(|x| x.hung_until = until);
             w.cancel(20 + round);
             w.cancel(1 + round);
-            // What a peer passes on is held up as well, and comes after newer heartbeats.
-            let (leader, others) = (w.leader(), w.rng.random_range(0..3));
+            // Messages that a peer relays to the leader are held as well, and arrive after newer heartbeats.
+            let (leader, peer) = (w.leader(), w.rng.random_range(0..3));
             leader.into_iter().for_each(|l| {
-                w.faults.partitioned.insert((others, l));
+                w.faults.partitioned.insert((peer, l));
             });
             w.run(4);
             w.faults.partitioned.clear();
@@ -161,10 +176,11 @@
     }
 }
 
-/// Jobs of two and three tasks whose ends are far apart, over changes of leader, outages and returned machines: no end
-/// that is stored begins again, none is counted twice, and none of the jobs is done early.
+/// Guards against lost, repeated or premature completions. Jobs of two and three tasks end far apart in time, across
+/// changes of leader, outages and returned machines: no task whose completion is stored starts again, no completion
+/// is counted twice, and no job is done early.
 #[test]
-fn ends_that_are_far_apart_outlast_changes_of_leader() {
+fn stored_completions_survive_many_takeovers() {
     for seed in 1..=8 {
         let mut w = World::new(3, seed);
         w.runs = (SECOND, 70 * SECOND);
@@ -186,21 +202,22 @@
             w.lose_leader(SECOND * (1 + seed % 5));
         }
         w.all_well();
-        w.run_until(300, "all are done", World::all_over);
+        w.run_until(300, "all jobs are done", World::all_over);
         assert!(w.jobs.values().all(|j| j.told_done.is_some()));
         w.finish();
     }
 }
 
-/// Transactions without an answer are carried out up to 20 s later, after newer ones of the same controller: acceptances,
-/// cancellations, ends, parts of large arrays, the shard's record, watermarks, takeovers and clean-up.
+/// Guards against an old transaction that undoes a newer one of the same controller. Transactions without an answer
+/// are carried out up to 20 s later: acceptances, cancellations, completions, parts of large arrays, shard records,
+/// watermarks, takeovers and clean-up.
 #[test]
-fn transactions_that_are_carried_out_after_newer_ones_take_nothing_back() {
+fn late_transactions_undo_no_newer_ones() {
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 12;
         w.faults.late_commit_rate = 0.25;
-        // An array whose first half is done already, so that its ends go to the second of its parts.
+        // The first 4096 of the 9000 tasks are done already, so further completions go to the second part of the array.
         let large = job(
             1,
             9000,
@@ -225,16 +242,16 @@
         }
         assert!(
             !w.state.keys("gh/part/j-000001/").is_empty(),
-            "the array has a part"
+            "the array has a completion part in the state service"
         );
         recover(w, seed);
     }
 }
 
-/// The leader ends while machines with long tasks cannot be reached, hang, or do not hear the new leader's answers; some of
-/// their jobs are cancelled.
+/// Guards against tasks that run twice or run on after a cancellation. The leader crashes while machines with long
+/// tasks cannot be reached, hang, or do not receive the answers of the new leader; some of their jobs are cancelled.
 #[test]
-fn a_new_leader_waits_for_machines_that_do_not_hear_it() {
+fn a_new_leader_waits_for_machines_it_cannot_reach() {
     for seed in 1..=9 {
         let mut w = long(3, seed);
         let (old, _) = roles(&w, seed);
@@ -250,8 +267,9 @@
             0 => w.faults.unanswered_workers.extend(some),
             1 => {
                 let until = w.now + LEASE - SECOND / 2;
-                some.iter()
-                    .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
+                some.iter().for_each(|n| {
+                    w.workers.get_mut(n).expect("the worker exists").hung_until = until
+                });
             }
             _ => (0..3).for_each(|n| {
                 w.faults.unreachable_zones.insert((n, "a".into()));
@@ -269,10 +287,10 @@
     }
 }
 
-/// The state service answers slowly, then refuses the leader alone, then everybody for longer than a cancellation has,
-/// while users cancel and ask.
+/// Guards against cancelled tasks that run on. The state service answers slowly, then refuses the leader alone, then
+/// is down for all controllers for 60 s, longer than a cancellation may take, while users cancel and poll.
 #[test]
-fn a_state_service_that_is_slow_then_refuses_one_and_then_all_lets_nothing_run_on() {
+fn a_failing_state_service_lets_no_cancelled_task_run_on() {
     for seed in 1..=8 {
         let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.faults.max_store_delay = SECOND * (2 + seed % 5) / 4;
@@ -286,7 +304,9 @@
         let (old, others) = roles(&w, seed);
         w.faults.store_refuses.insert(old);
         (4..=6).for_each(|i| w.cancel_at(i, others[0]));
-        w.run_until(3, "the users are told", |w| told(w, &[4, 5, 6]));
+        w.run_until(3, "the users are told of the cancellations", |w| {
+            told(w, &[4, 5, 6])
+        });
         w.state.down = true;
         w.run(60);
         w.queries = 0;
@@ -294,10 +314,11 @@
     }
 }
 
-/// After an outage more is submitted and cancelled than the state service may write. What was accepted is answered for all
-/// the same: questions do not wait behind changes that may not be made yet.
+/// Guards against polls that wait behind queued writes. After an outage more jobs are submitted and cancelled than
+/// the write rate of the state service (6 per second) allows; polls about accepted jobs must be answered all the
+/// same.
 #[test]
-fn questions_are_answered_while_more_is_submitted_than_may_be_written() {
+fn polls_are_answered_while_writes_exceed_the_rate_limit() {
     for seed in 1..=3 {
         let few = |text: String| text.replace("write_rps = 100.0", "write_rps = 6.0");
         let mut w = World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &few);
@@ -314,20 +335,20 @@
         }
         assert!(
             w.jobs.values().filter(|j| j.accepted.is_some()).count() < 400,
-            "too few to matter"
+            "the state service accepted every submission, so the write limit had no effect"
         );
         assert!(
             w.unanswered < 15 * SECOND,
-            "not answered for {} s",
+            "an accepted job had no answer for {} s",
             w.unanswered / SECOND
         );
         assert_eq!(w.broken, Vec::<String>::new());
     }
 }
 
-/// All of it at once, drawn by the seed: two troubles or more at any time, long tasks, cancellations throughout.
-/// `changes`: operators change the configuration meanwhile.
-fn met(seed: u64, changes: bool) -> World {
+/// Plays random concurrent faults drawn from `seed`: two or more at any time, with long tasks and with cancellations
+/// throughout. With `changes`, operators also change the configuration meanwhile.
+fn play_concurrent_faults(seed: u64, changes: bool) -> World {
     let nodes = if seed % 4 == 3 { 5 } else { 3 };
     let mut w = World::new(nodes, seed);
     w.state.unordered = seed.is_multiple_of(2);
@@ -335,7 +356,7 @@
     w.runs = (SECOND, 90 * SECOND);
     w.run(2);
     if changes {
-        change(&mut w);
+        change_limit_of_red(&mut w);
     }
     let mut next = 1;
     for _ in 0..30 {
@@ -386,10 +407,10 @@
             }
             11 => {
                 let names: Vec<String> = w.workers.keys().cloned().collect();
-                let deaf = names.into_iter().filter(|_| w.rng.random_bool(0.3));
-                let deaf: Vec<String> = deaf.collect();
+                let without_answer = names.into_iter().filter(|_| w.rng.random_bool(0.3));
+                let without_answer: Vec<String> = without_answer.collect();
                 if w.faults.unanswered_workers.is_empty() {
-                    w.faults.unanswered_workers.extend(deaf)
+                    w.faults.unanswered_workers.extend(without_answer)
                 } else {
                     w.faults.unanswered_workers.clear()
                 }
@@ -419,10 +440,10 @@
             }
             17 => {
                 let names: Vec<String> = w.workers.keys().cloned().collect();
-                let mute = names.into_iter().filter(|_| w.rng.random_bool(0.3));
-                let mute: Vec<String> = mute.collect();
+                let cut_off = names.into_iter().filter(|_| w.rng.random_bool(0.3));
+                let cut_off: Vec<String> = cut_off.collect();
                 if w.faults.isolated_workers.is_empty() {
-                    w.faults.isolated_workers.extend(mute)
+                    w.faults.isolated_workers.extend(cut_off)
                 } else {
                     w.faults.isolated_workers.clear()
                 }
@@ -435,7 +456,7 @@
                 w.cloud.list_lag = w.rng.random_range(1..12) * SECOND;
             }
             21 => {
-                // Some are called off as their machines hang.
+                // Users cancel every second job while machines hang.
                 let until = w.now + w.rng.random_range(SECOND..2 * LEASE);
                 w.workers
                     .values_mut()
@@ -450,9 +471,9 @@
             }
         }
         if changes && w.rng.random_bool(0.3) && !w.state.down {
-            change(&mut w);
+            change_limit_of_red(&mut w);
         }
-        // Cancellations throughout, at any controller.
+        // Users cancel jobs throughout, at any controller.
         let i = w.rng.random_range(1..next);
         if w.rng.random_bool(0.4) {
             w.cancel_at(i, any);
@@ -461,7 +482,7 @@
         w.run(pause);
     }
     w.all_well();
-    w.run_until(400, "all are over", World::all_over);
+    w.run_until(400, "all jobs have ended", World::all_over);
     w.run(10);
     if changes {
         let last = w.last_version();
@@ -470,8 +491,8 @@
     w
 }
 
-/// Operators lower or raise red's limit, by the seed.
-fn change(w: &mut World) {
+/// Stores a new configuration with a lower or higher limit of team red, drawn from the world's random numbers.
+fn change_limit_of_red(w: &mut World) {
     let cpus_max = [6.0f64, 8.0, 12.0, 16.0, 24.0][w.rng.random_range(0..5)];
     let stop = w.rng.random_bool(0.3);
     let over_limit = if stop {
@@ -489,14 +510,16 @@
     );
 }
 
-/// `MEETINGS=400 cargo test -p gannethub-core --test simulation at_random_break -- --nocapture` plays more seeds, from 1000
-/// on, and says how many were bad; `MEETINGS=7..9` plays those.
-fn play(seeds: std::ops::Range<u64>, changes: bool) {
-    let (mut bad, mut longest) = (Vec::new(), 0);
+/// Plays the seeds, prints the sums of the counters and fails with the list of the seeds that failed.
+///
+/// `MEETINGS=400 cargo test -p gannethub-core --test simulation at_random_break -- --nocapture` plays 400 other seeds,
+/// from 1000 on; `MEETINGS=7..9` plays the seeds 7 and 8.
+fn play_seeds(seeds: std::ops::Range<u64>, changes: bool) {
+    let (mut failed_seeds, mut longest_unanswered) = (Vec::new(), 0);
     let (mut late, mut ran_on, mut overtaken) = (0, 0, 0);
     for seed in seeds.clone() {
         let played = std::panic::catch_unwind(|| {
-            let w = met(seed, changes);
+            let w = play_concurrent_faults(seed, changes);
             let figures = (
                 w.unanswered,
                 w.counters.late_starts,
@@ -508,33 +531,34 @@
         });
         match played {
             Ok((unanswered, starts, seconds, older)) => {
-                longest = longest.max(unanswered);
+                longest_unanswered = longest_unanswered.max(unanswered);
                 (late, ran_on, overtaken) = (late + starts, ran_on + seconds, overtaken + older);
             }
             Err(_) => {
-                println!("seed {seed} is bad");
-                bad.push(seed);
+                println!("seed {seed} failed");
+                failed_seeds.push(seed);
             }
         }
     }
     println!(
-        "{} seeds, the longest without an answer {} s",
+        "{} seeds, longest time without an answer {} s",
         seeds.count(),
-        longest / SECOND
+        longest_unanswered / SECOND
     );
     println!(
-        "starts after a confirmation {late}, seconds run on {ran_on}, answers overtaken {overtaken}"
+        "starts after a confirmed cancellation {late}, task seconds after a confirmed cancellation {ran_on}, outdated answers {overtaken}"
     );
-    assert!(bad.is_empty(), "seeds {bad:?}");
+    assert!(failed_seeds.is_empty(), "failed seeds: {failed_seeds:?}");
 }
 
+/// Plays concurrent random faults against the checker; the variable `MEETINGS` selects other seeds, see `play_seeds`.
 #[test]
-fn troubles_that_meet_at_random_break_no_rule() {
+fn concurrent_faults_at_random_break_no_invariant() {
     let more = std::env::var("MEETINGS").unwrap_or_default();
     let range = more
         .split_once("..")
         .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    play(
+    play_seeds(
         range
             .or_else(|| Some(1000..1000 + more.parse::<u64>().ok()?))
             .unwrap_or(1..13),
@@ -542,17 +566,18 @@
     );
 }
 
+/// Plays further seeds of concurrent random faults.
 #[test]
-fn more_troubles_that_meet_at_random_break_no_rule() {
-    play(13..25, false);
+fn more_concurrent_faults_at_random_break_no_invariant() {
+    play_seeds(13..25, false);
 }
 
-/// `CHANGES=7..90` plays those seeds.
+/// Plays concurrent random faults while operators change the configuration. `CHANGES=7..90` plays the seeds 7 to 89.
 #[test]
-fn troubles_that_meet_changes_of_the_configuration_break_no_rule() {
+fn faults_with_configuration_changes_violate_no_invariant() {
     let more = std::env::var("CHANGES").unwrap_or_default();
     let range = more
         .split_once("..")
         .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    play(range.unwrap_or(1..17), true);
+    play_seeds(range.unwrap_or(1..17), true);
 }
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration changes while the service runs, and while other things go wrong.
+//! Tests of configuration changes while the service runs and while other faults occur.
 
 use std::sync::Arc;
 
@@ -14,11 +14,12 @@
 use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
 
-/// How long a version takes to be in force everywhere, at the most, in seconds.
-const EVERYWHERE: u64 = 7;
+/// Maximum time until a stored version is in force at every controller, in seconds.
+const ROLLOUT_S: u64 = 7;
 
-/// Three controllers, and red, whose limit is 16, with so many replicas on machines.
-fn red_runs(seed: u64, replicas: u32) -> World {
+/// Returns a world with three controllers in which team red, whose limit is 16 CPUs, runs the given number of
+/// replicas on machines (job 1).
+fn world_with_replicas(seed: u64, replicas: u32) -> World {
     let mut w = World::new(3, seed);
     w.cloud.capacity = 16;
     w.run(10);
@@ -31,12 +32,13 @@
     w
 }
 
-fn red(cpus_max: f64) -> Document {
+/// Returns a document that sets the limit of team red; the guarantee is 8 CPUs, or the limit if that is lower.
+fn limit_of_red(cpus_max: f64) -> Document {
     teams(vec![team("red", cpus_max.min(8.0), cpus_max)])
 }
 
-/// What red has on machines.
-fn used(w: &World) -> usize {
+/// Number of tasks of team red on machines.
+fn tasks_of_red(w: &World) -> usize {
     let of_red = |t: &&gannethub_emulators::worker::Task| {
         let id = t.name.split('/').next().unwrap_or("");
         t.on_machine() && w.jobs.get(id).is_some_and(|j| j.body["crew"] == "red")
@@ -48,41 +50,55 @@
         .count()
 }
 
-fn lose_leader(w: &mut World) {
-    let old = w.leader().expect("someone leads");
+/// Crashes the leader for 20 s and waits until another controller leads.
+fn replace_leader(w: &mut World) {
+    let old = w.leader().expect("a controller leads");
     w.crash(old, 20 * SECOND);
-    w.run_until(20, "another leads", |w| {
+    w.run_until(20, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
 }
 
+/// Guards against controllers that act on an old configuration: each of three versions must be in force at every
+/// controller within 7 s, and the controllers must report it.
 #[test]
-fn a_version_is_in_force_everywhere_within_seconds_and_controllers_tell() {
-    let mut w = red_runs(1, 4);
+fn a_new_version_is_in_force_everywhere_within_7_s() {
+    let mut w = world_with_replicas(1, 4);
     for (round, limit) in [20.0, 12.0, 16.0].into_iter().enumerate() {
-        let version = w.configure(red(limit), 0);
+        let version = w.configure(limit_of_red(limit), 0);
         assert_eq!(version, round as u64 + 1);
-        w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+        w.run_until(ROLLOUT_S, "the version is in force", |w| {
+            w.in_force(version)
+        });
     }
     w.finish();
 }
 
+/// Guards against starts above a lowered limit. Team red uses its whole limit of 16 CPUs when the limit is lowered to
+/// 8: running tasks go on, but tasks lost with their machines, here after a change of leader, must not start again
+/// above the limit.
 #[test]
-fn a_limit_that_is_lowered_while_its_team_is_full_counts_from_there_on() {
+fn a_lowered_limit_stops_new_starts_of_a_full_team() {
     for seed in 2..6 {
-        let mut w = red_runs(seed, 16);
+        let mut w = world_with_replicas(seed, 16);
         w.submit(job(2, 12, json!({"crew": "red", "rigs": ["small"]})));
-        let version = w.configure(red(8.0), 0);
-        w.run_until(EVERYWHERE, "it is in force", |w| w.none_older(version));
-        lose_leader(&mut w);
-        // What runs goes on; what is lost with its machine does not come back above the limit.
-        assert!(used(&w) > 8, "{} run", used(&w));
+        let version = w.configure(limit_of_red(8.0), 0);
+        w.run_until(ROLLOUT_S, "no controller acts on an older version", |w| {
+            w.none_older(version)
+        });
+        replace_leader(&mut w);
+        // Running tasks go on; tasks lost with their machine do not start again above the limit.
+        assert!(
+            tasks_of_red(&w) > 8,
+            "only {} tasks of team red run, not more than the lowered limit",
+            tasks_of_red(&w)
+        );
         let lost: Vec<String> = w.workers.keys().cloned().collect();
         for name in lost.iter().take(3) {
-            w.workers.get_mut(name).expect("it is there").dead = true;
+            w.workers.get_mut(name).expect("the machine exists").dead = true;
         }
         w.run(30);
-        let raised = w.configure(red(40.0), 0);
+        let raised = w.configure(limit_of_red(40.0), 0);
         w.run_until(90, "the array is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
@@ -91,57 +107,63 @@
     }
 }
 
+/// Guards against tasks that run on above a lowered limit although operators chose to stop them (`OverLimit::Stop`).
+/// The number of tasks must fall to the limit and stay there after a change of leader.
 #[test]
-fn what_runs_above_a_lowered_limit_is_stopped_where_operators_want_that() {
-    let mut w = red_runs(7, 16);
+fn over_limit_stop_stops_tasks_above_a_lowered_limit() {
+    let mut w = world_with_replicas(7, 16);
     let stop = Document {
         over_limit: OverLimit::Stop,
-        ..red(8.0)
+        ..limit_of_red(8.0)
     };
     w.configure(stop, 0);
-    w.run_until(20, "red is within its limit", |w| used(w) == 8);
-    lose_leader(&mut w);
+    w.run_until(20, "team red is within its limit", |w| tasks_of_red(w) == 8);
+    replace_leader(&mut w);
     w.run(20);
-    assert_eq!(used(&w), 8);
+    assert_eq!(tasks_of_red(&w), 8);
     w.finish();
 }
 
-/// The settings of a leader's view with another limit for red.
-fn with_limit(f: &LeaderView, cpus_max: f64) -> Arc<Settings> {
+/// Returns the settings of a leader's view with another limit for team red.
+fn settings_with_limit(f: &LeaderView, cpus_max: f64) -> Arc<Settings> {
     let settings = &f.c.settings;
     Arc::new(
-        red(cpus_max)
+        limit_of_red(cpus_max)
             .effective(settings, settings)
-            .expect("it is fine"),
+            .expect("the document is valid"),
     )
 }
 
-/// Tasks that machines are told to launch now.
+/// Number of tasks that machines are told to launch now, in answer to one heartbeat from each machine.
 fn launches(f: &mut LeaderView) -> usize {
     let names: Vec<String> = f.c.machines.keys().map(|m| m.to_string()).collect();
     let orders = names.iter().flat_map(|n| f.heartbeat(n, "small", "a", &[]));
     orders.filter(|o| matches!(o, Order::Start { .. })).count()
 }
 
+/// Guards against launches above a lowered limit: tasks that were placed, but not launched, before the limit was
+/// lowered from 16 to 6 CPUs must not be launched above 6 CPUs.
 #[test]
-fn what_was_placed_and_is_not_launched_yet_stays_where_a_lowered_limit_forbids_it() {
+fn placed_tasks_above_a_lowered_limit_are_not_launched() {
     let mut f = LeaderView::with(&[("red", 4.0, 16.0)], None);
     f.machines("up", 4, "small", "a");
     f.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
     f.c.run_scheduling_pass(f.now);
     f.write();
-    let settings = with_limit(&f, 6.0);
+    let settings = settings_with_limit(&f, 6.0);
     f.c.apply_settings(&settings, OverLimit::Run, f.now);
     assert_eq!(launches(&mut f), 6);
     assert_eq!(
         f.c.jobs["j-1"].tasks.live_attempts.len(),
         6,
-        "the others wait for room under the limit"
+        "the other tasks wait for quota"
     );
 }
 
+/// Guards against launches under an outdated configuration: while starts are paused because a newer version may
+/// exist, no task may be launched or placed.
 #[test]
-fn nothing_is_launched_while_there_may_be_a_newer_version() {
+fn nothing_starts_while_a_newer_version_may_exist() {
     let mut f = LeaderView::with(&[("red", 4.0, 16.0)], None);
     f.machines("up", 4, "small", "a");
     f.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
@@ -153,23 +175,27 @@
     f.c.run_scheduling_pass(f.now);
     assert!(
         !f.c.jobs["j-2"].tasks.live_attempts.contains_key(&0),
-        "and nothing is placed"
+        "no task may be placed while starts are paused"
     );
     f.c.starts_paused = false;
     assert_eq!(launches(&mut f), 16);
 }
 
+/// Guards against versions that are applied in the wrong order or skipped: the limit is lowered, raised and lowered
+/// again at intervals of 0.3 s, and the last version must hold.
 #[test]
-fn lowered_raised_and_lowered_within_a_second_the_last_one_holds() {
+fn the_last_of_three_versions_within_a_second_holds() {
     for seed in 10..14 {
-        let mut w = red_runs(seed, 6);
+        let mut w = world_with_replicas(seed, 6);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-        w.configure(red(8.0), 0);
+        w.configure(limit_of_red(8.0), 0);
         w.pause(300_000);
-        w.configure(red(24.0), 0);
+        w.configure(limit_of_red(24.0), 0);
         w.pause(300_000);
-        let version = w.configure(red(9.0), 0);
-        w.run_until(EVERYWHERE, "the last is in force", |w| w.in_force(version));
+        let version = w.configure(limit_of_red(9.0), 0);
+        w.run_until(ROLLOUT_S, "the last version is in force", |w| {
+            w.in_force(version)
+        });
         w.run_until(120, "the array is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
@@ -177,15 +203,22 @@
     }
 }
 
+/// Guards against a missed version when the watch of the leader hangs while all its other requests are answered.
 #[test]
-fn an_owner_whose_watch_hangs_misses_nothing() {
-    let mut w = red_runs(15, 6);
-    let leader = w.leader().expect("someone leads");
+fn a_leader_with_a_hung_watch_misses_no_version() {
+    let mut w = world_with_replicas(15, 6);
+    let leader = w.leader().expect("a controller leads");
     w.faults.hung_watches.insert(leader);
     w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-    let version = w.configure(red(8.0), 0);
-    w.run_until(EVERYWHERE, "it is in force", |w| w.none_older(version));
-    w.run_until(EVERYWHERE, "the leader knows it", |w| w.in_force(version));
+    let version = w.configure(limit_of_red(8.0), 0);
+    w.run_until(ROLLOUT_S, "no controller acts on an older version", |w| {
+        w.none_older(version)
+    });
+    w.run_until(
+        ROLLOUT_S,
+        "the version is in force at the leader too",
+        |w| w.in_force(version),
+    );
     w.faults.hung_watches.clear();
     w.run_until(120, "the array is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
@@ -193,15 +226,17 @@
     w.finish();
 }
 
+/// Guards against a leader that acts on an old version. The leader is cut off from the state service and from its
+/// peers when the limit is lowered; from 7 s on no controller may act on the older version.
 #[test]
-fn an_owner_that_is_cut_off_from_the_state_acts_on_no_older_version() {
+fn an_isolated_leader_acts_on_no_older_version() {
     for seed in 16..20 {
-        let mut w = red_runs(seed, 6);
-        let leader = w.leader().expect("someone leads");
+        let mut w = world_with_replicas(seed, 6);
+        let leader = w.leader().expect("a controller leads");
         w.isolate(leader);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-        let version = w.configure(red(8.0), 0);
-        w.run(EVERYWHERE);
+        let version = w.configure(limit_of_red(8.0), 0);
+        w.run(ROLLOUT_S);
         assert!(w.none_older(version), "{:?}", w.versions());
         w.run(20);
         w.all_well();
@@ -212,21 +247,23 @@
     }
 }
 
+/// Guards against a version that is lost between two leaders. The limit is lowered after the leader crashes, at once
+/// or up to 4.9 s later by the seed, and raised at the end.
 #[test]
-fn a_change_in_the_middle_of_a_takeover_is_heeded_by_the_successor() {
+fn a_new_leader_applies_a_change_made_during_its_takeover() {
     for seed in 20..28 {
-        let mut w = red_runs(seed, 10);
+        let mut w = world_with_replicas(seed, 10);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-        let old = w.leader().expect("someone leads");
+        let old = w.leader().expect("a controller leads");
         w.crash(old, 20 * SECOND);
-        // From before anybody can know of the loss until after somebody leads.
+        // The seeds cover times from before any peer can notice the crash until after the takeover.
         w.pause((seed - 20) * 700_000);
-        w.configure(red(8.0), 0);
-        w.run_until(20, "another leads", |w| {
+        w.configure(limit_of_red(8.0), 0);
+        w.run_until(20, "another controller leads", |w| {
             w.leader().is_some_and(|l| l != old)
         });
         w.run(20);
-        w.configure(red(40.0), 0);
+        w.configure(limit_of_red(40.0), 0);
         w.run_until(150, "the array is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
@@ -234,20 +271,24 @@
     }
 }
 
+/// Guards against a version that is lost in an outage of the state service. The outage begins right after the version
+/// is stored and lasts 20 s; the version must be in force within 7 s of its end.
 #[test]
-fn a_change_right_before_an_outage_is_in_force_after_it_at_the_latest() {
+fn a_change_right_before_an_outage_holds_after_it() {
     for seed in 30..34 {
-        let mut w = red_runs(seed, 6);
-        w.configure(red(16.0), 0);
+        let mut w = world_with_replicas(seed, 6);
+        w.configure(limit_of_red(16.0), 0);
         w.run(8);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
         w.run(2);
         let outage = 20;
-        let version = w.configure(red(8.0), outage * SECOND);
+        let version = w.configure(limit_of_red(8.0), outage * SECOND);
         w.state.down = true;
         w.run(outage);
         w.state.down = false;
-        w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+        w.run_until(ROLLOUT_S, "the version is in force", |w| {
+            w.in_force(version)
+        });
         w.run_until(120, "the array is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
@@ -255,11 +296,15 @@
     }
 }
 
+/// Guards against a needless stop in an outage of the state service: where all peers know of no newer version, the
+/// leader must go on starting tasks.
 #[test]
-fn in_an_outage_work_goes_on_where_all_peers_know_of_nothing_newer() {
-    let mut w = red_runs(35, 4);
-    let version = w.configure(red(20.0), 0);
-    w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+fn starts_go_on_in_an_outage_if_no_peer_knows_a_newer_version() {
+    let mut w = world_with_replicas(35, 4);
+    let version = w.configure(limit_of_red(20.0), 0);
+    w.run_until(ROLLOUT_S, "the version is in force", |w| {
+        w.in_force(version)
+    });
     w.submit(job(
         2,
         60,
@@ -270,7 +315,7 @@
     w.run(8);
     let before = w.starts;
     w.run(8);
-    assert!(w.starts > before, "nothing was started in the outage");
+    assert!(w.starts > before, "no task was started in the outage");
     w.state.down = false;
     w.run_until(120, "the array is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
@@ -278,18 +323,22 @@
     w.finish();
 }
 
+/// Guards against live jobs that are lost with their team. While a team is removed, new jobs of the team are refused
+/// at every controller, and its old jobs finish within its last limit; once it is added again, new jobs run.
 #[test]
-fn a_team_is_removed_and_added_again_with_jobs_alive() {
-    let mut w = red_runs(40, 4);
+fn a_team_is_removed_and_added_again_with_live_jobs() {
+    let mut w = world_with_replicas(40, 4);
     w.submit(job(2, 30, json!({"crew": "red", "rigs": ["small"]})));
-    w.run_until(20, "it is accepted", |w| {
+    w.run_until(20, "the job is accepted", |w| {
         w.jobs["j-000002"].accepted.is_some()
     });
-    let mut gone = red(16.0);
-    gone.teams[0].removed = true;
-    let version = w.configure(gone, 0);
-    w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
-    // No new jobs, at any controller; the old ones finish within the last limit.
+    let mut without_red = limit_of_red(16.0);
+    without_red.teams[0].removed = true;
+    let version = w.configure(without_red, 0);
+    w.run_until(ROLLOUT_S, "the version is in force", |w| {
+        w.in_force(version)
+    });
+    // Every controller refuses new jobs of the team; the old jobs finish within its last limit.
     for node in 0..3 {
         w.submit_odd(
             job(50 + node as u32, 1, json!({"crew": "red"})),
@@ -300,12 +349,14 @@
     w.run(2);
     assert!(w.odd.values().all(|o| o.refused == 1), "{:?}", w.odd);
     w.submit(job(3, 2, json!({"crew": "blue"})));
-    lose_leader(&mut w);
+    replace_leader(&mut w);
     w.run_until(120, "the old job is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
     });
-    let version = w.configure(red(12.0), 0);
-    w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+    let version = w.configure(limit_of_red(12.0), 0);
+    w.run_until(ROLLOUT_S, "the version is in force", |w| {
+        w.in_force(version)
+    });
     w.submit(job(4, 10, json!({"crew": "red"})));
     w.run_until(90, "the new job is done", |w| {
         w.jobs["j-000004"].told_done.is_some()
@@ -313,39 +364,47 @@
     w.finish();
 }
 
+/// Guards against final refusals for jobs of a team that was added while the service runs, also after restarts and
+/// changes of leader, and against live jobs of that team that a restarted controller cannot handle.
 #[test]
-fn a_team_that_is_new_is_served_and_none_of_its_jobs_is_refused_for_good() {
+fn no_job_of_a_new_team_is_refused_for_good() {
     for seed in 41..45 {
-        let mut w = red_runs(seed, 4);
+        let mut w = world_with_replicas(seed, 4);
         let version = w.configure(teams(vec![team("late", 2.0, 6.0)]), 0);
-        w.run_until(EVERYWHERE, "it is in force", |w| w.none_older(version));
+        w.run_until(ROLLOUT_S, "no controller acts on an older version", |w| {
+            w.none_older(version)
+        });
         for i in 0..6 {
             w.submit(job(10 + i, 3, json!({"crew": "late"})));
         }
-        w.run_until(90, "all are done", |w| {
+        w.run_until(90, "all jobs are done", |w| {
             (10..16).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
         });
         w.restart(0);
-        w.run_until(30, "someone leads", |w| w.leader().is_some());
-        lose_leader(&mut w);
+        w.run_until(30, "a controller leads", |w| w.leader().is_some());
+        replace_leader(&mut w);
         w.submit(job(20, 12, json!({"crew": "late"})));
         w.run(3);
-        // All processes are new: the jobs are read before the document.
+        // All controllers restart, and each reads the live jobs before the configuration document.
         (0..3).for_each(|node| w.restart(node));
-        w.run_until(90, "it is done", |w| w.jobs["j-000020"].told_done.is_some());
+        w.run_until(90, "the job is done", |w| {
+            w.jobs["j-000020"].told_done.is_some()
+        });
         w.finish();
     }
 }
 
+/// Guards against a job that is accepted under an old configuration. Submissions are under way while the team is
+/// removed; none may be stored after the version that removes the team.
 #[test]
-fn no_job_is_accepted_by_an_older_version() {
+fn no_job_is_accepted_under_an_older_version() {
     for seed in 46..50 {
-        let mut w = red_runs(seed, 2);
-        let mut gone = red(16.0);
-        gone.teams[0].removed = true;
-        w.configure(gone, 0);
+        let mut w = world_with_replicas(seed, 2);
+        let mut without_red = limit_of_red(16.0);
+        without_red.teams[0].removed = true;
+        w.configure(without_red, 0);
         let stored = w.state.stamp(CURRENT_VERSION_KEY);
-        // Controllers have not heard of it, and their transactions are on their way.
+        // The controllers do not know of the new version yet, and their transactions are under way.
         for i in 0..9 {
             w.ask_quietly(job(50 + i, 1, json!({"crew": "red"})), i as usize % 3);
         }
@@ -361,8 +420,11 @@
     }
 }
 
+/// Guards against a service that stops because of a damaged version record. The record of the current version is a
+/// bare number, names a document that is not stored, or is deleted. The last valid version must stay in force; in the
+/// first two cases also after a restart of all controllers.
 #[test]
-fn a_document_that_cannot_be_used_leaves_the_last_good_one_in_force() {
+fn an_invalid_version_record_leaves_the_last_valid_version() {
     for (seed, broken) in [
         (50, "7"),
         (
@@ -371,25 +433,27 @@
         ),
         (52, ""),
     ] {
-        let mut w = red_runs(seed, 4);
-        let version = w.configure(red(6.0), 0);
-        w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+        let mut w = world_with_replicas(seed, 4);
+        let version = w.configure(limit_of_red(6.0), 0);
+        w.run_until(ROLLOUT_S, "the version is in force", |w| {
+            w.in_force(version)
+        });
         match broken {
             "" => w.state.remove(CURRENT_VERSION_KEY),
             text => w.state.put(CURRENT_VERSION_KEY, text),
         }
-        w.run(EVERYWHERE);
+        w.run(ROLLOUT_S);
         assert!(w.in_force(version), "{:?}", w.versions());
         w.submit(job(2, 10, json!({"crew": "red"})));
-        w.run_until(60, "the service goes on", |w| {
+        w.run_until(60, "a new job is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
         if !broken.is_empty() {
-            // Processes that are new find it as well.
+            // Restarted controllers find the last valid version as well.
             (0..3).for_each(|node| w.restart(node));
-            w.run_until(20, "it is in force", |w| w.in_force(version));
+            w.run_until(20, "the version is in force", |w| w.in_force(version));
             w.submit(job(3, 10, json!({"crew": "red"})));
-            w.run_until(90, "the service goes on", |w| {
+            w.run_until(90, "a new job is done", |w| {
                 w.jobs["j-000003"].told_done.is_some()
             });
         }
@@ -397,11 +461,15 @@
     }
 }
 
+/// Guards against documents that are applied in part. A document with an unknown field, as of a later release, with a
+/// guarantee above the limit, or with an invalid policy must be refused whole, and the version in force must stay.
 #[test]
-fn documents_of_a_future_version_or_with_nonsense_are_refused_whole() {
-    let mut w = red_runs(53, 4);
-    let version = w.configure(red(6.0), 0);
-    w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+fn unknown_or_invalid_documents_are_refused_whole() {
+    let mut w = world_with_replicas(53, 4);
+    let version = w.configure(limit_of_red(6.0), 0);
+    w.run_until(ROLLOUT_S, "the version is in force", |w| {
+        w.in_force(version)
+    });
     let documents = [
         json!({"teams": [], "quantum": true}),
         json!({"teams": [{"name": "red", "cpus": 9.0, "cpus_max": 6.0}]}),
@@ -419,19 +487,21 @@
         w.state.put(&record.part_key(0), &document.to_string());
         w.state
             .put(CURRENT_VERSION_KEY, to_raw_value(&record).get());
-        w.run(EVERYWHERE);
+        w.run(ROLLOUT_S);
         assert!(w.in_force(version), "{document}: {:?}", w.versions());
     }
     w.state.remove(HISTORY_KEY);
     w.submit(job(2, 10, json!({"crew": "red"})));
-    w.run_until(60, "the service goes on", |w| {
+    w.run_until(60, "a new job is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
     });
     w.finish();
 }
 
+/// Guards against changed limits in a cluster of several shards: a document that changes only objectives must come
+/// into force, and a document that changes a limit must not.
 #[test]
-fn with_several_shards_limits_stay_and_objectives_change() {
+fn several_shards_keep_limits_and_change_objectives() {
     let mut w = World::with_shards(3, 54, 3, &|text| text);
     w.run(12);
     w.submit(job(1, 20, json!({"crew": "red"})));
@@ -447,7 +517,9 @@
         ..Document::default()
     };
     let version = w.configure(objectives, 0);
-    w.run_until(EVERYWHERE, "it is in force", |w| w.in_force(version));
+    w.run_until(ROLLOUT_S, "the version is in force", |w| {
+        w.in_force(version)
+    });
     let record = VersionRecord {
         version: 9,
         id: "9-tool".into(),
@@ -460,7 +532,7 @@
     );
     w.state
         .put(CURRENT_VERSION_KEY, to_raw_value(&record).get());
-    w.run(EVERYWHERE);
+    w.run(ROLLOUT_S);
     assert!(w.in_force(version), "{:?}", w.versions());
     w.run_until(120, "the array is done", |w| {
         w.jobs["j-000001"].told_done.is_some()
@@ -468,19 +540,23 @@
     w.finish();
 }
 
+/// Guards against needless configuration requests and records where no operator ever stored a version: every
+/// controller must report version 0, and no key of the configuration may exist.
 #[test]
-fn where_nothing_was_ever_stored_nothing_more_is_asked() {
-    let w = red_runs(55, 4);
+fn a_cluster_without_a_stored_version_runs_with_version_0() {
+    let w = world_with_replicas(55, 4);
     assert!(w.state.keys("gh/config/").is_empty() && w.state.value(CURRENT_VERSION_KEY).is_none());
     assert!(w.versions().iter().all(|v| v.version == 0));
     w.finish();
 }
 
+/// Guards against final refusals by an outdated configuration. A follower is frozen for 9 s while a team is added,
+/// and gets submissions of that team as it resumes.
 #[test]
-fn a_controller_that_stood_still_refuses_nothing_by_what_it_knew_before() {
+fn a_resumed_controller_refuses_nothing_by_an_old_version() {
     for seed in 56..60 {
-        let mut w = red_runs(seed, 2);
-        let follower = (w.leader().expect("someone leads") + 1) % 3;
+        let mut w = world_with_replicas(seed, 2);
+        let follower = (w.leader().expect("a controller leads") + 1) % 3;
         let until = w.now + 9 * SECOND;
         w.faults.frozen_until.insert(follower, until);
         let version = w.configure(teams(vec![team("late", 2.0, 6.0)]), 0);
@@ -492,22 +568,27 @@
             w.pause(150_000);
         }
         w.run(4);
-        // A refusal would be for good; what is accepted, or sent away to come back, is not.
+        // Status 422 is a final refusal. An acceptance or a request to retry later is allowed.
         assert_eq!(w.odd.len(), before + 8);
         let refused = w.broken.iter().filter(|b| b.contains("422")).count();
         assert_eq!(refused, 0, "{:?}", w.broken);
     }
 }
 
+/// Guards against starts under an old version in an outage. Only the peers know of the lowered limit when the state
+/// service goes down for all controllers; the leader must learn of it from them and act on no older version.
 #[test]
-fn what_a_peer_knows_keeps_the_leader_from_starting_in_an_outage() {
+fn a_newer_version_at_a_peer_stops_starts_in_an_outage() {
     for seed in 60..64 {
-        let mut w = red_runs(seed, 4);
-        let first = w.configure(red(8.0), 0);
+        let mut w = world_with_replicas(seed, 4);
+        let first = w.configure(limit_of_red(8.0), 0);
         w.submit(job(2, 60, json!({"crew": "red", "rigs": ["small"]})));
-        w.run_until(30, "it is in force", |w| w.in_force(first) && used(w) >= 6);
-        let leader = w.leader().expect("someone leads");
-        // The leader alone is refused while the others hear of a change, and then all are.
+        w.run_until(30, "the version is in force", |w| {
+            w.in_force(first) && tasks_of_red(w) >= 6
+        });
+        let leader = w.leader().expect("a controller leads");
+        // The state service refuses the leader alone while the peers learn of the change, and then it is down for all
+        // controllers.
         w.queries = 3;
         w.faults.store_refuses.insert(leader);
         w.faults.partitioned.extend(
@@ -515,18 +596,18 @@
                 .filter(|i| *i != leader)
                 .flat_map(|i| [(i, leader), (leader, i)]),
         );
-        let version = w.configure(red(4.0), 0);
+        let version = w.configure(limit_of_red(4.0), 0);
         w.pause(1_200_000);
         assert!(
             w.versions().iter().any(|v| v.version == version),
-            "nobody has heard of it"
+            "no controller knows the new version"
         );
         w.state.down = true;
         w.faults.partitioned.clear();
         w.run(25);
         assert!(w.none_older(version), "{:?}", w.versions());
         w.all_well();
-        w.configure(red(24.0), 0);
+        w.configure(limit_of_red(24.0), 0);
         w.run_until(120, "the array is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -1,4 +1,5 @@
-//! Deciding machine by machine after a loss: what watermarks, votes and limits allow, and what they forbid.
+//! Tests of scheduling after a takeover, while some machines are unconfirmed: which launches the watermarks, votes and
+//! limits allow, and which they forbid.
 
 use gannethub_core::model::Shape;
 use gannethub_core::state::cluster::Cluster;
@@ -10,18 +11,20 @@
 use crate::harness::{LEASE, SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
 
-fn cluster(w: &World) -> Option<&Cluster> {
+/// Returns the cluster state of the controller that leads.
+fn leader_cluster(w: &World) -> Option<&Cluster> {
     let leader = w.nodes[w.leader()?].controller.as_ref()?;
     leader.cluster()
 }
 
-/// Whether anything may still be on machines that its leader has not heard.
+/// Whether the leader's takeover is settled: no machine is unconfirmed any more.
 fn settled(w: &World) -> bool {
-    cluster(w).is_some_and(|c| c.takeover.settled)
+    leader_cluster(w).is_some_and(|c| c.takeover.settled)
 }
 
-/// Three controllers, replicas that fill machines of their own, and an array beside them that will end.
-fn replicas(seed: u64, crew: &str, cpus: u32) -> World {
+/// Returns a world with three controllers. The replicas of a service (job 1) fill machines with 4 CPUs of their own,
+/// beside an array of 24 tasks (job 9), which will end.
+fn world_with_replicas(seed: u64, crew: &str, cpus: u32) -> World {
     let mut w = World::new(3, seed);
     w.cloud.capacity = 16;
     w.run(2);
@@ -37,59 +40,64 @@
     w
 }
 
-/// Lets machines with replicas hang until just before their leases end, and the cloud delete nothing.
-fn hang(w: &mut World) -> usize {
+/// Hangs the machines with replicas until 0.5 s before the end of a lease that begins now, and makes the cloud delete
+/// nothing. Returns the number of hung machines.
+fn hang_machines_with_replicas(w: &mut World) -> usize {
     let until = w.now + LEASE - SECOND / 2;
     w.cloud.no_deletes = true;
     let replica = |t: &String| t.starts_with("j-000001");
-    let with = w
+    let hung = w
         .workers
         .values_mut()
         .filter(|m| m.tasks.keys().any(replica));
-    with.map(|m| m.hung_until = until).count()
+    hung.map(|m| m.hung_until = until).count()
 }
 
-/// The leader ends for long; returns when another leads.
-fn lose_leader(w: &mut World) {
-    let old = w.leader().expect("someone leads");
+/// Crashes the leader for 60 s and waits until another controller leads.
+fn replace_leader(w: &mut World) {
+    let old = w.leader().expect("a controller leads");
     w.crash(old, 60 * SECOND);
-    w.run_until(15, "another leads", |w| {
+    w.run_until(15, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
 }
 
-/// Replaces a field of every value under a prefix.
-fn tamper(w: &mut World, prefix: &str, change: impl Fn(&mut Value)) {
+/// Changes every stored value under a prefix in place.
+fn edit_stored_values(w: &mut World, prefix: &str, change: impl Fn(&mut Value)) {
     for key in w.state.keys(prefix) {
-        let mut value = w.state.value(&key).cloned().expect("it is there");
+        let mut value = w.state.value(&key).cloned().expect("the key exists");
         change(&mut value);
         w.state.put(&key, &value.to_string());
     }
 }
 
+/// Guards against a new leader that starts nothing until its takeover is settled. Machines with replicas hang while
+/// the leader is replaced; a new job must start within 6 s on the machines that have sent a heartbeat.
 #[test]
-fn new_work_starts_on_what_has_been_heard_while_other_machines_are_silent() {
-    let mut w = replicas(1, "blue", 12);
-    assert!(hang(&mut w) > 2);
-    lose_leader(&mut w);
+fn new_tasks_start_while_other_machines_are_silent() {
+    let mut w = world_with_replicas(1, "blue", 12);
+    assert!(hang_machines_with_replicas(&mut w) > 2);
+    replace_leader(&mut w);
     let before = w.starts;
     w.submit(job(2, 2, json!({"rigs": ["small"]})));
-    w.run_until(6, "it starts", |w| w.starts >= before + 2);
-    assert!(!settled(&w) && cluster(&w).is_some_and(|c| c.watermarks.reliable));
-    w.run_until(120, "it is done", |w| {
+    w.run_until(6, "the new tasks start", |w| w.starts >= before + 2);
+    assert!(!settled(&w) && leader_cluster(&w).is_some_and(|c| c.watermarks.reliable));
+    w.run_until(120, "the new job is done", |w| {
         w.jobs["j-000002"].told_done.is_some()
     });
     w.finish();
 }
 
+/// Guards against a task that runs twice. Machines hang over a takeover, and the new leader must not start elsewhere
+/// any task that an unconfirmed machine may still run.
 #[test]
-fn what_a_silent_machine_may_hold_is_started_nowhere_else() {
+fn tasks_of_unconfirmed_machines_start_nowhere_else() {
     for seed in 2..8 {
-        let mut w = replicas(seed, "blue", 10);
+        let mut w = world_with_replicas(seed, "blue", 10);
         w.submit(job(2, 60, json!({"rigs": ["small"]})));
         w.run(3);
-        hang(&mut w);
-        lose_leader(&mut w);
+        hang_machines_with_replicas(&mut w);
+        replace_leader(&mut w);
         w.run_until(150, "the array is done", |w| {
             w.jobs["j-000002"].told_done.is_some()
         });
@@ -97,36 +105,45 @@
     }
 }
 
+/// Proves that the checker detects a task that runs twice: the stored launch watermarks are set to 0, below the tasks
+/// that run, so the new leader starts those tasks again.
 #[test]
-fn the_checker_sees_a_task_run_twice_when_watermarks_say_less_than_what_runs() {
-    let mut w = replicas(9, "blue", 12);
-    hang(&mut w);
-    tamper(&mut w, "gh/live/", |v| v["open"] = json!(0));
-    lose_leader(&mut w);
+fn the_checker_detects_a_double_run_with_low_watermarks() {
+    let mut w = world_with_replicas(9, "blue", 12);
+    hang_machines_with_replicas(&mut w);
+    edit_stored_values(&mut w, "gh/live/", |v| v["open"] = json!(0));
+    replace_leader(&mut w);
     w.run(8);
     let twice = w
         .broken
         .iter()
         .any(|b| b.starts_with("ran_twice: j-000001"));
-    assert!(twice, "the broken guard was not noticed: {:?}", w.broken);
+    assert!(
+        twice,
+        "the checker did not detect the double run: {:?}",
+        w.broken
+    );
 }
 
+/// Guards against a team above its limit after a takeover. The team has tasks on machines that hang, and the new
+/// leader must count them until these machines are confirmed. The second run takes this guard away, and the checker
+/// must detect the usage above the limit.
 #[test]
-fn a_teams_limit_holds_with_what_it_may_have_on_silent_machines() {
-    // Red may have 16 CPUs, and has 12 of them on machines that hang.
+fn the_team_limit_counts_tasks_on_unconfirmed_machines() {
+    // The limit of team red is 16 CPUs, and 12 of them are in use on machines that hang.
     for (seed, guarded) in [(10, true), (10, false)] {
-        let mut w = replicas(seed, "red", 12);
-        hang(&mut w);
+        let mut w = world_with_replicas(seed, "red", 12);
+        hang_machines_with_replicas(&mut w);
         if !guarded {
-            // As if none of its replicas had been launched, and they were not to start again.
-            tamper(&mut w, "gh/live/j-000001", |v| {
+            // The records say that no replica was launched and that none is to start again.
+            edit_stored_values(&mut w, "gh/live/j-000001", |v| {
                 (v["open"], v["done"]) = (json!(0), json!("0-11"))
             });
         }
-        lose_leader(&mut w);
+        replace_leader(&mut w);
         w.submit(job(2, 12, json!({"crew": "red", "rigs": ["small"]})));
-        w.run_until(6, "as many start as may", |w| w.starts >= 40);
-        let held = cluster(&w).map_or(0, |c| {
+        w.run_until(6, "the allowed tasks start", |w| w.starts >= 40);
+        let held = leader_cluster(&w).map_or(0, |c| {
             c.quota.team_usage[0].cpu + c.takeover.unconfirmed.possible_usage[0].cpu
         });
         assert!(!settled(&w));
@@ -134,10 +151,10 @@
         let over = w.broken.iter().any(|b| b.starts_with("quota"));
         assert_eq!(over, !guarded, "{:?}", w.broken);
         if guarded {
-            assert_eq!(held, 16_000, "all of the limit counts as used");
+            assert_eq!(held, 16_000, "the whole limit counts as used");
             w.run(20);
             w.cancel(1);
-            w.run_until(150, "its work is done", |w| {
+            w.run_until(150, "the array is done", |w| {
                 w.jobs["j-000002"].told_done.is_some()
             });
             w.finish();
@@ -145,8 +162,10 @@
     }
 }
 
+/// Guards against trust in stale launch watermarks. In an outage of the state service the leader launches tasks
+/// without writing watermarks; the next leader must not rely on them until its takeover is settled.
 #[test]
-fn launches_in_an_outage_need_no_watermarks_and_nobody_goes_by_watermarks_after_it() {
+fn a_leader_after_an_outage_does_not_rely_on_watermarks() {
     for seed in 20..26 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 4;
@@ -161,7 +180,7 @@
         let launched = w.starts as u64;
         assert!(
             opened.is_some_and(|o| o.as_u64() < Some(launched)),
-            "{launched} starts"
+            "only {launched} tasks started, not more than the watermark covers"
         );
         w.cloud.no_deletes = true;
         let until = w.now + LEASE - SECOND / 2;
@@ -170,9 +189,9 @@
             .skip(1)
             .for_each(|m| m.hung_until = until);
         w.state.down = false;
-        lose_leader(&mut w);
-        assert!(cluster(&w).is_some_and(|c| !c.watermarks.reliable));
-        w.run_until(60, "every machine is known", settled);
+        replace_leader(&mut w);
+        assert!(leader_cluster(&w).is_some_and(|c| !c.watermarks.reliable));
+        w.run_until(60, "the takeover is settled", settled);
         w.cloud.capacity = 40;
         w.cloud.no_deletes = false;
         w.run_until(300, "the array is done", World::all_over);
@@ -180,17 +199,20 @@
     }
 }
 
+/// Guards against trust in unconfirmed launch watermarks. Both peers restart. If the leader confirms to them that the
+/// watermarks are reliable, the peer that takes over relies on the watermarks; if a partition holds up the
+/// confirmations, it does not.
 #[test]
-fn a_restarted_controller_is_told_that_watermarks_hold_and_goes_by_them() {
-    for told in [true, false] {
-        let mut w = replicas(30, "blue", 12);
-        let leader = w.leader().expect("someone leads");
+fn a_restarted_peer_relies_on_watermarks_only_if_confirmed() {
+    for confirmed in [true, false] {
+        let mut w = world_with_replicas(30, "blue", 12);
+        let leader = w.leader().expect("a controller leads");
         (0..3)
             .filter(|n| *n != leader)
             .for_each(|n| w.crash(n, SECOND));
         w.run(2);
-        if !told {
-            // Nobody answers before the leader is gone.
+        if !confirmed {
+            // No peer gets an answer from the leader before the leader crashes.
             for other in (0..3).filter(|o| *o != leader) {
                 w.faults
                     .partitioned
@@ -202,47 +224,58 @@
         }
         w.run(10);
         w.faults.partitioned.clear();
-        lose_leader(&mut w);
-        assert_eq!(cluster(&w).map(|c| c.watermarks.reliable), Some(told));
+        replace_leader(&mut w);
+        assert_eq!(
+            leader_cluster(&w).map(|c| c.watermarks.reliable),
+            Some(confirmed)
+        );
         w.run(20);
         w.finish();
     }
 }
 
+/// Guards against trust in launch watermarks after an upgrade. The stored records lack the fields of watermarks, as
+/// the previous release writes them; a new leader must not rely on watermarks until they cover all launches, and must
+/// say so in the lease record. Only the leader after that relies on them.
 #[test]
-fn after_a_version_without_watermarks_nobody_goes_by_them_until_all_is_covered() {
-    let mut w = replicas(31, "blue", 12);
-    // As the version before writes it: without what it does not know of.
+fn watermarks_are_unreliable_after_a_release_without_them() {
+    let mut w = world_with_replicas(31, "blue", 12);
+    // The previous release writes records without the fields of watermarks.
     let without = |v: &mut Value| {
         drop(
             v.as_object_mut()
                 .map(|o| (o.remove("marked"), o.remove("open"))),
         )
     };
-    tamper(&mut w, "gh/l", without);
+    edit_stored_values(&mut w, "gh/l", without);
     let marked = |w: &World| {
         w.state
             .value("gh/lead/term")
             .map(|v| v["marked"] == json!(true))
     };
-    let old = w.leader().expect("someone leads");
+    let old = w.leader().expect("a controller leads");
     w.crash(old, SECOND);
-    w.run_until(12, "another leads", |w| {
-        cluster(w).is_some_and(|c| c.term > 1)
+    w.run_until(12, "another controller leads", |w| {
+        leader_cluster(w).is_some_and(|c| c.term > 1)
     });
-    assert!(cluster(&w).is_some_and(|c| !c.watermarks.reliable));
+    assert!(leader_cluster(&w).is_some_and(|c| !c.watermarks.reliable));
     assert_eq!(marked(&w), Some(false));
-    w.run_until(30, "it says that watermarks are reliable", |w| {
-        marked(w) == Some(true)
-    });
-    lose_leader(&mut w);
-    assert!(cluster(&w).is_some_and(|c| c.watermarks.reliable));
+    w.run_until(
+        30,
+        "the lease record says that watermarks are reliable",
+        |w| marked(w) == Some(true),
+    );
+    replace_leader(&mut w);
+    assert!(leader_cluster(&w).is_some_and(|c| c.watermarks.reliable));
     w.run(20);
     w.finish();
 }
 
+/// Guards against a team above its limit between the end of loading and the first tick. Two unconfirmed machines may
+/// run six tasks of a team with a limit of 8 CPUs, so only two more CPUs may be used from the first scheduling pass
+/// on.
 #[test]
-fn limits_count_what_is_in_doubt_from_the_moment_that_everything_is_read() {
+fn limits_count_unconfirmed_tasks_right_after_loading() {
     let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
     f.c.watermarks.set_reliable(true);
     let member = |_| ShardMember {
@@ -263,9 +296,10 @@
     f.c.finish_loading(f.now);
     assert_eq!(
         f.c.takeover.unconfirmed.possible_usage[0].cpu, 6_000,
-        "six tasks may be on them"
+        "six tasks may run on the unconfirmed machines"
     );
-    // The first machine shows two of them, before any tick: two more CPUs are left, and tasks from the mark on.
+    // The first machine reports two of these tasks before any tick. Two more CPUs of the limit are left, for tasks from
+    // the watermark (6) on.
     f.heartbeat(
         "up-1",
         "small",
@@ -281,7 +315,7 @@
     assert_eq!(
         placed,
         [0, 1],
-        "what is shown counts beside what was in doubt until that is weighed again"
+        "reported tasks count on top of the possible usage until the next tick computes it again"
     );
     f.pass(0);
     f.c.run_scheduling_pass(f.now);
@@ -293,11 +327,11 @@
     assert_eq!(placed, [0, 1, 6, 7]);
 }
 
-/// Losses of leaders, machines, messages and the state service, thick enough that most takeovers begin in the middle
-/// of the one before.
+/// Plays losses of leaders, machines, messages and the state service, so frequent that most takeovers begin before
+/// the previous takeover is settled.
 #[test]
-fn takeovers_on_takeovers_break_no_rule() {
-    let (mut early, mut terms) = (0, 0);
+fn overlapping_takeovers_violate_no_invariant() {
+    let (mut early_seconds, mut terms) = (0, 0);
     for seed in 200..224 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 6;
@@ -311,7 +345,7 @@
                 "together": w.rng.random_bool(0.3), "stamp_every_s": 1.0, "stamp_s": 1.0});
             w.submit(job(i, tasks, more));
         }
-        w.run_until(40, "work is running", |w| w.starts > 2);
+        w.run_until(40, "tasks are running", |w| w.starts > 2);
         for round in 0..9 {
             let tasks = w.rng.random_range(1..6);
             w.submit(job(10 + round, tasks, json!({"rigs": ["small"]})));
@@ -353,12 +387,12 @@
             for _ in 0..w.rng.random_range(3..10) {
                 let before = w.starts;
                 w.run(1);
-                early += usize::from(
-                    w.starts > before && cluster(&w).is_some_and(|c| !c.takeover.settled),
+                early_seconds += usize::from(
+                    w.starts > before && leader_cluster(&w).is_some_and(|c| !c.takeover.settled),
                 );
             }
         }
-        terms += cluster(&w).map_or(0, |c| c.term);
+        terms += leader_cluster(&w).map_or(0, |c| c.term);
         w.state.down = false;
         w.faults.late_commit_rate = 0.0;
         w.faults.partitioned.clear();
@@ -367,11 +401,11 @@
             .values_mut()
             .for_each(|m| m.hung_until = m.hung_until.min(w.now));
         (1..5).for_each(|i| w.cancel(i));
-        w.run_until(300, "all are over", World::all_over);
+        w.run_until(300, "all jobs have ended", World::all_over);
         w.finish();
     }
     assert!(
-        early > 15 && terms > 50,
-        "{early} seconds with early starts, {terms} terms"
+        early_seconds > 15 && terms > 50,
+        "{early_seconds} seconds with starts before the takeover was settled, {terms} terms"
     );
 }
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -1,4 +1,5 @@
-//! Short tests: a whole cluster in memory, on a simulated clock, with the rules checked.
+//! Simulation tests: a whole cluster in memory runs on a simulated clock while an independent checker verifies the
+//! invariants.
 
 mod cancellation_and_failover;
 mod concurrent_failures;
@@ -22,11 +23,11 @@
 use rand::Rng;
 use serde_json::json;
 
-/// How long grants last under the built-in policy.
-const TTL: u64 = 3 * SECOND;
+/// Duration of a store lease under the built-in policy, in microseconds.
+const STORE_LEASE_DURATION: u64 = 3 * SECOND;
 
-/// A world with work on its machines.
-fn busy(seed: u64) -> World {
+/// Returns a world in which an array, a gang and a service run on machines.
+fn world_with_running_jobs(seed: u64) -> World {
     let mut w = World::new(3, seed);
     w.run(2);
     w.submit(job(1, 20, json!({})));
@@ -36,13 +37,15 @@
         json!({"shape": "group", "together": true, "crew": "red"}),
     ));
     w.submit(job(3, 2, json!({"shape": "service"})));
-    w.run_until(30, "work is running", |w| w.starts > 4);
+    w.run_until(30, "tasks are running", |w| w.starts > 4);
     w
 }
 
+/// Guards against jobs that are not run to their end and against machines or job records left behind: once the array
+/// and the gang are done and the service is cancelled, every machine is returned and no live job record remains.
 #[test]
-fn arrays_gangs_and_services_run_and_the_fleet_is_given_back() {
-    let mut w = busy(1);
+fn jobs_of_every_shape_run_and_all_machines_are_returned() {
+    let mut w = world_with_running_jobs(1);
     w.run_until(90, "the array and the gang are done", World::all_over);
     assert_eq!(w.jobs["j-000003"].status, "running");
     w.cancel(3);
@@ -52,8 +55,10 @@
     w.finish();
 }
 
+/// Guards against placements that ignore a job's GPUs, machine type, zone, single-zone rule, spread rule or demand
+/// for machines that are not spot instances. The checker examines every placement.
 #[test]
-fn gpus_zones_spread_and_on_demand_rules_are_kept() {
+fn placement_constraints_are_respected() {
     let mut w = World::new(3, 2);
     w.submit(job(
         1,
@@ -72,89 +77,101 @@
         8,
         json!({"together": true, "crew": "red", "vcpus": 4.0}),
     ));
-    w.run_until(180, "all are done", World::all_over);
+    w.run_until(180, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against a team above its limit: six arrays of one team ask for several times the limit of 16 CPUs.
 #[test]
-fn a_team_never_exceeds_its_limit_however_much_it_asks_for() {
+fn a_team_stays_within_its_limit() {
     let mut w = World::new(1, 3);
     for i in 0..6 {
         w.submit(job(i, 12, json!({"crew": "red", "vcpus": 2.0})));
     }
-    w.run_until(240, "all are done", World::all_over);
+    w.run_until(240, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against a slow takeover and against lost work. The leader crashes while tasks run; another controller leads
+/// at most 3 s after the store lease has expired, and all jobs finish.
 #[test]
-fn a_new_leader_takes_over_within_seconds_and_loses_nothing() {
-    let mut w = busy(4);
-    let old = w.leader().expect("someone leads");
+fn a_leader_crash_leads_to_a_takeover_without_lost_work() {
+    let mut w = world_with_running_jobs(4);
+    let old = w.leader().expect("a controller leads");
     w.crash(old, 30 * SECOND);
-    let limit = TTL / SECOND + 3;
-    w.run_until(limit, "another leads", |w| {
+    let limit = STORE_LEASE_DURATION / SECOND + 3;
+    w.run_until(limit, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
-    w.run_until(120, "all are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against the loss of accepted jobs when all controllers crash at once and return 6 s later.
 #[test]
-fn all_controllers_crash_and_every_accepted_job_is_still_done() {
-    let mut w = busy(5);
+fn accepted_jobs_finish_after_all_controllers_crash() {
+    let mut w = world_with_running_jobs(5);
     (0..3).for_each(|i| w.crash(i, 6 * SECOND));
-    w.run_until(150, "all are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against the loss of the leader in an outage of the state service. The leader cannot renew its store lease
+/// for 25 s, longer than any store lease or worker lease, and leads on by the votes of all its peers.
 #[test]
-fn votes_of_all_peers_carry_the_leader_through_an_outage() {
-    let mut w = busy(6);
+fn votes_of_all_peers_keep_the_leader_in_a_store_outage() {
+    let mut w = world_with_running_jobs(6);
     let leader = w.leader();
     w.state.down = true;
     w.run(25);
     assert_eq!(
         w.leader(),
         leader,
-        "it kept its authority for longer than any grant or lease"
+        "the leader keeps its authority for longer than any store lease or worker lease"
     );
     w.state.down = false;
-    w.run_until(120, "all are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against two leaders. The state service refuses the leader alone, so the peers, which still reach the state
+/// service, must give the leader no vote and one of them must take over.
 #[test]
-fn a_leader_refused_by_the_state_service_alone_gets_no_vote_and_is_replaced() {
-    let mut w = busy(7);
-    let old = w.leader().expect("someone leads");
+fn a_leader_that_alone_lost_the_store_is_replaced() {
+    let mut w = world_with_running_jobs(7);
+    let old = w.leader().expect("a controller leads");
     w.faults.store_refuses.insert(old);
-    w.run_until(12, "another leads", |w| {
+    w.run_until(12, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
-    w.run_until(120, "all are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against a leader that acts without the votes of all peers. One peer is down when the outage of the state
+/// service begins, so the leader must stop once its store lease and the last votes have expired.
 #[test]
-fn an_outage_in_which_a_peer_is_down_ends_the_leaders_authority() {
-    let mut w = busy(8);
-    let leader = w.leader().expect("someone leads");
+fn a_store_outage_with_a_peer_down_ends_the_leadership() {
+    let mut w = world_with_running_jobs(8);
+    let leader = w.leader().expect("a controller leads");
     w.crash((leader + 1) % 3, 60 * SECOND);
     w.run(1);
     w.state.down = true;
-    w.run((TTL + VOTE_DURATION) / SECOND + 2);
+    w.run((STORE_LEASE_DURATION + VOTE_DURATION) / SECOND + 2);
     assert_eq!(w.leader(), None);
     w.state.down = false;
-    w.run_until(150, "all are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against the loss of the leader and of its workers when no worker of zones a and b reaches the leader: its
+/// peers relay the heartbeats.
 #[test]
-fn workers_that_cannot_reach_the_leader_are_relayed_by_a_peer() {
-    let mut w = busy(9);
+fn peers_relay_heartbeats_that_cannot_reach_the_leader() {
+    let mut w = world_with_running_jobs(9);
     w.submit(job(10, 12, json!({"yard": "a"})));
     w.run(3);
-    let leader = w.leader().expect("someone leads");
+    let leader = w.leader().expect("a controller leads");
     w.faults.unreachable_zones.insert((leader, "a".into()));
     w.faults.unreachable_zones.insert((leader, "b".into()));
     let lost = w
@@ -162,22 +179,24 @@
         .values()
         .map(|m| m.name.clone())
         .collect::<Vec<_>>();
-    w.run_until(120, "all are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_over);
     assert_eq!(
         w.leader(),
         Some(leader),
-        "it hears its workers through its peers"
+        "the leader receives heartbeats through its peers"
     );
     assert!(!lost.is_empty());
     w.finish();
 }
 
+/// Guards against expired worker leases in a partition. The workers and one controller cannot reach the leader; the
+/// third controller reaches both sides and must relay the heartbeats, so that no worker begins a new incarnation.
 #[test]
-fn a_zone_cut_from_the_leader_keeps_its_leases_through_the_third_controller() {
-    let mut w = busy(18);
-    let leader = w.leader().expect("someone leads");
+fn worker_leases_survive_through_the_third_controller() {
+    let mut w = world_with_running_jobs(18);
+    let leader = w.leader().expect("a controller leads");
     let near = (leader + 1) % 3;
-    // The workers and one controller are on the far side of a cut.
+    // The workers and one controller cannot reach the leader.
     w.faults
         .partitioned
         .extend([(leader, near), (near, leader)]);
@@ -196,48 +215,55 @@
     }
     w.faults.partitioned.clear();
     w.faults.unreachable_zones.clear();
-    w.run_until(120, "all are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against a leader that keeps its store lease but receives nothing from peers and workers: another controller
+/// must take over, and messages held by the network until long after the takeover must do no harm.
 #[test]
-fn a_leader_that_hears_nobody_makes_way() {
-    let mut w = busy(10);
-    let old = w.leader().expect("someone leads");
+fn a_leader_without_peers_and_workers_is_replaced() {
+    let mut w = world_with_running_jobs(10);
+    let old = w.leader().expect("a controller leads");
     for other in (0..3).filter(|o| *o != old) {
         w.faults.partitioned.insert((old, other));
         w.faults.partitioned.insert((other, old));
     }
     w.faults.unreachable_zones.insert((old, "a".into()));
     w.faults.unreachable_zones.insert((old, "b".into()));
-    w.run_until(12, "another leads", |w| {
+    w.run_until(12, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.run(10);
-    // What was held back in the network comes now, long after the takeover.
+    // Messages held by the network arrive now, long after the takeover.
     w.faults.partitioned.clear();
     w.faults.unreachable_zones.clear();
-    w.run_until(120, "all are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against a task that runs twice. All machines hang for 11.5 s to 12 s, by the seed, with worker leases of 10
+/// s, and the leader crashes meanwhile; the new leader must not start a task elsewhere while a machine may still run
+/// it.
 #[test]
-fn a_hung_machine_that_resumes_within_its_lease_never_runs_a_task_twice() {
+fn no_task_runs_twice_when_hung_machines_resume() {
     for seed in 20..26 {
-        let mut w = busy(seed);
+        let mut w = world_with_running_jobs(seed);
         let until = w.now + LEASE - SECOND / 2 + seed * 100_000;
         w.workers.values_mut().for_each(|m| m.hung_until = until);
-        let leader = w.leader().expect("someone leads");
+        let leader = w.leader().expect("a controller leads");
         w.crash(leader, 5 * SECOND);
-        w.run_until(150, "all are done", World::all_over);
+        w.run_until(150, "all jobs are done", World::all_over);
         w.finish();
     }
 }
 
+/// Proves that the checker detects a task that runs twice. The controllers believe in leases of 1 s, far shorter than
+/// those of the workers.
 #[test]
-fn the_checker_sees_a_task_run_twice_when_leases_are_not_waited_out() {
-    // Controllers that believe in a lease far shorter than the workers' start tasks elsewhere
-    // while the first machine still runs them.
+fn the_checker_detects_a_double_run_with_too_short_leases() {
+    // Controllers that believe in a lease far shorter than the workers' lease start tasks elsewhere while the first
+    // machine still runs them.
     let mut w = World::with_lease(3, 11, 1.0);
     w.run(2);
     w.submit(job(1, 8, json!({"shape": "service"})));
@@ -252,29 +278,33 @@
             return;
         }
     }
-    panic!("the broken guard was not noticed: {:?}", w.broken);
+    panic!("the checker did not detect the double run: {:?}", w.broken);
 }
 
+/// Guards against tasks that run on after their user was told of the cancellation. The leader crashes right after the
+/// answer, and the tasks take 4 s to save a checkpoint.
 #[test]
-fn cancelled_means_gone_in_time_and_for_good_on_every_node() {
-    let mut w = busy(12);
+fn cancelled_tasks_stop_in_time_despite_a_leader_crash() {
+    let mut w = world_with_running_jobs(12);
     w.submit(job(7, 30, json!({"stamp_every_s": 2.0, "stamp_s": 4.0})));
     w.run(8);
     w.cancel(7);
     w.cancel(2);
-    w.run_until(10, "the user is told", |w| {
+    w.run_until(10, "the user is told of the cancellation", |w| {
         w.jobs["j-000007"].told_cancelled.is_some()
     });
-    let leader = w.leader().expect("someone leads");
+    let leader = w.leader().expect("a controller leads");
     w.crash(leader, 6 * SECOND);
     w.run(40);
     w.check_cancelled();
-    w.run_until(120, "all are over", World::all_over);
+    w.run_until(120, "all jobs have ended", World::all_over);
     w.finish();
 }
 
+/// Guards against answers that are taken back. A fifth of the transactions is carried out late and without an answer
+/// to the controller, while jobs are submitted and cancelled.
 #[test]
-fn late_transactions_change_nothing_that_was_told() {
+fn late_transactions_contradict_no_earlier_answer() {
     for seed in 30..34 {
         let mut w = World::new(3, seed);
         w.faults.late_commit_rate = 0.2;
@@ -286,13 +316,15 @@
         w.cancel(3);
         w.run(20);
         w.faults.late_commit_rate = 0.0;
-        w.run_until(200, "all are over", World::all_over);
+        w.run_until(200, "all jobs have ended", World::all_over);
         w.finish();
     }
 }
 
+/// Guards against blame on the wrong side when tasks fail. One machine fails every task, and one job fails on every
+/// machine; jobs without errors must finish, before and after.
 #[test]
-fn a_faulty_machine_is_told_from_a_faulty_job() {
+fn a_faulty_machine_and_a_crash_looping_job_are_told_apart() {
     let mut w = World::new(3, 13);
     w.run(2);
     w.submit(job(1, 16, json!({})));
@@ -300,22 +332,29 @@
     w.run_until(30, "machines are up", |w| {
         w.workers.values().any(|m| m.token > 0)
     });
-    let bad = w.workers.keys().next().cloned().expect("a machine");
-    w.workers.get_mut(&bad).expect("it is there").faulty = true;
-    w.run_until(150, "the good job is done", |w| {
+    let bad = w
+        .workers
+        .keys()
+        .next()
+        .cloned()
+        .expect("at least one machine");
+    w.workers.get_mut(&bad).expect("the machine exists").faulty = true;
+    w.run_until(150, "the job without errors is done", |w| {
         w.jobs["j-000001"].told_done.is_some()
     });
     w.submit(job(3, 4, json!({})));
-    w.run_until(60, "other work still runs", |w| {
+    w.run_until(60, "a later job is done", |w| {
         w.jobs["j-000003"].told_done.is_some()
     });
     w.cancel(2);
-    w.run_until(60, "the broken job is cancelled", World::all_over);
+    w.run_until(60, "the crash-looping job is cancelled", World::all_over);
     w.finish();
 }
 
+/// Guards against replicas that are lost with their spot instance. Every machine gets a preemption notice; the
+/// machines must be returned, and three replicas must run on others.
 #[test]
-fn a_spot_notice_empties_the_machine_and_its_work_goes_on_elsewhere() {
+fn a_preemption_notice_moves_tasks_to_other_machines() {
     let mut w = World::new(3, 14);
     w.run(2);
     w.submit(job(
@@ -326,9 +365,11 @@
     w.run_until(30, "the replicas run", |w| w.starts >= 3);
     w.workers.values_mut().for_each(|m| m.notice = true);
     let noticed: Vec<String> = w.workers.keys().cloned().collect();
-    w.run_until(60, "the noticed machines are returned", |w| {
-        noticed.iter().all(|m| !w.workers.contains_key(m))
-    });
+    w.run_until(
+        60,
+        "the machines with a preemption notice are returned",
+        |w| noticed.iter().all(|m| !w.workers.contains_key(m)),
+    );
     w.run_until(60, "the replicas run again", |w| {
         w.workers
             .values()
@@ -340,11 +381,14 @@
     w.finish();
 }
 
+/// Guards against a gang that waits for ever. All machines that the cloud's capacity allows stand idle in one zone,
+/// and half the gang needs the other zone: if the gang reserved all of them, the cloud would have no capacity left
+/// there.
 #[test]
-fn a_gathered_gang_does_not_keep_room_that_its_zone_rule_forbids() {
+fn a_gang_reserves_no_capacity_that_its_zone_rule_forbids() {
     for seed in 17..23 {
-        // All the capacity stands idle in one zone, and half the gang needs the other: keeping all of
-        // it for the gang would leave the cloud without a machine to rent there, for ever.
+        // The first gang fills one zone with all of the cloud's capacity. A reservation of all these machines for the
+        // second gang would leave no machine to provision in the other zone, for ever.
         let mut w = World::new(3, seed);
         w.run(2);
         w.cloud.capacity = 9;
@@ -357,81 +401,89 @@
         assert_eq!(w.workers.len(), w.cloud.capacity);
         let more = json!({"shape": "group", "scatter": true, "rank": "urgent", "rigs": ["small"]});
         w.submit(job(2, 13, more));
-        w.run_until(240, "the second is done", World::all_over);
+        w.run_until(240, "the second gang is done", World::all_over);
         w.finish();
     }
 }
 
+/// Guards against a refusal of a repeated submission. The job is done, and its body is now one that a new submission
+/// would be refused for; the answer must be the status of the job.
 #[test]
-fn a_repeated_submission_gets_the_jobs_state_even_when_it_would_now_be_refused() {
+fn a_repeated_submission_returns_the_status_of_the_job() {
     let mut w = World::new(3, 15);
     w.run(3);
     w.submit(job(1, 2, json!({})));
-    w.run_until(90, "it is done", World::all_over);
-    w.jobs.get_mut("j-000001").expect("known").body = json!({"id": "j-000001", "crew": "nobody"});
+    w.run_until(90, "the job is done", World::all_over);
+    w.jobs.get_mut("j-000001").expect("the job exists").body =
+        json!({"id": "j-000001", "crew": "nobody"});
     for _ in 0..6 {
         w.ask("j-000001", "submit");
         w.run(1);
     }
-    w.jobs.get_mut("j-000001").expect("known").body = job(1, 2, json!({}));
+    w.jobs.get_mut("j-000001").expect("the job exists").body = job(1, 2, json!({}));
     w.finish();
 }
 
+/// Guards against stored values that outgrow the limit of the state service, and against completions lost in a leader
+/// crash, for an array of 9000 tasks.
 #[test]
-fn an_array_of_many_thousand_tasks_keeps_its_values_small() {
+fn an_array_of_9000_tasks_keeps_stored_values_small() {
     let mut w = World::new(1, 16);
     w.cloud.capacity = 10;
     w.run(2);
     w.submit(job(1, 9000, json!({"vcpus": 1.0})));
     w.run(60);
-    let leader = w.leader().expect("someone leads");
+    let leader = w.leader().expect("a controller leads");
     w.crash(leader, 2 * SECOND);
     w.run(30);
     let done = w.nodes[0].controller.as_ref().and_then(|c| c.cluster());
     let done = done.map_or(0, |c| c.jobs["j-000001"].tasks.done.len());
-    assert!(done > 50, "completions survive: {done}");
+    assert!(
+        done > 50,
+        "too few completions after the leader crash: {done}"
+    );
     w.cancel(1);
-    w.run_until(90, "it is cancelled", World::all_over);
+    w.run_until(90, "the array is cancelled", World::all_over);
     w.finish();
 }
 
-/// Faults at random against the checker. The seeds are fixed, so the verdict is always the same.
+/// Plays random faults against the checker. The seeds are fixed, so the verdict is the same in every run.
 #[test]
-fn random_troubles_break_no_rule() {
+fn random_faults_violate_no_invariant() {
     for seed in 100..112 {
-        troubles(seed, Kind::Plain).finish();
+        play_random_faults(seed, ClusterKind::Plain).finish();
     }
     for seed in 112..118 {
-        troubles(seed, Kind::Patient).finish();
+        play_random_faults(seed, ClusterKind::RareWakeUps).finish();
     }
 }
 
-/// What is switched on in a test.
+/// Configuration of the cluster in a test with random faults.
 #[derive(Clone, Copy)]
-enum Kind {
+enum ClusterKind {
     Plain,
-    /// Controllers are woken as rarely as they allow.
-    Patient,
+    /// The clock wakes each controller as rarely as the controller allows, as in the daemon.
+    RareWakeUps,
     Ledger,
     Shards(u32),
 }
 
-/// A day of troubles drawn from `seed`, played until all jobs are over.
-fn troubles(seed: u64, kind: Kind) -> World {
+/// Plays random jobs and faults, drawn from `seed`, until all jobs have ended.
+fn play_random_faults(seed: u64, kind: ClusterKind) -> World {
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 60.0\n\
             [cluster.cloud]";
     let next_limits = |text: String| text.replace("[cluster.cloud]", limits);
     let mut w = match kind {
-        Kind::Ledger => World::with_ledger(3, seed, &next_limits),
-        Kind::Plain | Kind::Patient => {
+        ClusterKind::Ledger => World::with_ledger(3, seed, &next_limits),
+        ClusterKind::Plain | ClusterKind::RareWakeUps => {
             World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &next_limits)
         }
-        Kind::Shards(blocks) => World::with_shards(3, seed, blocks, &next_limits),
+        ClusterKind::Shards(blocks) => World::with_shards(3, seed, blocks, &next_limits),
     };
-    w.patient = matches!(kind, Kind::Patient);
+    w.patient = matches!(kind, ClusterKind::RareWakeUps);
     w.run(2);
     let mut next = 1;
-    let mut mistakes = 0;
+    let mut broken_jobs = 0;
     let mut services = Vec::new();
     for _ in 0..24 {
         let tasks = w.rng.random_range(1..14);
@@ -441,15 +493,15 @@
         let (together, scatter) = (w.rng.random_bool(0.3), w.rng.random_bool(0.2));
         let stamp = if w.rng.random_bool(0.5) { 1.0 } else { 0.0 };
         if next < 12 {
-            // Up to two of those before it, if they were accepted: nobody names a service.
-            let names = |w: &World, i: u32| {
+            // The job waits for up to two accepted earlier jobs. Services never end, so no job waits for a service.
+            let accepted_id = |w: &World, i: u32| {
                 let id = format!("j-{i:06}");
                 let j = &w.jobs[&id];
                 (j.accepted.is_some() && j.body["shape"] != "service").then_some(id)
             };
-            let draw: Vec<u32> = (0..2).map(|_| w.rng.random_range(0..2 * next)).collect();
-            let before = draw.into_iter().filter(|i| (1..next).contains(i));
-            let on: Vec<String> = before.filter_map(|i| names(&w, i)).collect();
+            let candidates: Vec<u32> = (0..2).map(|_| w.rng.random_range(0..2 * next)).collect();
+            let earlier = candidates.into_iter().filter(|i| (1..next).contains(i));
+            let on: Vec<String> = earlier.filter_map(|i| accepted_id(&w, i)).collect();
             let more = json!({"shape": shape, "crew": crew, "rank": rank, "together": together,
                     "scatter": scatter && !together, "stamp_every_s": stamp, "stamp_s": stamp,
                     "waits_on": on});
@@ -508,10 +560,10 @@
             }
             14 => {
                 let broken = json!({"crew": crew, "jobclass": "broken", "shape": shape});
-                mistakes += 1;
-                w.submit(job(900 + mistakes, tasks, broken));
+                broken_jobs += 1;
+                w.submit(job(900 + broken_jobs, tasks, broken));
                 w.run(6);
-                w.cancel(900 + mistakes);
+                w.cancel(900 + broken_jobs);
             }
             _ => {
                 let n = w.rng.random_range(1..=next);
@@ -528,13 +580,13 @@
     w.faults.store_refuses.clear();
     w.cloud.never_boot = 0.0;
     w.queries = 0;
-    (1..=mistakes).for_each(|i| w.cancel(900 + i));
-    // Replicas hold their team's room until they are cancelled.
+    (1..=broken_jobs).for_each(|i| w.cancel(900 + i));
+    // Replicas use their team's quota until their service is cancelled.
     (1..next)
         .filter(|i| w.jobs[&format!("j-{i:06}")].body["shape"] == "service")
         .for_each(|i| services.push(i));
     services.drain(..).for_each(|i| w.cancel(i));
-    w.run_until(400, "all are over", World::all_over);
+    w.run_until(400, "all jobs have ended", World::all_over);
     assert_eq!(w.state.too_large, 0, "seed {seed}");
     w
 }
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use crate::harness::{LEASE, SECOND, World, job};
-use crate::{Kind, troubles};
+use crate::{ClusterKind, play_random_faults};
 
 fn three(seed: u64) -> World {
     World::with_shards(3, seed, 3, &|text| {
@@ -318,6 +318,6 @@
 #[test]
 fn random_troubles_break_no_rule_with_several_shards() {
     for seed in 300..312 {
-        troubles(seed, Kind::Shards(3)).finish();
+        play_random_faults(seed, ClusterKind::Shards(3)).finish();
     }
 }
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use crate::harness::{LEASE, SECOND, World, job};
-use crate::{Kind, troubles};
+use crate::{ClusterKind, play_random_faults};
 
 /// Time of day when a test begins.
 const WALL: u64 = 1_700_000_000 * SECOND;
@@ -177,7 +177,7 @@
 fn every_attempt_is_charged_once_through_random_troubles() {
     let (mut all, mut excused, mut leaders) = (0, 0, 0);
     for seed in 100..112 {
-        let mut w = troubles(seed, Kind::Ledger);
+        let mut w = play_random_faults(seed, ClusterKind::Ledger);
         w.run(20);
         let audit = audit(&w);
         let day = compare(&w, &audit);
