--- a/crates/gannethub-core/tests/formats/cloud.rs
+++ b/crates/gannethub-core/tests/formats/cloud.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud, and its answers.
+//! Requests to the cloud, and the answers of the cloud.
 
 use gannethub_core::model::{MachineType, Resources, SECOND};
 use gannethub_core::wire::cloud::{self, CloudRequest, MachineList, ProvisionAnswer};
@@ -25,9 +25,9 @@
         &cloud_request(&CloudRequest::list("host-000231")),
         "GET /rentals?from=host-000231&page=500 ",
     );
-    let rent = CloudRequest::provision("n0-7-1", "g8", "a", true, 4);
+    let provision_request = CloudRequest::provision("n0-7-1", "g8", "a", true, 4);
     pin(
-        &cloud_request(&rent),
+        &cloud_request(&provision_request),
         r#"POST /rentals {"hire":"n0-7-1","rig":"g8","yard":"a","loaners":true,"how_many":4}"#,
     );
     let machines = ["host-000231".to_string(), "host-000232".to_string()];
@@ -64,9 +64,10 @@
 }
 
 #[test]
-fn cloud_answer_rented() {
-    let rented: ProvisionAnswer = serde_json::from_str(r#"{"hosts":["host-000231"]}"#).unwrap();
-    assert_eq!(rented.machines, ["host-000231"]);
+fn cloud_answer_provisioned() {
+    let provisioned: ProvisionAnswer =
+        serde_json::from_str(r#"{"hosts":["host-000231"]}"#).unwrap();
+    assert_eq!(provisioned.machines, ["host-000231"]);
 }
 
 #[test]
--- a/crates/gannethub-core/tests/formats/main.rs
+++ b/crates/gannethub-core/tests/formats/main.rs
@@ -1,9 +1,11 @@
-//! Every format that outlives a release, pinned as literal text or bytes: records and requests of the state service,
-//! messages between controllers, requests and answers of workers, users and the cloud, and the settings files.
+//! Compatibility tests that pin every format that outlives a release as literal text or bytes: records and requests of
+//! the state service, messages between controllers, requests and answers of workers, users and the cloud, and the
+//! settings files.
 //!
 //! Controllers of different releases share a cluster during an upgrade, and stored records outlive all of them, so a
-//! renamed Rust field must not show on the wire. The literals were printed by the code before its names changed. When
-//! Rust names change, edit those in this folder and nothing else: a literal that has to change is an incompatible change.
+//! renamed Rust field must not change the wire format. The literals were printed by the code before its names changed.
+//! When Rust names change, edit only the Rust names in this folder: a literal that has to change is an incompatible
+//! change.
 
 mod cloud;
 mod peer;
@@ -16,7 +18,7 @@
 use gannethub_core::model::{JobSpec, Priority, Resources, SECOND, Shape};
 use serde::Serialize;
 
-/// What is written is the pinned text. For formats that are only written, and never read here.
+/// Asserts that a written text equals the pinned text. For formats that the code writes, but never reads.
 fn pin(actual: &str, pinned: &str) {
     assert_eq!(actual, pinned);
 }
--- a/crates/gannethub-core/tests/formats/peer.rs
+++ b/crates/gannethub-core/tests/formats/peer.rs
@@ -14,7 +14,7 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// A message is framed as the pinned bytes, and comes back from them.
+/// Asserts that a message is framed as the pinned bytes and is decoded from these bytes again.
 fn pin_message(body: Body, pinned: &str) {
     let message = Envelope {
         from: "n0".into(),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn peer_message_relay() {
+fn peer_message_relay_heartbeat() {
     let relay = peer::RelayHeartbeat {
         id: 301,
         heartbeat: Bytes::from_static(b"{\"host\":\"m\"}"),
@@ -103,21 +103,21 @@
 }
 
 #[test]
-fn peer_message_relayed() {
-    let relayed = peer::RelayAnswer {
+fn peer_message_relay_answer() {
+    let answer = peer::RelayAnswer {
         id: 301,
         status: 421,
         body: Bytes::from_static(b"{}"),
     };
     pin_message(
-        Body::RelayAnswer(relayed),
+        Body::RelayAnswer(answer),
         "000000100a026e30220a08ad0210a5031a027b7d",
     );
 }
 
 #[test]
 fn peer_message_vote_request() {
-    let ask = peer::VoteRequest {
+    let request = peer::VoteRequest {
         round: 301,
         term: 302,
         duration: 303,
@@ -125,14 +125,14 @@
         known_version: 305,
     };
     pin_message(
-        Body::VoteRequest(ask),
+        Body::VoteRequest(request),
         "000000150a026e302a0f08ad0210ae0218af0220b00228b102",
     );
 }
 
 #[test]
 fn peer_message_vote() {
-    let promise = peer::Vote {
+    let vote = peer::Vote {
         round: 301,
         term: 302,
         shard: 303,
@@ -142,7 +142,7 @@
         configuration_version: 304,
     };
     pin_message(
-        Body::Vote(promise),
+        Body::Vote(vote),
         "0000001b0a026e30321508ad0210ae0218af0220012a03313a37300138b002",
     );
 }
@@ -169,8 +169,8 @@
 }
 
 #[test]
-fn peer_message_open_usage() {
-    let tab = peer::OpenUsageRecord {
+fn peer_message_usage_records() {
+    let record = peer::OpenUsageRecord {
         key: Some(usage_key()),
         owner: Some(peer::UsageOwner {
             team: "blue".into(),
@@ -195,23 +195,23 @@
         end_age: 314,
         time_uncertainty: 315,
     };
-    let tabs = peer::UsageRecords {
+    let records = peer::UsageRecords {
         term: 7,
         sequence: 316,
         is_first: true,
         is_last: true,
-        open_records: vec![tab],
+        open_records: vec![record],
         closed_keys: vec![usage_key()],
         sent_at: 317,
     };
     pin_message(
-        Body::UsageRecords(tabs),
+        Body::UsageRecords(records),
         "000000900a026e30428901080710bc02180120012a610a180a0b686f73742d30303032333112036a2d3718ad0220ae0212180a04626c75651205747261696e18af0220b00228b10230011a026738220161280130b20238b30240b40248b5025205b60200b70258b8026001680170b90278ba028001bb0232180a0b686f73742d30303032333112036a2d3718ad0220ae0238bd02",
     );
 }
 
 #[test]
-fn peer_message_open_usage_request() {
+fn peer_message_usage_records_request() {
     pin_message(
         Body::UsageRecordsRequest(peer::UsageRecordsRequest { term: 301 }),
         "000000090a026e304a0308ad02",
@@ -219,18 +219,18 @@
 }
 
 #[test]
-fn peer_message_launch_watermarks() {
-    let marks = peer::WatermarkCheck {
+fn peer_message_watermark_checks() {
+    let check = peer::WatermarkCheck {
         term: 301,
         incarnation: 302,
         shard: 303,
     };
     pin_message(
-        Body::WatermarkQuery(marks.clone()),
+        Body::WatermarkQuery(check.clone()),
         "0000000f0a026e30520908ad0210ae0218af02",
     );
     pin_message(
-        Body::WatermarkConfirmation(marks),
+        Body::WatermarkConfirmation(check),
         "0000000f0a026e305a0908ad0210ae0218af02",
     );
 }
--- a/crates/gannethub-core/tests/formats/settings.rs
+++ b/crates/gannethub-core/tests/formats/settings.rs
@@ -64,9 +64,9 @@
     assert_eq!((&*settings.name, &*settings.zone), ("n0", "a"));
     assert_eq!(settings.listen.to_string(), "10.0.0.1:8080");
     assert_eq!(settings.cluster_listen.to_string(), "10.0.0.1:8081");
-    let sibling = &settings.peers[0];
-    assert_eq!((&*sibling.name, &*sibling.zone), ("n1", "b"));
-    assert_eq!(sibling.addr.to_string(), "10.0.0.2:8081");
+    let peer = &settings.peers[0];
+    assert_eq!((&*peer.name, &*peer.zone), ("n1", "b"));
+    assert_eq!(peer.addr.to_string(), "10.0.0.2:8081");
     assert_eq!(settings.cloud.to_string(), "10.2.0.2:8443");
     assert_eq!(settings.state.to_string(), "10.2.0.1:2379");
     assert_eq!(settings.zones, ["a", "b"]);
--- a/crates/gannethub-core/tests/formats/store_records.rs
+++ b/crates/gannethub-core/tests/formats/store_records.rs
@@ -13,7 +13,7 @@
 
 use crate::{json, pin, spec};
 
-/// A record is written as it is pinned, and comes back from the pinned text.
+/// Asserts that a record is written as the pinned text and is read from this text again.
 fn pin_record<T>(record: &T, pinned: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
@@ -24,7 +24,7 @@
     assert_eq!(json(&read), pinned);
 }
 
-/// A live job's record is written as it is pinned, and comes back from the pinned text.
+/// Asserts that a live job's record is written as the pinned text and is read from this text again.
 fn pin_live(record: LiveRecord, pinned: &str) {
     let text = |record: &LiveRecord| match record {
         LiveRecord::Job(job) => job.to_value().get().to_string(),
@@ -151,26 +151,26 @@
 }
 
 #[test]
-fn store_record_finished_tasks() {
-    let write_again = |text: &str, part: u32| {
+fn store_record_done_tasks() {
+    let read_and_write = |text: &str, part: u32| {
         let mut read = TaskSet::default();
         store::decode_done_part(text, part, &mut read);
         store::encode_done_part(&read, part)
     };
-    pin(&write_again("0-2,5", 0), "0-2,5");
-    pin(&write_again("5000-5001", 1), "5000-5001");
+    pin(&read_and_write("0-2,5", 0), "0-2,5");
+    pin(&read_and_write("5000-5001", 1), "5000-5001");
     let bitmap = format!("x{}", "55".repeat(512));
-    pin(&write_again(&bitmap, 0), &bitmap);
+    pin(&read_and_write(&bitmap, 0), &bitmap);
 }
 
 #[test]
-fn store_record_part() {
+fn store_record_done_part() {
     let done = "5000-5001".into();
     pin_record(&DonePartRecord { done }, r#"{"done":"5000-5001"}"#);
 }
 
 #[test]
-fn store_record_over() {
+fn store_record_finished_job() {
     let mut record = FinishedJobRecord {
         cancelled: false,
         tasks: 8,
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn store_record_leader() {
+fn store_record_lease() {
     let mut record = LeaseRecord {
         owner: "n0".into(),
         term: 7,
--- a/crates/gannethub-core/tests/formats/store_requests.rs
+++ b/crates/gannethub-core/tests/formats/store_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service, and its answers.
+//! Requests to the state service, and the answers of the state service.
 
 use gannethub_core::model::SECOND;
 use gannethub_core::wire::store::{
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn store_request_follow() {
+fn store_request_watch() {
     pin(
         &request(&StoreRequest::watch("gh/live/", 41)),
         "GET /follow?starts=gh/live/&from=41&block_ms=10000  13000000 0",
@@ -80,20 +80,20 @@
         term: 7,
         watermarks_reliable: true,
     };
-    let over = FinishedJobRecord {
+    let finished = FinishedJobRecord {
         cancelled: true,
         tasks: 8,
         owner: None,
     };
-    let mut commit = Transaction::default();
-    commit.guard(store::LEADER_KEY, 0);
-    commit.guard(store::TERM_KEY, 41);
-    commit.put(store::LEADER_KEY, store::to_raw_value(&record), Some(12));
-    commit.put(store::TERM_KEY, store::to_raw_value(&record), None);
-    commit.delete("gh/part/j-7/1");
-    commit.end_job("j-7", &over);
+    let mut transaction = Transaction::default();
+    transaction.guard(store::LEADER_KEY, 0);
+    transaction.guard(store::TERM_KEY, 41);
+    transaction.put(store::LEADER_KEY, store::to_raw_value(&record), Some(12));
+    transaction.put(store::TERM_KEY, store::to_raw_value(&record), None);
+    transaction.delete("gh/part/j-7/1");
+    transaction.end_job("j-7", &finished);
     pin(
-        &request(&commit.to_request()),
+        &request(&transaction.to_request()),
         r#"POST /commit {"guards":[{"k":"gh/lead/holder","stamp":0},{"k":"gh/lead/term","stamp":41},{"k":"gh/over/j-7","stamp":0}],"writes":[{"write":"gh/lead/holder","v":{"holder":"n0","term":7,"marked":true},"permit":12},{"write":"gh/lead/term","v":{"holder":"n0","term":7,"marked":true}},{"delete":"gh/part/j-7/1"},{"delete":"gh/live/j-7"},{"write":"gh/over/j-7","v":{"cancelled":true,"tasks":8}}]} 2000000 5"#,
     );
     pin(
@@ -103,11 +103,11 @@
 }
 
 #[test]
-fn store_answer_item() {
+fn store_answer_value() {
     let text = r#"{"k":"gh/lead/term","v":{"holder":"n0","term":7},"stamp":41,"extra":1}"#;
-    let item: StoredValue = serde_json::from_str(text).unwrap();
-    let record: LeaseRecord = item.decode().unwrap();
-    assert_eq!((&*item.key, item.version), ("gh/lead/term", 41));
+    let stored: StoredValue = serde_json::from_str(text).unwrap();
+    let record: LeaseRecord = stored.decode().unwrap();
+    assert_eq!((&*stored.key, stored.version), ("gh/lead/term", 41));
     assert_eq!(
         (&*record.owner, record.term, record.watermarks_reliable),
         ("n0", 7, false)
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn store_answer_granted() {
+fn store_answer_lease_granted() {
     let granted: LeaseGranted = serde_json::from_str(r#"{"permit":12}"#).unwrap();
     assert_eq!(granted.lease_id, 12);
 }
@@ -142,9 +142,9 @@
     let Listing {
         items,
         truncated,
-        version: ledger_no,
+        version: listing_version,
     } = listing;
-    assert_eq!((truncated, ledger_no), (true, 42));
+    assert_eq!((truncated, listing_version), (true, 42));
     assert_eq!(
         (&*items[0].key, items[0].value.get(), items[0].version),
         ("a", "1", 2)
@@ -154,12 +154,12 @@
 }
 
 #[test]
-fn store_answer_followed() {
+fn store_answer_changes() {
     let text =
         r#"{"ledger_no":44,"log":[{"delete":"b","stamp":44},{"write":"a","v":1,"stamp":43}]}"#;
-    let followed: ChangeLog = serde_json::from_str(text).unwrap();
-    assert_eq!(followed.version, 44);
-    let [write, delete] = &followed.changes[..] else {
+    let change_log: ChangeLog = serde_json::from_str(text).unwrap();
+    assert_eq!(change_log.version, 44);
+    let [write, delete] = &change_log.changes[..] else {
         panic!("two changes, in the order of their versions");
     };
     assert_eq!(
@@ -172,6 +172,6 @@
         (Some("b"), 44)
     );
     assert_eq!((write.key(), delete.key()), (Some("a"), Some("b")));
-    let followed: ChangeLog = serde_json::from_str(r#"{"ledger_no":44}"#).unwrap();
-    assert!(followed.changes.is_empty());
+    let change_log: ChangeLog = serde_json::from_str(r#"{"ledger_no":44}"#).unwrap();
+    assert!(change_log.changes.is_empty());
 }
--- a/crates/gannethub-core/tests/formats/users.rs
+++ b/crates/gannethub-core/tests/formats/users.rs
@@ -1,4 +1,4 @@
-//! Requests of users and the answers, as far as they go through a controller.
+//! Requests that users send to a controller, and the answers of the controller.
 
 use bytes::Bytes;
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
@@ -193,9 +193,15 @@
     unix_time: 1_700_000_000_000_000,
 };
 
-/// What a controller answers to a request, once the state service has given the answer to every request of its own.
-fn asked(controller: &mut Controller, method: Method, path: &str, stored: (u16, &str)) -> String {
-    let ask = Command::HttpRequest {
+/// Returns the answer of a controller to a request when the state service answers each request of the controller with
+/// `stored`.
+fn answer_to(
+    controller: &mut Controller,
+    method: Method,
+    path: &str,
+    stored: (u16, &str),
+) -> String {
+    let request_command = Command::HttpRequest {
         connection: 5,
         request: Request {
             method,
@@ -204,7 +210,7 @@
             closes_connection: false,
         },
     };
-    let mut commands = vec![ask];
+    let mut commands = vec![request_command];
     while !commands.is_empty() {
         let effects = controller.step(CLOCK, std::mem::take(&mut commands));
         for effect in effects {
@@ -227,7 +233,7 @@
 #[test]
 fn user_answer_health() {
     let mut controller = controller();
-    let unhealthy = asked(&mut controller, Method::Get, "/healthz", (503, "{}"));
+    let unhealthy = answer_to(&mut controller, Method::Get, "/healthz", (503, "{}"));
     pin(
         &unhealthy,
         r#"503 {"error":"not ready to take requests"} None"#,
@@ -243,13 +249,14 @@
         accepts_heartbeats: true,
         ..peer::Heartbeat::default()
     };
-    hear(&mut controller, heartbeat);
-    let healthy = asked(&mut controller, Method::Get, "/healthz", (200, "{}"));
+    receive_heartbeat(&mut controller, heartbeat);
+    let healthy = answer_to(&mut controller, Method::Get, "/healthz", (200, "{}"));
     pin(&healthy, "200 {} None");
 }
 
-/// A heartbeat of the other controller arrives, and the state service and the cloud answer every request.
-fn hear(controller: &mut Controller, heartbeat: peer::Heartbeat) {
+/// Delivers a heartbeat of the other controller, and answers of the state service and the cloud to every request that
+/// follows.
+fn receive_heartbeat(controller: &mut Controller, heartbeat: peer::Heartbeat) {
     let message = Envelope {
         from: "n1".into(),
         body: Some(Body::Heartbeat(heartbeat)),
@@ -274,7 +281,7 @@
 #[test]
 fn user_answer_configuration() {
     let mut controller = controller();
-    let answer = asked(&mut controller, Method::Get, "/api/config", (503, "{}"));
+    let answer = answer_to(&mut controller, Method::Get, "/api/config", (503, "{}"));
     pin(
         &answer,
         r#"200 {"version":0,"newest":0,"refused":null,"fresh":false,"known_ms_ago":null,"nodes":[{"name":"n0","heard":true,"version":0},{"name":"n1","heard":false,"version":null}]} None"#,
@@ -284,8 +291,8 @@
         configuration_version: 3,
         ..peer::Heartbeat::default()
     };
-    hear(&mut controller, heartbeat);
-    let answer = asked(&mut controller, Method::Get, "/api/config", (503, "{}"));
+    receive_heartbeat(&mut controller, heartbeat);
+    let answer = answer_to(&mut controller, Method::Get, "/api/config", (503, "{}"));
     pin(
         &answer,
         r#"200 {"version":0,"newest":0,"refused":null,"fresh":false,"known_ms_ago":null,"nodes":[{"name":"n0","heard":true,"version":0},{"name":"n1","heard":true,"version":3}]} None"#,
@@ -295,7 +302,7 @@
 #[test]
 fn user_answer_ledger() {
     let head = r#"{"k":"gh/ledger/head","v":{"newest":7,"from":0,"kept":0,"marks":[]},"stamp":41}"#;
-    let answer = asked(&mut controller(), Method::Get, "/api/ledger", (200, head));
+    let answer = answer_to(&mut controller(), Method::Get, "/api/ledger", (200, head));
     pin(
         &answer,
         r#"200 {"newest":7,"from":0,"kept":0,"marks":[]} None"#,
@@ -303,13 +310,13 @@
     let page = r#"{"k":"gh/ledger/page/000000000007","v":{"page":7,"first":3,"prev":"","key":"k","lines":[[3,"took",4],
         [4,"charge",["blue"]],[5,"charge",["red"]]]},"stamp":41}"#;
     let path = "/api/ledger?page=7&team=blue";
-    let answer = asked(&mut controller(), Method::Get, path, (200, page));
+    let answer = answer_to(&mut controller(), Method::Get, path, (200, page));
     pin(
         &answer,
         r#"200 {"page":7,"first":3,"prev":"","key":"k","lines":[[4,"charge",["blue"]]]} None"#,
     );
     let path = "/api/ledger?page=8";
-    let answer = asked(&mut controller(), Method::Get, path, (404, "{}"));
+    let answer = answer_to(&mut controller(), Method::Get, path, (404, "{}"));
     pin(
         &answer,
         r#"404 {"error":"page: there is no such page"} None"#,
@@ -318,6 +325,6 @@
 
 #[test]
 fn worker_answer_of_a_controller_without_a_leader() {
-    let answer = asked(&mut controller(), Method::Post, "/v1/report", (503, "{}"));
+    let answer = answer_to(&mut controller(), Method::Post, "/v1/report", (503, "{}"));
     pin(&answer, "421 {} None");
 }
--- a/crates/gannethub-core/tests/formats/worker.rs
+++ b/crates/gannethub-core/tests/formats/worker.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats, the answers, and pushed commands.
+//! Heartbeats of workers, the answers of controllers, and commands that controllers push to workers.
 
 use gannethub_core::wire::worker::{
     CommandsRequest, ExitReason, HeartbeatRedirect, HeartbeatResponse, Order, TaskState,
@@ -8,7 +8,7 @@
 use crate::{json, pin};
 
 #[test]
-fn worker_report() {
+fn worker_heartbeat() {
     let text = r#"{"host":"host-000231","addr":"10.1.0.7:9000","rig":"g8","yard":"a","loaners":true,"shift":17,
         "tally":18,"baton":7,"warning_s":12.5,"new":1,"pieces":[
         {"piece":"j-7/0","try_no":1,"status":"fetching"},
@@ -16,22 +16,28 @@
         {"piece":"j-7/2","try_no":3,"status":"running"},
         {"piece":"j-7/3","try_no":4,"status":"saving"},
         {"piece":"j-7/4","try_no":5,"status":"ended","cause":"stopped","kept":true}]}"#;
-    let report: WorkerHeartbeat<'_> = serde_json::from_str(text).unwrap();
+    let heartbeat: WorkerHeartbeat<'_> = serde_json::from_str(text).unwrap();
     let WorkerHeartbeat {
         machine,
-        address: addr,
-        machine_type: flavor,
+        address: worker_address,
+        machine_type: type_name,
         zone,
         spot,
-        incarnation: session,
-        sequence: seq,
+        incarnation: worker_incarnation,
+        sequence: heartbeat_sequence,
         token,
         preemption_notice_s: notice_s,
         tasks,
-    } = report;
-    assert_eq!((&*machine, &*addr), ("host-000231", "10.1.0.7:9000"));
-    assert_eq!((&*flavor, &*zone, spot), ("g8", "a", true));
-    assert_eq!((session, seq, token, notice_s), (17, 18, 7, Some(12.5)));
+    } = heartbeat;
+    assert_eq!(
+        (&*machine, &*worker_address),
+        ("host-000231", "10.1.0.7:9000")
+    );
+    assert_eq!((&*type_name, &*zone, spot), ("g8", "a", true));
+    assert_eq!(
+        (worker_incarnation, heartbeat_sequence, token, notice_s),
+        (17, 18, 7, Some(12.5))
+    );
     let states = [
         TaskState::Fetching,
         TaskState::Waiting,
@@ -52,14 +58,17 @@
 }
 
 #[test]
-fn worker_report_without_optional_fields() {
+fn worker_heartbeat_without_optional_fields() {
     let text = r#"{"host":"m","rig":"g8","yard":"a","shift":17,"tally":18}"#;
-    let report: WorkerHeartbeat<'_> = serde_json::from_str(text).unwrap();
+    let heartbeat: WorkerHeartbeat<'_> = serde_json::from_str(text).unwrap();
     assert_eq!(
-        (&*report.address, report.spot, report.token),
+        (&*heartbeat.address, heartbeat.spot, heartbeat.token),
         ("", false, 0)
     );
-    assert_eq!((report.preemption_notice_s, report.tasks.len()), (None, 0));
+    assert_eq!(
+        (heartbeat.preemption_notice_s, heartbeat.tasks.len()),
+        (None, 0)
+    );
 }
 
 #[test]
@@ -101,7 +110,7 @@
 }
 
 #[test]
-fn worker_answer() {
+fn worker_heartbeat_response() {
     let answer = HeartbeatResponse {
         token: 7,
         orders: &orders(),
@@ -126,11 +135,11 @@
 }
 
 #[test]
-fn worker_answer_elsewhere() {
-    let report_to = Some("n1");
+fn worker_heartbeat_redirect() {
+    let redirect_target = Some("n1");
     pin(
         &json(&HeartbeatRedirect {
-            controller: report_to,
+            controller: redirect_target,
         }),
         r#"{"foreman":"n1"}"#,
     );
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -1,4 +1,5 @@
-//! Short tests of large clusters: what is rented, kept and stopped, and what it costs to decide.
+//! Tests of large clusters: which machines are provisioned and reserved, which tasks are preempted, and how many
+//! scheduling steps that takes.
 
 use crate::harness::{SECOND, World, job};
 use crate::leader_view::{LeaderView, spec};
@@ -6,8 +7,10 @@
 use gannethub_core::wire::worker::Order;
 use serde_json::json;
 
+/// Guards against two gangs that reserve the same booting machine, and against reservations of a gang in more than
+/// one zone.
 #[test]
-fn two_gangs_never_count_on_the_same_booting_machine() {
+fn gangs_never_reserve_the_same_booting_machine() {
     let mut f = LeaderView::new();
     for (i, zone) in ["a", "a", "a", "b", "b"].iter().enumerate() {
         f.c.machine_or_adopt(&format!("host-{i}"), "large", zone, false, f.now);
@@ -16,10 +19,14 @@
         f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
     }
     f.c.run_scheduling_pass(f.now);
-    // Each in one zone; the third machine of zone a is half of what the third gang needs, and
-    // half a gang's room is not kept at all.
+    // Each gang has its reservations in one zone. The third machine of zone a is half of what the third gang needs, and
+    // no reservation is made for half a gang.
     assert_eq!(
-        [f.kept_for("j-1"), f.kept_for("j-2"), f.kept_for("j-3")],
+        [
+            f.reserved_tasks("j-1"),
+            f.reserved_tasks("j-2"),
+            f.reserved_tasks("j-3")
+        ],
         [2, 2, 0]
     );
     for m in
@@ -35,15 +42,16 @@
     }
 }
 
+/// Guards against a gang of high priority that waits behind the reservations of a gang later in the queue.
 #[test]
-fn a_gang_takes_the_room_kept_for_one_further_down_the_queue() {
+fn a_gang_takes_reservations_of_a_gang_later_in_the_queue() {
     let mut f = LeaderView::new();
     for i in 0..2 {
         f.c.machine_or_adopt(&format!("host-{i}"), "large", "a", false, f.now);
     }
     f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
     f.c.run_scheduling_pass(f.now);
-    assert_eq!(f.kept_for("j-1"), 2);
+    assert_eq!(f.reserved_tasks("j-1"), 2);
     let first = JobSpec {
         priority: Priority::High,
         ..spec(Shape::Gang, "blue", 2, 30.0)
@@ -51,11 +59,13 @@
     f.submit("j-2", first);
     f.pass(1);
     f.c.run_scheduling_pass(f.now);
-    assert_eq!([f.kept_for("j-2"), f.kept_for("j-1")], [2, 0]);
+    assert_eq!([f.reserved_tasks("j-2"), f.reserved_tasks("j-1")], [2, 0]);
 }
 
+/// Guards against a gang that waits for a machine long overdue to boot although preemption on a ready machine gives
+/// it the capacity.
 #[test]
-fn a_machine_overdue_to_boot_is_not_waited_for_when_room_can_be_made() {
+fn a_gang_preempts_instead_of_waiting_for_an_overdue_machine() {
     let mut f = LeaderView::new();
     f.machines("up", 3, "large", "a");
     f.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
@@ -70,12 +80,15 @@
     f.c.run_scheduling_pass(f.now);
     let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
     let stopped = attempts.filter(|a| a.stop_grace.is_some()).count();
-    assert_eq!(stopped, 30, "room is made on a machine that is up");
+    assert_eq!(stopped, 30, "tasks on a ready machine are preempted");
 }
 
+/// Guards against useless preemption: tasks are stopped for another team's guarantee only within the borrowed quota,
+/// and only if that suffices for the whole gang. A second scheduling pass must preempt nothing more.
 #[test]
-fn a_guarantee_is_made_room_for_by_stopping_no_more_than_was_borrowed() {
-    // 96 CPUs of blue run, 32 above its guarantee: two large machines cannot be had from it.
+fn preemption_for_a_guarantee_stops_only_borrowed_quota() {
+    // Team blue uses 96 CPUs, 32 above its guarantee. Preemption of borrowed quota frees one large machine, but not
+    // two.
     for (tasks, expected) in [(1, 30), (2, 0)] {
         let mut f = LeaderView::new();
         f.machines("up", 3, "large", "a");
@@ -89,9 +102,9 @@
         assert_eq!(
             attempts.filter(|a| a.stop_grace.is_some()).count(),
             expected,
-            "{tasks} tasks"
+            "gang of {tasks} tasks"
         );
-        // Asked again, nothing more is stopped.
+        // A second scheduling pass preempts no further task.
         f.pass(1);
         f.c.run_scheduling_pass(f.now);
         let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
@@ -102,8 +115,10 @@
     }
 }
 
+/// Guards against an array of high priority that waits on a full cluster: exactly as many tasks as it needs CPUs (4)
+/// are preempted on the only machine.
 #[test]
-fn an_urgent_array_has_room_made_for_it_on_the_only_machine_there_is() {
+fn an_urgent_array_preempts_tasks_on_the_only_machine() {
     let mut f = LeaderView::new();
     f.machines("up", 1, "large", "a");
     f.submit("j-1", spec(Shape::Array, "blue", 32, 1.0));
@@ -119,62 +134,70 @@
     assert_eq!(attempts.filter(|a| a.stop_grace.is_some()).count(), 4);
 }
 
+/// Guards against a provisioning plan that covers only the head of the queue, that asks for machines in small
+/// requests, or that spreads a gang over zones.
 #[test]
-fn the_plan_sees_the_whole_queue_and_asks_for_it_in_large_requests() {
+fn the_provisioning_plan_covers_the_whole_queue() {
     let mut f = LeaderView::new();
     f.submit("j-1", spec(Shape::Array, "red", 2000, 1.0));
     f.submit("j-2", spec(Shape::Gang, "blue", 3, 30.0));
     f.pass(59);
-    let rented = f.rent_all();
-    let cpus: u32 = rented
+    let provisioned = f.provision_all();
+    let cpus: u32 = provisioned
         .iter()
         .map(|((f, _), n)| if f == "small" { 4 * n } else { 32 * n })
         .sum();
-    assert!(cpus > 1500, "{rented:?}");
+    assert!(cpus > 1500, "{provisioned:?}");
     let large = |zone: &str| {
-        rented
+        provisioned
             .get(&("large".into(), zone.into()))
             .copied()
             .unwrap_or(0)
     };
     assert!(
         large("a") >= 3 || large("b") >= 3,
-        "a whole gang's room in one zone: {rented:?}"
+        "no zone has capacity for the whole gang: {provisioned:?}"
     );
 }
 
+/// Guards against machines that are provisioned in a zone whose workers do not reach the leader. At most one machine
+/// is provisioned there, as a probe, and a heartbeat from the zone makes it usable again.
 #[test]
-fn nothing_is_rented_in_a_zone_from_which_nothing_is_heard_but_one_to_try_it() {
+fn an_unreachable_zone_gets_at_most_one_probe_machine() {
     let mut f = LeaderView::new();
     f.machines("cut", 6, "small", "a");
-    let heard = f.machines("ok", 6, "small", "b");
+    let reachable = f.machines("ok", 6, "small", "b");
     f.submit("j-1", spec(Shape::Array, "red", 400, 1.0));
     for _ in 0..8 {
         f.pass(1);
-        heard
+        reachable
             .iter()
             .for_each(|n| drop(f.heartbeat(n, "small", "b", &[])));
     }
     f.c.plan_cloud_calls(f.now);
     assert!(f.c.zones.unreachable.contains_key("a") && !f.c.zones.unreachable.contains_key("b"));
     f.pass(52);
-    heard
+    reachable
         .iter()
         .for_each(|n| drop(f.heartbeat(n, "small", "b", &[])));
-    let rented = f.rent_all();
-    assert!(rented.keys().any(|k| k.1 == "b"), "{rented:?}");
-    let tried: u32 = rented
+    let provisioned = f.provision_all();
+    assert!(provisioned.keys().any(|k| k.1 == "b"), "{provisioned:?}");
+    let probed: u32 = provisioned
         .iter()
         .filter(|(k, _)| k.1 == "a")
         .map(|(_, n)| n)
         .sum();
-    assert!(tried <= 1, "{rented:?}");
+    assert!(probed <= 1, "{provisioned:?}");
     f.heartbeat("new-0000", "small", "a", &[]);
-    assert!(!f.c.zones.unreachable.contains_key("a"), "heard again");
+    assert!(
+        !f.c.zones.unreachable.contains_key("a"),
+        "the zone is reachable again"
+    );
 }
 
+/// Guards against heartbeats whose cost grows with the cluster, with 400 machines and 20 waiting jobs.
 #[test]
-fn the_work_of_a_heartbeat_follows_what_changed() {
+fn the_cost_of_a_heartbeat_depends_only_on_its_changes() {
     let mut f = LeaderView::new();
     let names = f.machines("host", 400, "small", "a");
     for i in 0..20 {
@@ -194,12 +217,12 @@
         })
         .collect();
     assert!(running.iter().all(|r| r.len() == 4));
-    // Heartbeats without news look at no other machine.
+    // Heartbeats without changes take no scheduling steps on other machines.
     let before = f.c.passes.steps.get();
     f.run_all();
     assert_eq!(f.c.passes.steps.get(), before);
-    // A hundred machines with a task done each, at one moment: one look over the machines for
-    // each of them, and not one for each job that waits.
+    // 100 machines report one completed task each at the same time. Each heartbeat may take one look over the
+    // machines, not one for each waiting job.
     for (name, tasks) in names.iter().zip(&running).take(100) {
         let tasks: Vec<_> = tasks
             .iter()
@@ -211,22 +234,26 @@
             .iter()
             .filter(|o| matches!(o, Order::Start { .. }))
             .count();
-        assert_eq!(starts, 1, "the room is used with the same answer");
+        assert_eq!(starts, 1, "freed capacity is used in the same answer");
     }
-    let looks = f.c.passes.steps.get() - before;
-    assert!(looks < 100 * 2 * 400, "{looks} looks for 100 heartbeats");
-    // And a hundred completions of a few jobs are few changes.
+    let steps = f.c.passes.steps.get() - before;
+    assert!(
+        steps < 100 * 2 * 400,
+        "{steps} scheduling steps for 100 heartbeats"
+    );
+    // 100 completions of a few jobs are stored in few changes.
     f.pass(3);
     let (calls, changes) = f.write();
     assert!(
         calls <= 4 && changes <= 20,
-        "{calls} calls, {changes} changes"
+        "{calls} transactions with {changes} changes"
     );
 }
 
-/// Hundreds of machines, thousands of tasks, small values and transactions, and a takeover.
+/// Guards against faults that only size brings about: hundreds of machines, thousands of tasks, small stored values
+/// and transactions, lost machines and a takeover.
 #[test]
-fn a_large_cluster_keeps_every_rule_through_a_takeover() {
+fn a_large_cluster_violates_no_invariant_in_a_takeover() {
     let mut w = World::with_settings(3, 40, 10.0, &|text| {
         text.replace("value_kb = 16.0", "value_kb = 4.0")
             .replace("cpus_max = 40.0", "cpus_max = 900.0")
@@ -245,19 +272,22 @@
             json!({"shape": "group", "together": true, "vcpus": 4.0}),
         ));
     }
-    w.run_until(40, "much is running", |w| w.starts > 600);
-    let leader = w.leader().expect("someone leads");
+    w.run_until(40, "more than 600 tasks have started", |w| w.starts > 600);
+    let leader = w.leader().expect("a controller leads");
     w.crash(leader, 6 * SECOND);
     w.workers.values_mut().take(5).for_each(|m| {
         m.dead = true;
         m.tasks.clear();
     });
-    w.run_until(150, "all are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against submissions that wait for the write rate limit of the state service (25 per second). Of 400
+/// submissions at once, those above the limit must be refused within 0.2 s, and all must be accepted when users
+/// retry.
 #[test]
-fn more_submissions_than_can_be_written_are_refused_at_once_and_accepted_later() {
+fn excess_submissions_are_refused_at_once_and_accepted_later() {
     let mut w = World::with_settings(3, 41, 10.0, &|text| {
         text.replace("write_rps = 100.0", "write_rps = 25.0")
             .replace("rps = 200.0", "rps = 70.0")
@@ -265,13 +295,16 @@
     w.run(2);
     (0..400).for_each(|i| w.submit(job(i, 1, json!({}))));
     w.run(1);
-    let told = w.refusals.len();
-    assert!(told > 100, "{told} were told to come back");
+    let refused = w.refusals.len();
+    assert!(
+        refused > 100,
+        "only {refused} submissions were refused with a retry time"
+    );
     assert!(
         w.refusals.iter().all(|t| *t < SECOND / 5),
-        "none of them was held"
+        "every refusal came at once"
     );
-    w.run_until(120, "all are accepted", |w| {
+    w.run_until(120, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
     assert!(w.broken.is_empty(), "{:?}", w.broken);
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -1,4 +1,5 @@
-//! A leader's view alone, with machines and time in the test's hands. Benchmarks use it as well.
+//! The cluster state of one leader without controllers, workers or network: tests and benchmarks move the clock, send
+//! the heartbeats and carry out the transactions themselves.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -14,19 +15,21 @@
 use gannethub_core::wire::worker::{ExitReason, Order, ReportedTask, TaskState, WorkerHeartbeat};
 use serde_json::json;
 
+/// Unix time at the start of the clock, in microseconds.
 pub const WALL: u64 = 1_700_000_000 * SECOND;
+/// Term, and so fencing token, of the leader.
 pub const TERM: u64 = 1;
 
-/// A leader's view alone, with machines and time in the test's hands.
+/// The cluster state of one leader, whose clock, heartbeats and transactions a test provides.
 pub struct LeaderView {
     pub c: Cluster,
     pub now: u64,
     pub version: u64,
-    seqs: BTreeMap<String, u64>,
+    sequences: BTreeMap<String, u64>,
 }
 
-/// A cluster's settings with these teams, their guarantees and limits; `wait_s`: tasks are to start within
-/// that time.
+/// Returns settings with the given teams (name, guarantee and limit in CPUs). With `wait_s`, an objective demands
+/// that 90 % of the tasks of class "c" start within that number of seconds.
 fn settings(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> Arc<Settings> {
     let mut text = String::from(
         "host_name = \"n0\"\narea = \"a\"\nbind = \"10.0.0.1:80\"\n\
@@ -34,9 +37,9 @@
          state = \"10.1.0.2:1\"\n[cluster.workers]\nreport_s = 1.0\nlease_s = 10.0\n\
          [cluster.state]\nvalue_kb = 4.0\ntxn_ops = 8\n[cluster.cloud]\nrps = 3.0\n",
     );
-    for &(name, cpus, most) in teams {
+    for &(name, cpus, limit) in teams {
         text += &format!(
-            "[[cluster.teams]]\nname = \"{name}\"\ncpus = {cpus:.1}\ncpus_max = {most:.1}\n"
+            "[[cluster.teams]]\nname = \"{name}\"\ncpus = {cpus:.1}\ncpus_max = {limit:.1}\n"
         );
     }
     if let Some(within) = wait_s {
@@ -45,14 +48,14 @@
         );
     }
     Arc::new(
-        Settings::parse(&text, "story")
+        Settings::parse(&text, "test.toml")
             .expect("the test's settings are valid")
             .0,
     )
 }
 
-fn flavors() -> Arc<Vec<MachineType>> {
-    let flavor = |name: &str, cpus: f64, price: f64| MachineType {
+fn machine_types() -> Arc<Vec<MachineType>> {
+    let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
         size: Resources::new(cpus, 0.0, cpus * 4.0),
         price,
@@ -61,9 +64,13 @@
         fetch_gb_per_s: 1.0,
         zones: vec!["a".into(), "b".into()],
     };
-    Arc::new(vec![flavor("small", 4.0, 0.2), flavor("large", 32.0, 1.6)])
+    Arc::new(vec![
+        machine_type("small", 4.0, 0.2),
+        machine_type("large", 32.0, 1.6),
+    ])
 }
 
+/// Returns the specification of a job of class "c" whose tasks take an estimated 30 s; a gang must run in one zone.
 pub fn spec(shape: Shape, team: &str, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         class: "c".into(),
@@ -87,6 +94,7 @@
 }
 
 impl LeaderView {
+    /// Returns a leader that has loaded an empty state service, with the teams red, blue and guest.
     pub fn new() -> LeaderView {
         let teams = [
             ("red", 64.0, 4000.0),
@@ -96,6 +104,7 @@
         LeaderView::with(&teams, None)
     }
 
+    /// Returns a leader that has loaded an empty state service, with the given teams and objective, see `settings`.
     pub fn with(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> LeaderView {
         let mut f = LeaderView::unread(teams, wait_s);
         f.c.finish_loading(f.now);
@@ -104,30 +113,33 @@
         f
     }
 
-    /// A leader that has not read the state service yet.
+    /// Returns a leader that has not loaded the state service yet.
     pub fn unread(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> LeaderView {
         let now = 100 * SECOND;
-        let c = Cluster::new(TERM, settings(teams, wait_s), flavors(), now, WALL);
+        let c = Cluster::new(TERM, settings(teams, wait_s), machine_types(), now, WALL);
         LeaderView {
             c,
             now,
             version: 10,
-            seqs: BTreeMap::new(),
+            sequences: BTreeMap::new(),
         }
     }
 
+    /// Advances the clock by this number of seconds and ticks.
     pub fn pass(&mut self, seconds: u64) {
         self.now += seconds * SECOND;
         self.c.tick(self.now, WALL + self.now);
     }
 
+    /// Adds a job as if its record had just been stored.
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
         self.version += 1;
         self.c
             .apply_job_record(id, JobRecord::new(spec, WALL + self.now), self.version);
     }
 
-    /// A heartbeat with these tasks; the orders it is answered with.
+    /// Applies a heartbeat with the given tasks (name, attempt, and whether the task is done) and returns the orders
+    /// of the answer. Panics on any other outcome.
     pub fn heartbeat(
         &mut self,
         name: &str,
@@ -141,6 +153,7 @@
         }
     }
 
+    /// Applies a heartbeat with the given tasks and returns its outcome.
     pub fn try_heartbeat(
         &mut self,
         name: &str,
@@ -163,7 +176,7 @@
         self.send(name, flavor, zone, false, tasks)
     }
 
-    /// The next heartbeat of a machine's worker.
+    /// Applies the next heartbeat of a machine's worker and returns its outcome.
     pub fn send(
         &mut self,
         name: &str,
@@ -172,7 +185,7 @@
         spot: bool,
         tasks: Vec<ReportedTask<'_>>,
     ) -> HeartbeatOutcome {
-        let seq = self.seqs.entry(name.into()).or_default();
+        let seq = self.sequences.entry(name.into()).or_default();
         *seq += 1;
         let report = WorkerHeartbeat {
             machine: name.into(),
@@ -189,7 +202,7 @@
         self.c.apply_heartbeat(self.now, &report)
     }
 
-    /// Carries out every transaction there is to write; how many there were, with their changes.
+    /// Commits all pending transactions; returns their number and the number of their changes.
     pub fn write(&mut self) -> (usize, usize) {
         let (mut calls, mut changes) = (0, 0);
         while let Some((commit, batch)) = self.c.next_transaction(self.now, 1) {
@@ -202,7 +215,7 @@
         (calls, changes)
     }
 
-    /// Machines that are up, empty and may be used.
+    /// Adds machines that are ready, empty and usable for placements; returns their names.
     pub fn machines(
         &mut self,
         prefix: &str,
@@ -221,7 +234,7 @@
         names
     }
 
-    /// Every machine shows that it runs what was placed on it.
+    /// Sends a heartbeat from every machine in which all tasks that were placed on it run.
     pub fn run_all(&mut self) {
         let all: Vec<_> = self
             .c
@@ -245,18 +258,23 @@
         }
     }
 
-    pub fn kept_for(&self, job: &str) -> i64 {
-        let kept = self
+    /// Number of tasks that the active reservations of a job have capacity for.
+    pub fn reserved_tasks(&self, job: &str) -> i64 {
+        let reservations = self
             .c
             .machines
             .values()
             .filter_map(|m| m.active_reservation(self.now));
-        kept.filter(|k| &*k.job == job).map(|k| k.tasks).sum()
+        reservations
+            .filter(|r| &*r.job == job)
+            .map(|r| r.tasks)
+            .sum()
     }
 
-    /// Answers all rental requests in full until none comes for a while.
-    pub fn rent_all(&mut self) -> BTreeMap<(String, String), u32> {
-        let mut rented = BTreeMap::new();
+    /// Answers all provisioning requests in full for 20 s; returns the number of provisioned machines by machine type
+    /// and zone.
+    pub fn provision_all(&mut self) -> BTreeMap<(String, String), u32> {
+        let mut provisioned = BTreeMap::new();
         for round in 0..40 {
             self.now += SECOND / 2;
             for call in self.c.plan_cloud_calls(self.now) {
@@ -266,7 +284,7 @@
                     } => {
                         assert!(*count <= 50);
                         let flavor = self.c.machine_types[offer.machine_type].name.to_string();
-                        *rented.entry((flavor, offer.zone.clone())).or_default() += count;
+                        *provisioned.entry((flavor, offer.zone.clone())).or_default() += count;
                         let hosts: Vec<_> = (0..*count)
                             .map(|i| format!("host-{round}-{name}-{i}"))
                             .collect();
@@ -278,6 +296,6 @@
                     .apply_cloud_answer(call, &Ok(Answer::new(200, body.to_string())), self.now);
             }
         }
-        rented
+        provisioned
     }
 }
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -1,4 +1,4 @@
-//! Tests of jobs that wait for others.
+//! Tests of pipelines: jobs that wait for upstream jobs.
 
 use gannethub_core::model::{JobSpec, Priority, Shape};
 use gannethub_core::state::fleet::CloudCall;
@@ -8,127 +8,146 @@
 use crate::harness::{CANCEL, SECOND, World, job};
 use crate::leader_view::{LeaderView, WALL, spec};
 
-/// A job that waits for these.
-fn after(id: u32, tasks: u32, on: &[u32]) -> serde_json::Value {
+/// Returns the body of a job that waits for the given upstream jobs.
+fn job_after(id: u32, tasks: u32, on: &[u32]) -> serde_json::Value {
     let on: Vec<String> = on.iter().map(|i| format!("j-{i:06}")).collect();
     job(id, tasks, json!({"waits_on": on}))
 }
 
-/// Submits and waits until it is accepted, as users do before they name a job.
-fn accept(w: &mut World, body: serde_json::Value) {
-    let id = body["id"].as_str().expect("an id").to_string();
+/// Submits a job and waits until it is accepted: users name a job only after it was accepted.
+fn submit_accepted(w: &mut World, body: serde_json::Value) {
+    let id = body["id"].as_str().expect("the body has an id").to_string();
     w.submit(body);
-    w.run_until(20, "it is accepted", |w| w.jobs[&id].accepted.is_some());
+    w.run_until(20, "the job is accepted", |w| {
+        w.jobs[&id].accepted.is_some()
+    });
 }
 
+/// Whether the user was told that the job is done.
 fn done(w: &World, id: u32) -> bool {
     w.jobs[&format!("j-{id:06}")].told_done.is_some()
 }
 
+/// Whether the user was told that the job is cancelled.
 fn cancelled(w: &World, id: u32) -> bool {
     w.jobs[&format!("j-{id:06}")].told_cancelled.is_some()
 }
 
-/// A diamond with a gang in the middle and a job of another team at its end.
-fn diamond(w: &mut World) {
-    accept(w, job(1, 4, json!({})));
-    accept(w, after(2, 5, &[1]));
-    let mut gang = after(3, 3, &[1, 1]);
+/// Submits a diamond of four jobs: jobs 2 and 3, a gang, wait for job 1, and job 4, of another team, waits for both.
+fn submit_diamond(w: &mut World) {
+    submit_accepted(w, job(1, 4, json!({})));
+    submit_accepted(w, job_after(2, 5, &[1]));
+    let mut gang = job_after(3, 3, &[1, 1]);
     gang["shape"] = json!("group");
-    accept(w, gang);
-    let mut last = after(4, 2, &[2, 3]);
+    submit_accepted(w, gang);
+    let mut last = job_after(4, 2, &[2, 3]);
     last["crew"] = json!("red");
-    accept(w, last);
+    submit_accepted(w, last);
 }
 
+/// Guards against stages that start before their upstream jobs are done, and against a job that waits for upstream
+/// jobs which were done before it was submitted.
 #[test]
-fn a_diamond_runs_in_order_and_what_names_a_finished_job_runs_at_once() {
+fn a_diamond_runs_in_order_and_a_late_job_at_once() {
     let mut w = World::new(3, 404);
     w.run(2);
-    diamond(&mut w);
-    w.run_until(180, "all are done", World::all_over);
-    accept(&mut w, after(5, 2, &[4, 1]));
-    assert!(w.state.value("gh/live/j-000005").expect("alive")["waiting"].is_null());
-    w.run_until(60, "the late one is done", World::all_over);
+    submit_diamond(&mut w);
+    w.run_until(180, "all jobs are done", World::all_over);
+    submit_accepted(&mut w, job_after(5, 2, &[4, 1]));
+    assert!(
+        w.state
+            .value("gh/live/j-000005")
+            .expect("the job record exists")["waiting"]
+            .is_null()
+    );
+    w.run_until(60, "the job submitted last is done", World::all_over);
     w.finish();
 }
 
+/// Guards against stages that start early or never. All controllers crash four times, and 15 % of the transactions
+/// are carried out late.
 #[test]
-fn every_controller_may_crash_and_no_stage_starts_early_or_is_forgotten() {
+fn crashes_start_no_stage_early_and_lose_no_stage() {
     for seed in 61..64 {
         let mut w = World::new(3, seed);
         w.run(2);
-        diamond(&mut w);
+        submit_diamond(&mut w);
         w.faults.late_commit_rate = 0.15;
         for _ in 0..4 {
             (0..3).for_each(|n| w.crash(n, 3 * SECOND));
             w.run(14);
         }
         w.faults.late_commit_rate = 0.0;
-        w.run_until(240, "all are done", World::all_over);
+        w.run_until(240, "all jobs are done", World::all_over);
         w.finish();
     }
 }
 
+/// Guards against downstream jobs that wait for a cancelled job for ever, and against cancellations of unrelated
+/// jobs. All downstream jobs must be reported as cancelled within 35 s.
 #[test]
-fn a_cancellation_takes_all_that_wait_with_it_and_leaves_the_rest_alone() {
+fn a_cancellation_cancels_all_downstream_jobs_and_no_other() {
     let mut w = World::new(3, 65);
     w.run(2);
-    accept(&mut w, job(1, 30, json!({"vcpus": 2.0})));
-    accept(&mut w, job(9, 3, json!({})));
+    submit_accepted(&mut w, job(1, 30, json!({"vcpus": 2.0})));
+    submit_accepted(&mut w, job(9, 3, json!({})));
     for i in 2..8 {
-        accept(&mut w, after(i, 2, &[i - 1]));
+        submit_accepted(&mut w, job_after(i, 2, &[i - 1]));
     }
-    accept(&mut w, after(10, 2, &[9, 5]));
-    accept(&mut w, after(11, 2, &[9]));
+    submit_accepted(&mut w, job_after(10, 2, &[9, 5]));
+    submit_accepted(&mut w, job_after(11, 2, &[9]));
     w.cancel(1);
-    w.run_until(10, "the head is cancelled", |w| cancelled(w, 1));
-    w.run_until(CANCEL / SECOND, "so are all behind it", |w| {
+    w.run_until(10, "the upstream job is cancelled", |w| cancelled(w, 1));
+    w.run_until(CANCEL / SECOND, "all downstream jobs are cancelled", |w| {
         (2..8).chain([10]).all(|i| cancelled(w, i))
     });
-    // One that comes late is accepted all the same.
-    accept(&mut w, after(12, 1, &[7]));
-    w.run_until(60, "all are over", World::all_over);
+    // A downstream job submitted after the cancellation is accepted all the same.
+    submit_accepted(&mut w, job_after(12, 1, &[7]));
+    w.run_until(60, "all jobs have ended", World::all_over);
     assert!(done(&w, 9) && done(&w, 11) && cancelled(&w, 12));
-    w.run_until(20, "nothing is left to write", |w| {
+    w.run_until(20, "no live job record is left", |w| {
         w.state.keys("gh/live/").is_empty()
     });
     w.finish();
 }
 
+/// Guards against outdated answers while no controller leads: a follower must derive from the cancellation of the
+/// upstream job that the downstream jobs are cancelled.
 #[test]
-fn every_controller_tells_of_a_cancellation_upstream_while_nobody_leads() {
+fn followers_report_upstream_cancellations_without_a_leader() {
     let mut w = World::new(3, 404);
     w.run(2);
-    accept(&mut w, job(1, 30, json!({"vcpus": 2.0})));
-    accept(&mut w, after(2, 2, &[1]));
-    accept(&mut w, after(3, 2, &[2]));
-    w.run_until(30, "the head runs", |w| w.starts > 0);
+    submit_accepted(&mut w, job(1, 30, json!({"vcpus": 2.0})));
+    submit_accepted(&mut w, job_after(2, 2, &[1]));
+    submit_accepted(&mut w, job_after(3, 2, &[2]));
+    w.run_until(30, "the upstream job runs", |w| w.starts > 0);
     w.cancel(1);
-    w.run_until(10, "the head is cancelled", |w| cancelled(w, 1));
-    // The leader stays away, and the others keep quiet for a while after they have come back: none
-    // has written anything down by then.
-    let leader = w.leader().expect("one leads");
+    w.run_until(10, "the upstream job is cancelled", |w| cancelled(w, 1));
+    // The leader stays away for 60 s. The others return after 1 s and stay passive for a while after their restart, so
+    // none of them has stored the downstream cancellations by then.
+    let leader = w.leader().expect("a controller leads");
     (0..3).for_each(|n| w.crash(n, if n == leader { 60 * SECOND } else { SECOND }));
     w.run(3);
     assert!(w.leader().is_none());
-    w.run_until(3, "its followers are known to be cancelled", |w| {
+    w.run_until(3, "the last downstream job is reported as cancelled", |w| {
         cancelled(w, 3)
     });
     assert!(w.leader().is_none());
-    w.run_until(120, "all is tidied up", |w| {
+    w.run_until(120, "no live job record is left", |w| {
         w.state.keys("gh/live/").is_empty()
     });
     w.finish();
 }
 
+/// Guards against a cancellation that is taken back. Transactions are carried out late and without an answer, and an
+/// outage of the state service follows the cancellation of a middle stage.
 #[test]
-fn a_cancellation_in_an_outage_with_unanswered_commits_is_never_taken_back() {
+fn late_transactions_undo_no_cancellation_in_a_pipeline() {
     for seed in 67..70 {
         let mut w = World::new(3, seed);
         w.run(2);
-        diamond(&mut w);
-        w.run_until(60, "the middle runs", |w| done(w, 1));
+        submit_diamond(&mut w);
+        w.run_until(60, "the first stage is done", |w| done(w, 1));
         w.faults.late_commit_rate = 0.3;
         w.cancel(2);
         w.run(3);
@@ -137,52 +156,56 @@
         w.state.down = false;
         w.run(10);
         w.faults.late_commit_rate = 0.0;
-        w.run_until(240, "all are over", World::all_over);
-        // Either it was done before the cancellation came through, or it took the last with it.
+        w.run_until(240, "all jobs have ended", World::all_over);
+        // Either the stage was done before the cancellation was stored, or the last stage was cancelled with it.
         assert_eq!(cancelled(&w, 2), cancelled(&w, 4));
         assert!(done(&w, 3));
         w.finish();
     }
 }
 
+/// Guards against refusals by an outdated read. A job that names an unknown upstream job is refused; once the
+/// upstream job is accepted, no controller may refuse the job because of what it read before.
 #[test]
-fn naming_what_nobody_submitted_is_refused_and_never_by_an_old_reading() {
+fn unknown_upstream_ids_are_refused_by_fresh_reads_only() {
     let mut w = World::new(3, 71);
     w.run(2);
-    w.submit(after(2, 1, &[1]));
+    w.submit(job_after(2, 1, &[1]));
     w.run(1);
     assert!(
         w.jobs["j-000002"].accepted.is_none(),
-        "it names nothing that was accepted"
+        "the job names an upstream job that was not accepted"
     );
-    // Every controller has heard of that id by now, and that it is none.
+    // By now every controller has looked up the upstream id and has found no job.
     for _ in 0..6 {
         w.ask("j-000002", "submit");
     }
     w.run(1);
-    accept(&mut w, job(1, 2, json!({})));
+    submit_accepted(&mut w, job(1, 2, json!({})));
     for _ in 0..6 {
         w.ask("j-000002", "submit");
     }
     w.run(1);
     assert!(w.jobs["j-000002"].accepted.is_some());
-    w.run_until(120, "both are done", World::all_over);
+    w.run_until(120, "both jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against values and transactions above the limits of the state service (2 KB and 4 changes). 120 jobs wait
+/// for one job, one job waits for these 120, and 60 jobs wait for that one; the stages are released and cancelled.
 #[test]
-fn a_long_list_fits_and_a_wide_graph_is_released_and_cancelled_in_small_transactions() {
+fn wide_pipelines_fit_into_small_values_and_transactions() {
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(3, 72, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     w.state.limits = (2048, 4);
     w.run(2);
-    accept(&mut w, job(1, 1, json!({})));
-    (100..220).for_each(|i| w.submit(after(i, 1, &[1])));
+    submit_accepted(&mut w, job(1, 1, json!({})));
+    (100..220).for_each(|i| w.submit(job_after(i, 1, &[1])));
     w.run_until(60, "the wide stage is accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    accept(&mut w, after(300, 1, &(100..220).collect::<Vec<u32>>()));
-    (400..460).for_each(|i| w.submit(after(i, 1, &[300])));
+    submit_accepted(&mut w, job_after(300, 1, &(100..220).collect::<Vec<u32>>()));
+    (400..460).for_each(|i| w.submit(job_after(i, 1, &[300])));
     w.run_until(60, "the last stage is accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
@@ -190,18 +213,21 @@
         (100..220).all(|i| done(w, i))
     });
     w.cancel(300);
-    w.run_until(60, "all are over", World::all_over);
+    w.run_until(60, "all jobs have ended", World::all_over);
     assert_eq!(w.state.too_large, 0);
     w.finish();
 }
 
+/// Guards against waiting jobs that take capacity or quota: a waiting job is not among the jobs that can be placed,
+/// and its status names its upstream jobs.
 #[test]
-fn a_waiting_job_takes_nothing_and_shows_what_it_waits_for() {
+fn a_waiting_job_uses_nothing_and_shows_its_upstream_jobs() {
     let mut w = World::new(1, 73);
     w.run(2);
-    // A service never ends, and a job that waits for one of its tasks' worth of room is not ready.
-    accept(&mut w, job(1, 12, json!({"crew": "red", "vcpus": 1.0})));
-    accept(
+    // Job 1 is an array, because a service never ends. Team red has quota left for one task of the waiting job, but that
+    // job is not ready.
+    submit_accepted(&mut w, job(1, 12, json!({"crew": "red", "vcpus": 1.0})));
+    submit_accepted(
         &mut w,
         job(
             2,
@@ -214,19 +240,21 @@
         .controller
         .as_ref()
         .and_then(|c| c.cluster())
-        .expect("it leads");
+        .expect("the controller leads");
     assert!(
         !cluster.jobs.contains_key("j-000002"),
-        "what is not here cannot be placed"
+        "a waiting job must not be among the jobs that can be placed"
     );
     assert_eq!(cluster.pipelines.waiting.len(), 1);
     assert_eq!(w.waits_on("j-000002"), ["j-000001"]);
-    w.run_until(120, "both are done", World::all_over);
+    w.run_until(120, "both jobs are done", World::all_over);
     w.finish();
 }
 
+/// Guards against machines that are provisioned too early or too late for a waiting job, and against reservations for
+/// a waiting job. Provisioning starts when the release is about one boot time (30 s) away.
 #[test]
-fn machines_are_rented_for_a_job_shortly_before_it_is_released_and_no_room_is_held_for_it() {
+fn machines_are_provisioned_shortly_before_a_release() {
     let mut f = LeaderView::new();
     f.machines("up", 1, "small", "a");
     let long = JobSpec {
@@ -236,14 +264,14 @@
     f.submit("j-1", long);
     f.c.run_scheduling_pass(f.now);
     f.run_all();
-    let held = WaitingRecord::new(
+    let waiting_record = WaitingRecord::new(
         spec(Shape::Array, "blue", 6, 4.0),
         0,
         false,
         &["j-1".into()],
     );
     f.version += 1;
-    f.c.apply_waiting_job("j-2", held, f.version);
+    f.c.apply_waiting_job("j-2", waiting_record, f.version);
     let rents = |f: &mut LeaderView| {
         let calls = f.c.plan_cloud_calls(f.now);
         calls
@@ -253,7 +281,11 @@
     };
     f.pass(1);
     f.run_all();
-    assert_eq!(rents(&mut f), 0, "its release is further off than a boot");
+    assert_eq!(
+        rents(&mut f),
+        0,
+        "the release is further away than the boot time"
+    );
     for _ in 0..7 {
         f.pass(5);
         f.run_all();
@@ -267,12 +299,14 @@
     );
     assert!(
         f.c.passes.placement_order.is_empty(),
-        "it is not in the queue"
+        "the waiting job is not in the queue"
     );
 }
 
+/// Guards against a stage that never finds enough capacity. Small tasks end one by one; the freed CPUs must be held
+/// for the stage, which takes on the high priority of its downstream job, and not go to other small tasks.
 #[test]
-fn smaller_tasks_do_not_take_all_room_bit_by_bit_before_a_stage_of_a_pipeline() {
+fn small_tasks_do_not_starve_a_stage_of_a_pipeline() {
     let mut f = LeaderView::new();
     f.machines("up", 1, "small", "a");
     f.submit("j-1", spec(Shape::Array, "blue", 30, 1.0));
@@ -285,16 +319,16 @@
         ..spec(Shape::Array, "blue", 1, 1.0)
     };
     f.version += 1;
-    let held = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
-    f.c.apply_waiting_job("j-3", held, f.version);
+    let waiting_record = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
+    f.c.apply_waiting_job("j-3", waiting_record, f.version);
     f.pass(1);
     f.c.run_scheduling_pass(f.now);
     assert_eq!(
         f.c.jobs["j-2"].effective_priority(),
         Priority::High,
-        "what needs it is urgent"
+        "the job takes on the priority of its downstream job"
     );
-    // One small task ends, then another: the bit of room that the first leaves is held.
+    // One small task ends, then another: the CPU that the first task frees is held for the stage.
     let running: Vec<_> = f.c.machines["up-0000"].attempts.keys().cloned().collect();
     for ended in 1..=2 {
         let tasks: Vec<(String, u64, bool)> = running
@@ -309,7 +343,7 @@
         assert_eq!(
             f.c.jobs["j-1"].tasks.live_attempts.len(),
             4 - ended,
-            "nothing else has started"
+            "no other task has started"
         );
         assert_eq!(
             f.c.jobs["j-2"].tasks.live_attempts.len(),
@@ -318,21 +352,26 @@
     }
 }
 
+/// Guards against a controller that keeps exceeding a write rate limit which the state service lowered without
+/// notice, to 15 per second: after the first refusals fewer than 10 more may follow.
 #[test]
-fn a_rate_that_falls_without_notice_is_kept_to_after_the_first_refusals() {
+fn a_lowered_write_rate_is_respected_after_a_few_refusals() {
     let limits = "[cluster.state.next]\nwrite_rps = 15.0\n[cluster.cloud]";
     let mut w = World::with_settings(3, 74, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     w.run(2);
     w.state.rate = Some(15.0);
     (100..240).for_each(|i| w.submit(job(i, 1, json!({}))));
-    w.run_until(60, "all are accepted", |w| {
+    w.run_until(60, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    let learning = w.state.too_many;
-    assert!(learning > 0, "the old rate was tried");
-    (300..400).for_each(|i| w.submit(after(i, 1, &[i - 200])));
-    w.run_until(400, "all are done", World::all_over);
-    let later = w.state.too_many - learning;
-    assert!(later < 10, "{later} refusals after {learning}");
+    let first_refusals = w.state.too_many;
+    assert!(first_refusals > 0, "the controllers tried the old rate");
+    (300..400).for_each(|i| w.submit(job_after(i, 1, &[i - 200])));
+    w.run_until(400, "all jobs are done", World::all_over);
+    let later = w.state.too_many - first_refusals;
+    assert!(
+        later < 10,
+        "{later} refusals after the first {first_refusals}"
+    );
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -1,5 +1,5 @@
-//! What it costs to decide must not outgrow the cluster. These tests count looks at machines, jobs and
-//! lanes, at two sizes; none measures time.
+//! Tests that the cost of scheduling does not outgrow the cluster. The tests count scheduling steps (visits of
+//! machines, jobs and lists) at two cluster sizes; none of them measures time.
 
 use proptest::prelude::*;
 
@@ -8,9 +8,9 @@
 use gannethub_core::model::{JobSpec, Priority, Shape};
 use gannethub_core::wire::worker::Order;
 
-/// A full cluster of `n` small machines and a tenth as many large ones, with a queue to match: arrays and
-/// gangs of several shapes that find no room.
-fn crowded(n: usize) -> (LeaderView, Vec<String>) {
+/// Returns a full cluster of `n` small machines and `n / 10` large machines, with a queue in proportion: arrays and
+/// gangs of several shapes that find no capacity. Also returns the names of the small machines of zone a.
+fn full_cluster(n: usize) -> (LeaderView, Vec<String>) {
     let cpus = n as f64 * 7.2;
     let teams = [
         ("red", cpus * 0.4, cpus * 4.0),
@@ -47,26 +47,28 @@
     (f, names)
 }
 
-/// Looks that a piece of work takes.
-fn looks(f: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
+/// Number of scheduling steps that `work` takes.
+fn count_steps(f: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
     let before = f.c.passes.steps.get();
     work(f);
     (f.c.passes.steps.get() - before) as f64
 }
 
+/// Guards against scheduling cost that outgrows the cluster: with three times the machines and jobs, passes, plans
+/// and heartbeats may take at most 3.6 times the scheduling steps.
 #[test]
-fn passes_plans_and_heartbeats_cost_no_more_than_the_cluster_grows() {
-    // In the order: the first pass, which makes room, a pass when nothing can be done, a plan, and heartbeats
-    // that free room.
+fn scheduling_cost_grows_no_faster_than_a_full_cluster() {
+    // Costs in this order: the first pass, which preempts tasks; a pass in which nothing can be done; a provisioning
+    // plan; heartbeats that free capacity.
     let costs = |n: usize| {
-        let (mut f, names) = crowded(n);
-        let first = looks(&mut f, |f| f.c.run_scheduling_pass(f.now));
+        let (mut f, names) = full_cluster(n);
+        let first = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
         f.pass(1);
-        let idle = looks(&mut f, |f| f.c.run_scheduling_pass(f.now));
-        let plan = looks(&mut f, |f| drop(f.c.machines_wanted(f.now)));
+        let idle = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
+        let plan = count_steps(&mut f, |f| drop(f.c.machines_wanted(f.now)));
         f.write();
         let mut starts = 0;
-        let reports = looks(&mut f, |f| {
+        let reports = count_steps(&mut f, |f| {
             for name in names.iter().take(n / 20) {
                 let on_it: Vec<(String, u64)> = f.c.machines[name.as_str()]
                     .attempts
@@ -84,7 +86,10 @@
                     .count();
             }
         });
-        assert!(starts >= n / 20, "what came free is used: {starts} starts");
+        assert!(
+            starts >= n / 20,
+            "freed capacity is not used: {starts} starts"
+        );
         [first, idle, plan, reports]
     };
     let (small, large) = (costs(400), costs(1200));
@@ -95,32 +100,36 @@
         assert!(*small > 0.0);
         assert!(
             large / small < 3.6,
-            "{what}: {small} looks, {large} at three times the size"
+            "{what}: {small} scheduling steps, {large} at three times the size"
         );
     }
 }
 
+/// Guards against a pass that scans all empty machines for every job: with three times the machines and jobs, a pass
+/// may take at most 3.6 times the scheduling steps.
 #[test]
-fn an_empty_cluster_is_not_read_whole_for_every_job() {
+fn an_empty_cluster_is_not_scanned_for_every_job() {
     let cost = |n: usize| {
         let cpus = n as f64 * 4.0;
         let mut f = LeaderView::with(&[("red", cpus, cpus)], Some(20.0));
         f.machines("host", n, "small", "a");
         (0..n / 20).for_each(|i| f.submit(&format!("j-{i}"), spec(Shape::Array, "red", 40, 1.0)));
-        let looks = looks(&mut f, |f| f.c.run_scheduling_pass(f.now));
+        let steps = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
         let placed: usize = f.c.machines.values().map(|m| m.attempts.len()).sum();
-        assert_eq!(placed, n / 20 * 40, "all find room");
-        looks
+        assert_eq!(placed, n / 20 * 40, "every task finds capacity");
+        steps
     };
     let (small, large) = (cost(1000), cost(3000));
     assert!(
         large / small < 3.6,
-        "{small} looks, {large} at three times the size"
+        "{small} scheduling steps, {large} at three times the size"
     );
 }
 
+/// Guards against tasks on machines that have been silent for seconds, and against machines that stay unused after
+/// their next heartbeat.
 #[test]
-fn a_silent_machine_is_not_offered_room_and_is_again_once_it_is_heard() {
+fn a_silent_machine_gets_no_tasks_until_its_next_heartbeat() {
     let mut f = LeaderView::new();
     f.machines("quiet", 3, "small", "a");
     f.machines("up", 1, "small", "b");
@@ -136,7 +145,7 @@
     assert_eq!(
         [on(&f, "quiet-0001"), on(&f, "quiet-0000")],
         [4, 0],
-        "heard again, it gets work"
+        "a machine gets tasks again after a heartbeat"
     );
     assert_eq!(f.c.index_inconsistencies(), Vec::<String>::new());
 }
@@ -144,9 +153,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// A job that arrives is put where working out the whole order would put it.
+    /// Guards against a queue order that drifts from the full order: an arriving job is inserted where a computation
+    /// of the whole order would put it.
     #[test]
-    fn the_order_kept_between_passes_is_the_order_worked_out_anew(
+    fn incremental_queue_order_equals_a_full_reorder(
         jobs in proptest::collection::vec((0..3usize, 1..60u32, 1..40u32, 0..3u8), 1..40),
         cut in 0..40usize,
     ) {
@@ -160,14 +170,14 @@
         };
         let order = |f: &LeaderView| f.c.queue.jobs().map(|(id, w)| (id.clone(), w)).collect::<Vec<_>>();
         let cut = cut.min(jobs.len());
-        let mut kept = LeaderView::new();
-        submit(&mut kept, 0, cut);
-        kept.c.order_queue(kept.now);
-        submit(&mut kept, cut, jobs.len());
-        kept.c.order_queue(kept.now);
-        let mut anew = LeaderView::new();
-        submit(&mut anew, 0, jobs.len());
-        anew.c.order_queue(anew.now);
-        prop_assert_eq!(order(&kept), order(&anew));
+        let mut incremental = LeaderView::new();
+        submit(&mut incremental, 0, cut);
+        incremental.c.order_queue(incremental.now);
+        submit(&mut incremental, cut, jobs.len());
+        incremental.c.order_queue(incremental.now);
+        let mut recomputed = LeaderView::new();
+        submit(&mut recomputed, 0, jobs.len());
+        recomputed.c.order_queue(recomputed.now);
+        prop_assert_eq!(order(&incremental), order(&recomputed));
     }
 }
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -1,4 +1,4 @@
-//! Machines divided into shards that several controllers hold.
+//! Tests of several shards: the machines are divided into shards that different controllers own.
 
 use std::collections::BTreeSet;
 
@@ -7,19 +7,22 @@
 use crate::harness::{LEASE, SECOND, World, job};
 use crate::{ClusterKind, play_random_faults};
 
-fn three(seed: u64) -> World {
+/// Returns a world with three controllers and three shards, in which the limit of team blue is 90 CPUs.
+fn world_with_three_shards(seed: u64) -> World {
     World::with_shards(3, seed, 3, &|text| {
         text.replace("cpus_max = 40.0", "cpus_max = 90.0")
     })
 }
 
+/// Names of the controllers that own a shard.
 fn owners(w: &World) -> BTreeSet<String> {
     (0..3).filter_map(|b| w.shard_owner(b)).collect()
 }
 
-/// Three shards with three owners, and six services that run in more than one of them.
-fn shared(seed: u64, replicas: u32) -> World {
-    let mut w = three(seed);
+/// Returns a world with three shards, each with an owner of its own, and six services that run in more than one
+/// shard.
+fn world_with_services(seed: u64, replicas: u32) -> World {
+    let mut w = world_with_three_shards(seed);
     w.cloud.capacity = 30;
     w.run_until(15, "each controller owns a shard", |w| owners(w).len() == 3);
     w.run(2);
@@ -37,24 +40,27 @@
     w
 }
 
-fn node(name: &str) -> usize {
-    name[1..].parse().expect("a node")
+/// Returns the index of a controller by its name.
+fn node_index(name: &str) -> usize {
+    name[1..].parse().expect("a node number")
 }
 
-/// Tasks that are on machines of a shard, as its owner sees them.
-fn placed(w: &World, block: u32) -> usize {
-    w.shard(block).map_or(0, |c| {
+/// Number of tasks on machines of a shard, as the shard owner knows them.
+fn live_tasks(w: &World, shard: u32) -> usize {
+    w.shard(shard).map_or(0, |c| {
         c.jobs.values().map(|j| j.tasks.live_attempts.len()).sum()
     })
 }
 
+/// Guards against shards without an owner or without tasks, and against jobs that do not finish or machines that are
+/// not returned in a cluster with several shards.
 #[test]
-fn each_controller_owns_a_shard_and_work_runs_in_all() {
-    let mut w = shared(1, 5);
+fn each_controller_owns_a_shard_and_tasks_run_in_all() {
+    let mut w = world_with_services(1, 5);
     assert!(
-        (0..3).all(|b| placed(&w, b) > 0),
+        (0..3).all(|b| live_tasks(&w, b) > 0),
         "{:?}",
-        [0, 1, 2].map(|b| placed(&w, b))
+        [0, 1, 2].map(|b| live_tasks(&w, b))
     );
     for i in 10..16 {
         w.submit(job(i, 8, json!({})));
@@ -70,26 +76,31 @@
         json!({"waits_on": ["j-000010", "j-000011", "j-000012"]}),
     ));
     (1..7).for_each(|i| w.cancel(i));
-    w.run_until(150, "all are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_over);
     w.run_until(120, "all machines are returned", |w| w.workers.is_empty());
     w.finish();
 }
 
+/// Guards against a crash of one shard owner that stops starts in other shards. The lost shard must have a new owner
+/// and be settled within 10 s after the first 12 s, and all replicas must run in the end.
 #[test]
-fn the_loss_of_one_owner_stops_no_start_in_other_shards() {
+fn a_crashed_shard_owner_stops_no_start_in_other_shards() {
     for lost in [0, 1] {
-        let mut w = shared(2, 1);
+        let mut w = world_with_services(2, 1);
         for i in 30..36 {
             w.submit(job(i, 80, json!({"rigs": ["small"]})));
         }
         w.run_until(60, "the arrays run", |w| w.starts >= 60);
-        let victim = node(&w.shard_owner(lost).expect("held"));
-        w.crash(victim, 40 * SECOND);
+        let crashed = node_index(&w.shard_owner(lost).expect("the shard has an owner"));
+        w.crash(crashed, 40 * SECOND);
         let others: Vec<u32> = (0..3).filter(|b| *b != lost).collect();
         for _ in 0..3 {
             let before = w.starts;
             w.run(4);
-            assert!(w.starts > before, "starts stop in shards that go on");
+            assert!(
+                w.starts > before,
+                "no task starts in the shards that kept their owner"
+            );
             assert!(
                 others
                     .iter()
@@ -97,73 +108,83 @@
             );
         }
         w.run_until(10, "the shard is owned again", |w| {
-            w.shard_owner(lost).is_some_and(|h| node(&h) != victim)
+            w.shard_owner(lost)
+                .is_some_and(|h| node_index(&h) != crashed)
                 && w.shard(lost).is_some_and(|c| c.takeover.settled)
         });
         w.run_until(150, "the arrays are done", |w| {
             (30..36).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
         });
-        let running: usize = (0..3).map(|b| placed(&w, b)).sum();
-        assert_eq!(running, 6, "the replicas went on or run again");
+        let running: usize = (0..3).map(|b| live_tasks(&w, b)).sum();
+        assert_eq!(running, 6, "all replicas run");
         w.finish();
     }
 }
 
+/// Guards against tasks that are started again when their shard changes its owner: the owner crashes, another
+/// controller takes the shard over and hands it back.
 #[test]
-fn a_shard_moves_to_another_owner_while_its_tasks_run_on() {
-    let mut w = shared(3, 5);
-    let victim = node(&w.shard_owner(1).expect("held"));
-    w.crash(victim, 8 * SECOND);
-    w.run_until(10, "another holds it", |w| {
-        w.shard_owner(1).is_some_and(|h| node(&h) != victim)
+fn tasks_run_on_while_their_shard_changes_owner() {
+    let mut w = world_with_services(3, 5);
+    let crashed = node_index(&w.shard_owner(1).expect("the shard has an owner"));
+    w.crash(crashed, 8 * SECOND);
+    w.run_until(10, "another controller owns the shard", |w| {
+        w.shard_owner(1).is_some_and(|h| node_index(&h) != crashed)
     });
-    w.run_until(8, "it knows all of it", |w| {
+    w.run_until(8, "the takeover of the shard is settled", |w| {
         w.shard(1).is_some_and(|c| c.takeover.settled)
     });
-    let (starts, running) = (w.starts, placed(&w, 1));
+    let (starts, running) = (w.starts, live_tasks(&w, 1));
     assert!(running > 0);
-    w.run_until(30, "it is handed back", |w| {
-        w.shard_owner(1).is_some_and(|h| node(&h) == victim)
+    w.run_until(30, "the shard is handed back", |w| {
+        w.shard_owner(1).is_some_and(|h| node_index(&h) == crashed)
     });
-    w.run_until(8, "and known there", |w| {
+    w.run_until(8, "the takeover by the returned owner is settled", |w| {
         w.shard(1).is_some_and(|c| c.takeover.settled)
     });
     assert!(
         w.shard(1).is_some_and(|c| c.watermarks.reliable),
-        "it was told that watermarks are reliable"
+        "the returned owner must know that watermarks are reliable"
     );
     w.run(5);
     assert_eq!(
-        (placed(&w, 1), w.starts),
+        (live_tasks(&w, 1), w.starts),
         (running, starts),
-        "nothing was started anew"
+        "tasks must run on without a restart"
     );
     w.finish();
 }
 
+/// Guards against a team above its limit over all shards together, while an owner crashes and a tenth of the
+/// transactions is carried out late.
 #[test]
-fn a_teams_limit_holds_across_shards() {
+fn a_team_limit_holds_across_shards() {
     for seed in 10..14 {
-        let mut w = three(seed);
+        let mut w = world_with_three_shards(seed);
         w.run_until(15, "each controller owns a shard", |w| owners(w).len() == 3);
         w.run(2);
         for i in 1..9 {
             w.submit(job(i, 10, json!({"crew": "red", "vcpus": 2.0})));
         }
         w.run(12);
-        let victim = node(&w.shard_owner((seed % 3) as u32).expect("held"));
-        w.crash(victim, 6 * SECOND);
+        let crashed = node_index(
+            &w.shard_owner((seed % 3) as u32)
+                .expect("the shard has an owner"),
+        );
+        w.crash(crashed, 6 * SECOND);
         w.faults.late_commit_rate = 0.1;
         w.run(20);
         w.faults.late_commit_rate = 0.0;
-        w.run_until(300, "all are done", World::all_over);
+        w.run_until(300, "all jobs are done", World::all_over);
         w.finish();
     }
 }
 
+/// Proves that the checker detects usage or quota partitions above the limit of a team: the stored quota partitions
+/// of two shards are raised so that they add up to more than the limit.
 #[test]
-fn the_checker_sees_a_limit_broken_when_parts_add_up_to_more() {
-    let mut w = three(15);
+fn the_checker_detects_quota_partitions_above_the_limit() {
+    let mut w = world_with_three_shards(15);
     w.cloud.capacity = 40;
     w.run_until(15, "each controller owns a shard", |w| owners(w).len() == 3);
     w.run(2);
@@ -175,9 +196,13 @@
         ));
     }
     w.run(10);
-    for block in 1..3 {
-        let key = format!("gh/allot/{block}");
-        let mut value = w.state.value(&key).cloned().expect("it has a part");
+    for shard in 1..3 {
+        let key = format!("gh/allot/{shard}");
+        let mut value = w
+            .state
+            .value(&key)
+            .cloned()
+            .expect("the shard has a quota partition");
         value["teams"]["red"]["cpu"] = json!(16_000);
         w.state.put(&key, &value.to_string());
     }
@@ -185,37 +210,42 @@
     let over = |b: &String| b.starts_with("quota") || b.starts_with("allotted");
     assert!(
         w.broken.iter().any(over),
-        "the broken guard was not noticed: {:?}",
+        "the checker did not detect the violation: {:?}",
         w.broken
     );
 }
 
+/// Guards against a service that stops or exceeds a limit because of stored values that cannot be read: an invalid
+/// quota partition counts as the whole quota, and running tasks run on over a takeover. Once the invalid values are
+/// removed, new jobs finish.
 #[test]
-fn a_part_that_cannot_be_read_is_taken_for_all_and_service_goes_on() {
-    let mut w = shared(16, 5);
+fn an_invalid_quota_partition_counts_as_the_whole_quota() {
+    let mut w = world_with_services(16, 5);
     w.state.put("gh/allot/7", "[]");
     w.state.put("gh/move/x/y", "3");
     w.state.put("gh/seat/nobody", "{}");
-    let leader = node(&w.shard_owner(0).expect("held"));
+    let leader = node_index(&w.shard_owner(0).expect("the shard has an owner"));
     w.crash(leader, 5 * SECOND);
     w.run(15);
     for i in 30..34 {
         w.submit(job(i, 4, json!({"rigs": ["small"]})));
     }
     w.run(10);
-    let running: usize = (0..3).map(|b| placed(&w, b)).sum();
-    assert_eq!(running, 30, "what ran runs on");
+    let running: usize = (0..3).map(|b| live_tasks(&w, b)).sum();
+    assert_eq!(running, 30, "running tasks must run on");
     for key in ["gh/allot/7", "gh/move/x/y", "gh/seat/nobody"] {
         w.state.remove(key);
     }
-    w.run_until(150, "all goes on", |w| {
+    w.run_until(150, "the new jobs are done", |w| {
         (30..34).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
     });
     w.finish();
 }
 
+/// Guards against lost jobs and leftover records when the controllers restart one by one with another number of
+/// shards: from one shard to three and back.
 #[test]
-fn a_cluster_goes_from_one_shard_to_several_and_back_while_it_serves() {
+fn the_number_of_shards_changes_while_jobs_run() {
     let mut w = World::with_shards(3, 17, 1, &|text| text);
     w.run(2);
     w.submit(job(1, 6, json!({"shape": "service", "rigs": ["small"]})));
@@ -230,8 +260,8 @@
     for i in 10..16 {
         w.submit(job(i, 8, json!({"rigs": ["small"]})));
     }
-    w.run_until(30, "work runs in another", |w| {
-        placed(w, 1) + placed(w, 2) > 0
+    w.run_until(30, "tasks run in shards other than 0", |w| {
+        live_tasks(w, 1) + live_tasks(w, 2) > 0
     });
     w.set_shard_count(1);
     for n in 0..3 {
@@ -242,32 +272,34 @@
         w.submit(job(i, 4, json!({"rigs": ["small"]})));
     }
     w.cancel(1);
-    w.run_until(200, "all are done", World::all_over);
-    let homed = w.shard(0).map_or(0, |c| c.jobs.len());
-    assert_eq!(homed, 0);
+    w.run_until(200, "all jobs are done", World::all_over);
+    let live_jobs = w.shard(0).map_or(0, |c| c.jobs.len());
+    assert_eq!(live_jobs, 0);
     w.finish();
 }
 
+/// Guards against a shard owner that acts on an expired lease. The owner is frozen for 9 s, longer than its lease,
+/// while heartbeats, answers and cancellations queue up for it, and another controller takes the shard over.
 #[test]
-fn an_owner_that_stood_still_over_its_lease_acts_on_nothing_that_waited_for_it() {
-    for (seed, block) in [(18, 0), (19, 1), (20, 1), (21, 0)] {
-        let mut w = shared(seed, 3);
+fn a_resumed_shard_owner_acts_on_no_queued_message() {
+    for (seed, shard) in [(18, 0), (19, 1), (20, 1), (21, 0)] {
+        let mut w = world_with_services(seed, 3);
         for i in 30..34 {
             w.submit(job(i, 40, json!({"rigs": ["small"]})));
         }
         w.run_until(60, "the arrays run", |w| w.starts >= 40);
-        let old = node(&w.shard_owner(block).expect("held"));
+        let old = node_index(&w.shard_owner(shard).expect("the shard has an owner"));
         w.faults.frozen_until.insert(old, w.now + 9 * SECOND);
-        w.run_until(9, "another holds it", |w| {
-            w.shard_owner(block).is_some_and(|h| node(&h) != old)
+        w.run_until(9, "another controller owns the shard", |w| {
+            w.shard_owner(shard).is_some_and(|h| node_index(&h) != old)
         });
-        // Heartbeats, answers and cancellations have come for it in the meantime.
+        // Heartbeats, answers and cancellations have queued up for the frozen owner in the meantime.
         (30..32).for_each(|i| w.cancel(i));
         w.run(12);
         let claims = w.nodes[old].controller.iter().flat_map(|c| c.clusters());
         assert!(
-            claims.filter(|c| c.shard.id == block).all(|c| c.term > 3),
-            "its old term is over"
+            claims.filter(|c| c.shard.id == shard).all(|c| c.term > 3),
+            "the resumed owner still acts under its old term"
         );
         w.run_until(200, "the arrays are over", |w| {
             (30..34).all(|i| {
@@ -279,18 +311,23 @@
     }
 }
 
+/// Proves that the checker detects a task that runs twice: a job with tasks on machines is transferred to another
+/// shard.
 #[test]
-fn the_checker_sees_a_task_run_twice_when_a_job_goes_to_another_shard_with_tasks_on_machines() {
-    let mut w = shared(22, 5);
-    let from = (0..3).find(|b| placed(&w, *b) > 0).expect("one has work");
+fn the_checker_detects_a_double_run_after_a_wrong_job_transfer() {
+    let mut w = world_with_services(22, 5);
+    let from = (0..3)
+        .find(|b| live_tasks(&w, *b) > 0)
+        .expect("a shard has tasks");
     let to = (from + 1) % 3;
     let id = w
         .shard(from)
         .and_then(|c| c.jobs.keys().next().cloned())
-        .expect("a job");
-    // What `untouched` guards against: the owner gives a job away though it has launched it, and the other has room.
+        .expect("the shard has a job");
+    // `may_transfer` guards against this fault: the owner transfers a job although it has launched tasks of the job,
+    // and the other shard has capacity.
     let key = format!("gh/live/{id}");
-    let mut value = w.state.value(&key).cloned().expect("alive");
+    let mut value = w.state.value(&key).cloned().expect("the job record exists");
     match value.get_mut("homed") {
         Some(homed) => (homed["block"], homed["open"]) = (json!(to), json!(0)),
         None => {
@@ -300,7 +337,7 @@
         }
     }
     w.state.put(&key, &value.to_string());
-    // Its machines do not hear yet that it is not theirs any more.
+    // The machines with tasks of the job hang, so they do not learn yet that their shard lost the job.
     let until = w.now + LEASE - SECOND / 2;
     let on = |t: &String| t.starts_with(&*id);
     let with = w.workers.values_mut().filter(|m| m.tasks.keys().any(on));
@@ -311,12 +348,12 @@
             return;
         }
     }
-    panic!("the broken guard was not noticed: {:?}", w.broken);
+    panic!("the checker did not detect the violation: {:?}", w.broken);
 }
 
-/// The same drawn days as with one shard.
+/// Plays the same random jobs and faults as with one shard, in a cluster with three shards.
 #[test]
-fn random_troubles_break_no_rule_with_several_shards() {
+fn random_faults_violate_no_invariant_with_several_shards() {
     for seed in 300..312 {
         play_random_faults(seed, ClusterKind::Shards(3)).finish();
     }
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger says against what the workers themselves would say.
+//! Tests that compare the usage ledger with the workers' own records of their attempts.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,23 +9,29 @@
 use crate::harness::{LEASE, SECOND, World, job};
 use crate::{ClusterKind, play_random_faults};
 
-/// Time of day when a test begins.
+/// Unix time at the start of a test, in microseconds.
 const WALL: u64 = 1_700_000_000 * SECOND;
-/// Messages and the worker's own steps take so long at most.
+/// Maximum time that messages and the worker's own steps add to an attempt, in microseconds.
 const SLACK: u64 = SECOND / 4;
 
+/// The verified contents of the ledger.
 struct Audit {
     verified: Verified,
-    /// Entries by machine, task and attempt, with their teams.
+    /// Entries, each with its team, by machine, task and attempt.
     entries: BTreeMap<(String, String, u64), Vec<(String, Entry)>>,
-    gaps: Vec<UnmeteredInterval>,
-    took: Vec<OwnerChange>,
-    /// From when until when the ledger itself says that it may not know of everything.
-    blind: Vec<(u64, u64)>,
+    unmetered: Vec<UnmeteredInterval>,
+    owner_changes: Vec<OwnerChange>,
+    /// Intervals, from start to end, for which the ledger itself declares that it may lack attempts.
+    incomplete: Vec<(u64, u64)>,
 }
 
+/// Verifies all pages of the ledger and sorts their lines.
 fn audit(w: &World) -> Audit {
-    let setup = w.settings().ledger.clone().expect("a ledger is kept");
+    let setup = w
+        .settings()
+        .ledger
+        .clone()
+        .expect("the world keeps a ledger");
     let pages = w.ledger();
     let verified = verify(&pages, &setup.keys, &setup.settings, None);
     let verified = verified.unwrap_or_else(|fault| panic!("{fault}"));
@@ -33,9 +39,9 @@
     let mut audit = Audit {
         verified,
         entries: BTreeMap::new(),
-        gaps: Vec::new(),
-        took: Vec::new(),
-        blind: Vec::new(),
+        unmetered: Vec::new(),
+        owner_changes: Vec::new(),
+        incomplete: Vec::new(),
     };
     for (line, _) in pages.iter().flat_map(|p| p.read().expect("verified")) {
         let before = last;
@@ -52,16 +58,16 @@
                         .push((c.group.team.clone(), e));
                 }
             }
-            LineBody::Unmetered(g) => audit.gaps.push(g),
+            LineBody::Unmetered(g) => audit.unmetered.push(g),
             LineBody::OwnerChanged(t) => {
                 if !t.complete {
-                    // What ended just before may not have been in writing, and a lease may have run out before
-                    // its worker found the new leader.
+                    // Attempts that ended just before may not have been written down, and a lease may have expired
+                    // before its worker found the new leader.
                     audit
-                        .blind
+                        .incomplete
                         .push((before - LEASE.min(before), t.at + 2 * LEASE));
                 }
-                audit.took.push(t);
+                audit.owner_changes.push(t);
             }
             _ => {}
         }
@@ -69,33 +75,34 @@
     audit
 }
 
-/// Holds every entry against the worker's own record. By team: the time by the workers, by the ledger, and how
-/// far the latter may be off.
-fn compare(w: &World, audit: &Audit) -> Compared {
-    let (mut wrong, mut compared, mut excused) = (Vec::new(), 0, 0);
+/// Compares every ledger entry with the worker's own record of the attempt, and fails with all mismatches.
+fn compare(w: &World, audit: &Audit) -> Comparison {
+    let (mut mismatches, mut compared, mut declared_missing) = (Vec::new(), 0, 0);
     let mut teams: BTreeMap<String, (u64, u64, u64)> = BTreeMap::new();
-    let unknown: HashSet<&str> = audit.gaps.iter().map(|g| &*g.machine).collect();
+    let unmetered_machines: HashSet<&str> = audit.unmetered.iter().map(|g| &*g.machine).collect();
     for (key, span) in &w.record.spans {
         let (Some(ended), Some(real)) = (span.ended, span.time()) else {
             continue;
         };
         let Some(entries) = audit.entries.get(key) else {
-            // It was forgotten before anyone who knew of it could write it down, and the ledger says so: of its
-            // machine, or of a leader that did not know what was open when the last line was written.
-            let blind = |(from, to): &(u64, u64)| (*from..*to).contains(&(WALL + ended));
-            if unknown.contains(&*key.0) || audit.blind.iter().any(blind) {
-                excused += 1;
+            // The attempt was lost before any controller that knew of it could write it down, and the ledger declares
+            // that: for the machine, or for a leader that did not know which attempts were open when the last line was
+            // written.
+            let is_incomplete = |(from, to): &(u64, u64)| (*from..*to).contains(&(WALL + ended));
+            if unmetered_machines.contains(&*key.0) || audit.incomplete.iter().any(is_incomplete) {
+                declared_missing += 1;
             } else {
-                wrong.push(format!("{key:?} is not charged: {span:?}"));
+                mismatches.push(format!("{key:?} is not charged: {span:?}"));
             }
             continue;
         };
         compared += 1;
-        // A gang's task that is replaced where it was keeps its number: then there are two, one after the other.
+        // A gang's task that is replaced on the same machine keeps its attempt number: then there are two entries, one
+        // after the other.
         let mut stints: Vec<&Entry> = entries.iter().map(|(_, e)| e).collect();
         stints.sort_by_key(|e| e.begin);
         if stints.windows(2).any(|two| two[1].begin < two[0].end()) || stints.len() > span.stints {
-            wrong.push(format!(
+            mismatches.push(format!(
                 "{key:?} is charged {} times: {stints:?}",
                 entries.len()
             ));
@@ -103,12 +110,12 @@
         let team = &entries[0].0;
         let job = key.1.split('/').next().unwrap_or("");
         if w.jobs[job].body["crew"] != **team {
-            wrong.push(format!("{key:?} is charged to {team}"));
+            mismatches.push(format!("{key:?} is charged to {team}"));
         }
         let charged: u64 = stints.iter().map(|e| e.stage_times.at_worker()).sum();
         let bound: u64 = stints.iter().map(|e| e.max_error).sum();
         if charged.abs_diff(real) > bound + SLACK {
-            wrong.push(format!(
+            mismatches.push(format!(
                 "{key:?} took {real}, charged {charged}: {stints:?} {span:?}"
             ));
         }
@@ -116,33 +123,38 @@
         *sums = (sums.0 + real, sums.1 + charged, sums.2 + bound);
     }
     for (key, entries) in &audit.entries {
-        let never = entries.iter().all(|(_, e)| e.stage_times.at_worker() == 0);
-        if !w.record.spans.contains_key(key) && !never {
-            wrong.push(format!("{key:?} is charged and never ran: {entries:?}"));
+        let never_ran = entries.iter().all(|(_, e)| e.stage_times.at_worker() == 0);
+        if !w.record.spans.contains_key(key) && !never_ran {
+            mismatches.push(format!("{key:?} is charged and never ran: {entries:?}"));
         }
     }
     assert!(
-        wrong.is_empty(),
-        "{} wrong:\n{}",
-        wrong.len(),
-        wrong.join("\n")
+        mismatches.is_empty(),
+        "{} mismatches:\n{}",
+        mismatches.len(),
+        mismatches.join("\n")
     );
-    Compared {
+    Comparison {
         compared,
-        excused,
+        declared_missing,
         teams,
     }
 }
 
-struct Compared {
+/// Result of a comparison.
+struct Comparison {
+    /// Attempts that were compared.
     compared: usize,
-    /// Not charged, as the ledger itself tells.
-    excused: usize,
+    /// Attempts that are not charged, for an interval or a machine for which the ledger declares this itself.
+    declared_missing: usize,
+    /// By team, in microseconds: time by the workers' records, time by the ledger, and maximum error of the latter.
     teams: BTreeMap<String, (u64, u64, u64)>,
 }
 
+/// Guards against missing or wrong charges without any fault: every attempt is charged, and the charges of a team
+/// deviate by at most 2 s plus the stated maximum error.
 #[test]
-fn a_quiet_day_is_charged_to_the_second() {
+fn a_run_without_faults_is_charged_to_the_second() {
     let mut w = World::with_ledger(3, 5, &|text| text);
     w.run(2);
     w.submit(job(1, 30, json!({"crew": "red"})));
@@ -151,72 +163,87 @@
     w.submit(job(4, 2, json!({"shape": "service", "crew": "red"})));
     w.run(40);
     w.cancel(4);
-    w.run_until(200, "all are over", World::all_over);
+    w.run_until(200, "all jobs have ended", World::all_over);
     w.run(6);
     let audit = audit(&w);
-    let Compared {
+    let Comparison {
         compared,
-        excused,
+        declared_missing,
         teams,
     } = compare(&w, &audit);
-    assert!(compared >= 76 && excused == 0, "{compared} attempts");
-    assert_eq!((audit.took.len(), audit.gaps.len()), (1, 0));
+    assert!(
+        compared >= 76 && declared_missing == 0,
+        "{compared} attempts compared, {declared_missing} not charged"
+    );
+    assert_eq!((audit.owner_changes.len(), audit.unmetered.len()), (1, 0));
     assert_eq!(audit.verified.charged as usize, audit.entries.len());
     for (team, (real, charged, bound)) in teams {
-        // Ends right after another heartbeat are late by a quarter of a second on average.
+        // An end that comes right after a heartbeat is reported late, by a quarter of a second on average.
         let lag = charged as i64 - real as i64;
         assert!(
             lag.unsigned_abs() <= bound + 2 * SECOND,
-            "{team}: {real} {charged} {bound}"
+            "{team}: {real} us ran, {charged} us charged, maximum error {bound} us"
         );
     }
     w.finish();
 }
 
+/// Guards against attempts that are charged twice, never or to another team, under random faults. The ledger must
+/// declare every attempt that it lacks, and that may be less than one attempt in eight.
 #[test]
-fn every_attempt_is_charged_once_through_random_troubles() {
-    let (mut all, mut excused, mut leaders) = (0, 0, 0);
+fn random_faults_charge_every_attempt_exactly_once() {
+    let (mut all, mut declared_missing, mut leaders) = (0, 0, 0);
     for seed in 100..112 {
         let mut w = play_random_faults(seed, ClusterKind::Ledger);
         w.run(20);
         let audit = audit(&w);
-        let day = compare(&w, &audit);
-        (all, excused) = (all + day.compared, excused + day.excused);
-        leaders += audit.took.len();
+        let result = compare(&w, &audit);
+        (all, declared_missing) = (
+            all + result.compared,
+            declared_missing + result.declared_missing,
+        );
+        leaders += audit.owner_changes.len();
         w.finish();
     }
     assert!(
         all > 500 && leaders > 24,
-        "{all} attempts under {leaders} leaders"
+        "{all} attempts compared under {leaders} leaders"
+    );
+    assert!(
+        8 * declared_missing < all,
+        "{declared_missing} of {all} are not charged"
     );
-    assert!(8 * excused < all, "{excused} of {all} are not charged");
 }
 
+/// Guards against charges that are lost with the leader. Tasks have ended, and the leader crashes before it writes
+/// the ledger page.
 #[test]
-fn a_leader_that_dies_before_it_writes_loses_no_charge() {
+fn a_leader_crash_before_a_ledger_write_loses_no_charge() {
     let mut w = World::with_ledger(3, 9, &|text| text);
     w.run(2);
     w.submit(job(1, 12, json!({"crew": "red"})));
-    w.run_until(60, "some are done", |w| {
+    w.run_until(60, "some tasks are done", |w| {
         w.record.spans.values().any(|s| s.ended.is_some())
     });
-    // Its pages are not written; the ends are known to it and to the workers only.
-    let leader = w.leader().expect("one leads");
+    // The leader's pages are not written; only the leader and the workers know of the ends.
+    let leader = w.leader().expect("a controller leads");
     w.faults.late_commit_rate = 1.0;
     w.run(1);
     w.crash(leader, 8 * SECOND);
     w.faults.late_commit_rate = 0.0;
-    w.run_until(200, "all are over", World::all_over);
+    w.run_until(200, "all jobs have ended", World::all_over);
     w.run(25);
     let audit = audit(&w);
-    assert!(audit.took.len() == 2 && audit.took[1].complete);
-    let day = compare(&w, &audit);
-    assert!(day.compared >= 12 && day.excused == 0);
+    assert!(audit.owner_changes.len() == 2 && audit.owner_changes[1].complete);
+    let result = compare(&w, &audit);
+    assert!(result.compared >= 12 && result.declared_missing == 0);
     w.finish();
 }
 
+/// Guards against unclear answers to ledger requests: a request with an invalid or missing parameter gets status 400
+/// and the name of the parameter, and a cluster without a ledger answers 404.
 #[test]
-fn pages_are_shown_and_bad_questions_are_explained() {
+fn invalid_ledger_requests_name_the_wrong_parameter() {
     use gannethub_core::controller::{Clock, Command, Controller, Effect};
     use gannethub_core::http::{Method, Request};
     let w = World::with_ledger(1, 1, &|text| text);
@@ -249,7 +276,7 @@
     assert_eq!(
         ask(&settings, "/api/ledger?page=0"),
         None,
-        "it is being read"
+        "the page is being read, so there is no answer yet"
     );
     for (path, status, names) in [
         ("/api/ledger?page=x", 400, "page"),
