--- a/crates/gannethub-core/tests/formats/main.rs
+++ b/crates/gannethub-core/tests/formats/main.rs
@@ -1,11 +1,11 @@
-//! Compatibility tests that pin every format that outlives a release as literal text or bytes: records and requests of
-//! the state service, messages between controllers, requests and answers of workers, users and the cloud, and the
+//! Compatibility tests that pin every format that outlives a release as literal text or bytes: records and requests
+//! of the state service, messages between controllers, requests and answers of workers, users and the cloud, and the
 //! settings files.
 //!
 //! Controllers of different releases share a cluster during an upgrade, and stored records outlive all of them, so a
-//! renamed Rust field must not change the wire format. The literals were printed by the code before its names changed.
-//! When Rust names change, edit only the Rust names in this folder: a literal that has to change is an incompatible
-//! change.
+//! renamed Rust field must not change the wire format. The literals were printed by the code before its names
+//! changed. When Rust names change, edit only the Rust names in this folder: a literal that has to change is an
+//! incompatible change.
 
 mod cloud;
 mod peer;
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -1,6 +1,6 @@
-//! Tests of two concurrent failures: one test for every row of `docs/design-concurrent-failures.md` except the first row,
-//! whose tests are in the module `unseen_cancellation`. Tasks are long, users cancel jobs throughout, and the checker
-//! examines the whole cluster every second.
+//! Tests of two concurrent failures: one test for every row of `docs/design-concurrent-failures.md` except the first
+//! row, whose tests are in the module `unseen_cancellation`. Tasks are long, users cancel jobs throughout, and the
+//! checker examines the whole cluster every second.
 
 use gannethub_core::configuration::{Document, OverLimit};
 
@@ -57,8 +57,8 @@
         w.run_until(15, "another controller leads", |w| {
             w.leader().is_some_and(|l| l != old)
         });
-        // Users ask the old leader too, which may not know of the cancellation; its answers must not be older than the
-        // answers that the users already have.
+        // Users ask the old leader too, which may not know of the cancellation; its answers must not be older than
+        // the answers that the users already have.
         for i in 1..=4 {
             w.cancel_at(i, others[i as usize % others.len()]);
             w.run(2);
@@ -217,7 +217,8 @@
         let mut w = World::new(3, seed);
         w.cloud.capacity = 12;
         w.faults.late_commit_rate = 0.25;
-        // The first 4096 of the 9000 tasks are done already, so further completions go to the second part of the array.
+        // The first 4096 of the 9000 tasks are done already, so further completions go to the second part of the
+        // array.
         let large = job(
             1,
             9000,
@@ -512,8 +513,8 @@
 
 /// Plays the seeds, prints the sums of the counters and fails with the list of the seeds that failed.
 ///
-/// `MEETINGS=400 cargo test -p gannethub-core --test simulation at_random_break -- --nocapture` plays 400 other seeds,
-/// from 1000 on; `MEETINGS=7..9` plays the seeds 7 and 8.
+/// `MEETINGS=400 cargo test -p gannethub-core --test simulation at_random_break -- --nocapture` plays 400 other
+/// seeds, from 1000 on; `MEETINGS=7..9` plays the seeds 7 and 8.
 fn play_seeds(seeds: std::ops::Range<u64>, changes: bool) {
     let (mut failed_seeds, mut longest_unanswered) = (Vec::new(), 0);
     let (mut late, mut ran_on, mut overtaken) = (0, 0, 0);
--- a/crates/gannethub-core/tests/simulation/constrained_processor.rs
+++ b/crates/gannethub-core/tests/simulation/constrained_processor.rs
@@ -104,9 +104,7 @@
             let old = w.leader().expect("a controller leads");
             w.faults.processor_delays.insert(old, late);
             let sent = w.now + late + SECOND / 10;
-            w.run_until(5, "a store lease renewal was sent and answered", |w| {
-                w.now >= sent
-            });
+            w.run_until(5, "the store lease is renewed", |w| w.now >= sent);
             w.faults.store_refuses.insert(old);
             w.run_until(25, "another controller leads", |w| {
                 w.leader().is_some_and(|l| l != old)
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -1,5 +1,5 @@
-//! Tests of scheduling after a takeover, while some machines are unconfirmed: which launches the watermarks, votes and
-//! limits allow, and which they forbid.
+//! Tests of scheduling after a takeover, while some machines are unconfirmed: which launches the watermarks, votes
+//! and limits allow, and which they forbid.
 
 use gannethub_core::model::Shape;
 use gannethub_core::state::cluster::Cluster;
@@ -272,8 +272,8 @@
 }
 
 /// Guards against a team above its limit between the end of loading and the first tick. Two unconfirmed machines may
-/// run six tasks of a team with a limit of 8 CPUs, so only two more CPUs may be used from the first scheduling pass
-/// on.
+/// run six tasks of a team with a limit of 8 CPUs, so from the first scheduling pass on only two more CPUs may be
+/// used.
 #[test]
 fn limits_count_unconfirmed_tasks_right_after_loading() {
     let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
@@ -298,8 +298,8 @@
         f.c.takeover.unconfirmed.possible_usage[0].cpu, 6_000,
         "six tasks may run on the unconfirmed machines"
     );
-    // The first machine reports two of these tasks before any tick. Two more CPUs of the limit are left, for tasks from
-    // the watermark (6) on.
+    // The first machine reports two of these tasks before any tick. Two more CPUs of the limit are left, for tasks
+    // from the watermark (6) on.
     f.heartbeat(
         "up-1",
         "small",
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -19,8 +19,8 @@
         f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
     }
     f.c.run_scheduling_pass(f.now);
-    // Each gang has its reservations in one zone. The third machine of zone a is half of what the third gang needs, and
-    // no reservation is made for half a gang.
+    // Each gang has its reservations in one zone. The third machine of zone a is half of what the third gang needs,
+    // and no reservation is made for half a gang.
     assert_eq!(
         [
             f.reserved_tasks("j-1"),
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -242,9 +242,9 @@
     w.finish();
 }
 
-/// Guards against a task that runs twice. All machines hang for 11.5 s to 12 s, by the seed, with worker leases of 10
-/// s, and the leader crashes meanwhile; the new leader must not start a task elsewhere while a machine may still run
-/// it.
+/// Guards against a task that runs twice. All machines hang for 11.5 s to 12 s, by the seed, while worker leases last
+/// 10 s, and the leader crashes meanwhile; the new leader must not start a task elsewhere while a machine may still
+/// run the task.
 #[test]
 fn no_task_runs_twice_when_hung_machines_resume() {
     for seed in 20..26 {
@@ -282,7 +282,8 @@
 }
 
 /// Guards against tasks that run on after their user was told of the cancellation. The leader crashes right after the
-/// answer, and the tasks take 4 s to save a checkpoint.
+/// answer, and the tasks of one job take 4 s to save a checkpoint; all tasks must stop in time and for good on every
+/// machine.
 #[test]
 fn cancelled_tasks_stop_in_time_despite_a_leader_crash() {
     let mut w = world_with_running_jobs(12);
@@ -321,8 +322,8 @@
     }
 }
 
-/// Guards against blame on the wrong side when tasks fail. One machine fails every task, and one job fails on every
-/// machine; jobs without errors must finish, before and after.
+/// Guards against a job that is blamed for a faulty machine, and the reverse. One machine fails every task, and one
+/// job fails on every machine; the jobs without errors must finish.
 #[test]
 fn a_faulty_machine_and_a_crash_looping_job_are_told_apart() {
     let mut w = World::new(3, 13);
--- a/crates/gannethub-core/tests/simulation/one_way_partition.rs
+++ b/crates/gannethub-core/tests/simulation/one_way_partition.rs
@@ -54,7 +54,8 @@
             .unanswered_workers
             .extend(unanswered.iter().cloned());
         w.run(14);
-        // The first incarnations have ended. New tasks and lost tasks start on machines that are provisioned for them.
+        // The first incarnations have ended. New tasks and lost tasks start on machines that are provisioned for
+        // them.
         w.submit(job(2, 4, json!({"rigs": ["small"]})));
         let before = w.starts;
         w.run_until(20, "new work starts elsewhere", |w| w.starts >= before + 4);
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -123,8 +123,8 @@
     w.run_until(30, "the upstream job runs", |w| w.starts > 0);
     w.cancel(1);
     w.run_until(10, "the upstream job is cancelled", |w| cancelled(w, 1));
-    // The leader stays away for 60 s. The others return after 1 s and stay passive for a while after their restart, so
-    // none of them has stored the downstream cancellations by then.
+    // The leader stays away for 60 s. The others return after 1 s and stay passive for a while after their restart,
+    // so none of them has stored the downstream cancellations by then.
     let leader = w.leader().expect("a controller leads");
     (0..3).for_each(|n| w.crash(n, if n == leader { 60 * SECOND } else { SECOND }));
     w.run(3);
@@ -224,8 +224,8 @@
 fn a_waiting_job_uses_nothing_and_shows_its_upstream_jobs() {
     let mut w = World::new(1, 73);
     w.run(2);
-    // Job 1 is an array, because a service never ends. Team red has quota left for one task of the waiting job, but that
-    // job is not ready.
+    // Job 1 is an array, because a service never ends. Team red has quota left for one task of the waiting job, but
+    // that job is not ready.
     submit_accepted(&mut w, job(1, 12, json!({"crew": "red", "vcpus": 1.0})));
     submit_accepted(
         &mut w,
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -86,8 +86,8 @@
         };
         let Some(entries) = audit.entries.get(key) else {
             // The attempt was lost before any controller that knew of it could write it down, and the ledger declares
-            // that: for the machine, or for a leader that did not know which attempts were open when the last line was
-            // written.
+            // that: for the machine, or for a leader that did not know which attempts were open when the last line
+            // was written.
             let is_incomplete = |(from, to): &(u64, u64)| (*from..*to).contains(&(WALL + ended));
             if unmetered_machines.contains(&*key.0) || audit.incomplete.iter().any(is_incomplete) {
                 declared_missing += 1;
@@ -97,8 +97,8 @@
             continue;
         };
         compared += 1;
-        // A gang's task that is replaced on the same machine keeps its attempt number: then there are two entries, one
-        // after the other.
+        // A gang's task that is replaced on the same machine keeps its attempt number: then there are two entries,
+        // one after the other.
         let mut stints: Vec<&Entry> = entries.iter().map(|(_, e)| e).collect();
         stints.sort_by_key(|e| e.begin);
         if stints.windows(2).any(|two| two[1].begin < two[0].end()) || stints.len() > span.stints {
