--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -143,11 +143,11 @@
     pub fn heartbeat(
         &mut self,
         name: &str,
-        flavor: &str,
+        type_name: &str,
         zone: &str,
         tasks: &[(&str, u64, bool)],
     ) -> Vec<Order> {
-        match self.try_heartbeat(name, flavor, zone, tasks) {
+        match self.try_heartbeat(name, type_name, zone, tasks) {
             HeartbeatOutcome::Orders(orders) => orders,
             other => panic!("{other:?}"),
         }
@@ -157,7 +157,7 @@
     pub fn try_heartbeat(
         &mut self,
         name: &str,
-        flavor: &str,
+        type_name: &str,
         zone: &str,
         tasks: &[(&str, u64, bool)],
     ) -> HeartbeatOutcome {
@@ -173,14 +173,14 @@
             saved: false,
         });
         let tasks = tasks.collect();
-        self.send(name, flavor, zone, false, tasks)
+        self.send(name, type_name, zone, false, tasks)
     }
 
     /// Applies the next heartbeat of a machine's worker and returns its outcome.
     pub fn send(
         &mut self,
         name: &str,
-        flavor: &str,
+        type_name: &str,
         zone: &str,
         spot: bool,
         tasks: Vec<ReportedTask<'_>>,
@@ -190,7 +190,7 @@
         let report = WorkerHeartbeat {
             machine: name.into(),
             address: "10.9.0.1:9000".into(),
-            machine_type: flavor.into(),
+            machine_type: type_name.into(),
             zone: zone.into(),
             spot,
             incarnation: 1,
@@ -220,17 +220,17 @@
         &mut self,
         prefix: &str,
         count: usize,
-        flavor: &str,
+        type_name: &str,
         zone: &str,
     ) -> Vec<String> {
         let names: Vec<String> = (0..count).map(|i| format!("{prefix}-{i:04}")).collect();
         names
             .iter()
-            .for_each(|n| drop(self.heartbeat(n, flavor, zone, &[])));
+            .for_each(|n| drop(self.heartbeat(n, type_name, zone, &[])));
         self.write();
         names
             .iter()
-            .for_each(|n| drop(self.heartbeat(n, flavor, zone, &[])));
+            .for_each(|n| drop(self.heartbeat(n, type_name, zone, &[])));
         names
     }
 
@@ -241,7 +241,7 @@
             .machines
             .values()
             .map(|m| {
-                let flavor = m
+                let type_name = m
                     .machine_type
                     .map_or("", |f| if f == 0 { "small" } else { "large" });
                 let tasks: Vec<(String, u64)> = m
@@ -249,12 +249,12 @@
                     .keys()
                     .map(|id| (id.task.to_string(), id.number))
                     .collect();
-                (m.id.to_string(), flavor, m.zone.to_string(), tasks)
+                (m.id.to_string(), type_name, m.zone.to_string(), tasks)
             })
             .collect();
-        for (name, flavor, zone, tasks) in all {
+        for (name, type_name, zone, tasks) in all {
             let tasks: Vec<_> = tasks.iter().map(|(t, a)| (t.as_str(), *a, false)).collect();
-            self.heartbeat(&name, flavor, &zone, &tasks);
+            self.heartbeat(&name, type_name, &zone, &tasks);
         }
     }
 
@@ -283,8 +283,10 @@
                         name, offer, count, ..
                     } => {
                         assert!(*count <= 50);
-                        let flavor = self.c.machine_types[offer.machine_type].name.to_string();
-                        *provisioned.entry((flavor, offer.zone.clone())).or_default() += count;
+                        let type_name = self.c.machine_types[offer.machine_type].name.to_string();
+                        *provisioned
+                            .entry((type_name, offer.zone.clone()))
+                            .or_default() += count;
                         let hosts: Vec<_> = (0..*count)
                             .map(|i| format!("host-{round}-{name}-{i}"))
                             .collect();
