--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -72,7 +72,7 @@
         self.outbox.settings = settings.clone();
         for owner in self.shard_owners.values_mut() {
             owner.cluster.apply_settings(&settings, over_limit, now);
-            owner.update_start_hold(&self.outbox);
+            owner.update_starts_paused(&self.outbox);
         }
         self.job_api.handle_new_configuration();
         self.membership.send_heartbeats_soon(now);
@@ -90,7 +90,7 @@
         let peers = outbox.settings.peers.iter().enumerate();
         let peers = peers.map(|(peer, settings)| NodeStatus {
             name: &settings.name,
-            heard: membership.is_heard(outbox, peer),
+            heard: membership.is_reachable(outbox, peer),
             version: membership.peers[peer].configuration_version,
         });
         let status = ConfigurationStatus {
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -173,7 +173,7 @@
 
     /// Whether no task may be started under the version in force. Starts are not held as long as no version is known
     /// to have been stored.
-    pub fn must_hold_starts(&self, now: Micros) -> bool {
+    pub fn must_pause_starts(&self, now: Micros) -> bool {
         (self.has_stored_version() || self.newest_peer_version > 0) && !self.is_fresh(now)
     }
 
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -32,13 +32,13 @@
 fn a_version_is_usable_once_read_until_its_maximum_age() {
     let (mut config, base) = new_watch();
     assert!(
-        !config.is_fresh(0) && !config.must_hold_starts(0),
+        !config.is_fresh(0) && !config.must_pause_starts(0),
         "no version is known to have been stored"
     );
     config.confirm_newest(100);
     assert!(config.is_fresh(100 + MAX_VERSION_AGE - 1) && !config.is_fresh(100 + MAX_VERSION_AGE));
     config.apply_listing(&version_listing(4, 50), true);
-    assert!(!config.is_fresh(200) && config.must_hold_starts(200) && config.guard_version() == 0);
+    assert!(!config.is_fresh(200) && config.must_pause_starts(200) && config.guard_version() == 0);
     let (read, request) = config.next_read(200).unwrap();
     assert!(
         request.path.contains("gh/config/doc/4-x/"),
@@ -65,8 +65,8 @@
         (4, 50, true)
     );
     assert!(
-        !config.must_hold_starts(100 + MAX_VERSION_AGE - 1)
-            && config.must_hold_starts(100 + MAX_VERSION_AGE)
+        !config.must_pause_starts(100 + MAX_VERSION_AGE - 1)
+            && config.must_pause_starts(100 + MAX_VERSION_AGE)
     );
     config.apply_listing(&version_listing(3, 40), true);
     assert_eq!(
@@ -111,7 +111,7 @@
     let (mut config, _) = new_watch();
     config.confirm_newest(100);
     config.record_peer_version(2);
-    assert!(config.is_behind() && config.must_hold_starts(200) && !config.is_fresh(200));
+    assert!(config.is_behind() && config.must_pause_starts(200) && !config.is_fresh(200));
     let (mut config, _) = new_watch();
     config.confirm_newest(100);
     config.mark_unconfirmed(200);
--- a/crates/gannethub-core/src/controller/dependency_outcomes.rs
+++ b/crates/gannethub-core/src/controller/dependency_outcomes.rs
@@ -36,7 +36,7 @@
             let request = StoreRequest::get(&store::finished_job_key(&job));
             self.outcome_reads
                 .insert(job.clone(), now + OUTCOME_READ_TIMEOUT);
-            let pending = JobApiRequest::ReadDependency { job };
+            let pending = JobApiRequest::ReadUpstreamOutcome { job };
             outbox.send_to_store(Urgency::Transaction, request, pending);
         }
     }
@@ -58,7 +58,7 @@
     }
 
     /// Handles the answer to a read of the outcome of an upstream job.
-    pub fn handle_dependency_answer(
+    pub fn handle_upstream_outcome_answer(
         &mut self,
         outbox: &mut Outbox,
         job: JobId,
--- a/crates/gannethub-core/src/controller/election.rs
+++ b/crates/gannethub-core/src/controller/election.rs
@@ -142,7 +142,7 @@
     }
 
     /// Records that this controller owned the shard in this term and launched without watermarks.
-    pub fn launched_without_watermarks(&mut self, term: u64) {
+    pub fn record_launch_without_watermarks(&mut self, term: u64) {
         self.highest_voted_term = self.highest_voted_term.max(term);
     }
 
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -57,7 +57,7 @@
         };
         let (outbox, membership) = (&self.outbox, &self.membership);
         let known = self.heartbeats.route(&machine);
-        let known = known.filter(|peer| membership.is_heard(outbox, *peer));
+        let known = known.filter(|peer| membership.is_reachable(outbox, *peer));
         let owner = owner.or(known);
         match owner.or_else(|| membership.leading_peer(outbox)) {
             // The heartbeat is relayed rather than redirected, since the worker may be unable to reach the owner
--- a/crates/gannethub-core/src/controller/job_api.rs
+++ b/crates/gannethub-core/src/controller/job_api.rs
@@ -131,7 +131,7 @@
 
 impl JobApi {
     /// Drops the state of a request that was not answered in time. Nothing more is done for that request.
-    pub fn abandon(&mut self, connection: u64) {
+    pub fn drop_request(&mut self, connection: u64) {
         self.accepts_in_flight.remove(&connection);
         self.dependency_checks.remove(&connection);
     }
--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records that all cancellations confirmed by this time have been applied.
-    pub fn cancellations_known(&mut self, at: Micros) {
+    pub fn record_cancellations_known(&mut self, at: Micros) {
         self.cancellations_known_at = self.cancellations_known_at.max(at);
     }
 
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -83,7 +83,7 @@
     // ---- Reachable peers ----
 
     /// Whether a message from the peer arrived within [`PEER_TIMEOUT`].
-    pub fn is_heard(&self, outbox: &Outbox, peer: usize) -> bool {
+    pub fn is_reachable(&self, outbox: &Outbox, peer: usize) -> bool {
         self.peers[peer]
             .last_heard_at
             .is_some_and(|at| outbox.clock.now < at + PEER_TIMEOUT)
@@ -91,7 +91,7 @@
 
     /// Returns the indices of all reachable peers.
     fn reachable_peers(&self, outbox: &Outbox) -> impl Iterator<Item = usize> {
-        (0..self.peers.len()).filter(|peer| self.is_heard(outbox, *peer))
+        (0..self.peers.len()).filter(|peer| self.is_reachable(outbox, *peer))
     }
 
     /// Returns the reachable peer that reports leading in the highest term, if any does.
--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -128,7 +128,7 @@
             for job in replica.cancelled_since(owner.watched_version) {
                 owner.cluster.apply_remote_cancellation(job);
             }
-            owner.lease.cancellations_known(at);
+            owner.lease.record_cancellations_known(at);
             self.outbox.configuration.confirm_newest(at);
         }
         let validity = &mut owner.lease.validity;
@@ -136,7 +136,7 @@
         if validity.was_extended_by_votes() {
             owner.cluster.watermarks.not_required = true;
             if let Some(election) = self.election_mut(vote.shard) {
-                election.launched_without_watermarks(vote.term);
+                election.record_launch_without_watermarks(vote.term);
             }
         }
         if !is_whole {
--- a/crates/gannethub-core/src/controller/pending_heartbeats.rs
+++ b/crates/gannethub-core/src/controller/pending_heartbeats.rs
@@ -80,7 +80,7 @@
     }
 
     /// Drops relayed heartbeats that the peers did not answer in time.
-    pub fn forget_overdue(&mut self, now: Micros) {
+    pub fn drop_expired_relays(&mut self, now: Micros) {
         self.relayed.retain(|_, relayed| relayed.deadline > now);
     }
 
--- a/crates/gannethub-core/src/controller/pending_request.rs
+++ b/crates/gannethub-core/src/controller/pending_request.rs
@@ -127,9 +127,9 @@
     /// Reads the record of one job: its finished record if `finished` is set, else its live record.
     LookUpJob { job: JobId, finished: bool },
     /// Reads the outcome of an upstream job.
-    ReadDependency { job: JobId },
+    ReadUpstreamOutcome { job: JobId },
     /// Reads whether a job that a submission names was ever accepted.
-    ReadNamedJob { connection: u64, job: JobId },
+    ReadUpstreamJob { connection: u64, job: JobId },
     /// Reads a page of all live jobs, for the replica from which queries are answered.
     ListLiveJobs,
     /// Reads the changes since the last refresh of the replica.
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -128,8 +128,8 @@
         let now = outbox.clock.now;
         self.reachable_since.resize(membership.peers.len(), None);
         for (peer, since) in self.reachable_since.iter_mut().enumerate() {
-            let is_heard = membership.is_heard(outbox, peer);
-            *since = since.or(Some(now)).filter(|_| is_heard);
+            let is_reachable = membership.is_reachable(outbox, peer);
+            *since = since.or(Some(now)).filter(|_| is_reachable);
         }
     }
 
@@ -372,7 +372,7 @@
     }
     let own_name = outbox.settings.name.as_str();
     let peers = outbox.settings.peers.iter().enumerate();
-    let reachable = peers.filter(|(peer, _)| membership.is_heard(outbox, *peer));
+    let reachable = peers.filter(|(peer, _)| membership.is_reachable(outbox, *peer));
     let mut candidates: Vec<Candidate<'_>> = reachable
         .map(|(peer, settings)| Candidate {
             owned_shards: membership.peers[peer].shard_loads.len(),
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -260,8 +260,8 @@
     }
 
     /// Pauses the start of tasks while there may be a newer configuration than the one known here.
-    pub fn update_start_hold(&mut self, outbox: &Outbox) {
-        self.cluster.starts_paused = outbox.configuration.must_hold_starts(outbox.clock.now);
+    pub fn update_starts_paused(&mut self, outbox: &Outbox) {
+        self.cluster.starts_paused = outbox.configuration.must_pause_starts(outbox.clock.now);
     }
 
     // ---- Workers ----
@@ -273,7 +273,7 @@
             |status, reason: &str| HeartbeatAnswer::Answered(Response::error(status, reason));
         self.last_heard_at = Some(now);
         self.cluster.unix_time = outbox.clock.unix_time;
-        self.update_start_hold(outbox);
+        self.update_starts_paused(outbox);
         let heartbeat: WorkerHeartbeat<'_> = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => {
@@ -357,7 +357,7 @@
     /// Does all periodic work that is due.
     pub fn tick(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
-        self.update_start_hold(outbox);
+        self.update_starts_paused(outbox);
         if self.is_isolated(outbox) {
             self.end_reason = Some(EndReason::Isolated);
             return;
--- a/crates/gannethub-core/src/controller/shard_owner/recovery.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/recovery.rs
@@ -86,7 +86,7 @@
         self.load.was_loaded = true;
         self.lease.reset_cancellations_known(self.load.started_at);
         outbox.configuration.confirm_newest(self.load.started_at);
-        self.update_start_hold(outbox);
+        self.update_starts_paused(outbox);
         self.cluster.finish_loading(outbox.clock.now);
     }
 
--- a/crates/gannethub-core/src/controller/shard_owner/watch.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/watch.rs
@@ -109,7 +109,7 @@
         self.cluster
             .store_writes
             .prune_tombstones(self.watched_version);
-        self.lease.cancellations_known(sent_at);
+        self.lease.record_cancellations_known(sent_at);
     }
 
     fn apply_job_change(&mut self, change: &Change, now: Micros) {
--- a/crates/gannethub-core/src/controller/store_answers.rs
+++ b/crates/gannethub-core/src/controller/store_answers.rs
@@ -99,12 +99,12 @@
                     },
                 );
             }
-            JobApiRequest::ReadDependency { job } => {
+            JobApiRequest::ReadUpstreamOutcome { job } => {
                 let leader = self.shard_owners.get_mut(&0).map(|leader| &mut **leader);
-                job_api.handle_dependency_answer(outbox, job, answer, leader);
+                job_api.handle_upstream_outcome_answer(outbox, job, answer, leader);
             }
-            JobApiRequest::ReadNamedJob { connection, job } => {
-                job_api.handle_named_job_answer(outbox, connection, job, answer);
+            JobApiRequest::ReadUpstreamJob { connection, job } => {
+                job_api.handle_upstream_job_answer(outbox, connection, job, answer);
             }
             JobApiRequest::ListLiveJobs => job_api.handle_listing_answer(outbox, answer),
             JobApiRequest::ReadChanges => {
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -105,13 +105,13 @@
         self.dependency_checks.insert(connection, check);
         for job in unknown {
             let request = StoreRequest::get(&store::finished_job_key(&job));
-            let pending = JobApiRequest::ReadNamedJob { connection, job };
+            let pending = JobApiRequest::ReadUpstreamJob { connection, job };
             outbox.send_to_store(Urgency::User, request, pending);
         }
     }
 
     /// Handles the answer to a read of the finished record of a job that a submission names.
-    pub fn handle_named_job_answer(
+    pub fn handle_upstream_job_answer(
         &mut self,
         outbox: &mut Outbox,
         connection: u64,
--- a/crates/gannethub-core/src/controller/ticking.rs
+++ b/crates/gannethub-core/src/controller/ticking.rs
@@ -53,10 +53,10 @@
         let overdue = deadlines.filter(|(_, deadline)| **deadline <= now);
         let overdue: BTreeSet<u64> = overdue.map(|(connection, _)| *connection).collect();
         for connection in overdue {
-            self.job_api.abandon(connection);
+            self.job_api.drop_request(connection);
             self.outbox.reply_unavailable(connection);
         }
-        self.heartbeats.forget_overdue(now);
+        self.heartbeats.drop_expired_relays(now);
     }
 
     fn request_machine_types(&mut self) {
