--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -12,7 +12,7 @@
 
 use crate::model::{Resources, Team, UNLIMITED, micros_from_seconds};
 use crate::policy::{Policy, Setting};
-use crate::settings::{Objective, Settings, unlimited};
+use crate::settings::{Objective, Settings, zero_as_unlimited};
 
 /// Maximum number of teams at one time, including removed teams that still have jobs.
 pub const MAX_TEAMS: usize = 2000;
@@ -140,7 +140,7 @@
 impl Document {
     /// Returns the document that follows this one when operators want `wanted`: teams that `wanted` no longer names are
     /// removed, unless the platform's file names them, and removed teams keep their last limit.
-    pub fn followed_by(&self, mut wanted: Document, base: &Settings) -> Document {
+    pub fn successor(&self, mut wanted: Document, base: &Settings) -> Document {
         let named: BTreeSet<String> = wanted.teams.iter().map(|team| team.name.clone()).collect();
         let dropped = self
             .teams
@@ -159,11 +159,7 @@
 
     /// Returns the platform's settings, `base`, with this document applied. `current` are the settings in force, whose
     /// teams keep their positions; teams that neither the file nor the document names any more are closed.
-    pub fn effective(
-        &self,
-        base: &Settings,
-        current: &Settings,
-    ) -> Result<Settings, DocumentError> {
+    pub fn apply_to(&self, base: &Settings, current: &Settings) -> Result<Settings, DocumentError> {
         let mut settings = base.clone();
         settings.teams = self.effective_teams(base, current)?;
         if let Some(objectives) = &self.objectives {
@@ -285,7 +281,7 @@
         let mut team = Team {
             name: self.name.clone(),
             guarantee: Resources::new(self.cpus, self.gpus, 0.0),
-            limit: unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0)),
+            limit: zero_as_unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0)),
             closed: false,
         };
         if self.removed {
@@ -318,7 +314,7 @@
             class: self.class.clone(),
             within: micros_from_seconds(self.within_s),
             share: self.share,
-            times: self.times,
+            deadline_factor: self.times,
         })
     }
 }
--- a/crates/gannethub-core/src/configuration/tests.rs
+++ b/crates/gannethub-core/src/configuration/tests.rs
@@ -26,13 +26,13 @@
     let base = base();
     let known = base.teams.len();
     let first = document(vec![entry("late", 1.0, 4.0), entry("later", 1.0, 4.0)]);
-    let first = first.effective(&base, &base).unwrap();
+    let first = first.apply_to(&base, &base).unwrap();
     assert_eq!(
         (first.team("late"), first.team("later")),
         (Some(known), Some(known + 1))
     );
     let second = document(vec![entry("later", 2.0, 8.0)])
-        .effective(&base, &first)
+        .apply_to(&base, &first)
         .unwrap();
     assert_eq!(second.team("later"), Some(known + 1));
     assert!(
@@ -40,11 +40,11 @@
         "a team that is no longer named is closed"
     );
     let third = document(vec![entry("late", 1.0, 2.0)])
-        .effective(&base, &second)
+        .apply_to(&base, &second)
         .unwrap();
     assert!(!third.teams[known].closed && third.teams[known + 1].closed);
     assert_eq!(
-        Document::default().effective(&base, &base).unwrap().teams,
+        Document::default().apply_to(&base, &base).unwrap().teams,
         base.teams
     );
 }
@@ -53,7 +53,7 @@
 fn omitted_team_is_removed_and_keeps_its_last_limit() {
     let base = base();
     let first = document(vec![entry("late", 1.0, 4.0)]);
-    let second = first.followed_by(Document::default(), &base);
+    let second = first.successor(Document::default(), &base);
     assert_eq!(
         second.teams,
         [TeamEntry {
@@ -67,7 +67,7 @@
         removed: true,
         ..entry(&own, 0.0, 0.0)
     };
-    let third = second.followed_by(document(vec![removed]), &base);
+    let third = second.successor(document(vec![removed]), &base);
     let limit = TeamEntry::of(&base.teams[0]).cpus_max;
     assert!(
         third
@@ -75,7 +75,7 @@
             .iter()
             .any(|t| t.name == own && t.removed && t.cpus_max == limit)
     );
-    let again = third.followed_by(document(vec![entry("late", 1.0, 2.0)]), &base);
+    let again = third.successor(document(vec![entry("late", 1.0, 2.0)]), &base);
     assert_eq!(
         again.teams,
         [entry("late", 1.0, 2.0)],
@@ -86,7 +86,7 @@
 #[test]
 fn error_names_the_invalid_field_of_a_document() {
     let base = base();
-    let refused = |d: Document| d.effective(&base, &base).unwrap_err().to_string();
+    let refused = |d: Document| d.apply_to(&base, &base).unwrap_err().to_string();
     let above = refused(document(vec![entry("late", 5.0, 4.0)]));
     assert_eq!(above, "teams[0].cpus: the guarantee 5 is above the limit 4");
     let twice = refused(document(vec![
@@ -102,7 +102,7 @@
     };
     assert!(refused(policy("grant_s = 4")).starts_with("policy: grant_s needs a restart"));
     assert!(refused(policy("patience_s = no")).starts_with("policy: "));
-    let set = policy("patience_s = 7").effective(&base, &base).unwrap();
+    let set = policy("patience_s = 7").apply_to(&base, &base).unwrap();
     assert_eq!(set.policy.number(Setting::Patience, &[]), 7.0);
 }
 
@@ -111,12 +111,12 @@
     let mut base = base();
     base.policy = Policy::parse("blocks = 3").unwrap();
     let error = document(vec![entry("late", 1.0, 4.0)])
-        .effective(&base, &base)
+        .apply_to(&base, &base)
         .unwrap_err();
     assert_eq!(error.field, "teams");
     let objectives = Document {
         objectives: Some(Vec::new()),
         ..Document::default()
     };
-    assert!(objectives.effective(&base, &base).is_ok());
+    assert!(objectives.apply_to(&base, &base).is_ok());
 }
--- a/crates/gannethub-core/src/controller/acceptance.rs
+++ b/crates/gannethub-core/src/controller/acceptance.rs
@@ -67,7 +67,10 @@
 
     /// Sends one transaction with as many queued jobs as it may hold, each job once.
     fn send_accept_transaction(&mut self, outbox: &mut Outbox) {
-        let max_jobs = outbox.settings.txn_ops.min(MAX_JOBS_PER_TRANSACTION);
+        let max_jobs = outbox
+            .settings
+            .max_transaction_operations
+            .min(MAX_JOBS_PER_TRANSACTION);
         let mut transaction = Transaction::default();
         // No job is accepted under an older configuration: if a newer version exists, this guard fails the whole
         // transaction.
@@ -104,7 +107,7 @@
         queued: &QueuedSubmission,
     ) -> bool {
         let record = self.new_record(outbox, &queued.submission);
-        if record.value.get().len() + store::VALUE_SLACK_BYTES > outbox.settings.value_bytes {
+        if record.value.get().len() + store::VALUE_SLACK_BYTES > outbox.settings.max_value_bytes {
             let field = if record.is_waiting { "waits_on: " } else { "" };
             let reason = format!("{field}the job description is too long to be stored");
             outbox.reply(queued.connection, Response::error(400, reason));
--- a/crates/gannethub-core/src/controller/cancellations.rs
+++ b/crates/gannethub-core/src/controller/cancellations.rs
@@ -24,7 +24,7 @@
         let key = store::live_job_key(&job);
         let value = live
             .record
-            .into_cancelled_value(outbox.settings.value_bytes);
+            .into_cancelled_value(outbox.settings.max_value_bytes);
         let mut transaction = Transaction::default();
         transaction.guard(&key, live.version);
         transaction.put(&key, value, None);
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -362,7 +362,7 @@
         running: &Settings,
     ) -> Result<(Settings, Document), RejectionReason> {
         let document = record.assemble(listing)?;
-        let settings = document.effective(&self.platform_settings, running)?;
+        let settings = document.apply_to(&self.platform_settings, running)?;
         Ok((settings, document))
     }
 
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -99,7 +99,7 @@
         let mut outbox = Outbox {
             budget: RequestBudget::new(1.0, 1.0),
             is_leader: false,
-            store_rates: settings.state_rates,
+            store_rates: settings.store_rates,
             rate_factor: 1.0,
             rate_changed_at: 0,
             configuration: ConfigWatch::new(settings.clone()),
@@ -178,8 +178,8 @@
             return;
         }
         self.rate_changed_at = self.clock.now;
-        if self.store_rates != self.settings.state_rates_next {
-            self.store_rates = self.settings.state_rates_next;
+        if self.store_rates != self.settings.next_store_rates {
+            self.store_rates = self.settings.next_store_rates;
             let Rates { requests, changes } = self.store_rates;
             tracing::info!(requests, changes, "state service lowered its rate limits");
         } else {
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -164,11 +164,11 @@
     /// Every write of finished tasks changes the live record and is guarded by its version: a transaction of parts
     /// alone, carried out late, would overwrite finished tasks that were written since.
     fn add_job_progress(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
-        let value_bytes = self.settings.value_bytes;
+        let max_value_bytes = self.settings.max_value_bytes;
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let value = progress_value(job, self.shard.id, value_bytes);
+        let value = progress_value(job, self.shard.id, max_value_bytes);
         let has_dirty_parts = job
             .persistence
             .dirty_parts
@@ -209,12 +209,12 @@
 
 /// Returns the value of a job's record. The record contains the first part of the finished tasks, unless that makes the
 /// value too large: from then on the job overflows, and the first part has a key of its own like all other parts.
-fn progress_value(job: &mut Job, shard: u32, value_bytes: usize) -> Box<RawValue> {
+fn progress_value(job: &mut Job, shard: u32, max_value_bytes: usize) -> Box<RawValue> {
     let mut record = job_record(job, shard);
     record.watermark = Some(job.persistence.requested_watermark);
     record.done = store::encode_done_part(&job.tasks.done, 0);
     let value = record.to_value();
-    if !job.persistence.overflow && value.get().len() + VALUE_SLACK_BYTES > value_bytes {
+    if !job.persistence.overflow && value.get().len() + VALUE_SLACK_BYTES > max_value_bytes {
         job.persistence.overflow = true;
         job.persistence.dirty_parts.insert(0);
     }
--- a/crates/gannethub-core/src/reconcile/machine_listing.rs
+++ b/crates/gannethub-core/src/reconcile/machine_listing.rs
@@ -43,7 +43,7 @@
 
     /// Returns the maximum age of a listing's data when its response arrives.
     fn max_listing_age(&self) -> Micros {
-        2 * self.settings.list_lag
+        2 * self.settings.max_listing_lag
     }
 
     /// Removes machines that are certain to be gone.
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -91,7 +91,7 @@
             .filter(|objective| objective.kind == "deadline")
             .map(|objective| DeadlineObjective {
                 class: objective.class.as_deref(),
-                times: objective.times,
+                times: objective.deadline_factor,
             })
             .collect()
     }
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -109,7 +109,7 @@
                 "guarantee" if within_guarantee => Some(times.ready_at + objective.within),
                 "finished" => Some((times.ready_at + objective.within).saturating_sub(run_time)),
                 "deadline" => {
-                    let deadline = (spec.deadline? as f64 * objective.times) as Micros;
+                    let deadline = (spec.deadline? as f64 * objective.deadline_factor) as Micros;
                     Some((times.accepted_at + deadline).saturating_sub(run_time))
                 }
                 _ => None,
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -139,7 +139,7 @@
     /// Returns the time for which no further pass or plan may begin after `steps` steps. Policy and the process's
     /// share of a processor set the number of steps that scheduling may take in a second.
     pub fn pacing_delay(&self, steps: u64) -> Micros {
-        (steps as f64 * SECOND as f64 / self.settings.decide_steps()) as Micros
+        (steps as f64 * SECOND as f64 / self.settings.max_scheduling_steps_per_s()) as Micros
     }
 
     /// Sorts the buckets of the capacity index into tiers, in first-fit order. The cheapest capacity comes first, so
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -44,7 +44,7 @@
     /// Share of cases, from 0 to 1, that have to meet the objective.
     pub share: f64,
     /// For deadline objectives: the multiple of the deadline that still counts as in time.
-    pub times: f64,
+    pub deadline_factor: f64,
 }
 
 /// Maximum rates per second that the state service allows for all controllers together.
@@ -76,8 +76,8 @@
     pub cluster_listen: SocketAddrV4,
     /// The other controllers. Peer messages refer to them by their position in this list.
     pub peers: Vec<Peer>,
-    pub cloud: SocketAddrV4,
-    pub state: SocketAddrV4,
+    pub cloud_addr: SocketAddrV4,
+    pub store_addr: SocketAddrV4,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
@@ -87,23 +87,23 @@
     /// tasks.
     pub lease_duration: Micros,
     /// Maximum time for which a worker waits for the rest of a gang to be placed.
-    pub gang_wait: Micros,
+    pub gang_wait_timeout: Micros,
     /// Maximum time until the members of a gang notice that one of them is gone.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// Maximum time until the tasks of a cancelled job have ended, even if a worker cannot be reached.
     pub cancel_timeout: Micros,
-    pub state_rates: Rates,
+    pub store_rates: Rates,
     /// Rates that the state service will switch to without notice.
-    pub state_rates_next: Rates,
+    pub next_store_rates: Rates,
     /// Maximum size of a value that the state service accepts, now and after it switches to its next limits.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Maximum number of operations in a transaction that the state service accepts, now and after it switches to its
     /// next limits.
-    pub txn_ops: usize,
+    pub max_transaction_operations: usize,
     /// Maximum number of requests per second that the cloud allows.
     pub cloud_rps: f64,
     /// Maximum age of the data in the cloud's listings.
-    pub list_lag: Micros,
+    pub max_listing_lag: Micros,
     pub max_connections: usize,
     /// Maximum number of bytes of memory that this controller may hold.
     pub memory_bytes: usize,
@@ -125,7 +125,7 @@
 impl Settings {
     /// Returns the teams with their shares for a ledger whose settings define no shares. The shares are in proportion
     /// to the teams' guarantees.
-    pub fn dues(&self) -> Vec<(String, f64)> {
+    pub fn default_ledger_shares(&self) -> Vec<(String, f64)> {
         let due =
             |guarantee: &Resources| guarantee.cpu as f64 + CPUS_PER_GPU * guarantee.gpu as f64;
         self.teams
@@ -136,7 +136,7 @@
 
     /// Returns the maximum number of scheduling steps per second: the number in the policy, but no more than the
     /// controller's share of a core allows.
-    pub fn decide_steps(&self) -> f64 {
+    pub fn max_scheduling_steps_per_s(&self) -> f64 {
         let policy_steps = self.policy.number(Setting::DecideSteps, &[]);
         match self.cores {
             Some(cores) => policy_steps.min(cores * STEPS_PER_CORE),
@@ -152,7 +152,7 @@
 
 /// Converts a limit from a file, where zero stands for no limit. A team with neither a guarantee nor a limit gets the
 /// capacity that the other teams leave.
-pub(crate) fn unlimited(limit: Resources) -> Resources {
+pub(crate) fn zero_as_unlimited(limit: Resources) -> Resources {
     let or_unlimited = |amount: i64| if amount == 0 { UNLIMITED } else { amount };
     Resources {
         cpu: or_unlimited(limit.cpu),
--- a/crates/gannethub-core/src/settings/tests.rs
+++ b/crates/gannethub-core/src/settings/tests.rs
@@ -35,7 +35,7 @@
     let (settings, warnings) = Settings::parse(SAMPLE, "f").unwrap();
     assert_eq!(warnings, Vec::<String>::new());
     assert_eq!(settings.lease_duration, 10_000_000);
-    assert_eq!(settings.value_bytes, 16 * 1024);
+    assert_eq!(settings.max_value_bytes, 16 * 1024);
     assert_eq!(settings.team("blue"), Some(1));
 }
 
@@ -45,16 +45,22 @@
         write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\n[cluster.workers]";
     let text = SAMPLE.replace("[cluster.workers]", next);
     let (settings, _) = Settings::parse(&text, "f").unwrap();
-    assert_eq!((settings.value_bytes, settings.txn_ops), (2048, 8));
     assert_eq!(
-        settings.state_rates,
+        (
+            settings.max_value_bytes,
+            settings.max_transaction_operations
+        ),
+        (2048, 8)
+    );
+    assert_eq!(
+        settings.store_rates,
         Rates {
             requests: 100.0,
             changes: 40.0
         }
     );
     assert_eq!(
-        settings.state_rates_next,
+        settings.next_store_rates,
         Rates {
             requests: 100.0,
             changes: 18.0
@@ -127,7 +133,10 @@
 fn scheduling_steps_are_capped_by_cores() {
     let steps = |quota: &str| {
         let text = format!("{SAMPLE}\n[cluster.quota]\n{quota}\n");
-        Settings::parse(&text, "f").unwrap().0.decide_steps()
+        Settings::parse(&text, "f")
+            .unwrap()
+            .0
+            .max_scheduling_steps_per_s()
     };
     assert_eq!(
         steps(""),
--- a/crates/gannethub-core/src/settings/validation.rs
+++ b/crates/gannethub-core/src/settings/validation.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use super::file::{self, Cluster, File};
-use super::{Objective, Peer, Rates, Settings, SettingsError, unlimited};
+use super::{Objective, Peer, Rates, Settings, SettingsError, zero_as_unlimited};
 use crate::model::{Micros, Resources, Team, micros_from_seconds};
 use crate::policy::Policy;
 
@@ -160,22 +160,23 @@
             listen: self.address("bind", &contents.bind)?,
             cluster_listen: self.address("cluster_listen", &contents.cluster_listen)?,
             peers,
-            cloud: self.address("outside.cloud", &contents.outside.cloud)?,
-            state: self.address("outside.state", &contents.outside.state)?,
+            cloud_addr: self.address("outside.cloud", &contents.outside.cloud)?,
+            store_addr: self.address("outside.state", &contents.outside.state)?,
             zones: cluster.zones.clone(),
             teams,
             objectives,
             heartbeat_interval: self.duration("cluster.workers.report_s", workers.report_s)?,
             lease_duration: self.duration("cluster.workers.lease_s", workers.lease_s)?,
-            gang_wait: self.duration("cluster.workers.gang_wait_s", workers.gang_wait_s)?,
-            gang_peer: self.duration("cluster.workers.gang_peer_s", workers.gang_peer_s)?,
+            gang_wait_timeout: self.duration("cluster.workers.gang_wait_s", workers.gang_wait_s)?,
+            gang_peer_timeout: self.duration("cluster.workers.gang_peer_s", workers.gang_peer_s)?,
             cancel_timeout: self.duration("cluster.workers.cancel_s", workers.cancel_s)?,
-            state_rates: self.rates(state, None, None)?,
-            state_rates_next: self.rates(state, next.rps, next.write_rps)?,
-            value_bytes: self.value_bytes(state)?,
-            txn_ops: self.state_limit("txn_ops", state.txn_ops, next.txn_ops)? as usize,
+            store_rates: self.rates(state, None, None)?,
+            next_store_rates: self.rates(state, next.rps, next.write_rps)?,
+            max_value_bytes: self.value_bytes(state)?,
+            max_transaction_operations: self.state_limit("txn_ops", state.txn_ops, next.txn_ops)?
+                as usize,
             cloud_rps: self.positive("cluster.cloud.rps", cloud.rps)?,
-            list_lag: micros_from_seconds(
+            max_listing_lag: micros_from_seconds(
                 self.amount("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
             ),
             max_connections: self
@@ -244,7 +245,7 @@
                     self.amount(&field("gpus"), entry.gpus)?,
                     0.0,
                 ),
-                limit: unlimited(Resources::new(
+                limit: zero_as_unlimited(Resources::new(
                     self.amount(&field("cpus_max"), entry.cpus_max)?,
                     self.amount(&field("gpus_max"), entry.gpus_max)?,
                     0.0,
@@ -273,7 +274,7 @@
                 class: entry.class.clone(),
                 within: micros_from_seconds(self.amount(&field("within_s"), entry.within_s)?),
                 share: self.amount(&field("share"), entry.share)?,
-                times: self.amount(&field("times"), entry.times)?,
+                deadline_factor: self.amount(&field("times"), entry.times)?,
             });
         }
         Ok(objectives)
@@ -310,10 +311,10 @@
 
     /// Checks values that depend on each other, and values that are derived from several fields.
     fn check_combinations(&mut self, settings: &Settings) -> Result<(), SettingsError> {
-        if settings.value_bytes < MIN_VALUE_BYTES {
+        if settings.max_value_bytes < MIN_VALUE_BYTES {
             return self.invalid("cluster.state.value_kb", "must be at least 2 to hold a job");
         }
-        if settings.txn_ops < MIN_TRANSACTION_OPERATIONS {
+        if settings.max_transaction_operations < MIN_TRANSACTION_OPERATIONS {
             return self.invalid(
                 "cluster.state.txn_ops",
                 "must be at least 2: a takeover writes two keys at once",
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -131,7 +131,13 @@
         let kill_order_rate = settings.policy.number(Setting::Halts, &[]);
         Cluster {
             term,
-            shard: Shard::new(0, term, &settings.name, settings.value_bytes, chunk_size),
+            shard: Shard::new(
+                0,
+                term,
+                &settings.name,
+                settings.max_value_bytes,
+                chunk_size,
+            ),
             now,
             unix_time,
             jobs: BTreeMap::new(),
@@ -165,9 +171,11 @@
     pub fn assign_shard(&mut self, shard: u32) {
         let chunk_size = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
         let Settings {
-            name, value_bytes, ..
+            name,
+            max_value_bytes,
+            ..
         } = &*self.settings;
-        self.shard = Shard::new(shard, self.term, name, *value_bytes, chunk_size);
+        self.shard = Shard::new(shard, self.term, name, *max_value_bytes, chunk_size);
         self.store_writes.assignment_keys = assignment_keys(shard);
     }
 
@@ -234,6 +242,6 @@
     /// large are retried as smaller ones.
     pub fn max_transaction_changes(&self) -> usize {
         let halvings = self.store_writes.transaction_rejections.min(8);
-        (self.settings.txn_ops >> halvings).max(MIN_TRANSACTION_CHANGES)
+        (self.settings.max_transaction_operations >> halvings).max(MIN_TRANSACTION_CHANGES)
     }
 }
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -30,7 +30,7 @@
         let Some(setup) = self.settings.ledger.clone() else {
             return;
         };
-        let value_limit = self.settings.value_bytes - VALUE_SLACK_BYTES;
+        let value_limit = self.settings.max_value_bytes - VALUE_SLACK_BYTES;
         let window = Book::duplicate_window(self.settings.lease_duration, &setup.settings);
         let mut opened = Book::open(setup.settings, setup.keys, value_limit, window, head, pages);
         std::mem::take(&mut opened.damaged)
--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -99,15 +99,15 @@
     }
 }
 
-/// Splits a document into parts that each fit into a value of `value_bytes` bytes: the policy, the objectives, and the
+/// Splits a document into parts that each fit into a value of `max_value_bytes` bytes: the policy, the objectives, and the
 /// teams.
 ///
 /// The result has at least one part, so a stored document without parts is recognized as broken.
 pub fn split_document(
     document: &Document,
-    value_bytes: usize,
+    max_value_bytes: usize,
 ) -> Result<Vec<Document>, StoredDocumentError> {
-    let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
+    let limit = max_value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
     let policy = Document {
         policy: document.policy.clone(),
         over_limit: document.over_limit,
@@ -169,10 +169,10 @@
 
 impl HistoryRecord {
     /// Adds a version as the newest. Removes and returns the oldest versions that no longer fit into a value of
-    /// `value_bytes` bytes.
-    pub fn push(&mut self, version: VersionRecord, value_bytes: usize) -> Vec<VersionRecord> {
+    /// `max_value_bytes` bytes.
+    pub fn push(&mut self, version: VersionRecord, max_value_bytes: usize) -> Vec<VersionRecord> {
         self.versions.insert(0, version);
-        let limit = value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
+        let limit = max_value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES);
         let mut dropped = Vec::new();
         while self.versions.len() > 1 && json_bytes(self) > limit {
             dropped.extend(self.versions.pop());
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -254,14 +254,14 @@
         }
     }
 
-    /// Returns the value of the same job after cancellation by its user, within `value_bytes` bytes. The finished tasks
+    /// Returns the value of the same job after cancellation by its user, within `max_value_bytes` bytes. The finished tasks
     /// of a cancelled job do not matter any more, and are omitted if they do not fit.
-    pub fn into_cancelled_value(self, value_bytes: usize) -> Box<RawValue> {
+    pub fn into_cancelled_value(self, max_value_bytes: usize) -> Box<RawValue> {
         match self {
             LiveRecord::Job(mut record) => {
                 record.cancelled = true;
                 let value = record.to_value();
-                if value.get().len() + VALUE_SLACK_BYTES <= value_bytes {
+                if value.get().len() + VALUE_SLACK_BYTES <= max_value_bytes {
                     return value;
                 }
                 record.done.clear();
--- a/crates/gannethub-core/tests/formats/settings.rs
+++ b/crates/gannethub-core/tests/formats/settings.rs
@@ -67,8 +67,8 @@
     let peer = &settings.peers[0];
     assert_eq!((&*peer.name, &*peer.zone), ("n1", "b"));
     assert_eq!(peer.addr.to_string(), "10.0.0.2:8081");
-    assert_eq!(settings.cloud.to_string(), "10.2.0.2:8443");
-    assert_eq!(settings.state.to_string(), "10.2.0.1:2379");
+    assert_eq!(settings.cloud_addr.to_string(), "10.2.0.2:8443");
+    assert_eq!(settings.store_addr.to_string(), "10.2.0.1:2379");
     assert_eq!(settings.zones, ["a", "b"]);
     let team = Team {
         name: "blue".into(),
@@ -83,7 +83,7 @@
         ("start", Some("train"))
     );
     assert_eq!(
-        (objective.within, objective.share, objective.times),
+        (objective.within, objective.share, objective.deadline_factor),
         (5 * SECOND, 0.95, 2.0)
     );
     assert_eq!(
@@ -91,18 +91,27 @@
         (SECOND, 10 * SECOND)
     );
     assert_eq!(
-        (settings.gang_wait, settings.gang_peer),
+        (settings.gang_wait_timeout, settings.gang_peer_timeout),
         (50 * SECOND, 4 * SECOND)
     );
     assert_eq!(settings.cancel_timeout, 35 * SECOND);
     assert_eq!(
-        (settings.state_rates.requests, settings.state_rates.changes),
+        (settings.store_rates.requests, settings.store_rates.changes),
         (90.0, 30.0)
     );
-    let next = settings.state_rates_next;
+    let next = settings.next_store_rates;
     assert_eq!((next.requests, next.changes), (80.0, 20.0));
-    assert_eq!((settings.value_bytes, settings.txn_ops), (4096, 10));
-    assert_eq!((settings.cloud_rps, settings.list_lag), (4.0, 6 * SECOND));
+    assert_eq!(
+        (
+            settings.max_value_bytes,
+            settings.max_transaction_operations
+        ),
+        (4096, 10)
+    );
+    assert_eq!(
+        (settings.cloud_rps, settings.max_listing_lag),
+        (4.0, 6 * SECOND)
+    );
     assert_eq!((settings.max_connections, settings.cores), (500, Some(0.5)));
     assert_eq!(settings.memory_bytes, 256 << 20);
 }
@@ -117,16 +126,25 @@
         (2 * SECOND, 15 * SECOND)
     );
     assert_eq!(
-        (settings.gang_wait, settings.gang_peer),
+        (settings.gang_wait_timeout, settings.gang_peer_timeout),
         (60 * SECOND, 5 * SECOND)
     );
     assert_eq!(settings.cancel_timeout, 40 * SECOND);
     assert_eq!(
-        (settings.state_rates.requests, settings.state_rates.changes),
+        (settings.store_rates.requests, settings.store_rates.changes),
         (100.0, 40.0)
     );
-    assert_eq!((settings.value_bytes, settings.txn_ops), (16_384, 16));
-    assert_eq!((settings.cloud_rps, settings.list_lag), (3.0, 5 * SECOND));
+    assert_eq!(
+        (
+            settings.max_value_bytes,
+            settings.max_transaction_operations
+        ),
+        (16_384, 16)
+    );
+    assert_eq!(
+        (settings.cloud_rps, settings.max_listing_lag),
+        (3.0, 5 * SECOND)
+    );
     assert_eq!((settings.max_connections, settings.cores), (1000, None));
     assert_eq!(settings.memory_bytes, 512 << 20);
 }
--- a/crates/gannethub-core/tests/formats/users.rs
+++ b/crates/gannethub-core/tests/formats/users.rs
@@ -178,8 +178,10 @@
 
 fn controller() -> Controller {
     let (mut settings, _) = Settings::parse(SETTINGS, "platform.toml").unwrap();
-    let dues = settings.dues();
-    let ledger = gannethub_ledger::Settings::parse(LEDGER_SETTINGS, "ledger.toml", &dues).unwrap();
+    let default_ledger_shares = settings.default_ledger_shares();
+    let ledger =
+        gannethub_ledger::Settings::parse(LEDGER_SETTINGS, "ledger.toml", &default_ledger_shares)
+            .unwrap();
     let keys = gannethub_ledger::KeyRing::write("k", &[3; 32]);
     settings.ledger = Some(LedgerSetup {
         settings: ledger.into(),
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -129,7 +129,7 @@
     let settings = &f.c.settings;
     Arc::new(
         limit_of_red(cpus_max)
-            .effective(settings, settings)
+            .apply_to(settings, settings)
             .expect("the document is valid"),
     )
 }
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -55,12 +55,12 @@
     /// within seven seconds plus `late` microseconds, the allowance for an outage.
     pub fn configure(&mut self, wanted: Document, late: u64) -> u64 {
         let base = self.settings[0].clone();
-        let document = self.document.followed_by(wanted, &base);
+        let document = self.document.successor(wanted, &base);
         let effective = document
-            .effective(&base, &base)
+            .apply_to(&base, &base)
             .expect("the test's document is valid");
         let parts =
-            split_document(&document, base.value_bytes).expect("the document fits into values");
+            split_document(&document, base.max_value_bytes).expect("the document fits into values");
         let version = self.config_versions.len() as u64 + 1;
         let record = VersionRecord {
             version,
@@ -78,7 +78,7 @@
             .cloned()
             .unwrap_or(Value::Null);
         let mut history: HistoryRecord = serde_json::from_value(history).unwrap_or_default();
-        history.push(record.clone(), base.value_bytes);
+        history.push(record.clone(), base.max_value_bytes);
         commit.put(CURRENT_VERSION_KEY, to_raw_value(&record), None);
         commit.put(HISTORY_KEY, to_raw_value(&history), None);
         let request = commit.to_request();
--- a/crates/gannethub-core/tests/simulation/harness/setup.rs
+++ b/crates/gannethub-core/tests/simulation/harness/setup.rs
@@ -109,7 +109,8 @@
         let text = "keys = \"k\"\nhalf_life_s = 60.0\n";
         for settings in &mut world.settings {
             let mut own = (**settings).clone();
-            let ledger = gannethub_ledger::Settings::parse(text, "ledger", &own.dues());
+            let ledger =
+                gannethub_ledger::Settings::parse(text, "ledger", &own.default_ledger_shares());
             own.ledger = Some(LedgerSetup {
                 settings: Arc::new(ledger.expect("the test's settings are valid")),
                 keys: Arc::new(keys.clone()),
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -206,7 +206,7 @@
     pub fn write(&mut self) -> (usize, usize) {
         let (mut calls, mut changes) = (0, 0);
         while let Some((commit, batch)) = self.c.next_transaction(self.now, 1) {
-            assert!(commit.change_count() <= self.c.settings.txn_ops);
+            assert!(commit.change_count() <= self.c.settings.max_transaction_operations);
             calls += 1;
             changes += commit.change_count();
             self.version += 1;
--- a/src/config/document_file.rs
+++ b/src/config/document_file.rs
@@ -18,7 +18,7 @@
         file: file.into(),
         source: Box::new(error),
     })?;
-    match document.effective(base, base) {
+    match document.apply_to(base, base) {
         Ok(_) => Ok(document),
         Err(DocumentError { field, reason }) => Err(CommandError::InvalidField {
             file: file.into(),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -131,7 +131,7 @@
     if let Some(file) = &args.policy {
         base.policy = files::read_policy(file)?;
     }
-    let client = Client::new(base.state);
+    let client = Client::new(base.store_addr);
     let operator = Operator {
         controllers: if args.controllers.is_empty() {
             vec![base.listen]
@@ -169,7 +169,7 @@
             ConfigCommand::Diff { file } => {
                 let wanted = document_file::read(&file, base)?;
                 let current = self.store.current().await?;
-                let next = current.document.followed_by(wanted, base);
+                let next = current.document.successor(wanted, base);
                 print!("{}", show::differences(&current.document, &next, base));
                 Ok(())
             }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -206,10 +206,10 @@
         wanted: Document,
         author: &Author,
     ) -> Result<VersionRecord, ConfigError> {
-        let document = current.document.followed_by(wanted, self.base);
-        document.effective(self.base, self.base)?;
-        let parts =
-            split_document(&document, self.base.value_bytes).map_err(ConfigError::CannotSplit)?;
+        let document = current.document.successor(wanted, self.base);
+        document.apply_to(self.base, self.base)?;
+        let parts = split_document(&document, self.base.max_value_bytes)
+            .map_err(ConfigError::CannotSplit)?;
         let version = current.version() + 1;
         let record = VersionRecord {
             version,
@@ -236,7 +236,7 @@
             .enumerate()
             .map(|(index, part)| (record.part_key(index), part))
             .collect();
-        for batch in keys.chunks(self.base.txn_ops.max(1)) {
+        for batch in keys.chunks(self.base.max_transaction_operations.max(1)) {
             let mut transaction = Transaction::default();
             for (key, part) in batch {
                 transaction.put(key, to_raw_value(part), None);
@@ -259,7 +259,7 @@
         record: &VersionRecord,
     ) -> Result<Vec<VersionRecord>, ConfigError> {
         let mut history = current.history.clone();
-        let dropped = history.push(record.clone(), self.base.value_bytes);
+        let dropped = history.push(record.clone(), self.base.max_value_bytes);
         let mut transaction = Transaction::default();
         transaction.guard(CURRENT_VERSION_KEY, current.key_version);
         transaction.guard(HISTORY_KEY, current.history_key_version);
@@ -306,7 +306,7 @@
             let keys: Vec<String> = (0..version.parts as usize)
                 .map(|index| version.part_key(index))
                 .collect();
-            for batch in keys.chunks(self.base.txn_ops.max(1)) {
+            for batch in keys.chunks(self.base.max_transaction_operations.max(1)) {
                 let mut transaction = Transaction::default();
                 for key in batch {
                     transaction.delete(key);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -154,8 +154,8 @@
         Daemon {
             queue,
             replies,
-            state_service: Rc::new(Client::new(settings.state)),
-            cloud: Rc::new(Client::new(settings.cloud)),
+            state_service: Rc::new(Client::new(settings.store_addr)),
+            cloud: Rc::new(Client::new(settings.cloud_addr)),
             peers: settings
                 .peers
                 .iter()
--- a/src/files.rs
+++ b/src/files.rs
@@ -73,7 +73,8 @@
 pub fn read_ledger_setup(file: &Path, platform: &Settings) -> Result<LedgerSetup, FileError> {
     let text = read_text(file)?;
     let name = file.display().to_string();
-    let settings = gannethub_ledger::Settings::parse(&text, &name, &platform.dues())?;
+    let settings =
+        gannethub_ledger::Settings::parse(&text, &name, &platform.default_ledger_shares())?;
     let keys = read_keys(Path::new(&settings.keys))?;
     Ok(LedgerSetup {
         settings: Arc::new(settings),
