--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns the platform's settings, `base`, with this document applied. `current` are the settings in force, whose
-    /// teams keep their positions; teams that neither the file nor the document names any more are closed.
+    /// teams keep their positions; teams that neither the file nor the document names any more are removed.
     pub fn apply_to(&self, base: &Settings, current: &Settings) -> Result<Settings, DocumentError> {
         let mut settings = base.clone();
         settings.teams = self.effective_teams(base, current)?;
@@ -254,7 +254,7 @@
             cpus_max: amount(team.limit.cpu),
             gpus: amount(team.guarantee.gpu),
             gpus_max: amount(team.limit.gpu),
-            removed: team.closed,
+            removed: team.is_removed,
         }
     }
 
@@ -282,7 +282,7 @@
             name: self.name.clone(),
             guarantee: Resources::new(self.cpus, self.gpus, 0.0),
             limit: zero_as_unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0)),
-            closed: false,
+            is_removed: false,
         };
         if self.removed {
             team.close();
@@ -334,7 +334,7 @@
 impl Team {
     /// Ends the team's guarantee and refuses it new jobs.
     fn close(&mut self) {
-        self.closed = true;
+        self.is_removed = true;
         self.guarantee = Resources::default();
     }
 }
--- a/crates/gannethub-core/src/configuration/tests.rs
+++ b/crates/gannethub-core/src/configuration/tests.rs
@@ -36,13 +36,13 @@
         .unwrap();
     assert_eq!(second.team("later"), Some(known + 1));
     assert!(
-        second.teams[known].closed,
-        "a team that is no longer named is closed"
+        second.teams[known].is_removed,
+        "a team that is no longer named is removed"
     );
     let third = document(vec![entry("late", 1.0, 2.0)])
         .apply_to(&base, &second)
         .unwrap();
-    assert!(!third.teams[known].closed && third.teams[known + 1].closed);
+    assert!(!third.teams[known].is_removed && third.teams[known + 1].is_removed);
     assert_eq!(
         Document::default().apply_to(&base, &base).unwrap().teams,
         base.teams
--- a/crates/gannethub-core/src/controller/config_watch/tests.rs
+++ b/crates/gannethub-core/src/controller/config_watch/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::http::{Answer, NoAnswer};
+use crate::http::{Answer, CallError};
 use crate::settings::tests::SAMPLE;
 
 fn new_watch() -> (ConfigWatch, Arc<Settings>) {
@@ -47,7 +47,7 @@
     );
     assert!(
         config
-            .handle_answer(read, &Err(NoAnswer::Timeout), &base, 200)
+            .handle_answer(read, &Err(CallError::Timeout), &base, 200)
             .is_none()
             && config.next_read(201).is_none()
     );
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -127,7 +127,7 @@
 /// Reason for which a request has no answer. In either case the service may have carried out the request already, or
 /// may still do so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoAnswer {
+pub enum CallError {
     #[error("timed out waiting for the answer")]
     Timeout,
     #[error("the connection could not be opened, or failed before the answer arrived")]
@@ -135,7 +135,7 @@
 }
 
 /// Result of a request to another service.
-pub type CallResult = Result<Answer, NoAnswer>;
+pub type CallResult = Result<Answer, CallError>;
 
 /// Parses the body of an answer as JSON if the request was answered and carried out.
 pub fn decode_ok<T: DeserializeOwned>(result: &CallResult) -> Option<T> {
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns how many times `self` fits into `free`, or `i64::MAX` if `self` is zero in all amounts.
-    pub fn count_in(&self, free: &Resources) -> i64 {
+    pub fn times_fitting_in(&self, free: &Resources) -> i64 {
         let count = |amount: i64, free: i64| match amount {
             1.. => free.max(0) / amount,
             _ => i64::MAX,
@@ -164,7 +164,7 @@
 pub struct MachineType {
     pub name: Arc<str>,
     /// Capacity of each machine of the type.
-    pub size: Resources,
+    pub capacity: Resources,
     /// Price of an on-demand machine for one hour.
     pub price: f64,
     /// Price of a spot instance for one hour.
@@ -198,12 +198,12 @@
     pub limit: Resources,
     /// Whether the team was removed. A removed team gets no new jobs, and its existing jobs finish within its last
     /// limit.
-    pub closed: bool,
+    pub is_removed: bool,
 }
 
 impl Team {
     /// Whether the CPUs and GPUs of `used` plus `more` stay within `bound`.
-    pub fn within(bound: &Resources, used: &Resources, more: &Resources) -> bool {
+    pub fn fits_within(bound: &Resources, used: &Resources, more: &Resources) -> bool {
         used.cpu + more.cpu <= bound.cpu && used.gpu + more.gpu <= bound.gpu
     }
 }
--- a/crates/gannethub-core/src/model/task_set.rs
+++ b/crates/gannethub-core/src/model/task_set.rs
@@ -6,7 +6,7 @@
 
 impl TaskSet {
     /// Creates the set of the indexes `0..count`.
-    pub fn up_to(count: u32) -> TaskSet {
+    pub fn with_first(count: u32) -> TaskSet {
         match count {
             0 => TaskSet::default(),
             _ => TaskSet(vec![(0, count - 1)]),
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -41,7 +41,7 @@
 struct Element<K> {
     vital: bool,
     /// Upstream elements that have not committed.
-    open_upstream: BTreeSet<K>,
+    uncommitted_upstream: BTreeSet<K>,
     /// Elements that wait for this element.
     downstream: BTreeSet<K>,
     state: SagaState,
@@ -51,7 +51,7 @@
     fn new(vital: bool) -> Element<K> {
         Element {
             vital,
-            open_upstream: BTreeSet::new(),
+            uncommitted_upstream: BTreeSet::new(),
             downstream: BTreeSet::new(),
             state: SagaState::Active,
         }
@@ -112,23 +112,23 @@
     /// Adds an element that is released when every element of `upstream` has committed. Upstream elements that are
     /// not known yet count as active and may be added later.
     pub fn add(&mut self, key: K, vital: bool, upstream: &[K]) {
-        let mut open_upstream = BTreeSet::new();
+        let mut uncommitted_upstream = BTreeSet::new();
         for upstream_key in upstream {
             let element = self.element_or_new(upstream_key, false);
             if element.state != SagaState::Committed {
                 element.downstream.insert(key.clone());
-                open_upstream.insert(upstream_key.clone());
+                uncommitted_upstream.insert(upstream_key.clone());
             }
         }
-        let has_aborted_upstream = open_upstream
+        let has_aborted_upstream = uncommitted_upstream
             .iter()
             .any(|upstream_key| self.element_state(upstream_key) == Some(SagaState::Aborted));
         let element = self.element_or_new(&key, vital);
         element.vital = vital;
-        if !open_upstream.is_empty() && element.state == SagaState::Active {
+        if !uncommitted_upstream.is_empty() && element.state == SagaState::Active {
             element.state = SagaState::Waiting;
         }
-        element.open_upstream = open_upstream;
+        element.uncommitted_upstream = uncommitted_upstream;
         if has_aborted_upstream {
             self.abort_element(&key);
         }
@@ -145,9 +145,9 @@
     }
 
     /// Returns the upstream elements for which an element still waits.
-    pub fn open_upstream(&self, key: &K) -> impl Iterator<Item = &K> {
+    pub fn uncommitted_upstream(&self, key: &K) -> impl Iterator<Item = &K> {
         let element = self.elements.get(key).into_iter();
-        element.flat_map(|element| &element.open_upstream)
+        element.flat_map(|element| &element.uncommitted_upstream)
     }
 
     /// Returns the elements that wait for an element.
@@ -176,8 +176,8 @@
             let Some(waiting) = self.elements.get_mut(&downstream_key) else {
                 continue;
             };
-            waiting.open_upstream.remove(key);
-            if waiting.state == SagaState::Waiting && waiting.open_upstream.is_empty() {
+            waiting.uncommitted_upstream.remove(key);
+            if waiting.state == SagaState::Waiting && waiting.uncommitted_upstream.is_empty() {
                 waiting.state = SagaState::Active;
                 released.push(downstream_key);
             }
@@ -239,12 +239,12 @@
         if element.state.is_unfinished() {
             self.unfinished -= 1;
         }
-        self.detach(key, element.open_upstream);
+        self.detach(key, element.uncommitted_upstream);
         // The downstream elements of an aborted element are aborted as well. None of them may keep a reference to the
         // removed element.
         for downstream_key in element.downstream {
             if let Some(downstream) = self.elements.get_mut(&downstream_key) {
-                downstream.open_upstream.remove(key);
+                downstream.uncommitted_upstream.remove(key);
             }
         }
         self.commit_order.retain(|committed| committed != key);
@@ -257,7 +257,7 @@
             return;
         };
         element.state = SagaState::Active;
-        let upstream = std::mem::take(&mut element.open_upstream);
+        let upstream = std::mem::take(&mut element.uncommitted_upstream);
         self.detach(key, upstream);
     }
 
--- a/crates/gannethub-core/src/saga/tests.rs
+++ b/crates/gannethub-core/src/saga/tests.rs
@@ -65,7 +65,7 @@
     // agree.
     saga.remove(&1);
     saga.add(80_000, false, &[1]);
-    assert!(saga.open_upstream(&2).next().is_none() && saga.downstream(&1).eq([&80_000]));
+    assert!(saga.uncommitted_upstream(&2).next().is_none() && saga.downstream(&1).eq([&80_000]));
     saga.release(&80_000);
     assert_eq!(saga.element_state(&80_000), Some(SagaState::Active));
     assert!(saga.downstream(&1).next().is_none());
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -244,7 +244,7 @@
             Value::Text(&machine_type.name),
             Value::Text(&machine.zone),
             Value::Bool(machine.spot),
-            Value::Number(machine_type.size.cpu as f64 / 1000.0),
+            Value::Number(machine_type.capacity.cpu as f64 / 1000.0),
             Value::Number(machine_type.price_of(machine.spot)),
             Value::Number(seconds_from_micros(boot_time)),
             Value::Number(since_high_priority),
--- a/crates/gannethub-core/src/scheduling/capacity_timeline.rs
+++ b/crates/gannethub-core/src/scheduling/capacity_timeline.rs
@@ -219,7 +219,7 @@
     fn capacity_times(&self, machine: &Machine, spec: &JobSpec, now: Micros) -> Vec<Micros> {
         let max_tasks = spec
             .resources
-            .count_in(&machine.capacity)
+            .times_fitting_in(&machine.capacity)
             .min(MAX_TASKS_PER_MACHINE) as usize;
         let lifecycle = &machine.lifecycle;
         if !lifecycle.is_up {
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -71,7 +71,7 @@
                 continue;
             };
             let own_demand = self.demand_on_upstream(waiting, demand.as_ref(), &objectives);
-            for upstream in dependencies.saga.open_upstream(id) {
+            for upstream in dependencies.saga.uncommitted_upstream(id) {
                 let Some(known) = demand_by_job.get_mut(upstream) else {
                     demand_by_job.insert(upstream, own_demand.clone());
                     continue;
@@ -183,7 +183,7 @@
             let Some((id, waiting)) = pipelines.waiting.get_key_value(id) else {
                 continue;
             };
-            let upstream = dependencies.saga.open_upstream(id);
+            let upstream = dependencies.saga.uncommitted_upstream(id);
             let upstream_ends: Option<Vec<Micros>> = upstream
                 .map(|upstream| ends.get(upstream).copied())
                 .collect();
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -67,7 +67,7 @@
         let large_enough = self
             .machine_types
             .iter()
-            .filter(|machine_type| spec.resources.fits(&machine_type.size));
+            .filter(|machine_type| spec.resources.fits(&machine_type.capacity));
         let slowest = large_enough
             .map(|machine_type| machine_type.fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min);
@@ -147,7 +147,7 @@
     /// Price of a thousandth of a CPU for an hour on machines of this type and market.
     pub fn price_per_millicpu(&self, machine_type: usize, spot: bool) -> f64 {
         let machine_type = &self.machine_types[machine_type];
-        machine_type.price_of(spot) / machine_type.size.cpu.max(1) as f64
+        machine_type.price_of(spot) / machine_type.capacity.cpu.max(1) as f64
     }
 
     /// Returns the time at which a booting machine is expected to be up. The remaining boot time of an overdue
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -42,8 +42,8 @@
         let tasks_on = |kind: &Option<MachineKind>| match kind {
             Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
             Some(kind) => {
-                let size = &self.machine_types[kind.machine_type].size;
-                spec.resources.count_in(size)
+                let capacity = &self.machine_types[kind.machine_type].capacity;
+                spec.resources.times_fitting_in(capacity)
             }
             None => i64::MAX,
         };
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -124,7 +124,7 @@
 
     fn tasks_that_fit(&self, work: &PendingWork) -> i64 {
         let spec = &work.spec;
-        let tasks = spec.resources.count_in(&self.free).min(work.tasks);
+        let tasks = spec.resources.times_fitting_in(&self.free).min(work.tasks);
         if !spec.spread {
             return tasks;
         }
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -47,7 +47,7 @@
             memory: 0,
             ..job.spec.resources
         };
-        needed.count_in(&free)
+        needed.times_fitting_in(&free)
     }
 
     /// Brings teams within limits that were lowered: attempts that no worker has reported yet are no longer launched,
@@ -56,7 +56,7 @@
         for team in 0..self.settings.teams.len() {
             let limit = self.settings.teams[team].limit;
             let usage = &self.quota.team_usage[team];
-            if !Team::within(&limit, &Resources::default(), usage) {
+            if !Team::fits_within(&limit, &Resources::default(), usage) {
                 self.enforce_team_limit(team, limit, now);
             }
         }
@@ -71,7 +71,7 @@
         let mut held = attempts.held;
         let mut stopped = 0;
         for attempt in stoppable {
-            if Team::within(&limit, &Resources::default(), &held) {
+            if Team::fits_within(&limit, &Resources::default(), &held) {
                 break;
             }
             // A gang is stopped as a whole: its other tasks are stopping since the first was stopped.
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -153,7 +153,7 @@
                 let kind = &bucket.kind;
                 let ranked = RankedBucket {
                     price_rank: 0,
-                    machine_cpu: self.machine_types[kind.machine_type].size.cpu,
+                    machine_cpu: self.machine_types[kind.machine_type].capacity.cpu,
                     index,
                 };
                 (
@@ -286,11 +286,11 @@
         now: Micros,
     ) -> bool {
         let price = self.price_per_millicpu(machine_type, spot);
-        let cpu = self.machine_types[machine_type].size.cpu;
+        let cpu = self.machine_types[machine_type].capacity.cpu;
         let is_preferred = |bucket: &CapacityBucket| {
             let kind = &bucket.kind;
             let bucket_price = self.price_per_millicpu(kind.machine_type, kind.spot);
-            let is_smaller = self.machine_types[kind.machine_type].size.cpu < cpu;
+            let is_smaller = self.machine_types[kind.machine_type].capacity.cpu < cpu;
             bucket_price * SIMILAR_PRICE < price
                 || (is_smaller && bucket_price <= price * SIMILAR_PRICE)
         };
--- a/crates/gannethub-core/src/scheduling/placement.rs
+++ b/crates/gannethub-core/src/scheduling/placement.rs
@@ -88,7 +88,7 @@
     /// Whether machines of a kind may run the job's tasks at all.
     pub fn is_eligible_bucket(&self, spec: &JobSpec, kind: &MachineKind) -> bool {
         let machine_type = &self.machine_types[kind.machine_type];
-        spec.resources.fits(&machine_type.size)
+        spec.resources.fits(&machine_type.capacity)
             && spec.allows(&machine_type.name, &kind.zone, kind.spot)
     }
 
@@ -161,7 +161,7 @@
             free -= other.spec.resources.scaled_by(reservation.tasks);
         }
         if spec.resources.fits(&free) {
-            spec.resources.count_in(&free)
+            spec.resources.times_fitting_in(&free)
         } else {
             0
         }
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -334,7 +334,7 @@
                 if let Some(borrower) = victim.borrower {
                     let left = &mut preemptions.borrowed[borrower];
                     // The victims never hold more than the team has borrowed.
-                    if !Team::within(left, &NO_RESOURCES, &victim.resources) {
+                    if !Team::fits_within(left, &NO_RESOURCES, &victim.resources) {
                         continue;
                     }
                     *left -= victim.resources;
@@ -432,7 +432,7 @@
             && job.team != preemptor.job.team
             && is_allowed_victim
             && attempt.team.is_some_and(|team| {
-                Team::within(&borrowed[team], &NO_RESOURCES, &attempt.resources)
+                Team::fits_within(&borrowed[team], &NO_RESOURCES, &attempt.resources)
             })
     }
 }
@@ -467,7 +467,7 @@
 ) {
     let needed = preemptor.job.spec.resources;
     let max_tasks = needed
-        .count_in(&machine.capacity)
+        .times_fitting_in(&machine.capacity)
         .min(MAX_TASKS_PER_MACHINE);
     let mut free = machine.free_after_stops();
     let mut victims = victims.iter();
--- a/crates/gannethub-core/src/scheduling/provisioning_plan.rs
+++ b/crates/gannethub-core/src/scheduling/provisioning_plan.rs
@@ -199,7 +199,7 @@
     fn expected_boot_time_for(&self, spec: &JobSpec, now: Micros) -> Option<Micros> {
         let price = |index: &usize| self.price_per_millicpu(*index, spec.spot);
         let index = (0..self.machine_types.len())
-            .filter(|index| spec.resources.fits(&self.machine_types[*index].size))
+            .filter(|index| spec.resources.fits(&self.machine_types[*index].capacity))
             .min_by(|a, b| price(a).total_cmp(&price(b)))?;
         let machine_type = &self.machine_types[index];
         let times = &self.fleet.provisioning_times;
@@ -319,7 +319,7 @@
         MachineForecast {
             group,
             zone: key.zone.clone(),
-            free: self.machine_types[key.machine_type].size,
+            free: self.machine_types[key.machine_type].capacity,
             available_at,
             releases: Vec::new(),
             machine: None,
@@ -405,8 +405,9 @@
             let Some(offer) = offer else { break };
             self.add_new_machine(offer, work, &mut candidates);
             // While the job's own tasks fill a whole machine, another machine of the same offer is just as good.
-            let size = &self.cluster.machine_types[offer.offer.machine_type].size;
-            if !work.spec.is_zone_constrained() && work.tasks >= work.spec.resources.count_in(size)
+            let capacity = &self.cluster.machine_types[offer.offer.machine_type].capacity;
+            if !work.spec.is_zone_constrained()
+                && work.tasks >= work.spec.resources.times_fitting_in(capacity)
             {
                 best_offer = BestOffer::Known(Some(offer));
             }
@@ -421,7 +422,7 @@
             .filter(|(_, group)| {
                 let key = &group.key;
                 let machine_type = &self.cluster.machine_types[key.machine_type];
-                spec.resources.fits(&machine_type.size)
+                spec.resources.fits(&machine_type.capacity)
                     && spec.allows(&machine_type.name, &key.zone, key.spot)
             })
             .map(|(index, _)| index)
@@ -459,13 +460,13 @@
             } = &priced.offer;
             let machine_type = &self.cluster.machine_types[*machine_type];
             let spec = &first.spec;
-            if !spec.resources.fits(&machine_type.size)
+            if !spec.resources.fits(&machine_type.capacity)
                 || !spec.allows(&machine_type.name, zone, *spot)
                 || !is_zone_allowed(spec, &first.zones, zone)
             {
                 continue;
             }
-            let mut free = machine_type.size;
+            let mut free = machine_type.capacity;
             let mut used_cpu = 0;
             for work in std::iter::once(first).chain(behind.iter().take(LOOKAHEAD_JOBS)) {
                 if !self.min_resources.fits(&free) {
@@ -474,7 +475,7 @@
                 self.cluster.passes.add_steps(1);
                 let spec = &work.spec;
                 if spec.allows(&machine_type.name, zone, *spot) {
-                    let tasks = spec.resources.count_in(&free).min(work.tasks);
+                    let tasks = spec.resources.times_fitting_in(&free).min(work.tasks);
                     free -= spec.resources.scaled_by(tasks);
                     used_cpu += spec.resources.cpu.max(1) * tasks;
                 }
@@ -515,7 +516,7 @@
         memory: 0,
         ..spec.resources
     };
-    let tasks = tasks.min(needed.count_in(quota));
+    let tasks = tasks.min(needed.times_fitting_in(quota));
     let is_partial_gang = spec.shape == Shape::Gang && tasks < i64::from(gang_tasks);
     if tasks <= 0 || is_partial_gang {
         return 0;
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -27,7 +27,7 @@
     };
     let remaining_tasks = i64::from(job.spec.tasks - job.tasks.done.len());
     let needed = job.spec.resources.scaled_by(remaining_tasks);
-    let is_within = Team::within(&remaining[team], &Resources::default(), &needed);
+    let is_within = Team::fits_within(&remaining[team], &Resources::default(), &needed);
     remaining[team] -= needed;
     is_within
 }
--- a/crates/gannethub-core/src/settings/validation.rs
+++ b/crates/gannethub-core/src/settings/validation.rs
@@ -250,9 +250,9 @@
                     self.amount(&field("gpus_max"), entry.gpus_max)?,
                     0.0,
                 )),
-                closed: false,
+                is_removed: false,
             };
-            if !Team::within(&team.limit, &Resources::default(), &team.guarantee) {
+            if !Team::fits_within(&team.limit, &Resources::default(), &team.guarantee) {
                 let warning = format!("team {}: the guarantee is above the limit", entry.name);
                 self.warnings.push(warning);
             }
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -145,7 +145,7 @@
 
     /// Returns the jobs for which a job still waits.
     pub fn open_dependencies(&self, id: &JobId) -> Vec<JobId> {
-        self.saga.open_upstream(id).cloned().collect()
+        self.saga.uncommitted_upstream(id).cloned().collect()
     }
 
     /// Returns the jobs whose ends have to be read.
@@ -169,7 +169,7 @@
             if self.unknown_outcomes.contains(id) {
                 return false;
             }
-            let upstream = self.saga.open_upstream(id);
+            let upstream = self.saga.uncommitted_upstream(id);
             unvisited.extend(upstream.filter(|job| seen.insert(job)));
         }
         true
@@ -190,7 +190,7 @@
         let mut next = 0;
         while let Some(id) = order.get(next).copied() {
             next += 1;
-            for upstream in self.saga.open_upstream(id) {
+            for upstream in self.saga.uncommitted_upstream(id) {
                 if let Some(count) = unvisited_downstream.get_mut(upstream) {
                     *count -= 1;
                     if *count == 0 {
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -241,7 +241,7 @@
     /// Returns the state in which all tasks that are not done are pending, and those below `possibly_launched`
     /// unconfirmed.
     fn new(task_count: u32, done: TaskSet, possibly_launched: u32) -> JobTasks {
-        let mut pending = TaskSet::up_to(task_count);
+        let mut pending = TaskSet::with_first(task_count);
         done.iter().for_each(|index| {
             pending.remove(index);
         });
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -158,7 +158,7 @@
             id,
             machine_type,
             capacity: machine_type
-                .map(|index| machine_types[index].size)
+                .map(|index| machine_types[index].capacity)
                 .unwrap_or_default(),
             zone,
             spot: kind.spot,
--- a/crates/gannethub-core/src/wire/api/admission.rs
+++ b/crates/gannethub-core/src/wire/api/admission.rs
@@ -18,7 +18,7 @@
     if machine_types.is_empty() {
         return Err(Refusal::MachineTypesUnknown);
     }
-    let is_job_team = |team: &&Team| team.name == spec.team && !team.closed;
+    let is_job_team = |team: &&Team| team.name == spec.team && !team.is_removed;
     let Some(team) = teams.iter().find(is_job_team) else {
         return impossible("crew", "no such team");
     };
@@ -53,10 +53,10 @@
     if allowed.is_empty() {
         return impossible("yard", "no allowed machine type is in that zone");
     }
-    let fits = |machine_type: &&&MachineType| spec.resources.fits(&machine_type.size);
+    let fits = |machine_type: &&&MachineType| spec.resources.fits(&machine_type.capacity);
     let fitting: Vec<&MachineType> = allowed.iter().filter(fits).copied().collect();
     if fitting.is_empty() {
-        let sizes: Vec<&Resources> = allowed.iter().map(|allowed| &allowed.size).collect();
+        let sizes: Vec<&Resources> = allowed.iter().map(|allowed| &allowed.capacity).collect();
         let field = exceeded_field(&spec.resources, &sizes);
         return impossible(field, "a task fits no allowed machine type");
     }
@@ -72,7 +72,7 @@
 }
 
 fn check_team_limit(spec: &JobSpec, team: &Team) -> Result<(), Refusal> {
-    let fits = |need: &Resources| Team::within(&team.limit, &Resources::default(), need);
+    let fits = |need: &Resources| Team::fits_within(&team.limit, &Resources::default(), need);
     if !fits(&spec.resources) {
         let field = exceeded_field(&spec.resources, &[&team.limit]);
         return impossible(field, "a task needs more than its team's limit");
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -10,7 +10,7 @@
 fn machine_type(name: &str, cpus: f64, gpus: f64, mem: f64) -> MachineType {
     MachineType {
         name: name.into(),
-        size: Resources::new(cpus, gpus, mem),
+        capacity: Resources::new(cpus, gpus, mem),
         price: 0.05 * cpus,
         spot_price: 0.02 * cpus,
         boot_time: 20_000_000,
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -139,7 +139,7 @@
     fn from(entry: MachineTypeEntry) -> MachineType {
         let or_default = |amount: f64, default: f64| if amount > 0.0 { amount } else { default };
         MachineType {
-            size: Resources::new(entry.cpus, entry.gpus, entry.mem_gb),
+            capacity: Resources::new(entry.cpus, entry.gpus, entry.mem_gb),
             name: entry.name.into(),
             price: entry.price,
             spot_price: or_default(entry.spot_price, entry.price),
--- a/crates/gannethub-core/tests/formats/cloud.rs
+++ b/crates/gannethub-core/tests/formats/cloud.rs
@@ -43,7 +43,7 @@
         "spot_price":9.0,"boot_s":45.0,"yards":["a","b"]},{"label":"s","vcpus":4.0,"mem_gb":16.0,"price":0.2}]}"#;
     let large = MachineType {
         name: "g8".into(),
-        size: Resources::new(96.0, 8.0, 768.0),
+        capacity: Resources::new(96.0, 8.0, 768.0),
         price: 30.0,
         spot_price: 9.0,
         boot_time: 45 * SECOND,
@@ -52,7 +52,7 @@
     };
     let small = MachineType {
         name: "s".into(),
-        size: Resources::new(4.0, 0.0, 16.0),
+        capacity: Resources::new(4.0, 0.0, 16.0),
         price: 0.2,
         spot_price: 0.2,
         boot_time: 0,
--- a/crates/gannethub-core/tests/formats/settings.rs
+++ b/crates/gannethub-core/tests/formats/settings.rs
@@ -74,7 +74,7 @@
         name: "blue".into(),
         guarantee: Resources::new(4.0, 2.0, 0.0),
         limit: Resources::new(12.0, 8.0, 0.0),
-        closed: false,
+        is_removed: false,
     };
     assert_eq!(settings.teams, [team]);
     let objective = &settings.objectives[0];
--- a/crates/gannethub-core/tests/formats/users.rs
+++ b/crates/gannethub-core/tests/formats/users.rs
@@ -72,7 +72,7 @@
         name: "blue".into(),
         guarantee: Resources::default(),
         limit: Resources::new(1.0, 1.0, 0.0),
-        closed: false,
+        is_removed: false,
     };
     let unlimited = Team {
         limit: Resources {
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -92,7 +92,7 @@
             matches!(stored, Outcome::Answer(200, _)),
             "the operator's transaction was not stored"
         );
-        let limits = effective.teams.iter().filter(|t| !t.closed);
+        let limits = effective.teams.iter().filter(|t| !t.is_removed);
         let limits = limits
             .map(|t| (t.name.clone(), t.limit.cpu as f64 / 1000.0))
             .collect();
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use gannethub_core::configuration::Document;
 use gannethub_core::controller::{Clock, Command, Controller, Effect};
-use gannethub_core::http::{Answer, Method, NoAnswer, Request, Response};
+use gannethub_core::http::{Answer, CallError, Method, Request, Response};
 use gannethub_core::model::TaskSet;
 use gannethub_core::policy::Policy;
 use gannethub_core::settings::{LedgerSetup, Settings};
--- a/crates/gannethub-core/tests/simulation/harness/state_service.rs
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -97,7 +97,7 @@
 
     /// Schedules the timeout of a controller's request after `patience` microseconds.
     fn schedule_store_timeout(&mut self, patience: u64, node: usize, life: u32, id: u64) {
-        let answer = Err(NoAnswer::Timeout);
+        let answer = Err(CallError::Timeout);
         let command = Command::StoreAnswer { id, answer };
         self.schedule(
             patience,
@@ -140,7 +140,7 @@
     ) {
         let answer = answer
             .map(|(status, body)| Answer::new(status, body.to_string()))
-            .ok_or(NoAnswer::Timeout);
+            .ok_or(CallError::Timeout);
         self.schedule(
             delay,
             Event::Command {
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -57,7 +57,7 @@
 fn machine_types() -> Arc<Vec<MachineType>> {
     let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
-        size: Resources::new(cpus, 0.0, cpus * 4.0),
+        capacity: Resources::new(cpus, 0.0, cpus * 4.0),
         price,
         spot_price: price / 3.0,
         boot_time: 30 * SECOND,
--- a/src/http.rs
+++ b/src/http.rs
@@ -11,7 +11,7 @@
 pub use self::client::{Client, NoFinalAnswer, ask_any, is_final};
 pub use self::server::{BodyBudget, Connection, MAX_BODY_BYTES};
 pub use gannethub_core::http::{
-    Answer, CallResult, Method, NoAnswer, Request, Response, decode_ok,
+    Answer, CallError, CallResult, Method, Request, Response, decode_ok,
 };
 
 #[cfg(test)]
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Buf, Bytes, BytesMut};
-use gannethub_core::http::{Answer, CallResult, Method, NoAnswer};
+use gannethub_core::http::{Answer, CallError, CallResult, Method};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -60,8 +60,8 @@
         time_limit: Duration,
     ) -> CallResult {
         match timeout(time_limit, self.try_call(method, path, body)).await {
-            Ok(answer) => answer.map_err(|_| NoAnswer::Disconnected),
-            Err(_) => Err(NoAnswer::Timeout),
+            Ok(answer) => answer.map_err(|_| CallError::Disconnected),
+            Err(_) => Err(CallError::Timeout),
         }
     }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use gannethub::config::store::{Author, ConfigError, ConfigStore, StateClient};
 use gannethub_core::configuration::{Document, TeamEntry};
-use gannethub_core::http::{Answer, CallResult, Method, NoAnswer};
+use gannethub_core::http::{Answer, CallError, CallResult, Method};
 use gannethub_core::settings::Settings;
 use gannethub_emulators::State;
 use gannethub_emulators::state::Outcome;
@@ -50,10 +50,10 @@
             .borrow_mut()
             .handle(method.as_str(), path, body, 0);
         let Outcome::Answer(status, body) = outcome else {
-            return Err(NoAnswer::Timeout);
+            return Err(CallError::Timeout);
         };
         if path == "/commit" && take_fault(&self.lost) {
-            return Err(NoAnswer::Timeout);
+            return Err(CallError::Timeout);
         }
         Ok(Answer::new(status, body.to_string()))
     }
