--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -65,7 +65,7 @@
             });
         });
         group.bench_with_input(BenchmarkId::new("plan", machines), &machines, |b, _| {
-            b.iter(|| black_box(f.c.machines_wanted(f.now)));
+            b.iter(|| black_box(f.c.compute_machine_demand(f.now)));
         });
         // One task ends with each heartbeat, and another one takes its place. Scheduling passes are kept out of the
         // measurement by setting the time of the last pass.
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -274,7 +274,8 @@
         if !peers.any(|peer| self.is_idle(membership, peer, now)) {
             return None;
         }
-        let is_settled = |owner: &ShardOwner| owner.is_loaded() && owner.cluster.takeover.settled;
+        let is_settled =
+            |owner: &ShardOwner| owner.is_loaded() && owner.cluster.takeover.is_settled;
         owners
             .iter()
             .find(|(shard, owner)| **shard > 0 && is_settled(owner))
--- a/crates/gannethub-core/src/controller/shard_owner/writes.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/writes.rs
@@ -208,6 +208,6 @@
             // The read is repeated by a later tick.
             KeyRead::Failed => return,
         };
-        self.cluster.usage_owner_read(job, owner, outbox.clock.now);
+        self.cluster.apply_usage_owner(job, owner, outbox.clock.now);
     }
 }
--- a/crates/gannethub-core/src/reconcile/attempt_end.rs
+++ b/crates/gannethub-core/src/reconcile/attempt_end.rs
@@ -195,7 +195,7 @@
             return;
         };
         let gang = job.tasks.gang_attempt.as_mut();
-        let Some(gang) = gang.filter(|gang| gang.attempt == number) else {
+        let Some(gang) = gang.filter(|gang| gang.number == number) else {
             return;
         };
         let is_replaceable = matches!(
--- a/crates/gannethub-core/src/reconcile/attempts.rs
+++ b/crates/gannethub-core/src/reconcile/attempts.rs
@@ -33,7 +33,7 @@
             reported.insert(attempt_id.clone());
             self.apply_reported_task(id, attempt_id, task, now);
         }
-        self.charge_orphans_not_shown(id, heartbeat.incarnation, now);
+        self.charge_unreported_orphans(id, heartbeat.incarnation, now);
         self.drop_missing_attempts(id, &reported, now);
     }
 
@@ -195,7 +195,7 @@
         let entered_at = std::mem::replace(&mut attempt.phase_since, now);
         attempt.reported = true;
         // The worker reports an attempt that it was told to launch, so the responses reach it.
-        machine.worker.unanswered_incarnations = 0;
+        machine.worker.lost_response_incarnations = 0;
         let run_time = match old_phase {
             AttemptPhase::Running => now.saturating_sub(entered_at),
             _ => 0,
@@ -234,7 +234,7 @@
             .tasks
             .gang_attempt
             .as_mut()
-            .filter(|g| g.attempt == attempt_id.number)
+            .filter(|g| g.number == attempt_id.number)
         {
             gang.running |= phase == AttemptPhase::Running;
         }
@@ -243,14 +243,14 @@
 
 /// Adds an adopted attempt to its job's gang attempt, which is created if there is none. Returns `false` if the job has
 /// another gang attempt.
-fn join_gang_attempt(job: &mut Job, number: u64, phase: AttemptPhase) -> bool {
+fn join_gang_attempt(job: &mut Job, attempt_number: u64, phase: AttemptPhase) -> bool {
     let tasks = job.spec.tasks;
     let gang = job.tasks.gang_attempt.get_or_insert_with(|| GangAttempt {
-        attempt: number,
+        number: attempt_number,
         saga: Saga::independent(tasks),
         running: false,
         stopping: false,
     });
     gang.running |= matches!(phase, AttemptPhase::Running | AttemptPhase::Saving);
-    gang.attempt == number
+    gang.number == attempt_number
 }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -102,7 +102,7 @@
         let interval = self.settings.heartbeat_interval;
         let max_interval = interval + interval / 4 + SECOND / 20;
         let lease = self.settings.lease_duration;
-        let machine = self.machine_or_adopt(
+        let machine = self.get_or_adopt_machine(
             &heartbeat.machine,
             &heartbeat.machine_type,
             &heartbeat.zone,
@@ -118,7 +118,7 @@
         let booted = mark_up(machine, is_known, now);
         let is_new_incarnation = heartbeat.incarnation > machine.worker.incarnation;
         let is_first_contact = is_new_incarnation || !machine.worker.confirmed;
-        if is_new_incarnation && machine.ended_unanswered(now, lease) {
+        if is_new_incarnation && machine.ended_with_lost_responses(now, lease) {
             record_unanswered_incarnation(machine, now, lease);
         }
         record_heartbeat(machine, heartbeat, now, max_interval);
@@ -238,13 +238,13 @@
 /// Marks a machine as up on its first heartbeat. Returns its machine type and boot time if its provisioning time is
 /// known.
 fn mark_up(machine: &mut Machine, is_known: bool, now: Micros) -> Option<(usize, Micros)> {
-    if machine.lifecycle.is_up {
+    if machine.lifecycle.has_booted {
         return None;
     }
     let boot_time = now.saturating_sub(machine.lifecycle.provisioned_at);
     let boot_s = seconds_from_micros(boot_time) as u32;
     tracing::info!(machine = %machine.id, known = is_known, boot_s, "machine is up");
-    machine.lifecycle.is_up = true;
+    machine.lifecycle.has_booted = true;
     machine.placement.idle_since = now;
     // An adopted machine was provisioned by another controller at an unknown time.
     let machine_type = machine.machine_type.filter(|_| is_known)?;
@@ -255,8 +255,8 @@
 /// Heartbeats arrive from the machine but the responses do not reach it. Tasks placed on the machine are lost with each
 /// incarnation, and as its capacity may be the cheapest of all, they would be placed there again and again.
 fn record_unanswered_incarnation(machine: &mut Machine, now: Micros, lease: Micros) {
-    machine.worker.unanswered_incarnations += 1;
-    let count = machine.worker.unanswered_incarnations;
+    machine.worker.lost_response_incarnations += 1;
+    let count = machine.worker.lost_response_incarnations;
     machine.placement.unschedulable_until = now + (lease << count.min(MAX_UNANSWERED_INCARNATIONS));
     machine.lifecycle.quarantined |= count >= MAX_UNANSWERED_INCARNATIONS;
     tracing::info!(machine = %machine.id, incarnations = count, "responses do not reach worker");
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -78,7 +78,7 @@
         };
         let moves_to_other_shard = job
             .scheduling
-            .home_shard
+            .target_shard
             .is_some_and(|home| home != self.shard.id);
         if moves_to_other_shard && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
@@ -89,7 +89,7 @@
                 job.persistence.dirty_since.unwrap_or(0),
             );
         }
-        if job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.settled {
+        if job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.is_settled {
             return due(WriteReason::Cancelled, 0);
         }
         if job.persistence.requested_watermark > job.persistence.durable_watermark
@@ -113,7 +113,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let Some(home) = job.scheduling.home_shard else {
+        let Some(home) = job.scheduling.target_shard else {
             return true;
         };
         if !builder.fits(1) {
--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -26,11 +26,11 @@
         }
         self.machines_scanned_at = now;
         self.total_capacity = Resources::default();
-        for machine in self.machines.values().filter(|m| m.lifecycle.is_up) {
+        for machine in self.machines.values().filter(|m| m.lifecycle.has_booted) {
             self.total_capacity += machine.capacity;
         }
         self.expire_leases(now);
-        if !self.takeover.settled {
+        if !self.takeover.is_settled {
             self.settle_takeover(now);
         }
         self.reindex_changed_machines(now);
@@ -43,7 +43,7 @@
     fn is_scan_due(&self, now: Micros) -> bool {
         let interval = SCAN_INTERVAL_PER_MACHINE * self.machines.len() as Micros;
         let due_at = self.machines_scanned_at + interval.min(MAX_SCAN_INTERVAL);
-        !self.takeover.settled || now >= due_at
+        !self.takeover.is_settled || now >= due_at
     }
 
     /// Gives up the attempts on machines whose workers' leases have expired.
@@ -70,12 +70,12 @@
 
     /// Settles the takeover once no machine may hold a task that this leader does not know of.
     fn settle_takeover(&mut self, now: Micros) {
-        let unconfirmed = self.review_unconfirmed(now);
+        let unconfirmed = self.update_unconfirmed(now);
         self.return_few_silent_machines(now, unconfirmed);
         if unconfirmed == 0 {
             let (machines, jobs) = (self.machines.len(), self.jobs.len());
             tracing::info!(machines, jobs, "settled");
-            self.takeover.settled = true;
+            self.takeover.is_settled = true;
         }
     }
 
@@ -86,7 +86,8 @@
     /// is cut off, more machines are silent and their tasks go on: the takeover waits for such machines.
     fn return_few_silent_machines(&mut self, now: Micros, unconfirmed: usize) {
         let max_silent = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
-        let all_heard_by = self.takeover.at + 2 * self.settings.heartbeat_interval + 2 * SECOND;
+        let all_heard_by =
+            self.takeover.started_at + 2 * self.settings.heartbeat_interval + 2 * SECOND;
         if now <= all_heard_by || unconfirmed > max_silent {
             return;
         }
--- a/crates/gannethub-core/src/reconcile/machine_listing.rs
+++ b/crates/gannethub-core/src/reconcile/machine_listing.rs
@@ -52,7 +52,7 @@
         let max_age = self.max_listing_age();
         // After this time since the takeover, machines of other shards that the listing does not show are gone, even if
         // the listing has the maximum age.
-        if now > self.takeover.at + max_age + MAX_MESSAGE_AGE {
+        if now > self.takeover.started_at + max_age + MAX_MESSAGE_AGE {
             let in_other_shards = &mut self.other_shards.machines;
             in_other_shards.retain(|machine, _| names.contains(machine.as_str()));
         }
@@ -113,7 +113,7 @@
     fn apply_listed_machine(&mut self, entry: &ListedMachine, now: Micros) {
         let age = micros_from_seconds(entry.age_s);
         let (machine_type, zone) = (&entry.machine_type, &entry.zone);
-        let machine = self.machine_or_adopt(&entry.id, machine_type, zone, entry.spot, now);
+        let machine = self.get_or_adopt_machine(&entry.id, machine_type, zone, entry.spot, now);
         let lifecycle = &mut machine.lifecycle;
         lifecycle.missed_listings = 0;
         if !lifecycle.in_listing {
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -133,7 +133,7 @@
                     self.start_machine_transfer(&name, record, shard);
                 }
                 None => {
-                    self.machine_or_adopt(&name, &machine_type, &offer.zone, offer.spot, now);
+                    self.get_or_adopt_machine(&name, &machine_type, &offer.zone, offer.spot, now);
                 }
             }
         }
@@ -144,10 +144,10 @@
     pub fn apply_refused_offers(&mut self, offers: Vec<(Offer, Micros)>, now: Micros) {
         for (offer, backoff) in offers {
             let refusal = OfferRefusal {
-                at: now,
-                until: now + backoff,
-                consecutive: 1,
-                machines_held: self.machines_of_offer(&offer),
+                refused_at: now,
+                retry_at: now + backoff,
+                consecutive_refusals: 1,
+                machines_held: self.machine_count_of_offer(&offer),
             };
             self.fleet.refusals.insert(offer, refusal);
         }
@@ -155,13 +155,13 @@
 
     fn record_offer_refusal(&mut self, offer: &Offer, now: Micros) {
         let last = self.fleet.refusals.get(offer);
-        let consecutive = last.map_or(0, |refusal| refusal.consecutive);
-        let backoff = REFUSAL_BACKOFF << consecutive.min(MAX_REFUSAL_DOUBLINGS);
+        let consecutive_refusals = last.map_or(0, |refusal| refusal.consecutive_refusals);
+        let backoff = REFUSAL_BACKOFF << consecutive_refusals.min(MAX_REFUSAL_DOUBLINGS);
         let refusal = OfferRefusal {
-            at: now,
-            until: now + backoff,
-            consecutive: consecutive + 1,
-            machines_held: self.machines_of_offer(offer),
+            refused_at: now,
+            retry_at: now + backoff,
+            consecutive_refusals: consecutive_refusals + 1,
+            machines_held: self.machine_count_of_offer(offer),
         };
         self.fleet.refusals.insert(offer.clone(), refusal);
     }
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -109,7 +109,7 @@
             return;
         }
         let (machine_type, zone) = (&record.machine_type, &record.zone);
-        self.machine_or_adopt(machine, machine_type, zone, record.spot, now);
+        self.get_or_adopt_machine(machine, machine_type, zone, record.spot, now);
         let member = ShardMember::from(record.clone());
         self.shard.add(machine, member, None);
         self.transfers.incoming.insert(machine.into());
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -128,14 +128,14 @@
             }
             return;
         };
-        let took_over_at = self.takeover.at;
+        let took_over_at = self.takeover.started_at;
         for (name, member) in &record.machines {
             let (machine_type, zone) = (&member.machine_type, &member.zone);
             let machine =
-                self.machine_or_adopt(name, machine_type, zone, member.spot, took_over_at);
+                self.get_or_adopt_machine(name, machine_type, zone, member.spot, took_over_at);
             machine.lifecycle.recorded = true;
             machine.worker.last_answered_at = took_over_at;
-            machine.lifecycle.is_up = true;
+            machine.lifecycle.has_booted = true;
         }
         self.shard.load_chunk(index, record, version);
     }
@@ -164,14 +164,14 @@
 
     /// Finishes loading after all records have been read. Worker leases of recorded machines are counted from `now`.
     pub fn finish_loading(&mut self, now: Micros) {
-        self.takeover.at = now;
+        self.takeover.started_at = now;
         self.takeover.unconfirmed.loading = false;
         self.shard.finish_loading();
         for machine in self.machines.values_mut() {
             machine.worker.last_answered_at = now;
         }
         // A heartbeat may arrive before the next tick, and limits have to count unconfirmed tasks from now on.
-        self.review_unconfirmed(now);
+        self.update_unconfirmed(now);
     }
 }
 
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -50,17 +50,17 @@
         self.detect_unreachable_zones(now);
         self.return_unhealthy(now);
         let is_leader = self.shard.id == 0;
-        if self.takeover.settled || self.all_workers_had_time_to_report(now) {
+        if self.takeover.is_settled || self.all_workers_had_time_to_report(now) {
             if is_leader {
                 self.scale_out(now, &mut calls);
             } else {
-                self.machine_demand = self.machines_wanted(now);
+                self.machine_demand = self.compute_machine_demand(now);
             }
         }
         if is_leader {
             self.scale_out_for_shards(now, &mut calls, MAX_MACHINES_PER_PROVISION);
         }
-        if self.takeover.settled {
+        if self.takeover.is_settled {
             self.scale_in(now);
             self.consolidate(now);
         }
@@ -122,7 +122,7 @@
     /// cloud's request rate allows. The rest is not left to the next plan, since the plans of a large cluster are too
     /// far apart for that.
     fn scale_out(&mut self, now: Micros, calls: &mut Vec<CloudCall>) {
-        let mut wanted = self.machines_wanted(now);
+        let mut wanted = self.compute_machine_demand(now);
         while !wanted.is_empty() {
             let mut remaining = BTreeMap::new();
             for (offer, count) in wanted {
@@ -179,7 +179,7 @@
                 self.machine_types[index].boot_time
             });
             let is_zone_reachable = !self.zones.unreachable.contains_key(&machine.zone);
-            let is_stuck = !machine.lifecycle.is_up
+            let is_stuck = !machine.lifecycle.has_booted
                 && check_boot(machine, times, usual_boot, is_zone_reachable, now);
             if let Some(why) = reason_to_return(machine, is_stuck, lease_expiry, now) {
                 tracing::info!(machine = %machine.id, why, "returning machine");
@@ -254,7 +254,7 @@
     }
 
     /// Returns the number of machines of an offer.
-    pub(crate) fn machines_of_offer(&self, offer: &Offer) -> usize {
+    pub(crate) fn machine_count_of_offer(&self, offer: &Offer) -> usize {
         self.capacity_index
             .machine_count(offer.machine_type, &offer.zone, offer.spot)
     }
@@ -269,8 +269,8 @@
             }
         }
         self.fleet.refusals.get(offer).is_some_and(|refusal| {
-            let is_unchanged = self.machines_of_offer(offer) >= refusal.machines_held.max(1);
-            now < refusal.until || (now < refusal.at + REFUSAL_MEMORY && is_unchanged)
+            let is_unchanged = self.machine_count_of_offer(offer) >= refusal.machines_held.max(1);
+            now < refusal.retry_at || (now < refusal.refused_at + REFUSAL_MEMORY && is_unchanged)
         })
     }
 
@@ -278,7 +278,7 @@
     fn is_provisioning_in(&self, zone: &str) -> bool {
         let mut machines = self.machines.values();
         let mut pending = self.fleet.pending_provisions.values();
-        machines.any(|machine| !machine.lifecycle.is_up && *machine.zone == *zone)
+        machines.any(|machine| !machine.lifecycle.has_booted && *machine.zone == *zone)
             || pending.any(|pending| pending.offer.zone == *zone)
     }
 }
@@ -308,7 +308,7 @@
         return is_stuck;
     };
     if is_stuck {
-        times.record_lost(type_index, &machine.zone, now);
+        times.record_failed_boot(type_index, &machine.zone, now);
     } else if !lifecycle.boot_overdue && age as f64 > OVERDUE_FACTOR * boot_time as f64 {
         lifecycle.boot_overdue = true;
         times.record_overdue(type_index, &machine.zone, now);
@@ -329,7 +329,7 @@
         return Some("boot timed out");
     }
     let lifecycle = &machine.lifecycle;
-    if !lifecycle.is_up {
+    if !lifecycle.has_booted {
         return None;
     }
     // The lease has expired, so no work is lost by returning a machine that sends no heartbeats.
@@ -353,7 +353,7 @@
 
 /// Whether a machine is up and has no attempts, no active reservation and no planned work.
 fn is_idle(machine: &Machine, now: Micros) -> bool {
-    machine.lifecycle.is_up
+    machine.lifecycle.has_booted
         && !machine.lifecycle.deleting
         && machine.attempts.is_empty()
         && machine.active_reservation(now).is_none()
--- a/crates/gannethub-core/src/scheduling/capacity_timeline.rs
+++ b/crates/gannethub-core/src/scheduling/capacity_timeline.rs
@@ -222,7 +222,7 @@
             .times_fitting_in(&machine.capacity)
             .min(MAX_TASKS_PER_MACHINE) as usize;
         let lifecycle = &machine.lifecycle;
-        if !lifecycle.is_up {
+        if !lifecycle.has_booted {
             let is_usable = !lifecycle.deleting && !lifecycle.quarantined;
             let up_at = self.expected_up_at(machine, now).filter(|_| is_usable);
             return up_at.map_or_else(Vec::new, |at| vec![at; max_tasks]);
--- a/crates/gannethub-core/src/scheduling/consolidation.rs
+++ b/crates/gannethub-core/src/scheduling/consolidation.rs
@@ -73,10 +73,10 @@
     /// Starts to empty machines whose tasks all have a long remaining run time and fit elsewhere, if no job waits for
     /// capacity.
     pub(super) fn consolidate(&mut self, now: Micros) {
-        if now < self.fleet.next_move_at {
+        if now < self.fleet.next_consolidation_at {
             return;
         }
-        self.fleet.next_move_at = now + CONSOLIDATION_INTERVAL;
+        self.fleet.next_consolidation_at = now + CONSOLIDATION_INTERVAL;
         let is_waiting = |job: &Job| {
             !job.cancelled && !job.tasks.pending.is_empty() && self.tasks_within_quota(job) > 0
         };
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -8,7 +8,7 @@
 
 use crate::model::{JobId, JobSpec, Micros, TaskId};
 use crate::state::cluster::Cluster;
-use crate::state::deadline::{Deadline, DownstreamDemand, StageDuration};
+use crate::state::downstream_demand::{Deadline, DownstreamDemand, JobDuration};
 use crate::state::job::Job;
 use crate::state::pipeline::WaitingJob;
 
@@ -114,11 +114,11 @@
                 latest: due_at,
             })
         };
-        let stage = self.stage_time(spec);
+        let duration = self.job_duration(spec);
         let deadlines = objectives.iter().enumerate().map(|(index, objective)| {
             let downstream = demand.and_then(|demand| demand.deadlines.get(index).copied());
             let deadline = earliest(own_deadline(objective), downstream.flatten())?;
-            Some(deadline.minus_stage(stage))
+            Some(deadline.minus_duration(duration))
         });
         let priority = demand.map_or(spec.priority, |demand| demand.priority.max(spec.priority));
         DownstreamDemand {
@@ -194,7 +194,7 @@
                 continue;
             }
             let release_at = upstream_ends.into_iter().max().unwrap_or(now);
-            ends.insert(id, release_at + self.stage_time(&waiting.spec).expected);
+            ends.insert(id, release_at + self.job_duration(&waiting.spec).expected);
             if release_at <= until {
                 releases.push((release_at, id, waiting));
             }
@@ -225,20 +225,20 @@
     /// consists of two heartbeat intervals, in which the workers get the launches and report the ends, the fetch of
     /// the image, and the expected run time of its tasks plus a quarter. The minimum is one heartbeat interval and
     /// three quarters of the expected run time, with the image already on the machine.
-    pub(crate) fn stage_time(&self, spec: &JobSpec) -> StageDuration {
+    pub(crate) fn job_duration(&self, spec: &JobSpec) -> JobDuration {
         let heartbeats = 2 * self.settings.heartbeat_interval;
         let run_time = self.run_time(spec);
-        StageDuration {
+        JobDuration {
             expected: run_time.expected + heartbeats,
             minimum: run_time.minimum + heartbeats / 2,
         }
     }
 
-    /// Returns the part of [`Cluster::stage_time`] after the launch has reached the workers: the fetch of the image
+    /// Returns the part of [`Cluster::job_duration`] after the launch has reached the workers: the fetch of the image
     /// and the run.
-    pub fn run_time(&self, spec: &JobSpec) -> StageDuration {
+    pub fn run_time(&self, spec: &JobSpec) -> JobDuration {
         let expected_run_time = self.expected_run_time(spec);
-        StageDuration {
+        JobDuration {
             expected: self.fetch_time(spec) + expected_run_time * 5 / 4,
             minimum: expected_run_time * 3 / 4,
         }
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -8,7 +8,7 @@
 use crate::policy::Value;
 use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::Cluster;
-use crate::state::deadline::DownstreamDemand;
+use crate::state::downstream_demand::DownstreamDemand;
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
@@ -50,7 +50,7 @@
             Value::Bool(latest_start.is_none()),
             Value::Bool(within_guarantee),
             Value::Number(share.of_total),
-            Value::Number(share.over_due),
+            Value::Number(share.ratio_to_due_share),
         ]
     }
 
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -47,19 +47,19 @@
             }
             None => i64::MAX,
         };
-        let silent = self.takeover.unconfirmed.silent_machines.iter();
-        silent
+        let unconfirmed = self.takeover.unconfirmed.unconfirmed_machines.iter();
+        unconfirmed
             .map(|(kind, machines)| tasks_on(kind).saturating_mul(*machines))
             .fold(0, i64::saturating_add)
     }
 
     /// Updates the unconfirmed tasks and their possible usage, as machines have sent heartbeats or are known to hold
     /// nothing. Returns the number of machines that may still hold unconfirmed tasks.
-    pub fn review_unconfirmed(&mut self, now: Micros) -> usize {
+    pub fn update_unconfirmed(&mut self, now: Micros) -> usize {
         let machines = self.unconfirmed_machines(now);
         let count = machines.by_kind.values().sum::<i64>() as usize;
         let has_unknown_type = machines.by_kind.contains_key(&None);
-        self.takeover.unconfirmed.silent_machines = machines.by_kind.into_iter().collect();
+        self.takeover.unconfirmed.unconfirmed_machines = machines.by_kind.into_iter().collect();
         let mut possible_usage = vec![Resources::default(); self.quota.team_usage.len()];
         let mut confirmed: Vec<JobId> = Vec::new();
         let jobs = self.jobs.values();
@@ -144,7 +144,7 @@
     /// that has not sent one by then may stay silent for a whole lease and offers no capacity that can be planned
     /// with.
     pub fn all_workers_had_time_to_report(&self, now: Micros) -> bool {
-        now > self.takeover.at + self.settings.heartbeat_interval * 5 / 4 + HEARTBEAT_DELAY
+        now > self.takeover.started_at + self.settings.heartbeat_interval * 5 / 4 + HEARTBEAT_DELAY
     }
 
     /// Whether every task that may be on a machine is below its job's watermark as stored in the state service, so
@@ -154,7 +154,9 @@
             let persistence = &job.persistence;
             persistence.requested_watermark <= persistence.durable_watermark
         };
-        self.takeover.settled && !self.watermarks.not_required && self.jobs.values().all(is_covered)
+        self.takeover.is_settled
+            && !self.watermarks.not_required
+            && self.jobs.values().all(is_covered)
     }
 }
 
--- a/crates/gannethub-core/src/scheduling/fleet_summary.rs
+++ b/crates/gannethub-core/src/scheduling/fleet_summary.rs
@@ -27,7 +27,7 @@
 
 impl FleetUse {
     fn add(&mut self, machine: &Machine, now: Micros) {
-        if !machine.lifecycle.is_up {
+        if !machine.lifecycle.has_booted {
             self.booting += 1;
             return;
         }
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -56,9 +56,9 @@
     pub(super) fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
         let interval =
             (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
-        let regather_all = now >= self.passes.gang_round_at + interval;
+        let regather_all = now >= self.passes.last_gather_at + interval;
         if regather_all {
-            self.passes.gang_round_at = now;
+            self.passes.last_gather_at = now;
         }
         GangPass {
             regather_all,
@@ -96,7 +96,7 @@
                 unplaceable.record(&spec, missing.len());
             }
         }
-        if self.takeover.settled {
+        if self.takeover.is_settled {
             self.gather_or_preempt(id, missing.len(), gangs, now);
         } else {
             self.reserve_on_confirmed_machines(id, &spec, missing.len(), now);
@@ -116,20 +116,20 @@
             .jobs
             .get(id)
             .and_then(|job| job.tasks.gang_attempt.as_ref());
-        let number = match gang_attempt {
-            Some(gang_attempt) => gang_attempt.attempt,
+        let attempt_number = match gang_attempt {
+            Some(gang_attempt) => gang_attempt.number,
             None => self.next_attempt_number(),
         };
         if let Some(job) = self.jobs.get_mut(id) {
             job.tasks.gang_attempt.get_or_insert_with(|| GangAttempt {
-                attempt: number,
+                number: attempt_number,
                 saga: Saga::independent(spec.tasks),
                 running: false,
                 stopping: false,
             });
         }
         for (index, machine) in missing.iter().zip(machine_per_task(placements)) {
-            let attempt = AttemptId::new(id.clone(), *index, number);
+            let attempt = AttemptId::new(id.clone(), *index, attempt_number);
             self.place_task(attempt, machine, now);
         }
     }
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -50,7 +50,7 @@
             self.enforce_limits(now);
         }
         self.propagate_downstream_demand(now);
-        self.order_queue(now);
+        self.update_queue_order(now);
         self.rank_buckets();
         let queue = self.begin_pass(now);
         let mut pass = SchedulingPass {
@@ -118,7 +118,7 @@
     /// Logs a job once, when all of its tasks, or all tasks that its team's limit allows, are placed.
     fn log_if_fully_placed(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        let is_limited = self.takeover.settled && self.tasks_within_quota(job) <= 0;
+        let is_limited = self.takeover.is_settled && self.tasks_within_quota(job) <= 0;
         if job.scheduling.fully_placed || !(job.tasks.pending.is_empty() || is_limited) {
             return;
         }
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -195,7 +195,7 @@
         pass: &mut PreemptionPass,
         now: Micros,
     ) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.takeover.settled) else {
+        let Some(job) = self.jobs.get(id).filter(|_| self.takeover.is_settled) else {
             return;
         };
         let preemptor = Preemptor::new(job);
@@ -218,7 +218,7 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(id) {
-            job.scheduling.preempted_for_at = Some(now);
+            job.scheduling.last_preemption_at = Some(now);
         }
         for (machine, tasks) in chosen.tasks_by_machine {
             let reservation = Reservation {
@@ -441,7 +441,7 @@
 fn may_preempt(preemptor: &Preemptor<'_>, pass: &PreemptionPass, now: Micros) -> bool {
     let scheduling = &preemptor.job.scheduling;
     let was_just_served = scheduling
-        .preempted_for_at
+        .last_preemption_at
         .is_some_and(|at| now < at + PREEMPTION_RETRY);
     (preemptor.is_urgent || scheduling.within_guarantee) && !(pass.catching_up && was_just_served)
 }
--- a/crates/gannethub-core/src/scheduling/provisioning_plan.rs
+++ b/crates/gannethub-core/src/scheduling/provisioning_plan.rs
@@ -76,8 +76,8 @@
 impl Cluster {
     /// Returns the number of machines of each offer that the queue needs in addition to the machines that are up,
     /// booting or requested.
-    pub fn machines_wanted(&mut self, now: Micros) -> BTreeMap<Offer, u32> {
-        self.order_queue(now);
+    pub fn compute_machine_demand(&mut self, now: Micros) -> BTreeMap<Offer, u32> {
+        self.update_queue_order(now);
         let mut pending = self.pending_work(now);
         if pending.is_empty() {
             return BTreeMap::new();
@@ -266,7 +266,7 @@
             || lifecycle.draining
             || lifecycle.quarantined
             || lifecycle.preemption_notice
-            || machine.is_unanswered(now)
+            || machine.has_lost_responses(now)
         {
             return;
         }
@@ -277,7 +277,7 @@
             spot: machine.spot,
         };
         let group = self.forecast_group(forecast, &key);
-        if !lifecycle.is_up {
+        if !lifecycle.has_booted {
             if let Some(available_at) = self.expected_up_at(machine, now) {
                 forecast.add_machine(self.empty_machine(group, &key, available_at));
             }
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -44,7 +44,7 @@
     }
 
     /// Brings the queue up to date.
-    pub fn order_queue(&mut self, now: Micros) {
+    pub fn update_queue_order(&mut self, now: Micros) {
         self.update_usage_shares(now);
         let mut queue = std::mem::take(&mut self.queue);
         let interval = REORDER_INTERVAL_PER_JOB * queue.entries.len() as Micros;
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -224,27 +224,27 @@
     pub fn refused_offers(&self) -> Vec<(Offer, Micros)> {
         let refusals = self.fleet.refusals.iter();
         refusals
-            .filter(|(_, refusal)| refusal.until > self.now)
-            .map(|(offer, refusal)| (offer.clone(), refusal.until - self.now))
+            .filter(|(_, refusal)| refusal.retry_at > self.now)
+            .map(|(offer, refusal)| (offer.clone(), refusal.retry_at - self.now))
             .collect()
     }
 
     /// Moves jobs that have no launches and find no capacity here to a shard with free capacity. If this shard is to
     /// be given up, all jobs that can move are moved.
-    pub fn transfer_waiting_jobs(&mut self, give_up: bool) {
-        if !self.takeover.settled || self.other_shards.loads.len() < 2 {
+    pub fn transfer_waiting_jobs(&mut self, is_surplus: bool) {
+        if !self.takeover.is_settled || self.other_shards.loads.len() < 2 {
             return;
         }
         let queued = self.passes.placement_order.iter();
         let queued = queued.filter_map(|id| self.jobs.get(id));
-        let all = self.jobs.values().filter(|_| give_up);
+        let all = self.jobs.values().filter(|_| is_surplus);
         let mut moves: Vec<(JobId, u32)> = Vec::new();
         for job in queued.chain(all) {
             if moves.len() >= MAX_JOBS_MOVED_AT_ONCE {
                 break;
             }
-            if self.may_transfer(job, give_up) {
-                let shard = self.shard_with_most_free_cpu(job, give_up);
+            if self.may_transfer(job, is_surplus) {
+                let shard = self.shard_with_most_free_cpu(job, is_surplus);
                 moves.extend(shard.map(|shard| (job.id.clone(), shard)));
             }
         }
@@ -253,7 +253,7 @@
         }
         for (id, shard) in moves {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.scheduling.home_shard = Some(shard);
+                job.scheduling.target_shard = Some(shard);
             }
             // No further job moves to the shard until its owner reports its load again.
             let mut loads = self.other_shards.loads.iter_mut();
@@ -265,7 +265,7 @@
 
     /// Whether a job may move to another shard: none of its tasks has been launched and its record is not being
     /// written.
-    fn may_transfer(&self, job: &Job, give_up: bool) -> bool {
+    fn may_transfer(&self, job: &Job, is_surplus: bool) -> bool {
         let waited = self.unix_time.saturating_sub(job.ready_at);
         let has_waited = waited > MIN_WAIT_BEFORE_MOVE + self.settings.heartbeat_interval;
         let persistence = &job.persistence;
@@ -273,17 +273,17 @@
             && !job.cancelled
             && !persistence.write_in_flight
             && !persistence.version_unknown
-            && (give_up || (has_waited && job.spec.shape != Shape::Gang))
+            && (is_surplus || (has_waited && job.spec.shape != Shape::Gang))
     }
 
     /// Returns the other shard with the most free capacity, if that is enough for a job or if this shard is given up.
-    fn shard_with_most_free_cpu(&self, job: &Job, give_up: bool) -> Option<u32> {
+    fn shard_with_most_free_cpu(&self, job: &Job, is_surplus: bool) -> Option<u32> {
         let needed_cpu = job.spec.resources.cpu * job.placeable_count() as i64;
         let unclaimed = |load: &ShardLoad| load.free_cpu - load.waiting_cpu;
         let loads = self.other_shards.loads.iter();
         loads
             .filter(|load| load.shard != self.shard.id)
-            .filter(|load| give_up || unclaimed(load) >= needed_cpu)
+            .filter(|load| is_surplus || unclaimed(load) >= needed_cpu)
             .max_by_key(|load| (unclaimed(load), load.shard))
             .map(|load| load.shard)
     }
--- a/crates/gannethub-core/src/state/attempt.rs
+++ b/crates/gannethub-core/src/state/attempt.rs
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 pub struct GangAttempt {
     /// The attempt number that all tasks of the gang share.
-    pub attempt: u64,
+    pub number: u64,
     /// The attempt's own saga, to which every task is vital. The attempt is not vital to its job, so a lost attempt
     /// is repeated.
     pub saga: Saga<u32>,
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -215,7 +215,7 @@
     }
 
     /// Returns the machine with this name, adopting an unknown machine first.
-    pub fn machine_or_adopt(
+    pub fn get_or_adopt_machine(
         &mut self,
         name: &str,
         machine_type: &str,
--- a/crates/gannethub-core/src/state/deadline.rs
+++ b/crates/gannethub-core/src/state/downstream_demand.rs
@@ -22,7 +22,7 @@
 
 /// Duration of a job from its start to its end.
 #[derive(Clone, Copy, Debug)]
-pub struct StageDuration {
+pub struct JobDuration {
     /// Duration that the job may well take: its expected duration with some allowance.
     pub expected: Micros,
     /// Minimum duration.
@@ -30,12 +30,12 @@
 }
 
 impl Deadline {
-    /// Returns the deadline of a job that takes `stage` from its release to its end and has to be done before this
+    /// Returns the deadline of a job that takes `duration` from its release to its end and has to be done before this
     /// deadline.
-    pub(crate) fn minus_stage(self, stage: StageDuration) -> Deadline {
+    pub(crate) fn minus_duration(self, duration: JobDuration) -> Deadline {
         Deadline {
-            target: self.target.saturating_sub(stage.expected),
-            latest: self.latest.saturating_sub(stage.minimum),
+            target: self.target.saturating_sub(duration.expected),
+            latest: self.latest.saturating_sub(duration.minimum),
         }
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Returns the time of day by which the job has to start, never before `now`. `None`: it is certainly too late.
-    pub fn start_by(self, stage: StageDuration, now: u64) -> Option<u64> {
-        let deadline = self.minus_stage(stage);
+    pub fn start_by(self, duration: JobDuration, now: u64) -> Option<u64> {
+        let deadline = self.minus_duration(duration);
         (deadline.latest >= now).then(|| deadline.target.max(now))
     }
 }
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -30,11 +30,11 @@
 /// A refusal: the cloud had no machine for an offer.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferRefusal {
-    pub(crate) at: Micros,
+    pub(crate) refused_at: Micros,
     /// Earliest time at which the offer is requested again.
-    pub(crate) until: Micros,
+    pub(crate) retry_at: Micros,
     /// Number of consecutive refusals of the offer.
-    pub(crate) consecutive: u32,
+    pub(crate) consecutive_refusals: u32,
     /// Number of machines of the offer at the time of the refusal.
     pub(crate) machines_held: usize,
 }
@@ -103,7 +103,7 @@
     /// Time at which the next summary of the fleet is logged.
     pub(crate) next_summary_at: Micros,
     /// Time of the next search for machines that could be emptied and returned.
-    pub(crate) next_move_at: Micros,
+    pub(crate) next_consolidation_at: Micros,
 
     pub(crate) refusals: HashMap<Offer, OfferRefusal>,
     pub provisioning_times: ProvisioningTimes,
@@ -125,7 +125,7 @@
             listing: MachineListing::default(),
             next_machine_types_at: 0,
             next_summary_at: 0,
-            next_move_at: 0,
+            next_consolidation_at: 0,
             refusals: HashMap::new(),
             provisioning_times: ProvisioningTimes::default(),
             deleted_machines: HashMap::new(),
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::attempt::{GangAttempt, LiveAttempt};
-use super::deadline::DownstreamDemand;
+use super::downstream_demand::DownstreamDemand;
 use super::failure_tracking::FailureTracking;
 use crate::model::{JobId, JobSpec, Micros, Priority, SECOND, Shape, TaskSet};
 use crate::saga::Saga;
@@ -80,13 +80,13 @@
     /// Whether all tasks that the team may run at once have been placed, which is logged once.
     pub fully_placed: bool,
     /// The shard to which the job is to be transferred.
-    pub home_shard: Option<u32>,
+    pub target_shard: Option<u32>,
     /// Whether the job was within its team's guarantee when the queue was last sorted.
     pub within_guarantee: bool,
     /// Whether gang placement has been tried for the job. Further attempts are made in the rounds for all gangs.
     pub gang_placement_tried: bool,
     /// Time at which other work was last preempted for the job.
-    pub preempted_for_at: Option<Micros>,
+    pub last_preemption_at: Option<Micros>,
     /// Time at which the last of the job's reservations expires. No capacity is reserved for the job after this time.
     pub reserved_until: Micros,
     /// Number of the last scheduling pass that found the job in the queue with tasks to place.
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -61,7 +61,7 @@
     pub address: Option<SocketAddrV4>,
     /// Number of consecutive incarnations that ended although their heartbeats were answered, so the answers do not
     /// arrive.
-    pub unanswered_incarnations: u32,
+    pub lost_response_incarnations: u32,
     /// Hash of the tasks in the last heartbeat, unless there are new orders for the tasks since then. A heartbeat with
     /// the same hash changes nothing.
     pub heartbeat_digest: Option<u64>,
@@ -80,7 +80,7 @@
     /// Time at which the machine was provisioned, as far as known.
     pub provisioned_at: Micros,
     /// Whether the machine's worker has ever sent a heartbeat.
-    pub is_up: bool,
+    pub has_booted: bool,
     /// Whether the boot has taken much longer than expected. Each machine is counted as overdue once.
     pub boot_overdue: bool,
     /// Whether the cloud's list of machines has contained the machine.
@@ -202,7 +202,7 @@
     /// Whether the incarnation that the worker now replaces ended although its heartbeats were answered. The
     /// incarnation ended within one lease of an answered heartbeat, so the answers do not arrive. Heartbeats that
     /// were held back and arrived together are no evidence of this, because their answers came too late.
-    pub(crate) fn ended_unanswered(&self, now: Micros, lease: Micros) -> bool {
+    pub(crate) fn ended_with_lost_responses(&self, now: Micros, lease: Micros) -> bool {
         let (Some(last), Some(previous)) = (
             self.worker.last_heartbeat_at,
             self.worker.previous_heartbeat_at,
@@ -216,8 +216,8 @@
 
     /// Whether answers to the machine's heartbeats do not arrive (a one-way partition), so nothing is planned on the
     /// machine for a while.
-    pub fn is_unanswered(&self, now: Micros) -> bool {
-        self.worker.unanswered_incarnations > 0 && now < self.placement.unschedulable_until
+    pub fn has_lost_responses(&self, now: Micros) -> bool {
+        self.worker.lost_response_incarnations > 0 && now < self.placement.unschedulable_until
     }
 
     /// Whether the machine may hold tasks of an earlier term that this leader does not know of: the machine is on its
@@ -271,7 +271,7 @@
             missed_heartbeats: false,
             last_answered_at: now,
             address: None,
-            unanswered_incarnations: 0,
+            lost_response_incarnations: 0,
             heartbeat_digest: None,
         }
     }
@@ -283,7 +283,7 @@
             recorded: false,
             known_since: now,
             provisioned_at: now,
-            is_up: false,
+            has_booted: false,
             boot_overdue: false,
             in_listing: false,
             missed_listings: 0,
--- a/crates/gannethub-core/src/state/mod.rs
+++ b/crates/gannethub-core/src/state/mod.rs
@@ -17,8 +17,8 @@
 pub mod attempt;
 pub mod capacity_index;
 pub mod cluster;
-pub mod deadline;
 pub mod dependencies;
+pub mod downstream_demand;
 pub mod failure_tracking;
 pub mod fleet;
 pub mod job;
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -26,7 +26,7 @@
     /// Whether the last pass ran out of scheduling steps before it reached all gangs that request preemption.
     pub gang_requests_deferred: bool,
     /// Time at which gang placement was last tried for all waiting gangs.
-    pub gang_round_at: Micros,
+    pub last_gather_at: Micros,
     /// Scheduling steps taken so far: the number of machines, jobs and forecasts examined. Passes and plans are paced
     /// by their cost in steps. The counter is a cell because read-only helpers count steps as well.
     pub steps: Cell<u64>,
@@ -58,7 +58,7 @@
             next_at: 0,
             next_plan_at: 0,
             gang_requests_deferred: false,
-            gang_round_at: 0,
+            last_gather_at: 0,
             steps: Cell::new(0),
             cost: SchedulingCost::default(),
         }
--- a/crates/gannethub-core/src/state/pipeline.rs
+++ b/crates/gannethub-core/src/state/pipeline.rs
@@ -15,8 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::deadline::DownstreamDemand;
 use super::dependencies::DependencyGraph;
+use super::downstream_demand::DownstreamDemand;
 use crate::model::{JobId, JobSpec, Micros};
 
 /// A job that waits for other jobs.
--- a/crates/gannethub-core/src/state/provisioning_times.rs
+++ b/crates/gannethub-core/src/state/provisioning_times.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records that a machine never booted and is given up.
-    pub fn record_lost(&mut self, machine_type: usize, zone: &str, now: Micros) {
+    pub fn record_failed_boot(&mut self, machine_type: usize, zone: &str, now: Micros) {
         self.observe(machine_type, zone, now, |estimate| {
             estimate.lost_share += LOST_WEIGHT * (1.0 - estimate.lost_share);
         });
--- a/crates/gannethub-core/src/state/provisioning_times/tests.rs
+++ b/crates/gannethub-core/src/state/provisioning_times/tests.rs
@@ -39,7 +39,7 @@
 #[test]
 fn lost_machines_raise_zone_price_until_others_boot() {
     let mut times = ProvisioningTimes::default();
-    (0..25).for_each(|_| times.record_lost(1, "a", SECOND));
+    (0..25).for_each(|_| times.record_failed_boot(1, "a", SECOND));
     let raised_factor = times.price_factor(1, "a", USUAL, 80 * SECOND, SECOND);
     assert!(raised_factor > 1.4, "{raised_factor}");
     (0..100).for_each(|_| times.record_boot(1, "a", USUAL, USUAL, SECOND));
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -8,21 +8,21 @@
 pub struct Takeover {
     /// Time at which this leader took over, on this process's clock. Leases of recorded machines are counted from
     /// this time.
-    pub(crate) at: Micros,
+    pub(crate) started_at: Micros,
     /// Whether every machine of the shard has confirmed this term or its lease has expired, so nothing is unconfirmed
     /// any more.
-    pub settled: bool,
+    pub is_settled: bool,
     /// Possible contents of the machines that have not confirmed this term and whose leases have not expired.
     pub unconfirmed: Unconfirmed,
 }
 
 /// Possible contents of the machines that have not confirmed this term and whose leases have not expired.
 ///
-/// `scheduling::failover` reviews this state as machines confirm the term or lose their leases.
+/// `scheduling::failover` updates this state as machines confirm the term or lose their leases.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
     /// Number of machines of each kind that may still hold tasks. A machine of unknown kind may hold any tasks.
-    pub silent_machines: Vec<(Option<MachineKind>, i64)>,
+    pub unconfirmed_machines: Vec<(Option<MachineKind>, i64)>,
     /// Maximum usage of each team's tasks on these machines, which counts against the team's limit.
     pub possible_usage: Vec<Resources>,
     /// Whether records are being read. The tasks in these records existed before this term.
@@ -33,10 +33,10 @@
     /// Returns a takeover that begins at `now`, while the records are still to be read.
     pub fn new(now: Micros, team_count: usize) -> Takeover {
         Takeover {
-            at: now,
-            settled: false,
+            started_at: now,
+            is_settled: false,
             unconfirmed: Unconfirmed {
-                silent_machines: Vec::new(),
+                unconfirmed_machines: Vec::new(),
                 possible_usage: vec![Resources::default(); team_count],
                 loading: true,
             },
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -161,7 +161,7 @@
 
     /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends have an empty
     /// owner.
-    pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
+    pub fn apply_usage_owner(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -134,7 +134,7 @@
 
     /// Charges the orphans of a worker that has reported all its tasks to this leader for the first time: orphans
     /// that the worker did not report have ended.
-    pub(crate) fn charge_orphans_not_shown(
+    pub(crate) fn charge_unreported_orphans(
         &mut self,
         id: &MachineId,
         incarnation: u64,
@@ -162,7 +162,7 @@
 
     /// Charges the orphans of machines that no longer exist, once no task of an earlier term can still exist.
     pub(crate) fn charge_orphans_of_lost_machines(&mut self, now: Micros) {
-        if now <= self.takeover.at + self.lease_expiry_bound() {
+        if now <= self.takeover.started_at + self.lease_expiry_bound() {
             return;
         }
         let Some(ledger) = &self.usage_ledger else {
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -87,7 +87,7 @@
             flavor: rate.machine_type,
             zone: rate.zone,
             spot: rate.spot,
-            from: self.time_of_day(self.takeover.at),
+            from: self.time_of_day(self.takeover.started_at),
             to: self.time_of_day(now),
         };
         if let Some(ledger) = &mut self.usage_ledger {
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -80,7 +80,7 @@
     /// The team's part of all usage.
     pub of_total: f64,
     /// The team's part of all usage, as a multiple of the part that the team is due.
-    pub over_due: f64,
+    pub ratio_to_due_share: f64,
 }
 
 impl Default for UsageShare {
@@ -88,7 +88,7 @@
     fn default() -> UsageShare {
         UsageShare {
             of_total: 0.0,
-            over_due: 1.0,
+            ratio_to_due_share: 1.0,
         }
     }
 }
--- a/crates/gannethub-core/src/state/usage/shares.rs
+++ b/crates/gannethub-core/src/state/usage/shares.rs
@@ -29,7 +29,10 @@
         let shares = accounts.shares(&settings, self.unix_time, &open_usage);
         let teams = self.settings.teams.iter();
         let team_shares = teams.map(|team| match shares.get(&team.name) {
-            Some(&(of_total, over_due)) => UsageShare { of_total, over_due },
+            Some(&(of_total, ratio_to_due_share)) => UsageShare {
+                of_total,
+                ratio_to_due_share,
+            },
             None => UsageShare::default(),
         });
         ledger.shares = team_shares.collect();
--- a/crates/gannethub-core/src/state/zones.rs
+++ b/crates/gannethub-core/src/state/zones.rs
@@ -42,7 +42,7 @@
     ) {
         let max_silence = 3 * heartbeat_interval + 2 * SECOND;
         let mut zones: HashMap<Arc<str>, ZoneHeartbeats> = HashMap::new();
-        for machine in machines.filter(|machine| machine.lifecycle.is_up) {
+        for machine in machines.filter(|machine| machine.lifecycle.has_booted) {
             let worker = &machine.worker;
             let heard_at = worker.last_heartbeat_at.unwrap_or(worker.last_answered_at);
             let zone = zones.entry(machine.zone.clone()).or_default();
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -13,7 +13,7 @@
 fn gangs_never_reserve_the_same_booting_machine() {
     let mut f = LeaderView::new();
     for (i, zone) in ["a", "a", "a", "b", "b"].iter().enumerate() {
-        f.c.machine_or_adopt(&format!("host-{i}"), "large", zone, false, f.now);
+        f.c.get_or_adopt_machine(&format!("host-{i}"), "large", zone, false, f.now);
     }
     for id in ["j-1", "j-2", "j-3"] {
         f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
@@ -47,7 +47,7 @@
 fn a_gang_takes_reservations_of_a_gang_later_in_the_queue() {
     let mut f = LeaderView::new();
     for i in 0..2 {
-        f.c.machine_or_adopt(&format!("host-{i}"), "large", "a", false, f.now);
+        f.c.get_or_adopt_machine(&format!("host-{i}"), "large", "a", false, f.now);
     }
     f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
     f.c.run_scheduling_pass(f.now);
@@ -71,7 +71,7 @@
     f.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
     f.c.run_scheduling_pass(f.now);
     f.run_all();
-    f.c.machine_or_adopt("late-0", "large", "a", false, f.now);
+    f.c.get_or_adopt_machine("late-0", "large", "a", false, f.now);
     for _ in 0..8 {
         f.pass(7);
         f.run_all();
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -65,7 +65,7 @@
         let first = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
         f.pass(1);
         let idle = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
-        let plan = count_steps(&mut f, |f| drop(f.c.machines_wanted(f.now)));
+        let plan = count_steps(&mut f, |f| drop(f.c.compute_machine_demand(f.now)));
         f.write();
         let mut starts = 0;
         let reports = count_steps(&mut f, |f| {
@@ -172,12 +172,12 @@
         let cut = cut.min(jobs.len());
         let mut incremental = LeaderView::new();
         submit(&mut incremental, 0, cut);
-        incremental.c.order_queue(incremental.now);
+        incremental.c.update_queue_order(incremental.now);
         submit(&mut incremental, cut, jobs.len());
-        incremental.c.order_queue(incremental.now);
+        incremental.c.update_queue_order(incremental.now);
         let mut recomputed = LeaderView::new();
         submit(&mut recomputed, 0, jobs.len());
-        recomputed.c.order_queue(recomputed.now);
+        recomputed.c.update_queue_order(recomputed.now);
         prop_assert_eq!(order(&incremental), order(&recomputed));
     }
 }
