--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -134,7 +134,7 @@
         .iter()
         .for_each(|n| drop(f.heartbeat(n, "small", "a", &[])));
     f.pass(1);
-    assert!(f.c.takeover.settled);
+    assert!(f.c.takeover.is_settled);
     f.c.run_scheduling_pass(f.now);
     f.c.passes.placement_order.len()
 }
--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -210,7 +210,7 @@
 /// Refuses changes of teams that need a restart. If limits are divided among shards, or a ledger is kept, other records
 /// depend on the teams.
 fn check_team_changes(base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
-    let shards = base.policy.number(Setting::Blocks, &[]) as u32;
+    let shards = base.policy.number(Setting::ShardCount, &[]) as u32;
     if shards > 1 && settings.teams != base.teams {
         return invalid(
             "teams",
@@ -321,13 +321,13 @@
 
 /// Returns the platform's policy with the policy settings of a document applied.
 fn overlay_policy(text: &str, base: &Policy) -> Result<Policy, DocumentError> {
-    let setting_names = Policy::named(text);
+    let setting_names = Policy::setting_names(text);
     for FixedSetting { name, reason } in FIXED_SETTINGS {
         if setting_names.iter().any(|setting| setting == name) {
             return invalid("policy", format!("{name} needs a restart: {reason}"));
         }
     }
-    base.overlaid(text)
+    base.with_overrides(text)
         .or_else(|error| invalid("policy", error.to_string()))
 }
 
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -16,8 +16,8 @@
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, Heartbeat, OfferAmount, Vote, VoteRequest, WatermarkCheck};
 use crate::wire::store::{
-    self, LEADER_KEY, LEADER_PREFIX, LeaseGranted, LeaseRecord, Listing, StoreRequest,
-    TERM_COUNTER_KEY, TERM_KEY, Transaction,
+    self, LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LeaseGranted, LeaseRecord, Listing,
+    StoreRequest, TERM_COUNTER_KEY, Transaction,
 };
 
 /// Interval between heartbeats to the peers.
@@ -273,7 +273,7 @@
             match item.key.as_str() {
                 TERM_COUNTER_KEY => counter = lease,
                 LEADER_KEY => leader = lease,
-                TERM_KEY => last_term = lease,
+                LEADER_TERM_KEY => last_term = lease,
                 _ => {}
             }
         }
@@ -323,7 +323,7 @@
         };
         let mut transaction = Transaction::default();
         transaction.guard(LEADER_KEY, conditions.owner_key_version);
-        transaction.guard(TERM_KEY, conditions.term_key_version);
+        transaction.guard(LEADER_TERM_KEY, conditions.term_key_version);
         transaction.guard(
             TERM_COUNTER_KEY,
             counter.map_or(0, |counter| counter.version),
@@ -332,7 +332,7 @@
             transaction.put(TERM_COUNTER_KEY, store::to_raw_value(&record), None);
         }
         transaction.put(LEADER_KEY, store::to_raw_value(&record), Some(store_lease));
-        transaction.put(TERM_KEY, store::to_raw_value(&record), None);
+        transaction.put(LEADER_TERM_KEY, store::to_raw_value(&record), None);
         (record, transaction)
     }
 
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -219,7 +219,7 @@
 
     /// Returns how long a store lease of this controller lasts without renewal.
     pub fn store_lease_ttl(&self) -> Micros {
-        micros_from_seconds(self.settings.policy.number(Setting::Grant, &[]))
+        micros_from_seconds(self.settings.policy.number(Setting::LeaseDuration, &[]))
     }
 
     // ---- Shards ----
@@ -230,7 +230,7 @@
         if self.settings.ledger.is_some() {
             return 1;
         }
-        self.settings.policy.number(Setting::Blocks, &[]) as u32
+        self.settings.policy.number(Setting::ShardCount, &[]) as u32
     }
 
     /// Chooses the home shard of a job that is accepted now, and adds the job to that shard's load.
--- a/crates/gannethub-core/src/controller/requests.rs
+++ b/crates/gannethub-core/src/controller/requests.rs
@@ -25,10 +25,10 @@
                 self.job_api.read_ledger(outbox, connection, page, team);
             }
             Route::Submit => self.job_api.submit(outbox, connection, &request.body),
-            Route::Query(id) | Route::Cancel(id) if !is_valid_job_id(id) => {
+            Route::JobStatus(id) | Route::Cancel(id) if !is_valid_job_id(id) => {
                 outbox.reply(connection, Response::error(404, "no such job"));
             }
-            Route::Query(id) => self.job_api.query(outbox, connection, id.into()),
+            Route::JobStatus(id) => self.job_api.query(outbox, connection, id.into()),
             Route::Cancel(id) => self.cancel(connection, id.into()),
         }
     }
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -13,8 +13,9 @@
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, WatermarkCheck};
 use crate::wire::store::{
-    self, LEADER_PREFIX, LeaseGranted, LeaseRecord, Listing, SHARD_ASSIGNMENT_PREFIX, StoreRequest,
-    StoredValue, TERM_COUNTER_KEY, TERM_KEY, Transaction, assignment_keys,
+    self, LEADER_PREFIX, LEADER_TERM_KEY, LeaseGranted, LeaseRecord, Listing,
+    SHARD_ASSIGNMENT_PREFIX, StoreRequest, StoredValue, TERM_COUNTER_KEY, Transaction,
+    assignment_keys,
 };
 
 /// Interval between probes for surplus shards while no shard other than 0 is known.
@@ -400,7 +401,7 @@
     listing: &Listing,
 ) -> (LeaseRecord, Transaction) {
     let (leader, counter) = (
-        stored_term(listing, TERM_KEY),
+        stored_term(listing, LEADER_TERM_KEY),
         stored_term(listing, TERM_COUNTER_KEY),
     );
     let conditions = election.conditions();
@@ -414,7 +415,7 @@
     let mut transaction = Transaction::default();
     transaction.guard(&keys.owner, conditions.owner_key_version);
     transaction.guard(&keys.term, conditions.term_key_version);
-    transaction.guard(TERM_KEY, leader.version);
+    transaction.guard(LEADER_TERM_KEY, leader.version);
     transaction.guard(TERM_COUNTER_KEY, counter.version);
     let store_lease = Some(lease.store_lease);
     transaction.put(&keys.owner, store::to_raw_value(&record), store_lease);
--- a/crates/gannethub-core/src/controller/shard_owner.rs
+++ b/crates/gannethub-core/src/controller/shard_owner.rs
@@ -31,7 +31,7 @@
 use crate::state::fleet::CloudCall;
 use crate::state::usage_replica::UsageReplica;
 use crate::wire::budget::Urgency;
-use crate::wire::peer::RunningJob;
+use crate::wire::peer::RunningJobProgress;
 use crate::wire::store::StoreRequest;
 use crate::wire::worker::{CommandsRequest, HeartbeatResponse, WorkerHeartbeat};
 
@@ -171,12 +171,12 @@
     }
 
     /// Returns the jobs with tasks on machines, so that peers can report their progress to users.
-    pub fn running_jobs(&self) -> Vec<RunningJob> {
+    pub fn running_jobs(&self) -> Vec<RunningJobProgress> {
         let running = self.cluster.jobs.values();
         let running = running.filter(|job| job.live_count() > 0);
         let reported = running
             .take(MAX_REPORTED_RUNNING_JOBS)
-            .map(|job| RunningJob {
+            .map(|job| RunningJobProgress {
                 job: job.id.to_string(),
                 tasks: job.live_count(),
                 done: job.tasks.done.len(),
--- a/crates/gannethub-core/src/policy.rs
+++ b/crates/gannethub-core/src/policy.rs
@@ -113,13 +113,13 @@
     PlanSlack,
     Patience,
     UseSpot,
-    Idle,
-    Grant,
-    BlockChunk,
-    DecideSteps,
+    MaxIdleTime,
+    LeaseDuration,
+    ShardChunkSize,
+    SchedulingStepRate,
     QueueShare,
-    Blocks,
-    Halts,
+    ShardCount,
+    KillOrderRate,
 }
 
 struct SettingSpec {
@@ -184,7 +184,7 @@
         1.0,
     ),
     setting_spec(
-        Setting::Idle,
+        Setting::MaxIdleTime,
         "idle_s",
         Scope::Machine,
         Type::Number,
@@ -192,7 +192,7 @@
         3600.0,
     ),
     setting_spec(
-        Setting::Grant,
+        Setting::LeaseDuration,
         "grant_s",
         Scope::Cluster,
         Type::Number,
@@ -200,7 +200,7 @@
         10.0,
     ),
     setting_spec(
-        Setting::BlockChunk,
+        Setting::ShardChunkSize,
         "block_chunk",
         Scope::Cluster,
         Type::Number,
@@ -208,7 +208,7 @@
         200.0,
     ),
     setting_spec(
-        Setting::DecideSteps,
+        Setting::SchedulingStepRate,
         "decide_steps",
         Scope::Cluster,
         Type::Number,
@@ -224,7 +224,7 @@
         1e6,
     ),
     setting_spec(
-        Setting::Blocks,
+        Setting::ShardCount,
         "blocks",
         Scope::Cluster,
         Type::Number,
@@ -232,7 +232,7 @@
         64.0,
     ),
     setting_spec(
-        Setting::Halts,
+        Setting::KillOrderRate,
         "halts_per_s",
         Scope::Cluster,
         Type::Number,
@@ -613,12 +613,12 @@
     }
 
     /// Returns a copy of this policy in which the settings named in `text` are replaced.
-    pub fn overlaid(&self, text: &str) -> Result<Policy, PolicyError> {
+    pub fn with_overrides(&self, text: &str) -> Result<Policy, PolicyError> {
         Policy::read(text, self.clone())
     }
 
     /// Returns the names of the settings in a policy text, or an empty list if the text cannot be parsed.
-    pub fn named(text: &str) -> Vec<String> {
+    pub fn setting_names(text: &str) -> Vec<String> {
         parse_statements(text).map_or_else(
             |_| Vec::new(),
             |list| list.into_iter().map(|statement| statement.0).collect(),
@@ -675,7 +675,7 @@
     }
 
     /// Returns the name of each setting and its result on the sample job and machine.
-    pub fn on_sample(&self) -> Vec<(&'static str, String)> {
+    pub fn evaluate_sample(&self) -> Vec<(&'static str, String)> {
         SETTING_SPECS
             .iter()
             .map(|spec| {
--- a/crates/gannethub-core/src/policy/tests.rs
+++ b/crates/gannethub-core/src/policy/tests.rs
@@ -7,7 +7,7 @@
     for (i, spec) in SETTING_SPECS.iter().enumerate() {
         assert_eq!(spec.setting as usize, i);
     }
-    let sample = policy.on_sample();
+    let sample = policy.evaluate_sample();
     assert_eq!(sample[0], ("queue_weight", "135".to_string()));
     assert_eq!(sample[4], ("idle_s", "12".to_string()));
 }
@@ -63,11 +63,11 @@
     let policy = Policy::parse("idle_s = machine.price * 1000 / machine.cpus").unwrap();
     let mut inputs: Vec<Value<'_>> = MACHINE_FIELDS.iter().map(|field| field.2).collect();
     inputs[4] = Value::Number(1e12);
-    assert_eq!(policy.number(Setting::Idle, &inputs), 3600.0);
+    assert_eq!(policy.number(Setting::MaxIdleTime, &inputs), 3600.0);
     inputs[4] = Value::Number(0.0);
     inputs[3] = Value::Number(0.0);
     assert_eq!(
-        policy.number(Setting::Idle, &inputs),
+        policy.number(Setting::MaxIdleTime, &inputs),
         3600.0,
         "0/0 is not a number"
     );
--- a/crates/gannethub-core/src/reconcile/configuration.rs
+++ b/crates/gannethub-core/src/reconcile/configuration.rs
@@ -38,7 +38,7 @@
 
     /// Replaces the rate limit of kill orders if its setting has changed. Pending kill orders stay.
     fn apply_kill_order_rate(&mut self, settings: &Settings) {
-        let rate = |settings: &Settings| settings.policy.number(Setting::Halts, &[]);
+        let rate = |settings: &Settings| settings.policy.number(Setting::KillOrderRate, &[]);
         if rate(settings) != rate(&self.settings) {
             let pending = std::mem::take(&mut self.kill_orders.pending);
             self.kill_orders = KillOrders {
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -147,7 +147,7 @@
             tasks: job.spec.tasks,
             owner: self.usage_ledger.as_ref().map(|_| job_owner(job)),
         };
-        builder.transaction.end_job(&id, &record);
+        builder.transaction.finish_job(&id, &record);
         builder.add_bytes(JOB_END_BYTES);
         job.persistence.write_in_flight = true;
         let write = BatchedWrite::JobEnd {
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -55,7 +55,7 @@
         if self.kill_orders.pending.is_empty() {
             return Vec::new();
         }
-        if self.settings.policy.number(Setting::Halts, &[]) <= 0.0 {
+        if self.settings.policy.number(Setting::KillOrderRate, &[]) <= 0.0 {
             self.kill_orders.pending.clear();
             return Vec::new();
         }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -182,7 +182,7 @@
                         tasks: job.spec.tasks,
                         owner: None,
                     };
-                    builder.transaction.end_job(&id, &record);
+                    builder.transaction.finish_job(&id, &record);
                     BatchedWrite::JobEnd {
                         id,
                         cancelled: true,
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -250,7 +250,7 @@
             Value::Number(since_high_priority),
             Value::Number(f64::from(other_spares)),
         ];
-        micros_from_seconds(self.settings.policy.number(Setting::Idle, &inputs))
+        micros_from_seconds(self.settings.policy.number(Setting::MaxIdleTime, &inputs))
     }
 
     /// Returns the number of machines of an offer.
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -137,7 +137,7 @@
     /// Returns the maximum number of scheduling steps per second: the number in the policy, but no more than the
     /// controller's share of a core allows.
     pub fn max_scheduling_steps_per_s(&self) -> f64 {
-        let policy_steps = self.policy.number(Setting::DecideSteps, &[]);
+        let policy_steps = self.policy.number(Setting::SchedulingStepRate, &[]);
         match self.cores {
             Some(cores) => policy_steps.min(cores * STEPS_PER_CORE),
             None => policy_steps,
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -127,8 +127,8 @@
         now: Micros,
         unix_time: u64,
     ) -> Cluster {
-        let chunk_size = settings.policy.number(Setting::BlockChunk, &[]) as usize;
-        let kill_order_rate = settings.policy.number(Setting::Halts, &[]);
+        let chunk_size = settings.policy.number(Setting::ShardChunkSize, &[]) as usize;
+        let kill_order_rate = settings.policy.number(Setting::KillOrderRate, &[]);
         Cluster {
             term,
             shard: Shard::new(
@@ -169,7 +169,7 @@
 
     /// Assigns another shard than shard 0. Must be called before any record is read.
     pub fn assign_shard(&mut self, shard: u32) {
-        let chunk_size = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
+        let chunk_size = self.settings.policy.number(Setting::ShardChunkSize, &[]) as usize;
         let Settings {
             name,
             max_value_bytes,
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -169,8 +169,8 @@
     pub fn to_request(&self, machine_types: &[MachineType]) -> CloudRequest {
         match self {
             CloudCall::MachineTypes => CloudRequest::machine_types(),
-            CloudCall::List { after } => CloudRequest::list(after),
-            CloudCall::Delete { machines } => CloudRequest::delete(machines),
+            CloudCall::List { after } => CloudRequest::list_machines(after),
+            CloudCall::Delete { machines } => CloudRequest::delete_machines(machines),
             CloudCall::Provision {
                 name, offer, count, ..
             } => {
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -12,7 +12,7 @@
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 use crate::state::machine::Machine;
-use crate::wire::store::JobOwner;
+use crate::wire::store::JobAccount;
 use crate::wire::worker::ExitReason;
 
 /// Maximum number of ended attempts kept in a worker's heartbeat, which has to stay below 64 KiB.
@@ -23,8 +23,8 @@
 const MAX_OWNER_QUERIES: usize = 5;
 
 /// Returns the owner that a job's attempts are charged to.
-pub(crate) fn job_owner(job: &Job) -> JobOwner {
-    JobOwner {
+pub(crate) fn job_owner(job: &Job) -> JobAccount {
+    JobAccount {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
         resources: job.spec.resources,
@@ -123,7 +123,7 @@
     /// Charges an end to its owner, or keeps the end until the owner is known. Returns the ticket of the charge.
     pub(super) fn charge_end(
         &mut self,
-        owner: Option<Arc<JobOwner>>,
+        owner: Option<Arc<JobAccount>>,
         end: AttemptEnd,
         now: Micros,
     ) -> Option<u64> {
@@ -161,7 +161,7 @@
 
     /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends have an empty
     /// owner.
-    pub fn apply_usage_owner(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
+    pub fn apply_usage_owner(&mut self, job: &JobId, owner: Option<JobAccount>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
@@ -215,7 +215,7 @@
 }
 
 /// Charges an end. Returns the ticket of the charge.
-fn charge_to(book: &mut Book, owner: &JobOwner, end: &AttemptEnd, now: Micros) -> u64 {
+fn charge_to(book: &mut Book, owner: &JobAccount, end: &AttemptEnd, now: Micros) -> u64 {
     let end_usefulness = match (end.reason, end.saved) {
         (Reason::Done, _) => Usefulness::Useful,
         _ if owner.is_service => Usefulness::Useful,
--- a/crates/gannethub-core/src/state/usage/ledger.rs
+++ b/crates/gannethub-core/src/state/usage/ledger.rs
@@ -8,7 +8,7 @@
 use super::record::{AttemptEnd, OrphanedAttempt, UsageShare};
 use crate::model::{AttemptId, JobId, MachineId, Micros};
 use crate::wire::peer::AttemptKey;
-use crate::wire::store::JobOwner;
+use crate::wire::store::JobAccount;
 
 /// A leader's usage ledger.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     /// Time at which the owner of each job was last queried.
     pub(super) owner_queries: HashMap<JobId, Micros>,
     /// Ends that are charged and not durable yet, by ticket.
-    pub(super) non_durable_ends: BTreeMap<u64, (Arc<JobOwner>, AttemptEnd)>,
+    pub(super) non_durable_ends: BTreeMap<u64, (Arc<JobAccount>, AttemptEnd)>,
     /// Machines for which the ledger has an unmetered interval.
     pub(super) unmetered_machines: HashSet<MachineId>,
     /// The last attempt number with a timestamp that was assigned.
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -7,7 +7,7 @@
 use gannethub_ledger::meter::{Meter, MeteredUsage};
 
 use crate::model::{AttemptId, MachineId, Micros, Resources};
-use crate::wire::store::JobOwner;
+use crate::wire::store::JobAccount;
 
 /// The charged usage of one attempt.
 #[derive(Debug, Clone)]
@@ -16,7 +16,7 @@
     pub meter: Meter,
     /// The owner that is charged. `None` for an attempt of a job that is over, if this leader did not start the
     /// attempt.
-    pub(super) owner: Option<Arc<JobOwner>>,
+    pub(super) owner: Option<Arc<JobAccount>>,
     pub(super) charge: ChargeState,
     /// Whether the attempt's worker reports that the attempt's progress was saved.
     pub saved: bool,
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -6,8 +6,8 @@
 use super::record::{AttemptEnd, ChargeState, MachineRate, UsageRecord};
 use crate::model::{AttemptId, MachineId, Micros, Resources, TaskId};
 use crate::state::cluster::Cluster;
-use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageOwner, UsageRecords};
-use crate::wire::store::JobOwner;
+use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageAccount, UsageRecords};
+use crate::wire::store::JobAccount;
 
 /// Maximum number of records in one message to a peer, which keeps the message below its size limit.
 const MAX_RECORDS_PER_MESSAGE: usize = 400;
@@ -242,7 +242,7 @@
 }
 
 /// Returns the record of an attempt that has ended and is not durable, as sent to peers.
-fn end_message(owner: Option<&JobOwner>, end: &AttemptEnd, now: Micros) -> OpenUsageRecord {
+fn end_message(owner: Option<&JobAccount>, end: &AttemptEnd, now: Micros) -> OpenUsageRecord {
     let rate = end.rate.clone();
     let reason = END_REASONS.iter().position(|known| *known == end.reason);
     OpenUsageRecord {
@@ -283,13 +283,13 @@
     (key.machine.as_str().into(), AttemptId { task, number })
 }
 
-fn write_owner(owner: &JobOwner) -> UsageOwner {
+fn write_owner(owner: &JobAccount) -> UsageAccount {
     let Resources {
         cpu,
         gpu,
         memory: mem,
     } = owner.resources;
-    UsageOwner {
+    UsageAccount {
         team: owner.team.clone(),
         class: owner.class.clone(),
         cpu,
@@ -299,9 +299,9 @@
     }
 }
 
-pub(super) fn read_owner(owner: &UsageOwner) -> JobOwner {
-    let UsageOwner { cpu, gpu, mem, .. } = *owner;
-    JobOwner {
+pub(super) fn read_owner(owner: &UsageAccount) -> JobAccount {
+    let UsageAccount { cpu, gpu, mem, .. } = *owner;
+    JobAccount {
         team: owner.team.clone(),
         class: owner.class.clone(),
         resources: Resources {
--- a/crates/gannethub-core/src/wire/api/routes.rs
+++ b/crates/gannethub-core/src/wire/api/routes.rs
@@ -11,7 +11,7 @@
     /// A worker's heartbeat.
     Heartbeat,
     Submit,
-    Query(&'a str),
+    JobStatus(&'a str),
     Cancel(&'a str),
     /// The ledger's head, or one page of the ledger, limited to the lines of one team if `team` is given.
     Ledger {
@@ -32,7 +32,7 @@
         _ => match path.strip_prefix("/api/jobs/") {
             Some(job) => match job.strip_suffix("/cancel") {
                 Some(id) => (Route::Cancel(id), Method::Post),
-                None => (Route::Query(job), Method::Get),
+                None => (Route::JobStatus(job), Method::Get),
             },
             None => return Err(Response::error(404, "no such resource")),
         },
--- a/crates/gannethub-core/src/wire/api/tests.rs
+++ b/crates/gannethub-core/src/wire/api/tests.rs
@@ -120,7 +120,7 @@
     );
     assert_eq!(
         route(Method::Get, "/api/jobs/j-1?x=1"),
-        Ok(Route::Query("j-1"))
+        Ok(Route::JobStatus("j-1"))
     );
     assert_eq!(route(Method::Get, "/api/jobs").unwrap_err().status, 405);
     assert_eq!(route(Method::Get, "/nothing").unwrap_err().status, 404);
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -28,7 +28,7 @@
     }
 
     /// Lists the machines that follow `after`, or all machines from the first if `after` is empty.
-    pub fn list(after: &str) -> CloudRequest {
+    pub fn list_machines(after: &str) -> CloudRequest {
         CloudRequest::get(if after.is_empty() {
             format!("/rentals?page={PAGE_MACHINES}")
         } else {
@@ -69,7 +69,7 @@
     }
 
     /// Deletes machines.
-    pub fn delete(machines: &[String]) -> CloudRequest {
+    pub fn delete_machines(machines: &[String]) -> CloudRequest {
         #[derive(Serialize)]
         struct Body<'a> {
             #[serde(rename = "hosts")]
--- a/crates/gannethub-core/src/wire/peer/message.rs
+++ b/crates/gannethub-core/src/wire/peer/message.rs
@@ -57,7 +57,7 @@
     pub accepts_heartbeats: bool,
     /// Progress of the jobs with running tasks, sent by shard owners.
     #[prost(message, repeated, tag = "4")]
-    pub running_jobs: Vec<RunningJob>,
+    pub running_jobs: Vec<RunningJobProgress>,
     /// The shards that the sender owns, if the cluster has several shards.
     #[prost(message, repeated, tag = "5")]
     pub shards: Vec<ShardStatus>,
@@ -128,7 +128,7 @@
 
 /// Progress of a live job.
 #[derive(Clone, PartialEq, Message)]
-pub struct RunningJob {
+pub struct RunningJobProgress {
     #[prost(string, tag = "1")]
     pub job: String,
     /// Number of tasks on machines.
--- a/crates/gannethub-core/src/wire/peer/usage.rs
+++ b/crates/gannethub-core/src/wire/peer/usage.rs
@@ -47,7 +47,7 @@
     #[prost(message, optional, tag = "1")]
     pub key: Option<AttemptKey>,
     #[prost(message, optional, tag = "2")]
-    pub owner: Option<UsageOwner>,
+    pub owner: Option<UsageAccount>,
     #[prost(string, tag = "3")]
     pub machine_type: String,
     #[prost(string, tag = "4")]
@@ -92,7 +92,7 @@
 
 /// The team and class that an attempt is charged to, and the resources that the attempt needs, in thousandths.
 #[derive(Clone, PartialEq, Message)]
-pub struct UsageOwner {
+pub struct UsageAccount {
     #[prost(string, tag = "1")]
     pub team: String,
     #[prost(string, tag = "2")]
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -18,13 +18,13 @@
 };
 pub use self::keys::{
     AssignmentKeys, DONE_PART_PREFIX, FINISHED_JOB_PREFIX, LEADER_KEY, LEADER_PREFIX,
-    LEDGER_HEAD_KEY, LEDGER_PAGE_PREFIX, LIVE_JOB_PREFIX, MACHINE_TRANSFER_PREFIX,
-    QUOTA_PARTITION_PREFIX, SHARD_ASSIGNMENT_PREFIX, SHARD_PREFIX, TERM_COUNTER_KEY, TERM_KEY,
+    LEADER_TERM_KEY, LEDGER_HEAD_KEY, LEDGER_PAGE_PREFIX, LIVE_JOB_PREFIX, MACHINE_TRANSFER_PREFIX,
+    QUOTA_PARTITION_PREFIX, SHARD_ASSIGNMENT_PREFIX, SHARD_PREFIX, TERM_COUNTER_KEY,
     assignment_keys, done_part_key, finished_job_key, ledger_page_key, live_job_key,
     machine_transfer_key, parse_chunk_shard, parse_done_part_key,
 };
 pub use self::records::{
-    DonePartRecord, FinishedJobRecord, JobOwner, JobRecord, LeaseRecord, LiveRecord,
+    DonePartRecord, FinishedJobRecord, JobAccount, JobRecord, LeaseRecord, LiveRecord,
     MachineTransferRecord, QuotaPartitionRecord, VALUE_SLACK_BYTES, WaitingJobSpec, WaitingRecord,
     to_raw_value,
 };
--- a/crates/gannethub-core/src/wire/store/keys.rs
+++ b/crates/gannethub-core/src/wire/store/keys.rs
@@ -20,7 +20,7 @@
 /// Key of the owner of shard 0, which is the leader.
 pub const LEADER_KEY: &str = "gh/lead/holder";
 /// Key of the leader's last term.
-pub const TERM_KEY: &str = "gh/lead/term";
+pub const LEADER_TERM_KEY: &str = "gh/lead/term";
 /// Prefix of the leader's keys.
 pub const LEADER_PREFIX: &str = "gh/lead/";
 /// Prefix of the keys of unfinished jobs.
@@ -58,7 +58,7 @@
     match shard {
         0 => AssignmentKeys {
             owner: LEADER_KEY.into(),
-            term: TERM_KEY.into(),
+            term: LEADER_TERM_KEY.into(),
         },
         _ => AssignmentKeys {
             owner: format!("{SHARD_ASSIGNMENT_PREFIX}{shard}/holder"),
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -283,12 +283,12 @@
     /// The team and class that the job's attempts are charged to, stored if a ledger is kept. They are needed after the
     /// end of the job, as an attempt's end may be found later than its job's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub owner: Option<JobOwner>,
+    pub owner: Option<JobAccount>,
 }
 
 /// The team and class that an attempt is charged to, and the resources that it is charged for.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct JobOwner {
+pub struct JobAccount {
     pub team: String,
     pub class: String,
     /// Resources needed by one task.
--- a/crates/gannethub-core/src/wire/store/requests.rs
+++ b/crates/gannethub-core/src/wire/store/requests.rs
@@ -158,7 +158,7 @@
     }
 
     /// Moves a job from the live to the finished jobs. The caller has to add a guard for the live record.
-    pub fn end_job(&mut self, id: &str, record: &FinishedJobRecord) {
+    pub fn finish_job(&mut self, id: &str, record: &FinishedJobRecord) {
         let key = finished_job_key(id);
         self.guard(&key, 0);
         self.delete(&live_job_key(id));
--- a/crates/gannethub-core/tests/formats/cloud.rs
+++ b/crates/gannethub-core/tests/formats/cloud.rs
@@ -18,11 +18,11 @@
         "GET /flavors ",
     );
     pin(
-        &cloud_request(&CloudRequest::list("")),
+        &cloud_request(&CloudRequest::list_machines("")),
         "GET /rentals?page=500 ",
     );
     pin(
-        &cloud_request(&CloudRequest::list("host-000231")),
+        &cloud_request(&CloudRequest::list_machines("host-000231")),
         "GET /rentals?from=host-000231&page=500 ",
     );
     let provision_request = CloudRequest::provision("n0-7-1", "g8", "a", true, 4);
@@ -32,7 +32,7 @@
     );
     let machines = ["host-000231".to_string(), "host-000232".to_string()];
     pin(
-        &cloud_request(&CloudRequest::delete(&machines)),
+        &cloud_request(&CloudRequest::delete_machines(&machines)),
         r#"POST /rentals/delete {"hosts":["host-000231","host-000232"]}"#,
     );
 }
--- a/crates/gannethub-core/tests/formats/peer.rs
+++ b/crates/gannethub-core/tests/formats/peer.rs
@@ -60,7 +60,7 @@
         leading_term: 7,
         store_reachable: true,
         accepts_heartbeats: true,
-        running_jobs: vec![peer::RunningJob {
+        running_jobs: vec![peer::RunningJobProgress {
             job: "j-7".into(),
             tasks: 302,
             done: 303,
@@ -172,7 +172,7 @@
 fn peer_message_usage_records() {
     let record = peer::OpenUsageRecord {
         key: Some(usage_key()),
-        owner: Some(peer::UsageOwner {
+        owner: Some(peer::UsageAccount {
             team: "blue".into(),
             class: "train".into(),
             cpu: 303,
--- a/crates/gannethub-core/tests/formats/settings.rs
+++ b/crates/gannethub-core/tests/formats/settings.rs
@@ -166,9 +166,9 @@
         queue_share = 1
         blocks = 2
         halts_per_s = 3"#;
-    Policy::default().overlaid(text).unwrap();
+    Policy::default().with_overrides(text).unwrap();
     pin(
-        &Policy::named(text).join(" "),
+        &Policy::setting_names(text).join(" "),
         "queue_weight plan_slack patience_s use_spot idle_s grant_s block_chunk decide_steps queue_share blocks halts_per_s",
     );
 }
--- a/crates/gannethub-core/tests/formats/store_records.rs
+++ b/crates/gannethub-core/tests/formats/store_records.rs
@@ -5,7 +5,7 @@
 use gannethub_core::state::shard::{ChunkRecord, Shard, ShardMember};
 use gannethub_core::wire::configuration::{self as stored, HistoryRecord, VersionRecord};
 use gannethub_core::wire::store::{
-    self, DonePartRecord, FinishedJobRecord, JobOwner, JobRecord, LeaseRecord, LiveRecord,
+    self, DonePartRecord, FinishedJobRecord, JobAccount, JobRecord, LeaseRecord, LiveRecord,
     MachineTransferRecord, QuotaPartitionRecord, WaitingRecord,
 };
 use serde::Serialize;
@@ -53,7 +53,7 @@
 fn store_keys() {
     let keys = [
         store::LEADER_KEY,
-        store::TERM_KEY,
+        store::LEADER_TERM_KEY,
         store::LEADER_PREFIX,
         store::LIVE_JOB_PREFIX,
         store::DONE_PART_PREFIX,
@@ -178,7 +178,7 @@
     };
     pin_record(&record, r#"{"cancelled":false,"tasks":8}"#);
     record.cancelled = true;
-    record.owner = Some(JobOwner {
+    record.owner = Some(JobAccount {
         team: "blue".into(),
         class: "train".into(),
         resources: Resources::new(4.0, 1.0, 64.0),
--- a/crates/gannethub-core/tests/formats/store_requests.rs
+++ b/crates/gannethub-core/tests/formats/store_requests.rs
@@ -87,11 +87,11 @@
     };
     let mut transaction = Transaction::default();
     transaction.guard(store::LEADER_KEY, 0);
-    transaction.guard(store::TERM_KEY, 41);
+    transaction.guard(store::LEADER_TERM_KEY, 41);
     transaction.put(store::LEADER_KEY, store::to_raw_value(&record), Some(12));
-    transaction.put(store::TERM_KEY, store::to_raw_value(&record), None);
+    transaction.put(store::LEADER_TERM_KEY, store::to_raw_value(&record), None);
     transaction.delete("gh/part/j-7/1");
-    transaction.end_job("j-7", &finished);
+    transaction.finish_job("j-7", &finished);
     pin(
         &request(&transaction.to_request()),
         r#"POST /commit {"guards":[{"k":"gh/lead/holder","stamp":0},{"k":"gh/lead/term","stamp":41},{"k":"gh/over/j-7","stamp":0}],"writes":[{"write":"gh/lead/holder","v":{"holder":"n0","term":7,"marked":true},"permit":12},{"write":"gh/lead/term","v":{"holder":"n0","term":7,"marked":true}},{"delete":"gh/part/j-7/1"},{"delete":"gh/live/j-7"},{"write":"gh/over/j-7","v":{"cancelled":true,"tasks":8}}]} 2000000 5"#,
--- a/crates/gannethub-core/tests/formats/users.rs
+++ b/crates/gannethub-core/tests/formats/users.rs
@@ -156,7 +156,7 @@
         (Get, "/api/config", Route::Configuration),
         (Post, "/v1/report", Route::Heartbeat),
         (Post, "/api/jobs", Route::Submit),
-        (Get, "/api/jobs/j-7", Route::Query("j-7")),
+        (Get, "/api/jobs/j-7", Route::JobStatus("j-7")),
         (Post, "/api/jobs/j-7/cancel", Route::Cancel("j-7")),
     ];
     for (method, path, route) in routes {
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -4,7 +4,7 @@
 
 use crate::unseen_cancellation::{begin, id, long, recover, roles};
 use crate::*;
-use gannethub_core::wire::store::TERM_KEY;
+use gannethub_core::wire::store::LEADER_TERM_KEY;
 use harness::CANCEL;
 
 /// Ends the faults, waits until all jobs are over, and repeats a poll and the submission of every job at all nodes.
@@ -492,9 +492,10 @@
         w.lose_leader(2 * SECOND);
         for _ in 0..9 {
             w.faults.lost_commit_answer_rate = 1.0;
-            let term = w.state.value(TERM_KEY).cloned();
+            let term = w.state.value(LEADER_TERM_KEY).cloned();
             let until = w.now + 15 * SECOND;
-            let taken = |w: &World| w.state.value(TERM_KEY).cloned() != term || w.now > until;
+            let taken =
+                |w: &World| w.state.value(LEADER_TERM_KEY).cloned() != term || w.now > until;
             w.run_until(16, "a takeover is carried out", taken);
             // The takeover's answer times out after two seconds, and the store lease is given back at once.
             w.pause(SECOND * 3 / 2);
@@ -828,7 +829,7 @@
         w.run_until(10, "a controller leads", |w| w.leader().is_some());
         w.run(5);
         w.answers_expected_since = w.now;
-        let term = w.state.value(TERM_KEY).cloned();
+        let term = w.state.value(LEADER_TERM_KEY).cloned();
         let (mut next, requests) = (0, w.state.requests);
         let mut large = Vec::new();
         for second in 0..120 {
@@ -854,7 +855,7 @@
             w.run(1);
         }
         assert_eq!(
-            w.state.value(TERM_KEY).cloned(),
+            w.state.value(LEADER_TERM_KEY).cloned(),
             term,
             "the leader changed: its lease renewals were not served"
         );
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -19,7 +19,7 @@
 
 /// Whether the leader's takeover is settled: no machine is unconfirmed any more.
 fn settled(w: &World) -> bool {
-    leader_cluster(w).is_some_and(|c| c.takeover.settled)
+    leader_cluster(w).is_some_and(|c| c.takeover.is_settled)
 }
 
 /// Returns a world with three controllers. The replicas of a service (job 1) fill machines with 4 CPUs of their own,
@@ -388,7 +388,7 @@
                 let before = w.starts;
                 w.run(1);
                 early_seconds += usize::from(
-                    w.starts > before && leader_cluster(&w).is_some_and(|c| !c.takeover.settled),
+                    w.starts > before && leader_cluster(&w).is_some_and(|c| !c.takeover.is_settled),
                 );
             }
         }
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -139,7 +139,7 @@
         }
         let term = self
             .state
-            .value(TERM_KEY)
+            .value(LEADER_TERM_KEY)
             .and_then(|v| v["term"].as_u64())
             .unwrap_or(0);
         if term == std::mem::replace(&mut self.last_seen_term, term) {
@@ -395,7 +395,10 @@
         leading_term: Option<u64>,
         owned_terms: &[u64],
     ) {
-        let last = self.state.value(TERM_KEY).and_then(|v| v["term"].as_u64());
+        let last = self
+            .state
+            .value(LEADER_TERM_KEY)
+            .and_then(|v| v["term"].as_u64());
         let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
         let acts = leading_term.is_some() && body["baton"].as_u64() == leading_term;
         if response.status == 200 && acts && last > leading_term {
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -28,7 +28,7 @@
 use gannethub_core::state::cluster::Cluster;
 use gannethub_core::wire::peer::{Body, Envelope, Vote};
 use gannethub_core::wire::store::{
-    StoreRequest, TASKS_PER_PART, TERM_KEY, assignment_keys, decode_done_part,
+    LEADER_TERM_KEY, StoreRequest, TASKS_PER_PART, assignment_keys, decode_done_part,
 };
 use gannethub_ledger::KeyRing;
 use gannethub_ledger::audit::Page;
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -109,7 +109,7 @@
         let mut f = LeaderView::unread(teams, wait_s);
         f.c.finish_loading(f.now);
         f.c.tick(f.now, WALL);
-        assert!(f.c.takeover.settled);
+        assert!(f.c.takeover.is_settled);
         f
     }
 
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -241,7 +241,7 @@
         let leader = w.leader().and_then(|l| w.nodes[l].controller.as_ref());
         leader
             .and_then(|c| c.cluster())
-            .is_some_and(|c| c.takeover.settled)
+            .is_some_and(|c| c.takeover.is_settled)
     };
     w.run_until(6, "every machine is accounted for", settled);
     w.finish();
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -104,13 +104,13 @@
             assert!(
                 others
                     .iter()
-                    .all(|b| w.shard(*b).is_some_and(|c| c.takeover.settled))
+                    .all(|b| w.shard(*b).is_some_and(|c| c.takeover.is_settled))
             );
         }
         w.run_until(10, "the shard is owned again", |w| {
             w.shard_owner(lost)
                 .is_some_and(|h| node_index(&h) != crashed)
-                && w.shard(lost).is_some_and(|c| c.takeover.settled)
+                && w.shard(lost).is_some_and(|c| c.takeover.is_settled)
         });
         w.run_until(150, "the arrays are done", |w| {
             (30..36).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
@@ -132,7 +132,7 @@
         w.shard_owner(1).is_some_and(|h| node_index(&h) != crashed)
     });
     w.run_until(8, "the takeover of the shard is settled", |w| {
-        w.shard(1).is_some_and(|c| c.takeover.settled)
+        w.shard(1).is_some_and(|c| c.takeover.is_settled)
     });
     let (starts, running) = (w.starts, live_tasks(&w, 1));
     assert!(running > 0);
@@ -140,7 +140,7 @@
         w.shard_owner(1).is_some_and(|h| node_index(&h) == crashed)
     });
     w.run_until(8, "the takeover by the returned owner is settled", |w| {
-        w.shard(1).is_some_and(|c| c.takeover.settled)
+        w.shard(1).is_some_and(|c| c.takeover.is_settled)
     });
     assert!(
         w.shard(1).is_some_and(|c| c.watermarks.reliable),
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -5,7 +5,7 @@
 //! told the user, and checks every machine once a second.
 
 use crate::*;
-use gannethub_core::wire::store::TERM_KEY;
+use gannethub_core::wire::store::LEADER_TERM_KEY;
 use harness::CANCEL;
 
 /// Returns a world in which eight arrays of two tasks each run. Tasks run for 300 to 400 s, longer than any outage in
@@ -375,7 +375,7 @@
     for seed in 1..=4 {
         let mut w = long(3, seed);
         let (old, others) = roles(&w, seed);
-        let term = w.state.value(TERM_KEY).cloned();
+        let term = w.state.value(LEADER_TERM_KEY).cloned();
         w.faults.hung_watches.insert(old);
         others.iter().for_each(|i| {
             w.faults.lossy_links.insert((*i, old));
@@ -383,7 +383,11 @@
         w.run(10);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
         w.run(CANCEL / SECOND + 25);
-        assert_eq!(w.state.value(TERM_KEY).cloned(), term, "the leader changed");
+        assert_eq!(
+            w.state.value(LEADER_TERM_KEY).cloned(),
+            term,
+            "the leader changed"
+        );
         recover(w, seed);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -111,7 +111,7 @@
 }
 
 fn check_policy(file: &Path) -> Result<ExitCode, FileError> {
-    for (name, result) in files::read_policy(file)?.on_sample() {
+    for (name, result) in files::read_policy(file)?.evaluate_sample() {
         println!("{name} = {result}");
     }
     Ok(ExitCode::SUCCESS)
