--- a/crates/gannethub-core/src/reconcile/transaction_outcome.rs
+++ b/crates/gannethub-core/src/reconcile/transaction_outcome.rs
@@ -111,7 +111,7 @@
         let found = page.as_ref().map(|(page, version)| (page, *version));
         let result = match is_unreadable {
             true => Err(ledger.book.abandon_page()),
-            false => ledger.book.handle_reread(found),
+            false => ledger.book.page_reread(found),
         };
         match result {
             Ok(tickets) => self.usage_page_written(tickets),
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -36,9 +36,9 @@
 
 /// Known state of the worker on a machine: its heartbeats and its lease.
 ///
-/// A worker that gets no answer for the duration of its lease kills everything that it runs. A machine with lost responses is
-/// therefore known to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed
-/// since [`WorkerState::last_answered_at`].
+/// A worker that gets no answer for the duration of its lease kills everything that it runs. A machine with lost
+/// responses is therefore known to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound)
+/// has passed since [`WorkerState::last_answered_at`].
 #[derive(Debug)]
 pub struct WorkerState {
     /// Whether the worker has sent a heartbeat with this term's fencing token, and has thereby reported all its
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gannethub_ledger::book::Book;
-use gannethub_ledger::line::{ChargeGroup, Entry, Reason, Usefulness};
+use gannethub_ledger::line::{AttemptCharge, ChargeGroup, Reason, Usefulness};
 use gannethub_ledger::meter::EndObservation;
 
 use super::record::{AttemptEnd, ChargeState, to_resource_amounts};
@@ -102,20 +102,20 @@
         let worker = &machine.worker;
         if !matches!(reason, Reason::Lease | Reason::Machine) {
             return EndObservation::Reported {
-                before: worker.previous_heartbeat_at,
-                missed: worker.missed_heartbeats,
+                previous_heartbeat_at: worker.previous_heartbeat_at,
+                missed_heartbeats: worker.missed_heartbeats,
             };
         }
         // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired after the last
         // answer in it. For a silent machine, the time is not known.
         match worker.last_heartbeat_at {
             Some(at) if at == now => EndObservation::Silence {
-                heard: worker.previous_heartbeat_at,
-                likely: self.settings.lease_duration,
+                last_heartbeat_at: worker.previous_heartbeat_at,
+                likely_duration: self.settings.lease_duration,
             },
-            heard => EndObservation::Silence {
-                heard,
-                likely: self.settings.heartbeat_interval / 2,
+            last_heartbeat_at => EndObservation::Silence {
+                last_heartbeat_at,
+                likely_duration: self.settings.heartbeat_interval / 2,
             },
         }
     }
@@ -236,14 +236,16 @@
         reason: end.reason,
         usefulness: end_usefulness,
     };
-    let entry = Entry {
+    let entry = AttemptCharge {
         task: task.index,
         attempt: *number,
         machine: end.machine.to_string(),
-        begin: end.unix_time.saturating_sub(end.reading.spent.held()),
-        stage_times: end.reading.spent,
-        max_error: end.reading.bound,
-        is_estimate: end.reading.estimate,
+        begin: end
+            .unix_time
+            .saturating_sub(end.reading.stage_times.total()),
+        stage_times: end.reading.stage_times,
+        max_error: end.reading.max_error,
+        is_estimate: end.reading.is_estimate,
     };
     book.charge(charge_group, entry, now)
 }
--- a/crates/gannethub-core/src/state/usage/ledger.rs
+++ b/crates/gannethub-core/src/state/usage/ledger.rs
@@ -87,7 +87,7 @@
     pub(super) fn new(opened: OpenedBook, peer_count: usize) -> UsageLedger {
         UsageLedger {
             book: opened.book,
-            charged_before: opened.charged,
+            charged_before: opened.charged_attempts,
             inherited_tickets: HashMap::new(),
             replica_was_complete: false,
             orphans: BTreeMap::new(),
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -59,7 +59,7 @@
         let job = self.jobs.get(&attempt.task.job)?;
         ledger.replication.mark_changed(machine, attempt);
         Some(Box::new(UsageRecord {
-            meter: Meter::placed(now),
+            meter: Meter::new(now),
             owner: Some(Arc::new(job_owner(job))),
             charge: ChargeState::Open,
             saved: false,
@@ -98,14 +98,14 @@
         let now = self.now;
         let mut record = orphan.record;
         let meter = &mut record.meter;
-        meter.wait(orphan.transit_time);
+        meter.add_unobserved_time(orphan.transit_time);
         if phase.is_ended() {
             // The attempt may have ended at any time since it was last known: on average, halfway.
             let unseen = now.saturating_sub(orphan.last_known_at);
             meter.since = meter.since.max(orphan.last_known_at + unseen / 2);
-            meter.unsure += unseen + orphan.transit_time;
+            meter.begin_uncertainty += unseen + orphan.transit_time;
         } else if stage(phase) != meter.stage {
-            meter.enter(stage(phase), now);
+            meter.enter_stage(stage(phase), now);
         }
         let job = self.jobs.get(&attempt.task.job);
         record.owner = record
@@ -207,7 +207,7 @@
         };
         ledger.replication.mark_changed(id, attempt);
         if let Some(record) = self.usage_record_mut(id, attempt) {
-            record.meter.enter(stage(phase), now);
+            record.meter.enter_stage(stage(phase), now);
         }
     }
 
@@ -236,7 +236,7 @@
         }
         for attempt in &sent {
             if let Some(record) = self.usage_record_mut(id, attempt) {
-                record.meter.sent(now);
+                record.meter.record_launch_sent(now);
             }
         }
     }
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -100,17 +100,17 @@
             return;
         };
         let received_at = replicated.received_at;
-        let mut spent = reading.spent;
-        spent.0[stage.index()] += record.stage_age;
+        let mut stage_times = reading.stage_times;
+        stage_times.0[stage.index()] += record.stage_age;
         let meter = Meter {
             stage,
             since: received_at,
             // The record does not say whether the launch was sent.
-            sent: Some((received_at.saturating_sub(record.stage_age), received_at)),
-            spent,
+            launch_sent_at: Some((received_at.saturating_sub(record.stage_age), received_at)),
+            stage_times,
             // The machine may have been lost before the leader was, without the leader knowing of it yet.
-            unsure: record.begin_uncertainty + replicated.current_until - received_at,
-            guessed: record.begin_estimated,
+            begin_uncertainty: record.begin_uncertainty + replicated.current_until - received_at,
+            begin_estimated: record.begin_estimated,
         };
         let owner = record.owner.as_ref();
         let orphan = OrphanedAttempt {
@@ -156,8 +156,8 @@
 
     /// Charges all orphans of a machine that is gone or whose worker's lease has expired.
     pub(crate) fn charge_orphans(&mut self, id: &MachineId, reason: Reason, now: Micros) {
-        let likely_duration = self.settings.heartbeat_interval / 2;
-        self.charge_orphans_where(id, reason, now, likely_duration, |_| true);
+        let likely_continuation = self.settings.heartbeat_interval / 2;
+        self.charge_orphans_where(id, reason, now, likely_continuation, |_| true);
     }
 
     /// Charges the orphans of machines that no longer exist, once no task of an earlier term can still exist.
@@ -177,14 +177,14 @@
             .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
     }
 
-    /// Charges the orphans of a machine for which `is_ended` holds. `likely_duration`: the most likely time that the
-    /// orphans continued after they were last known.
+    /// Charges the orphans of a machine for which `is_ended` holds. `likely_continuation`: the most likely time that
+    /// the orphans continued after they were last known.
     fn charge_orphans_where(
         &mut self,
         id: &MachineId,
         reason: Reason,
         now: Micros,
-        likely_duration: Micros,
+        likely_continuation: Micros,
         is_ended: impl Fn(&OrphanedAttempt) -> bool,
     ) {
         let Some(ledger) = &mut self.usage_ledger else {
@@ -201,8 +201,8 @@
         }
         for (attempt, orphan) in ended {
             let observation = EndObservation::Silence {
-                heard: Some(orphan.last_known_at),
-                likely: likely_duration,
+                last_heartbeat_at: Some(orphan.last_known_at),
+                likely_duration: likely_continuation,
             };
             // The end was not observed, whenever it happened.
             let reading = orphan.record.meter.end(now, observation);
@@ -210,7 +210,7 @@
                 id: attempt,
                 machine: id.clone(),
                 rate: orphan.rate,
-                reading: reading.quiet(orphan.transit_time),
+                reading: reading.extend_silence(orphan.transit_time),
                 at: now,
                 unix_time: self.time_of_day(now),
                 reason,
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -2,7 +2,7 @@
 
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::{Book, DamagedPage, Head};
-use gannethub_ledger::line::{LineBody, OwnerChange, UnmeteredInterval};
+use gannethub_ledger::line::{LeaderChange, LineBody, UnmeteredInterval};
 
 use super::ledger::UsageLedger;
 use super::replication::attempt_key;
@@ -40,17 +40,17 @@
         self.usage_ledger = Some(Box::new(UsageLedger::new(opened, peer_count)));
         let inherited = replica.take_records(self.term - 1);
         self.take_over_usage(inherited.records, now);
-        let takeover = OwnerChange {
+        let takeover = LeaderChange {
             term: self.term,
             owner: self.settings.name.clone(),
             at: self.unix_time,
-            complete: inherited.is_complete,
+            has_all_open_usage: inherited.is_complete,
         };
         if let Some(ledger) = &mut self.usage_ledger {
             ledger.replica_was_complete = inherited.is_complete;
             ledger
                 .book
-                .queue_line(LineBody::OwnerChanged(takeover), now);
+                .queue_line(LineBody::LeaderChanged(takeover), now);
         }
     }
 
@@ -84,7 +84,7 @@
         let rate = self.machine_rate(machine);
         let interval = UnmeteredInterval {
             machine: id.to_string(),
-            flavor: rate.machine_type,
+            machine_type: rate.machine_type,
             zone: rate.zone,
             spot: rate.spot,
             from: self.time_of_day(self.takeover.started_at),
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -164,7 +164,7 @@
         let orphans = ledger.orphans.get(id);
         if let Some(orphan) = orphans.and_then(|orphans| orphans.get(attempt)) {
             let mut record = orphan.record.clone();
-            record.meter.wait(orphan.transit_time);
+            record.meter.add_unobserved_time(orphan.transit_time);
             let key = attempt_key(id, attempt);
             let message = open_message(key, &record, &orphan.rate, orphan.incarnation, now);
             return Some(message);
@@ -233,9 +233,9 @@
         incarnation,
         stage: meter.stage.index() as u32,
         stage_age: now.saturating_sub(meter.since),
-        stage_times: meter.spent.0.to_vec(),
-        begin_uncertainty: meter.unsure,
-        begin_estimated: meter.guessed,
+        stage_times: meter.stage_times.0.to_vec(),
+        begin_uncertainty: meter.begin_uncertainty,
+        begin_estimated: meter.begin_estimated,
         saved: record.saved,
         ..OpenUsageRecord::default()
     }
@@ -252,12 +252,12 @@
         zone: rate.zone,
         spot: rate.spot,
         price: rate.hourly_price,
-        stage_times: end.reading.spent.0.to_vec(),
-        begin_estimated: end.reading.estimate,
+        stage_times: end.reading.stage_times.0.to_vec(),
+        begin_estimated: end.reading.is_estimate,
         saved: end.saved,
         end_reason: reason.unwrap_or(0) as u32 + 1,
         end_age: now.saturating_sub(end.at),
-        time_uncertainty: end.reading.bound,
+        time_uncertainty: end.reading.max_error,
         ..OpenUsageRecord::default()
     }
 }
@@ -321,11 +321,11 @@
 
 /// Parses the stage times of a peer's record. `None`: the times are malformed.
 pub(super) fn read_usage(record: &OpenUsageRecord) -> Option<MeteredUsage> {
-    let spent: [Micros; 6] = record.stage_times.clone().try_into().ok()?;
+    let stage_times: [Micros; 6] = record.stage_times.clone().try_into().ok()?;
     Some(MeteredUsage {
-        spent: StageTimes(spent),
-        bound: record.time_uncertainty,
-        estimate: record.begin_estimated,
+        stage_times: StageTimes(stage_times),
+        max_error: record.time_uncertainty,
+        is_estimate: record.begin_estimated,
     })
 }
 
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use gannethub_ledger::audit::{Verified, verify};
-use gannethub_ledger::line::{Entry, LineBody, OwnerChange, UnmeteredInterval};
+use gannethub_ledger::line::{AttemptCharge, LeaderChange, LineBody, UnmeteredInterval};
 use serde_json::json;
 
 use crate::harness::{LEASE, SECOND, World, job};
@@ -18,9 +18,9 @@
 struct Audit {
     verified: Verified,
     /// Entries, each with its team, by machine, task and attempt.
-    entries: BTreeMap<(String, String, u64), Vec<(String, Entry)>>,
+    entries: BTreeMap<(String, String, u64), Vec<(String, AttemptCharge)>>,
     unmetered: Vec<UnmeteredInterval>,
-    owner_changes: Vec<OwnerChange>,
+    leader_changes: Vec<LeaderChange>,
     /// Intervals, from start to end, for which the ledger itself declares that it may lack attempts.
     incomplete: Vec<(u64, u64)>,
 }
@@ -40,7 +40,7 @@
         verified,
         entries: BTreeMap::new(),
         unmetered: Vec::new(),
-        owner_changes: Vec::new(),
+        leader_changes: Vec::new(),
         incomplete: Vec::new(),
     };
     for (line, _) in pages.iter().flat_map(|p| p.read().expect("verified")) {
@@ -59,15 +59,15 @@
                 }
             }
             LineBody::Unmetered(g) => audit.unmetered.push(g),
-            LineBody::OwnerChanged(t) => {
-                if !t.complete {
+            LineBody::LeaderChanged(t) => {
+                if !t.has_all_open_usage {
                     // Attempts that ended just before may not have been written down, and a lease may have expired
                     // before its worker found the new leader.
                     audit
                         .incomplete
                         .push((before - LEASE.min(before), t.at + 2 * LEASE));
                 }
-                audit.owner_changes.push(t);
+                audit.leader_changes.push(t);
             }
             _ => {}
         }
@@ -99,7 +99,7 @@
         compared += 1;
         // A gang's task that is replaced on the same machine keeps its attempt number: then there are two entries,
         // one after the other.
-        let mut stints: Vec<&Entry> = entries.iter().map(|(_, e)| e).collect();
+        let mut stints: Vec<&AttemptCharge> = entries.iter().map(|(_, e)| e).collect();
         stints.sort_by_key(|e| e.begin);
         if stints.windows(2).any(|two| two[1].begin < two[0].end()) || stints.len() > span.stints {
             mismatches.push(format!(
@@ -175,8 +175,11 @@
         compared >= 76 && declared_missing == 0,
         "{compared} attempts compared, {declared_missing} not charged"
     );
-    assert_eq!((audit.owner_changes.len(), audit.unmetered.len()), (1, 0));
-    assert_eq!(audit.verified.charged as usize, audit.entries.len());
+    assert_eq!((audit.leader_changes.len(), audit.unmetered.len()), (1, 0));
+    assert_eq!(
+        audit.verified.charged_attempts as usize,
+        audit.entries.len()
+    );
     for (team, (real, charged, bound)) in teams {
         // An end that comes right after a heartbeat is reported late, by a quarter of a second on average.
         let lag = charged as i64 - real as i64;
@@ -202,7 +205,7 @@
             all + result.compared,
             declared_missing + result.declared_missing,
         );
-        leaders += audit.owner_changes.len();
+        leaders += audit.leader_changes.len();
         w.finish();
     }
     assert!(
@@ -234,7 +237,7 @@
     w.run_until(200, "all jobs have ended", World::all_over);
     w.run(25);
     let audit = audit(&w);
-    assert!(audit.owner_changes.len() == 2 && audit.owner_changes[1].complete);
+    assert!(audit.leader_changes.len() == 2 && audit.leader_changes[1].has_all_open_usage);
     let result = compare(&w, &audit);
     assert!(result.compared >= 12 && result.declared_missing == 0);
     w.finish();
--- a/crates/gannethub-ledger/src/account.rs
+++ b/crates/gannethub-ledger/src/account.rs
@@ -4,7 +4,7 @@
 
 use crate::Micros;
 use crate::decay::Decayed;
-use crate::line::{BalancePart, Charge, ChargeGroup, Entry, Line, LineBody, Usefulness};
+use crate::line::{AttemptCharge, BalancePart, Charge, ChargeGroup, Line, LineBody, Usefulness};
 use crate::meter::STAGES;
 use crate::settings::Settings;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Account {
     /// Number of charged attempts.
-    pub entries: u64,
+    pub charged_attempts: u64,
     sums: Vec<u128>,
     pub decayed: Decayed,
 }
@@ -41,7 +41,7 @@
         let rate = settings.rate(group.resources);
         let half_life = settings.half_life(&group.team);
         for e in &charge.entries {
-            self.entries += 1;
+            self.charged_attempts += 1;
             for (stage, time) in e.stage_times.0.iter().enumerate() {
                 for (r, amount) in amounts.iter().enumerate() {
                     self.add(3 * stage + r, amount * u128::from(*time));
@@ -54,7 +54,7 @@
             for (r, amount) in amounts.iter().enumerate() {
                 self.add(run_offset + r, amount * u128::from(e.stage_times.running()));
             }
-            self.add(HELD_OFFSET, u128::from(e.stage_times.held()));
+            self.add(HELD_OFFSET, u128::from(e.stage_times.total()));
             self.add(HELD_OFFSET + 1, u128::from(e.stage_times.at_worker()));
             self.add(HELD_OFFSET + 2, u128::from(e.max_error));
             self.decayed.add(&half_life.weight(rate, e.begin, e.end()));
@@ -90,7 +90,7 @@
 
     /// Subtracts charges that were added before.
     fn subtract(&mut self, other: &Account) {
-        self.entries -= other.entries.min(self.entries);
+        self.charged_attempts -= other.charged_attempts.min(self.charged_attempts);
         for (sum, less) in self.sums.iter_mut().zip(&other.sums) {
             *sum = sum.saturating_sub(*less);
         }
@@ -123,7 +123,7 @@
     /// Subtracts charges that these accounts already count but that will be written after a balance.
     pub(crate) fn subtract_pending(
         &mut self,
-        pending: &BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
+        pending: &BTreeMap<ChargeGroup, Vec<(u64, AttemptCharge)>>,
         settings: &Settings,
     ) {
         let mut pending_accounts = Accounts::default();
@@ -142,7 +142,7 @@
                 account.subtract(pending);
             }
         }
-        self.0.retain(|_, account| account.entries > 0);
+        self.0.retain(|_, account| account.charged_attempts > 0);
     }
 
     /// Returns the parts of a balance that records the sums of these accounts.
@@ -150,7 +150,7 @@
         let part = |((team, class), a): (&(String, String), &Account)| BalancePart {
             team: team.clone(),
             class: class.clone(),
-            entries: a.entries,
+            entries: a.charged_attempts,
             amounts: (0..SUM_COUNT).map(|i| a.sum(i)).collect(),
             half_life: settings.half_life(team).time(),
             decayed: a.decayed.sums().to_vec(),
@@ -167,7 +167,7 @@
         let mut all = Accounts::default();
         for p in parts {
             let account = all.0.entry((p.team.clone(), p.class.clone())).or_default();
-            account.entries += p.entries;
+            account.charged_attempts += p.entries;
             for (i, amount) in p.amounts.iter().enumerate().take(SUM_COUNT) {
                 account.add(i, *amount);
             }
--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -100,13 +100,13 @@
     pub pages: usize,
     pub lines: u64,
     /// Number of charged attempts.
-    pub charged: u64,
+    pub charged_attempts: u64,
     /// Number of the first line.
-    pub first: u64,
+    pub first_line: u64,
     /// Number after that of the last line.
-    pub next: u64,
+    pub next_line: u64,
     /// MAC of the last line.
-    pub head: LineMac,
+    pub last_mac: LineMac,
     pub accounts: Accounts,
     /// Whether the accounts cover the ledger from line zero: either the first line is line zero, or a balance supplied
     /// the sums of the lines before the first one.
@@ -114,17 +114,17 @@
 }
 
 impl Verified {
-    /// Returns an empty result that starts at line number `first`, after the line with the MAC `head`.
-    fn starting_at(first: u64, head: LineMac) -> Verified {
+    /// Returns an empty result that starts at line number `first_line`, after the line with the MAC `last_mac`.
+    fn starting_at(first_line: u64, last_mac: LineMac) -> Verified {
         Verified {
             pages: 0,
             lines: 0,
-            charged: 0,
-            first,
-            next: first,
-            head,
+            charged_attempts: 0,
+            first_line,
+            next_line: first_line,
+            last_mac,
             accounts: Accounts::default(),
-            covers_all_lines: first == 0,
+            covers_all_lines: first_line == 0,
         }
     }
 }
@@ -152,13 +152,13 @@
     let empty = || Verified::starting_at(0, LineMac::default());
     let end = verifier.verified.unwrap_or_else(empty);
     let missing = |page, line| Fault::new(page, 0, line, FaultKind::Missing);
-    if head.is_some_and(|(number, _)| number >= end.next) {
+    if head.is_some_and(|(number, _)| number >= end.next_line) {
         // Lines that an earlier verification saw are missing at the end.
         let next_page = first_page + pages.len() as u64;
-        return Err(missing(next_page, end.next));
+        return Err(missing(next_page, end.next_line));
     }
     if !pages.is_empty() && first_page > kept {
-        return Err(missing(first_page, end.first.saturating_sub(1)));
+        return Err(missing(first_page, end.first_line.saturating_sub(1)));
     }
     Ok(end)
 }
@@ -174,7 +174,10 @@
 
 impl Verifier<'_> {
     fn verify_page(&mut self, page: &Page, expected: u64) -> Result<(), Fault> {
-        let first_line = self.verified.as_ref().map_or(page.first, |seen| seen.next);
+        let first_line = self
+            .verified
+            .as_ref()
+            .map_or(page.first, |seen| seen.next_line);
         let fault = |line, kind| Err(Fault::new(page.page, 0, line, kind));
         match page.page.cmp(&expected) {
             Ordering::Greater => return fault(first_line, FaultKind::Missing),
@@ -190,15 +193,15 @@
         let verified = self
             .verified
             .get_or_insert_with(|| Verified::starting_at(first_line, previous));
-        if verified.head != previous || page.first != verified.next {
-            return fault(verified.next, FaultKind::Altered);
+        if verified.last_mac != previous || page.first != verified.next_line {
+            return fault(verified.next_line, FaultKind::Altered);
         }
         verified.pages += 1;
         for (position, value) in page.lines.iter().enumerate() {
-            let expected = verified.next;
+            let expected = verified.next_line;
             let fault = |kind| Fault::new(page.page, position, expected, kind);
             let (line, mac) = Line::read(value).ok_or_else(|| fault(FaultKind::Altered))?;
-            if line.number != expected || verified.head.next(key, &line.text()) != mac {
+            if line.number != expected || verified.last_mac.next(key, &line.text()) != mac {
                 return Err(fault(fault_of_line(
                     &line,
                     expected,
@@ -213,11 +216,11 @@
                 return Err(fault(FaultKind::Unbalanced));
             }
             if let LineBody::Charge(charge) = &line.body {
-                verified.charged += charge.entries.len() as u64;
+                verified.charged_attempts += charge.entries.len() as u64;
             }
             verified.accounts.add_line(&line, self.settings);
-            verified.head = mac;
-            verified.next = line.number + 1;
+            verified.last_mac = mac;
+            verified.next_line = line.number + 1;
             verified.lines += 1;
         }
         Ok(())
@@ -280,6 +283,6 @@
 fn account_sums(accounts: &Accounts) -> Vec<AccountSums<'_>> {
     let sums = accounts
         .iter()
-        .map(|((team, class), a)| (&**team, &**class, a.entries, a.held(), a.times()));
+        .map(|((team, class), a)| (&**team, &**class, a.charged_attempts, a.held(), a.times()));
     sums.collect()
 }
--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -15,7 +15,7 @@
 use crate::account::Accounts;
 use crate::audit::Page;
 use crate::chain::{KeyRing, LineMac};
-use crate::line::{Balance, BalanceAssembler, Charge, ChargeGroup, Entry, Line, LineBody};
+use crate::line::{AttemptCharge, Balance, BalanceAssembler, Charge, ChargeGroup, Line, LineBody};
 use crate::settings::Settings;
 use crate::{Micros, SECOND};
 
@@ -78,7 +78,7 @@
 pub struct OpenedBook {
     pub book: Book,
     /// Attempts that the pages charge. Attempts that no worker can report any more may be absent.
-    pub charged: HashSet<ChargedAttempt>,
+    pub charged_attempts: HashSet<ChargedAttempt>,
     /// Pages that are missing or differ from what was written.
     pub damaged: Vec<DamagedPage>,
 }
@@ -120,7 +120,7 @@
     /// Lines other than charges that are not chained yet.
     queued_lines: VecDeque<LineBody>,
     /// Charges that are not chained yet, with their tickets.
-    charges: BTreeMap<ChargeGroup, Vec<(u64, Entry)>>,
+    charges: BTreeMap<ChargeGroup, Vec<(u64, AttemptCharge)>>,
     /// Time at which the oldest line or charge that is not chained yet arrived.
     waiting_since: Option<Micros>,
     last_ticket: u64,
@@ -159,7 +159,7 @@
     let LineBody::Charge(c) = &line.body else {
         return Vec::new();
     };
-    let key = |e: &Entry| (c.group.job.clone(), e.task, e.attempt, e.machine.clone());
+    let key = |e: &AttemptCharge| (c.group.job.clone(), e.task, e.attempt, e.machine.clone());
     c.entries.iter().map(key).collect()
 }
 
@@ -200,7 +200,7 @@
         book.pages_to_delete.extend(first_folded..first_kept);
         OpenedBook {
             book,
-            charged: reader.charged,
+            charged_attempts: reader.charged,
             damaged: reader.damaged,
         }
     }
@@ -345,7 +345,7 @@
     }
 
     /// Charges an attempt. Returns a ticket for [`Book::is_written`].
-    pub fn charge(&mut self, charge_group: ChargeGroup, entry: Entry, now: Micros) -> u64 {
+    pub fn charge(&mut self, charge_group: ChargeGroup, entry: AttemptCharge, now: Micros) -> u64 {
         let charge = Charge {
             group: charge_group,
             entries: vec![entry],
@@ -520,7 +520,7 @@
             if entries.is_empty() {
                 return;
             }
-            let (tickets, entries): (Vec<u64>, Vec<Entry>) = entries.into_iter().unzip();
+            let (tickets, entries): (Vec<u64>, Vec<AttemptCharge>) = entries.into_iter().unzip();
             let line = Line {
                 number: self.next_line,
                 body: LineBody::Charge(Charge {
@@ -561,7 +561,7 @@
     }
 
     /// Returns how many of the entries fit into the open page. An empty page takes at least one entry.
-    fn entries_that_fit(&self, group: &ChargeGroup, entries: &[(u64, Entry)]) -> usize {
+    fn entries_that_fit(&self, group: &ChargeGroup, entries: &[(u64, AttemptCharge)]) -> usize {
         let empty = Charge {
             group: group.clone(),
             entries: Vec::new(),
@@ -660,7 +660,7 @@
     }
 
     /// Handles the failure of the write in flight. `outcome_unknown` means that the write may have been carried out or
-    /// may still be carried out; no page is then written before this page has been [`reread`](Book::handle_reread).
+    /// may still be carried out; no page is then written before this page has been [`reread`](Book::page_reread).
     pub fn write_failed(&mut self, outcome_unknown: bool) {
         if self.lines_in_flight.take().is_some() {
             self.outcome_unknown = outcome_unknown;
@@ -674,7 +674,7 @@
 
     /// Handles the reread page. `found` is the page and its version, or `None` if the page does not exist. Returns the
     /// tickets of the charges that are now confirmed, or an error if the page was not written by this book.
-    pub fn handle_reread(&mut self, found: Option<(&Page, u64)>) -> Result<Vec<u64>, DamagedPage> {
+    pub fn page_reread(&mut self, found: Option<(&Page, u64)>) -> Result<Vec<u64>, DamagedPage> {
         if !std::mem::take(&mut self.outcome_unknown) {
             return Ok(Vec::new());
         }
--- a/crates/gannethub-ledger/src/export.rs
+++ b/crates/gannethub-ledger/src/export.rs
@@ -74,7 +74,7 @@
 ];
 
 /// Returns the column names, in order.
-pub fn names() -> impl Iterator<Item = &'static str> {
+pub fn column_names() -> impl Iterator<Item = &'static str> {
     COLUMNS.iter().map(|c| c.0)
 }
 
@@ -132,7 +132,7 @@
 /// Writes rows as CSV, with a header line of column names.
 pub fn csv(rows: &[Vec<Cell>], out: impl Write) -> Result<(), ExportError> {
     let mut writer = csv::Writer::from_writer(out);
-    writer.write_record(names())?;
+    writer.write_record(column_names())?;
     for row in rows {
         writer.write_record(row.iter().map(|cell| match cell {
             Cell::Int(x) => x.to_string(),
--- a/crates/gannethub-ledger/src/line.rs
+++ b/crates/gannethub-ledger/src/line.rs
@@ -54,7 +54,7 @@
 
 /// Charge of one attempt of one task. Entries with a common [`ChargeGroup`] may share a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct AttemptCharge {
     pub task: u32,
     pub attempt: u64,
     pub machine: String,
@@ -72,10 +72,10 @@
 /// twice the maximum error, plus one for an estimate. The form is compact because pages are small.
 type EntryWire = (u32, u64, String, Micros, Vec<Micros>, u64);
 
-impl Entry {
+impl AttemptCharge {
     /// Returns the wall-clock time at which the attempt was known to have released its place on the machine.
     pub fn end(&self) -> Micros {
-        self.begin.saturating_add(self.stage_times.held())
+        self.begin.saturating_add(self.stage_times.total())
     }
 
     /// Returns the maximum number of bytes that the entry takes in a line, including the comma. The stored form is
@@ -104,11 +104,11 @@
         )
     }
 
-    fn read(wire: EntryWire, least: (u64, Micros)) -> Option<Entry> {
+    fn read(wire: EntryWire, least: (u64, Micros)) -> Option<AttemptCharge> {
         let (task, attempt, machine, begin, times, bound) = wire;
         let mut read_times = StageTimes::default();
         read_times.0.get_mut(..times.len())?.copy_from_slice(&times);
-        Some(Entry {
+        Some(AttemptCharge {
             task,
             attempt: attempt.checked_add(least.0)?,
             machine,
@@ -142,24 +142,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Charge {
     pub group: ChargeGroup,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<AttemptCharge>,
 }
 
 /// Record that a new leader began to write the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnerChange {
+pub struct LeaderChange {
     pub term: u64,
     pub owner: String,
     pub at: Micros,
     /// Whether the new leader knew of all usage that was open under the previous leader.
-    pub complete: bool,
+    pub has_all_open_usage: bool,
 }
 
 /// Record that a machine was given up without knowing which attempts ran on the machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnmeteredInterval {
     pub machine: String,
-    pub flavor: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     /// Start of the interval whose attempts are unknown.
@@ -226,7 +226,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LineBody {
     Charge(Charge),
-    OwnerChanged(OwnerChange),
+    LeaderChanged(LeaderChange),
     Unmetered(UnmeteredInterval),
     Balance(Balance),
     Part(BalancePart),
@@ -285,11 +285,16 @@
                 let entries: Vec<EntryWire> = c.entries.iter().map(|e| e.wire(least)).collect();
                 serde_json::to_string(&(self.number, "charge", group, least, entries))
             }
-            LineBody::OwnerChanged(t) => {
-                serde_json::to_string(&(self.number, "took", t.term, &t.owner, t.at, t.complete))
-            }
+            LineBody::LeaderChanged(t) => serde_json::to_string(&(
+                self.number,
+                "took",
+                t.term,
+                &t.owner,
+                t.at,
+                t.has_all_open_usage,
+            )),
             LineBody::Unmetered(g) => {
-                let machine = (&g.machine, &g.flavor, &g.zone, g.spot);
+                let machine = (&g.machine, &g.machine_type, &g.zone, g.spot);
                 serde_json::to_string(&(self.number, "gap", machine, g.from, g.to))
             }
             LineBody::Balance(b) => {
@@ -330,8 +335,8 @@
     /// Returns the wall-clock time of the latest event in the line, or `None` if the line contains no time.
     pub fn last_event_at(&self) -> Option<Micros> {
         match &self.body {
-            LineBody::Charge(c) => c.entries.iter().map(Entry::end).max(),
-            LineBody::OwnerChanged(t) => Some(t.at),
+            LineBody::Charge(c) => c.entries.iter().map(AttemptCharge::end).max(),
+            LineBody::LeaderChanged(t) => Some(t.at),
             LineBody::Unmetered(g) => Some(g.to),
             LineBody::Balance(b) => Some(b.at),
             LineBody::Part(_) => None,
@@ -343,17 +348,19 @@
 fn read_body(kind: &str, items: &[Value]) -> Option<LineBody> {
     match (kind, items) {
         ("charge", [group, least, entries]) => read_charge(group, least, entries),
-        ("took", [term, owner, at, complete]) => Some(LineBody::OwnerChanged(OwnerChange {
-            term: term.as_u64()?,
-            owner: owner.as_str()?.to_string(),
-            at: at.as_u64()?,
-            complete: complete.as_bool()?,
-        })),
+        ("took", [term, owner, at, has_all_open_usage]) => {
+            Some(LineBody::LeaderChanged(LeaderChange {
+                term: term.as_u64()?,
+                owner: owner.as_str()?.to_string(),
+                at: at.as_u64()?,
+                has_all_open_usage: has_all_open_usage.as_bool()?,
+            }))
+        }
         ("gap", [machine, from, to]) => {
-            let (machine, flavor, zone, spot) = read_value(machine)?;
+            let (machine, machine_type, zone, spot) = read_value(machine)?;
             Some(LineBody::Unmetered(UnmeteredInterval {
                 machine,
-                flavor,
+                machine_type,
                 zone,
                 spot,
                 from: from.as_u64()?,
@@ -380,9 +387,9 @@
     let (team, class, job, resources, machine_type, zone, spot, price, reason, usefulness) = group;
     let least: (u64, Micros) = read_value(least)?;
     let entries: Vec<EntryWire> = read_value(entries)?;
-    let entries: Option<Vec<Entry>> = entries
+    let entries: Option<Vec<AttemptCharge>> = entries
         .into_iter()
-        .map(|entry| Entry::read(entry, least))
+        .map(|entry| AttemptCharge::read(entry, least))
         .collect();
     let group = ChargeGroup {
         team,
--- a/crates/gannethub-ledger/src/line/tests.rs
+++ b/crates/gannethub-ledger/src/line/tests.rs
@@ -16,8 +16,8 @@
     }
 }
 
-pub fn entry(task: u32, begin: Micros, running: Micros) -> Entry {
-    Entry {
+pub fn entry(task: u32, begin: Micros, running: Micros) -> AttemptCharge {
+    AttemptCharge {
         task,
         attempt: (7 << 42) + 5,
         machine: "host-000231".into(),
@@ -32,11 +32,11 @@
 fn lines_round_trip_and_chain_to_the_line_before() {
     let ring = KeyRing::parse(&KeyRing::write("k", &[3; 32])).unwrap();
     let bodies = [
-        LineBody::OwnerChanged(OwnerChange {
+        LineBody::LeaderChanged(LeaderChange {
             term: 4,
             owner: "n\u{e9}".into(),
             at: 9,
-            complete: false,
+            has_all_open_usage: false,
         }),
         LineBody::Charge(Charge {
             group: charge_group("red", "j-7"),
@@ -44,7 +44,7 @@
         }),
         LineBody::Unmetered(UnmeteredInterval {
             machine: "m".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: "z".into(),
             spot: false,
             from: 1,
--- a/crates/gannethub-ledger/src/meter.rs
+++ b/crates/gannethub-ledger/src/meter.rs
@@ -1,4 +1,4 @@
-//! Meters of attempts: the time that an attempt spent in each stage, as observed by the leader.
+//! Meters of attempts: the time that an attempt stage_times in each stage, as observed by the leader.
 //!
 //! A heartbeat does not say when a change happened, only that the change had happened when the heartbeat was sent. A
 //! worker reports a change at once, but not within half a second of another heartbeat: an end is therefore observed at
@@ -58,13 +58,13 @@
 
 impl StageTimes {
     /// Returns the time from the placement of the attempt until its place was known to be free.
-    pub fn held(&self) -> Micros {
+    pub fn total(&self) -> Micros {
         self.0.iter().sum()
     }
 
     /// Returns the time of the attempt at its worker, as the worker would measure it and as far as the leader can tell.
     pub fn at_worker(&self) -> Micros {
-        self.held() - self.0[Stage::Starting.index()] - self.0[SILENT_STAGE]
+        self.total() - self.0[Stage::Starting.index()] - self.0[SILENT_STAGE]
     }
 
     pub fn running(&self) -> Micros {
@@ -75,26 +75,28 @@
 /// How the leader learned of the end of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndObservation {
-    /// The worker reported the end. `before` is the time at which the worker's previous heartbeat arrived, if there was
-    /// one; `missed` means that the worker sent heartbeats in between that did not arrive.
+    /// The worker reported the end. `previous_heartbeat_at` is the time at which the worker's previous heartbeat
+    /// arrived, if there was one; `missed_heartbeats` means that the worker sent heartbeats in between that did not
+    /// arrive.
     Reported {
-        before: Option<Micros>,
-        missed: bool,
+        previous_heartbeat_at: Option<Micros>,
+        missed_heartbeats: bool,
     },
-    /// The machine sent no more heartbeats and is given up. `heard` is the time of the last heartbeat that contained
-    /// the attempt, if any. `likely` is the most likely time that the attempt continued after that heartbeat, in
-    /// microseconds: half the heartbeat interval, or the lease duration if the lease is known to have expired.
+    /// The machine sent no more heartbeats and is given up. `last_heartbeat_at` is the time of the last heartbeat that
+    /// contained the attempt, if any. `likely_duration` is the most likely time that the attempt continued after that
+    /// heartbeat, in microseconds: half the heartbeat interval, or the lease duration if the lease is known to have
+    /// expired.
     Silence {
-        heard: Option<Micros>,
-        likely: Micros,
+        last_heartbeat_at: Option<Micros>,
+        likely_duration: Micros,
     },
 }
 
 impl MeteredUsage {
     /// Extends the silent time at the end of the attempt, and the maximum error, by `more` microseconds.
-    pub fn quiet(mut self, more: Micros) -> MeteredUsage {
-        self.spent.0[SILENT_STAGE] += more;
-        self.bound += more;
+    pub fn extend_silence(mut self, more: Micros) -> MeteredUsage {
+        self.stage_times.0[SILENT_STAGE] += more;
+        self.max_error += more;
         self
     }
 }
@@ -106,96 +108,101 @@
     /// Time at which the stage began, or at which the attempt was first observed in the stage.
     pub since: Micros,
     /// Times at which the launch was first and last sent to the worker.
-    pub sent: Option<(Micros, Micros)>,
+    pub launch_sent_at: Option<(Micros, Micros)>,
     /// Time counted in each stage so far, without the time in the present stage since `since`.
-    pub spent: StageTimes,
+    pub stage_times: StageTimes,
     /// Maximum error of the begin, in microseconds.
-    pub unsure: Micros,
+    pub begin_uncertainty: Micros,
     /// Whether the begin was estimated because it was not observed.
-    pub guessed: bool,
+    pub begin_estimated: bool,
 }
 
 /// Metered usage of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeteredUsage {
-    pub spent: StageTimes,
+    pub stage_times: StageTimes,
     /// Maximum error of the time at the worker, in microseconds.
-    pub bound: Micros,
+    pub max_error: Micros,
     /// Whether the begin or the end was estimated because it was not observed.
-    pub estimate: bool,
+    pub is_estimate: bool,
 }
 
 impl Meter {
     /// Returns the meter of an attempt that is placed now.
-    pub fn placed(now: Micros) -> Meter {
-        let (stage, spent) = (Stage::Starting, StageTimes::default());
+    pub fn new(now: Micros) -> Meter {
+        let (stage, stage_times) = (Stage::Starting, StageTimes::default());
         Meter {
             stage,
             since: now,
-            sent: None,
-            spent,
-            unsure: 0,
-            guessed: false,
+            launch_sent_at: None,
+            stage_times,
+            begin_uncertainty: 0,
+            begin_estimated: false,
         }
     }
 
     /// Returns the meter of an attempt that another leader placed `age` microseconds ago, with a maximum error of
-    /// `unsure`, and that its worker now reports in `stage`. All time since the placement counts as time in `stage`.
-    /// The placement is given as an age and not as a time of this process's clock, because that clock may have started
-    /// later.
-    pub fn adopted(age: Micros, unsure: Micros, stage: Stage, now: Micros) -> Meter {
-        let mut spent = StageTimes::default();
-        spent.0[stage.index()] = age;
+    /// `begin_uncertainty`, and that its worker now reports in `stage`. All time since the placement counts as time in
+    /// `stage`. The placement is given as an age and not as a time of this process's clock, because that clock may have
+    /// started later.
+    pub fn adopted(age: Micros, begin_uncertainty: Micros, stage: Stage, now: Micros) -> Meter {
+        let mut stage_times = StageTimes::default();
+        stage_times.0[stage.index()] = age;
         Meter {
             stage,
             since: now,
-            sent: None,
-            spent,
-            unsure,
-            guessed: true,
+            launch_sent_at: None,
+            stage_times,
+            begin_uncertainty,
+            begin_estimated: true,
         }
     }
 
     /// Adds `more` microseconds to the present stage: time that passed before this process knew of the attempt.
-    pub fn wait(&mut self, more: Micros) {
-        self.spent.0[self.stage.index()] += more;
+    pub fn add_unobserved_time(&mut self, more: Micros) {
+        self.stage_times.0[self.stage.index()] += more;
     }
 
     /// Returns the time since the attempt was placed, in microseconds.
     pub fn age(&self, now: Micros) -> Micros {
-        self.spent.held() + now.saturating_sub(self.since)
+        self.stage_times.total() + now.saturating_sub(self.since)
     }
 
     /// Records that the launch is sent to the worker, for the first time or again.
-    pub fn sent(&mut self, now: Micros) {
+    pub fn record_launch_sent(&mut self, now: Micros) {
         if self.stage == Stage::Starting {
-            self.sent = Some((self.sent.map_or(now, |s| s.0), now));
+            self.launch_sent_at = Some((self.launch_sent_at.map_or(now, |s| s.0), now));
         }
     }
 
     /// Records that the worker reports the attempt in a new stage.
-    pub fn enter(&mut self, stage: Stage, now: Micros) {
-        let began_at = match (self.stage, self.sent) {
+    pub fn enter_stage(&mut self, stage: Stage, now: Micros) {
+        let began_at = match (self.stage, self.launch_sent_at) {
             (Stage::Starting, Some((first, last))) => {
-                self.unsure += last - first;
+                self.begin_uncertainty += last - first;
                 last.max(self.since)
             }
             _ => now.max(self.since),
         };
-        self.spent.0[self.stage.index()] += began_at - self.since;
+        self.stage_times.0[self.stage.index()] += began_at - self.since;
         (self.stage, self.since) = (stage, began_at);
     }
 
     /// Ends the meter: the attempt is known to have ended. Returns the usage of the attempt.
     pub fn end(mut self, now: Micros, observation: EndObservation) -> MeteredUsage {
         let now = now.max(self.since);
-        let (estimated_end, mut bound, mut estimate) = match observation {
-            EndObservation::Reported { before, missed } => {
-                let gap = before.map_or(MIN_HEARTBEAT_SPACING, |t| now.saturating_sub(t));
+        let (estimated_end, mut max_error, mut is_estimate) = match observation {
+            EndObservation::Reported {
+                previous_heartbeat_at,
+                missed_heartbeats,
+            } => {
+                let gap =
+                    previous_heartbeat_at.map_or(MIN_HEARTBEAT_SPACING, |t| now.saturating_sub(t));
                 // A heartbeat that came as soon as possible after the previous one may have been delayed by the minimum
                 // spacing, and a heartbeat that follows lost ones reports a change of any time since the previous one:
                 // in both cases the attempt ended, on average, in the middle of the gap.
-                let is_delayed = missed || gap <= MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER;
+                let is_delayed =
+                    missed_heartbeats || gap <= MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER;
                 let delay = if is_delayed {
                     (gap / 2).min(now - self.since)
                 } else {
@@ -203,7 +210,7 @@
                 };
                 (
                     now - delay,
-                    if missed {
+                    if missed_heartbeats {
                         gap
                     } else {
                         gap.min(MIN_HEARTBEAT_SPACING + HEARTBEAT_JITTER)
@@ -211,11 +218,16 @@
                     false,
                 )
             }
-            EndObservation::Silence { heard, likely } => {
-                let heard = heard.unwrap_or(self.since).clamp(self.since, now);
+            EndObservation::Silence {
+                last_heartbeat_at,
+                likely_duration,
+            } => {
+                let last_heartbeat_at = last_heartbeat_at
+                    .unwrap_or(self.since)
+                    .clamp(self.since, now);
                 (
-                    (heard + likely).min(now),
-                    now - heard + MAX_TRANSIT_TIME,
+                    (last_heartbeat_at + likely_duration).min(now),
+                    now - last_heartbeat_at + MAX_TRANSIT_TIME,
                     true,
                 )
             }
@@ -223,16 +235,18 @@
         // The worker never reported the attempt: either the attempt was never at the worker, or it ended before its
         // first heartbeat.
         if self.stage == Stage::Starting {
-            bound = self.sent.map_or(0, |sent| now.saturating_sub(sent.0));
-            estimate &= self.sent.is_some();
+            max_error = self
+                .launch_sent_at
+                .map_or(0, |launch_sent_at| now.saturating_sub(launch_sent_at.0));
+            is_estimate &= self.launch_sent_at.is_some();
         }
-        self.spent.0[self.stage.index()] += estimated_end - self.since;
-        self.spent.0[SILENT_STAGE] += now - estimated_end;
-        estimate |= self.guessed;
+        self.stage_times.0[self.stage.index()] += estimated_end - self.since;
+        self.stage_times.0[SILENT_STAGE] += now - estimated_end;
+        is_estimate |= self.begin_estimated;
         MeteredUsage {
-            spent: self.spent,
-            bound: bound + self.unsure,
-            estimate,
+            stage_times: self.stage_times,
+            max_error: max_error + self.begin_uncertainty,
+            is_estimate,
         }
     }
 }
--- a/crates/gannethub-ledger/src/settings.rs
+++ b/crates/gannethub-ledger/src/settings.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Path of the key file, relative to the program's working directory.
-    pub keys: String,
+    pub key_file: String,
     /// Share of each team of the platform.
     pub teams: BTreeMap<String, TeamShare>,
     /// Usage weight of one CPU, one GPU and one GB, in thousandths.
@@ -255,7 +255,7 @@
             return Err(check.error("balance_pages", "must be a number from 1 to 10000"));
         }
         Ok(Settings {
-            keys: raw.keys,
+            key_file: raw.keys,
             teams: shares,
             resource_weights,
             write_interval: check.time("every_s", raw.every_s, 0.1)?,
--- a/crates/gannethub-ledger/tests/formats.rs
+++ b/crates/gannethub-ledger/tests/formats.rs
@@ -10,7 +10,7 @@
 use gannethub_ledger::book::{Book, Head};
 use gannethub_ledger::chain::LineMac;
 use gannethub_ledger::line::{
-    Balance, BalancePart, Charge, ChargeGroup, Entry, Line, LineBody, OwnerChange, Reason,
+    AttemptCharge, Balance, BalancePart, Charge, ChargeGroup, LeaderChange, Line, LineBody, Reason,
     ResourceAmounts, UnmeteredInterval, Usefulness,
 };
 use gannethub_ledger::meter::StageTimes;
@@ -56,8 +56,8 @@
     }
 }
 
-fn entry(task: u32) -> Entry {
-    Entry {
+fn entry(task: u32) -> AttemptCharge {
+    AttemptCharge {
         task,
         attempt: 301 + u64::from(task),
         machine: "host-000231".into(),
@@ -108,14 +108,14 @@
 
 #[test]
 fn line_owner_change() {
-    let owner_change = OwnerChange {
+    let leader_change = LeaderChange {
         term: 7,
         owner: "n0".into(),
         at: 1_700_000_000_000_001,
-        complete: true,
+        has_all_open_usage: true,
     };
     pin_line(
-        LineBody::OwnerChanged(owner_change),
+        LineBody::LeaderChanged(leader_change),
         r#"[41,"took",7,"n0",1700000000000001,true,"Vw7UZRBnSYsqf71eJADcXA"]"#,
     );
 }
@@ -124,7 +124,7 @@
 fn line_unmetered_interval() {
     let interval = UnmeteredInterval {
         machine: "host-000231".into(),
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         from: 1_700_000_000_000_001,
@@ -196,13 +196,13 @@
     let (settings, keys) = (Arc::new(settings()), Arc::new(keys()));
     let opened = Book::open(settings.clone(), keys.clone(), 4096, SECOND, None, &[]);
     let mut book = opened.book;
-    let owner_change = OwnerChange {
+    let leader_change = LeaderChange {
         term: 7,
         owner: "n0".into(),
         at: 1_700_000_000_000_001,
-        complete: true,
+        has_all_open_usage: true,
     };
-    book.queue_line(LineBody::OwnerChanged(owner_change), SECOND);
+    book.queue_line(LineBody::LeaderChanged(leader_change), SECOND);
     book.charge(
         charge_group(Reason::Done, Usefulness::Useful),
         entry(0),
@@ -224,7 +224,7 @@
     assert_eq!(json(&page), write.value);
     let verified = verify(&[page], &keys, &settings, None).unwrap();
     assert_eq!(
-        (verified.pages, verified.lines, verified.charged),
+        (verified.pages, verified.lines, verified.charged_attempts),
         (1, 2, 1)
     );
 }
@@ -261,7 +261,7 @@
 #[test]
 fn settings_file() {
     let settings = settings();
-    assert_eq!(settings.keys, "ledger.keys");
+    assert_eq!(settings.key_file, "ledger.keys");
     assert_eq!(settings.resource_weights, ResourceAmounts(1000, 7000, 200));
     assert_eq!(
         (settings.write_interval, settings.max_clock_offset),
--- a/crates/gannethub-ledger/tests/keepers.rs
+++ b/crates/gannethub-ledger/tests/ledger_writes.rs
@@ -7,7 +7,7 @@
 use gannethub_ledger::audit::{FaultKind, Page, verify};
 use gannethub_ledger::book::{Book, ChargedAttempt, Head, OpenedBook, PageWrite};
 use gannethub_ledger::line::{
-    ChargeGroup, Entry, Line, LineBody, OwnerChange, Reason, ResourceAmounts, Usefulness,
+    AttemptCharge, ChargeGroup, LeaderChange, Line, LineBody, Reason, ResourceAmounts, Usefulness,
 };
 use gannethub_ledger::meter::StageTimes;
 use gannethub_ledger::{Accounts, KeyRing, Micros, SECOND, Settings};
@@ -111,7 +111,7 @@
     /// Tickets of the attempts that this book charged.
     tickets: HashMap<ChargedAttempt, u64>,
     /// Ended attempts that workers still report.
-    reported: BTreeMap<ChargedAttempt, (ChargeGroup, Entry)>,
+    reported: BTreeMap<ChargedAttempt, (ChargeGroup, AttemptCharge)>,
     /// Postponed transactions with the terms of their leaders.
     postponed: Vec<(PageWrite, u64)>,
     ended: u32,
@@ -178,15 +178,15 @@
             &pages,
         );
         assert!(opened.damaged.is_empty(), "{:?}", opened.damaged);
-        (self.book, self.charged_before) = (opened.book, opened.charged);
-        let owner_change = OwnerChange {
+        (self.book, self.charged_before) = (opened.book, opened.charged_attempts);
+        let leader_change = LeaderChange {
             term: self.term,
             owner: "n".into(),
             at: self.now,
-            complete: true,
+            has_all_open_usage: true,
         };
         self.book
-            .queue_line(LineBody::OwnerChanged(owner_change), self.now);
+            .queue_line(LineBody::LeaderChanged(leader_change), self.now);
     }
 
     fn end_attempt(&mut self) {
@@ -205,11 +205,11 @@
             usefulness: Usefulness::Useful,
         };
         let times = StageTimes([1, 2, 3, u64::from(n) * 1000, 5, 6]);
-        let entry = Entry {
+        let entry = AttemptCharge {
             task: n,
             attempt: 9,
             machine: format!("host-{}", n % 7),
-            begin: self.now - times.held(),
+            begin: self.now - times.total(),
             stage_times: times,
             max_error: 0,
             is_estimate: false,
@@ -259,7 +259,7 @@
             let found = self.store.page(n);
             let result = self
                 .book
-                .handle_reread(found.as_ref().map(|(page, version)| (page, *version)));
+                .page_reread(found.as_ref().map(|(page, version)| (page, *version)));
             assert!(result.is_ok(), "{result:?}");
         }
     }
@@ -330,7 +330,7 @@
         for (group, entry) in replay.reported.values() {
             *sums
                 .entry((group.team.clone(), group.class.clone()))
-                .or_default() += entry.stage_times.held();
+                .or_default() += entry.stage_times.total();
         }
         sums.into_iter()
             .map(|((team, class), sum)| (team, class, sum))
@@ -441,7 +441,7 @@
     assert!(pages.len() > 2, "{} pages", pages.len());
     let check = |pages: &[Page]| verify(pages, &harness.keys, &harness.settings, None);
     let intact = check(&pages).unwrap();
-    assert_eq!(intact.charged, 24);
+    assert_eq!(intact.charged_attempts, 24);
     let position = pages[1]
         .lines
         .iter()
@@ -479,7 +479,7 @@
     let mut truncated = pages.clone();
     truncated.last_mut().unwrap().lines.pop();
     assert!(check(&truncated).is_ok());
-    let head = Some((intact.next - 1, intact.head));
+    let head = Some((intact.next_line - 1, intact.last_mac));
     assert!(verify(&pages, &harness.keys, &harness.settings, head).is_ok());
     let fault = verify(&truncated, &harness.keys, &harness.settings, head).unwrap_err();
     assert_eq!(fault.kind, FaultKind::Missing);
@@ -528,8 +528,11 @@
     let all_pages: Vec<Page> = all_pages.into_values().collect();
     let all = verify(&all_pages, &harness.keys, &harness.settings, None).unwrap();
     let folded = verify(&remaining, &harness.keys, &harness.settings, None).unwrap();
-    assert!(all.first == 0 && folded.first > 0 && folded.covers_all_lines);
-    assert_eq!((all.next, all.head), (folded.next, folded.head));
+    assert!(all.first_line == 0 && folded.first_line > 0 && folded.covers_all_lines);
+    assert_eq!(
+        (all.next_line, all.last_mac),
+        (folded.next_line, folded.last_mac)
+    );
     assert_eq!(held_times(&all.accounts), held_times(&folded.accounts));
     assert_eq!(held_times(&folded.accounts), harness.expected_held_times());
     let keys: HashSet<&str> = all_pages.iter().map(|p| &*p.key).collect();
@@ -562,13 +565,13 @@
         &found,
     );
     assert_eq!(damaged.iter().map(|d| d.0).collect::<Vec<_>>(), [newest]);
-    let owner_change = OwnerChange {
+    let leader_change = LeaderChange {
         term: 9,
         owner: "n".into(),
         at: harness.now,
-        complete: true,
+        has_all_open_usage: true,
     };
-    book.queue_line(LineBody::OwnerChanged(owner_change), harness.now);
+    book.queue_line(LineBody::LeaderChanged(leader_change), harness.now);
     let write = book
         .next_write(harness.now + 9 * SECOND, harness.now, 2)
         .expect("the book must still write");
@@ -578,6 +581,6 @@
         page.read()
             .unwrap()
             .iter()
-            .any(|(line, _): &(Line, _)| matches!(line.body, LineBody::OwnerChanged(_)))
+            .any(|(line, _): &(Line, _)| matches!(line.body, LineBody::LeaderChanged(_)))
     );
 }
--- a/src/dev/audit.rs
+++ b/src/dev/audit.rs
@@ -7,7 +7,7 @@
 use gannethub_emulators::Span;
 use gannethub_emulators::record::SpanKey;
 use gannethub_ledger::audit::{Page, verify};
-use gannethub_ledger::line::{Entry, LineBody};
+use gannethub_ledger::line::{AttemptCharge, LineBody};
 
 use super::{DevError, SECOND};
 use crate::ledger::LedgerError;
@@ -21,7 +21,7 @@
 /// The attempts that the ledger charges.
 pub(super) struct ChargedAttempts {
     /// Charge entries of each attempt.
-    entries: BTreeMap<SpanKey, Vec<Entry>>,
+    entries: BTreeMap<SpanKey, Vec<AttemptCharge>>,
     /// Machines that the ledger itself marks as unmetered: the ledger does not know all attempts that they held.
     unmetered_machines: HashSet<String>,
     /// Number of verified lines.
@@ -51,7 +51,9 @@
                 println!("gap: usage of machine {} is unknown", gap.machine);
                 self.unmetered_machines.insert(gap.machine.clone());
             }
-            LineBody::OwnerChanged(takeover) if !takeover.complete && takeover.term > 1 => {
+            LineBody::LeaderChanged(takeover)
+                if !takeover.has_all_open_usage && takeover.term > 1 =>
+            {
                 println!(
                     "{} took over without all open usage records",
                     takeover.owner
@@ -75,7 +77,7 @@
         self.entries.contains_key(key) || !self.unmetered_machines.contains(machine)
     }
 
-    fn entries_of(&self, key: &SpanKey) -> &[Entry] {
+    fn entries_of(&self, key: &SpanKey) -> &[AttemptCharge] {
         self.entries.get(key).map_or(&[], Vec::as_slice)
     }
 }
@@ -91,7 +93,11 @@
 
 impl ComparedAttempt {
     /// Compares the number of entries with the worker's record. The error text describes the difference.
-    fn new(key: &SpanKey, span: &Span, entries: &[Entry]) -> Result<ComparedAttempt, String> {
+    fn new(
+        key: &SpanKey,
+        span: &Span,
+        entries: &[AttemptCharge],
+    ) -> Result<ComparedAttempt, String> {
         let Some(recorded) = span.time() else {
             return Err(format!("{key:?} has not ended in the worker's record"));
         };
--- a/src/files.rs
+++ b/src/files.rs
@@ -75,7 +75,7 @@
     let name = file.display().to_string();
     let settings =
         gannethub_ledger::Settings::parse(&text, &name, &platform.default_ledger_shares())?;
-    let keys = read_keys(Path::new(&settings.keys))?;
+    let keys = read_keys(Path::new(&settings.key_file))?;
     Ok(LedgerSetup {
         settings: Arc::new(settings),
         keys: Arc::new(keys),
--- a/src/ledger/print.rs
+++ b/src/ledger/print.rs
@@ -47,7 +47,7 @@
     output: Output,
 ) -> Result<(), LedgerError> {
     let rows = export::rows(pages, team)?;
-    let names: Vec<&str> = export::names().collect();
+    let names: Vec<&str> = export::column_names().collect();
     let mut table = new_table(&[
         "team", "job", "task", "machine", "reason", "worth", "begin", "held s", "bound s",
     ]);
@@ -158,7 +158,7 @@
         .enumerate()
         .map(|(index, stage)| (*stage, hours(account.stage(index)[CPU])))
         .collect();
-    json!({"team": team, "class": class, "attempts": account.entries,
+    json!({"team": team, "class": class, "attempts": account.charged_attempts,
            "cpu_h": hours(held[CPU]), "gpu_h": hours(held[GPU]), "gb_h": hours(held[MEMORY]),
            "useful_cpu_h": hours(useful[CPU]), "lost_cpu_h": hours(lost[CPU]),
            "cpu_h_by_stage": cpu_hours_by_stage, "bound_h": bound_hours(account)})
@@ -170,7 +170,7 @@
     [
         team.to_string(),
         class.to_string(),
-        account.entries.to_string(),
+        account.charged_attempts.to_string(),
         hours(held[CPU]),
         hours(held[GPU]),
         hours(held[MEMORY]),
@@ -222,23 +222,23 @@
 
 /// Prints the result of a check, with the head that can be passed to a later check.
 pub(super) fn verification(verified: &Verified, output: Output) {
-    let last_line = verified.next.checked_sub(1);
-    let head = last_line.map(|number| format!("{number}:{}", verified.head));
+    let last_line = verified.next_line.checked_sub(1);
+    let head = last_line.map(|number| format!("{number}:{}", verified.last_mac));
     let Verified {
         lines,
         pages,
-        charged,
+        charged_attempts,
         ..
     } = verified;
     match output {
         Output::Table => println!(
-            "{lines} lines on {pages} pages verified; {charged} attempts are charged\n\
+            "{lines} lines on {pages} pages verified; {charged_attempts} attempts are charged\n\
              head: {}",
             head.unwrap_or_default()
         ),
         Output::Json => println!(
             "{}",
-            json!({"lines": lines, "pages": pages, "charged": charged, "head": head})
+            json!({"lines": lines, "pages": pages, "charged": charged_attempts, "head": head})
         ),
     }
 }
