--- a/src/dev/load.rs
+++ b/src/dev/load.rs
@@ -16,7 +16,7 @@
 use super::region::Command;
 use super::{DevError, WORKER_LEASE_SECONDS};
 use crate::files;
-use crate::http::{Client, ask_any};
+use crate::http::{Client, request_any};
 use crate::ledger::fetch_pages;
 
 pub(super) const TEAMS: [&str; 2] = ["red", "blue"];
@@ -97,7 +97,7 @@
 
     /// Asks the controllers in turn until one gives a final answer.
     async fn ask(&self, method: Method, path: &str, body: &str) -> Result<JsonAnswer, DevError> {
-        match ask_any(&self.clients, method, path, body.as_bytes()).await {
+        match request_any(&self.clients, method, path, body.as_bytes()).await {
             Ok(answer) => Ok(JsonAnswer {
                 status: answer.status,
                 body: answer.decode().unwrap_or(Value::Null),
--- a/src/http.rs
+++ b/src/http.rs
@@ -8,7 +8,7 @@
 mod head;
 mod server;
 
-pub use self::client::{Client, NoFinalAnswer, ask_any, is_final};
+pub use self::client::{Client, NoFinalAnswer, is_final, request_any};
 pub use self::server::{BodyBudget, Connection, MAX_BODY_BYTES};
 pub use gannethub_core::http::{
     Answer, CallError, CallResult, Method, Request, Response, decode_ok,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -28,11 +28,11 @@
 /// Status of a request that exceeds the server's rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Maximum time that [`ask_any`] waits for each answer.
+/// Maximum time that [`request_any`] waits for each answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which [`ask_any`] repeats the request.
+/// Time for which [`request_any`] repeats the request.
 const ASK_PERIOD: Duration = Duration::from_secs(60);
-/// Delay of [`ask_any`] between two requests.
+/// Delay of [`request_any`] between two requests.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A client of one server, with the connections to that server.
@@ -124,7 +124,7 @@
 }
 
 /// Sends a request to the servers in turn, once a second for a minute, until one server gives a final answer.
-pub async fn ask_any(
+pub async fn request_any(
     clients: &[Client],
     method: Method,
     path: &str,
--- a/src/ledger/fetch.rs
+++ b/src/ledger/fetch.rs
@@ -8,7 +8,7 @@
 use gannethub_ledger::book::Head;
 
 use super::LedgerError;
-use crate::http::{Client, NoFinalAnswer, ask_any};
+use crate::http::{Client, NoFinalAnswer, request_any};
 
 /// Text in a controller's 404 answer for a page that does not exist. Other answers with status 404 are errors.
 const NO_SUCH_PAGE: &str = "no such page";
@@ -35,7 +35,7 @@
 
 /// Asks the controllers in turn until one gives a final answer; `None` if the requested page does not exist.
 async fn fetch(clients: &[Client], path: &str) -> Result<Option<Bytes>, LedgerError> {
-    let answer = match ask_any(clients, Method::Get, path, &[]).await {
+    let answer = match request_any(clients, Method::Get, path, &[]).await {
         Ok(answer) => answer,
         Err(NoFinalAnswer { last_status }) => return Err(LedgerError::NoAnswer { last_status }),
     };
--- a/src/ledger/print.rs
+++ b/src/ledger/print.rs
@@ -47,12 +47,12 @@
     output: Output,
 ) -> Result<(), LedgerError> {
     let rows = export::rows(pages, team)?;
-    let names: Vec<&str> = export::column_names().collect();
+    let column_names: Vec<&str> = export::column_names().collect();
     let mut table = new_table(&[
         "team", "job", "task", "machine", "reason", "worth", "begin", "held s", "bound s",
     ]);
     for cells in &rows {
-        let row = ExportRow(names.iter().copied().zip(cells).collect());
+        let row = ExportRow(column_names.iter().copied().zip(cells).collect());
         match output {
             Output::Json => println!("{}", row.to_json()),
             Output::Table => {
