--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// Splits a document into parts that each fit into a value of `max_value_bytes` bytes: the policy, the objectives, and the
-/// teams.
+/// Splits a document into parts that each fit into a value of `max_value_bytes` bytes: the policy, the objectives, and
+/// the teams.
 ///
 /// The result has at least one part, so a stored document without parts is recognized as broken.
 pub fn split_document(
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Returns the value of the same job after cancellation by its user, within `max_value_bytes` bytes. The finished tasks
-    /// of a cancelled job do not matter any more, and are omitted if they do not fit.
+    /// Returns the value of the same job after cancellation by its user, within `max_value_bytes` bytes. The finished
+    /// tasks of a cancelled job do not matter any more, and are omitted if they do not fit.
     pub fn into_cancelled_value(self, max_value_bytes: usize) -> Box<RawValue> {
         match self {
             LiveRecord::Job(mut record) => {
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -2,24 +2,26 @@
 //! `docs/design-concurrent-failures.md` that names this module. The checker verifies the invariants in all of these
 //! tests: it checks every machine, answer and launch.
 
-use crate::unseen_cancellation::{begin, id, long, recover, roles};
+use crate::unseen_cancellation::{
+    begin, id, leader_and_others, recover_and_cancel_all, world_with_long_jobs,
+};
 use crate::*;
 use gannethub_core::wire::store::LEADER_TERM_KEY;
-use harness::CANCEL;
+use harness::CANCEL_DEADLINE;
 
 /// Ends the faults, waits until all jobs are over, and repeats a poll and the submission of every job at all nodes.
 fn recover_and_finish(mut w: World, seed: u64) {
-    w.all_well();
-    w.run_until(300, "all are over", World::all_over);
+    w.end_faults();
+    w.run_until(300, "all are over", World::all_jobs_ended);
     let ids: Vec<String> = w.jobs.keys().cloned().collect();
     for id in &ids {
         for node in 0..w.nodes.len() {
-            w.ask_at(id, "poll", node);
-            w.ask_at(id, "submit", node);
+            w.send_request_to(id, "poll", node);
+            w.send_request_to(id, "submit", node);
         }
     }
     w.run(5);
-    assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
+    assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
     w.finish();
 }
 
@@ -35,7 +37,7 @@
         w.state.keeps = (seed % 3 == 0).then_some(12);
         w.cloud.capacity = 20;
         w.run(2);
-        w.close_looks = true;
+        w.repeats_requests = true;
         let mut next = 0;
         for round in 0..24 {
             for _ in 0..2 {
@@ -60,7 +62,7 @@
             match round % 6 {
                 2 => w.crash(round as usize % nodes, SECOND / 5),
                 4 => {
-                    w.lose_leader(SECOND / 2);
+                    w.crash_leader(SECOND / 2);
                 }
                 // The state service refuses a node for a while, with users' requests in flight.
                 5 => {
@@ -90,25 +92,25 @@
     for seed in 1..=4 {
         let mut w = World::new(3, seed);
         w.state.unordered = seed % 2 == 0;
-        w.runs = (SECOND / 2, 3 * SECOND);
+        w.run_time_range = (SECOND / 2, 3 * SECOND);
         w.run(2);
         w.cancel_at_end = 0.7;
-        w.close_looks = true;
+        w.repeats_requests = true;
         for i in 1..=40 {
             let shape = if i % 5 == 0 { "group" } else { "array" };
             w.submit(job(i, 1 + i % 3, json!({"shape": shape})));
             w.run(u64::from(i % 2));
         }
-        w.run_until(120, "all are over", World::all_over);
+        w.run_until(120, "all are over", World::all_jobs_ended);
         ends.0 += w
             .jobs
             .values()
-            .filter(|j| j.told_done.is_some() && j.cancel_asked)
+            .filter(|j| j.done_confirmed_at.is_some() && j.cancel_asked)
             .count();
         ends.1 += w
             .jobs
             .values()
-            .filter(|j| j.told_cancelled.is_some())
+            .filter(|j| j.cancellation_confirmed_at.is_some())
             .count();
         recover_and_finish(w, seed);
     }
@@ -132,7 +134,7 @@
         };
         w.cloud.capacity = 20;
         w.run(4);
-        w.close_looks = true;
+        w.repeats_requests = true;
         for round in 0..10 {
             // In every third round, 90% of the answers are lost, so that reading back and sending again fail as well.
             w.faults.lost_commit_answer_rate = [0.3, 0.3, 0.9][round as usize % 3];
@@ -145,7 +147,7 @@
             w.run(2);
             w.cancel(i + round % 3);
             if round % 3 == 2 {
-                w.lose_leader(SECOND * (1 + seed % 4));
+                w.crash_leader(SECOND * (1 + seed % 4));
             }
             w.run(2);
         }
@@ -166,7 +168,7 @@
     for seed in 1..=12 {
         let mut w = World::new(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.cloud.capacity = 40;
-        w.runs = (100 * SECOND, 200 * SECOND);
+        w.run_time_range = (100 * SECOND, 200 * SECOND);
         w.run(2);
         for i in 1..=8 {
             let crew = ["red", "blue"][i as usize % 2];
@@ -190,7 +192,8 @@
         match seed % 4 {
             0 => w.faults.unanswered_workers.extend(some),
             1 => {
-                let until = w.now + [LEASE - SECOND, 2 * LEASE][seed as usize / 4 % 2];
+                let until =
+                    w.now + [WORKER_LEASE - SECOND, 2 * WORKER_LEASE][seed as usize / 4 % 2];
                 some.iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
             }
@@ -202,12 +205,12 @@
         w.cloud.no_deletes = seed % 2 == 0;
         (1..=4).for_each(|i| w.cancel(i));
         w.run(seed % 3);
-        w.lose_leader(SECOND * (1 + seed % 5));
+        w.crash_leader(SECOND * (1 + seed % 5));
         w.run(20);
-        w.lose_leader(SECOND / 2);
+        w.crash_leader(SECOND / 2);
         w.run(25);
         w.cloud.no_deletes = false;
-        w.all_well();
+        w.end_faults();
         // The capacity of the cancelled tasks of red is used by the team's other jobs.
         let red = |w: &World| {
             let tasks = w.workers.values().flat_map(|x| x.tasks.values());
@@ -216,14 +219,14 @@
                 .count()
         };
         w.run_until(60, "the free capacity is used", |w| red(w) == 16);
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
 /// Hands one controller's work over to another, and cancels one job every tenth of a second of the handover: before,
 /// during and after each of its transactions and reads.
 fn cancel_throughout_handover(mut w: World, seed: u64, hand_over: impl Fn(&mut World)) {
-    w.runs = (300 * SECOND, 400 * SECOND);
+    w.run_time_range = (300 * SECOND, 400 * SECOND);
     w.cloud.capacity = 30;
     w.run(5);
     for i in 1..=36 {
@@ -234,14 +237,14 @@
     hand_over(&mut w);
     for i in 1..=36 {
         w.cancel(i);
-        w.pause(SECOND / 10);
+        w.run_micros(SECOND / 10);
         if i == 12 {
             w.submit(job(100, 8, json!({"guess_s": 3.0, "rigs": ["small"]})));
         }
     }
-    w.run(CANCEL / SECOND + 5);
-    assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
-    recover(w, seed);
+    w.run(CANCEL_DEADLINE / SECOND + 5);
+    assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
+    recover_and_cancel_all(w, seed);
 }
 
 #[test]
@@ -295,7 +298,7 @@
         w.cloud.boot = (SECOND / 10, 2 * SECOND);
         w.cloud.list_lag = 12 * SECOND;
         w.cloud.capacity = 24;
-        w.runs = (40 * SECOND, 80 * SECOND);
+        w.run_time_range = (40 * SECOND, 80 * SECOND);
         w.run(2);
         for round in 0..4 {
             let leader = w.leader();
@@ -313,17 +316,17 @@
                 w.starts > before || w.now >= until
             });
             w.run(seed % 2);
-            w.lose_leader([SECOND / 5, 20 * SECOND][round as usize % 2]);
+            w.crash_leader([SECOND / 5, 20 * SECOND][round as usize % 2]);
             // Hung machines send no heartbeats to the new leader for a while, so it knows of them only from the shard's
             // record.
-            let until = w.now + LEASE - SECOND;
+            let until = w.now + WORKER_LEASE - SECOND;
             let busy = w.workers.values_mut().filter(|x| !x.tasks.is_empty());
             busy.step_by(2).for_each(|x| x.hung_until = until);
             w.faults.late_commit_rate = 0.0;
             w.faults.commit_answer_delays.clear();
             w.run(8);
         }
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -333,7 +336,7 @@
 fn old_heartbeats_at_the_start_of_a_term_are_ignored() {
     for seed in 1..=8 {
         let mut w = World::new(if seed % 4 == 0 { 5 } else { 3 }, seed);
-        w.runs = (5 * SECOND, 60 * SECOND);
+        w.run_time_range = (5 * SECOND, 60 * SECOND);
         w.run(2);
         w.faults.kept_copy_rate = 0.5;
         for round in 0..6 {
@@ -351,7 +354,7 @@
             // One worker's lease expires, another machine dies in every second round, and a job is cancelled.
             let busy = w.workers.values().filter(|x| !x.tasks.is_empty());
             let busy: Vec<String> = busy.map(|x| x.name.clone()).collect();
-            let until = w.now + LEASE + 2 * SECOND;
+            let until = w.now + WORKER_LEASE + 2 * SECOND;
             if let Some(x) = busy.first().and_then(|n| w.workers.get_mut(n)) {
                 x.hung_until = until;
             }
@@ -365,7 +368,7 @@
             }
             w.run(8);
             w.cancel(10 * round + 1 + round % 2);
-            w.lose_leader([SECOND / 5, 9 * SECOND][round as usize % 2]);
+            w.crash_leader([SECOND / 5, 9 * SECOND][round as usize % 2]);
             w.run(8);
         }
         assert!(
@@ -382,25 +385,25 @@
 #[test]
 fn ten_leaders_in_two_minutes_break_no_rule() {
     for seed in 1..=6 {
-        let mut w = long(if seed % 3 == 0 { 5 } else { 3 }, seed);
-        w.runs = (5 * SECOND, 90 * SECOND);
-        w.close_looks = true;
+        let mut w = world_with_long_jobs(if seed % 3 == 0 { 5 } else { 3 }, seed);
+        w.run_time_range = (5 * SECOND, 90 * SECOND);
+        w.repeats_requests = true;
         for round in 0..10 {
             w.submit(job(20 + round, 2, json!({"guess_s": 20.0})));
-            w.lose_leader(SECOND * [1, 3, 7][round as usize % 3] / 2);
+            w.crash_leader(SECOND * [1, 3, 7][round as usize % 3] / 2);
             w.run(2);
             w.cancel(1 + round);
             if round >= 6 {
                 w.state.down = true;
                 w.run(4);
-                w.lose_leader(SECOND / 2);
+                w.crash_leader(SECOND / 2);
                 w.run(2);
                 w.state.down = false;
             }
             w.run(10 - if round >= 6 { 6 } else { 0 });
             w.cancel(20 + round);
         }
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -408,7 +411,7 @@
 #[test]
 fn isolated_workers_stop_tasks_when_their_leases_expire() {
     for seed in 1..=8 {
-        let mut w = long(3, seed);
+        let mut w = world_with_long_jobs(3, seed);
         let names: Vec<String> = w.workers.keys().cloned().collect();
         w.faults
             .isolated_workers
@@ -417,14 +420,14 @@
         (1..=3).for_each(|i| w.cancel(i));
         w.submit(job(30, 8, json!({"guess_s": 30.0, "rigs": ["small"]})));
         w.run(seed % 4);
-        w.lose_leader(SECOND * seed);
-        w.run([6, 2 * LEASE / SECOND][seed as usize % 2]);
+        w.crash_leader(SECOND * seed);
+        w.run([6, 2 * WORKER_LEASE / SECOND][seed as usize % 2]);
         w.faults.isolated_workers.clear();
         w.run(3);
-        w.lose_leader(SECOND / 2);
+        w.crash_leader(SECOND / 2);
         w.cloud.no_deletes = false;
-        w.run(LEASE / SECOND + 5);
-        recover(w, seed);
+        w.run(WORKER_LEASE / SECOND + 5);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -440,19 +443,19 @@
         }
         w.run_until(60, "all tasks run", |w| w.starts >= 36);
         w.run(3);
-        let (old, others) = roles(&w, seed);
+        let (old, others) = leader_and_others(&w, seed);
         for i in 1..=28 {
             if i == 8 {
                 w.faults.store_refuses.insert(old);
             }
             let at = [old, others[0], others[1]][i as usize % 3];
             w.cancel_at(i, at);
-            w.pause(SECOND / 20);
+            w.run_micros(SECOND / 20);
         }
         w.state.down = true;
-        w.run(CANCEL / SECOND + 25);
-        assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
-        recover(w, seed);
+        w.run(CANCEL_DEADLINE / SECOND + 25);
+        assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -462,13 +465,13 @@
 #[test]
 fn refusal_that_becomes_an_outage_loses_no_task() {
     for seed in 1..=8 {
-        let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(if seed % 4 == 0 { 5 } else { 3 }, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.faults.store_refuses.insert(old);
         (1..=2).for_each(|i| w.cancel_at(i, others[0]));
-        w.pause(seed * SECOND / 5 - SECOND / 10);
+        w.run_micros(seed * SECOND / 5 - SECOND / 10);
         w.state.down = true;
-        w.run(2 * LEASE / SECOND);
+        w.run(2 * WORKER_LEASE / SECOND);
         assert_eq!(
             w.leader(),
             Some(old),
@@ -478,7 +481,7 @@
             w.workers.values().all(|x| x.session == 1),
             "a lease ran out"
         );
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -488,8 +491,8 @@
 #[test]
 fn leader_is_found_after_takeovers_with_unknown_outcome() {
     for seed in 1..=4 {
-        let mut w = long(3, seed);
-        w.lose_leader(2 * SECOND);
+        let mut w = world_with_long_jobs(3, seed);
+        w.crash_leader(2 * SECOND);
         for _ in 0..9 {
             w.faults.lost_commit_answer_rate = 1.0;
             let term = w.state.value(LEADER_TERM_KEY).cloned();
@@ -498,14 +501,14 @@
                 |w: &World| w.state.value(LEADER_TERM_KEY).cloned() != term || w.now > until;
             w.run_until(16, "a takeover is carried out", taken);
             // The takeover's answer times out after two seconds, and the store lease is given back at once.
-            w.pause(SECOND * 3 / 2);
+            w.run_micros(SECOND * 3 / 2);
             w.state.down = true;
             w.run(2);
             w.state.down = false;
         }
-        w.all_well();
+        w.end_faults();
         w.run_until(20, "a controller leads", |w| w.leader().is_some());
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -514,8 +517,8 @@
 #[test]
 fn partitioned_zone_with_a_controller_runs_no_task_twice() {
     for seed in 1..=8 {
-        let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(if seed % 4 == 0 { 5 } else { 3 }, seed);
+        let (old, others) = leader_and_others(&w, seed);
         let inside = if seed % 2 == 0 { old } else { others[0] };
         w.isolate(inside);
         w.faults.unreachable_zones.insert((inside, "b".into()));
@@ -533,13 +536,13 @@
             4,
             json!({"guess_s": 30.0, "rigs": ["small"], "yard": "a"}),
         ));
-        w.run(LEASE / SECOND * [1, 4][seed as usize / 2 % 2] + 6);
+        w.run(WORKER_LEASE / SECOND * [1, 4][seed as usize / 2 % 2] + 6);
         w.faults.unreachable_zones.clear();
         w.faults.store_refuses.clear();
         w.faults.partitioned.clear();
         w.run(4);
         (4..=5).for_each(|i| w.cancel(i));
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -548,9 +551,13 @@
 #[test]
 fn crash_of_all_controllers_beyond_a_lease_loses_no_job() {
     for seed in 1..=8 {
-        let mut w = long(3, seed);
-        let away =
-            [LEASE - 2 * SECOND, LEASE + SECOND / 2, 2 * LEASE, 4 * LEASE][seed as usize % 4];
+        let mut w = world_with_long_jobs(3, seed);
+        let away = [
+            WORKER_LEASE - 2 * SECOND,
+            WORKER_LEASE + SECOND / 2,
+            2 * WORKER_LEASE,
+            4 * WORKER_LEASE,
+        ][seed as usize % 4];
         (1..=2).for_each(|i| w.cancel(i));
         w.run(seed % 2);
         (0..3).for_each(|i| w.crash(i, away + i as u64 * SECOND * (seed % 3)));
@@ -559,7 +566,7 @@
         w.run(5);
         (0..3).for_each(|i| w.crash(i, SECOND / 5 + i as u64 * SECOND / 3));
         w.run(20);
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -569,7 +576,7 @@
 fn zone_constraints_hold_after_machine_losses() {
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
-        w.runs = (10 * SECOND, 40 * SECOND);
+        w.run_time_range = (10 * SECOND, 40 * SECOND);
         w.cloud.capacity = 24;
         w.run(2);
         let shapes = ["array", "group", "array", "service"];
@@ -609,7 +616,7 @@
                 _ => x.hung_until = u64::MAX / 2,
             });
             if round % 2 == 1 {
-                w.lose_leader(SECOND);
+                w.crash_leader(SECOND);
             }
             w.cancel(1 + round as u32);
         }
@@ -621,7 +628,7 @@
                 x.tasks.clear();
             });
         w.workers.values_mut().for_each(|x| x.notice = false);
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -632,7 +639,7 @@
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 6;
-        w.runs = (3 * SECOND, 20 * SECOND);
+        w.run_time_range = (3 * SECOND, 20 * SECOND);
         w.run(2);
         w.faults.max_worker_answer_delay = 3 * SECOND;
         w.faults.max_store_delay = SECOND;
@@ -651,7 +658,7 @@
                 w.cancel(i - 1);
             }
             if i % 8 == 0 {
-                w.lose_leader(SECOND / 2);
+                w.crash_leader(SECOND / 2);
             }
         }
         w.faults.processor_delays.clear();
@@ -667,7 +674,7 @@
 fn leader_launches_nothing_it_has_confirmed_as_cancelled() {
     for seed in 1..=4 {
         let mut w = World::new(3, seed);
-        w.runs = (SECOND / 5, SECOND);
+        w.run_time_range = (SECOND / 5, SECOND);
         w.cloud.capacity = 4;
         w.run(2);
         for i in 1..=40 {
@@ -684,13 +691,13 @@
         for i in 5..=40 {
             // The jobs are cancelled in the order in which they would be scheduled.
             w.cancel_at(i, leader);
-            w.pause(SECOND / 20);
+            w.run_micros(SECOND / 20);
         }
         w.run(3);
         let told = w
             .jobs
             .values()
-            .filter(|j| j.told_cancelled.is_some())
+            .filter(|j| j.cancellation_confirmed_at.is_some())
             .count();
         assert!(told >= 20, "only {told} cancellations confirmed");
         recover_and_finish(w, seed);
@@ -704,7 +711,7 @@
     for seed in 1..=6 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 20;
-        w.runs = (20 * SECOND, 30 * SECOND);
+        w.run_time_range = (20 * SECOND, 30 * SECOND);
         w.run(2);
         w.submit(job(1, 20, json!({"guess_s": 25.0, "rigs": ["small"]})));
         w.run_until(60, "all tasks of the first job run", |w| w.starts >= 20);
@@ -714,7 +721,7 @@
             w.submit(job(i, 3, json!({"rigs": ["small"]})));
             w.run_until(5, "accepted", |w| w.jobs[&id(i)].accepted.is_some());
             w.cancel_at(i, leader);
-            w.pause(SECOND * 4 / 10);
+            w.run_micros(SECOND * 4 / 10);
         }
         recover_and_finish(w, seed);
     }
@@ -728,7 +735,7 @@
     w.set_policy(policy);
     (0..3).for_each(|i| w.restart(i));
     w.cloud.capacity = 20;
-    w.runs = (100 * SECOND, 200 * SECOND);
+    w.run_time_range = (100 * SECOND, 200 * SECOND);
     w.run(2);
     for i in 1..=6 {
         w.submit(job(i, 4, json!({"guess_s": 150.0, "rigs": ["small"]})));
@@ -748,13 +755,13 @@
     };
     w.run_until(30, "six tasks fetch their images", |w| fetches(w) >= 6);
     (1..=10).for_each(|i| w.cancel(i));
-    w.run(LEASE / SECOND + 5);
+    w.run(WORKER_LEASE / SECOND + 5);
     let figures = (
         w.counters.late_starts,
         w.counters.cancelled_task_seconds,
         w.counters.direct_commands,
     );
-    recover(w, seed);
+    recover_and_cancel_all(w, seed);
     figures
 }
 
@@ -786,27 +793,32 @@
 #[test]
 fn hung_machines_do_not_keep_cancelled_tasks_running() {
     for seed in 1..=12 {
-        let mut w = long(3, seed);
+        let mut w = world_with_long_jobs(3, seed);
         w.faults.max_worker_answer_delay = 3 * SECOND;
         w.run(2 + seed % 3);
-        let hang = [SECOND, 3 * SECOND, LEASE - SECOND, LEASE + 2 * SECOND][seed as usize % 4];
+        let hang = [
+            SECOND,
+            3 * SECOND,
+            WORKER_LEASE - SECOND,
+            WORKER_LEASE + 2 * SECOND,
+        ][seed as usize % 4];
         let until = w.now + hang;
         let busy = w.workers.values_mut().filter(|x| !x.tasks.is_empty());
         busy.for_each(|x| x.hung_until = until);
         (1..=4).for_each(|i| w.cancel(i));
         w.run(1);
         if seed % 3 == 0 {
-            w.lose_leader(SECOND / 2);
+            w.crash_leader(SECOND / 2);
         }
         // Every second machine hangs again, at the time at which the first hang ends.
         w.run(hang / SECOND);
-        let until = w.now + LEASE - SECOND;
+        let until = w.now + WORKER_LEASE - SECOND;
         w.workers
             .values_mut()
             .step_by(2)
             .for_each(|x| x.hung_until = until);
-        w.run(CANCEL / SECOND);
-        recover(w, seed);
+        w.run(CANCEL_DEADLINE / SECOND);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -821,10 +833,10 @@
             text.replace("rps = 200.0", "rps = 70.0")
                 .replace("cpus_max = 40.0", "cpus_max = 80.0")
         };
-        let mut w = World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &small);
+        let mut w = World::with_settings(3, seed, WORKER_LEASE as f64 / SECOND as f64, &small);
         w.state.rate = Some(25.0);
         w.cloud.capacity = 30;
-        w.runs = (SECOND, 6 * SECOND);
+        w.run_time_range = (SECOND, 6 * SECOND);
         w.run(2);
         w.run_until(10, "a controller leads", |w| w.leader().is_some());
         w.run(5);
@@ -860,7 +872,7 @@
             "the leader changed: its lease renewals were not served"
         );
         for (i, _) in &large {
-            let at = w.jobs[&id(*i)].told_done;
+            let at = w.jobs[&id(*i)].done_confirmed_at;
             assert!(at.is_some(), "large job {i} is not done");
         }
         assert!(
@@ -870,14 +882,14 @@
         );
         let requests = (w.state.requests - requests) as f64 / f64::from(next);
         assert!(requests < 25.0, "{requests:.1} requests a job");
-        w.run_until(200, "all are over", World::all_over);
+        w.run_until(200, "all are over", World::all_jobs_ended);
         let told = w
             .jobs
             .values()
-            .filter(|j| j.told_cancelled.is_some())
+            .filter(|j| j.cancellation_confirmed_at.is_some())
             .count();
         assert!(told > 60, "only {told} cancelled");
-        assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
         w.finish();
     }
 }
@@ -1007,14 +1019,20 @@
     let submit_all = |w: &mut World, submissions: &[(serde_json::Value, String)]| {
         for (body, field) in submissions {
             for node in 0..3 {
-                w.submit_odd(body.clone(), field, node);
+                w.submit_invalid(body.clone(), field, node);
             }
         }
     };
     submit_all(&mut w, &invalid);
     w.run(3);
-    assert_eq!(w.broken, Vec::<String>::new());
-    assert_eq!(w.odd.values().map(|o| o.refused).sum::<usize>(), 3 * count);
+    assert_eq!(w.violations, Vec::<String>::new());
+    assert_eq!(
+        w.invalid_submissions
+            .values()
+            .map(|o| o.refused)
+            .sum::<usize>(),
+        3 * count
+    );
     for (i, more) in (10..).zip(valid) {
         w.submit(job(i, 2, more));
     }
@@ -1022,9 +1040,9 @@
     // answers to transactions, a crashed leader and a slow state service.
     w.faults.lost_commit_answer_rate = 0.2;
     w.faults.store_refuses.insert(1);
-    w.lose_leader(SECOND);
+    w.crash_leader(SECOND);
     // Some submissions reach a controller that has just started and does not know the machine types yet.
-    w.pause(SECOND + SECOND / 20);
+    w.run_micros(SECOND + SECOND / 20);
     submit_all(&mut w, &invalid);
     w.run(5);
     w.faults.max_store_delay = SECOND / 2;
@@ -1035,11 +1053,15 @@
     submit_all(&mut w, &invalid);
     w.run(4);
     // A submission without an id is refused even during the outage, since it cannot be a repeated submission.
-    let without_id: Vec<_> = w.odd.values().filter(|o| o.field == "id").collect();
+    let without_id: Vec<_> = w
+        .invalid_submissions
+        .values()
+        .filter(|o| o.field == "id")
+        .collect();
     assert!(without_id.iter().all(|o| o.refused == 1), "{without_id:?}");
-    w.all_well();
+    w.end_faults();
     w.run(3);
-    w.run_until(200, "all are over", World::all_over);
+    w.run_until(200, "all are over", World::all_jobs_ended);
     // All machines have been returned. Accepted jobs are still known, even if the repeated submission has another body.
     w.run_until(120, "the machines are returned", |w| w.workers.is_empty());
     let known: Vec<String> = w.jobs.keys().cloned().collect();
@@ -1048,12 +1070,12 @@
         let job = w.jobs.get_mut(id).expect("it is there");
         let body = job.body.clone();
         job.body = json!({"id": id, "crew": "nobody"});
-        (0..3).for_each(|n| w.ask_at(id, "submit", n));
+        (0..3).for_each(|n| w.send_request_to(id, "submit", n));
         w.run(1);
         let job = w.jobs.get_mut(id).expect("it is there");
         assert!(job.answered > before, "{id} got no answer");
         job.body = body;
     }
-    assert_eq!(w.broken, Vec::<String>::new());
+    assert_eq!(w.violations, Vec::<String>::new());
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -5,7 +5,9 @@
 use gannethub_core::configuration::{Document, OverLimit};
 
 use crate::harness::config_changes::{team, teams};
-use crate::unseen_cancellation::{id, long, recover, roles, told};
+use crate::unseen_cancellation::{
+    cancellations_confirmed, id, leader_and_others, recover_and_cancel_all, world_with_long_jobs,
+};
 use crate::*;
 
 /// Guards against old heartbeats that are taken for new ones. Copies of heartbeats arrive up to three leases late:
@@ -14,7 +16,7 @@
 #[test]
 fn late_copies_of_old_heartbeats_have_no_effect() {
     for seed in 1..=6 {
-        let mut w = long(3, seed);
+        let mut w = world_with_long_jobs(3, seed);
         w.faults.heartbeat_copy_rate = 0.8;
         for round in 0..4 {
             w.submit(job(
@@ -28,7 +30,7 @@
                 .values()
                 .find(|x| !x.tasks.is_empty())
                 .map(|x| x.name.clone());
-            let until = w.now + LEASE + 2 * SECOND;
+            let until = w.now + WORKER_LEASE + 2 * SECOND;
             busy.map(|name| w.workers.get_mut(&name).map(|x| x.hung_until = until));
             w.run(14);
             w.cancel(round + 1);
@@ -38,11 +40,11 @@
             w.run(12);
         }
         assert!(
-            w.counters.copied > 100,
+            w.counters.heartbeat_copies_sent > 100,
             "only {} copies of heartbeats arrived",
-            w.counters.copied
+            w.counters.heartbeat_copies_sent
         );
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -51,8 +53,8 @@
 #[test]
 fn an_isolated_leader_runs_no_job_cancelled_at_its_successor() {
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (5, 5)] {
-        let mut w = long(nodes, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(nodes, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.isolate(old);
         w.run_until(15, "another controller leads", |w| {
             w.leader().is_some_and(|l| l != old)
@@ -62,14 +64,14 @@
         for i in 1..=4 {
             w.cancel_at(i, others[i as usize % others.len()]);
             w.run(2);
-            w.ask_at(&id(i), "poll", old);
-            w.ask_at(&id(i), "submit", old);
+            w.send_request_to(&id(i), "poll", old);
+            w.send_request_to(&id(i), "submit", old);
         }
         w.run_until(10, "the users are told of the cancellations", |w| {
-            told(w, &[1, 2, 3, 4])
+            cancellations_confirmed(w, &[1, 2, 3, 4])
         });
         w.run(40);
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -79,7 +81,7 @@
 #[test]
 fn controllers_that_restart_fast_keep_their_obligations() {
     for seed in 1..=10 {
-        let mut w = long(if seed % 3 == 0 { 5 } else { 3 }, seed);
+        let mut w = world_with_long_jobs(if seed % 3 == 0 { 5 } else { 3 }, seed);
         let mut next = 1;
         for round in 0..10 {
             let n = w.nodes.len();
@@ -111,7 +113,7 @@
             }
             w.run(1 + round % 4 + seed % 3);
         }
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -120,8 +122,8 @@
 #[test]
 fn a_vote_holds_although_the_voter_restarted() {
     for seed in 1..=8 {
-        let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(if seed % 4 == 0 { 5 } else { 3 }, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.state.down = true;
         w.run(5);
         assert_eq!(
@@ -135,8 +137,8 @@
         others.iter().for_each(|i| w.crash(*i, SECOND / 5));
         (1..=2).for_each(|i| w.cancel(i));
         w.run(20);
-        assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
-        recover(w, seed);
+        assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -146,7 +148,7 @@
 #[test]
 fn delayed_commands_start_and_stop_no_task_late() {
     for seed in 1..=6 {
-        let mut w = long(3, seed);
+        let mut w = world_with_long_jobs(3, seed);
         w.faults.max_worker_answer_delay = 4 * SECOND;
         for round in 0..5 {
             w.submit(job(
@@ -155,7 +157,7 @@
                 json!({"guess_s": 60.0, "rigs": ["small"]}),
             ));
             w.run(3);
-            let until = w.now + w.rng.random_range(SECOND..LEASE);
+            let until = w.now + w.rng.random_range(SECOND..WORKER_LEASE);
             let busy = w.workers.values_mut().filter(|x| !x.tasks.is_empty());
             busy.step_by(2).for_each(|x| x.hung_until = until);
             w.cancel(20 + round);
@@ -168,11 +170,11 @@
             w.run(4);
             w.faults.partitioned.clear();
             if round % 2 == 0 {
-                w.lose_leader(SECOND);
+                w.crash_leader(SECOND);
             }
             w.run(8);
         }
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -183,7 +185,7 @@
 fn stored_completions_survive_many_takeovers() {
     for seed in 1..=8 {
         let mut w = World::new(3, seed);
-        w.runs = (SECOND, 70 * SECOND);
+        w.run_time_range = (SECOND, 70 * SECOND);
         w.run(2);
         for i in 1..=10 {
             w.submit(job(
@@ -199,11 +201,11 @@
                 1 => w.faults.late_commit_rate = 0.3,
                 _ => w.faults.late_commit_rate = 0.0,
             }
-            w.lose_leader(SECOND * (1 + seed % 5));
+            w.crash_leader(SECOND * (1 + seed % 5));
         }
-        w.all_well();
-        w.run_until(300, "all jobs are done", World::all_over);
-        assert!(w.jobs.values().all(|j| j.told_done.is_some()));
+        w.end_faults();
+        w.run_until(300, "all jobs are done", World::all_jobs_ended);
+        assert!(w.jobs.values().all(|j| j.done_confirmed_at.is_some()));
         w.finish();
     }
 }
@@ -238,14 +240,14 @@
             w.run(7);
             w.cancel(8 + round);
             if round % 3 == 2 {
-                w.lose_leader(SECOND * (round as u64 % 4 + 1));
+                w.crash_leader(SECOND * (round as u64 % 4 + 1));
             }
         }
         assert!(
             !w.state.keys("gh/part/j-000001/").is_empty(),
             "the array has a completion part in the state service"
         );
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -254,8 +256,8 @@
 #[test]
 fn a_new_leader_waits_for_machines_it_cannot_reach() {
     for seed in 1..=9 {
-        let mut w = long(3, seed);
-        let (old, _) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, _) = leader_and_others(&w, seed);
         let busy: Vec<String> = w
             .workers
             .values()
@@ -267,7 +269,7 @@
         match seed % 3 {
             0 => w.faults.unanswered_workers.extend(some),
             1 => {
-                let until = w.now + LEASE - SECOND / 2;
+                let until = w.now + WORKER_LEASE - SECOND / 2;
                 some.iter().for_each(|n| {
                     w.workers.get_mut(n).expect("the worker exists").hung_until = until
                 });
@@ -281,10 +283,10 @@
         (1..=3).for_each(|i| w.cancel(i));
         w.submit(job(20, 6, json!({"guess_s": 30.0, "rigs": ["small"]})));
         w.run(25);
-        w.lose_leader(SECOND / 2);
+        w.crash_leader(SECOND / 2);
         w.run(30);
         w.cloud.no_deletes = false;
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -293,25 +295,25 @@
 #[test]
 fn a_failing_state_service_lets_no_cancelled_task_run_on() {
     for seed in 1..=8 {
-        let mut w = long(if seed % 4 == 0 { 5 } else { 3 }, seed);
+        let mut w = world_with_long_jobs(if seed % 4 == 0 { 5 } else { 3 }, seed);
         w.faults.max_store_delay = SECOND * (2 + seed % 5) / 4;
-        w.queries = 3;
+        w.extra_queries = 3;
         for i in 1..=3 {
             w.cancel(i);
             w.run(3);
         }
         w.faults.max_store_delay = SECOND / 4;
         w.run(3);
-        let (old, others) = roles(&w, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.faults.store_refuses.insert(old);
         (4..=6).for_each(|i| w.cancel_at(i, others[0]));
         w.run_until(3, "the users are told of the cancellations", |w| {
-            told(w, &[4, 5, 6])
+            cancellations_confirmed(w, &[4, 5, 6])
         });
         w.state.down = true;
         w.run(60);
-        w.queries = 0;
-        recover(w, seed);
+        w.extra_queries = 0;
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -322,13 +324,13 @@
 fn polls_are_answered_while_writes_exceed_the_rate_limit() {
     for seed in 1..=3 {
         let few = |text: String| text.replace("write_rps = 100.0", "write_rps = 6.0");
-        let mut w = World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &few);
+        let mut w = World::with_settings(3, seed, WORKER_LEASE as f64 / SECOND as f64, &few);
         w.run(2);
         (1..=10).for_each(|i| w.submit(job(i, 1, json!({}))));
         w.run(10);
         w.state.down = true;
         w.run(4);
-        w.all_well();
+        w.end_faults();
         (11..=400).for_each(|i| w.submit(job(i, 1, json!({}))));
         for i in 1..=30 {
             w.cancel(10 * i);
@@ -343,7 +345,7 @@
             "an accepted job had no answer for {} s",
             w.unanswered / SECOND
         );
-        assert_eq!(w.broken, Vec::<String>::new());
+        assert_eq!(w.violations, Vec::<String>::new());
     }
 }
 
@@ -354,7 +356,7 @@
     let mut w = World::new(nodes, seed);
     w.state.unordered = seed.is_multiple_of(2);
     w.state.keeps = seed.is_multiple_of(3).then_some(20);
-    w.runs = (SECOND, 90 * SECOND);
+    w.run_time_range = (SECOND, 90 * SECOND);
     w.run(2);
     if changes {
         change_limit_of_red(&mut w);
@@ -417,7 +419,7 @@
                 }
             }
             12 => {
-                let until = w.now + w.rng.random_range(SECOND..2 * LEASE);
+                let until = w.now + w.rng.random_range(SECOND..2 * WORKER_LEASE);
                 w.workers
                     .values_mut()
                     .step_by(2)
@@ -449,7 +451,7 @@
                     w.faults.isolated_workers.clear()
                 }
             }
-            18 => w.close_looks = !w.close_looks,
+            18 => w.repeats_requests = !w.repeats_requests,
             19 => w.cancel_at_end = if w.cancel_at_end > 0.0 { 0.0 } else { 0.5 },
             20 => {
                 w.cloud.boot =
@@ -458,7 +460,7 @@
             }
             21 => {
                 // Users cancel every second job while machines hang.
-                let until = w.now + w.rng.random_range(SECOND..2 * LEASE);
+                let until = w.now + w.rng.random_range(SECOND..2 * WORKER_LEASE);
                 w.workers
                     .values_mut()
                     .step_by(3)
@@ -482,8 +484,8 @@
         let pause = w.rng.random_range(1..8);
         w.run(pause);
     }
-    w.all_well();
-    w.run_until(400, "all jobs have ended", World::all_over);
+    w.end_faults();
+    w.run_until(400, "all jobs have ended", World::all_jobs_ended);
     w.run(10);
     if changes {
         let last = w.last_version();
@@ -502,7 +504,7 @@
         OverLimit::Run
     };
     let red = team("red", cpus_max.min(8.0), cpus_max);
-    w.configure(
+    w.store_configuration(
         Document {
             over_limit,
             ..teams(vec![red])
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -65,7 +65,7 @@
 fn a_new_version_is_in_force_everywhere_within_7_s() {
     let mut w = world_with_replicas(1, 4);
     for (round, limit) in [20.0, 12.0, 16.0].into_iter().enumerate() {
-        let version = w.configure(limit_of_red(limit), 0);
+        let version = w.store_configuration(limit_of_red(limit), 0);
         assert_eq!(version, round as u64 + 1);
         w.run_until(ROLLOUT_S, "the version is in force", |w| {
             w.in_force(version)
@@ -82,9 +82,9 @@
     for seed in 2..6 {
         let mut w = world_with_replicas(seed, 16);
         w.submit(job(2, 12, json!({"crew": "red", "rigs": ["small"]})));
-        let version = w.configure(limit_of_red(8.0), 0);
+        let version = w.store_configuration(limit_of_red(8.0), 0);
         w.run_until(ROLLOUT_S, "no controller acts on an older version", |w| {
-            w.none_older(version)
+            w.no_other_version_in_force(version)
         });
         replace_leader(&mut w);
         // Running tasks go on; tasks lost with their machine do not start again above the limit.
@@ -98,9 +98,9 @@
             w.workers.get_mut(name).expect("the machine exists").dead = true;
         }
         w.run(30);
-        let raised = w.configure(limit_of_red(40.0), 0);
+        let raised = w.store_configuration(limit_of_red(40.0), 0);
         w.run_until(90, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         assert!(w.in_force(raised));
         w.finish();
@@ -116,7 +116,7 @@
         over_limit: OverLimit::Stop,
         ..limit_of_red(8.0)
     };
-    w.configure(stop, 0);
+    w.store_configuration(stop, 0);
     w.run_until(20, "team red is within its limit", |w| tasks_of_red(w) == 8);
     replace_leader(&mut w);
     w.run(20);
@@ -188,16 +188,16 @@
     for seed in 10..14 {
         let mut w = world_with_replicas(seed, 6);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-        w.configure(limit_of_red(8.0), 0);
-        w.pause(300_000);
-        w.configure(limit_of_red(24.0), 0);
-        w.pause(300_000);
-        let version = w.configure(limit_of_red(9.0), 0);
+        w.store_configuration(limit_of_red(8.0), 0);
+        w.run_micros(300_000);
+        w.store_configuration(limit_of_red(24.0), 0);
+        w.run_micros(300_000);
+        let version = w.store_configuration(limit_of_red(9.0), 0);
         w.run_until(ROLLOUT_S, "the last version is in force", |w| {
             w.in_force(version)
         });
         w.run_until(120, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         w.finish();
     }
@@ -210,9 +210,9 @@
     let leader = w.leader().expect("a controller leads");
     w.faults.hung_watches.insert(leader);
     w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-    let version = w.configure(limit_of_red(8.0), 0);
+    let version = w.store_configuration(limit_of_red(8.0), 0);
     w.run_until(ROLLOUT_S, "no controller acts on an older version", |w| {
-        w.none_older(version)
+        w.no_other_version_in_force(version)
     });
     w.run_until(
         ROLLOUT_S,
@@ -221,7 +221,7 @@
     );
     w.faults.hung_watches.clear();
     w.run_until(120, "the array is done", |w| {
-        w.jobs["j-000002"].told_done.is_some()
+        w.jobs["j-000002"].done_confirmed_at.is_some()
     });
     w.finish();
 }
@@ -235,13 +235,13 @@
         let leader = w.leader().expect("a controller leads");
         w.isolate(leader);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
-        let version = w.configure(limit_of_red(8.0), 0);
+        let version = w.store_configuration(limit_of_red(8.0), 0);
         w.run(ROLLOUT_S);
-        assert!(w.none_older(version), "{:?}", w.versions());
+        assert!(w.no_other_version_in_force(version), "{:?}", w.versions());
         w.run(20);
-        w.all_well();
+        w.end_faults();
         w.run_until(120, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         w.finish();
     }
@@ -257,15 +257,15 @@
         let old = w.leader().expect("a controller leads");
         w.crash(old, 20 * SECOND);
         // The seeds cover times from before any peer can notice the crash until after the takeover.
-        w.pause((seed - 20) * 700_000);
-        w.configure(limit_of_red(8.0), 0);
+        w.run_micros((seed - 20) * 700_000);
+        w.store_configuration(limit_of_red(8.0), 0);
         w.run_until(20, "another controller leads", |w| {
             w.leader().is_some_and(|l| l != old)
         });
         w.run(20);
-        w.configure(limit_of_red(40.0), 0);
+        w.store_configuration(limit_of_red(40.0), 0);
         w.run_until(150, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         w.finish();
     }
@@ -277,12 +277,12 @@
 fn a_change_right_before_an_outage_holds_after_it() {
     for seed in 30..34 {
         let mut w = world_with_replicas(seed, 6);
-        w.configure(limit_of_red(16.0), 0);
+        w.store_configuration(limit_of_red(16.0), 0);
         w.run(8);
         w.submit(job(2, 16, json!({"crew": "red", "rigs": ["small"]})));
         w.run(2);
         let outage = 20;
-        let version = w.configure(limit_of_red(8.0), outage * SECOND);
+        let version = w.store_configuration(limit_of_red(8.0), outage * SECOND);
         w.state.down = true;
         w.run(outage);
         w.state.down = false;
@@ -290,7 +290,7 @@
             w.in_force(version)
         });
         w.run_until(120, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         w.finish();
     }
@@ -301,7 +301,7 @@
 #[test]
 fn starts_go_on_in_an_outage_if_no_peer_knows_a_newer_version() {
     let mut w = world_with_replicas(35, 4);
-    let version = w.configure(limit_of_red(20.0), 0);
+    let version = w.store_configuration(limit_of_red(20.0), 0);
     w.run_until(ROLLOUT_S, "the version is in force", |w| {
         w.in_force(version)
     });
@@ -318,7 +318,7 @@
     assert!(w.starts > before, "no task was started in the outage");
     w.state.down = false;
     w.run_until(120, "the array is done", |w| {
-        w.jobs["j-000002"].told_done.is_some()
+        w.jobs["j-000002"].done_confirmed_at.is_some()
     });
     w.finish();
 }
@@ -334,32 +334,36 @@
     });
     let mut without_red = limit_of_red(16.0);
     without_red.teams[0].removed = true;
-    let version = w.configure(without_red, 0);
+    let version = w.store_configuration(without_red, 0);
     w.run_until(ROLLOUT_S, "the version is in force", |w| {
         w.in_force(version)
     });
     // Every controller refuses new jobs of the team; the old jobs finish within its last limit.
     for node in 0..3 {
-        w.submit_odd(
+        w.submit_invalid(
             job(50 + node as u32, 1, json!({"crew": "red"})),
             "crew",
             node,
         );
     }
     w.run(2);
-    assert!(w.odd.values().all(|o| o.refused == 1), "{:?}", w.odd);
+    assert!(
+        w.invalid_submissions.values().all(|o| o.refused == 1),
+        "{:?}",
+        w.invalid_submissions
+    );
     w.submit(job(3, 2, json!({"crew": "blue"})));
     replace_leader(&mut w);
     w.run_until(120, "the old job is done", |w| {
-        w.jobs["j-000002"].told_done.is_some()
+        w.jobs["j-000002"].done_confirmed_at.is_some()
     });
-    let version = w.configure(limit_of_red(12.0), 0);
+    let version = w.store_configuration(limit_of_red(12.0), 0);
     w.run_until(ROLLOUT_S, "the version is in force", |w| {
         w.in_force(version)
     });
     w.submit(job(4, 10, json!({"crew": "red"})));
     w.run_until(90, "the new job is done", |w| {
-        w.jobs["j-000004"].told_done.is_some()
+        w.jobs["j-000004"].done_confirmed_at.is_some()
     });
     w.finish();
 }
@@ -370,15 +374,15 @@
 fn no_job_of_a_new_team_is_refused_for_good() {
     for seed in 41..45 {
         let mut w = world_with_replicas(seed, 4);
-        let version = w.configure(teams(vec![team("late", 2.0, 6.0)]), 0);
+        let version = w.store_configuration(teams(vec![team("late", 2.0, 6.0)]), 0);
         w.run_until(ROLLOUT_S, "no controller acts on an older version", |w| {
-            w.none_older(version)
+            w.no_other_version_in_force(version)
         });
         for i in 0..6 {
             w.submit(job(10 + i, 3, json!({"crew": "late"})));
         }
         w.run_until(90, "all jobs are done", |w| {
-            (10..16).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
+            (10..16).all(|i| w.jobs[&format!("j-{i:06}")].done_confirmed_at.is_some())
         });
         w.restart(0);
         w.run_until(30, "a controller leads", |w| w.leader().is_some());
@@ -388,7 +392,7 @@
         // All controllers restart, and each reads the live jobs before the configuration document.
         (0..3).for_each(|node| w.restart(node));
         w.run_until(90, "the job is done", |w| {
-            w.jobs["j-000020"].told_done.is_some()
+            w.jobs["j-000020"].done_confirmed_at.is_some()
         });
         w.finish();
     }
@@ -402,11 +406,11 @@
         let mut w = world_with_replicas(seed, 2);
         let mut without_red = limit_of_red(16.0);
         without_red.teams[0].removed = true;
-        w.configure(without_red, 0);
+        w.store_configuration(without_red, 0);
         let stored = w.state.stamp(CURRENT_VERSION_KEY);
         // The controllers do not know of the new version yet, and their transactions are under way.
         for i in 0..9 {
-            w.ask_quietly(job(50 + i, 1, json!({"crew": "red"})), i as usize % 3);
+            w.submit_once(job(50 + i, 1, json!({"crew": "red"})), i as usize % 3);
         }
         w.run(5);
         for i in 50..59 {
@@ -434,7 +438,7 @@
         (52, ""),
     ] {
         let mut w = world_with_replicas(seed, 4);
-        let version = w.configure(limit_of_red(6.0), 0);
+        let version = w.store_configuration(limit_of_red(6.0), 0);
         w.run_until(ROLLOUT_S, "the version is in force", |w| {
             w.in_force(version)
         });
@@ -446,7 +450,7 @@
         assert!(w.in_force(version), "{:?}", w.versions());
         w.submit(job(2, 10, json!({"crew": "red"})));
         w.run_until(60, "a new job is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         if !broken.is_empty() {
             // Restarted controllers find the last valid version as well.
@@ -454,7 +458,7 @@
             w.run_until(20, "the version is in force", |w| w.in_force(version));
             w.submit(job(3, 10, json!({"crew": "red"})));
             w.run_until(90, "a new job is done", |w| {
-                w.jobs["j-000003"].told_done.is_some()
+                w.jobs["j-000003"].done_confirmed_at.is_some()
             });
         }
         w.finish();
@@ -466,7 +470,7 @@
 #[test]
 fn unknown_or_invalid_documents_are_refused_whole() {
     let mut w = world_with_replicas(53, 4);
-    let version = w.configure(limit_of_red(6.0), 0);
+    let version = w.store_configuration(limit_of_red(6.0), 0);
     w.run_until(ROLLOUT_S, "the version is in force", |w| {
         w.in_force(version)
     });
@@ -493,7 +497,7 @@
     w.state.remove(HISTORY_KEY);
     w.submit(job(2, 10, json!({"crew": "red"})));
     w.run_until(60, "a new job is done", |w| {
-        w.jobs["j-000002"].told_done.is_some()
+        w.jobs["j-000002"].done_confirmed_at.is_some()
     });
     w.finish();
 }
@@ -516,7 +520,7 @@
         objectives: Some(vec![objective]),
         ..Document::default()
     };
-    let version = w.configure(objectives, 0);
+    let version = w.store_configuration(objectives, 0);
     w.run_until(ROLLOUT_S, "the version is in force", |w| {
         w.in_force(version)
     });
@@ -535,7 +539,7 @@
     w.run(ROLLOUT_S);
     assert!(w.in_force(version), "{:?}", w.versions());
     w.run_until(120, "the array is done", |w| {
-        w.jobs["j-000001"].told_done.is_some()
+        w.jobs["j-000001"].done_confirmed_at.is_some()
     });
     w.finish();
 }
@@ -559,19 +563,19 @@
         let follower = (w.leader().expect("a controller leads") + 1) % 3;
         let until = w.now + 9 * SECOND;
         w.faults.frozen_until.insert(follower, until);
-        let version = w.configure(teams(vec![team("late", 2.0, 6.0)]), 0);
+        let version = w.store_configuration(teams(vec![team("late", 2.0, 6.0)]), 0);
         w.run(8);
         assert!(w.nodes.len() == 3 && version == 1);
-        let before = w.odd.len();
+        let before = w.invalid_submissions.len();
         for i in 0..8 {
-            w.submit_odd(job(60 + i, 1, json!({"crew": "late"})), "never", follower);
-            w.pause(150_000);
+            w.submit_invalid(job(60 + i, 1, json!({"crew": "late"})), "never", follower);
+            w.run_micros(150_000);
         }
         w.run(4);
         // Status 422 is a final refusal. An acceptance or a request to retry later is allowed.
-        assert_eq!(w.odd.len(), before + 8);
-        let refused = w.broken.iter().filter(|b| b.contains("422")).count();
-        assert_eq!(refused, 0, "{:?}", w.broken);
+        assert_eq!(w.invalid_submissions.len(), before + 8);
+        let refused = w.violations.iter().filter(|b| b.contains("422")).count();
+        assert_eq!(refused, 0, "{:?}", w.violations);
     }
 }
 
@@ -581,7 +585,7 @@
 fn a_newer_version_at_a_peer_stops_starts_in_an_outage() {
     for seed in 60..64 {
         let mut w = world_with_replicas(seed, 4);
-        let first = w.configure(limit_of_red(8.0), 0);
+        let first = w.store_configuration(limit_of_red(8.0), 0);
         w.submit(job(2, 60, json!({"crew": "red", "rigs": ["small"]})));
         w.run_until(30, "the version is in force", |w| {
             w.in_force(first) && tasks_of_red(w) >= 6
@@ -589,15 +593,15 @@
         let leader = w.leader().expect("a controller leads");
         // The state service refuses the leader alone while the peers learn of the change, and then it is down for all
         // controllers.
-        w.queries = 3;
+        w.extra_queries = 3;
         w.faults.store_refuses.insert(leader);
         w.faults.partitioned.extend(
             (0..3)
                 .filter(|i| *i != leader)
                 .flat_map(|i| [(i, leader), (leader, i)]),
         );
-        let version = w.configure(limit_of_red(4.0), 0);
-        w.pause(1_200_000);
+        let version = w.store_configuration(limit_of_red(4.0), 0);
+        w.run_micros(1_200_000);
         assert!(
             w.versions().iter().any(|v| v.version == version),
             "no controller knows the new version"
@@ -605,11 +609,11 @@
         w.state.down = true;
         w.faults.partitioned.clear();
         w.run(25);
-        assert!(w.none_older(version), "{:?}", w.versions());
-        w.all_well();
-        w.configure(limit_of_red(24.0), 0);
+        assert!(w.no_other_version_in_force(version), "{:?}", w.versions());
+        w.end_faults();
+        w.store_configuration(limit_of_red(24.0), 0);
         w.run_until(120, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         w.finish();
     }
--- a/crates/gannethub-core/tests/simulation/constrained_processor.rs
+++ b/crates/gannethub-core/tests/simulation/constrained_processor.rs
@@ -6,7 +6,7 @@
 /// as the controller allows; otherwise every 50 ms.
 fn idle_world(seed: u64, rare_wake_ups: bool) -> World {
     let mut w = World::new(3, seed);
-    w.patient = rare_wake_ups;
+    w.respects_idle_time = rare_wake_ups;
     w.run(20);
     w
 }
@@ -58,7 +58,7 @@
                 w.leader().is_some_and(|l| l != lost)
             });
             let took = w.now - at;
-            assert!(w.broken.is_empty(), "{:?}", w.broken);
+            assert!(w.violations.is_empty(), "{:?}", w.violations);
             took / 1000
         });
         times.sum::<u64>() / 8
@@ -131,6 +131,6 @@
 fn recover(mut w: World) {
     w.faults.processor_delays.clear();
     w.submit(job(9, 6, json!({})));
-    w.run_until(180, "all jobs have ended", World::all_over);
+    w.run_until(180, "all jobs have ended", World::all_jobs_ended);
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use serde_json::{Value, json};
 
-use crate::harness::{LEASE, SECOND, World, job};
+use crate::harness::{SECOND, WORKER_LEASE, World, job};
 use crate::leader_view::{LeaderView, spec};
 
 /// Returns the cluster state of the controller that leads.
@@ -43,7 +43,7 @@
 /// Hangs the machines with replicas until 0.5 s before the end of a lease that begins now, and makes the cloud delete
 /// nothing. Returns the number of hung machines.
 fn hang_machines_with_replicas(w: &mut World) -> usize {
-    let until = w.now + LEASE - SECOND / 2;
+    let until = w.now + WORKER_LEASE - SECOND / 2;
     w.cloud.no_deletes = true;
     let replica = |t: &String| t.starts_with("j-000001");
     let hung = w
@@ -83,7 +83,7 @@
     w.run_until(6, "the new tasks start", |w| w.starts >= before + 2);
     assert!(!settled(&w) && leader_cluster(&w).is_some_and(|c| c.watermarks.reliable));
     w.run_until(120, "the new job is done", |w| {
-        w.jobs["j-000002"].told_done.is_some()
+        w.jobs["j-000002"].done_confirmed_at.is_some()
     });
     w.finish();
 }
@@ -99,7 +99,7 @@
         hang_machines_with_replicas(&mut w);
         replace_leader(&mut w);
         w.run_until(150, "the array is done", |w| {
-            w.jobs["j-000002"].told_done.is_some()
+            w.jobs["j-000002"].done_confirmed_at.is_some()
         });
         w.finish();
     }
@@ -115,13 +115,13 @@
     replace_leader(&mut w);
     w.run(8);
     let twice = w
-        .broken
+        .violations
         .iter()
         .any(|b| b.starts_with("ran_twice: j-000001"));
     assert!(
         twice,
         "the checker did not detect the double run: {:?}",
-        w.broken
+        w.violations
     );
 }
 
@@ -148,14 +148,14 @@
         });
         assert!(!settled(&w));
         w.run(3);
-        let over = w.broken.iter().any(|b| b.starts_with("quota"));
-        assert_eq!(over, !guarded, "{:?}", w.broken);
+        let over = w.violations.iter().any(|b| b.starts_with("quota"));
+        assert_eq!(over, !guarded, "{:?}", w.violations);
         if guarded {
             assert_eq!(held, 16_000, "the whole limit counts as used");
             w.run(20);
             w.cancel(1);
             w.run_until(150, "the array is done", |w| {
-                w.jobs["j-000002"].told_done.is_some()
+                w.jobs["j-000002"].done_confirmed_at.is_some()
             });
             w.finish();
         }
@@ -183,7 +183,7 @@
             "only {launched} tasks started, not more than the watermark covers"
         );
         w.cloud.no_deletes = true;
-        let until = w.now + LEASE - SECOND / 2;
+        let until = w.now + WORKER_LEASE - SECOND / 2;
         w.workers
             .values_mut()
             .skip(1)
@@ -194,7 +194,7 @@
         w.run_until(60, "the takeover is settled", settled);
         w.cloud.capacity = 40;
         w.cloud.no_deletes = false;
-        w.run_until(300, "the array is done", World::all_over);
+        w.run_until(300, "the array is done", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -349,7 +349,7 @@
         for round in 0..9 {
             let tasks = w.rng.random_range(1..6);
             w.submit(job(10 + round, tasks, json!({"rigs": ["small"]})));
-            let until = w.now + w.rng.random_range(SECOND..LEASE + 3 * SECOND);
+            let until = w.now + w.rng.random_range(SECOND..WORKER_LEASE + 3 * SECOND);
             let hangs = w.rng.random_range(0..3);
             w.workers
                 .values_mut()
@@ -401,7 +401,7 @@
             .values_mut()
             .for_each(|m| m.hung_until = m.hung_until.min(w.now));
         (1..5).for_each(|i| w.cancel(i));
-        w.run_until(300, "all jobs have ended", World::all_over);
+        w.run_until(300, "all jobs have ended", World::all_jobs_ended);
         w.finish();
     }
     assert!(
--- a/crates/gannethub-core/tests/simulation/harness/answers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/answers.rs
@@ -23,8 +23,8 @@
     fn milestones(&self) -> [bool; 3] {
         [
             self.accepted.is_some(),
-            self.told_done.is_some(),
-            self.told_cancelled.is_some(),
+            self.done_confirmed_at.is_some(),
+            self.cancellation_confirmed_at.is_some(),
         ]
     }
 }
@@ -33,7 +33,7 @@
     /// Handles an answer that reaches a user: checks it and updates the user's view of the job.
     pub(super) fn on_user_answer(&mut self, id: &str, what: &str, asked: u64, response: &Response) {
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
-        if self.odd.contains_key(id) {
+        if self.invalid_submissions.contains_key(id) {
             return self.on_invalid_submission_answer(id, &body, response);
         }
         let known = self.job_knowledge(id, asked);
@@ -46,7 +46,7 @@
         match response.status {
             200 | 201 => self.on_job_answer(id, what, &body, &known),
             404 | 400 | 422 if accepted.is_some_and(|t| t < asked) => {
-                self.broken
+                self.violations
                     .push(format!("forgotten: {id} gets {}", response.status));
             }
             404 if accepted.is_some() => self.counters.overtaken_answers += 1,
@@ -55,31 +55,36 @@
             }
             _ => {}
         }
-        if self.close_looks && before != self.jobs[id].milestones() {
+        if self.repeats_requests && before != self.jobs[id].milestones() {
             self.request_at_all_nodes(id);
         }
     }
 
     /// Checks that a submission that cannot be accepted is refused, and that the refusal names the field.
     fn on_invalid_submission_answer(&mut self, id: &str, body: &Value, response: &Response) {
-        let Some(odd) = self.odd.get_mut(id) else {
+        let Some(invalid_submission) = self.invalid_submissions.get_mut(id) else {
             return;
         };
         let why = body["error"].as_str().unwrap_or("");
         match response.status {
-            400 | 422 if why.contains(odd.field.as_str()) => odd.refused += 1,
+            400 | 422 if why.contains(invalid_submission.field.as_str()) => {
+                invalid_submission.refused += 1
+            }
             // The controller cannot decide about the submission yet and asks the user to retry.
             503 if response.retry_after.is_some() => {}
             status => {
-                let text = format!("odd: {} gets {status} {why:?}, not {}", odd.body, odd.field);
-                self.broken.push(text);
+                let text = format!(
+                    "odd: {} gets {status} {why:?}, not {}",
+                    invalid_submission.body, invalid_submission.field
+                );
+                self.violations.push(text);
             }
         }
     }
 
     fn job_knowledge(&self, id: &str, asked: u64) -> JobKnowledge {
         let chain = self.job_and_upstream(id);
-        let told = |u: &String| self.jobs.get(u).and_then(|j| j.told_cancelled);
+        let told = |u: &String| self.jobs.get(u).and_then(|j| j.cancellation_confirmed_at);
         JobKnowledge {
             asked,
             is_completed: self.completed(id),
@@ -108,7 +113,7 @@
     ) {
         let status = body["status"].as_str().unwrap_or("");
         if matches!(response.status, 400 | 422) && what == "submit" && !known.has_upstream {
-            self.broken
+            self.violations
                 .push(format!("refused: {id} gets {}", response.status));
         }
         if response.status == 200 && matches!(status, "pending" | "running") {
@@ -116,12 +121,12 @@
             // acceptance if that is later.
             let accepted = self.jobs[id].accepted.unwrap_or(self.now);
             let since = known.upstream_cancelled.map(|t| t.max(accepted));
-            if since.is_some_and(|t| known.asked > t + CANCEL) {
-                self.broken.push(format!("orphaned: {id} is {status}"));
+            if since.is_some_and(|t| known.asked > t + CANCEL_DEADLINE) {
+                self.violations.push(format!("orphaned: {id} is {status}"));
             }
         }
         if response.status == 422 && known.upstream_accepted && known.has_upstream {
-            self.broken
+            self.violations
                 .push(format!("forgotten: all that {id} names was accepted"));
         }
     }
@@ -141,7 +146,7 @@
         if what == "submit" {
             j.accepted.get_or_insert(now);
             if !known.upstream_accepted {
-                self.broken
+                self.violations
                     .push(format!("invented: {id} names a job that nobody submitted"));
             }
         }
@@ -152,13 +157,13 @@
         }
         // Answers may overtake one another, so the check covers only requests that were sent after the user was told.
         let knew = |told: Option<u64>| told.is_some_and(|t| t < known.asked);
-        if (knew(j.told_done) && status != "done")
-            || (knew(j.told_cancelled) && status != "cancelled")
+        if (knew(j.done_confirmed_at) && status != "done")
+            || (knew(j.cancellation_confirmed_at) && status != "cancelled")
             || (status == "cancelled" && !known.cancel_asked)
         {
-            self.broken.push(format!("went_back: {id} is {status}"));
-        } else if (j.told_done.is_some() && status != "done")
-            || (j.told_cancelled.is_some() && status != "cancelled")
+            self.violations.push(format!("went_back: {id} is {status}"));
+        } else if (j.done_confirmed_at.is_some() && status != "done")
+            || (j.cancellation_confirmed_at.is_some() && status != "cancelled")
         {
             self.counters.overtaken_answers += 1;
         }
@@ -173,16 +178,16 @@
         };
         if status == "done" {
             if !known.is_completed {
-                self.broken.push(format!("not_done: {id}"));
+                self.violations.push(format!("not_done: {id}"));
             }
-            j.told_done.get_or_insert(now);
+            j.done_confirmed_at.get_or_insert(now);
         }
         if status == "cancelled" {
-            j.told_cancelled.get_or_insert(now);
+            j.cancellation_confirmed_at.get_or_insert(now);
         }
         // The check holds for answers in any order of their requests.
-        if j.told_done.is_some() && j.told_cancelled.is_some() {
-            self.broken.push(format!("two ends: {id}"));
+        if j.done_confirmed_at.is_some() && j.cancellation_confirmed_at.is_some() {
+            self.violations.push(format!("two ends: {id}"));
         }
         j.status = status;
     }
--- a/crates/gannethub-core/tests/simulation/harness/cloud.rs
+++ b/crates/gannethub-core/tests/simulation/harness/cloud.rs
@@ -10,7 +10,7 @@
     pub(super) fn handle_cloud_request(
         &mut self,
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         path: &str,
         body: &Bytes,
@@ -21,7 +21,7 @@
             CLOUD_DELAY,
             Event::Command {
                 node,
-                life,
+                incarnation,
                 command: Command::CloudAnswer { id, answer },
             },
         );
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -53,7 +53,7 @@
 impl World {
     /// Stores a document as the next version and returns its number. The version must be in force at all controllers
     /// within seven seconds plus `late` microseconds, the allowance for an outage.
-    pub fn configure(&mut self, wanted: Document, late: u64) -> u64 {
+    pub fn store_configuration(&mut self, wanted: Document, late: u64) -> u64 {
         let base = self.settings[0].clone();
         let document = self.document.successor(wanted, &base);
         let effective = document
@@ -166,7 +166,7 @@
     }
 
     /// Whether no running controller would act on a version other than this one.
-    pub fn none_older(&self, version: u64) -> bool {
+    pub fn no_other_version_in_force(&self, version: u64) -> bool {
         self.versions()
             .into_iter()
             .all(|state| state.version == version || !state.is_fresh)
--- a/crates/gannethub-core/tests/simulation/harness/controllers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/controllers.rs
@@ -5,7 +5,7 @@
 
 pub struct Node {
     pub controller: Option<Controller>,
-    pub life: u32,
+    pub incarnation: u32,
     pub(super) started_at: u64,
     pub(super) last_step_at: u64,
     /// Number of ticks sent to the controller: wake-ups in which the controller only looks at its clock.
@@ -39,7 +39,7 @@
     }
 
     pub fn restart(&mut self, node: usize) {
-        self.nodes[node].life += 1;
+        self.nodes[node].incarnation += 1;
         self.nodes[node].started_at = self.now;
         let clock = self.clock(node);
         self.nodes[node].controller = Some(Controller::new(self.settings[node].clone(), clock));
@@ -47,12 +47,12 @@
 
     pub fn crash(&mut self, node: usize, back_after: u64) {
         self.nodes[node].controller = None;
-        self.nodes[node].life += 1;
+        self.nodes[node].incarnation += 1;
         self.schedule(back_after, Event::Restart { node });
     }
 
     /// Crashes the leader, if there is one, and restarts it after `back_after` microseconds.
-    pub fn lose_leader(&mut self, back_after: u64) {
+    pub fn crash_leader(&mut self, back_after: u64) {
         if let Some(leader) = self.leader() {
             self.crash(leader, back_after);
         }
@@ -74,41 +74,41 @@
             })
     }
 
-    pub(super) fn deliver_command(&mut self, node: usize, life: u32, command: Command) {
+    pub(super) fn deliver_command(&mut self, node: usize, incarnation: u32, command: Command) {
         match self.faults.processor_delays.get(&node).copied() {
             Some(late) if !matches!(command, Command::Tick) => {
                 self.schedule(
                     late,
                     Event::DelayedCommand {
                         node,
-                        life,
+                        incarnation,
                         command,
                     },
                 );
             }
             Some(late) if self.now < self.nodes[node].last_step_at + late => {}
-            _ => self.handle_command(node, life, command),
+            _ => self.handle_command(node, incarnation, command),
         }
     }
 
-    /// Sends a tick to each controller. If `patient` is set, a controller that allows a longer idle time gets its tick
-    /// only after that time.
+    /// Sends a tick to each controller. If `respects_idle_time` is set, a controller that allows a longer idle time gets
+    /// its tick only after that time.
     pub(super) fn tick_controllers(&mut self) {
         for node in 0..self.nodes.len() {
             let n = &self.nodes[node];
             let pause = n.controller.as_ref().map_or(0, Controller::max_idle_time);
-            if self.patient && pause > TICK && self.now < n.last_step_at + pause {
+            if self.respects_idle_time && pause > TICK && self.now < n.last_step_at + pause {
                 continue;
             }
             self.nodes[node].ticks += 1;
-            self.deliver_command(node, self.nodes[node].life, Command::Tick);
+            self.deliver_command(node, self.nodes[node].incarnation, Command::Tick);
         }
     }
 
     /// Passes a command to a controller. A command for an earlier incarnation or for a stopped controller is dropped.
     /// While the controller is frozen, ticks are dropped and all other commands wait.
-    pub(super) fn handle_command(&mut self, node: usize, life: u32, command: Command) {
-        if self.nodes[node].life != life {
+    pub(super) fn handle_command(&mut self, node: usize, incarnation: u32, command: Command) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
         if let Some(until) = self
@@ -123,7 +123,7 @@
                     until - self.now,
                     Event::Command {
                         node,
-                        life,
+                        incarnation,
                         command,
                     },
                 );
@@ -141,21 +141,21 @@
         for effect in effects {
             let delay = self.jitter();
             if let Effect::Reply { response, .. } = &effect {
-                self.check_reply(node, life, response, leading_term, &owned_terms);
+                self.check_reply(node, incarnation, response, leading_term, &owned_terms);
             }
-            self.carry_out(delay, node, life, effect);
+            self.carry_out(delay, node, incarnation, effect);
         }
     }
 
     /// Carries out an effect that a controller requested.
-    fn carry_out(&mut self, delay: u64, node: usize, life: u32, effect: Effect) {
+    fn carry_out(&mut self, delay: u64, node: usize, incarnation: u32, effect: Effect) {
         match effect {
             Effect::Reply {
                 connection,
                 response,
-            } => self.send_reply(delay, life, connection, response),
+            } => self.send_reply(delay, incarnation, connection, response),
             Effect::StoreRequest { id, request } => {
-                self.send_store_request(delay, node, life, id, request);
+                self.send_store_request(delay, node, incarnation, id, request);
             }
             Effect::CloudRequest { id, request } => {
                 let (path, body) = (request.path, request.body);
@@ -163,7 +163,7 @@
                     delay,
                     Event::Cloud {
                         node,
-                        life,
+                        incarnation,
                         id,
                         path,
                         body,
@@ -182,7 +182,7 @@
     }
 
     /// Sends an answer to the user or worker that waits for it, and records confirmations of cancellations.
-    fn send_reply(&mut self, delay: u64, life: u32, connection: u64, response: Response) {
+    fn send_reply(&mut self, delay: u64, incarnation: u32, connection: u64, response: Response) {
         let Some((origin, node, _)) = self.connections.remove(&connection) else {
             return;
         };
@@ -190,7 +190,8 @@
         if let Origin::User { job, .. } = &origin
             && body["status"] == json!("cancelled")
         {
-            self.cancellations_told.insert((node, life, job.clone()));
+            self.cancellations_told
+                .insert((node, incarnation, job.clone()));
         }
         let is_slow =
             matches!(origin, Origin::Worker { .. }) && self.faults.max_worker_answer_delay > 0;
--- a/crates/gannethub-core/tests/simulation/harness/events.rs
+++ b/crates/gannethub-core/tests/simulation/harness/events.rs
@@ -19,25 +19,25 @@
 pub enum Event {
     Command {
         node: usize,
-        life: u32,
+        incarnation: u32,
         command: Command,
     },
     /// A command whose handling was delayed because the controller is short of CPU time.
     DelayedCommand {
         node: usize,
-        life: u32,
+        incarnation: u32,
         command: Command,
     },
     Store {
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         request: StoreRequest,
         asked: u64,
     },
     Cloud {
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         path: String,
         body: Bytes,
@@ -87,11 +87,11 @@
 
     /// Runs the simulation for `seconds` seconds.
     pub fn run(&mut self, seconds: u64) {
-        self.pause(seconds * SECOND);
+        self.run_micros(seconds * SECOND);
     }
 
     /// Runs the simulation for `micros` microseconds.
-    pub fn pause(&mut self, micros: u64) {
+    pub fn run_micros(&mut self, micros: u64) {
         let end = self.now + micros;
         while self.now < end {
             self.step();
@@ -106,11 +106,11 @@
                 let open: Vec<_> = self
                     .jobs
                     .iter()
-                    .filter(|(_, j)| j.told_done.is_none())
+                    .filter(|(_, j)| j.done_confirmed_at.is_none())
                     .collect();
                 panic!(
                     "condition not met within {seconds} s: {what}; broken: {:?}; open: {open:?}",
-                    self.broken
+                    self.violations
                 );
             }
             self.step();
@@ -157,28 +157,28 @@
         match event {
             Event::Command {
                 node,
-                life,
+                incarnation,
                 command,
-            } => self.deliver_command(node, life, command),
+            } => self.deliver_command(node, incarnation, command),
             Event::DelayedCommand {
                 node,
-                life,
+                incarnation,
                 command,
-            } => self.handle_command(node, life, command),
+            } => self.handle_command(node, incarnation, command),
             Event::Store {
                 node,
-                life,
+                incarnation,
                 id,
                 request,
                 asked,
-            } => self.handle_store_request(node, life, id, &request, asked),
+            } => self.handle_store_request(node, incarnation, id, &request, asked),
             Event::Cloud {
                 node,
-                life,
+                incarnation,
                 id,
                 path,
                 body,
-            } => self.handle_cloud_request(node, life, id, &path, &body),
+            } => self.handle_cloud_request(node, incarnation, id, &path, &body),
             Event::Peer { from, to, message } => self.deliver_peer_message(from, to, message),
             Event::Answer {
                 origin,
@@ -192,7 +192,7 @@
             },
             Event::Restart { node } => self.restart(node),
             Event::DirectCommands { node, addr, body } => self.command_worker(node, addr, body),
-            Event::UserRequest { job, what, node } => self.ask_at(&job, what, node),
+            Event::UserRequest { job, what, node } => self.send_request_to(&job, what, node),
             Event::HeartbeatCopy { node, body } => self.deliver_heartbeat_copy(node, body),
         }
     }
--- a/crates/gannethub-core/tests/simulation/harness/faults.rs
+++ b/crates/gannethub-core/tests/simulation/harness/faults.rs
@@ -50,7 +50,7 @@
 #[derive(Default)]
 pub struct Counters {
     /// Copies of old heartbeats that were sent to a controller.
-    pub copied: usize,
+    pub heartbeat_copies_sent: usize,
     /// Kept copies of heartbeats that were sent to a new leader and its peers.
     pub kept_copies_sent: usize,
     /// Transactions that were carried out without additional delay but not answered.
@@ -72,7 +72,7 @@
 impl World {
     /// Ends the faults of the state service and of the network. From this time on, every accepted job must be answered
     /// for.
-    pub fn all_well(&mut self) {
+    pub fn end_faults(&mut self) {
         self.state.down = false;
         self.faults.max_store_delay = 0;
         self.faults.max_worker_answer_delay = 0;
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -8,50 +8,52 @@
         self.starts += 1;
         let id = name.split('/').next().unwrap_or("").to_string();
         let Some(job) = self.jobs.get(&id) else {
-            self.broken
+            self.violations
                 .push(format!("unknown job started: task {name}"));
             return;
         };
-        let told_cancelled = job.told_cancelled;
-        let mut broken = self.start_before_upstream(&id, name);
-        broken.extend(self.start_of_done_or_running_task(&id, w, name));
-        match told_cancelled {
-            Some(t) if self.now > t + CANCEL => broken.push(format!("ran_cancelled: {name}")),
+        let cancellation_confirmed_at = job.cancellation_confirmed_at;
+        let mut violations = self.start_before_upstream(&id, name);
+        violations.extend(self.start_of_done_or_running_task(&id, w, name));
+        match cancellation_confirmed_at {
+            Some(t) if self.now > t + CANCEL_DEADLINE => {
+                violations.push(format!("ran_cancelled: {name}"))
+            }
             Some(_) => self.counters.late_starts += 1,
             None => {}
         }
-        broken.extend(self.start_in_wrong_place(&id, w, name));
-        self.broken.extend(broken);
+        violations.extend(self.start_in_wrong_place(&id, w, name));
+        self.violations.extend(violations);
     }
 
     /// Checks that a task starts after all upstream jobs of its job are done, and does not start after the cancellation
     /// deadline of an upstream job whose user was told that it is cancelled.
     fn start_before_upstream(&self, id: &str, name: &str) -> Vec<String> {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for u in self.job_and_upstream(id).iter().filter(|u| **u != id) {
             if !self.completed(u) {
-                broken.push(format!("too_early: {name} before {u} is done"));
+                violations.push(format!("too_early: {name} before {u} is done"));
             }
-            let lost = self.jobs.get(u).and_then(|j| j.told_cancelled);
-            if lost.is_some_and(|t| self.now > t + CANCEL) {
-                broken.push(format!("ran_cancelled: {name}, which needs {u}"));
+            let lost = self.jobs.get(u).and_then(|j| j.cancellation_confirmed_at);
+            if lost.is_some_and(|t| self.now > t + CANCEL_DEADLINE) {
+                violations.push(format!("ran_cancelled: {name}, which needs {u}"));
             }
         }
-        broken
+        violations
     }
 
     /// Checks that a task starts neither after it is stored as done nor while it runs on another machine.
     fn start_of_done_or_running_task(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let index = name.split('/').nth(1).and_then(|n| n.parse::<u32>().ok());
         if index.is_some_and(|index| self.is_stored_as_done(id, index)) {
-            broken.push(format!("began again: {name} is stored as done"));
+            violations.push(format!("began again: {name} is stored as done"));
         }
         let mut others = self.other_workers(w);
         if others.any(|o| o.tasks.get(name).is_some_and(|t| t.on_machine())) {
-            broken.push(format!("ran_twice: {name} on {}", w.name));
+            violations.push(format!("ran_twice: {name} on {}", w.name));
         }
-        broken
+        violations
     }
 
     /// Returns the running workers other than `w`.
@@ -63,7 +65,7 @@
 
     /// Checks that a task starts on a machine and in a zone that its job allows, within its team's limit.
     fn start_in_wrong_place(&self, id: &str, w: &Worker, name: &str) -> Vec<String> {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let body = &self.jobs[id].body;
         let allowed = |field: &str, value: &str| match &body[field] {
             Value::Array(list) => list.iter().any(|v| v == value),
@@ -74,25 +76,25 @@
             || !allowed("yard", &w.zone)
             || (w.spot && body["loaners"] == json!(false))
         {
-            broken.push(format!("wrong_place: {name} on {}", w.name));
+            violations.push(format!("wrong_place: {name} on {}", w.name));
         }
         let (zones, used) = self.zones_and_usage(id, w);
         if body["together"] == json!(true) && zones.len() > 1 {
-            broken.push(format!(
+            violations.push(format!(
                 "wrong_place: the job of {name} has tasks in several zones"
             ));
         }
         let half = body["pieces"].as_u64().unwrap_or(0).div_ceil(2);
         if body["scatter"] == json!(true) && zones.values().any(|n| *n > half) {
-            broken.push(format!(
+            violations.push(format!(
                 "wrong_place: the job of {name} has too many tasks in one zone"
             ));
         }
         let limit = self.max_possible_limit(body["crew"].as_str().unwrap_or(""));
         if used > limit + 1e-6 {
-            broken.push(format!("quota: {} uses {used}", body["crew"]));
+            violations.push(format!("quota: {} uses {used}", body["crew"]));
         }
-        broken
+        violations
     }
 
     /// Returns the number of tasks of a job in each zone and the CPUs that its team uses, including the tasks on `w`.
@@ -118,14 +120,14 @@
     }
 
     /// Checks that a controller that has told a user of a job's cancellation launches none of the job's tasks.
-    pub(super) fn check_launches(&mut self, node: usize, life: u32, body: &Value) {
+    pub(super) fn check_launches(&mut self, node: usize, incarnation: u32, body: &Value) {
         for order in body["orders"].as_array().into_iter().flatten() {
             let task = order["piece"].as_str().unwrap_or("");
             let job = task.split('/').next().unwrap_or("").to_string();
             if order["verb"] == json!("launch")
-                && self.cancellations_told.contains(&(node, life, job))
+                && self.cancellations_told.contains(&(node, incarnation, job))
             {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "launched: {task} by n{node}, which has told a user that its job is cancelled"
                 ));
             }
@@ -264,7 +266,7 @@
                 (false, _) => j.idle_since = None,
                 (true, None) => j.idle_since = Some(now),
                 (true, Some(t)) if now == t + 90 * SECOND => {
-                    self.broken.push(format!(
+                    self.violations.push(format!(
                         "left waiting: {id}, although there is free capacity for it"
                     ));
                 }
@@ -279,7 +281,7 @@
             .nodes
             .iter()
             .filter_map(|n| n.controller.as_ref()?.cluster());
-        self.broken
+        self.violations
             .extend(leading.flat_map(|c| c.index_inconsistencies()));
         self.check_shards();
     }
@@ -295,7 +297,7 @@
             for name in machines.into_iter().flatten().map(|m| m.0) {
                 let other = seen.insert(name.clone(), block_of(&key));
                 if other.as_ref().is_some_and(|o| *o != block_of(&key)) {
-                    self.broken
+                    self.violations
                         .push(format!("held twice: {name} in {other:?} and {key}"));
                 }
             }
@@ -315,7 +317,7 @@
         for team in &self.settings[0].teams {
             let sum = sums.get(&team.name).copied().unwrap_or(0);
             if sum > team.limit.cpu {
-                self.broken
+                self.violations
                     .push(format!("allotted: {sum} of {}", team.name));
             }
         }
@@ -357,7 +359,7 @@
         }
         for (key, before) in std::mem::take(&mut self.stored_done_counts) {
             if parts.get(&key).is_some_and(|now| *now < before) {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "lost: {key} had {before} finished tasks and now has {}",
                     parts[&key]
                 ));
@@ -369,20 +371,20 @@
     /// Checks that tasks of cancelled jobs are gone from all machines by the cancellation deadline, including machines
     /// that hung and resumed.
     pub fn check_cancelled(&mut self) {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let mut ran_on = 0;
         for w in self.workers.values().filter(|w| !w.gone(self.now)) {
             for t in w.tasks.values().filter(|t| t.on_machine()) {
                 let id = t.name.split('/').next().unwrap_or("");
-                let told = self.jobs.get(id).and_then(|j| j.told_cancelled);
+                let told = self.jobs.get(id).and_then(|j| j.cancellation_confirmed_at);
                 ran_on += usize::from(told.is_some());
-                if told.is_some_and(|at| self.now > at + CANCEL) {
-                    broken.push(format!("ran_cancelled: {} is still on {}", t.name, w.name));
+                if told.is_some_and(|at| self.now > at + CANCEL_DEADLINE) {
+                    violations.push(format!("ran_cancelled: {} is still on {}", t.name, w.name));
                 }
             }
         }
         self.counters.cancelled_task_seconds += ran_on;
-        self.broken.extend(broken);
+        self.violations.extend(violations);
     }
 
     /// Checks that a controller's answer obeys the rules for leaders: a leader answers workers only while no other
@@ -390,7 +392,7 @@
     pub(super) fn check_reply(
         &mut self,
         node: usize,
-        life: u32,
+        incarnation: u32,
         response: &Response,
         leading_term: Option<u64>,
         owned_terms: &[u64],
@@ -403,14 +405,14 @@
         let acts = leading_term.is_some() && body["baton"].as_u64() == leading_term;
         if response.status == 200 && acts && last > leading_term {
             let late = format!("acted: {leading_term:?} answered a worker under {last:?}");
-            self.broken.push(late);
+            self.violations.push(late);
         }
         // An answer with another term is relayed: the launches in it were decided by another controller.
         if body["baton"]
             .as_u64()
             .is_some_and(|term| owned_terms.contains(&term))
         {
-            self.check_launches(node, life, &body);
+            self.check_launches(node, incarnation, &body);
         }
     }
 
@@ -418,10 +420,10 @@
     /// cancelled, and that after the end of all faults no accepted job went without an answer for 75 s.
     pub fn finish(mut self) {
         self.check_cancelled();
-        assert_eq!(self.broken, Vec::<String>::new());
+        assert_eq!(self.violations, Vec::<String>::new());
         assert!(self.starts > 0, "no task ran");
         // The first status that a user is told of a job may be that it is cancelled, if it was cancelled at once.
-        let untold = |j: &UserJob| j.accepted.is_none() && j.told_cancelled.is_none();
+        let untold = |j: &UserJob| j.accepted.is_none() && j.cancellation_confirmed_at.is_none();
         let untold: Vec<&String> = self
             .jobs
             .iter()
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -52,9 +52,9 @@
 /// Interval between turns of controllers, workers and users: 50 ms.
 const TICK: u64 = 50_000;
 /// Duration of a worker's lease: 10 s. A worker that gets no answer from a leader for this long stops its tasks.
-pub const LEASE: u64 = 10 * SECOND;
+pub const WORKER_LEASE: u64 = 10 * SECOND;
 /// Cancellation deadline: 35 s after a user was told that a job is cancelled, none of its tasks may run.
-pub const CANCEL: u64 = 35 * SECOND;
+pub const CANCEL_DEADLINE: u64 = 35 * SECOND;
 
 /// In-memory cluster. All participants act on one simulated clock, in microseconds, and draw from one random number
 /// generator, so a seed determines a run.
@@ -75,12 +75,12 @@
     kept_copies: Vec<String>,
     last_seen_term: u64,
     /// Whether users repeat their requests at all nodes within 300 ms after each acceptance, end and cancellation.
-    pub close_looks: bool,
+    pub repeats_requests: bool,
     /// Fraction of jobs that are cancelled at about the time their last task ends. If it is above 0, users repeat
     /// their requests for every job at all nodes when its last task ends.
     pub cancel_at_end: f64,
     /// Submissions that lack a field or can never run, by an id of their own.
-    pub odd: BTreeMap<String, InvalidSubmission>,
+    pub invalid_submissions: BTreeMap<String, InvalidSubmission>,
     /// Cancellations that a controller has confirmed to a user: node, incarnation of its process and job id.
     cancellations_told: HashSet<(usize, u32, String)>,
     pub faults: Faults,
@@ -93,18 +93,18 @@
     watches: Vec<(usize, u32, u64, String, u64, u64)>,
     connections: HashMap<u64, (Origin, usize, u32)>,
     pub jobs: BTreeMap<String, UserJob>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Response times, in microseconds, of submissions that were refused with a time after which to retry.
     pub refusals: Vec<u64>,
     pub starts: usize,
-    pub gang_peer: u64,
+    pub gang_peer_timeout: u64,
     /// Number of additional queries about random jobs, on top of the usual polls, in every interval of 50 ms.
-    pub queries: usize,
+    pub extra_queries: usize,
     /// Failed tasks, each with the time of its failure.
     pub failures: Vec<(u64, String)>,
     /// Whether controllers are woken only after the idle time that they allow, as in the daemon. Otherwise they are
     /// woken every 50 ms.
-    pub patient: bool,
+    pub respects_idle_time: bool,
     /// Each attempt that reached a worker, as observed at the worker. Recorded only if a ledger is kept.
     pub record: Record,
     /// Tasks that have completed on some machine.
@@ -116,5 +116,5 @@
     pub unanswered: u64,
     pub answers_expected_since: u64,
     /// Minimum and maximum run time of tasks, in microseconds.
-    pub runs: (u64, u64),
+    pub run_time_range: (u64, u64),
 }
--- a/crates/gannethub-core/tests/simulation/harness/network.rs
+++ b/crates/gannethub-core/tests/simulation/harness/network.rs
@@ -24,8 +24,8 @@
     pub fn http(&mut self, origin: Origin, node: usize, method: Method, path: &str, body: Bytes) {
         self.seq += 1;
         let conn = self.seq;
-        let life = self.nodes[node].life;
-        self.connections.insert(conn, (origin, node, life));
+        let incarnation = self.nodes[node].incarnation;
+        self.connections.insert(conn, (origin, node, incarnation));
         let request = Request {
             method,
             path: path.into(),
@@ -41,7 +41,7 @@
             delay,
             Event::Command {
                 node,
-                life,
+                incarnation,
                 command,
             },
         );
@@ -101,8 +101,8 @@
         if self.faults.partitioned.contains(&(from, to)) {
             self.held_messages.push((from, to, message));
         } else {
-            let life = self.nodes[to].life;
-            self.deliver_command(to, life, Command::PeerMessage(message));
+            let incarnation = self.nodes[to].incarnation;
+            self.deliver_command(to, incarnation, Command::PeerMessage(message));
         }
     }
 
@@ -115,7 +115,7 @@
             name: String::new(),
             sent: self.now,
         };
-        self.counters.copied += 1;
+        self.counters.heartbeat_copies_sent += 1;
         self.http(origin, node, Method::Post, "/v1/report", Bytes::from(body));
     }
 }
--- a/crates/gannethub-core/tests/simulation/harness/setup.rs
+++ b/crates/gannethub-core/tests/simulation/harness/setup.rs
@@ -30,7 +30,7 @@
 
 impl World {
     pub fn new(nodes: usize, seed: u64) -> World {
-        World::with_lease(nodes, seed, LEASE as f64 / SECOND as f64)
+        World::with_lease(nodes, seed, WORKER_LEASE as f64 / SECOND as f64)
     }
 
     /// Creates a world whose controllers are configured with a lease of `believed_s` seconds, which may differ from the
@@ -58,9 +58,9 @@
             held_messages: Vec::new(),
             kept_copies: Vec::new(),
             last_seen_term: 0,
-            close_looks: false,
+            repeats_requests: false,
             cancel_at_end: 0.0,
-            odd: BTreeMap::new(),
+            invalid_submissions: BTreeMap::new(),
             cancellations_told: HashSet::new(),
             faults: Faults::default(),
             counters: Counters::default(),
@@ -72,13 +72,13 @@
             watches: Vec::new(),
             connections: HashMap::new(),
             jobs: BTreeMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             refusals: Vec::new(),
             starts: 0,
-            gang_peer: 5 * SECOND,
-            queries: 0,
+            gang_peer_timeout: 5 * SECOND,
+            extra_queries: 0,
             failures: Vec::new(),
-            patient: false,
+            respects_idle_time: false,
             record: Record::default(),
             completed_tasks: HashSet::new(),
             stored_done_counts: HashMap::new(),
@@ -87,12 +87,12 @@
             max_answer_delay: config_changes::MAX_ANSWER_DELAY,
             unanswered: 0,
             answers_expected_since: 0,
-            runs: (2 * SECOND, 8 * SECOND),
+            run_time_range: (2 * SECOND, 8 * SECOND),
         };
         for i in 0..nodes {
             world.nodes.push(Node {
                 controller: None,
-                life: 0,
+                incarnation: 0,
                 started_at: 0,
                 last_step_at: 0,
                 ticks: 0,
@@ -104,7 +104,8 @@
 
     /// Creates a world in which a ledger is kept.
     pub fn with_ledger(nodes: usize, seed: u64, change: &dyn Fn(String) -> String) -> World {
-        let mut world = World::with_settings(nodes, seed, LEASE as f64 / SECOND as f64, change);
+        let mut world =
+            World::with_settings(nodes, seed, WORKER_LEASE as f64 / SECOND as f64, change);
         let keys = KeyRing::parse(&KeyRing::write("k1", &[7; 32])).expect("a key");
         let text = "keys = \"k\"\nhalf_life_s = 60.0\n";
         for settings in &mut world.settings {
@@ -128,7 +129,8 @@
         shards: u32,
         change: &dyn Fn(String) -> String,
     ) -> World {
-        let mut world = World::with_settings(nodes, seed, LEASE as f64 / SECOND as f64, change);
+        let mut world =
+            World::with_settings(nodes, seed, WORKER_LEASE as f64 / SECOND as f64, change);
         world.set_shard_count(shards);
         (0..nodes).for_each(|i| world.restart(i));
         world
--- a/crates/gannethub-core/tests/simulation/harness/state_service.rs
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -7,14 +7,14 @@
     pub(super) fn handle_store_request(
         &mut self,
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         request: &StoreRequest,
         asked: u64,
     ) {
-        let own = self.nodes[node].life == life;
+        let own = self.nodes[node].incarnation == incarnation;
         if own && self.faults.store_refuses.contains(&node) {
-            return self.store_answer(node, life, id, Some((503, json!({}))));
+            return self.store_answer(node, incarnation, id, Some((503, json!({}))));
         }
         let outcome = self.state.handle(
             request.method.as_str(),
@@ -28,8 +28,8 @@
                 let answer = (!lost).then_some((status, body));
                 let late = self.faults.commit_answer_delays.get(&node).copied();
                 match late.filter(|_| request.path == "/commit") {
-                    Some(late) => self.schedule_store_answer(late, node, life, id, answer),
-                    None => self.store_answer(node, life, id, answer),
+                    Some(late) => self.schedule_store_answer(late, node, incarnation, id, answer),
+                    None => self.store_answer(node, incarnation, id, answer),
                 }
             }
             // A read that does not wait is not a watch, so it is answered even if watches hang.
@@ -37,14 +37,15 @@
                 if until <= self.now && self.faults.hung_watches.contains(&node) =>
             {
                 let quiet = self.state.quiet();
-                self.store_answer(node, life, id, Some((200, quiet)));
+                self.store_answer(node, incarnation, id, Some((200, quiet)));
             }
             Outcome::Wait {
                 prefix,
                 after,
                 until,
             } => {
-                self.watches.push((node, life, id, prefix, after, until));
+                self.watches
+                    .push((node, incarnation, id, prefix, after, until));
             }
         }
     }
@@ -55,7 +56,7 @@
         &mut self,
         delay: u64,
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         request: StoreRequest,
     ) {
@@ -70,7 +71,7 @@
                 delay,
                 Event::Store {
                     node,
-                    life,
+                    incarnation,
                     id,
                     request,
                     asked,
@@ -86,24 +87,24 @@
             long,
             Event::Store {
                 node,
-                life: 0,
+                incarnation: 0,
                 id,
                 request,
                 asked: 0,
             },
         );
-        self.schedule_store_timeout(patience, node, life, id);
+        self.schedule_store_timeout(patience, node, incarnation, id);
     }
 
     /// Schedules the timeout of a controller's request after `patience` microseconds.
-    fn schedule_store_timeout(&mut self, patience: u64, node: usize, life: u32, id: u64) {
+    fn schedule_store_timeout(&mut self, patience: u64, node: usize, incarnation: u32, id: u64) {
         let answer = Err(CallError::Timeout);
         let command = Command::StoreAnswer { id, answer };
         self.schedule(
             patience,
             Event::Command {
                 node,
-                life,
+                incarnation,
                 command,
             },
         );
@@ -112,12 +113,12 @@
     pub(super) fn store_answer(
         &mut self,
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         answer: Option<(u16, Value)>,
     ) {
         let delay = self.store_delay();
-        self.schedule_store_answer(delay, node, life, id, answer);
+        self.schedule_store_answer(delay, node, incarnation, id, answer);
     }
 
     /// Draws the delay of an answer from the state service, in microseconds.
@@ -134,7 +135,7 @@
         &mut self,
         delay: u64,
         node: usize,
-        life: u32,
+        incarnation: u32,
         id: u64,
         answer: Option<(u16, Value)>,
     ) {
@@ -145,7 +146,7 @@
             delay,
             Event::Command {
                 node,
-                life,
+                incarnation,
                 command: Command::StoreAnswer { id, answer },
             },
         );
@@ -155,15 +156,17 @@
         if self.state.down {
             return;
         }
-        for (node, life, id, prefix, after, until) in std::mem::take(&mut self.watches) {
+        for (node, incarnation, id, prefix, after, until) in std::mem::take(&mut self.watches) {
             let hangs = self.faults.store_refuses.contains(&node)
                 || self.faults.hung_watches.contains(&node);
-            if hangs && self.nodes[node].life == life {
+            if hangs && self.nodes[node].incarnation == incarnation {
                 // The controller's open watches get no answer, as in an outage, until they time out 3 s after their
                 // normal end.
                 match self.now > until + 3 * SECOND {
-                    true => self.store_answer(node, life, id, None),
-                    false => self.watches.push((node, life, id, prefix, after, until)),
+                    true => self.store_answer(node, incarnation, id, None),
+                    false => self
+                        .watches
+                        .push((node, incarnation, id, prefix, after, until)),
                 }
                 continue;
             }
@@ -176,13 +179,15 @@
                         0
                     };
                     let delay = slow + self.store_delay();
-                    self.schedule_store_answer(delay, node, life, id, Some((200, changes)));
+                    self.schedule_store_answer(delay, node, incarnation, id, Some((200, changes)));
                 }
                 None if until <= self.now => {
                     let quiet = self.state.quiet();
-                    self.store_answer(node, life, id, Some((200, quiet)));
+                    self.store_answer(node, incarnation, id, Some((200, quiet)));
                 }
-                None => self.watches.push((node, life, id, prefix, after, until)),
+                None => self
+                    .watches
+                    .push((node, incarnation, id, prefix, after, until)),
             }
         }
     }
--- a/crates/gannethub-core/tests/simulation/harness/users.rs
+++ b/crates/gannethub-core/tests/simulation/harness/users.rs
@@ -8,8 +8,8 @@
     pub body: Value,
     pub accepted: Option<u64>,
     pub cancel_asked: bool,
-    pub told_cancelled: Option<u64>,
-    pub told_done: Option<u64>,
+    pub cancellation_confirmed_at: Option<u64>,
+    pub done_confirmed_at: Option<u64>,
     pub status: String,
     pub waits_on: Vec<String>,
     pub polls: usize,
@@ -52,8 +52,8 @@
                 body,
                 accepted: None,
                 cancel_asked: false,
-                told_cancelled: None,
-                told_done: None,
+                cancellation_confirmed_at: None,
+                done_confirmed_at: None,
                 status: String::new(),
                 waits_on: Vec::new(),
                 polls: 0,
@@ -61,11 +61,11 @@
                 idle_since: None,
             },
         );
-        self.ask(&id, "submit");
+        self.send_request(&id, "submit");
     }
 
     /// Submits a job at this node once. The answer is ignored.
-    pub fn ask_quietly(&mut self, body: Value, node: usize) {
+    pub fn submit_once(&mut self, body: Value, node: usize) {
         let id = body["id"].as_str().unwrap_or("").to_string();
         let origin = Origin::User {
             job: format!("quietly {id}"),
@@ -83,15 +83,15 @@
 
     /// Submits at this node a job that lacks a field or can never run. The checker requires that the refusal names
     /// `field`.
-    pub fn submit_odd(&mut self, body: Value, field: &str, node: usize) {
-        let id = format!("odd {} {}", field, self.odd.len());
+    pub fn submit_invalid(&mut self, body: Value, field: &str, node: usize) {
+        let id = format!("odd {} {}", field, self.invalid_submissions.len());
         let origin = Origin::User {
             job: id.clone(),
             what: "odd",
             asked: self.now,
         };
         let text = Bytes::from(body.to_string());
-        self.odd.insert(
+        self.invalid_submissions.insert(
             id,
             InvalidSubmission {
                 body,
@@ -129,7 +129,7 @@
         if let Some(j) = self.jobs.get_mut(&id) {
             j.cancel_asked = true;
         }
-        self.ask(&id, "cancel");
+        self.send_request(&id, "cancel");
     }
 
     /// Cancels a job at this controller. The user then repeats the request at random nodes until it is answered.
@@ -138,17 +138,17 @@
         if let Some(j) = self.jobs.get_mut(&id) {
             j.cancel_asked = true;
         }
-        self.ask_at(&id, "cancel", node);
+        self.send_request_to(&id, "cancel", node);
     }
 
     /// Sends a user's request to a random node.
-    pub fn ask(&mut self, id: &str, what: &'static str) {
+    pub fn send_request(&mut self, id: &str, what: &'static str) {
         let node = self.rng.random_range(0..self.nodes.len());
-        self.ask_at(id, what, node);
+        self.send_request_to(id, what, node);
     }
 
     /// Sends a user's request to this node.
-    pub fn ask_at(&mut self, id: &str, what: &'static str, node: usize) {
+    pub fn send_request_to(&mut self, id: &str, what: &'static str, node: usize) {
         let origin = Origin::User {
             job: id.into(),
             what,
@@ -175,24 +175,27 @@
         for id in ids {
             let j = &self.jobs[&id];
             if j.accepted.is_none() {
-                self.ask(&id, "submit");
-            } else if j.cancel_asked && j.told_cancelled.is_none() && j.told_done.is_none() {
-                self.ask(&id, "cancel");
+                self.send_request(&id, "submit");
+            } else if j.cancel_asked
+                && j.cancellation_confirmed_at.is_none()
+                && j.done_confirmed_at.is_none()
+            {
+                self.send_request(&id, "cancel");
             }
             if self.jobs[&id].accepted.is_some() {
-                self.ask(&id, "poll");
+                self.send_request(&id, "poll");
             }
         }
     }
 
-    /// Sends `queries` requests about random jobs, in addition to the usual polls.
+    /// Sends `extra_queries` requests about random jobs, in addition to the usual polls.
     pub(super) fn send_random_queries(&mut self) {
-        for _ in 0..self.queries {
+        for _ in 0..self.extra_queries {
             let accepted = self.jobs.iter().filter(|(_, j)| j.accepted.is_some());
             let ids: Vec<String> = accepted.map(|(id, _)| id.clone()).collect();
             let any = self.rng.random_range(0..ids.len().max(1));
             if let Some(id) = ids.get(any) {
-                self.ask(id, "poll");
+                self.send_request(id, "poll");
             }
         }
     }
@@ -230,10 +233,10 @@
     }
 
     /// Whether every job has ended as far as its user was told. An accepted service counts as ended.
-    pub fn all_over(&self) -> bool {
+    pub fn all_jobs_ended(&self) -> bool {
         self.jobs.values().all(|j| {
-            j.told_done.is_some()
-                || j.told_cancelled.is_some()
+            j.done_confirmed_at.is_some()
+                || j.cancellation_confirmed_at.is_some()
                 || (j.body["shape"].as_str() == Some("service") && j.accepted.is_some())
         })
     }
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -26,8 +26,8 @@
             self.workers.insert(name, w);
         }
         let mut workers = std::mem::take(&mut self.workers);
-        let gang_peer = self.gang_peer;
-        worker::step_gangs(&mut workers, gang_peer, self);
+        let gang_peer_timeout = self.gang_peer_timeout;
+        worker::step_gangs(&mut workers, gang_peer_timeout, self);
         self.workers = workers;
     }
 
@@ -42,7 +42,7 @@
             .flatten()
             .map(|o| o["verb"].clone());
         if verbs.clone().any(|v| v != json!("halt")) {
-            self.broken.push(format!("sent directly: {text}"));
+            self.violations.push(format!("sent directly: {text}"));
         }
         let to = self.workers.values().find(|w| self.addr(&w.name) == addr);
         let Some(w) = to.filter(|w| !w.dead && !self.faults.unanswered_workers.contains(&w.name))
@@ -127,7 +127,7 @@
     }
 
     fn lease(&self) -> u64 {
-        LEASE
+        WORKER_LEASE
     }
 
     fn job(&self, id: &str) -> Option<JobFacts> {
@@ -144,7 +144,8 @@
     }
 
     fn run_time(&mut self, _: &JobFacts) -> u64 {
-        self.rng.random_range(self.runs.0..self.runs.1)
+        self.rng
+            .random_range(self.run_time_range.0..self.run_time_range.1)
     }
 
     fn is_done(&self, task: &str) -> bool {
@@ -193,7 +194,7 @@
         if over || cancelled || self.is_stored_as_done(id, index) {
             return;
         }
-        self.broken.push(format!(
+        self.violations.push(format!(
             "lost: the worker forgets the end of {task}, which is not stored"
         ));
     }
@@ -209,7 +210,7 @@
         if self.faults.heartbeat_copy_rate > 0.0
             && self.rng.random_bool(self.faults.heartbeat_copy_rate)
         {
-            let late = self.rng.random_range(2 * SECOND..3 * LEASE);
+            let late = self.rng.random_range(2 * SECOND..3 * WORKER_LEASE);
             self.schedule(
                 late,
                 Event::HeartbeatCopy {
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -279,7 +279,7 @@
         m.dead = true;
         m.tasks.clear();
     });
-    w.run_until(150, "all jobs are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -307,5 +307,5 @@
     w.run_until(120, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
 }
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -19,7 +19,7 @@
 mod usage_ledger;
 
 use gannethub_core::controller::VOTE_DURATION;
-use harness::{LEASE, SECOND, World, job};
+use harness::{SECOND, WORKER_LEASE, World, job};
 use rand::Rng;
 use serde_json::json;
 
@@ -46,7 +46,7 @@
 #[test]
 fn jobs_of_every_shape_run_and_all_machines_are_returned() {
     let mut w = world_with_running_jobs(1);
-    w.run_until(90, "the array and the gang are done", World::all_over);
+    w.run_until(90, "the array and the gang are done", World::all_jobs_ended);
     assert_eq!(w.jobs["j-000003"].status, "running");
     w.cancel(3);
     w.run_until(120, "all machines are returned", |w| w.workers.is_empty());
@@ -77,7 +77,7 @@
         8,
         json!({"together": true, "crew": "red", "vcpus": 4.0}),
     ));
-    w.run_until(180, "all jobs are done", World::all_over);
+    w.run_until(180, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -88,7 +88,7 @@
     for i in 0..6 {
         w.submit(job(i, 12, json!({"crew": "red", "vcpus": 2.0})));
     }
-    w.run_until(240, "all jobs are done", World::all_over);
+    w.run_until(240, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -103,7 +103,7 @@
     w.run_until(limit, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
-    w.run_until(120, "all jobs are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -112,7 +112,7 @@
 fn accepted_jobs_finish_after_all_controllers_crash() {
     let mut w = world_with_running_jobs(5);
     (0..3).for_each(|i| w.crash(i, 6 * SECOND));
-    w.run_until(150, "all jobs are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -130,7 +130,7 @@
         "the leader keeps its authority for longer than any store lease or worker lease"
     );
     w.state.down = false;
-    w.run_until(120, "all jobs are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -144,7 +144,7 @@
     w.run_until(12, "another controller leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
-    w.run_until(120, "all jobs are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -160,7 +160,7 @@
     w.run((STORE_LEASE_DURATION + VOTE_DURATION) / SECOND + 2);
     assert_eq!(w.leader(), None);
     w.state.down = false;
-    w.run_until(150, "all jobs are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -179,7 +179,7 @@
         .values()
         .map(|m| m.name.clone())
         .collect::<Vec<_>>();
-    w.run_until(120, "all jobs are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_jobs_ended);
     assert_eq!(
         w.leader(),
         Some(leader),
@@ -215,7 +215,7 @@
     }
     w.faults.partitioned.clear();
     w.faults.unreachable_zones.clear();
-    w.run_until(120, "all jobs are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -238,7 +238,7 @@
     // Messages held by the network arrive now, long after the takeover.
     w.faults.partitioned.clear();
     w.faults.unreachable_zones.clear();
-    w.run_until(120, "all jobs are done", World::all_over);
+    w.run_until(120, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -249,11 +249,11 @@
 fn no_task_runs_twice_when_hung_machines_resume() {
     for seed in 20..26 {
         let mut w = world_with_running_jobs(seed);
-        let until = w.now + LEASE - SECOND / 2 + seed * 100_000;
+        let until = w.now + WORKER_LEASE - SECOND / 2 + seed * 100_000;
         w.workers.values_mut().for_each(|m| m.hung_until = until);
         let leader = w.leader().expect("a controller leads");
         w.crash(leader, 5 * SECOND);
-        w.run_until(150, "all jobs are done", World::all_over);
+        w.run_until(150, "all jobs are done", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -274,11 +274,14 @@
     w.cloud.capacity = 30;
     for _ in 0..30 {
         w.run(1);
-        if w.broken.iter().any(|b| b.starts_with("ran_twice")) {
+        if w.violations.iter().any(|b| b.starts_with("ran_twice")) {
             return;
         }
     }
-    panic!("the checker did not detect the double run: {:?}", w.broken);
+    panic!(
+        "the checker did not detect the double run: {:?}",
+        w.violations
+    );
 }
 
 /// Guards against tasks that run on after their user was told of the cancellation. The leader crashes right after the
@@ -292,13 +295,13 @@
     w.cancel(7);
     w.cancel(2);
     w.run_until(10, "the user is told of the cancellation", |w| {
-        w.jobs["j-000007"].told_cancelled.is_some()
+        w.jobs["j-000007"].cancellation_confirmed_at.is_some()
     });
     let leader = w.leader().expect("a controller leads");
     w.crash(leader, 6 * SECOND);
     w.run(40);
     w.check_cancelled();
-    w.run_until(120, "all jobs have ended", World::all_over);
+    w.run_until(120, "all jobs have ended", World::all_jobs_ended);
     w.finish();
 }
 
@@ -317,7 +320,7 @@
         w.cancel(3);
         w.run(20);
         w.faults.late_commit_rate = 0.0;
-        w.run_until(200, "all jobs have ended", World::all_over);
+        w.run_until(200, "all jobs have ended", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -341,14 +344,18 @@
         .expect("at least one machine");
     w.workers.get_mut(&bad).expect("the machine exists").faulty = true;
     w.run_until(150, "the job without errors is done", |w| {
-        w.jobs["j-000001"].told_done.is_some()
+        w.jobs["j-000001"].done_confirmed_at.is_some()
     });
     w.submit(job(3, 4, json!({})));
     w.run_until(60, "a later job is done", |w| {
-        w.jobs["j-000003"].told_done.is_some()
+        w.jobs["j-000003"].done_confirmed_at.is_some()
     });
     w.cancel(2);
-    w.run_until(60, "the crash-looping job is cancelled", World::all_over);
+    w.run_until(
+        60,
+        "the crash-looping job is cancelled",
+        World::all_jobs_ended,
+    );
     w.finish();
 }
 
@@ -398,11 +405,11 @@
             36,
             json!({"yard": "a", "shape": "group", "rigs": ["small"]}),
         ));
-        w.run_until(60, "the first gang is done", World::all_over);
+        w.run_until(60, "the first gang is done", World::all_jobs_ended);
         assert_eq!(w.workers.len(), w.cloud.capacity);
         let more = json!({"shape": "group", "scatter": true, "rank": "urgent", "rigs": ["small"]});
         w.submit(job(2, 13, more));
-        w.run_until(240, "the second gang is done", World::all_over);
+        w.run_until(240, "the second gang is done", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -414,11 +421,11 @@
     let mut w = World::new(3, 15);
     w.run(3);
     w.submit(job(1, 2, json!({})));
-    w.run_until(90, "the job is done", World::all_over);
+    w.run_until(90, "the job is done", World::all_jobs_ended);
     w.jobs.get_mut("j-000001").expect("the job exists").body =
         json!({"id": "j-000001", "crew": "nobody"});
     for _ in 0..6 {
-        w.ask("j-000001", "submit");
+        w.send_request("j-000001", "submit");
         w.run(1);
     }
     w.jobs.get_mut("j-000001").expect("the job exists").body = job(1, 2, json!({}));
@@ -444,7 +451,7 @@
         "too few completions after the leader crash: {done}"
     );
     w.cancel(1);
-    w.run_until(90, "the array is cancelled", World::all_over);
+    w.run_until(90, "the array is cancelled", World::all_jobs_ended);
     w.finish();
 }
 
@@ -477,11 +484,11 @@
     let mut w = match kind {
         ClusterKind::Ledger => World::with_ledger(3, seed, &next_limits),
         ClusterKind::Plain | ClusterKind::RareWakeUps => {
-            World::with_settings(3, seed, LEASE as f64 / SECOND as f64, &next_limits)
+            World::with_settings(3, seed, WORKER_LEASE as f64 / SECOND as f64, &next_limits)
         }
         ClusterKind::Shards(blocks) => World::with_shards(3, seed, blocks, &next_limits),
     };
-    w.patient = matches!(kind, ClusterKind::RareWakeUps);
+    w.respects_idle_time = matches!(kind, ClusterKind::RareWakeUps);
     w.run(2);
     let mut next = 1;
     let mut broken_jobs = 0;
@@ -552,7 +559,7 @@
                 w.cloud.never_boot = [0.0, 0.2][w.rng.random_range(0..2)];
             }
             11 => w.cloud.list_lag = w.rng.random_range(0..12) * SECOND,
-            12 => w.queries = [0, 5][w.rng.random_range(0..2)],
+            12 => w.extra_queries = [0, 5][w.rng.random_range(0..2)],
             13 => {
                 let n = w.rng.random_range(0..3);
                 if !w.faults.store_refuses.remove(&n) {
@@ -580,14 +587,14 @@
     w.faults.late_commit_rate = 0.0;
     w.faults.store_refuses.clear();
     w.cloud.never_boot = 0.0;
-    w.queries = 0;
+    w.extra_queries = 0;
     (1..=broken_jobs).for_each(|i| w.cancel(900 + i));
     // Replicas use their team's quota until their service is cancelled.
     (1..next)
         .filter(|i| w.jobs[&format!("j-{i:06}")].body["shape"] == "service")
         .for_each(|i| services.push(i));
     services.drain(..).for_each(|i| w.cancel(i));
-    w.run_until(400, "all jobs have ended", World::all_over);
+    w.run_until(400, "all jobs have ended", World::all_jobs_ended);
     assert_eq!(w.state.too_large, 0, "seed {seed}");
     w
 }
--- a/crates/gannethub-core/tests/simulation/one_way_partition.rs
+++ b/crates/gannethub-core/tests/simulation/one_way_partition.rs
@@ -32,7 +32,7 @@
         w.run_until(120, "the machine is returned", |w| {
             !w.workers.contains_key(&name)
         });
-        w.run_until(180, "all jobs have ended", World::all_over);
+        w.run_until(180, "all jobs have ended", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -61,7 +61,7 @@
         w.run_until(20, "new work starts elsewhere", |w| w.starts >= before + 4);
         w.faults.unanswered_workers.clear();
         w.submit(job(3, 40, json!({"rigs": ["small"], "guess_s": 20.0})));
-        w.run_until(180, "all jobs have ended", World::all_over);
+        w.run_until(180, "all jobs have ended", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -84,7 +84,7 @@
             ));
             w.run(6);
             if i % 2 == 0 {
-                w.lose_leader(5 * SECOND);
+                w.crash_leader(5 * SECOND);
             } else if let Some(name) = w
                 .workers
                 .values()
@@ -99,13 +99,13 @@
                     .hung_until = until;
             }
         }
-        w.run_until(240, "all jobs have ended", World::all_over);
+        w.run_until(240, "all jobs have ended", World::all_jobs_ended);
         // Copies that are still under way arrive at a cluster without any work left.
         w.run(30);
         assert!(
-            w.counters.copied > 50,
+            w.counters.heartbeat_copies_sent > 50,
             "only {} copies of heartbeats arrived",
-            w.counters.copied
+            w.counters.heartbeat_copies_sent
         );
         w.finish();
     }
@@ -147,7 +147,7 @@
         w.faults.store_refuses.clear();
         w.faults.partitioned.clear();
         w.submit(job(2, 8, json!({"rigs": ["small"]})));
-        w.run_until(180, "all jobs have ended", World::all_over);
+        w.run_until(180, "all jobs have ended", World::all_jobs_ended);
         w.finish();
     }
 }
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -25,7 +25,7 @@
     w.run_until(60, "all are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    w.queries = 40;
+    w.extra_queries = 40;
     w.run(5);
     (0..10).for_each(|i| w.cancel(i));
     w.run(60);
@@ -34,7 +34,7 @@
     let told = w
         .jobs
         .values()
-        .filter(|j| j.told_cancelled.is_some())
+        .filter(|j| j.cancellation_confirmed_at.is_some())
         .count();
     assert_eq!(told, 10);
     w.finish();
@@ -46,10 +46,14 @@
     let mut w = World::with_settings(1, 61, 10.0, &|text| text + guest);
     w.run(2);
     w.submit(job(1, 60, json!({"crew": "guest"})));
-    w.run_until(120, "the guest's job is done", World::all_over);
-    w.submit_odd(job(2, 1, json!({"crew": "stranger"})), "crew", 0);
+    w.run_until(120, "the guest's job is done", World::all_jobs_ended);
+    w.submit_invalid(job(2, 1, json!({"crew": "stranger"})), "crew", 0);
     w.run(10);
-    assert!(w.odd.values().all(|o| o.refused == 1), "{:?}", w.odd);
+    assert!(
+        w.invalid_submissions.values().all(|o| o.refused == 1),
+        "{:?}",
+        w.invalid_submissions
+    );
     w.finish();
 }
 
@@ -95,10 +99,10 @@
     // The cause of the failures is fixed: the array's next probe succeeds, and its other tasks start at once.
     w.jobs.get_mut("j-000002").expect("known").body["jobclass"] = json!("c");
     w.run_until(180, "the array is done", |w| {
-        w.jobs["j-000002"].told_done.is_some()
+        w.jobs["j-000002"].done_confirmed_at.is_some()
     });
     (1..5).for_each(|i| w.cancel(i));
-    w.run_until(60, "the rest is cancelled", World::all_over);
+    w.run_until(60, "the rest is cancelled", World::all_jobs_ended);
     w.finish();
 }
 
@@ -317,9 +321,9 @@
     let usual = w.state.requests - quiet;
     let polls = |w: &World| w.jobs.values().map(|j| j.polls).sum::<usize>();
     let (before, asked) = (w.state.requests, polls(&w));
-    w.queries = 30;
+    w.extra_queries = 30;
     w.run(10);
-    w.queries = 0;
+    w.extra_queries = 0;
     let answered = polls(&w) - asked;
     assert!(answered > 5500, "{answered} of some 6000 queries answered");
     let more = w.state.requests - before;
@@ -331,7 +335,7 @@
     // Users send 200 queries per second for ten ids that were never submitted, to three controllers.
     let before = w.state.requests;
     for _ in 0..10 {
-        (0..200).for_each(|i| w.ask(&format!("j-77{:04}", i % 10), "poll"));
+        (0..200).for_each(|i| w.send_request(&format!("j-77{:04}", i % 10), "poll"));
         w.run(1);
     }
     let more = w.state.requests - before;
@@ -350,7 +354,7 @@
     w.cloud.boot = (SECOND, 20 * SECOND);
     w.cloud.list_lag = 15 * SECOND;
     w.submit(job(1, 60, json!({})));
-    w.run_until(200, "the array is done", World::all_over);
+    w.run_until(200, "the array is done", World::all_jobs_ended);
     // Machines that never booted have been returned as well.
     w.run(60);
     assert!(
@@ -363,6 +367,6 @@
     let starts_before = w.starts;
     w.submit(job(2, 8, json!({})));
     w.run_until(12, "all run", |w| w.starts >= starts_before + 8);
-    w.run_until(60, "the second is done", World::all_over);
+    w.run_until(60, "the second is done", World::all_jobs_ended);
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -5,7 +5,7 @@
 use gannethub_core::wire::store::WaitingRecord;
 use serde_json::json;
 
-use crate::harness::{CANCEL, SECOND, World, job};
+use crate::harness::{CANCEL_DEADLINE, SECOND, World, job};
 use crate::leader_view::{LeaderView, WALL, spec};
 
 /// Returns the body of a job that waits for the given upstream jobs.
@@ -25,12 +25,14 @@
 
 /// Whether the user was told that the job is done.
 fn done(w: &World, id: u32) -> bool {
-    w.jobs[&format!("j-{id:06}")].told_done.is_some()
+    w.jobs[&format!("j-{id:06}")].done_confirmed_at.is_some()
 }
 
 /// Whether the user was told that the job is cancelled.
 fn cancelled(w: &World, id: u32) -> bool {
-    w.jobs[&format!("j-{id:06}")].told_cancelled.is_some()
+    w.jobs[&format!("j-{id:06}")]
+        .cancellation_confirmed_at
+        .is_some()
 }
 
 /// Submits a diamond of four jobs: jobs 2 and 3, a gang, wait for job 1, and job 4, of another team, waits for both.
@@ -52,7 +54,7 @@
     let mut w = World::new(3, 404);
     w.run(2);
     submit_diamond(&mut w);
-    w.run_until(180, "all jobs are done", World::all_over);
+    w.run_until(180, "all jobs are done", World::all_jobs_ended);
     submit_accepted(&mut w, job_after(5, 2, &[4, 1]));
     assert!(
         w.state
@@ -60,7 +62,7 @@
             .expect("the job record exists")["waiting"]
             .is_null()
     );
-    w.run_until(60, "the job submitted last is done", World::all_over);
+    w.run_until(60, "the job submitted last is done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -78,7 +80,7 @@
             w.run(14);
         }
         w.faults.late_commit_rate = 0.0;
-        w.run_until(240, "all jobs are done", World::all_over);
+        w.run_until(240, "all jobs are done", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -98,12 +100,14 @@
     submit_accepted(&mut w, job_after(11, 2, &[9]));
     w.cancel(1);
     w.run_until(10, "the upstream job is cancelled", |w| cancelled(w, 1));
-    w.run_until(CANCEL / SECOND, "all downstream jobs are cancelled", |w| {
-        (2..8).chain([10]).all(|i| cancelled(w, i))
-    });
+    w.run_until(
+        CANCEL_DEADLINE / SECOND,
+        "all downstream jobs are cancelled",
+        |w| (2..8).chain([10]).all(|i| cancelled(w, i)),
+    );
     // A downstream job submitted after the cancellation is accepted all the same.
     submit_accepted(&mut w, job_after(12, 1, &[7]));
-    w.run_until(60, "all jobs have ended", World::all_over);
+    w.run_until(60, "all jobs have ended", World::all_jobs_ended);
     assert!(done(&w, 9) && done(&w, 11) && cancelled(&w, 12));
     w.run_until(20, "no live job record is left", |w| {
         w.state.keys("gh/live/").is_empty()
@@ -156,7 +160,7 @@
         w.state.down = false;
         w.run(10);
         w.faults.late_commit_rate = 0.0;
-        w.run_until(240, "all jobs have ended", World::all_over);
+        w.run_until(240, "all jobs have ended", World::all_jobs_ended);
         // Either the stage was done before the cancellation was stored, or the last stage was cancelled with it.
         assert_eq!(cancelled(&w, 2), cancelled(&w, 4));
         assert!(done(&w, 3));
@@ -178,16 +182,16 @@
     );
     // By now every controller has looked up the upstream id and has found no job.
     for _ in 0..6 {
-        w.ask("j-000002", "submit");
+        w.send_request("j-000002", "submit");
     }
     w.run(1);
     submit_accepted(&mut w, job(1, 2, json!({})));
     for _ in 0..6 {
-        w.ask("j-000002", "submit");
+        w.send_request("j-000002", "submit");
     }
     w.run(1);
     assert!(w.jobs["j-000002"].accepted.is_some());
-    w.run_until(120, "both jobs are done", World::all_over);
+    w.run_until(120, "both jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -213,7 +217,7 @@
         (100..220).all(|i| done(w, i))
     });
     w.cancel(300);
-    w.run_until(60, "all jobs have ended", World::all_over);
+    w.run_until(60, "all jobs have ended", World::all_jobs_ended);
     assert_eq!(w.state.too_large, 0);
     w.finish();
 }
@@ -247,7 +251,7 @@
     );
     assert_eq!(cluster.pipelines.waiting.len(), 1);
     assert_eq!(w.waits_on("j-000002"), ["j-000001"]);
-    w.run_until(120, "both jobs are done", World::all_over);
+    w.run_until(120, "both jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -367,7 +371,7 @@
     let first_refusals = w.state.too_many;
     assert!(first_refusals > 0, "the controllers tried the old rate");
     (300..400).for_each(|i| w.submit(job_after(i, 1, &[i - 200])));
-    w.run_until(400, "all jobs are done", World::all_over);
+    w.run_until(400, "all jobs are done", World::all_jobs_ended);
     let later = w.state.too_many - first_refusals;
     assert!(
         later < 10,
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use crate::harness::{LEASE, SECOND, World, job};
+use crate::harness::{SECOND, WORKER_LEASE, World, job};
 use crate::{ClusterKind, play_random_faults};
 
 /// Returns a world with three controllers and three shards, in which the limit of team blue is 90 CPUs.
@@ -76,7 +76,7 @@
         json!({"waits_on": ["j-000010", "j-000011", "j-000012"]}),
     ));
     (1..7).for_each(|i| w.cancel(i));
-    w.run_until(150, "all jobs are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_jobs_ended);
     w.run_until(120, "all machines are returned", |w| w.workers.is_empty());
     w.finish();
 }
@@ -113,7 +113,7 @@
                 && w.shard(lost).is_some_and(|c| c.takeover.is_settled)
         });
         w.run_until(150, "the arrays are done", |w| {
-            (30..36).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
+            (30..36).all(|i| w.jobs[&format!("j-{i:06}")].done_confirmed_at.is_some())
         });
         let running: usize = (0..3).map(|b| live_tasks(&w, b)).sum();
         assert_eq!(running, 6, "all replicas run");
@@ -175,7 +175,7 @@
         w.faults.late_commit_rate = 0.1;
         w.run(20);
         w.faults.late_commit_rate = 0.0;
-        w.run_until(300, "all jobs are done", World::all_over);
+        w.run_until(300, "all jobs are done", World::all_jobs_ended);
         w.finish();
     }
 }
@@ -209,9 +209,9 @@
     w.run(20);
     let over = |b: &String| b.starts_with("quota") || b.starts_with("allotted");
     assert!(
-        w.broken.iter().any(over),
+        w.violations.iter().any(over),
         "the checker did not detect the violation: {:?}",
-        w.broken
+        w.violations
     );
 }
 
@@ -237,7 +237,7 @@
         w.state.remove(key);
     }
     w.run_until(150, "the new jobs are done", |w| {
-        (30..34).all(|i| w.jobs[&format!("j-{i:06}")].told_done.is_some())
+        (30..34).all(|i| w.jobs[&format!("j-{i:06}")].done_confirmed_at.is_some())
     });
     w.finish();
 }
@@ -272,7 +272,7 @@
         w.submit(job(i, 4, json!({"rigs": ["small"]})));
     }
     w.cancel(1);
-    w.run_until(200, "all jobs are done", World::all_over);
+    w.run_until(200, "all jobs are done", World::all_jobs_ended);
     let live_jobs = w.shard(0).map_or(0, |c| c.jobs.len());
     assert_eq!(live_jobs, 0);
     w.finish();
@@ -304,7 +304,7 @@
         w.run_until(200, "the arrays are over", |w| {
             (30..34).all(|i| {
                 let j = &w.jobs[&format!("j-{i:06}")];
-                j.told_done.is_some() || j.told_cancelled.is_some()
+                j.done_confirmed_at.is_some() || j.cancellation_confirmed_at.is_some()
             })
         });
         w.finish();
@@ -338,17 +338,20 @@
     }
     w.state.put(&key, &value.to_string());
     // The machines with tasks of the job hang, so they do not learn yet that their shard lost the job.
-    let until = w.now + LEASE - SECOND / 2;
+    let until = w.now + WORKER_LEASE - SECOND / 2;
     let on = |t: &String| t.starts_with(&*id);
     let with = w.workers.values_mut().filter(|m| m.tasks.keys().any(on));
     with.for_each(|m| m.hung_until = until);
     for _ in 0..9 {
         w.run(1);
-        if w.broken.iter().any(|b| b.starts_with("ran_twice")) {
+        if w.violations.iter().any(|b| b.starts_with("ran_twice")) {
             return;
         }
     }
-    panic!("the checker did not detect the violation: {:?}", w.broken);
+    panic!(
+        "the checker did not detect the violation: {:?}",
+        w.violations
+    );
 }
 
 /// Plays the same random jobs and faults as with one shard, in a cluster with three shards.
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -6,17 +6,17 @@
 
 use crate::*;
 use gannethub_core::wire::store::LEADER_TERM_KEY;
-use harness::CANCEL;
+use harness::CANCEL_DEADLINE;
 
 /// Returns a world in which eight arrays of two tasks each run. Tasks run for 300 to 400 s, longer than any outage in
 /// these tests.
-pub fn long(nodes: usize, seed: u64) -> World {
+pub fn world_with_long_jobs(nodes: usize, seed: u64) -> World {
     begin(World::new(nodes, seed))
 }
 
 /// Submits eight arrays of two tasks each, which run for 300 to 400 s, and waits until all tasks run.
 pub fn begin(mut w: World) -> World {
-    w.runs = (300 * SECOND, 400 * SECOND);
+    w.run_time_range = (300 * SECOND, 400 * SECOND);
     w.run(2);
     for i in 1..=8 {
         w.submit(job(i, 2, json!({"guess_s": 350.0, "rigs": ["small"]})));
@@ -27,7 +27,7 @@
 }
 
 /// Returns the leader and the other nodes, in an order that depends on the seed.
-pub fn roles(w: &World, seed: u64) -> (usize, Vec<usize>) {
+pub fn leader_and_others(w: &World, seed: u64) -> (usize, Vec<usize>) {
     let old = w.leader().expect("a leader");
     let mut others: Vec<usize> = (0..w.nodes.len()).filter(|i| *i != old).collect();
     let first = seed as usize % others.len();
@@ -39,9 +39,9 @@
     format!("j-{i:06}")
 }
 
-pub fn told(w: &World, jobs: &[u32]) -> bool {
+pub fn cancellations_confirmed(w: &World, jobs: &[u32]) -> bool {
     jobs.iter()
-        .all(|i| w.jobs[&id(*i)].told_cancelled.is_some())
+        .all(|i| w.jobs[&id(*i)].cancellation_confirmed_at.is_some())
 }
 
 /// Makes the state service refuse the leader, and cancels these jobs at one other controller, which confirms the
@@ -49,38 +49,40 @@
 fn cancel_while_leader_is_refused(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
     w.faults.store_refuses.insert(old);
     jobs.iter().for_each(|i| w.cancel_at(*i, near));
-    w.run_until(1, "the users are told", |w| told(w, jobs));
+    w.run_until(1, "the users are told", |w| {
+        cancellations_confirmed(w, jobs)
+    });
 }
 
 /// Runs an outage of the state service until 25 s past the cancellation deadline, then recovers and ends all jobs.
 fn outlast_cancel_deadline(mut w: World, seed: u64) {
     w.state.down = true;
-    w.run(CANCEL / SECOND + 25);
-    assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
-    recover(w, seed);
+    w.run(CANCEL_DEADLINE / SECOND + 25);
+    assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
+    recover_and_cancel_all(w, seed);
 }
 
 /// Ends the faults, cancels all jobs, and checks that everything ends and no invariant was broken.
-pub fn recover(mut w: World, seed: u64) {
-    w.all_well();
+pub fn recover_and_cancel_all(mut w: World, seed: u64) {
+    w.end_faults();
     w.run(15);
     let open: Vec<String> = w.jobs.keys().cloned().collect();
-    w.runs = (2 * SECOND, 8 * SECOND);
+    w.run_time_range = (2 * SECOND, 8 * SECOND);
     open.iter()
         .for_each(|i| w.cancel(i[2..].parse().expect("a number")));
-    w.run_until(240, "all are over", World::all_over);
+    w.run_until(240, "all are over", World::all_jobs_ended);
     w.run_until(60, "no live job is left", |w| {
         w.state.keys("gh/live/").is_empty()
     });
-    assert_eq!(w.broken, Vec::<String>::new(), "seed {seed}");
+    assert_eq!(w.violations, Vec::<String>::new(), "seed {seed}");
     w.finish();
 }
 
 #[test]
 fn cancellation_unseen_by_the_old_leader_meets_its_deadline() {
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (3, 4), (5, 5), (5, 6)] {
-        let mut w = long(nodes, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(nodes, seed);
+        let (old, others) = leader_and_others(&w, seed);
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         outlast_cancel_deadline(w, seed);
     }
@@ -91,8 +93,8 @@
 #[test]
 fn votes_without_cancellations_extend_leadership_only_briefly() {
     for seed in 1..=4 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.faults.previous_release.extend(others.iter().copied());
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
@@ -116,8 +118,8 @@
 #[test]
 fn unparsable_votes_extend_leadership_only_briefly() {
     for seed in 1..=3 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.faults.corrupts_votes.insert(others[0]);
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
@@ -131,8 +133,8 @@
 /// version that it knows.
 #[test]
 fn leader_of_the_previous_release_still_gets_votes() {
-    let mut w = long(3, 7);
-    let (old, _) = roles(&w, 7);
+    let mut w = world_with_long_jobs(3, 7);
+    let (old, _) = leader_and_others(&w, 7);
     w.faults.previous_release.insert(old);
     w.state.down = true;
     w.run(9);
@@ -141,15 +143,15 @@
         Some(old),
         "leads for longer than its store lease"
     );
-    recover(w, 7);
+    recover_and_cancel_all(w, 7);
 }
 
 /// The transaction of a cancellation is carried out, its answer is late, and the vote is granted in between.
 #[test]
 fn cancellation_confirmed_after_the_vote_meets_its_deadline() {
     for seed in 1..=4 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         let near = others[0];
         w.faults.commit_answer_delays.insert(near, SECOND * 19 / 10);
         w.faults.store_refuses.insert(old);
@@ -161,9 +163,11 @@
             })
         };
         w.run_until(1, "the cancellations are stored", stored);
-        assert!(!told(&w, &[1]), "no user is told yet");
+        assert!(!cancellations_confirmed(&w, &[1]), "no user is told yet");
         w.state.down = true;
-        w.run_until(3, "the users are told", |w| told(w, &[1, 2, 3, 4]));
+        w.run_until(3, "the users are told", |w| {
+            cancellations_confirmed(w, &[1, 2, 3, 4])
+        });
         outlast_cancel_deadline(w, seed);
     }
 }
@@ -173,8 +177,8 @@
 #[test]
 fn confirming_controller_that_restarts_gives_no_valid_vote() {
     for (seed, back) in [(1, 7), (2, 7), (3, 3), (4, 2_000), (5, 2_000)] {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         cancel_while_leader_is_refused(&mut w, old, others[0], &[1, 2, 3, 4]);
         w.state.down = true;
         w.crash(others[0], back * SECOND / 10);
@@ -187,8 +191,8 @@
 #[test]
 fn cancellation_meets_its_deadline_despite_a_third_failing_node() {
     for seed in 1..=9 {
-        let mut w = long(if seed % 2 == 0 { 3 } else { 5 }, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(if seed % 2 == 0 { 3 } else { 5 }, seed);
+        let (old, others) = leader_and_others(&w, seed);
         let third = others[1];
         match seed % 3 {
             0 => {
@@ -213,8 +217,8 @@
 #[test]
 fn cancelled_jobs_end_whatever_state_their_tasks_are_in() {
     for seed in 1..=6 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         let save = json!({"guess_s": 350.0, "stamp_every_s": 5.0, "stamp_s": 20.0});
         w.submit(job(
             11,
@@ -245,8 +249,8 @@
 #[test]
 fn unreachable_machines_stop_cancelled_tasks_by_lease_expiry() {
     for seed in 1..=8 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         let jobs = [1, 2, 3, 4];
         let holds = |x: &harness::Worker| {
             x.tasks
@@ -263,7 +267,7 @@
         match seed % 4 {
             0 => w.faults.unanswered_workers.extend(names),
             1 => {
-                let until = w.now + LEASE - SECOND;
+                let until = w.now + WORKER_LEASE - SECOND;
                 names
                     .iter()
                     .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
@@ -283,7 +287,7 @@
         let (old, others) = if w.leader() == Some(old) {
             (old, others)
         } else {
-            roles(&w, seed)
+            leader_and_others(&w, seed)
         };
         cancel_while_leader_is_refused(&mut w, old, others[0], &jobs);
         outlast_cancel_deadline(w, seed);
@@ -295,8 +299,8 @@
 #[test]
 fn intermittently_refused_leader_learns_of_cancellations() {
     for seed in 1..=4 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         for i in 1..=6 {
             w.faults.store_refuses.insert(old);
             w.cancel_at(i, others[i as usize % 2]);
@@ -314,8 +318,8 @@
 #[test]
 fn cancellations_between_two_outages_meet_their_deadline() {
     for seed in 1..=4 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.state.down = true;
         w.run(6);
         assert_eq!(w.leader(), Some(old));
@@ -332,12 +336,14 @@
 #[test]
 fn outage_during_takeover_does_not_revive_cancelled_jobs() {
     for seed in 1..=8 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         w.crash(old, 5 * SECOND);
         w.run(1);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
-        w.run_until(1, "the users are told", |w| told(w, &[1, 2, 3, 4]));
+        w.run_until(1, "the users are told", |w| {
+            cancellations_confirmed(w, &[1, 2, 3, 4])
+        });
         if seed > 4 {
             // The confirming controller restarts and has read nothing, so its job replica does not contain the
             // cancellations either.
@@ -363,7 +369,9 @@
             .store_refuses
             .extend(&refused[..1 + seed as usize % 2]);
         (1..=4).for_each(|i| w.cancel_at(i, near));
-        w.run_until(1, "the users are told", |w| told(w, &[1, 2, 3, 4]));
+        w.run_until(1, "the users are told", |w| {
+            cancellations_confirmed(w, &[1, 2, 3, 4])
+        });
         outlast_cancel_deadline(w, seed);
     }
 }
@@ -373,8 +381,8 @@
 #[test]
 fn leader_with_hung_watch_still_learns_of_cancellations() {
     for seed in 1..=4 {
-        let mut w = long(3, seed);
-        let (old, others) = roles(&w, seed);
+        let mut w = world_with_long_jobs(3, seed);
+        let (old, others) = leader_and_others(&w, seed);
         let term = w.state.value(LEADER_TERM_KEY).cloned();
         w.faults.hung_watches.insert(old);
         others.iter().for_each(|i| {
@@ -382,13 +390,13 @@
         });
         w.run(10);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
-        w.run(CANCEL / SECOND + 25);
+        w.run(CANCEL_DEADLINE / SECOND + 25);
         assert_eq!(
             w.state.value(LEADER_TERM_KEY).cloned(),
             term,
             "the leader changed"
         );
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
 
@@ -396,8 +404,8 @@
 #[test]
 fn long_outage_without_cancellations_loses_no_task() {
     for (nodes, seed) in [(3, 1), (3, 2), (5, 3)] {
-        let mut w = long(nodes, seed);
-        let (old, _) = roles(&w, seed);
+        let mut w = world_with_long_jobs(nodes, seed);
+        let (old, _) = leader_and_others(&w, seed);
         let starts = w.starts;
         w.state.down = true;
         w.run(120);
@@ -407,6 +415,6 @@
             "a lease ran out"
         );
         assert_eq!(w.starts, starts, "a task was started again");
-        recover(w, seed);
+        recover_and_cancel_all(w, seed);
     }
 }
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -227,7 +227,7 @@
     w.run_until(
         120,
         "the stored job is done, and its new downstream job after it",
-        World::all_over,
+        World::all_jobs_ended,
     );
     for n in 0..3 {
         w.crash(n, SECOND);
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -6,7 +6,7 @@
 use gannethub_ledger::line::{AttemptCharge, LeaderChange, LineBody, UnmeteredInterval};
 use serde_json::json;
 
-use crate::harness::{LEASE, SECOND, World, job};
+use crate::harness::{SECOND, WORKER_LEASE, World, job};
 use crate::{ClusterKind, play_random_faults};
 
 /// Unix time at the start of a test, in microseconds.
@@ -65,7 +65,7 @@
                     // before its worker found the new leader.
                     audit
                         .incomplete
-                        .push((before - LEASE.min(before), t.at + 2 * LEASE));
+                        .push((before - WORKER_LEASE.min(before), t.at + 2 * WORKER_LEASE));
                 }
                 audit.leader_changes.push(t);
             }
@@ -163,7 +163,7 @@
     w.submit(job(4, 2, json!({"shape": "service", "crew": "red"})));
     w.run(40);
     w.cancel(4);
-    w.run_until(200, "all jobs have ended", World::all_over);
+    w.run_until(200, "all jobs have ended", World::all_jobs_ended);
     w.run(6);
     let audit = audit(&w);
     let Comparison {
@@ -234,7 +234,7 @@
     w.run(1);
     w.crash(leader, 8 * SECOND);
     w.faults.late_commit_rate = 0.0;
-    w.run_until(200, "all jobs have ended", World::all_over);
+    w.run_until(200, "all jobs have ended", World::all_jobs_ended);
     w.run(25);
     let audit = audit(&w);
     assert!(audit.leader_changes.len() == 2 && audit.leader_changes[1].has_all_open_usage);
