--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -34,7 +34,7 @@
     for (nodes, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (3, 5), (3, 6)] {
         let mut w = World::new(nodes, seed);
         w.state.unordered = seed % 2 == 1;
-        w.state.keeps = (seed % 3 == 0).then_some(12);
+        w.state.kept_changes = (seed % 3 == 0).then_some(12);
         w.cloud.capacity = 20;
         w.run(2);
         w.repeats_requests = true;
@@ -77,7 +77,7 @@
             w.counters.close_look_requests
         );
         assert!(
-            w.state.keeps.is_none() || w.state.forgot > 0,
+            w.state.kept_changes.is_none() || w.state.refused_old_watches > 0,
             "no watch fell behind"
         );
         recover_and_finish(w, seed);
@@ -202,14 +202,14 @@
                 w.faults.unreachable_zones.insert((n, "a".into()));
             }),
         }
-        w.cloud.no_deletes = seed % 2 == 0;
+        w.cloud.deletes_fail = seed % 2 == 0;
         (1..=4).for_each(|i| w.cancel(i));
         w.run(seed % 3);
         w.crash_leader(SECOND * (1 + seed % 5));
         w.run(20);
         w.crash_leader(SECOND / 2);
         w.run(25);
-        w.cloud.no_deletes = false;
+        w.cloud.deletes_fail = false;
         w.end_faults();
         // The capacity of the cancelled tasks of red is used by the team's other jobs.
         let red = |w: &World| {
@@ -416,7 +416,7 @@
         w.faults
             .isolated_workers
             .extend(names.into_iter().skip(seed as usize % 3).step_by(2));
-        w.cloud.no_deletes = seed % 2 == 0;
+        w.cloud.deletes_fail = seed % 2 == 0;
         (1..=3).for_each(|i| w.cancel(i));
         w.submit(job(30, 8, json!({"guess_s": 30.0, "rigs": ["small"]})));
         w.run(seed % 4);
@@ -425,7 +425,7 @@
         w.faults.isolated_workers.clear();
         w.run(3);
         w.crash_leader(SECOND / 2);
-        w.cloud.no_deletes = false;
+        w.cloud.deletes_fail = false;
         w.run(WORKER_LEASE / SECOND + 5);
         recover_and_cancel_all(w, seed);
     }
@@ -478,7 +478,7 @@
             "seed {seed}: votes extend its leadership"
         );
         assert!(
-            w.workers.values().all(|x| x.session == 1),
+            w.workers.values().all(|x| x.incarnation == 1),
             "a lease ran out"
         );
         recover_and_cancel_all(w, seed);
@@ -612,7 +612,7 @@
                     x.dead = true;
                     x.tasks.clear();
                 }
-                1 => x.notice = true,
+                1 => x.preemption_notice = true,
                 _ => x.hung_until = u64::MAX / 2,
             });
             if round % 2 == 1 {
@@ -627,7 +627,9 @@
                 x.dead = true;
                 x.tasks.clear();
             });
-        w.workers.values_mut().for_each(|x| x.notice = false);
+        w.workers
+            .values_mut()
+            .for_each(|x| x.preemption_notice = false);
         recover_and_cancel_all(w, seed);
     }
 }
@@ -834,7 +836,7 @@
                 .replace("cpus_max = 40.0", "cpus_max = 80.0")
         };
         let mut w = World::with_settings(3, seed, WORKER_LEASE as f64 / SECOND as f64, &small);
-        w.state.rate = Some(25.0);
+        w.state.change_rate = Some(25.0);
         w.cloud.capacity = 30;
         w.run_time_range = (SECOND, 6 * SECOND);
         w.run(2);
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -265,7 +265,7 @@
             .map(|x| x.name.clone())
             .collect();
         let some: Vec<String> = busy.into_iter().step_by(2).collect();
-        w.cloud.no_deletes = seed % 2 == 0;
+        w.cloud.deletes_fail = seed % 2 == 0;
         match seed % 3 {
             0 => w.faults.unanswered_workers.extend(some),
             1 => {
@@ -285,7 +285,7 @@
         w.run(25);
         w.crash_leader(SECOND / 2);
         w.run(30);
-        w.cloud.no_deletes = false;
+        w.cloud.deletes_fail = false;
         recover_and_cancel_all(w, seed);
     }
 }
@@ -355,7 +355,7 @@
     let nodes = if seed % 4 == 3 { 5 } else { 3 };
     let mut w = World::new(nodes, seed);
     w.state.unordered = seed.is_multiple_of(2);
-    w.state.keeps = seed.is_multiple_of(3).then_some(20);
+    w.state.kept_changes = seed.is_multiple_of(3).then_some(20);
     w.run_time_range = (SECOND, 90 * SECOND);
     w.run(2);
     if changes {
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -407,7 +407,7 @@
         let mut without_red = limit_of_red(16.0);
         without_red.teams[0].removed = true;
         w.store_configuration(without_red, 0);
-        let stored = w.state.stamp(CURRENT_VERSION_KEY);
+        let stored = w.state.version(CURRENT_VERSION_KEY);
         // The controllers do not know of the new version yet, and their transactions are under way.
         for i in 0..9 {
             w.submit_once(job(50 + i, 1, json!({"crew": "red"})), i as usize % 3);
@@ -416,7 +416,7 @@
         for i in 50..59 {
             let key = format!("gh/live/j-{i:06}");
             assert!(
-                w.state.stamp(&key) < stored,
+                w.state.version(&key) < stored,
                 "{key} was accepted after its team was removed"
             );
         }
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -44,7 +44,7 @@
 /// nothing. Returns the number of hung machines.
 fn hang_machines_with_replicas(w: &mut World) -> usize {
     let until = w.now + WORKER_LEASE - SECOND / 2;
-    w.cloud.no_deletes = true;
+    w.cloud.deletes_fail = true;
     let replica = |t: &String| t.starts_with("j-000001");
     let hung = w
         .workers
@@ -182,7 +182,7 @@
             opened.is_some_and(|o| o.as_u64() < Some(launched)),
             "only {launched} tasks started, not more than the watermark covers"
         );
-        w.cloud.no_deletes = true;
+        w.cloud.deletes_fail = true;
         let until = w.now + WORKER_LEASE - SECOND / 2;
         w.workers
             .values_mut()
@@ -193,7 +193,7 @@
         assert!(leader_cluster(&w).is_some_and(|c| !c.watermarks.reliable));
         w.run_until(60, "the takeover is settled", settled);
         w.cloud.capacity = 40;
-        w.cloud.no_deletes = false;
+        w.cloud.deletes_fail = false;
         w.run_until(300, "the array is done", World::all_jobs_ended);
         w.finish();
     }
@@ -335,7 +335,7 @@
     for seed in 200..224 {
         let mut w = World::new(3, seed);
         w.cloud.capacity = 6;
-        w.cloud.no_deletes = seed % 2 == 0;
+        w.cloud.deletes_fail = seed % 2 == 0;
         w.run(2);
         for i in 1..5 {
             let shape = ["array", "array", "group", "service"][w.rng.random_range(0..4)];
@@ -396,7 +396,7 @@
         w.state.down = false;
         w.faults.late_commit_rate = 0.0;
         w.faults.partitioned.clear();
-        w.cloud.no_deletes = false;
+        w.cloud.deletes_fail = false;
         w.workers
             .values_mut()
             .for_each(|m| m.hung_until = m.hung_until.min(w.now));
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -60,7 +60,7 @@
     fn other_workers<'a>(&'a self, w: &'a Worker) -> impl Iterator<Item = &'a Worker> {
         self.workers
             .values()
-            .filter(|o| !o.gone(self.now) && o.name != w.name)
+            .filter(|o| !o.tasks_stopped(self.now) && o.name != w.name)
     }
 
     /// Checks that a task starts on a machine and in a zone that its job allows, within its team's limit.
@@ -202,7 +202,7 @@
                 let same = other.filter(|o| o.body["crew"] == body["crew"]);
                 used += same.map_or(0.0, |o| o.body["vcpus"].as_f64().unwrap_or(0.0));
             }
-            let up = !w.hung(self.now) && !w.notice && !w.faulty;
+            let up = !w.is_unresponsive(self.now) && !w.preemption_notice && !w.faulty;
             let kind = !w.spot || body["loaners"] == json!(true);
             if !up || !kind || !allowed("rigs", &w.flavor) || !allowed("yard", &w.zone) {
                 continue;
@@ -373,7 +373,7 @@
     pub fn check_cancelled(&mut self) {
         let mut violations = Vec::new();
         let mut ran_on = 0;
-        for w in self.workers.values().filter(|w| !w.gone(self.now)) {
+        for w in self.workers.values().filter(|w| !w.tasks_stopped(self.now)) {
             for t in w.tasks.values().filter(|t| t.on_machine()) {
                 let id = t.name.split('/').next().unwrap_or("");
                 let told = self.jobs.get(id).and_then(|j| j.cancellation_confirmed_at);
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -38,7 +38,7 @@
 
 use gannethub_emulators::state::Outcome;
 use gannethub_emulators::worker::{self, JobFacts};
-pub use gannethub_emulators::{Cloud, Record, Site, State, Worker};
+pub use gannethub_emulators::{Cloud, Environment, Record, State, Worker};
 
 pub use controllers::Node;
 pub use events::{Event, Origin};
--- a/crates/gannethub-core/tests/simulation/harness/state_service.rs
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -36,8 +36,8 @@
             Outcome::Wait { until, .. }
                 if until <= self.now && self.faults.hung_watches.contains(&node) =>
             {
-                let quiet = self.state.quiet();
-                self.store_answer(node, incarnation, id, Some((200, quiet)));
+                let no_changes_answer = self.state.no_changes_answer();
+                self.store_answer(node, incarnation, id, Some((200, no_changes_answer)));
             }
             Outcome::Wait {
                 prefix,
@@ -182,8 +182,8 @@
                     self.schedule_store_answer(delay, node, incarnation, id, Some((200, changes)));
                 }
                 None if until <= self.now => {
-                    let quiet = self.state.quiet();
-                    self.store_answer(node, incarnation, id, Some((200, quiet)));
+                    let no_changes_answer = self.state.no_changes_answer();
+                    self.store_answer(node, incarnation, id, Some((200, no_changes_answer)));
                 }
                 None => self
                     .watches
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -12,7 +12,7 @@
             return;
         }
         let now = self.now;
-        self.record.note(w, now);
+        self.record.update(w, now);
     }
 
     pub(super) fn step_workers(&mut self) {
@@ -63,8 +63,8 @@
         let Some(mut w) = self.workers.remove(&name) else {
             return;
         };
-        if !w.hung(self.now) && !w.lease_over(self.now) {
-            w.commanded(self, &body);
+        if !w.is_unresponsive(self.now) && !w.lease_expired(self.now) {
+            w.handle_commands(self, &body);
             self.record_worker(&w);
         }
         self.workers.insert(name, w);
@@ -83,7 +83,7 @@
         }
         let hung = self.workers.get(&name);
         if let Some(until) = hung
-            .filter(|w| w.hung(self.now) && !w.dead)
+            .filter(|w| w.is_unresponsive(self.now) && !w.dead)
             .map(|w| w.hung_until)
         {
             // The answer waits until the machine resumes, if it does so before the worker gives up on the answer.
@@ -101,24 +101,24 @@
             return;
         }
         let mut worker = self.workers.remove(&name);
-        if let Some(w) = worker.as_mut().filter(|w| !w.hung(self.now)) {
-            w.answered(self, node, sent, response.status, &response.body);
+        if let Some(w) = worker.as_mut().filter(|w| !w.is_unresponsive(self.now)) {
+            w.handle_answer(self, node, sent, response.status, &response.body);
             self.record_worker(w);
         }
         worker.map(|w| self.workers.insert(name, w));
     }
 }
 
-impl Site for World {
+impl Environment for World {
     fn now(&self) -> u64 {
         self.now
     }
 
-    fn draw(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    fn chance(&mut self, part: f64) -> bool {
+    fn random_bool(&mut self, part: f64) -> bool {
         self.rng.random_bool(part)
     }
 
@@ -152,7 +152,7 @@
         self.completed_tasks.contains(task)
     }
 
-    fn done(&mut self, task: &str) {
+    fn on_task_done(&mut self, task: &str) {
         self.completed_tasks.insert(task.into());
         let id = task.split('/').next().unwrap_or("").to_string();
         if self.cancel_at_end == 0.0 || !self.completed(&id) {
@@ -177,15 +177,15 @@
         self.request_at_all_nodes(&id);
     }
 
-    fn starts(&mut self, worker: &Worker, task: &str) {
+    fn on_task_started(&mut self, worker: &Worker, task: &str) {
         self.check_start(worker, task);
     }
 
-    fn failed(&mut self, task: &str) {
+    fn on_task_failed(&mut self, task: &str) {
         self.failures.push((self.now, task.into()));
     }
 
-    fn forgets(&mut self, task: &str) {
+    fn on_task_forgotten(&mut self, task: &str) {
         let (id, index) = task.split_once('/').unwrap_or((task, ""));
         let index: u32 = index.parse().unwrap_or(0);
         let over = self.state.value(&format!("gh/over/{id}")).is_some();
@@ -232,7 +232,7 @@
         self.http(origin, node, Method::Post, "/v1/report", Bytes::from(body));
     }
 
-    fn named(&self, name: &str) -> Option<usize> {
+    fn node_by_name(&self, name: &str) -> Option<usize> {
         name.strip_prefix('n')?.parse().ok()
     }
 }
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -202,16 +202,19 @@
         .extend([(leader, near), (near, leader)]);
     w.faults.unreachable_zones.insert((leader, "a".into()));
     w.faults.unreachable_zones.insert((leader, "b".into()));
-    let sessions: Vec<(String, u64)> = w
+    let incarnations: Vec<(String, u64)> = w
         .workers
         .values()
-        .map(|m| (m.name.clone(), m.session))
+        .map(|m| (m.name.clone(), m.incarnation))
         .collect();
     w.run(30);
     assert_eq!(w.leader(), Some(leader));
-    for (name, session) in sessions {
-        let now = w.workers.get(&name).map(|m| m.session);
-        assert!(now.is_none_or(|s| s == session), "{name} lost its lease");
+    for (name, incarnation) in incarnations {
+        let now = w.workers.get(&name).map(|m| m.incarnation);
+        assert!(
+            now.is_none_or(|s| s == incarnation),
+            "{name} lost its lease"
+        );
     }
     w.faults.partitioned.clear();
     w.faults.unreachable_zones.clear();
@@ -270,7 +273,7 @@
     w.run_until(30, "all replicas run", |w| w.starts >= 8);
     let until = w.now + 60 * SECOND;
     w.workers.values_mut().for_each(|m| m.hung_until = until);
-    w.cloud.no_deletes = true;
+    w.cloud.deletes_fail = true;
     w.cloud.capacity = 30;
     for _ in 0..30 {
         w.run(1);
@@ -371,7 +374,9 @@
         json!({"shape": "service", "stamp_every_s": 2.0, "stamp_s": 1.0}),
     ));
     w.run_until(30, "the replicas run", |w| w.starts >= 3);
-    w.workers.values_mut().for_each(|m| m.notice = true);
+    w.workers
+        .values_mut()
+        .for_each(|m| m.preemption_notice = true);
     let noticed: Vec<String> = w.workers.keys().cloned().collect();
     w.run_until(
         60,
@@ -556,7 +561,7 @@
                 let (least, most) =
                     [(1, 2), (1_000, 4_000), (3_000, 15_000)][w.rng.random_range(0..3)];
                 w.cloud.boot = (least * 1000, most * 1000);
-                w.cloud.never_boot = [0.0, 0.2][w.rng.random_range(0..2)];
+                w.cloud.never_boot_probability = [0.0, 0.2][w.rng.random_range(0..2)];
             }
             11 => w.cloud.list_lag = w.rng.random_range(0..12) * SECOND,
             12 => w.extra_queries = [0, 5][w.rng.random_range(0..2)],
@@ -586,7 +591,7 @@
     w.faults.unreachable_zones.clear();
     w.faults.late_commit_rate = 0.0;
     w.faults.store_refuses.clear();
-    w.cloud.never_boot = 0.0;
+    w.cloud.never_boot_probability = 0.0;
     w.extra_queries = 0;
     (1..=broken_jobs).for_each(|i| w.cancel(900 + i));
     // Replicas use their team's quota until their service is cancelled.
--- a/crates/gannethub-core/tests/simulation/one_way_partition.rs
+++ b/crates/gannethub-core/tests/simulation/one_way_partition.rs
@@ -131,7 +131,7 @@
         let incarnations: Vec<(String, u64)> = w
             .workers
             .values()
-            .map(|x| (x.name.clone(), x.session))
+            .map(|x| (x.name.clone(), x.incarnation))
             .collect();
         assert!(
             incarnations
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -350,7 +350,7 @@
 fn late_machines_are_given_up_and_early_heartbeats_are_used() {
     let mut w = World::new(3, 66);
     w.run(2);
-    w.cloud.never_boot = 0.3;
+    w.cloud.never_boot_probability = 0.3;
     w.cloud.boot = (SECOND, 20 * SECOND);
     w.cloud.list_lag = 15 * SECOND;
     w.submit(job(1, 60, json!({})));
@@ -363,7 +363,7 @@
         w.workers.len()
     );
     // Now machines boot at once, before the answer to the provision call and long before any list contains them.
-    (w.cloud.never_boot, w.cloud.boot) = (0.0, (1, 2));
+    (w.cloud.never_boot_probability, w.cloud.boot) = (0.0, (1, 2));
     let starts_before = w.starts;
     w.submit(job(2, 8, json!({})));
     w.run_until(12, "all run", |w| w.starts >= starts_before + 8);
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -363,16 +363,16 @@
     let limits = "[cluster.state.next]\nwrite_rps = 15.0\n[cluster.cloud]";
     let mut w = World::with_settings(3, 74, 10.0, &|t| t.replace("[cluster.cloud]", limits));
     w.run(2);
-    w.state.rate = Some(15.0);
+    w.state.change_rate = Some(15.0);
     (100..240).for_each(|i| w.submit(job(i, 1, json!({}))));
     w.run_until(60, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    let first_refusals = w.state.too_many;
+    let first_refusals = w.state.rate_limited;
     assert!(first_refusals > 0, "the controllers tried the old rate");
     (300..400).for_each(|i| w.submit(job_after(i, 1, &[i - 200])));
     w.run_until(400, "all jobs are done", World::all_jobs_ended);
-    let later = w.state.too_many - first_refusals;
+    let later = w.state.rate_limited - first_refusals;
     assert!(
         later < 10,
         "{later} refusals after the first {first_refusals}"
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -233,7 +233,7 @@
         w.workers
             .values_mut()
             .filter(|x| on(x))
-            .for_each(|x| x.notice = true);
+            .for_each(|x| x.preemption_notice = true);
         w.run(1);
         w.submit(job(14, 6, json!({"guess_s": 350.0, "rigs": ["small"]})));
         w.run_until(5, "the job is accepted", |w| {
@@ -411,7 +411,7 @@
         w.run(120);
         assert_eq!(w.leader(), Some(old));
         assert!(
-            w.workers.values().all(|x| x.session == 1),
+            w.workers.values().all(|x| x.incarnation == 1),
             "a lease ran out"
         );
         assert_eq!(w.starts, starts, "a task was started again");
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -99,11 +99,11 @@
         compared += 1;
         // A gang's task that is replaced on the same machine keeps its attempt number: then there are two entries,
         // one after the other.
-        let mut stints: Vec<&AttemptCharge> = entries.iter().map(|(_, e)| e).collect();
-        stints.sort_by_key(|e| e.begin);
-        if stints.windows(2).any(|two| two[1].begin < two[0].end()) || stints.len() > span.stints {
+        let mut runs: Vec<&AttemptCharge> = entries.iter().map(|(_, e)| e).collect();
+        runs.sort_by_key(|e| e.begin);
+        if runs.windows(2).any(|two| two[1].begin < two[0].end()) || runs.len() > span.runs {
             mismatches.push(format!(
-                "{key:?} is charged {} times: {stints:?}",
+                "{key:?} is charged {} times: {runs:?}",
                 entries.len()
             ));
         }
@@ -112,11 +112,11 @@
         if w.jobs[job].body["crew"] != **team {
             mismatches.push(format!("{key:?} is charged to {team}"));
         }
-        let charged: u64 = stints.iter().map(|e| e.stage_times.at_worker()).sum();
-        let bound: u64 = stints.iter().map(|e| e.max_error).sum();
+        let charged: u64 = runs.iter().map(|e| e.stage_times.at_worker()).sum();
+        let bound: u64 = runs.iter().map(|e| e.max_error).sum();
         if charged.abs_diff(real) > bound + SLACK {
             mismatches.push(format!(
-                "{key:?} took {real}, charged {charged}: {stints:?} {span:?}"
+                "{key:?} took {real}, charged {charged}: {runs:?} {span:?}"
             ));
         }
         let sums = teams.entry(team.clone()).or_default();
--- a/crates/gannethub-emulators/src/cloud.rs
+++ b/crates/gannethub-emulators/src/cloud.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::SECOND;
-use crate::worker::{Site, Worker};
+use crate::worker::{Environment, Worker};
 
 /// The cloud's own state of its machines. The caller owns the workers that run on the machines.
 pub struct Cloud {
@@ -16,11 +16,11 @@
     /// Minimum and maximum boot time of a machine, in microseconds.
     pub boot: (u64, u64),
     /// Probability that a machine never boots; 0 if all machines boot.
-    pub never_boot: f64,
+    pub never_boot_probability: f64,
     /// Delay in microseconds after which a provisioned machine appears in the machine list.
     pub list_lag: u64,
     /// Whether requests to delete machines fail.
-    pub no_deletes: bool,
+    pub deletes_fail: bool,
     /// Whether all requests fail.
     pub down: bool,
     /// Machines of each provision request, by the request's id. A repeated request provisions no further machines.
@@ -41,9 +41,9 @@
                  "yards": ["a", "b"]}]}),
             capacity: 12,
             boot: (SECOND, 4 * SECOND),
-            never_boot: 0.0,
+            never_boot_probability: 0.0,
             list_lag: 2 * SECOND,
-            no_deletes: false,
+            deletes_fail: false,
             down: false,
             machines_by_request: HashMap::new(),
             provisioned_count: 0,
@@ -59,7 +59,7 @@
         path: &str,
         body: &[u8],
         workers: &mut BTreeMap<String, Worker>,
-        site: &mut dyn Site,
+        environment: &mut dyn Environment,
     ) -> (u16, Value, Vec<Worker>) {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let path = path.split('?').next().unwrap_or("");
@@ -67,18 +67,18 @@
         match path {
             _ if self.down => answer(503, json!({"error": "trouble"})),
             "/flavors" => answer(200, self.flavors.clone()),
-            "/rentals/delete" if self.no_deletes => answer(500, json!({"error": "trouble"})),
+            "/rentals/delete" if self.deletes_fail => answer(500, json!({"error": "trouble"})),
             "/rentals/delete" => {
                 let names = body["hosts"].as_array().into_iter().flatten();
                 let deleted = names.filter_map(|n| workers.remove(n.as_str()?)).collect();
                 (200, json!({}), deleted)
             }
             "/rentals" if !body.is_null() => {
-                let (status, body) = self.provision(&body, workers, site);
+                let (status, body) = self.provision(&body, workers, environment);
                 answer(status, body)
             }
             "/rentals" => {
-                let now = site.now();
+                let now = environment.now();
                 let listed = workers
                     .values()
                     .filter(|w| now > w.provisioned_at + self.list_lag);
@@ -89,7 +89,7 @@
                             (false, true) => "booting",
                             (false, false) => "running",
                         };
-                        json!({"id": w.name, "addr": site.addr(&w.name), "rig": w.flavor,
+                        json!({"id": w.name, "addr": environment.addr(&w.name), "rig": w.flavor,
                                "yard": w.zone, "loaners": w.spot, "status": status, "held_s": 5.0})
                     })
                     .collect();
@@ -103,7 +103,7 @@
         &mut self,
         body: &Value,
         workers: &mut BTreeMap<String, Worker>,
-        site: &mut dyn Site,
+        environment: &mut dyn Environment,
     ) -> (u16, Value) {
         let request_id = body["hire"].as_str().unwrap_or("").to_string();
         if let Some(hosts) = self.machines_by_request.get(&request_id) {
@@ -118,11 +118,19 @@
         for _ in 0..count {
             self.provisioned_count += 1;
             let id = format!("host-{:06}", self.provisioned_count);
-            let boot = site.draw(self.boot.0, self.boot.1);
-            let never_boots = self.never_boot > 0.0 && site.chance(self.never_boot);
+            let boot = environment.random_in(self.boot.0, self.boot.1);
+            let never_boots = self.never_boot_probability > 0.0
+                && environment.random_bool(self.never_boot_probability);
             let boot = if never_boots { u64::MAX } else { boot };
-            let first_node = site.draw(0, site.nodes() as u64) as usize;
-            let worker = Worker::new(&id, body, site.now(), boot, first_node, site.lease());
+            let first_node = environment.random_in(0, environment.nodes() as u64) as usize;
+            let worker = Worker::new(
+                &id,
+                body,
+                environment.now(),
+                boot,
+                first_node,
+                environment.lease(),
+            );
             workers.insert(id.clone(), worker);
             hosts.push(id);
         }
--- a/crates/gannethub-emulators/src/record.rs
+++ b/crates/gannethub-emulators/src/record.rs
@@ -14,7 +14,7 @@
     /// Whether the attempt was lost with its machine or its worker's lease.
     pub lost: bool,
     /// Number of runs. A gang's task that is replaced on its machine keeps its attempt number, and runs again.
-    pub stints: usize,
+    pub runs: usize,
     /// Total time of the runs before the last one.
     pub earlier_time: u64,
 }
@@ -25,7 +25,7 @@
             began_at,
             ended: None,
             lost: false,
-            stints: 1,
+            runs: 1,
             earlier_time: 0,
         }
     }
@@ -47,7 +47,7 @@
 
 impl Record {
     /// Records which attempts a worker has now, and ends the spans of attempts that have ended or were lost.
-    pub fn note(&mut self, worker: &Worker, now: u64) {
+    pub fn update(&mut self, worker: &Worker, now: u64) {
         for task in worker.tasks.values() {
             let key = (worker.name.clone(), task.name.clone(), task.attempt);
             let span = self.spans.entry(key).or_insert_with(|| Span::new(now));
@@ -55,11 +55,11 @@
                 span.ended.get_or_insert(now);
             } else if let Some(earlier_time) = span
                 .time()
-                .filter(|_| !worker.dead && !worker.lease_over(now))
+                .filter(|_| !worker.dead && !worker.lease_expired(now))
             {
                 *span = Span {
                     earlier_time,
-                    stints: span.stints + 1,
+                    runs: span.runs + 1,
                     ..Span::new(now)
                 };
             }
@@ -70,7 +70,7 @@
                 .get(&key.1)
                 .is_some_and(|task| task.attempt == key.2);
             // A machine that hangs past its lease never resumes its attempts.
-            span.ended.is_none() && (worker.dead || !listed || worker.lease_over(now))
+            span.ended.is_none() && (worker.dead || !listed || worker.lease_expired(now))
         };
         let first_key = (worker.name.clone(), String::new(), 0);
         let worker_spans = self
--- a/crates/gannethub-emulators/src/state.rs
+++ b/crates/gannethub-emulators/src/state.rs
@@ -35,24 +35,24 @@
     /// Number of transactions refused for their size.
     pub too_large: usize,
     /// Maximum number of changes per second; `None` for no limit.
-    pub rate: Option<f64>,
-    /// Number of requests refused because of `rate` or `request_rate`.
-    pub too_many: usize,
+    pub change_rate: Option<f64>,
+    /// Number of requests refused because of `change_rate` or `request_rate`.
+    pub rate_limited: usize,
     /// Maximum number of requests per second; `None` for no limit.
     pub request_rate: Option<f64>,
-    /// Token bucket of `rate`: number of changes left, and the time of the last refill.
+    /// Token bucket of `change_rate`: number of changes left, and the time of the last refill.
     change_bucket: (f64, u64),
     /// Token bucket of `request_rate`: number of requests left, and the time of the last refill.
     request_bucket: (f64, u64),
     /// Whether a watch's answer lists its changes in another order than that of their versions.
     pub unordered: bool,
     /// Number of most recent changes that watches can ask for; `None` for all changes.
-    pub keeps: Option<usize>,
+    pub kept_changes: Option<usize>,
     /// Number of watches refused because they asked for older changes.
-    pub forgot: usize,
+    pub refused_old_watches: usize,
 }
 
-/// Takes `amount` out of a token bucket that refills at `rate` per second and holds at most one second's worth.
+/// Takes `amount` out of a token bucket that refills at `change_rate` per second and holds at most one second's worth.
 /// Returns false, and takes nothing, if the bucket holds less than `amount`.
 fn take_tokens(bucket: &mut (f64, u64), rate: f64, amount: f64, now: u64) -> bool {
     let refill = now.saturating_sub(bucket.1) as f64 / 1e6 * rate;
@@ -167,7 +167,7 @@
     /// Whether some change after this version is no longer available to watches.
     fn has_dropped_changes(&self, after: u64) -> bool {
         let newest_dropped = self
-            .keeps
+            .kept_changes
             .and_then(|n| self.change_log.len().checked_sub(n + 1));
         newest_dropped
             .and_then(|i| self.change_log.get(i))
@@ -175,7 +175,7 @@
     }
 
     /// Returns the answer to a watch that ends without a change.
-    pub fn quiet(&self) -> Value {
+    pub fn no_changes_answer(&self) -> Value {
         json!({"ledger_no": self.version, "log": []})
     }
 
@@ -189,7 +189,7 @@
             .request_rate
             .is_some_and(|rate| !take_tokens(&mut self.request_bucket, rate, 1.0, now))
         {
-            self.too_many += 1;
+            self.rate_limited += 1;
             return Outcome::Answer(429, json!({"error": "too many"}));
         }
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
@@ -206,7 +206,7 @@
                 let prefix = arg("starts").unwrap_or("").to_string();
                 let after = arg("from").and_then(|a| a.parse().ok()).unwrap_or(0);
                 if self.has_dropped_changes(after) {
-                    self.forgot += 1;
+                    self.refused_old_watches += 1;
                     return Outcome::Answer(410, json!({"error": "too old"}));
                 }
                 if let Some(changes) = self.changes(&prefix, after) {
@@ -260,7 +260,7 @@
                 (200, json!({"permit": self.last_lease_id}))
             }
             ("POST", "/commit") if !self.take_changes(&body, now) => {
-                self.too_many += 1;
+                self.rate_limited += 1;
                 (429, json!({"error": "too many"}))
             }
             ("POST", "/commit") => self.commit(&body),
@@ -288,12 +288,14 @@
         Outcome::Answer(status, answer)
     }
 
-    /// Takes a transaction's changes out of the token bucket of changes, and returns whether `rate` allows them.
+    /// Takes a transaction's changes out of the token bucket of changes, and returns whether `change_rate` allows them.
     /// Bursts of up to one second's worth of changes are allowed.
     fn take_changes(&mut self, body: &Value, now: u64) -> bool {
-        let Some(rate) = self.rate else { return true };
+        let Some(change_rate) = self.change_rate else {
+            return true;
+        };
         let changes = body["writes"].as_array().map_or(0, Vec::len) as f64;
-        take_tokens(&mut self.change_bucket, rate, changes, now)
+        take_tokens(&mut self.change_bucket, change_rate, changes, now)
     }
 
     /// Executes a transaction: all of its changes at one new version if all guards match, otherwise none.
@@ -354,7 +356,7 @@
     }
 
     /// Returns the version of a key's last change, for tests; 0 if there is no such key.
-    pub fn stamp(&self, key: &str) -> u64 {
+    pub fn version(&self, key: &str) -> u64 {
         self.entries.get(key).map_or(0, |entry| entry.version)
     }
 
--- a/crates/gannethub-emulators/src/worker.rs
+++ b/crates/gannethub-emulators/src/worker.rs
@@ -22,19 +22,19 @@
 
 /// The environment of the workers: the time, randomness, the jobs, and the connections to the controllers. All times
 /// are in microseconds.
-pub trait Site {
+pub trait Environment {
     fn now(&self) -> u64;
     /// Returns a random number of at least `from` and below `to`.
-    fn draw(&mut self, from: u64, to: u64) -> u64;
+    fn random_in(&mut self, from: u64, to: u64) -> u64;
     /// Returns true with this probability.
-    fn chance(&mut self, probability: f64) -> bool;
+    fn random_bool(&mut self, probability: f64) -> bool;
     /// Returns the number of controllers.
     fn nodes(&self) -> usize;
     /// Returns the duration of a worker's lease.
     fn lease(&self) -> u64;
     /// Returns the mean interval between a worker's heartbeats. Each interval differs from the mean by up to a
     /// quarter.
-    fn report_every(&self) -> u64 {
+    fn heartbeat_interval(&self) -> u64 {
         SECOND
     }
     /// Returns the time that a task takes to fetch its image.
@@ -54,13 +54,13 @@
         false
     }
     /// Records that a task has completed.
-    fn done(&mut self, _task: &str) {}
+    fn on_task_done(&mut self, _task: &str) {}
     /// Records that a task is now present on its machine.
-    fn starts(&mut self, _worker: &Worker, _task: &str) {}
+    fn on_task_started(&mut self, _worker: &Worker, _task: &str) {}
     /// Records that a task has failed.
-    fn failed(&mut self, _task: &str) {}
+    fn on_task_failed(&mut self, _task: &str) {}
     /// Records that a worker has forgotten the end of a completed task.
-    fn forgets(&mut self, _task: &str) {}
+    fn on_task_forgotten(&mut self, _task: &str) {}
     /// Whether a worker in this zone and this controller can reach each other.
     fn reaches(&self, _node: usize, _zone: &str) -> bool {
         true
@@ -74,14 +74,14 @@
             .unwrap_or(0);
         format!("10.9.{}.{}:9000", n / 250 % 250, n % 250 + 1)
     }
-    /// Sends a worker's heartbeat to a controller. The answer is passed to [`Worker::answered`].
+    /// Sends a worker's heartbeat to a controller. The answer is passed to [`Worker::handle_answer`].
     fn send(&mut self, worker: &str, node: usize, body: String);
     /// Returns the index of the controller with this name.
-    fn named(&self, name: &str) -> Option<usize>;
+    fn node_by_name(&self, name: &str) -> Option<usize>;
 }
 
 /// Returns the id of a task's job, which is the first part of the task's name.
-pub fn job_of(task: &str) -> &str {
+pub fn job_id_of_task(task: &str) -> &str {
     task.split('/').next().unwrap_or("")
 }
 
@@ -106,7 +106,7 @@
     /// Time since which a running gang task misses a peer, or has a peer on a machine that hangs.
     pub peers_missing_since: Option<u64>,
     /// Whether the task saved a checkpoint when it was stopped.
-    pub kept: bool,
+    pub checkpoint_saved: bool,
 }
 
 impl Task {
@@ -133,12 +133,12 @@
     pub dead: bool,
     pub hung_until: u64,
     /// Whether the worker has received a preemption notice.
-    pub notice: bool,
+    pub preemption_notice: bool,
     /// Whether every task fails on this worker.
     pub faulty: bool,
     pub tasks: BTreeMap<String, Task>,
     /// Incarnation of the worker.
-    pub session: u64,
+    pub incarnation: u64,
     sequence: u64,
     /// Highest fencing token that a controller has sent.
     pub token: u64,
@@ -173,10 +173,10 @@
             boot_ends_at,
             dead: false,
             hung_until: 0,
-            notice: false,
+            preemption_notice: false,
             faulty: false,
             tasks: BTreeMap::new(),
-            session: 1,
+            incarnation: 1,
             sequence: 0,
             token: 0,
             lease,
@@ -197,19 +197,20 @@
     }
 
     /// Whether the worker's lease has expired.
-    pub fn lease_over(&self, now: u64) -> bool {
+    pub fn lease_expired(&self, now: u64) -> bool {
         now > self.lease_start.saturating_add(self.lease)
     }
 
     /// Whether the worker's tasks have all stopped, because the worker is dead or hangs past its lease. A worker that
     /// hangs may resume its tasks within its lease. After the lease has expired, the worker kills all of its tasks
     /// before it does anything else.
-    pub fn gone(&self, now: u64) -> bool {
-        self.dead || self.hung(now) && now >= self.boot_ends_at && self.lease_over(now)
+    pub fn tasks_stopped(&self, now: u64) -> bool {
+        self.dead
+            || self.is_unresponsive(now) && now >= self.boot_ends_at && self.lease_expired(now)
     }
 
     /// Whether the worker does nothing now: the worker is dead, hangs, or has not booted yet.
-    pub fn hung(&self, now: u64) -> bool {
+    pub fn is_unresponsive(&self, now: u64) -> bool {
         self.dead || now < self.hung_until || now < self.boot_ends_at
     }
 
@@ -234,14 +235,14 @@
     }
 
     /// Moves the worker and its tasks on to the present time, and sends a heartbeat if one is due.
-    pub fn step(&mut self, site: &mut dyn Site) {
-        let now = site.now();
-        if self.hung(now) {
+    pub fn step(&mut self, environment: &mut dyn Environment) {
+        let now = environment.now();
+        if self.is_unresponsive(now) {
             return;
         }
-        if self.lease_over(now) {
+        if self.lease_expired(now) {
             self.tasks.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.lease_start = now;
             self.unanswered_since = None;
         }
@@ -258,35 +259,35 @@
             match t.phase {
                 Phase::Fetching if self.faulty || t.broken => {
                     t.end("error");
-                    site.failed(&name);
+                    environment.on_task_failed(&name);
                 }
                 Phase::Fetching => {
-                    let already_done = site.is_done(&name);
-                    let facts = site.job(job_of(&name)).unwrap_or_default();
+                    let already_done = environment.is_done(&name);
+                    let facts = environment.job(job_id_of_task(&name)).unwrap_or_default();
                     if t.gang {
                         t.phase = Phase::Waiting;
-                        t.phase_ends_at = now + site.gang_wait();
+                        t.phase_ends_at = now + environment.gang_wait();
                     } else {
                         t.phase = Phase::Running;
                         t.phase_ends_at = if already_done {
                             now
                         } else {
-                            now + site.run_time(&facts)
+                            now + environment.run_time(&facts)
                         };
                         if t.service {
                             t.phase_ends_at = u64::MAX;
                         }
                     }
-                    site.starts(self, &name);
+                    environment.on_task_started(self, &name);
                 }
                 Phase::Waiting => t.end("alone"),
                 // A gang's tasks complete together, so code outside the worker ends them, such as `step_gangs`.
                 Phase::Running if !t.gang => {
                     t.end("done");
-                    site.done(&name);
+                    environment.on_task_done(&name);
                 }
                 Phase::Saving => {
-                    t.kept = true;
+                    t.checkpoint_saved = true;
                     t.end("stopped");
                 }
                 _ => {}
@@ -298,19 +299,19 @@
             .is_some_and(|sent| now > sent + 4 * SECOND)
         {
             self.unanswered_since = None;
-            self.node = (self.node + 1) % site.nodes();
+            self.node = (self.node + 1) % environment.nodes();
             self.next_heartbeat_at = now + SECOND;
         }
         if changed {
             self.send_heartbeat_soon(now);
         }
         if self.unanswered_since.is_none() && now >= self.next_heartbeat_at {
-            self.send_heartbeat(site);
+            self.send_heartbeat(environment);
         }
     }
 
-    fn send_heartbeat(&mut self, site: &mut dyn Site) {
-        let now = site.now();
+    fn send_heartbeat(&mut self, environment: &mut dyn Environment) {
+        let now = environment.now();
         self.sequence += 1;
         let pieces: Vec<Value> = self
             .tasks
@@ -324,47 +325,49 @@
                     Phase::Ended(why) => ("ended", Some(why)),
                 };
                 json!({"piece": t.name, "try_no": t.attempt, "status": status, "cause": cause,
-                       "kept": t.kept})
+                       "kept": t.checkpoint_saved})
             })
             .collect();
         let body = json!({
-            "host": self.name, "addr": site.addr(&self.name), "rig": self.flavor, "yard": self.zone,
-            "loaners": self.spot, "shift": self.session, "tally": self.sequence, "baton": self.token,
-            "warning_s": if self.notice { json!(15.0) } else { Value::Null }, "pieces": pieces
+            "host": self.name, "addr": environment.addr(&self.name), "rig": self.flavor, "yard": self.zone,
+            "loaners": self.spot, "shift": self.incarnation, "tally": self.sequence, "baton": self.token,
+            "warning_s": if self.preemption_notice { json!(15.0) } else { Value::Null }, "pieces": pieces
         });
         self.unanswered_since = Some(now);
         self.last_heartbeat_at = now;
-        let interval = site.report_every();
-        self.next_heartbeat_at = now + site.draw(3 * interval / 4, 5 * interval / 4);
-        if !site.reaches(self.node, &self.zone) {
+        let interval = environment.heartbeat_interval();
+        self.next_heartbeat_at = now + environment.random_in(3 * interval / 4, 5 * interval / 4);
+        if !environment.reaches(self.node, &self.zone) {
             return;
         }
-        site.send(&self.name, self.node, body.to_string());
+        environment.send(&self.name, self.node, body.to_string());
     }
 
     /// Handles a controller's answer to the heartbeat that was sent at the time `sent`.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
-        site: &mut dyn Site,
+        environment: &mut dyn Environment,
         node: usize,
         sent: u64,
         status: u16,
         body: &[u8],
     ) {
-        if self.unanswered_since != Some(sent) || !site.reaches(node, &self.zone) {
+        if self.unanswered_since != Some(sent) || !environment.reaches(node, &self.zone) {
             return;
         }
         self.unanswered_since = None;
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let redirect = body["foreman"].as_str().and_then(|n| site.named(n));
+        let redirect = body["foreman"]
+            .as_str()
+            .and_then(|n| environment.node_by_name(n));
         if let Some(other) = redirect.filter(|n| status == 421 && *n != self.node) {
             self.node = other;
-            self.next_heartbeat_at = site.now() + SECOND / 4;
+            self.next_heartbeat_at = environment.now() + SECOND / 4;
             return;
         }
         if status != 200 {
-            self.node = (self.node + 1) % site.nodes();
-            self.next_heartbeat_at = site.now() + SECOND;
+            self.node = (self.node + 1) % environment.nodes();
+            self.next_heartbeat_at = environment.now() + SECOND;
             return;
         }
         let token = body["baton"].as_u64().unwrap_or(0);
@@ -372,36 +375,37 @@
             return;
         }
         if token > self.token {
-            self.send_heartbeat_soon(site.now());
+            self.send_heartbeat_soon(environment.now());
         }
         self.token = token;
         self.lease_start = self.lease_start.max(sent);
         for order in body["orders"].as_array().into_iter().flatten() {
-            self.execute(site, order);
+            self.execute(environment, order);
         }
     }
 
     /// Executes commands that a controller sent directly. Returns the status of the answer. In the protocol the body
     /// of this answer is the worker's heartbeat, which the model does not build.
-    pub fn commanded(&mut self, site: &mut dyn Site, body: &[u8]) -> u16 {
+    pub fn handle_commands(&mut self, environment: &mut dyn Environment, body: &[u8]) -> u16 {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let (Some(token), Some(session)) = (body["baton"].as_u64(), body["shift"].as_u64()) else {
+        let (Some(token), Some(incarnation)) = (body["baton"].as_u64(), body["shift"].as_u64())
+        else {
             return 400;
         };
         self.sequence += 1;
-        if token < self.token || session != self.session {
+        if token < self.token || incarnation != self.incarnation {
             return 409;
         }
         if token > self.token {
             self.token = token;
         }
         for order in body["orders"].as_array().into_iter().flatten() {
-            self.execute(site, order);
+            self.execute(environment, order);
         }
         200
     }
 
-    fn execute(&mut self, site: &mut dyn Site, order: &Value) {
+    fn execute(&mut self, environment: &mut dyn Environment, order: &Value) {
         let name = order["piece"].as_str().unwrap_or("").to_string();
         let attempt = order["try_no"].as_u64().unwrap_or(0);
         let existing = self.tasks.get(&name).map(|t| (t.attempt, t.ended()));
@@ -410,7 +414,7 @@
                 if existing.is_some_and(|h| h.0 == attempt) {
                     return;
                 }
-                let Some(facts) = site.job(job_of(&name)) else {
+                let Some(facts) = environment.job(job_id_of_task(&name)) else {
                     return;
                 };
                 // A task that ended under another attempt is replaced. While a task has not ended under another
@@ -422,19 +426,19 @@
                     name: name.clone(),
                     attempt,
                     phase: Phase::Fetching,
-                    phase_ends_at: site.now() + site.fetch_time(),
+                    phase_ends_at: environment.now() + environment.fetch_time(),
                     gang: facts.gang,
                     service: facts.service,
                     broken: facts.broken,
                     peers_missing_since: None,
-                    kept: false,
+                    checkpoint_saved: false,
                 };
                 self.tasks.insert(name, task);
             }
             "halt" => {
                 let grace = order["wind_down_s"].as_f64().unwrap_or(0.0);
-                let save = site.job(job_of(&name)).map_or(0, |j| j.save);
-                let now = site.now();
+                let save = environment.job(job_id_of_task(&name)).map_or(0, |j| j.save);
+                let now = environment.now();
                 if let Some(t) = self.tasks.get_mut(&name).filter(|t| t.attempt == attempt) {
                     let saves = save > 0 && grace * SECOND as f64 >= save as f64;
                     match t.phase {
@@ -452,23 +456,27 @@
                 if existing.is_some_and(|h| h.0 == attempt && h.1) {
                     let ended = self.tasks.remove(&name);
                     if ended.is_some_and(|t| t.phase == Phase::Ended("done")) {
-                        site.forgets(&name);
+                        environment.on_task_forgotten(&name);
                     }
                 }
             }
         }
-        self.send_heartbeat_soon(site.now());
+        self.send_heartbeat_soon(environment.now());
     }
 }
 
 /// Starts, completes and fails gangs. All tasks of a gang start, complete and fail together. A running task ends
 /// after `peer_timeout` microseconds without a peer, or with a peer on a machine that hangs.
-pub fn step_gangs(workers: &mut BTreeMap<String, Worker>, peer_timeout: u64, site: &mut dyn Site) {
-    let now = site.now();
+pub fn step_gangs(
+    workers: &mut BTreeMap<String, Worker>,
+    peer_timeout: u64,
+    environment: &mut dyn Environment,
+) {
+    let now = environment.now();
     let mut gangs: BTreeMap<(String, u64), Vec<(String, String)>> = BTreeMap::new();
     for w in workers.values().filter(|w| !w.dead) {
         for t in w.tasks.values().filter(|t| t.gang && !t.ended()) {
-            let job = job_of(&t.name).to_string();
+            let job = job_id_of_task(&t.name).to_string();
             gangs
                 .entry((job, t.attempt))
                 .or_default()
@@ -476,7 +484,7 @@
         }
     }
     for ((job, _), members) in gangs {
-        let Some(facts) = site.job(&job) else {
+        let Some(facts) = environment.job(&job) else {
             continue;
         };
         let is_complete = members.len() == facts.tasks as usize;
@@ -489,11 +497,11 @@
         let ready = members
             .iter()
             .all(|m| phase(m).is_some_and(|p| p.0 == Phase::Waiting));
-        let run = site.run_time(&facts);
+        let run = environment.run_time(&facts);
         // A hung machine blocks its whole gang, and the gang's other tasks end after `peer_timeout`.
         let all_responsive = members
             .iter()
-            .all(|(w, _)| workers.get(w).is_some_and(|w| !w.hung(now)));
+            .all(|(w, _)| workers.get(w).is_some_and(|w| !w.is_unresponsive(now)));
         let has_run = |m| phase(m).is_some_and(|p| p.0 == Phase::Running && now >= p.1);
         let finished = is_complete && all_responsive && members.iter().all(has_run);
         for (w, t) in members {
@@ -509,7 +517,7 @@
                 task.phase_ends_at = now + run;
             } else if finished {
                 task.end("done");
-                site.done(&t);
+                environment.on_task_done(&t);
             } else if (!is_complete || !all_responsive) && task.phase == Phase::Running {
                 let since = *task.peers_missing_since.get_or_insert(now);
                 if now > since + peer_timeout {
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use gannethub::emulators::{EmulatorRequest, serve};
-use gannethub_emulators::{Cloud, JobFacts, Site, Worker};
+use gannethub_emulators::{Cloud, Environment, JobFacts, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -56,14 +56,14 @@
     worker_port: u16,
 }
 
-impl Site for CloudSite {
+impl Environment for CloudSite {
     fn now(&self) -> u64 {
         self.now
     }
-    fn draw(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to.max(from + 1))
     }
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
     fn nodes(&self) -> usize {
@@ -82,7 +82,7 @@
         worker_address(worker, self.worker_port).to_string()
     }
     fn send(&mut self, _: &str, _: usize, _: String) {}
-    fn named(&self, _: &str) -> Option<usize> {
+    fn node_by_name(&self, _: &str) -> Option<usize> {
         None
     }
 }
--- a/crates/gannethub-scale/src/gangs.rs
+++ b/crates/gannethub-scale/src/gangs.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use gannethub_emulators::worker::job_of;
+use gannethub_emulators::worker::job_id_of_task;
 
 use crate::messages::{Happened, TaskEvent};
 
@@ -47,7 +47,7 @@
         run_time: u64,
         notice_time: u64,
     ) -> Option<GangStep> {
-        let job = job_of(&event.task).to_string();
+        let job = job_id_of_task(&event.task).to_string();
         let key = (job, event.attempt);
         let gang = self.gangs.entry(key.clone()).or_default();
         match event.what {
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -12,8 +12,8 @@
 use clap::Args;
 use gannethub::emulators::{EmulatorRequest, serve};
 use gannethub::http::{Answer, CallResult, Client, Method};
-use gannethub_emulators::worker::{Phase, Task, job_of};
-use gannethub_emulators::{JobFacts, Site, Worker};
+use gannethub_emulators::worker::{Phase, Task, job_id_of_task};
+use gannethub_emulators::{Environment, JobFacts, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -120,14 +120,14 @@
     counts: ReportCounts,
 }
 
-impl Site for WorkerSite {
+impl Environment for WorkerSite {
     fn now(&self) -> u64 {
         self.now
     }
-    fn draw(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
     fn nodes(&self) -> usize {
@@ -136,7 +136,7 @@
     fn lease(&self) -> u64 {
         self.args.lease_us
     }
-    fn report_every(&self) -> u64 {
+    fn heartbeat_interval(&self) -> u64 {
         self.args.report_us
     }
     fn fetch_time(&self) -> u64 {
@@ -187,7 +187,7 @@
                 .await;
         });
     }
-    fn named(&self, name: &str) -> Option<usize> {
+    fn node_by_name(&self, name: &str) -> Option<usize> {
         name.strip_prefix('n')?.parse().ok()
     }
 }
@@ -457,7 +457,7 @@
         // If no answer came, the worker notices by its own clock.
         if let Ok(Answer { status, body }) = answer {
             self.update_worker(host, |worker, site| {
-                worker.answered(site, node, sent, status, &body)
+                worker.handle_answer(site, node, sent, status, &body)
             });
         }
     }
@@ -466,7 +466,7 @@
         self.site.counts.direct += 1;
         self.site.counts.direct_bytes += (request.body.len() + HEADER_BYTES) as u64;
         let body = request.body.clone();
-        let status = self.update_worker(host, |worker, site| worker.commanded(site, &body));
+        let status = self.update_worker(host, |worker, site| worker.handle_commands(site, &body));
         request.answer(status.unwrap_or(503), json!({}));
     }
 
@@ -503,7 +503,7 @@
     }
 
     fn start_process(&mut self, host: &str, task: &str, attempt: u64) {
-        let job = job_of(task);
+        let job = job_id_of_task(task);
         let facts = self.site.jobs.get(job).cloned().unwrap_or_default();
         // The driver ends a gang's tasks when the gang is over.
         let run = if facts.gang {
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use gannethub_emulators::worker::job_of;
+use gannethub_emulators::worker::job_id_of_task;
 use serde::Serialize;
 
 use crate::messages::{Happened, TaskEvent};
@@ -182,7 +182,7 @@
         let mut first: HashMap<&str, u64> = HashMap::new();
         for (task, placements) in &self.placements {
             let began = placements.iter().map(|s| s.began).min().unwrap_or(u64::MAX);
-            let entry = first.entry(job_of(task)).or_insert(u64::MAX);
+            let entry = first.entry(job_id_of_task(task)).or_insert(u64::MAX);
             *entry = (*entry).min(began);
         }
         let urgent = |j: &&JobRecord| j.urgent && (from..to).contains(&j.sent_at);
@@ -201,7 +201,7 @@
                 .map(|s| s.ended.unwrap_or(until))
                 .max()
                 .unwrap_or(0);
-            let entry = last.entry(job_of(task)).or_default();
+            let entry = last.entry(job_id_of_task(task)).or_default();
             *entry = (*entry).max(ended);
         }
         let time_until_gone = |(id, j): (&String, &JobRecord)| {
@@ -251,9 +251,9 @@
                 .filter_map(|s| s.ended)
                 .min()
             {
-                done.entry(job_of(task)).or_default().push(at);
+                done.entry(job_id_of_task(task)).or_default().push(at);
             }
-            let Some(job) = self.jobs.get(job_of(task)) else {
+            let Some(job) = self.jobs.get(job_id_of_task(task)) else {
                 continue;
             };
             let Some(told_at) = job.told_cancelled.filter(|t| *t <= until) else {
@@ -290,7 +290,7 @@
     fn check_quota(&mut self, until: u64) {
         let mut changes: BTreeMap<(u64, bool), Vec<UsageChange<'_>>> = BTreeMap::new();
         for (task, placements) in &self.placements {
-            let Some(job) = self.jobs.get(job_of(task)) else {
+            let Some(job) = self.jobs.get(job_id_of_task(task)) else {
                 continue;
             };
             for placement in placements {
@@ -333,7 +333,7 @@
                 let Some(host) = self.hosts.get(&placement.host) else {
                     continue;
                 };
-                let Some(job) = self.jobs.get(job_of(task)) else {
+                let Some(job) = self.jobs.get(job_id_of_task(task)) else {
                     continue;
                 };
                 if host.spot && !job.spot_allowed {
@@ -345,7 +345,7 @@
                 }
                 if job.is_gang {
                     by_job
-                        .entry(job_of(task))
+                        .entry(job_id_of_task(task))
                         .or_default()
                         .push((placement, host));
                 }
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -12,7 +12,7 @@
 
 use gannethub::files::FileError;
 use gannethub::http::{Client, Method, decode_ok};
-use gannethub_emulators::worker::job_of;
+use gannethub_emulators::worker::job_id_of_task;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -315,7 +315,7 @@
     /// Passes an event of a gang's task to [`Gangs`]: a start may complete the gang, and an end may leave the gang
     /// incomplete.
     fn on_gang_event(&mut self, event: &TaskEvent) {
-        let job = job_of(&event.task);
+        let job = job_id_of_task(&event.task);
         if let Some((tasks, run)) = self.gang_info.get(job).copied() {
             let notices = (self.load.workers.gang_peer_s * 1e6) as u64;
             if let Some(step) = self.gangs.event(event, tasks, run, notices) {
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -89,10 +89,10 @@
     read_from_driver(queue, Command::Driver);
     let mut state = State::new(args.value_bytes, args.txn_ops);
     state.page = PAGE_ITEMS;
-    state.rate = Some(args.write_rps);
+    state.change_rate = Some(args.write_rps);
     state.request_rate = Some(args.rps);
     // The published protocol keeps this many changes.
-    state.keeps = Some(10_000);
+    state.kept_changes = Some(10_000);
     let mut emulator = StateEmulator {
         service: StateService::new(state),
         refused_node: None,
@@ -159,7 +159,7 @@
         let leader = state.value(LEADER_KEY).and_then(|v| v["holder"].as_str());
         let counts = StateCounts {
             changes: (state.change_count() - self.last_changes) as u64,
-            refused: (state.too_many - self.last_refused) as u64,
+            refused: (state.rate_limited - self.last_refused) as u64,
             too_large: (state.too_large - self.last_too_large) as u64,
             keys: keys as u64,
             bytes: bytes as u64,
@@ -167,7 +167,7 @@
             ..std::mem::take(&mut *self.counts.borrow_mut())
         };
         self.last_changes = state.change_count();
-        self.last_refused = state.too_many;
+        self.last_refused = state.rate_limited;
         self.last_too_large = state.too_large;
         send_to_driver(&counts);
     }
--- a/src/dev/audit.rs
+++ b/src/dev/audit.rs
@@ -102,10 +102,10 @@
             return Err(format!("{key:?} has not ended in the worker's record"));
         };
         // A gang's task that is replaced on its machine keeps its attempt number, and each of its runs is an entry.
-        if entries.len() != span.stints {
+        if entries.len() != span.runs {
             return Err(format!(
                 "{key:?} ran {} times and is charged {} times: {entries:?}",
-                span.stints,
+                span.runs,
                 entries.len()
             ));
         }
--- a/src/dev/region.rs
+++ b/src/dev/region.rs
@@ -10,7 +10,7 @@
 use gannethub_core::wire::store::LiveRecord;
 use gannethub_emulators::record::SpanKey;
 use gannethub_emulators::worker::{JobFacts, step_gangs};
-use gannethub_emulators::{Cloud, Record, Site, Span, State, Worker};
+use gannethub_emulators::{Cloud, Environment, Record, Span, State, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -208,7 +208,7 @@
         self.cloud = cloud;
         for mut worker in returned {
             worker.tasks.clear();
-            self.record.note(&worker, self.now);
+            self.record.update(&worker, self.now);
         }
         request.answer(status, body);
     }
@@ -219,7 +219,7 @@
         let commands: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
         let task = commands["orders"][0]["piece"].as_str().unwrap_or("");
         let is_recipient =
-            |worker: &&Worker| !worker.hung(self.now) && worker.tasks.contains_key(task);
+            |worker: &&Worker| !worker.is_unresponsive(self.now) && worker.tasks.contains_key(task);
         let name = self
             .workers
             .values()
@@ -228,8 +228,8 @@
         let status = name
             .and_then(|name| {
                 self.with_worker(&name, |worker, region| {
-                    let status = worker.commanded(region, &request.body);
-                    region.record.note(worker, region.now);
+                    let status = worker.handle_commands(region, &request.body);
+                    region.record.update(worker, region.now);
                     status
                 })
             })
@@ -249,9 +249,9 @@
             return;
         };
         self.with_worker(worker, |worker, region| {
-            if !worker.hung(region.now) {
-                worker.answered(region, node, sent_at, answer.status, &answer.body);
-                region.record.note(worker, region.now);
+            if !worker.is_unresponsive(region.now) {
+                worker.handle_answer(region, node, sent_at, answer.status, &answer.body);
+                region.record.update(worker, region.now);
             }
         });
     }
@@ -275,7 +275,7 @@
         if let Some(worker) = busy {
             worker.dead = true;
             worker.tasks.clear();
-            self.record.note(worker, self.now);
+            self.record.update(worker, self.now);
         }
     }
 
@@ -293,7 +293,7 @@
         for name in names {
             self.with_worker(&name, |worker, region| {
                 worker.step(region);
-                region.record.note(worker, region.now);
+                region.record.update(worker, region.now);
             });
         }
         let mut workers = std::mem::take(&mut self.workers);
@@ -302,16 +302,16 @@
     }
 }
 
-impl Site for Region {
+impl Environment for Region {
     fn now(&self) -> u64 {
         self.now
     }
 
-    fn draw(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
 
@@ -337,7 +337,7 @@
         self.done_tasks.contains(task)
     }
 
-    fn done(&mut self, task: &str) {
+    fn on_task_done(&mut self, task: &str) {
         self.done_tasks.insert(task.into());
     }
 
@@ -367,7 +367,7 @@
         self.workers_addr.clone()
     }
 
-    fn named(&self, name: &str) -> Option<usize> {
+    fn node_by_name(&self, name: &str) -> Option<usize> {
         (0..self.controllers.len()).find(|index| name == format!("n{index}"))
     }
 }
--- a/src/emulators.rs
+++ b/src/emulators.rs
@@ -153,7 +153,9 @@
         for watch in std::mem::take(&mut self.watches) {
             match self.state.changes(&watch.prefix, watch.after) {
                 Some(changes) => watch.request.answer(200, changes),
-                None if watch.until <= now => watch.request.answer(200, self.state.quiet()),
+                None if watch.until <= now => {
+                    watch.request.answer(200, self.state.no_changes_answer())
+                }
                 None => self.watches.push(watch),
             }
         }
