--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -15,8 +15,8 @@
 use tokio::task::spawn_local;
 
 use crate::host_role::worker_address;
-use crate::messages::{FromCloud, KindCount, Rented, ToCloud};
-use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
+use crate::messages::{FromCloud, KindCount, ProvisionedMachine, ToCloud};
+use crate::role::{COMMAND_QUEUE_LENGTH, RunClock, read_from_driver, send_to_driver};
 
 #[derive(Args)]
 pub struct CloudArgs {
@@ -96,7 +96,7 @@
 
 pub async fn run(args: CloudArgs) -> std::io::Result<()> {
     let clock = RunClock(args.epoch);
-    let (queue, mut commands) = mpsc::channel(QUEUE);
+    let (queue, mut commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     let listener = TcpListener::bind(("127.0.0.1", args.port)).await?;
     spawn_local(serve(
         listener,
@@ -230,7 +230,7 @@
             let Some(machine) = self.machines.get(host).filter(is_new) else {
                 continue;
             };
-            let rented = Rented {
+            let provisioned = ProvisionedMachine {
                 host: host.into(),
                 flavor: machine.flavor.clone(),
                 zone: machine.zone.clone(),
@@ -238,7 +238,7 @@
                 boot: machine.boot_ends_at - machine.provisioned_at,
                 node: self.site.rng.random_range(0..self.site.controllers),
             };
-            send_to_driver(&FromCloud::Rented(rented));
+            send_to_driver(&FromCloud::Rented(provisioned));
         }
     }
 
--- a/crates/gannethub-scale/src/gangs.rs
+++ b/crates/gannethub-scale/src/gangs.rs
@@ -5,14 +5,14 @@
 
 use gannethub_emulators::worker::job_id_of_task;
 
-use crate::messages::{Happened, TaskEvent};
+use crate::messages::{TaskEvent, TaskEventKind};
 
 /// Job and attempt number of a gang.
 pub type GangKey = (String, u64);
 
 /// A change of a gang that has to be sent to all processes with workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum GangStep {
+pub enum GangChange {
     Starts(GangKey),
     /// The gang ends. The flag tells whether the gang has completed.
     Ends(GangKey, bool),
@@ -40,18 +40,18 @@
     /// Handles an event of a task whose gang has `tasks` tasks. `run_time` is the time that the gang runs once all of
     /// its tasks are on machines. `notice_time` is the time that the tasks take to notice that one of them is gone.
     /// Both are in microseconds.
-    pub fn event(
+    pub fn on_event(
         &mut self,
         event: &TaskEvent,
         tasks: u32,
         run_time: u64,
         notice_time: u64,
-    ) -> Option<GangStep> {
+    ) -> Option<GangChange> {
         let job = job_id_of_task(&event.task).to_string();
         let key = (job, event.attempt);
         let gang = self.gangs.entry(key.clone()).or_default();
         match event.what {
-            Happened::Started => {
+            TaskEventKind::Started => {
                 gang.present.insert(event.task.clone());
                 if gang.running || gang.present.len() < tasks as usize {
                     return None;
@@ -60,12 +60,12 @@
                 gang.end = Some((event.at + run_time, true));
                 self.ends_by_time
                     .insert((event.at + run_time, key.clone()), true);
-                return Some(GangStep::Starts(key));
+                return Some(GangChange::Starts(key));
             }
-            Happened::Done => {
+            TaskEventKind::Done => {
                 gang.present.remove(&event.task);
             }
-            Happened::Gone => {
+            TaskEventKind::Gone => {
                 gang.present.remove(&event.task);
                 if let Some((at, true)) = gang.end {
                     let earlier = (event.at + notice_time).min(at);
@@ -84,8 +84,8 @@
         None
     }
 
-    /// Returns the gangs that end by `now`, each as [`GangStep::Ends`], and removes their end times.
-    pub fn over(&mut self, now: u64) -> Vec<GangStep> {
+    /// Returns the gangs that end by `now`, each as [`GangChange::Ends`], and removes their end times.
+    pub fn due_ends(&mut self, now: u64) -> Vec<GangChange> {
         let mut due = Vec::new();
         while let Some(entry) = self.ends_by_time.first_entry() {
             if entry.key().0 > now {
@@ -95,7 +95,7 @@
             if let Some(gang) = self.gangs.get_mut(&key) {
                 gang.end = None;
             }
-            due.push(GangStep::Ends(key, done));
+            due.push(GangChange::Ends(key, done));
         }
         due
     }
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -24,9 +24,9 @@
 use tokio::time::timeout;
 
 use crate::messages::{
-    FromHosts, Happened, JobDescription, Rented, ReportCounts, TaskEvent, ToHosts,
+    FromHosts, JobDescription, ProvisionedMachine, ReportCounts, TaskEvent, TaskEventKind, ToHosts,
 };
-use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
+use crate::role::{COMMAND_QUEUE_LENGTH, RunClock, read_from_driver, send_to_driver};
 
 /// Maximum interval between steps of the workers.
 const TICK: Duration = Duration::from_millis(20);
@@ -210,7 +210,7 @@
 
 pub async fn run(args: HostsArgs) -> std::io::Result<()> {
     let clock = RunClock(args.epoch);
-    let (queue, mut commands) = mpsc::channel(QUEUE);
+    let (queue, mut commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     read_from_driver(queue.clone(), Command::Driver);
     let site = WorkerSite {
         now: 0,
@@ -266,7 +266,7 @@
     fn handle_message(&mut self, message: ToHosts) {
         match message {
             ToHosts::Describe(job) => self.add_job(&job),
-            ToHosts::Boot(rented) => self.boot(&rented),
+            ToHosts::Boot(provisioned) => self.boot(&provisioned),
             ToHosts::Delete(hosts) => hosts.iter().for_each(|host| self.remove_machine(host)),
             ToHosts::GangStarts { job, attempt } => {
                 self.move_gang_tasks(&job, attempt, Phase::Waiting, Phase::Running);
@@ -304,13 +304,20 @@
         self.site.jobs.insert(job.id.clone(), facts);
     }
 
-    fn boot(&mut self, rented: &Rented) {
-        let rental = json!({"rig": rented.flavor, "yard": rented.zone, "loaners": rented.spot});
+    fn boot(&mut self, provisioned: &ProvisionedMachine) {
+        let rental = json!({"rig": provisioned.flavor, "yard": provisioned.zone, "loaners": provisioned.spot});
         let (now, lease) = (self.site.now, self.site.args.lease_us);
-        let worker = Worker::new(&rented.host, &rental, now, rented.boot, rented.node, lease);
+        let worker = Worker::new(
+            &provisioned.host,
+            &rental,
+            now,
+            provisioned.boot,
+            provisioned.node,
+            lease,
+        );
         let listener = spawn_local(take_commands(
-            rented.host.clone(),
-            worker_address(&rented.host, self.site.args.worker_port),
+            provisioned.host.clone(),
+            worker_address(&provisioned.host, self.site.args.worker_port),
             self.site.queue.clone(),
         ));
         let hosted = HostedWorker {
@@ -322,7 +329,7 @@
             last_heartbeat_at: None,
             listener: Some(listener),
         };
-        self.workers.insert(rented.host.clone(), hosted);
+        self.workers.insert(provisioned.host.clone(), hosted);
     }
 
     /// Removes a machine, its worker and all of its tasks.
@@ -393,7 +400,11 @@
                     .get(task)
                     .filter(|t| t.attempt == *attempt);
                 let done = existing.is_some_and(|t| t.phase == Phase::Ended("done"));
-                let what = if done { Happened::Done } else { Happened::Gone };
+                let what = if done {
+                    TaskEventKind::Done
+                } else {
+                    TaskEventKind::Gone
+                };
                 self.site.counts.ends += 1;
                 self.add_event(host, task, *attempt, what);
                 self.processes.remove(&(host.to_string(), task.clone()));
@@ -407,14 +418,14 @@
             .collect();
         for (task, attempt) in started {
             self.site.counts.starts += 1;
-            self.add_event(host, &task, attempt, Happened::Started);
+            self.add_event(host, &task, attempt, TaskEventKind::Started);
             if self.site.args.real {
                 self.start_process(host, &task, attempt);
             }
         }
     }
 
-    fn add_event(&mut self, host: &str, task: &str, attempt: u64, what: Happened) {
+    fn add_event(&mut self, host: &str, task: &str, attempt: u64, what: TaskEventKind) {
         let (host, task) = (host.to_string(), task.to_string());
         self.events.push(TaskEvent {
             at: self.site.now,
@@ -498,7 +509,7 @@
     fn pretend_start(&mut self, task: &str, attempt: u64, not_on: &str) {
         let other = self.workers.keys().find(|host| *host != not_on).cloned();
         if let Some(host) = other {
-            self.add_event(&host, task, attempt, Happened::Started);
+            self.add_event(&host, task, attempt, TaskEventKind::Started);
         }
     }
 
--- a/crates/gannethub-scale/src/messages.rs
+++ b/crates/gannethub-scale/src/messages.rs
@@ -20,7 +20,7 @@
 
 /// A machine that was provisioned.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Rented {
+pub struct ProvisionedMachine {
     pub host: String,
     pub flavor: String,
     pub zone: String,
@@ -36,7 +36,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum ToHosts {
     Describe(JobDescription),
-    Boot(Rented),
+    Boot(ProvisionedMachine),
     Delete(Vec<String>),
     /// All tasks of a gang are on their machines, and start to run.
     GangStarts {
@@ -64,7 +64,7 @@
 /// The kind of a task event on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Happened {
+pub enum TaskEventKind {
     /// The task has its image and is on the machine.
     Started,
     Done,
@@ -79,7 +79,7 @@
     pub host: String,
     pub task: String,
     pub attempt: u64,
-    pub what: Happened,
+    pub what: TaskEventKind,
 }
 
 /// Counts of workers' heartbeats and of task events since the last measurement.
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromCloud {
-    Rented(Rented),
+    Rented(ProvisionedMachine),
     Deleted(Vec<String>),
     Counts(BTreeMap<String, KindCount>),
 }
--- a/crates/gannethub-scale/src/process.rs
+++ b/crates/gannethub-scale/src/process.rs
@@ -11,12 +11,12 @@
 use tokio::task::spawn_local;
 
 /// A child process that receives and sends messages as lines on its standard input and output.
-pub struct Talker {
+pub struct ChildProcess {
     child: Child,
     lines: mpsc::UnboundedSender<Vec<u8>>,
 }
 
-impl Talker {
+impl ChildProcess {
     /// Starts a role of this program as a child process. The child's messages are wrapped by `wrap` and sent to
     /// `received`.
     pub fn start<M, C>(
@@ -24,7 +24,7 @@
         arguments: &[String],
         received: mpsc::Sender<C>,
         wrap: impl Fn(M) -> C + 'static,
-    ) -> std::io::Result<Talker>
+    ) -> std::io::Result<ChildProcess>
     where
         M: DeserializeOwned + 'static,
         C: 'static,
@@ -59,11 +59,11 @@
                 }
             }
         });
-        Ok(Talker { child, lines })
+        Ok(ChildProcess { child, lines })
     }
 
     /// Sends a message to the child. If the child has ended the message is dropped.
-    pub fn tell(&self, message: &impl Serialize) {
+    pub fn send(&self, message: &impl Serialize) {
         if let Ok(mut line) = serde_json::to_vec(message) {
             line.push(b'\n');
             let _ = self.lines.send(line);
@@ -166,7 +166,7 @@
 
 /// Returns the number of bytes sent so far from controller to controller on open connections, from the system's own
 /// socket statistics; `None` if the statistics are not available. Connections that have been closed are not counted.
-pub async fn bytes_between(ports: &[u16]) -> Option<u64> {
+pub async fn peer_bytes_sent(ports: &[u16]) -> Option<u64> {
     let output = Command::new("ss").args(["-tinH"]).output().await.ok()?;
     let text = String::from_utf8_lossy(&output.stdout);
     let mut sum = 0;
@@ -191,7 +191,7 @@
 }
 
 /// Returns the processor time that the whole machine has used, and the processor time that was available, in seconds.
-pub fn machine_busy() -> Option<(f64, f64)> {
+pub fn machine_cpu_times() -> Option<(f64, f64)> {
     use procfs::CurrentSI;
     let total = procfs::KernelStats::current().ok()?.total;
     let ticks = procfs::ticks_per_second() as f64;
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -6,7 +6,7 @@
 use gannethub_emulators::worker::job_id_of_task;
 use serde::Serialize;
 
-use crate::messages::{Happened, TaskEvent};
+use crate::messages::{TaskEvent, TaskEventKind};
 
 /// The time that an attempt of a task spent on a machine, in microseconds of the run's clock.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
     pub fn record_event(&mut self, event: &TaskEvent) {
         let placements = self.placements.entry(event.task.clone()).or_default();
         match event.what {
-            Happened::Started => {
+            TaskEventKind::Started => {
                 placements.push(Placement {
                     host: event.host.clone(),
                     attempt: event.attempt,
@@ -106,13 +106,13 @@
                     .or_default()
                     .insert(event.task.clone());
             }
-            Happened::Done | Happened::Gone => {
+            TaskEventKind::Done | TaskEventKind::Gone => {
                 let same = |s: &&mut Placement| {
                     s.host == event.host && s.attempt == event.attempt && s.ended.is_none()
                 };
                 if let Some(placement) = placements.iter_mut().rev().find(same) {
                     placement.ended = Some(event.at);
-                    placement.done = event.what == Happened::Done;
+                    placement.done = event.what == TaskEventKind::Done;
                 }
                 if let Some(tasks) = self.tasks_by_host.get_mut(&event.host) {
                     tasks.remove(&event.task);
@@ -135,7 +135,7 @@
                     host,
                     task,
                     attempt,
-                    what: Happened::Gone,
+                    what: TaskEventKind::Gone,
                 });
             }
         }
--- a/crates/gannethub-scale/src/role.rs
+++ b/crates/gannethub-scale/src/role.rs
@@ -12,7 +12,7 @@
 use crate::messages::Epoch;
 
 /// Maximum number of commands that wait in a process's queue.
-pub const QUEUE: usize = 8192;
+pub const COMMAND_QUEUE_LENGTH: usize = 8192;
 
 /// The run's clock. It is the same in all processes of the run, because they are on one machine.
 #[derive(Clone, Copy)]
--- a/crates/gannethub-scale/src/run/faults.rs
+++ b/crates/gannethub-scale/src/run/faults.rs
@@ -27,7 +27,7 @@
                 self.kill_controllers((0..half).collect()).await
             }
             FaultKind::Outage => {
-                self.state.tell(&ToState::Outage(true));
+                self.state.send(&ToState::Outage(true));
                 self.scheduled
                     .entry(ends_at)
                     .or_default()
@@ -37,7 +37,7 @@
             FaultKind::RefuseLeader => {
                 let leader = self.leader().await;
                 let node = leader.as_deref().and_then(controller_index);
-                self.state.tell(&ToState::Refuse(node));
+                self.state.send(&ToState::Refuse(node));
                 self.scheduled
                     .entry(ends_at)
                     .or_default()
@@ -61,7 +61,7 @@
         else {
             return "no rack is left".into();
         };
-        rack.talker.kill().await;
+        rack.child_process.kill().await;
         rack.ended = true;
         let (at, hosts) = (self.clock.now(), std::mem::take(&mut rack.hosts));
         for host in &hosts {
@@ -70,7 +70,7 @@
         }
         let count = hosts.len();
         self.cloud
-            .tell(&ToCloud::Failed(hosts.into_iter().collect()));
+            .send(&ToCloud::Failed(hosts.into_iter().collect()));
         format!("a process with {count} hollow workers is killed")
     }
 
--- a/crates/gannethub-scale/src/run/measuring.rs
+++ b/crates/gannethub-scale/src/run/measurement.rs
@@ -87,8 +87,8 @@
             usage: all_pids
                 .filter_map(|pid| Some((*pid, Usage::of(*pid)?)))
                 .collect(),
-            machine_cpu: machine_busy(),
-            peer_bytes: bytes_between(&self.ports.cluster).await,
+            machine_cpu: machine_cpu_times(),
+            peer_bytes: peer_bytes_sent(&self.ports.cluster).await,
         }
     }
 
@@ -108,7 +108,7 @@
                 } else {
                     "hollow workers"
                 },
-                process.talker.pid(),
+                process.child_process.pid(),
             );
         }
         for (node, process) in self.controllers.iter().enumerate() {
@@ -150,8 +150,8 @@
         messages: &mut mpsc::Receiver<DriverMessage>,
     ) -> Result<(), RunError> {
         self.measured = MeasuredCounts::default();
-        self.state.tell(&ToState::Measure);
-        self.cloud.tell(&ToCloud::Measure);
+        self.state.send(&ToState::Measure);
+        self.cloud.send(&ToCloud::Measure);
         self.tell_hosts(&ToHosts::Measure);
         let expected = self.hosts.iter().filter(|h| !h.ended).count();
         let all_reported = async {
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -1,7 +1,7 @@
 //! The driver of a run. The driver starts all processes, submits the load, injects the faults, and measures.
 
 mod faults;
-mod measuring;
+mod measurement;
 mod start;
 
 use std::cell::RefCell;
@@ -22,17 +22,17 @@
 
 use crate::changes::Operators;
 use crate::deployment::{Ports, flavors, team_cpus, write_settings};
-use crate::gangs::{GangStep, Gangs};
+use crate::gangs::{GangChange, Gangs};
 use crate::load::{Fault, FaultKind, Job, Load, LoadError, Shape, zone_name};
 use crate::messages::{
-    FromCloud, FromHosts, JobDescription, KindCount, Rented, ReportCounts, StateCounts, TaskEvent,
-    ToCloud, ToHosts, ToState,
+    FromCloud, FromHosts, JobDescription, KindCount, ProvisionedMachine, ReportCounts, StateCounts,
+    TaskEvent, ToCloud, ToHosts, ToState,
 };
 use crate::options::{HOLLOW_PER_PROCESS, RunOptions, SizeError};
-use crate::process::{ControllerProcess, Talker, Usage, bytes_between, machine_busy};
+use crate::process::{ChildProcess, ControllerProcess, Usage, machine_cpu_times, peer_bytes_sent};
 use crate::record::{HostInfo, LimitEntry, Record};
 use crate::report::{Agreement, AskedSizes, ReachedSizes, Report, Times, role_usage};
-use crate::role::{QUEUE, RunClock, run_local};
+use crate::role::{COMMAND_QUEUE_LENGTH, RunClock, run_local};
 use crate::state_role;
 use crate::users::Users;
 
@@ -88,8 +88,8 @@
     dir: PathBuf,
     rng: StdRng,
     controllers: Vec<ControllerProcess>,
-    state: Talker,
-    cloud: Talker,
+    state: ChildProcess,
+    cloud: ChildProcess,
     hosts: Vec<HostProcess>,
     record: Rc<RefCell<Record>>,
     users: Rc<Users>,
@@ -130,7 +130,7 @@
 async fn drive(options: RunOptions, load: Load) -> Result<Report, RunError> {
     let dir = std::env::temp_dir().join(format!("gannethub-scale-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
-    let (queue, mut messages) = mpsc::channel(QUEUE);
+    let (queue, mut messages) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     let mut driver = Driver::start(options, load, dir.clone(), queue).await?;
     let result = driver.run_load(&mut messages).await;
     driver.kill_processes().await;
@@ -286,7 +286,7 @@
             }
             DriverMessage::Hosts(process, FromHosts::Ended(hosts)) => {
                 self.hosts[process].hosts.retain(|h| !hosts.contains(h));
-                self.cloud.tell(&ToCloud::Failed(hosts));
+                self.cloud.send(&ToCloud::Failed(hosts));
             }
             DriverMessage::Hosts(process, FromHosts::Counts(counts)) => {
                 let measured = &mut self.measured;
@@ -302,7 +302,7 @@
             }
             DriverMessage::State(counts) => self.measured.state = Some(counts),
             DriverMessage::Cloud(FromCloud::Counts(counts)) => self.measured.cloud = Some(counts),
-            DriverMessage::Cloud(FromCloud::Rented(rented)) => self.on_rented(rented),
+            DriverMessage::Cloud(FromCloud::Rented(provisioned)) => self.on_rented(provisioned),
             DriverMessage::Cloud(FromCloud::Deleted(hosts)) => self.on_deleted(&hosts),
         }
     }
@@ -318,16 +318,16 @@
         let job = job_id_of_task(&event.task);
         if let Some((tasks, run)) = self.gang_info.get(job).copied() {
             let notices = (self.load.workers.gang_peer_s * 1e6) as u64;
-            if let Some(step) = self.gangs.event(event, tasks, run, notices) {
-                self.send_gang_step(step);
+            if let Some(change) = self.gangs.on_event(event, tasks, run, notices) {
+                self.send_gang_step(change);
             }
         }
     }
 
-    fn send_gang_step(&self, step: GangStep) {
-        self.tell_hosts(&match step {
-            GangStep::Starts((job, attempt)) => ToHosts::GangStarts { job, attempt },
-            GangStep::Ends((job, attempt), done) => ToHosts::GangEnds { job, attempt, done },
+    fn send_gang_step(&self, change: GangChange) {
+        self.tell_hosts(&match change {
+            GangChange::Starts((job, attempt)) => ToHosts::GangStarts { job, attempt },
+            GangChange::Ends((job, attempt), done) => ToHosts::GangEnds { job, attempt, done },
         });
     }
 
@@ -335,21 +335,21 @@
         self.hosts
             .iter()
             .filter(|h| !h.ended)
-            .for_each(|h| h.talker.tell(message));
+            .for_each(|h| h.child_process.send(message));
     }
 
     /// Records a provisioned machine and assigns its worker to the emptiest process with free capacity. Processes of
     /// real workers are filled first, then the rack, then the other hollow processes.
-    fn on_rented(&mut self, rented: Rented) {
+    fn on_rented(&mut self, provisioned: ProvisionedMachine) {
         let info = HostInfo {
-            flavor: rented.flavor.clone(),
-            zone: rented.zone.clone(),
-            spot: rented.spot,
+            flavor: provisioned.flavor.clone(),
+            zone: provisioned.zone.clone(),
+            spot: provisioned.spot,
         };
         self.record
             .borrow_mut()
             .hosts
-            .insert(rented.host.clone(), info);
+            .insert(provisioned.host.clone(), info);
         let free = |p: &&mut HostProcess| !p.ended && p.hosts.len() < p.capacity;
         let process = self.hosts.iter_mut().filter(free).min_by_key(|p| {
             let order = match p.kind {
@@ -361,11 +361,11 @@
         });
         match process {
             Some(process) => {
-                process.hosts.insert(rented.host.clone());
-                process.talker.tell(&ToHosts::Boot(rented));
+                process.hosts.insert(provisioned.host.clone());
+                process.child_process.send(&ToHosts::Boot(provisioned));
             }
             // The process that had room for the machine has ended, so the machine never boots.
-            None => self.cloud.tell(&ToCloud::Failed(vec![rented.host])),
+            None => self.cloud.send(&ToCloud::Failed(vec![provisioned.host])),
         }
     }
 
@@ -377,7 +377,7 @@
                 .cloned()
                 .collect();
             if !own.is_empty() {
-                process.talker.tell(&ToHosts::Delete(own));
+                process.child_process.send(&ToHosts::Delete(own));
             }
         }
     }
@@ -385,8 +385,8 @@
     // ---- Load and scheduled actions ----
 
     fn tick(&mut self, now: u64) -> Result<(), RunError> {
-        for step in self.gangs.over(now) {
-            self.send_gang_step(step);
+        for change in self.gangs.due_ends(now) {
+            self.send_gang_step(change);
         }
         self.submit_due(now);
         while let Some(entry) = self.scheduled.first_entry().filter(|e| *e.key() <= now) {
@@ -395,8 +395,8 @@
                     ScheduledAction::StartController(node) => {
                         self.controllers[node] = self.start_controller(node)?;
                     }
-                    ScheduledAction::EndOutage => self.state.tell(&ToState::Outage(false)),
-                    ScheduledAction::EndRefusal => self.state.tell(&ToState::Refuse(None)),
+                    ScheduledAction::EndOutage => self.state.send(&ToState::Outage(false)),
+                    ScheduledAction::EndRefusal => self.state.send(&ToState::Refuse(None)),
                 }
             }
         }
@@ -470,7 +470,7 @@
         self.faults.push(format!(
             "on purpose: {task} said to be started beside {not_on}"
         ));
-        process.talker.tell(&ToHosts::Pretend {
+        process.child_process.send(&ToHosts::Pretend {
             task,
             attempt,
             not_on,
@@ -483,7 +483,7 @@
             process.kill().await;
         }
         for process in &mut self.hosts {
-            process.talker.kill().await;
+            process.child_process.kill().await;
         }
         self.cloud.kill().await;
         self.state.kill().await;
--- a/crates/gannethub-scale/src/run/start.rs
+++ b/crates/gannethub-scale/src/run/start.rs
@@ -12,7 +12,7 @@
 /// Child process with workers.
 pub(super) struct HostProcess {
     pub(super) kind: HostKind,
-    pub(super) talker: Talker,
+    pub(super) child_process: ChildProcess,
     /// Maximum number of workers in the process.
     pub(super) capacity: usize,
     pub(super) hosts: BTreeSet<String>,
@@ -25,7 +25,7 @@
     ports: &Ports,
     clock: RunClock,
     queue: mpsc::Sender<DriverMessage>,
-) -> std::io::Result<Talker> {
+) -> std::io::Result<ChildProcess> {
     let limits = &load.state;
     let arguments = arguments([
         ("epoch", clock.0.to_string()),
@@ -40,7 +40,7 @@
         ("txn-ops", limits.txn_ops.to_string()),
         ("lag-ms", limits.lag_ms.to_string()),
     ]);
-    Talker::start("state", &arguments, queue, DriverMessage::State)
+    ChildProcess::start("state", &arguments, queue, DriverMessage::State)
 }
 
 pub(super) fn start_cloud(
@@ -49,7 +49,7 @@
     ports: &Ports,
     clock: RunClock,
     queue: mpsc::Sender<DriverMessage>,
-) -> std::io::Result<Talker> {
+) -> std::io::Result<ChildProcess> {
     let [boot_min, boot_max] = load.machine.boot_s.map(|s| (s * 1e6) as u64);
     let arguments = arguments([
         ("epoch", clock.0.to_string()),
@@ -66,7 +66,7 @@
         ),
         ("seed", options.seed.to_string()),
     ]);
-    Talker::start("cloud", &arguments, queue, DriverMessage::Cloud)
+    ChildProcess::start("cloud", &arguments, queue, DriverMessage::Cloud)
 }
 
 pub(super) fn start_hosts(
@@ -100,10 +100,10 @@
             arguments.push("--real".into());
         }
         let wrap = move |message| DriverMessage::Hosts(index, message);
-        let talker = Talker::start("hosts", &arguments, queue.clone(), wrap)?;
+        let child_process = ChildProcess::start("hosts", &arguments, queue.clone(), wrap)?;
         processes.push(HostProcess {
             kind,
-            talker,
+            child_process,
             capacity,
             hosts: BTreeSet::new(),
             ended: false,
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 use crate::messages::{StateCounts, ToState};
-use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
+use crate::role::{COMMAND_QUEUE_LENGTH, RunClock, read_from_driver, send_to_driver};
 
 /// Maximum interval between ticks of the state service.
 const TICK: Duration = Duration::from_millis(5);
@@ -77,7 +77,7 @@
 
 pub async fn run(args: StateArgs) -> std::io::Result<()> {
     let clock = RunClock(args.epoch);
-    let (queue, mut commands) = mpsc::channel(QUEUE);
+    let (queue, mut commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     // The last address is for operators and for the driver itself.
     for node in 0..=args.controllers {
         let listener = TcpListener::bind(address(node, args.port)).await?;
