--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -97,7 +97,7 @@
                 tracing::info!(
                     machine = %machine.id,
                     why = "machine delays takeover",
-                    "returning machine"
+                    "returning"
                 );
                 machine.lifecycle.deleting = true;
             }
--- a/crates/gannethub-core/src/reconcile/machine_listing.rs
+++ b/crates/gannethub-core/src/reconcile/machine_listing.rs
@@ -121,7 +121,7 @@
             lifecycle.provisioned_at = lifecycle.provisioned_at.min(now.saturating_sub(age));
         }
         if entry.has_failed() && !lifecycle.deleting {
-            tracing::info!(machine = %machine.id, why = "machine failed", "returning machine");
+            tracing::info!(machine = %machine.id, why = "machine failed", "returning");
             lifecycle.deleting = true;
         }
     }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -221,7 +221,7 @@
     pub(super) fn job_released(&mut self, id: &JobId, record: JobRecord, version: u64) {
         let waited = self.unix_time.saturating_sub(record.accepted_at);
         let waited_s = seconds_from_micros(waited) as u32;
-        tracing::info!(job = %id, class = %record.spec.class, waited_s, "job released");
+        tracing::info!(job = %id, class = %record.spec.class, waited_s, "released");
         self.apply_job_record(id, record, version);
     }
 
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -153,7 +153,7 @@
         let name = format!("r-{}-{}", self.fleet.term, self.fleet.request_count);
         let machine_type = &self.machine_types[offer.machine_type].name;
         let (zone, spot) = (&offer.zone, offer.spot);
-        tracing::info!(%name, %machine_type, %zone, spot, count, "provisioning machines");
+        tracing::info!(%name, %machine_type, %zone, spot, count, "provisioning");
         let pending = PendingProvision {
             offer: offer.clone(),
             count,
@@ -182,7 +182,7 @@
             let is_stuck = !machine.lifecycle.has_booted
                 && check_boot(machine, times, usual_boot, is_zone_reachable, now);
             if let Some(why) = reason_to_return(machine, is_stuck, lease_expiry, now) {
-                tracing::info!(machine = %machine.id, why, "returning machine");
+                tracing::info!(machine = %machine.id, why, "returning");
                 machine.lifecycle.deleting = true;
             }
         }
@@ -215,7 +215,7 @@
             if is_within_billed_time || now <= idle_since + max_idle {
                 continue;
             }
-            tracing::info!(machine = %id, why = "idle", "returning machine");
+            tracing::info!(machine = %id, why = "idle", "returning");
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.lifecycle.deleting = true;
             }
--- a/crates/gannethub-core/src/scheduling/fleet_summary.rs
+++ b/crates/gannethub-core/src/scheduling/fleet_summary.rs
@@ -74,7 +74,7 @@
                 fetching,
             } = group;
             let machine_type = &self.machine_types[machine_type].name;
-            tracing::debug!(%machine_type, spot, booting, up, idle, reserved, cpus, running, fetching, "fleet summary");
+            tracing::debug!(%machine_type, spot, booting, up, idle, reserved, cpus, running, fetching, "fleet");
         }
     }
 
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -230,7 +230,7 @@
         }
         if !victims.is_empty() {
             let preempted = victims.len();
-            tracing::info!(job = %id, preempted, tasks, urgent, "preempting tasks for job");
+            tracing::info!(job = %id, preempted, tasks, urgent, "preempting");
         }
         for task in victims {
             self.preempt(&task.job, task.index);
