--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -29,11 +29,11 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-/// Increment of the simulated clock: 50 ms.
+/// Increment of the simulated clock.
 const STEP: u64 = 50_000;
-/// Interval between heartbeats of a machine: 5 s.
+/// Interval between heartbeats of a machine.
 const HEARTBEAT_INTERVAL: u64 = 5 * SECOND;
-/// Response time of the cloud: 300 ms.
+/// Response time of the cloud.
 const CLOUD_DELAY: u64 = 300_000;
 
 #[derive(Parser)]
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -25,11 +25,11 @@
 };
 use crate::wire::store::{Change, Listing, StoreRequest};
 
-/// Maximum time for which a version may be acted on after it was last known to be the newest (6.5 s).
+/// Maximum time for which a version may be acted on after it was last known to be the newest.
 pub(super) const MAX_VERSION_AGE: Micros = 6_500_000;
 /// Maximum interval between reads of changes once a version was stored.
 pub(super) const CHANGE_READ_INTERVAL: Micros = 2 * SECOND;
-/// Time after which a failed read is retried (0.3 s).
+/// Time after which a failed read is retried.
 const READ_RETRY_INTERVAL: Micros = 300_000;
 
 /// Kind of read from the state service for the configuration.
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -12,7 +12,7 @@
 use crate::wire::peer::{Body, RelayAnswer, RelayHeartbeat};
 use crate::wire::worker::HeartbeatRedirect;
 
-/// Maximum time in which a relayed or deferred heartbeat is answered or refused (1.5 s).
+/// Maximum time in which a relayed or deferred heartbeat is answered or refused.
 const RELAY_TIMEOUT: Micros = 1_500_000;
 
 /// Decision on how to handle a heartbeat.
--- a/crates/gannethub-core/src/controller/job_api.rs
+++ b/crates/gannethub-core/src/controller/job_api.rs
@@ -19,9 +19,9 @@
 use crate::wire::api::{Refusal, Submission};
 use crate::wire::store::Committed;
 
-/// Maximum time in which a query is answered or refused (1.7 s).
+/// Maximum time in which a query is answered or refused.
 pub(super) const QUERY_TIMEOUT: Micros = 1_700_000;
-/// Maximum time in which a submission or a cancellation is answered or refused (2.5 s).
+/// Maximum time in which a submission or a cancellation is answered or refused.
 pub(super) const SUBMIT_TIMEOUT: Micros = 2_500_000;
 /// Maximum number of requests that wait for one refresh of the replica. Further requests are told to retry later.
 pub(super) const MAX_WAITING_QUERIES: usize = 4000;
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -18,7 +18,7 @@
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, ChangeLog, Listing, StoreRequest};
 
-/// Minimum interval between refreshes of the replica (0.1 s).
+/// Minimum interval between refreshes of the replica.
 const MIN_REFRESH_INTERVAL: Micros = 100_000;
 /// Maximum interval between refreshes of the replica, so that few changes pile up.
 const MAX_REFRESH_INTERVAL: Micros = 5 * SECOND;
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -30,7 +30,7 @@
 use crate::settings::Settings;
 use crate::wire::store::assignment_keys;
 
-/// Margin added to every wait for a lease to expire: 250 ms.
+/// Margin added to every wait for a lease to expire.
 const LEASE_MARGIN: Micros = 250_000;
 /// Inverse of the maximum relative clock drift: clocks may differ in speed by one part in this many.
 const MAX_CLOCK_DRIFT: Micros = 1000;
--- a/crates/gannethub-core/tests/simulation/harness/cloud.rs
+++ b/crates/gannethub-core/tests/simulation/harness/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Response time of the cloud: 20 ms.
+/// Response time of the cloud.
 const CLOUD_DELAY: u64 = 20_000;
 
 impl World {
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -13,11 +13,11 @@
 
 use super::{SECOND, World};
 
-/// Maximum time until no controller acts on an older version: 7 s.
+/// Maximum time until no controller acts on an older version.
 const ROLLOUT_TIME: u64 = 7 * SECOND;
-/// Time that a worker takes to fetch the image of a task before the task starts: 1 s.
+/// Time that a worker takes to fetch the image of a task before the task starts.
 const FETCH_TIME: u64 = SECOND;
-/// Maximum age of a controller's answer that a worker still accepts: 4 s.
+/// Maximum age of a controller's answer that a worker still accepts.
 pub const MAX_ANSWER_DELAY: u64 = 4 * SECOND;
 
 /// A configuration version that an operator has stored.
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -47,13 +47,13 @@
 
 /// One second in microseconds, the unit of all times in the harness.
 pub const SECOND: u64 = 1_000_000;
-/// Increment of the simulated clock: 10 ms.
+/// Increment of the simulated clock.
 const STEP: u64 = 10_000;
-/// Interval between turns of controllers, workers and users: 50 ms.
+/// Interval between turns of controllers, workers and users.
 const TICK: u64 = 50_000;
-/// Duration of a worker's lease: 10 s. A worker that gets no answer from a leader for this long stops its tasks.
+/// Duration of a worker's lease. A worker that gets no answer from a leader for this long stops its tasks.
 pub const WORKER_LEASE: u64 = 10 * SECOND;
-/// Cancellation deadline: 35 s after a user was told that a job is cancelled, none of its tasks may run.
+/// Cancellation deadline: this long after a user was told that a job is cancelled, none of its tasks may run.
 pub const CANCEL_DEADLINE: u64 = 35 * SECOND;
 
 /// In-memory cluster. All participants act on one simulated clock, in microseconds, and draw from one random number
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Maximum time after a heartbeat was sent for which its answer waits for a hung machine: 4 s.
+/// Maximum time after a heartbeat was sent for which its answer waits for a hung machine.
 const HUNG_ANSWER_LIFETIME: u64 = 4 * SECOND;
 
 impl World {
--- a/crates/gannethub-ledger/src/decay.rs
+++ b/crates/gannethub-ledger/src/decay.rs
@@ -23,8 +23,7 @@
 const EXP2_FRACTION_BITS: u32 = 62;
 /// One over the natural logarithm of two, with `EXP2_FRACTION_BITS` fraction bits.
 const INV_LN2: u128 = 6_653_256_548_922_161_245;
-/// Maximum half-life in microseconds (366 days): one microsecond must change `2^x` by more than the rounding error of
-/// `2^x`.
+/// Maximum half-life in microseconds: one microsecond must change `2^x` by more than the rounding error of `2^x`.
 pub const MAX_HALF_LIFE: Micros = 366 * 86_400 * crate::SECOND;
 
 /// Table of `2^(1/2)`, `2^(1/4)` and so on; each value is the integer square root of the value before.
