--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -76,7 +76,7 @@
         }
         let parsed = serde_json::from_slice::<MachineOfHeartbeat>(heartbeat);
         let Ok(MachineOfHeartbeat { machine }) = parsed else {
-            return HeartbeatRoute::Answered(Response::error(400, "not a report"));
+            return HeartbeatRoute::Answered(Response::error(400, "cannot parse heartbeat"));
         };
         // Shard 0, which the leader owns, answers for machines that are in none of the other shards owned here.
         let owners = self.shard_owners.iter();
@@ -149,7 +149,7 @@
         if self.heartbeats.defer(deferred).is_ok() {
             return;
         }
-        let busy = Response::error(503, "the state is being read");
+        let busy = Response::error(503, "the shard's state is still being read");
         match sender {
             HeartbeatSender::Worker { connection } => self.outbox.reply(connection, busy),
             HeartbeatSender::Peer { peer, relay_id } => self.answer_relay(peer, relay_id, busy),
