--- a/crates/gannethub-scale/src/run/faults.rs
+++ b/crates/gannethub-scale/src/run/faults.rs
@@ -9,7 +9,7 @@
         let description = match fault.kind {
             FaultKind::Rack => self.end_rack().await,
             FaultKind::Zone => {
-                self.tell_hosts(&ToHosts::EndZone(zone_name(0)));
+                self.send_to_hosts(&ToHosts::EndZone(zone_name(0)));
                 format!("all hollow workers of {} end", zone_name(0))
             }
             FaultKind::Leader => {
--- a/crates/gannethub-scale/src/run/measurement.rs
+++ b/crates/gannethub-scale/src/run/measurement.rs
@@ -152,7 +152,7 @@
         self.measured = MeasuredCounts::default();
         self.state.send(&ToState::Measure);
         self.cloud.send(&ToCloud::Measure);
-        self.tell_hosts(&ToHosts::Measure);
+        self.send_to_hosts(&ToHosts::Measure);
         let expected = self.hosts.iter().filter(|h| !h.ended).count();
         let all_reported = async {
             while self.measured.worker_processes_counted < expected
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -325,13 +325,13 @@
     }
 
     fn send_gang_step(&self, change: GangChange) {
-        self.tell_hosts(&match change {
+        self.send_to_hosts(&match change {
             GangChange::Starts((job, attempt)) => ToHosts::GangStarts { job, attempt },
             GangChange::Ends((job, attempt), done) => ToHosts::GangEnds { job, attempt, done },
         });
     }
 
-    fn tell_hosts(&self, message: &ToHosts) {
+    fn send_to_hosts(&self, message: &ToHosts) {
         self.hosts
             .iter()
             .filter(|h| !h.ended)
@@ -452,7 +452,7 @@
             gang,
             run,
         };
-        self.tell_hosts(&ToHosts::Describe(description));
+        self.send_to_hosts(&ToHosts::Describe(description));
         spawn_local(self.users.clone().run_job(job));
     }
 
