--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -272,7 +272,7 @@
     );
     f.version += 1;
     f.c.apply_waiting_job("j-2", waiting_record, f.version);
-    let rents = |f: &mut LeaderView| {
+    let provision_requests = |f: &mut LeaderView| {
         let calls = f.c.plan_cloud_calls(f.now);
         calls
             .iter()
@@ -282,7 +282,7 @@
     f.pass(1);
     f.run_all();
     assert_eq!(
-        rents(&mut f),
+        provision_requests(&mut f),
         0,
         "the release is further away than the boot time"
     );
@@ -290,7 +290,7 @@
         f.pass(5);
         f.run_all();
     }
-    assert!(rents(&mut f) > 0);
+    assert!(provision_requests(&mut f) > 0);
     f.c.run_scheduling_pass(f.now);
     assert!(
         f.c.machines
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -301,7 +301,7 @@
             claims.filter(|c| c.shard.id == shard).all(|c| c.term > 3),
             "the resumed owner still acts under its old term"
         );
-        w.run_until(200, "the arrays are over", |w| {
+        w.run_until(200, "the arrays have ended", |w| {
             (30..34).all(|i| {
                 let j = &w.jobs[&format!("j-{i:06}")];
                 j.told_done.is_some() || j.told_cancelled.is_some()
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -283,7 +283,7 @@
         ("/api/ledger?page=1&team=green", 400, "team"),
         ("/api/ledger?team=red", 400, "page"),
     ] {
-        let (got, why) = ask(&settings, path).expect("an answer at once");
+        let (got, why) = ask(&settings, path).expect("the controller answers at once");
         assert!(got == status && why.contains(names), "{path}: {got} {why}");
     }
     let mut off = (*settings).clone();
