--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -65,7 +65,7 @@
             });
         });
         group.bench_with_input(BenchmarkId::new("plan", machines), &machines, |b, _| {
-            b.iter(|| black_box(f.c.machines_wanted(f.now)));
+            b.iter(|| black_box(f.c.compute_machine_demand(f.now)));
         });
         // One task ends with each heartbeat, and another one takes its place. Scheduling passes are kept out of the
         // measurement by setting the time of the last pass.
@@ -134,7 +134,7 @@
         .iter()
         .for_each(|n| drop(f.heartbeat(n, "small", "a", &[])));
     f.pass(1);
-    assert!(f.c.takeover.settled);
+    assert!(f.c.takeover.is_settled);
     f.c.run_scheduling_pass(f.now);
     f.c.passes.placement_order.len()
 }
--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -12,7 +12,7 @@
 
 use crate::model::{Resources, Team, UNLIMITED, micros_from_seconds};
 use crate::policy::{Policy, Setting};
-use crate::settings::{Objective, Settings, unlimited};
+use crate::settings::{Objective, Settings, zero_as_unlimited};
 
 /// Maximum number of teams at one time, including removed teams that still have jobs.
 pub const MAX_TEAMS: usize = 2000;
@@ -140,7 +140,7 @@
 impl Document {
     /// Returns the document that follows this one when operators want `wanted`: teams that `wanted` no longer names are
     /// removed, unless the platform's file names them, and removed teams keep their last limit.
-    pub fn followed_by(&self, mut wanted: Document, base: &Settings) -> Document {
+    pub fn successor(&self, mut wanted: Document, base: &Settings) -> Document {
         let named: BTreeSet<String> = wanted.teams.iter().map(|team| team.name.clone()).collect();
         let dropped = self
             .teams
@@ -158,12 +158,8 @@
     }
 
     /// Returns the platform's settings, `base`, with this document applied. `current` are the settings in force, whose
-    /// teams keep their positions; teams that neither the file nor the document names any more are closed.
-    pub fn effective(
-        &self,
-        base: &Settings,
-        current: &Settings,
-    ) -> Result<Settings, DocumentError> {
+    /// teams keep their positions; teams that neither the file nor the document names any more are removed.
+    pub fn apply_to(&self, base: &Settings, current: &Settings) -> Result<Settings, DocumentError> {
         let mut settings = base.clone();
         settings.teams = self.effective_teams(base, current)?;
         if let Some(objectives) = &self.objectives {
@@ -214,7 +210,7 @@
 /// Refuses changes of teams that need a restart. If limits are divided among shards, or a ledger is kept, other records
 /// depend on the teams.
 fn check_team_changes(base: &Settings, settings: &Settings) -> Result<(), DocumentError> {
-    let shards = base.policy.number(Setting::Blocks, &[]) as u32;
+    let shards = base.policy.number(Setting::ShardCount, &[]) as u32;
     if shards > 1 && settings.teams != base.teams {
         return invalid(
             "teams",
@@ -258,7 +254,7 @@
             cpus_max: amount(team.limit.cpu),
             gpus: amount(team.guarantee.gpu),
             gpus_max: amount(team.limit.gpu),
-            removed: team.closed,
+            removed: team.is_removed,
         }
     }
 
@@ -285,8 +281,8 @@
         let mut team = Team {
             name: self.name.clone(),
             guarantee: Resources::new(self.cpus, self.gpus, 0.0),
-            limit: unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0)),
-            closed: false,
+            limit: zero_as_unlimited(Resources::new(self.cpus_max, self.gpus_max, 0.0)),
+            is_removed: false,
         };
         if self.removed {
             team.close();
@@ -318,27 +314,27 @@
             class: self.class.clone(),
             within: micros_from_seconds(self.within_s),
             share: self.share,
-            times: self.times,
+            deadline_factor: self.times,
         })
     }
 }
 
 /// Returns the platform's policy with the policy settings of a document applied.
 fn overlay_policy(text: &str, base: &Policy) -> Result<Policy, DocumentError> {
-    let setting_names = Policy::named(text);
+    let setting_names = Policy::setting_names(text);
     for FixedSetting { name, reason } in FIXED_SETTINGS {
         if setting_names.iter().any(|setting| setting == name) {
             return invalid("policy", format!("{name} needs a restart: {reason}"));
         }
     }
-    base.overlaid(text)
+    base.with_overrides(text)
         .or_else(|error| invalid("policy", error.to_string()))
 }
 
 impl Team {
     /// Ends the team's guarantee and refuses it new jobs.
     fn close(&mut self) {
-        self.closed = true;
+        self.is_removed = true;
         self.guarantee = Resources::default();
     }
 }
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -25,11 +25,11 @@
 };
 use crate::wire::store::{Change, Listing, StoreRequest};
 
-/// Maximum time for which a version may be acted on after it was last known to be the newest (6.5 s).
+/// Maximum time for which a version may be acted on after it was last known to be the newest.
 pub(super) const MAX_VERSION_AGE: Micros = 6_500_000;
 /// Maximum interval between reads of changes once a version was stored.
 pub(super) const CHANGE_READ_INTERVAL: Micros = 2 * SECOND;
-/// Time after which a failed read is retried (0.3 s).
+/// Time after which a failed read is retried.
 const READ_RETRY_INTERVAL: Micros = 300_000;
 
 /// Kind of read from the state service for the configuration.
@@ -173,7 +173,7 @@
 
     /// Whether no task may be started under the version in force. Starts are not held as long as no version is known
     /// to have been stored.
-    pub fn must_hold_starts(&self, now: Micros) -> bool {
+    pub fn must_pause_starts(&self, now: Micros) -> bool {
         (self.has_stored_version() || self.newest_peer_version > 0) && !self.is_fresh(now)
     }
 
@@ -362,7 +362,7 @@
         running: &Settings,
     ) -> Result<(Settings, Document), RejectionReason> {
         let document = record.assemble(listing)?;
-        let settings = document.effective(&self.platform_settings, running)?;
+        let settings = document.apply_to(&self.platform_settings, running)?;
         Ok((settings, document))
     }
 
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -12,7 +12,7 @@
 use crate::wire::peer::{Body, RelayAnswer, RelayHeartbeat};
 use crate::wire::worker::HeartbeatRedirect;
 
-/// Maximum time in which a relayed or deferred heartbeat is answered or refused (1.5 s).
+/// Maximum time in which a relayed or deferred heartbeat is answered or refused.
 const RELAY_TIMEOUT: Micros = 1_500_000;
 
 /// Decision on how to handle a heartbeat.
@@ -57,7 +57,7 @@
         };
         let (outbox, membership) = (&self.outbox, &self.membership);
         let known = self.heartbeats.route(&machine);
-        let known = known.filter(|peer| membership.is_heard(outbox, *peer));
+        let known = known.filter(|peer| membership.is_reachable(outbox, *peer));
         let owner = owner.or(known);
         match owner.or_else(|| membership.leading_peer(outbox)) {
             // The heartbeat is relayed rather than redirected, since the worker may be unable to reach the owner
@@ -76,7 +76,7 @@
         }
         let parsed = serde_json::from_slice::<MachineOfHeartbeat>(heartbeat);
         let Ok(MachineOfHeartbeat { machine }) = parsed else {
-            return HeartbeatRoute::Answered(Response::error(400, "not a report"));
+            return HeartbeatRoute::Answered(Response::error(400, "cannot parse heartbeat"));
         };
         // Shard 0, which the leader owns, answers for machines that are in none of the other shards owned here.
         let owners = self.shard_owners.iter();
@@ -149,7 +149,7 @@
         if self.heartbeats.defer(deferred).is_ok() {
             return;
         }
-        let busy = Response::error(503, "the state is being read");
+        let busy = Response::error(503, "the shard's state is still being read");
         match sender {
             HeartbeatSender::Worker { connection } => self.outbox.reply(connection, busy),
             HeartbeatSender::Peer { peer, relay_id } => self.answer_relay(peer, relay_id, busy),
--- a/crates/gannethub-core/src/controller/shard_assignment.rs
+++ b/crates/gannethub-core/src/controller/shard_assignment.rs
@@ -13,8 +13,9 @@
 use crate::wire::budget::Urgency;
 use crate::wire::peer::{Body, WatermarkCheck};
 use crate::wire::store::{
-    self, LEADER_PREFIX, LeaseGranted, LeaseRecord, Listing, SHARD_ASSIGNMENT_PREFIX, StoreRequest,
-    StoredValue, TERM_COUNTER_KEY, TERM_KEY, Transaction, assignment_keys,
+    self, LEADER_PREFIX, LEADER_TERM_KEY, LeaseGranted, LeaseRecord, Listing,
+    SHARD_ASSIGNMENT_PREFIX, StoreRequest, StoredValue, TERM_COUNTER_KEY, Transaction,
+    assignment_keys,
 };
 
 /// Interval between probes for surplus shards while no shard other than 0 is known.
@@ -128,8 +129,8 @@
         let now = outbox.clock.now;
         self.reachable_since.resize(membership.peers.len(), None);
         for (peer, since) in self.reachable_since.iter_mut().enumerate() {
-            let is_heard = membership.is_heard(outbox, peer);
-            *since = since.or(Some(now)).filter(|_| is_heard);
+            let is_reachable = membership.is_reachable(outbox, peer);
+            *since = since.or(Some(now)).filter(|_| is_reachable);
         }
     }
 
@@ -274,7 +275,8 @@
         if !peers.any(|peer| self.is_idle(membership, peer, now)) {
             return None;
         }
-        let is_settled = |owner: &ShardOwner| owner.is_loaded() && owner.cluster.takeover.settled;
+        let is_settled =
+            |owner: &ShardOwner| owner.is_loaded() && owner.cluster.takeover.is_settled;
         owners
             .iter()
             .find(|(shard, owner)| **shard > 0 && is_settled(owner))
@@ -372,7 +374,7 @@
     }
     let own_name = outbox.settings.name.as_str();
     let peers = outbox.settings.peers.iter().enumerate();
-    let reachable = peers.filter(|(peer, _)| membership.is_heard(outbox, *peer));
+    let reachable = peers.filter(|(peer, _)| membership.is_reachable(outbox, *peer));
     let mut candidates: Vec<Candidate<'_>> = reachable
         .map(|(peer, settings)| Candidate {
             owned_shards: membership.peers[peer].shard_loads.len(),
@@ -399,7 +401,7 @@
     listing: &Listing,
 ) -> (LeaseRecord, Transaction) {
     let (leader, counter) = (
-        stored_term(listing, TERM_KEY),
+        stored_term(listing, LEADER_TERM_KEY),
         stored_term(listing, TERM_COUNTER_KEY),
     );
     let conditions = election.conditions();
@@ -413,7 +415,7 @@
     let mut transaction = Transaction::default();
     transaction.guard(&keys.owner, conditions.owner_key_version);
     transaction.guard(&keys.term, conditions.term_key_version);
-    transaction.guard(TERM_KEY, leader.version);
+    transaction.guard(LEADER_TERM_KEY, leader.version);
     transaction.guard(TERM_COUNTER_KEY, counter.version);
     let store_lease = Some(lease.store_lease);
     transaction.put(&keys.owner, store::to_raw_value(&record), store_lease);
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -78,7 +78,7 @@
         };
         let moves_to_other_shard = job
             .scheduling
-            .home_shard
+            .target_shard
             .is_some_and(|home| home != self.shard.id);
         if moves_to_other_shard && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
@@ -89,7 +89,7 @@
                 job.persistence.dirty_since.unwrap_or(0),
             );
         }
-        if job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.settled {
+        if job.cancelled && job.tasks.live_attempts.is_empty() && self.takeover.is_settled {
             return due(WriteReason::Cancelled, 0);
         }
         if job.persistence.requested_watermark > job.persistence.durable_watermark
@@ -113,7 +113,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let Some(home) = job.scheduling.home_shard else {
+        let Some(home) = job.scheduling.target_shard else {
             return true;
         };
         if !builder.fits(1) {
@@ -147,7 +147,7 @@
             tasks: job.spec.tasks,
             owner: self.usage_ledger.as_ref().map(|_| job_owner(job)),
         };
-        builder.transaction.end_job(&id, &record);
+        builder.transaction.finish_job(&id, &record);
         builder.add_bytes(JOB_END_BYTES);
         job.persistence.write_in_flight = true;
         let write = BatchedWrite::JobEnd {
@@ -164,11 +164,11 @@
     /// Every write of finished tasks changes the live record and is guarded by its version: a transaction of parts
     /// alone, carried out late, would overwrite finished tasks that were written since.
     fn add_job_progress(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
-        let value_bytes = self.settings.value_bytes;
+        let max_value_bytes = self.settings.max_value_bytes;
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let value = progress_value(job, self.shard.id, value_bytes);
+        let value = progress_value(job, self.shard.id, max_value_bytes);
         let has_dirty_parts = job
             .persistence
             .dirty_parts
@@ -209,12 +209,12 @@
 
 /// Returns the value of a job's record. The record contains the first part of the finished tasks, unless that makes the
 /// value too large: from then on the job overflows, and the first part has a key of its own like all other parts.
-fn progress_value(job: &mut Job, shard: u32, value_bytes: usize) -> Box<RawValue> {
+fn progress_value(job: &mut Job, shard: u32, max_value_bytes: usize) -> Box<RawValue> {
     let mut record = job_record(job, shard);
     record.watermark = Some(job.persistence.requested_watermark);
     record.done = store::encode_done_part(&job.tasks.done, 0);
     let value = record.to_value();
-    if !job.persistence.overflow && value.get().len() + VALUE_SLACK_BYTES > value_bytes {
+    if !job.persistence.overflow && value.get().len() + VALUE_SLACK_BYTES > max_value_bytes {
         job.persistence.overflow = true;
         job.persistence.dirty_parts.insert(0);
     }
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -8,7 +8,7 @@
 use crate::policy::Value;
 use crate::state::attempt::{Attempt, AttemptPhase};
 use crate::state::cluster::Cluster;
-use crate::state::deadline::DownstreamDemand;
+use crate::state::downstream_demand::DownstreamDemand;
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
@@ -50,7 +50,7 @@
             Value::Bool(latest_start.is_none()),
             Value::Bool(within_guarantee),
             Value::Number(share.of_total),
-            Value::Number(share.over_due),
+            Value::Number(share.ratio_to_due_share),
         ]
     }
 
@@ -67,7 +67,7 @@
         let large_enough = self
             .machine_types
             .iter()
-            .filter(|machine_type| spec.resources.fits(&machine_type.size));
+            .filter(|machine_type| spec.resources.fits(&machine_type.capacity));
         let slowest = large_enough
             .map(|machine_type| machine_type.fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min);
@@ -109,7 +109,7 @@
                 "guarantee" if within_guarantee => Some(times.ready_at + objective.within),
                 "finished" => Some((times.ready_at + objective.within).saturating_sub(run_time)),
                 "deadline" => {
-                    let deadline = (spec.deadline? as f64 * objective.times) as Micros;
+                    let deadline = (spec.deadline? as f64 * objective.deadline_factor) as Micros;
                     Some((times.accepted_at + deadline).saturating_sub(run_time))
                 }
                 _ => None,
@@ -147,7 +147,7 @@
     /// Price of a thousandth of a CPU for an hour on machines of this type and market.
     pub fn price_per_millicpu(&self, machine_type: usize, spot: bool) -> f64 {
         let machine_type = &self.machine_types[machine_type];
-        machine_type.price_of(spot) / machine_type.size.cpu.max(1) as f64
+        machine_type.price_of(spot) / machine_type.capacity.cpu.max(1) as f64
     }
 
     /// Returns the time at which a booting machine is expected to be up. The remaining boot time of an overdue
--- a/crates/gannethub-core/src/scheduling/fleet_summary.rs
+++ b/crates/gannethub-core/src/scheduling/fleet_summary.rs
@@ -27,7 +27,7 @@
 
 impl FleetUse {
     fn add(&mut self, machine: &Machine, now: Micros) {
-        if !machine.lifecycle.is_up {
+        if !machine.lifecycle.has_booted {
             self.booting += 1;
             return;
         }
@@ -74,7 +74,7 @@
                 fetching,
             } = group;
             let machine_type = &self.machine_types[machine_type].name;
-            tracing::debug!(%machine_type, spot, booting, up, idle, reserved, cpus, running, fetching, "fleet summary");
+            tracing::debug!(%machine_type, spot, booting, up, idle, reserved, cpus, running, fetching, "fleet");
         }
     }
 
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -50,7 +50,7 @@
             self.enforce_limits(now);
         }
         self.propagate_downstream_demand(now);
-        self.order_queue(now);
+        self.update_queue_order(now);
         self.rank_buckets();
         let queue = self.begin_pass(now);
         let mut pass = SchedulingPass {
@@ -118,7 +118,7 @@
     /// Logs a job once, when all of its tasks, or all tasks that its team's limit allows, are placed.
     fn log_if_fully_placed(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        let is_limited = self.takeover.settled && self.tasks_within_quota(job) <= 0;
+        let is_limited = self.takeover.is_settled && self.tasks_within_quota(job) <= 0;
         if job.scheduling.fully_placed || !(job.tasks.pending.is_empty() || is_limited) {
             return;
         }
@@ -139,7 +139,7 @@
     /// Returns the time for which no further pass or plan may begin after `steps` steps. Policy and the process's
     /// share of a processor set the number of steps that scheduling may take in a second.
     pub fn pacing_delay(&self, steps: u64) -> Micros {
-        (steps as f64 * SECOND as f64 / self.settings.decide_steps()) as Micros
+        (steps as f64 * SECOND as f64 / self.settings.max_scheduling_steps_per_s()) as Micros
     }
 
     /// Sorts the buckets of the capacity index into tiers, in first-fit order. The cheapest capacity comes first, so
@@ -153,7 +153,7 @@
                 let kind = &bucket.kind;
                 let ranked = RankedBucket {
                     price_rank: 0,
-                    machine_cpu: self.machine_types[kind.machine_type].size.cpu,
+                    machine_cpu: self.machine_types[kind.machine_type].capacity.cpu,
                     index,
                 };
                 (
@@ -286,11 +286,11 @@
         now: Micros,
     ) -> bool {
         let price = self.price_per_millicpu(machine_type, spot);
-        let cpu = self.machine_types[machine_type].size.cpu;
+        let cpu = self.machine_types[machine_type].capacity.cpu;
         let is_preferred = |bucket: &CapacityBucket| {
             let kind = &bucket.kind;
             let bucket_price = self.price_per_millicpu(kind.machine_type, kind.spot);
-            let is_smaller = self.machine_types[kind.machine_type].size.cpu < cpu;
+            let is_smaller = self.machine_types[kind.machine_type].capacity.cpu < cpu;
             bucket_price * SIMILAR_PRICE < price
                 || (is_smaller && bucket_price <= price * SIMILAR_PRICE)
         };
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -195,7 +195,7 @@
         pass: &mut PreemptionPass,
         now: Micros,
     ) {
-        let Some(job) = self.jobs.get(id).filter(|_| self.takeover.settled) else {
+        let Some(job) = self.jobs.get(id).filter(|_| self.takeover.is_settled) else {
             return;
         };
         let preemptor = Preemptor::new(job);
@@ -218,7 +218,7 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(id) {
-            job.scheduling.preempted_for_at = Some(now);
+            job.scheduling.last_preemption_at = Some(now);
         }
         for (machine, tasks) in chosen.tasks_by_machine {
             let reservation = Reservation {
@@ -230,7 +230,7 @@
         }
         if !victims.is_empty() {
             let preempted = victims.len();
-            tracing::info!(job = %id, preempted, tasks, urgent, "preempting tasks for job");
+            tracing::info!(job = %id, preempted, tasks, urgent, "preempting");
         }
         for task in victims {
             self.preempt(&task.job, task.index);
@@ -334,7 +334,7 @@
                 if let Some(borrower) = victim.borrower {
                     let left = &mut preemptions.borrowed[borrower];
                     // The victims never hold more than the team has borrowed.
-                    if !Team::within(left, &NO_RESOURCES, &victim.resources) {
+                    if !Team::fits_within(left, &NO_RESOURCES, &victim.resources) {
                         continue;
                     }
                     *left -= victim.resources;
@@ -432,7 +432,7 @@
             && job.team != preemptor.job.team
             && is_allowed_victim
             && attempt.team.is_some_and(|team| {
-                Team::within(&borrowed[team], &NO_RESOURCES, &attempt.resources)
+                Team::fits_within(&borrowed[team], &NO_RESOURCES, &attempt.resources)
             })
     }
 }
@@ -441,7 +441,7 @@
 fn may_preempt(preemptor: &Preemptor<'_>, pass: &PreemptionPass, now: Micros) -> bool {
     let scheduling = &preemptor.job.scheduling;
     let was_just_served = scheduling
-        .preempted_for_at
+        .last_preemption_at
         .is_some_and(|at| now < at + PREEMPTION_RETRY);
     (preemptor.is_urgent || scheduling.within_guarantee) && !(pass.catching_up && was_just_served)
 }
@@ -467,7 +467,7 @@
 ) {
     let needed = preemptor.job.spec.resources;
     let max_tasks = needed
-        .count_in(&machine.capacity)
+        .times_fitting_in(&machine.capacity)
         .min(MAX_TASKS_PER_MACHINE);
     let mut free = machine.free_after_stops();
     let mut victims = victims.iter();
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -27,7 +27,7 @@
     };
     let remaining_tasks = i64::from(job.spec.tasks - job.tasks.done.len());
     let needed = job.spec.resources.scaled_by(remaining_tasks);
-    let is_within = Team::within(&remaining[team], &Resources::default(), &needed);
+    let is_within = Team::fits_within(&remaining[team], &Resources::default(), &needed);
     remaining[team] -= needed;
     is_within
 }
@@ -44,7 +44,7 @@
     }
 
     /// Brings the queue up to date.
-    pub fn order_queue(&mut self, now: Micros) {
+    pub fn update_queue_order(&mut self, now: Micros) {
         self.update_usage_shares(now);
         let mut queue = std::mem::take(&mut self.queue);
         let interval = REORDER_INTERVAL_PER_JOB * queue.entries.len() as Micros;
--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -30,7 +30,7 @@
 use crate::settings::Settings;
 use crate::wire::store::assignment_keys;
 
-/// Margin added to every wait for a lease to expire: 250 ms.
+/// Margin added to every wait for a lease to expire.
 const LEASE_MARGIN: Micros = 250_000;
 /// Inverse of the maximum relative clock drift: clocks may differ in speed by one part in this many.
 const MAX_CLOCK_DRIFT: Micros = 1000;
@@ -127,11 +127,17 @@
         now: Micros,
         unix_time: u64,
     ) -> Cluster {
-        let chunk_size = settings.policy.number(Setting::BlockChunk, &[]) as usize;
-        let kill_order_rate = settings.policy.number(Setting::Halts, &[]);
+        let chunk_size = settings.policy.number(Setting::ShardChunkSize, &[]) as usize;
+        let kill_order_rate = settings.policy.number(Setting::KillOrderRate, &[]);
         Cluster {
             term,
-            shard: Shard::new(0, term, &settings.name, settings.value_bytes, chunk_size),
+            shard: Shard::new(
+                0,
+                term,
+                &settings.name,
+                settings.max_value_bytes,
+                chunk_size,
+            ),
             now,
             unix_time,
             jobs: BTreeMap::new(),
@@ -163,11 +169,13 @@
 
     /// Assigns another shard than shard 0. Must be called before any record is read.
     pub fn assign_shard(&mut self, shard: u32) {
-        let chunk_size = self.settings.policy.number(Setting::BlockChunk, &[]) as usize;
+        let chunk_size = self.settings.policy.number(Setting::ShardChunkSize, &[]) as usize;
         let Settings {
-            name, value_bytes, ..
+            name,
+            max_value_bytes,
+            ..
         } = &*self.settings;
-        self.shard = Shard::new(shard, self.term, name, *value_bytes, chunk_size);
+        self.shard = Shard::new(shard, self.term, name, *max_value_bytes, chunk_size);
         self.store_writes.assignment_keys = assignment_keys(shard);
     }
 
@@ -207,7 +215,7 @@
     }
 
     /// Returns the machine with this name, adopting an unknown machine first.
-    pub fn machine_or_adopt(
+    pub fn get_or_adopt_machine(
         &mut self,
         name: &str,
         machine_type: &str,
@@ -234,6 +242,6 @@
     /// large are retried as smaller ones.
     pub fn max_transaction_changes(&self) -> usize {
         let halvings = self.store_writes.transaction_rejections.min(8);
-        (self.settings.txn_ops >> halvings).max(MIN_TRANSACTION_CHANGES)
+        (self.settings.max_transaction_operations >> halvings).max(MIN_TRANSACTION_CHANGES)
     }
 }
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gannethub_ledger::book::Book;
-use gannethub_ledger::line::{ChargeGroup, Entry, Reason, Usefulness};
+use gannethub_ledger::line::{AttemptCharge, ChargeGroup, Reason, Usefulness};
 use gannethub_ledger::meter::EndObservation;
 
 use super::record::{AttemptEnd, ChargeState, to_resource_amounts};
@@ -12,7 +12,7 @@
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
 use crate::state::machine::Machine;
-use crate::wire::store::JobOwner;
+use crate::wire::store::JobAccount;
 use crate::wire::worker::ExitReason;
 
 /// Maximum number of ended attempts kept in a worker's heartbeat, which has to stay below 64 KiB.
@@ -23,8 +23,8 @@
 const MAX_OWNER_QUERIES: usize = 5;
 
 /// Returns the owner that a job's attempts are charged to.
-pub(crate) fn job_owner(job: &Job) -> JobOwner {
-    JobOwner {
+pub(crate) fn job_owner(job: &Job) -> JobAccount {
+    JobAccount {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
         resources: job.spec.resources,
@@ -102,20 +102,20 @@
         let worker = &machine.worker;
         if !matches!(reason, Reason::Lease | Reason::Machine) {
             return EndObservation::Reported {
-                before: worker.previous_heartbeat_at,
-                missed: worker.missed_heartbeats,
+                previous_heartbeat_at: worker.previous_heartbeat_at,
+                missed_heartbeats: worker.missed_heartbeats,
             };
         }
         // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired after the last
         // answer in it. For a silent machine, the time is not known.
         match worker.last_heartbeat_at {
             Some(at) if at == now => EndObservation::Silence {
-                heard: worker.previous_heartbeat_at,
-                likely: self.settings.lease_duration,
+                last_heartbeat_at: worker.previous_heartbeat_at,
+                likely_duration: self.settings.lease_duration,
             },
-            heard => EndObservation::Silence {
-                heard,
-                likely: self.settings.heartbeat_interval / 2,
+            last_heartbeat_at => EndObservation::Silence {
+                last_heartbeat_at,
+                likely_duration: self.settings.heartbeat_interval / 2,
             },
         }
     }
@@ -123,7 +123,7 @@
     /// Charges an end to its owner, or keeps the end until the owner is known. Returns the ticket of the charge.
     pub(super) fn charge_end(
         &mut self,
-        owner: Option<Arc<JobOwner>>,
+        owner: Option<Arc<JobAccount>>,
         end: AttemptEnd,
         now: Micros,
     ) -> Option<u64> {
@@ -161,7 +161,7 @@
 
     /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends have an empty
     /// owner.
-    pub fn usage_owner_read(&mut self, job: &JobId, owner: Option<JobOwner>, now: Micros) {
+    pub fn apply_usage_owner(&mut self, job: &JobId, owner: Option<JobAccount>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
         };
@@ -215,7 +215,7 @@
 }
 
 /// Charges an end. Returns the ticket of the charge.
-fn charge_to(book: &mut Book, owner: &JobOwner, end: &AttemptEnd, now: Micros) -> u64 {
+fn charge_to(book: &mut Book, owner: &JobAccount, end: &AttemptEnd, now: Micros) -> u64 {
     let end_usefulness = match (end.reason, end.saved) {
         (Reason::Done, _) => Usefulness::Useful,
         _ if owner.is_service => Usefulness::Useful,
@@ -236,14 +236,16 @@
         reason: end.reason,
         usefulness: end_usefulness,
     };
-    let entry = Entry {
+    let entry = AttemptCharge {
         task: task.index,
         attempt: *number,
         machine: end.machine.to_string(),
-        begin: end.unix_time.saturating_sub(end.reading.spent.held()),
-        stage_times: end.reading.spent,
-        max_error: end.reading.bound,
-        is_estimate: end.reading.estimate,
+        begin: end
+            .unix_time
+            .saturating_sub(end.reading.stage_times.total()),
+        stage_times: end.reading.stage_times,
+        max_error: end.reading.max_error,
+        is_estimate: end.reading.is_estimate,
     };
     book.charge(charge_group, entry, now)
 }
--- a/crates/gannethub-core/src/state/usage/pages.rs
+++ b/crates/gannethub-core/src/state/usage/pages.rs
@@ -2,7 +2,7 @@
 
 use gannethub_ledger::audit::Page;
 use gannethub_ledger::book::{Book, DamagedPage, Head};
-use gannethub_ledger::line::{LineBody, OwnerChange, UnmeteredInterval};
+use gannethub_ledger::line::{LeaderChange, LineBody, UnmeteredInterval};
 
 use super::ledger::UsageLedger;
 use super::replication::attempt_key;
@@ -30,7 +30,7 @@
         let Some(setup) = self.settings.ledger.clone() else {
             return;
         };
-        let value_limit = self.settings.value_bytes - VALUE_SLACK_BYTES;
+        let value_limit = self.settings.max_value_bytes - VALUE_SLACK_BYTES;
         let window = Book::duplicate_window(self.settings.lease_duration, &setup.settings);
         let mut opened = Book::open(setup.settings, setup.keys, value_limit, window, head, pages);
         std::mem::take(&mut opened.damaged)
@@ -40,17 +40,17 @@
         self.usage_ledger = Some(Box::new(UsageLedger::new(opened, peer_count)));
         let inherited = replica.take_records(self.term - 1);
         self.take_over_usage(inherited.records, now);
-        let takeover = OwnerChange {
+        let takeover = LeaderChange {
             term: self.term,
             owner: self.settings.name.clone(),
             at: self.unix_time,
-            complete: inherited.is_complete,
+            has_all_open_usage: inherited.is_complete,
         };
         if let Some(ledger) = &mut self.usage_ledger {
             ledger.replica_was_complete = inherited.is_complete;
             ledger
                 .book
-                .queue_line(LineBody::OwnerChanged(takeover), now);
+                .queue_line(LineBody::LeaderChanged(takeover), now);
         }
     }
 
@@ -84,10 +84,10 @@
         let rate = self.machine_rate(machine);
         let interval = UnmeteredInterval {
             machine: id.to_string(),
-            flavor: rate.machine_type,
+            machine_type: rate.machine_type,
             zone: rate.zone,
             spot: rate.spot,
-            from: self.time_of_day(self.takeover.at),
+            from: self.time_of_day(self.takeover.started_at),
             to: self.time_of_day(now),
         };
         if let Some(ledger) = &mut self.usage_ledger {
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -7,7 +7,7 @@
 use gannethub_ledger::meter::{Meter, MeteredUsage};
 
 use crate::model::{AttemptId, MachineId, Micros, Resources};
-use crate::wire::store::JobOwner;
+use crate::wire::store::JobAccount;
 
 /// The charged usage of one attempt.
 #[derive(Debug, Clone)]
@@ -16,7 +16,7 @@
     pub meter: Meter,
     /// The owner that is charged. `None` for an attempt of a job that is over, if this leader did not start the
     /// attempt.
-    pub(super) owner: Option<Arc<JobOwner>>,
+    pub(super) owner: Option<Arc<JobAccount>>,
     pub(super) charge: ChargeState,
     /// Whether the attempt's worker reports that the attempt's progress was saved.
     pub saved: bool,
@@ -80,7 +80,7 @@
     /// The team's part of all usage.
     pub of_total: f64,
     /// The team's part of all usage, as a multiple of the part that the team is due.
-    pub over_due: f64,
+    pub ratio_to_due_share: f64,
 }
 
 impl Default for UsageShare {
@@ -88,7 +88,7 @@
     fn default() -> UsageShare {
         UsageShare {
             of_total: 0.0,
-            over_due: 1.0,
+            ratio_to_due_share: 1.0,
         }
     }
 }
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -6,8 +6,8 @@
 use super::record::{AttemptEnd, ChargeState, MachineRate, UsageRecord};
 use crate::model::{AttemptId, MachineId, Micros, Resources, TaskId};
 use crate::state::cluster::Cluster;
-use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageOwner, UsageRecords};
-use crate::wire::store::JobOwner;
+use crate::wire::peer::{AttemptKey, OpenUsageRecord, UsageAccount, UsageRecords};
+use crate::wire::store::JobAccount;
 
 /// Maximum number of records in one message to a peer, which keeps the message below its size limit.
 const MAX_RECORDS_PER_MESSAGE: usize = 400;
@@ -164,7 +164,7 @@
         let orphans = ledger.orphans.get(id);
         if let Some(orphan) = orphans.and_then(|orphans| orphans.get(attempt)) {
             let mut record = orphan.record.clone();
-            record.meter.wait(orphan.transit_time);
+            record.meter.add_unobserved_time(orphan.transit_time);
             let key = attempt_key(id, attempt);
             let message = open_message(key, &record, &orphan.rate, orphan.incarnation, now);
             return Some(message);
@@ -233,16 +233,16 @@
         incarnation,
         stage: meter.stage.index() as u32,
         stage_age: now.saturating_sub(meter.since),
-        stage_times: meter.spent.0.to_vec(),
-        begin_uncertainty: meter.unsure,
-        begin_estimated: meter.guessed,
+        stage_times: meter.stage_times.0.to_vec(),
+        begin_uncertainty: meter.begin_uncertainty,
+        begin_estimated: meter.begin_estimated,
         saved: record.saved,
         ..OpenUsageRecord::default()
     }
 }
 
 /// Returns the record of an attempt that has ended and is not durable, as sent to peers.
-fn end_message(owner: Option<&JobOwner>, end: &AttemptEnd, now: Micros) -> OpenUsageRecord {
+fn end_message(owner: Option<&JobAccount>, end: &AttemptEnd, now: Micros) -> OpenUsageRecord {
     let rate = end.rate.clone();
     let reason = END_REASONS.iter().position(|known| *known == end.reason);
     OpenUsageRecord {
@@ -252,12 +252,12 @@
         zone: rate.zone,
         spot: rate.spot,
         price: rate.hourly_price,
-        stage_times: end.reading.spent.0.to_vec(),
-        begin_estimated: end.reading.estimate,
+        stage_times: end.reading.stage_times.0.to_vec(),
+        begin_estimated: end.reading.is_estimate,
         saved: end.saved,
         end_reason: reason.unwrap_or(0) as u32 + 1,
         end_age: now.saturating_sub(end.at),
-        time_uncertainty: end.reading.bound,
+        time_uncertainty: end.reading.max_error,
         ..OpenUsageRecord::default()
     }
 }
@@ -283,13 +283,13 @@
     (key.machine.as_str().into(), AttemptId { task, number })
 }
 
-fn write_owner(owner: &JobOwner) -> UsageOwner {
+fn write_owner(owner: &JobAccount) -> UsageAccount {
     let Resources {
         cpu,
         gpu,
         memory: mem,
     } = owner.resources;
-    UsageOwner {
+    UsageAccount {
         team: owner.team.clone(),
         class: owner.class.clone(),
         cpu,
@@ -299,9 +299,9 @@
     }
 }
 
-pub(super) fn read_owner(owner: &UsageOwner) -> JobOwner {
-    let UsageOwner { cpu, gpu, mem, .. } = *owner;
-    JobOwner {
+pub(super) fn read_owner(owner: &UsageAccount) -> JobAccount {
+    let UsageAccount { cpu, gpu, mem, .. } = *owner;
+    JobAccount {
         team: owner.team.clone(),
         class: owner.class.clone(),
         resources: Resources {
@@ -321,11 +321,11 @@
 
 /// Parses the stage times of a peer's record. `None`: the times are malformed.
 pub(super) fn read_usage(record: &OpenUsageRecord) -> Option<MeteredUsage> {
-    let spent: [Micros; 6] = record.stage_times.clone().try_into().ok()?;
+    let stage_times: [Micros; 6] = record.stage_times.clone().try_into().ok()?;
     Some(MeteredUsage {
-        spent: StageTimes(spent),
-        bound: record.time_uncertainty,
-        estimate: record.begin_estimated,
+        stage_times: StageTimes(stage_times),
+        max_error: record.time_uncertainty,
+        is_estimate: record.begin_estimated,
     })
 }
 
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -254,14 +254,14 @@
         }
     }
 
-    /// Returns the value of the same job after cancellation by its user, within `value_bytes` bytes. The finished tasks
-    /// of a cancelled job do not matter any more, and are omitted if they do not fit.
-    pub fn into_cancelled_value(self, value_bytes: usize) -> Box<RawValue> {
+    /// Returns the value of the same job after cancellation by its user, within `max_value_bytes` bytes. The finished
+    /// tasks of a cancelled job do not matter any more, and are omitted if they do not fit.
+    pub fn into_cancelled_value(self, max_value_bytes: usize) -> Box<RawValue> {
         match self {
             LiveRecord::Job(mut record) => {
                 record.cancelled = true;
                 let value = record.to_value();
-                if value.get().len() + VALUE_SLACK_BYTES <= value_bytes {
+                if value.get().len() + VALUE_SLACK_BYTES <= max_value_bytes {
                     return value;
                 }
                 record.done.clear();
@@ -283,12 +283,12 @@
     /// The team and class that the job's attempts are charged to, stored if a ledger is kept. They are needed after the
     /// end of the job, as an attempt's end may be found later than its job's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub owner: Option<JobOwner>,
+    pub owner: Option<JobAccount>,
 }
 
 /// The team and class that an attempt is charged to, and the resources that it is charged for.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct JobOwner {
+pub struct JobAccount {
     pub team: String,
     pub class: String,
     /// Resources needed by one task.
--- a/crates/gannethub-core/tests/formats/cloud.rs
+++ b/crates/gannethub-core/tests/formats/cloud.rs
@@ -18,11 +18,11 @@
         "GET /flavors ",
     );
     pin(
-        &cloud_request(&CloudRequest::list("")),
+        &cloud_request(&CloudRequest::list_machines("")),
         "GET /rentals?page=500 ",
     );
     pin(
-        &cloud_request(&CloudRequest::list("host-000231")),
+        &cloud_request(&CloudRequest::list_machines("host-000231")),
         "GET /rentals?from=host-000231&page=500 ",
     );
     let provision_request = CloudRequest::provision("n0-7-1", "g8", "a", true, 4);
@@ -32,7 +32,7 @@
     );
     let machines = ["host-000231".to_string(), "host-000232".to_string()];
     pin(
-        &cloud_request(&CloudRequest::delete(&machines)),
+        &cloud_request(&CloudRequest::delete_machines(&machines)),
         r#"POST /rentals/delete {"hosts":["host-000231","host-000232"]}"#,
     );
 }
@@ -43,7 +43,7 @@
         "spot_price":9.0,"boot_s":45.0,"yards":["a","b"]},{"label":"s","vcpus":4.0,"mem_gb":16.0,"price":0.2}]}"#;
     let large = MachineType {
         name: "g8".into(),
-        size: Resources::new(96.0, 8.0, 768.0),
+        capacity: Resources::new(96.0, 8.0, 768.0),
         price: 30.0,
         spot_price: 9.0,
         boot_time: 45 * SECOND,
@@ -52,7 +52,7 @@
     };
     let small = MachineType {
         name: "s".into(),
-        size: Resources::new(4.0, 0.0, 16.0),
+        capacity: Resources::new(4.0, 0.0, 16.0),
         price: 0.2,
         spot_price: 0.2,
         boot_time: 0,
--- a/crates/gannethub-core/tests/formats/users.rs
+++ b/crates/gannethub-core/tests/formats/users.rs
@@ -72,7 +72,7 @@
         name: "blue".into(),
         guarantee: Resources::default(),
         limit: Resources::new(1.0, 1.0, 0.0),
-        closed: false,
+        is_removed: false,
     };
     let unlimited = Team {
         limit: Resources {
@@ -156,7 +156,7 @@
         (Get, "/api/config", Route::Configuration),
         (Post, "/v1/report", Route::Heartbeat),
         (Post, "/api/jobs", Route::Submit),
-        (Get, "/api/jobs/j-7", Route::Query("j-7")),
+        (Get, "/api/jobs/j-7", Route::JobStatus("j-7")),
         (Post, "/api/jobs/j-7/cancel", Route::Cancel("j-7")),
     ];
     for (method, path, route) in routes {
@@ -178,8 +178,10 @@
 
 fn controller() -> Controller {
     let (mut settings, _) = Settings::parse(SETTINGS, "platform.toml").unwrap();
-    let dues = settings.dues();
-    let ledger = gannethub_ledger::Settings::parse(LEDGER_SETTINGS, "ledger.toml", &dues).unwrap();
+    let default_ledger_shares = settings.default_ledger_shares();
+    let ledger =
+        gannethub_ledger::Settings::parse(LEDGER_SETTINGS, "ledger.toml", &default_ledger_shares)
+            .unwrap();
     let keys = gannethub_ledger::KeyRing::write("k", &[3; 32]);
     settings.ledger = Some(LedgerSetup {
         settings: ledger.into(),
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -13,11 +13,11 @@
 
 use super::{SECOND, World};
 
-/// Maximum time until no controller acts on an older version: 7 s.
+/// Maximum time until no controller acts on an older version.
 const ROLLOUT_TIME: u64 = 7 * SECOND;
-/// Time that a worker takes to fetch the image of a task before the task starts: 1 s.
+/// Time that a worker takes to fetch the image of a task before the task starts.
 const FETCH_TIME: u64 = SECOND;
-/// Maximum age of a controller's answer that a worker still accepts: 4 s.
+/// Maximum age of a controller's answer that a worker still accepts.
 pub const MAX_ANSWER_DELAY: u64 = 4 * SECOND;
 
 /// A configuration version that an operator has stored.
@@ -53,14 +53,14 @@
 impl World {
     /// Stores a document as the next version and returns its number. The version must be in force at all controllers
     /// within seven seconds plus `late` microseconds, the allowance for an outage.
-    pub fn configure(&mut self, wanted: Document, late: u64) -> u64 {
+    pub fn store_configuration(&mut self, wanted: Document, late: u64) -> u64 {
         let base = self.settings[0].clone();
-        let document = self.document.followed_by(wanted, &base);
+        let document = self.document.successor(wanted, &base);
         let effective = document
-            .effective(&base, &base)
+            .apply_to(&base, &base)
             .expect("the test's document is valid");
         let parts =
-            split_document(&document, base.value_bytes).expect("the document fits into values");
+            split_document(&document, base.max_value_bytes).expect("the document fits into values");
         let version = self.config_versions.len() as u64 + 1;
         let record = VersionRecord {
             version,
@@ -78,7 +78,7 @@
             .cloned()
             .unwrap_or(Value::Null);
         let mut history: HistoryRecord = serde_json::from_value(history).unwrap_or_default();
-        history.push(record.clone(), base.value_bytes);
+        history.push(record.clone(), base.max_value_bytes);
         commit.put(CURRENT_VERSION_KEY, to_raw_value(&record), None);
         commit.put(HISTORY_KEY, to_raw_value(&history), None);
         let request = commit.to_request();
@@ -92,7 +92,7 @@
             matches!(stored, Outcome::Answer(200, _)),
             "the operator's transaction was not stored"
         );
-        let limits = effective.teams.iter().filter(|t| !t.closed);
+        let limits = effective.teams.iter().filter(|t| !t.is_removed);
         let limits = limits
             .map(|t| (t.name.clone(), t.limit.cpu as f64 / 1000.0))
             .collect();
@@ -166,7 +166,7 @@
     }
 
     /// Whether no running controller would act on a version other than this one.
-    pub fn none_older(&self, version: u64) -> bool {
+    pub fn no_other_version_in_force(&self, version: u64) -> bool {
         self.versions()
             .into_iter()
             .all(|state| state.version == version || !state.is_fresh)
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Maximum time after a heartbeat was sent for which its answer waits for a hung machine: 4 s.
+/// Maximum time after a heartbeat was sent for which its answer waits for a hung machine.
 const HUNG_ANSWER_LIFETIME: u64 = 4 * SECOND;
 
 impl World {
@@ -12,7 +12,7 @@
             return;
         }
         let now = self.now;
-        self.record.note(w, now);
+        self.record.update(w, now);
     }
 
     pub(super) fn step_workers(&mut self) {
@@ -26,8 +26,8 @@
             self.workers.insert(name, w);
         }
         let mut workers = std::mem::take(&mut self.workers);
-        let gang_peer = self.gang_peer;
-        worker::step_gangs(&mut workers, gang_peer, self);
+        let gang_peer_timeout = self.gang_peer_timeout;
+        worker::step_gangs(&mut workers, gang_peer_timeout, self);
         self.workers = workers;
     }
 
@@ -42,7 +42,7 @@
             .flatten()
             .map(|o| o["verb"].clone());
         if verbs.clone().any(|v| v != json!("halt")) {
-            self.broken.push(format!("sent directly: {text}"));
+            self.violations.push(format!("sent directly: {text}"));
         }
         let to = self.workers.values().find(|w| self.addr(&w.name) == addr);
         let Some(w) = to.filter(|w| !w.dead && !self.faults.unanswered_workers.contains(&w.name))
@@ -63,8 +63,8 @@
         let Some(mut w) = self.workers.remove(&name) else {
             return;
         };
-        if !w.hung(self.now) && !w.lease_over(self.now) {
-            w.commanded(self, &body);
+        if !w.is_unresponsive(self.now) && !w.lease_expired(self.now) {
+            w.handle_commands(self, &body);
             self.record_worker(&w);
         }
         self.workers.insert(name, w);
@@ -83,7 +83,7 @@
         }
         let hung = self.workers.get(&name);
         if let Some(until) = hung
-            .filter(|w| w.hung(self.now) && !w.dead)
+            .filter(|w| w.is_unresponsive(self.now) && !w.dead)
             .map(|w| w.hung_until)
         {
             // The answer waits until the machine resumes, if it does so before the worker gives up on the answer.
@@ -101,24 +101,24 @@
             return;
         }
         let mut worker = self.workers.remove(&name);
-        if let Some(w) = worker.as_mut().filter(|w| !w.hung(self.now)) {
-            w.answered(self, node, sent, response.status, &response.body);
+        if let Some(w) = worker.as_mut().filter(|w| !w.is_unresponsive(self.now)) {
+            w.handle_answer(self, node, sent, response.status, &response.body);
             self.record_worker(w);
         }
         worker.map(|w| self.workers.insert(name, w));
     }
 }
 
-impl Site for World {
+impl Environment for World {
     fn now(&self) -> u64 {
         self.now
     }
 
-    fn draw(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    fn chance(&mut self, part: f64) -> bool {
+    fn random_bool(&mut self, part: f64) -> bool {
         self.rng.random_bool(part)
     }
 
@@ -127,7 +127,7 @@
     }
 
     fn lease(&self) -> u64 {
-        LEASE
+        WORKER_LEASE
     }
 
     fn job(&self, id: &str) -> Option<JobFacts> {
@@ -144,14 +144,15 @@
     }
 
     fn run_time(&mut self, _: &JobFacts) -> u64 {
-        self.rng.random_range(self.runs.0..self.runs.1)
+        self.rng
+            .random_range(self.run_time_range.0..self.run_time_range.1)
     }
 
     fn is_done(&self, task: &str) -> bool {
         self.completed_tasks.contains(task)
     }
 
-    fn done(&mut self, task: &str) {
+    fn on_task_done(&mut self, task: &str) {
         self.completed_tasks.insert(task.into());
         let id = task.split('/').next().unwrap_or("").to_string();
         if self.cancel_at_end == 0.0 || !self.completed(&id) {
@@ -176,15 +177,15 @@
         self.request_at_all_nodes(&id);
     }
 
-    fn starts(&mut self, worker: &Worker, task: &str) {
+    fn on_task_started(&mut self, worker: &Worker, task: &str) {
         self.check_start(worker, task);
     }
 
-    fn failed(&mut self, task: &str) {
+    fn on_task_failed(&mut self, task: &str) {
         self.failures.push((self.now, task.into()));
     }
 
-    fn forgets(&mut self, task: &str) {
+    fn on_task_forgotten(&mut self, task: &str) {
         let (id, index) = task.split_once('/').unwrap_or((task, ""));
         let index: u32 = index.parse().unwrap_or(0);
         let over = self.state.value(&format!("gh/over/{id}")).is_some();
@@ -193,7 +194,7 @@
         if over || cancelled || self.is_stored_as_done(id, index) {
             return;
         }
-        self.broken.push(format!(
+        self.violations.push(format!(
             "lost: the worker forgets the end of {task}, which is not stored"
         ));
     }
@@ -209,7 +210,7 @@
         if self.faults.heartbeat_copy_rate > 0.0
             && self.rng.random_bool(self.faults.heartbeat_copy_rate)
         {
-            let late = self.rng.random_range(2 * SECOND..3 * LEASE);
+            let late = self.rng.random_range(2 * SECOND..3 * WORKER_LEASE);
             self.schedule(
                 late,
                 Event::HeartbeatCopy {
@@ -231,7 +232,7 @@
         self.http(origin, node, Method::Post, "/v1/report", Bytes::from(body));
     }
 
-    fn named(&self, name: &str) -> Option<usize> {
+    fn node_by_name(&self, name: &str) -> Option<usize> {
         name.strip_prefix('n')?.parse().ok()
     }
 }
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -13,7 +13,7 @@
 fn gangs_never_reserve_the_same_booting_machine() {
     let mut f = LeaderView::new();
     for (i, zone) in ["a", "a", "a", "b", "b"].iter().enumerate() {
-        f.c.machine_or_adopt(&format!("host-{i}"), "large", zone, false, f.now);
+        f.c.get_or_adopt_machine(&format!("host-{i}"), "large", zone, false, f.now);
     }
     for id in ["j-1", "j-2", "j-3"] {
         f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
@@ -47,7 +47,7 @@
 fn a_gang_takes_reservations_of_a_gang_later_in_the_queue() {
     let mut f = LeaderView::new();
     for i in 0..2 {
-        f.c.machine_or_adopt(&format!("host-{i}"), "large", "a", false, f.now);
+        f.c.get_or_adopt_machine(&format!("host-{i}"), "large", "a", false, f.now);
     }
     f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
     f.c.run_scheduling_pass(f.now);
@@ -71,7 +71,7 @@
     f.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
     f.c.run_scheduling_pass(f.now);
     f.run_all();
-    f.c.machine_or_adopt("late-0", "large", "a", false, f.now);
+    f.c.get_or_adopt_machine("late-0", "large", "a", false, f.now);
     for _ in 0..8 {
         f.pass(7);
         f.run_all();
@@ -279,7 +279,7 @@
         m.dead = true;
         m.tasks.clear();
     });
-    w.run_until(150, "all jobs are done", World::all_over);
+    w.run_until(150, "all jobs are done", World::all_jobs_ended);
     w.finish();
 }
 
@@ -307,5 +307,5 @@
     w.run_until(120, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
 }
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -57,7 +57,7 @@
 fn machine_types() -> Arc<Vec<MachineType>> {
     let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
-        size: Resources::new(cpus, 0.0, cpus * 4.0),
+        capacity: Resources::new(cpus, 0.0, cpus * 4.0),
         price,
         spot_price: price / 3.0,
         boot_time: 30 * SECOND,
@@ -109,7 +109,7 @@
         let mut f = LeaderView::unread(teams, wait_s);
         f.c.finish_loading(f.now);
         f.c.tick(f.now, WALL);
-        assert!(f.c.takeover.settled);
+        assert!(f.c.takeover.is_settled);
         f
     }
 
@@ -206,7 +206,7 @@
     pub fn write(&mut self) -> (usize, usize) {
         let (mut calls, mut changes) = (0, 0);
         while let Some((commit, batch)) = self.c.next_transaction(self.now, 1) {
-            assert!(commit.change_count() <= self.c.settings.txn_ops);
+            assert!(commit.change_count() <= self.c.settings.max_transaction_operations);
             calls += 1;
             changes += commit.change_count();
             self.version += 1;
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashSet};
 
 use gannethub_ledger::audit::{Verified, verify};
-use gannethub_ledger::line::{Entry, LineBody, OwnerChange, UnmeteredInterval};
+use gannethub_ledger::line::{AttemptCharge, LeaderChange, LineBody, UnmeteredInterval};
 use serde_json::json;
 
-use crate::harness::{LEASE, SECOND, World, job};
+use crate::harness::{SECOND, WORKER_LEASE, World, job};
 use crate::{ClusterKind, play_random_faults};
 
 /// Unix time at the start of a test, in microseconds.
@@ -18,9 +18,9 @@
 struct Audit {
     verified: Verified,
     /// Entries, each with its team, by machine, task and attempt.
-    entries: BTreeMap<(String, String, u64), Vec<(String, Entry)>>,
+    entries: BTreeMap<(String, String, u64), Vec<(String, AttemptCharge)>>,
     unmetered: Vec<UnmeteredInterval>,
-    owner_changes: Vec<OwnerChange>,
+    leader_changes: Vec<LeaderChange>,
     /// Intervals, from start to end, for which the ledger itself declares that it may lack attempts.
     incomplete: Vec<(u64, u64)>,
 }
@@ -40,7 +40,7 @@
         verified,
         entries: BTreeMap::new(),
         unmetered: Vec::new(),
-        owner_changes: Vec::new(),
+        leader_changes: Vec::new(),
         incomplete: Vec::new(),
     };
     for (line, _) in pages.iter().flat_map(|p| p.read().expect("verified")) {
@@ -59,15 +59,15 @@
                 }
             }
             LineBody::Unmetered(g) => audit.unmetered.push(g),
-            LineBody::OwnerChanged(t) => {
-                if !t.complete {
+            LineBody::LeaderChanged(t) => {
+                if !t.has_all_open_usage {
                     // Attempts that ended just before may not have been written down, and a lease may have expired
                     // before its worker found the new leader.
                     audit
                         .incomplete
-                        .push((before - LEASE.min(before), t.at + 2 * LEASE));
+                        .push((before - WORKER_LEASE.min(before), t.at + 2 * WORKER_LEASE));
                 }
-                audit.owner_changes.push(t);
+                audit.leader_changes.push(t);
             }
             _ => {}
         }
@@ -99,11 +99,11 @@
         compared += 1;
         // A gang's task that is replaced on the same machine keeps its attempt number: then there are two entries,
         // one after the other.
-        let mut stints: Vec<&Entry> = entries.iter().map(|(_, e)| e).collect();
-        stints.sort_by_key(|e| e.begin);
-        if stints.windows(2).any(|two| two[1].begin < two[0].end()) || stints.len() > span.stints {
+        let mut runs: Vec<&AttemptCharge> = entries.iter().map(|(_, e)| e).collect();
+        runs.sort_by_key(|e| e.begin);
+        if runs.windows(2).any(|two| two[1].begin < two[0].end()) || runs.len() > span.runs {
             mismatches.push(format!(
-                "{key:?} is charged {} times: {stints:?}",
+                "{key:?} is charged {} times: {runs:?}",
                 entries.len()
             ));
         }
@@ -112,11 +112,11 @@
         if w.jobs[job].body["crew"] != **team {
             mismatches.push(format!("{key:?} is charged to {team}"));
         }
-        let charged: u64 = stints.iter().map(|e| e.stage_times.at_worker()).sum();
-        let bound: u64 = stints.iter().map(|e| e.max_error).sum();
+        let charged: u64 = runs.iter().map(|e| e.stage_times.at_worker()).sum();
+        let bound: u64 = runs.iter().map(|e| e.max_error).sum();
         if charged.abs_diff(real) > bound + SLACK {
             mismatches.push(format!(
-                "{key:?} took {real}, charged {charged}: {stints:?} {span:?}"
+                "{key:?} took {real}, charged {charged}: {runs:?} {span:?}"
             ));
         }
         let sums = teams.entry(team.clone()).or_default();
@@ -163,7 +163,7 @@
     w.submit(job(4, 2, json!({"shape": "service", "crew": "red"})));
     w.run(40);
     w.cancel(4);
-    w.run_until(200, "all jobs have ended", World::all_over);
+    w.run_until(200, "all jobs have ended", World::all_jobs_ended);
     w.run(6);
     let audit = audit(&w);
     let Comparison {
@@ -175,8 +175,11 @@
         compared >= 76 && declared_missing == 0,
         "{compared} attempts compared, {declared_missing} not charged"
     );
-    assert_eq!((audit.owner_changes.len(), audit.unmetered.len()), (1, 0));
-    assert_eq!(audit.verified.charged as usize, audit.entries.len());
+    assert_eq!((audit.leader_changes.len(), audit.unmetered.len()), (1, 0));
+    assert_eq!(
+        audit.verified.charged_attempts as usize,
+        audit.entries.len()
+    );
     for (team, (real, charged, bound)) in teams {
         // An end that comes right after a heartbeat is reported late, by a quarter of a second on average.
         let lag = charged as i64 - real as i64;
@@ -202,7 +205,7 @@
             all + result.compared,
             declared_missing + result.declared_missing,
         );
-        leaders += audit.owner_changes.len();
+        leaders += audit.leader_changes.len();
         w.finish();
     }
     assert!(
@@ -231,10 +234,10 @@
     w.run(1);
     w.crash(leader, 8 * SECOND);
     w.faults.late_commit_rate = 0.0;
-    w.run_until(200, "all jobs have ended", World::all_over);
+    w.run_until(200, "all jobs have ended", World::all_jobs_ended);
     w.run(25);
     let audit = audit(&w);
-    assert!(audit.owner_changes.len() == 2 && audit.owner_changes[1].complete);
+    assert!(audit.leader_changes.len() == 2 && audit.leader_changes[1].has_all_open_usage);
     let result = compare(&w, &audit);
     assert!(result.compared >= 12 && result.declared_missing == 0);
     w.finish();
@@ -283,7 +286,7 @@
         ("/api/ledger?page=1&team=green", 400, "team"),
         ("/api/ledger?team=red", 400, "page"),
     ] {
-        let (got, why) = ask(&settings, path).expect("an answer at once");
+        let (got, why) = ask(&settings, path).expect("the controller answers at once");
         assert!(got == status && why.contains(names), "{path}: {got} {why}");
     }
     let mut off = (*settings).clone();
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use gannethub::emulators::{EmulatorRequest, serve};
-use gannethub_emulators::{Cloud, JobFacts, Site, Worker};
+use gannethub_emulators::{Cloud, Environment, JobFacts, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -15,8 +15,8 @@
 use tokio::task::spawn_local;
 
 use crate::host_role::worker_address;
-use crate::messages::{FromCloud, KindCount, Rented, ToCloud};
-use crate::role::{QUEUE, RunClock, read_from_driver, send_to_driver};
+use crate::messages::{FromCloud, KindCount, ProvisionedMachine, ToCloud};
+use crate::role::{COMMAND_QUEUE_LENGTH, RunClock, read_from_driver, send_to_driver};
 
 #[derive(Args)]
 pub struct CloudArgs {
@@ -56,14 +56,14 @@
     worker_port: u16,
 }
 
-impl Site for CloudSite {
+impl Environment for CloudSite {
     fn now(&self) -> u64 {
         self.now
     }
-    fn draw(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to.max(from + 1))
     }
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
     fn nodes(&self) -> usize {
@@ -82,7 +82,7 @@
         worker_address(worker, self.worker_port).to_string()
     }
     fn send(&mut self, _: &str, _: usize, _: String) {}
-    fn named(&self, _: &str) -> Option<usize> {
+    fn node_by_name(&self, _: &str) -> Option<usize> {
         None
     }
 }
@@ -96,7 +96,7 @@
 
 pub async fn run(args: CloudArgs) -> std::io::Result<()> {
     let clock = RunClock(args.epoch);
-    let (queue, mut commands) = mpsc::channel(QUEUE);
+    let (queue, mut commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     let listener = TcpListener::bind(("127.0.0.1", args.port)).await?;
     spawn_local(serve(
         listener,
@@ -230,7 +230,7 @@
             let Some(machine) = self.machines.get(host).filter(is_new) else {
                 continue;
             };
-            let rented = Rented {
+            let provisioned = ProvisionedMachine {
                 host: host.into(),
                 flavor: machine.flavor.clone(),
                 zone: machine.zone.clone(),
@@ -238,7 +238,7 @@
                 boot: machine.boot_ends_at - machine.provisioned_at,
                 node: self.site.rng.random_range(0..self.site.controllers),
             };
-            send_to_driver(&FromCloud::Rented(rented));
+            send_to_driver(&FromCloud::Rented(provisioned));
         }
     }
 
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use gannethub_emulators::worker::job_of;
+use gannethub_emulators::worker::job_id_of_task;
 use serde::Serialize;
 
-use crate::messages::{Happened, TaskEvent};
+use crate::messages::{TaskEvent, TaskEventKind};
 
 /// The time that an attempt of a task spent on a machine, in microseconds of the run's clock.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
     pub fn record_event(&mut self, event: &TaskEvent) {
         let placements = self.placements.entry(event.task.clone()).or_default();
         match event.what {
-            Happened::Started => {
+            TaskEventKind::Started => {
                 placements.push(Placement {
                     host: event.host.clone(),
                     attempt: event.attempt,
@@ -106,13 +106,13 @@
                     .or_default()
                     .insert(event.task.clone());
             }
-            Happened::Done | Happened::Gone => {
+            TaskEventKind::Done | TaskEventKind::Gone => {
                 let same = |s: &&mut Placement| {
                     s.host == event.host && s.attempt == event.attempt && s.ended.is_none()
                 };
                 if let Some(placement) = placements.iter_mut().rev().find(same) {
                     placement.ended = Some(event.at);
-                    placement.done = event.what == Happened::Done;
+                    placement.done = event.what == TaskEventKind::Done;
                 }
                 if let Some(tasks) = self.tasks_by_host.get_mut(&event.host) {
                     tasks.remove(&event.task);
@@ -135,7 +135,7 @@
                     host,
                     task,
                     attempt,
-                    what: Happened::Gone,
+                    what: TaskEventKind::Gone,
                 });
             }
         }
@@ -182,7 +182,7 @@
         let mut first: HashMap<&str, u64> = HashMap::new();
         for (task, placements) in &self.placements {
             let began = placements.iter().map(|s| s.began).min().unwrap_or(u64::MAX);
-            let entry = first.entry(job_of(task)).or_insert(u64::MAX);
+            let entry = first.entry(job_id_of_task(task)).or_insert(u64::MAX);
             *entry = (*entry).min(began);
         }
         let urgent = |j: &&JobRecord| j.urgent && (from..to).contains(&j.sent_at);
@@ -201,7 +201,7 @@
                 .map(|s| s.ended.unwrap_or(until))
                 .max()
                 .unwrap_or(0);
-            let entry = last.entry(job_of(task)).or_default();
+            let entry = last.entry(job_id_of_task(task)).or_default();
             *entry = (*entry).max(ended);
         }
         let time_until_gone = |(id, j): (&String, &JobRecord)| {
@@ -251,9 +251,9 @@
                 .filter_map(|s| s.ended)
                 .min()
             {
-                done.entry(job_of(task)).or_default().push(at);
+                done.entry(job_id_of_task(task)).or_default().push(at);
             }
-            let Some(job) = self.jobs.get(job_of(task)) else {
+            let Some(job) = self.jobs.get(job_id_of_task(task)) else {
                 continue;
             };
             let Some(told_at) = job.told_cancelled.filter(|t| *t <= until) else {
@@ -290,7 +290,7 @@
     fn check_quota(&mut self, until: u64) {
         let mut changes: BTreeMap<(u64, bool), Vec<UsageChange<'_>>> = BTreeMap::new();
         for (task, placements) in &self.placements {
-            let Some(job) = self.jobs.get(job_of(task)) else {
+            let Some(job) = self.jobs.get(job_id_of_task(task)) else {
                 continue;
             };
             for placement in placements {
@@ -333,7 +333,7 @@
                 let Some(host) = self.hosts.get(&placement.host) else {
                     continue;
                 };
-                let Some(job) = self.jobs.get(job_of(task)) else {
+                let Some(job) = self.jobs.get(job_id_of_task(task)) else {
                     continue;
                 };
                 if host.spot && !job.spot_allowed {
@@ -345,7 +345,7 @@
                 }
                 if job.is_gang {
                     by_job
-                        .entry(job_of(task))
+                        .entry(job_id_of_task(task))
                         .or_default()
                         .push((placement, host));
                 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Buf, Bytes, BytesMut};
-use gannethub_core::http::{Answer, CallResult, Method, NoAnswer};
+use gannethub_core::http::{Answer, CallError, CallResult, Method};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -28,11 +28,11 @@
 /// Status of a request that exceeds the server's rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Maximum time that [`ask_any`] waits for each answer.
+/// Maximum time that [`request_any`] waits for each answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which [`ask_any`] repeats the request.
+/// Time for which [`request_any`] repeats the request.
 const ASK_PERIOD: Duration = Duration::from_secs(60);
-/// Delay of [`ask_any`] between two requests.
+/// Delay of [`request_any`] between two requests.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A client of one server, with the connections to that server.
@@ -60,8 +60,8 @@
         time_limit: Duration,
     ) -> CallResult {
         match timeout(time_limit, self.try_call(method, path, body)).await {
-            Ok(answer) => answer.map_err(|_| NoAnswer::Disconnected),
-            Err(_) => Err(NoAnswer::Timeout),
+            Ok(answer) => answer.map_err(|_| CallError::Disconnected),
+            Err(_) => Err(CallError::Timeout),
         }
     }
 
@@ -124,7 +124,7 @@
 }
 
 /// Sends a request to the servers in turn, once a second for a minute, until one server gives a final answer.
-pub async fn ask_any(
+pub async fn request_any(
     clients: &[Client],
     method: Method,
     path: &str,
