--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -33,7 +33,8 @@
 
 /// An unreachable zone is tried with one machine once this time has passed since it was last found silent.
 const UNREACHABLE_ZONE_RETRY: Micros = 30 * SECOND;
-/// Time for which a refused offer stays blocked while no machine of the offer has been returned or reclaimed.
+/// Time for which a refused offer stays blocked while none of the offer's machines, if there are any, has been returned
+/// or reclaimed.
 const REFUSAL_MEMORY: Micros = 120 * SECOND;
 
 impl Cluster {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Marks machines for return that never boot, whose lease has expired, or that hold no work and are quarantined,
-    /// draining or under a preemption notice.
+    /// Marks a machine for return if it does not boot in time, if its lease has expired, or if it holds no work and is
+    /// quarantined, draining or under a preemption notice.
     fn return_unhealthy(&mut self, now: Micros) {
         let lease_expiry = self.lease_expiry_bound();
         let times = &mut self.fleet.provisioning_times;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Marks machines for return whose idle time exceeds the policy's limit.
+    /// Marks a machine for return if its idle time exceeds the policy's limit.
     fn scale_in(&mut self, now: Micros) {
         // Machines with the shortest idle time come first: each machine counts the machines before it as spares.
         let mut idle: Vec<(Micros, MachineId)> = self
@@ -209,7 +210,7 @@
             let other_spares = spares.entry((machine_type, machine.spot)).or_default();
             let max_idle = self.max_idle_time(machine, machine_type, *other_spares, now);
             *other_spares += 1;
-            // The minimum billed time is charged anyway.
+            // A machine is kept for the minimum billed time, which is charged anyway.
             let is_within_billed_time =
                 now + SECOND <= machine.lifecycle.provisioned_at + MIN_BILLED_TIME;
             if is_within_billed_time || now <= idle_since + max_idle {
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Maximum time for which policy keeps an idle machine while `other_spares` other machines of its type are idle.
+    /// Maximum time for which policy keeps an idle machine while `other_spares` other machines of its type and market
+    /// are idle.
     fn max_idle_time(
         &self,
         machine: &Machine,
@@ -259,8 +261,8 @@
             .machine_count(offer.machine_type, &offer.zone, offer.spot)
     }
 
-    /// Whether an offer was refused recently or its zone is unreachable. While no machine of the offer has been
-    /// returned or reclaimed by the cloud since the refusal, the cloud most likely still has none.
+    /// Whether an offer was refused recently, or its zone is unreachable and not due for a retry. While no machine of
+    /// the offer has been returned or reclaimed by the cloud since the refusal, the cloud most likely still has none.
     pub fn is_offer_blocked(&self, offer: &Offer, now: Micros) -> bool {
         if let Some(unreachable_at) = self.zones.unreachable.get(&*offer.zone) {
             let may_retry = now >= unreachable_at + UNREACHABLE_ZONE_RETRY;
--- a/crates/gannethub-core/src/scheduling/capacity_timeline.rs
+++ b/crates/gannethub-core/src/scheduling/capacity_timeline.rs
@@ -1,8 +1,9 @@
-//! Timelines of future capacity for tasks of a shape, and the choice of the earliest capacity that a gang can use
-//! together.
+//! Timelines of future capacity for tasks of a shape, and the choice of the earliest capacity that the tasks of a job
+//! can use together.
 //!
-//! Gangs with the same constraints look for the same capacity, so one timeline is computed for all of them, and each
-//! gang removes the capacity reserved for it.
+//! Jobs with the same constraints look for the same capacity, so one timeline is computed for all of them, and the
+//! capacity reserved for a job is removed from the timeline. Gangs use timelines to gather capacity; preemption uses
+//! timelines for gangs and arrays.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 use crate::state::cluster::Cluster;
 use crate::state::machine::Machine;
 
-/// Maximum number of a gang's tasks for which capacity is sought on one machine.
+/// Maximum number of a job's tasks for which capacity is sought on one machine.
 pub(super) const MAX_TASKS_PER_MACHINE: i64 = 4096;
 
 /// Constraints that decide where a job finds capacity. Jobs with equal constraints share a timeline.
@@ -49,20 +50,20 @@
     zones: BTreeMap<Arc<str>, VecDeque<TaskCapacity>>,
 }
 
-/// Capacity that a gang may use, with its position in the zone's list.
+/// Capacity that a job may use, with its position in the zone's list.
 #[derive(Clone)]
 struct IndexedCapacity {
     capacity: TaskCapacity,
     position: usize,
 }
 
-/// Capacity that a gang may use in a zone, the earliest first.
+/// Capacity that a job may use in a zone, the earliest first.
 struct ZoneCandidates {
     zone: Arc<str>,
     candidates: VecDeque<IndexedCapacity>,
 }
 
-/// Capacity chosen for a gang.
+/// Capacity chosen for a job.
 #[derive(Debug)]
 pub(super) struct ChosenCapacity {
     /// Number of tasks for each machine.
@@ -121,7 +122,8 @@
     }
 
     /// Removes from a timeline the earliest capacity that the job's zone constraints let it use together, and returns
-    /// this capacity. Returns `None` if the job must be in a single zone and no zone has enough capacity.
+    /// this capacity. Returns `None` if the job must be in a single zone, has no zone yet, and no zone has enough
+    /// capacity.
     pub(super) fn choose_earliest_capacity(
         &self,
         timeline: &mut CapacityTimeline,
--- a/crates/gannethub-core/src/scheduling/consolidation.rs
+++ b/crates/gannethub-core/src/scheduling/consolidation.rs
@@ -1,5 +1,5 @@
-//! Consolidation: while no job waits for capacity, long tasks that save checkpoints are moved together, so that a
-//! machine which a few of them would occupy for a long time can be returned.
+//! Consolidation: while no job waits for capacity, long tasks that save checkpoints are moved together. A machine that
+//! a few of these tasks would occupy for a long time can then be returned.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 /// Time that a move takes in addition to saving and fetching the image: heartbeats on both machines.
 const MOVE_OVERHEAD: Micros = 5 * SECOND;
 
-/// A task is moved only if its remaining run time exceeds this many times the duration of the move.
+/// A task is moved only if its remaining run time exceeds this many times the duration of the move, plus a boot time.
 const MIN_GAIN_FACTOR: Micros = 4;
 
 /// Maximum number of machines examined to find a host for one task.
@@ -48,7 +48,7 @@
         Some(free)
     }
 
-    /// Returns the capacity that was taken for a task.
+    /// Adds back the capacity that was taken for a task.
     fn release(&mut self, host: Host) {
         let free = self.remove(&host.machine).unwrap_or_default();
         self.insert(host.machine, free - host.taken.scaled_by(-1));
@@ -71,7 +71,7 @@
 
 impl Cluster {
     /// Starts to empty machines whose tasks all have a long remaining run time and fit elsewhere, if no job waits for
-    /// capacity.
+    /// capacity and no machine is draining.
     pub(super) fn consolidate(&mut self, now: Micros) {
         if now < self.fleet.next_consolidation_at {
             return;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns the free capacity of all machines that run tasks, and the machines that could be emptied, in order of
-    /// decreasing saving.
+    /// Returns the free capacity of the unreserved machines that run tasks, and the machines that could be emptied, in
+    /// order of decreasing saving.
     fn movable_machines(&self, now: Micros) -> (SpareCapacity, Vec<MovableMachine>) {
         let mut spare = SpareCapacity::default();
         let mut movable = Vec::new();
@@ -176,7 +176,7 @@
         chosen
     }
 
-    /// Takes capacity for a task that is to be moved, on the machine with the least sufficient free CPU.
+    /// Takes capacity for a task that is to be moved, on the machine with the least free CPU that can host the task.
     fn take_host(&self, task: &TaskId, spare: &mut SpareCapacity, now: Micros) -> Option<Host> {
         let spec = &self.jobs.get(&task.job)?.spec;
         let can_take = |id: &MachineId| {
--- a/crates/gannethub-core/src/scheduling/downstream_demand.rs
+++ b/crates/gannethub-core/src/scheduling/downstream_demand.rs
@@ -227,16 +227,15 @@
     /// three quarters of the expected run time, with the image already on the machine.
     pub(crate) fn job_duration(&self, spec: &JobSpec) -> JobDuration {
         let heartbeats = 2 * self.settings.heartbeat_interval;
-        let run_time = self.run_time(spec);
+        let fetch_and_run = self.fetch_and_run_time(spec);
         JobDuration {
-            expected: run_time.expected + heartbeats,
-            minimum: run_time.minimum + heartbeats / 2,
+            expected: fetch_and_run.expected + heartbeats,
+            minimum: fetch_and_run.minimum + heartbeats / 2,
         }
     }
 
-    /// Returns the part of [`Cluster::job_duration`] after the launch has reached the workers: the fetch of the image
-    /// and the run.
-    pub fn run_time(&self, spec: &JobSpec) -> JobDuration {
+    /// Returns [`Cluster::job_duration`] without the heartbeat intervals: the fetch of the image and the run.
+    pub fn fetch_and_run_time(&self, spec: &JobSpec) -> JobDuration {
         let expected_run_time = self.expected_run_time(spec);
         JobDuration {
             expected: self.fetch_time(spec) + expected_run_time * 5 / 4,
--- a/crates/gannethub-core/src/scheduling/estimates.rs
+++ b/crates/gannethub-core/src/scheduling/estimates.rs
@@ -119,7 +119,7 @@
             .map(|start| start.saturating_sub(fetch_time))
             .filter(|start| *start >= self.unix_time);
         // Downstream jobs have to meet their deadlines as well.
-        let stage = self.run_time(spec);
+        let stage = self.fetch_and_run_time(spec);
         let downstream = demand
             .iter()
             .flat_map(|demand| &demand.deadlines)
@@ -151,8 +151,8 @@
     }
 
     /// Returns the time at which a booting machine is expected to be up. The remaining boot time of an overdue
-    /// machine is assumed to equal the time by which it is late. A machine is no longer expected after twice its
-    /// expected boot time, or in an unreachable zone.
+    /// machine is assumed to equal the time by which the machine is late. A machine is no longer expected if its zone
+    /// is unreachable, or once it is late by more than its expected or its usual boot time, whichever is longer.
     pub fn expected_up_at(&self, machine: &Machine, now: Micros) -> Option<Micros> {
         if self.zones.unreachable.contains_key(&machine.zone) {
             return None;
@@ -178,7 +178,7 @@
         let saved = job.tasks.saved_progress.get(&task.index).copied();
         let progress = running_time(attempt, now) + saved.unwrap_or(0);
         let remaining = self.expected_run_time(&job.spec).saturating_sub(progress);
-        // An attempt that has run for longer than expected is assumed to run for another quarter of its run time.
+        // Run times vary: every attempt is assumed to run for at least another quarter of its progress so far.
         now + remaining.max(progress / 4)
     }
 }
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -6,7 +6,7 @@
 //! an earlier leader may have launched on it is unconfirmed, is not started elsewhere, and counts against its team's
 //! limit. The jobs' launch watermarks ([`JobRecord::watermark`](crate::wire::store::JobRecord::watermark)) tell which
 //! tasks these are: a task at or above its job's watermark is on no machine, since the watermark is raised, durably
-//! and under the guard of the leader's key, before a launch is sent. Watermarks are raised ahead of the next
+//! and under the guard of the shard owner's key, before a launch is sent. Watermarks are raised ahead of the next
 //! launches, so that launches seldom wait for them, and together with completions, so that they seldom cost a
 //! separate change in the state service.
 
@@ -20,8 +20,9 @@
 /// Minimum number of tasks by which watermarks are ahead of the launches. The lead is larger when more tasks are
 /// launched ([`LaunchRate`](crate::state::watermarks::LaunchRate)).
 const MIN_WATERMARK_LEAD: usize = 32;
-/// The lead is also at least one task for this many machines, since all machines may have capacity at the same moment.
-const MACHINES_PER_WATERMARK_STEP: usize = 4;
+/// The lead is also at least one task for every group of this many machines, since all machines may have capacity at
+/// the same moment.
+const MACHINES_PER_LEAD_TASK: usize = 4;
 
 /// Time after the failover, added to one and a quarter heartbeat intervals, within which every worker that reaches a
 /// controller has sent a heartbeat.
@@ -36,8 +37,8 @@
 }
 
 impl Cluster {
-    /// Returns the number of tasks of a job that unconfirmed machines can hold: only machines count that the job may
-    /// use and that are large enough.
+    /// Returns the maximum number of a job's tasks that unconfirmed machines can hold. Machines that the job may not
+    /// use, or that are too small, do not count.
     fn max_unconfirmed_tasks(&self, spec: &JobSpec) -> i64 {
         let tasks_on = |kind: &Option<MachineKind>| match kind {
             Some(kind) if !self.is_eligible_bucket(spec, kind) => 0,
@@ -112,7 +113,7 @@
     pub fn raise_watermarks_ahead(&mut self, now: Micros) {
         self.watermarks.launch_rate.measure(now);
         let mut lead = MIN_WATERMARK_LEAD
-            .max(self.machines.len() / MACHINES_PER_WATERMARK_STEP)
+            .max(self.machines.len() / MACHINES_PER_LEAD_TASK)
             .max(self.watermarks.launch_rate.tasks_per_second as usize);
         for position in 0..self.passes.placement_order.len() {
             let id = self.passes.placement_order[position].clone();
--- a/crates/gannethub-core/src/scheduling/failure_tracking.rs
+++ b/crates/gannethub-core/src/scheduling/failure_tracking.rs
@@ -2,10 +2,11 @@
 //!
 //! In most cases the machine is faulty, but a job submitted with a mistake fails on every machine until its user
 //! cancels it. Evidence is weighed both ways. A job that has failed on several machines and has never succeeded is
-//! *crash-looping*: one task of the job is probed at growing intervals on free capacity; no capacity is reserved or
-//! preempted for the job, it claims no guarantee, and no machine is blamed for its failures. The first finished task
-//! clears the job, and then the machines on which it failed are reviewed again. A machine is quarantined when a job
-//! that succeeds elsewhere fails on it twice, or when several jobs that are not crash-looping fail on it.
+//! *crash-looping*: one task of the job, or the whole gang, is probed at growing intervals on free capacity. No
+//! capacity is reserved or preempted for the job, the job claims no guarantee, and no machine is blamed for its
+//! failures. The first finished task clears the job, and then the machines on which the job failed are reviewed again.
+//! A machine is quarantined when a job that succeeds elsewhere fails on it twice, or when several jobs that are not
+//! crash-looping fail on it.
 
 use crate::model::{JobId, MachineId, Micros, SECOND, Shape, TaskId};
 use crate::state::attempt::AttemptPhase;
@@ -13,7 +14,7 @@
 use crate::state::failure_tracking::FailureTracking;
 use crate::state::job::Job;
 
-/// The tasks of a service never end; one that has run for this time counts as a success.
+/// The tasks of a service never end; a task that has run for this time counts as a success.
 const HEALTHY_AFTER: Micros = 10 * SECOND;
 
 /// Delay before a failed task is started again, doubled with each failure of the task.
@@ -83,7 +84,8 @@
         self.quarantine_if_faulty(machine, now);
     }
 
-    /// Clears the failures of a service that runs elsewhere: its failures say nothing against the service.
+    /// Clears the failures of a service whose tasks run well elsewhere: the failures are then no evidence against the
+    /// service.
     fn clear_running_service(&mut self, id: &JobId, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         if !job.tasks.done.is_empty() || !self.has_succeeded(job, now) {
--- a/crates/gannethub-core/src/scheduling/fleet_summary.rs
+++ b/crates/gannethub-core/src/scheduling/fleet_summary.rs
@@ -8,8 +8,7 @@
 use crate::state::machine::Machine;
 use crate::state::pass_state::SchedulingCost;
 
-/// Thousandths of a CPU in one CPU.
-const MILLICPUS: i64 = 1000;
+const MILLICPUS_PER_CPU: i64 = 1000;
 
 /// Use of the machines of one type and market.
 #[derive(Default)]
@@ -34,12 +33,12 @@
         self.up += 1;
         self.idle += u32::from(machine.attempts.is_empty());
         self.reserved += u32::from(machine.active_reservation(now).is_some());
-        self.cpus += machine.capacity.cpu / MILLICPUS;
+        self.cpus += machine.capacity.cpu / MILLICPUS_PER_CPU;
         for attempt in machine.attempts.values() {
             if !attempt.holds_capacity {
                 continue;
             }
-            let cpus = attempt.resources.cpu / MILLICPUS;
+            let cpus = attempt.resources.cpu / MILLICPUS_PER_CPU;
             match attempt.phase {
                 AttemptPhase::Running | AttemptPhase::Saving => self.running += cpus,
                 _ => self.fetching += cpus,
--- a/crates/gannethub-core/src/scheduling/forecast.rs
+++ b/crates/gannethub-core/src/scheduling/forecast.rs
@@ -3,8 +3,8 @@
 //!
 //! Machines of one type, zone and market form a group. For each shape (the resources of a task) and each group an
 //! index tells which machine has capacity first. All jobs of that shape share the index, and each reservation updates
-//! all indexes of the machine's group. The cost of a plan is therefore its steps plus its machines, not the product
-//! of the two.
+//! all indexes of the machine's group. The cost of a plan is therefore proportional to its placements plus its
+//! machines, not to the product of the two.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -214,8 +214,8 @@
     }
 }
 
-/// Rounds a shape down to the shape whose index is shared by similar shapes. Sizes are rounded down by less than an
-/// eighth, so the index covers the smallest shape that shares it.
+/// Returns the shape whose index similar shapes share. Each size is rounded down, by less than an eighth, so a task of
+/// any shape that shares the index starts no earlier than the index entry says.
 pub(super) fn coarse_shape(resources: &Resources) -> Resources {
     let round_down = |size: i64| {
         let bits = 63 - size.max(1).leading_zeros();
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Reserves a choice for a job's next tasks.
+    /// Reserves the chosen capacity for a job's next tasks.
     pub fn take(
         &mut self,
         choice: PlacementChoice,
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -26,8 +26,8 @@
 
 /// Interval between renewed choices of the gangs' reservations, in microseconds for each machine.
 const GATHER_INTERVAL_PER_MACHINE: Micros = 800;
-/// Maximum of that interval in microseconds: shorter than [`GATHERED_RESERVATION`], so that reservations are renewed
-/// before they expire.
+/// Maximum interval between renewed choices, in microseconds: shorter than [`GATHERED_RESERVATION`], so that
+/// reservations are renewed before they expire.
 const MAX_GATHER_INTERVAL: Micros = 500_000;
 
 /// A gang's reservation expires after this time unless a pass renews it.
@@ -167,7 +167,7 @@
         zones
     }
 
-    /// Reserves confirmed machines for a gang, in the zone that has capacity for most of its tasks. After a failover
+    /// Reserves confirmed machines for a gang, in the zone with capacity for the most tasks. After a failover
     /// a gang rarely finds capacity for all its tasks at once, as machines are confirmed one by one. Without the
     /// reservations, smaller tasks would take the confirmed capacity bit by bit and hold it for as long as they run.
     fn reserve_on_confirmed_machines(
@@ -247,7 +247,7 @@
     /// Reserves the machines that will soonest have capacity for a waiting gang: capacity that becomes free on them,
     /// or that boots, is kept for the gang. No machine is reserved for two gangs, and all of a gang's capacity lies
     /// where its zone constraints let it be used together, so gangs never each hold half of the capacity that they
-    /// need. Returns the time at which the last task will have capacity.
+    /// need. Returns the time at which the last task will have capacity, or `None` if not all tasks find capacity.
     fn gather_capacity(
         &mut self,
         id: &JobId,
--- a/crates/gannethub-core/src/scheduling/limits.rs
+++ b/crates/gannethub-core/src/scheduling/limits.rs
@@ -74,7 +74,7 @@
             if Team::fits_within(&limit, &Resources::default(), &held) {
                 break;
             }
-            // A gang is stopped as a whole: its other tasks are stopping since the first was stopped.
+            // A gang is stopped as a whole: once its first task is stopped, its other tasks are stopping too.
             if !self.is_stopping(&attempt.task) {
                 self.preempt(&attempt.task.job, attempt.task.index);
                 stopped += 1;
--- a/crates/gannethub-core/src/scheduling/mod.rs
+++ b/crates/gannethub-core/src/scheduling/mod.rs
@@ -11,8 +11,7 @@
 //! | [`queue_order`] | the order in which jobs are served |
 //! | [`limits`] | teams' limits and the remaining quota |
 //! | [`placement`], [`zones`] | first-fit placement of arrays and services under placement constraints |
-//! | [`gang`], [`capacity_timeline`] | gang scheduling: all tasks of a gang start at once, or capacity is gathered
-//! for them |
+//! | [`gang`], [`capacity_timeline`] | gang scheduling: a gang is placed as a whole, or capacity is gathered for it |
 //! | [`preemption`] | freeing capacity by stopping less important work |
 //! | [`estimates`] | run times, deadlines, prices, boot times |
 //! | [`downstream_demand`] | priorities and deadlines that upstream jobs inherit from the jobs that wait for them |
--- a/crates/gannethub-core/src/scheduling/pass.rs
+++ b/crates/gannethub-core/src/scheduling/pass.rs
@@ -1,8 +1,9 @@
 //! Scheduling passes: the jobs of the queue are placed in order, each as far as there is capacity.
 //!
-//! The cost of a pass is counted in steps: one step for each job or machine examined. The next pass begins no sooner
-//! than the steps of the last pass allow, so scheduling takes the same part of the processor for any size of the
-//! cluster and any length of the queue, and heartbeats, lease renewals and users' requests are never delayed by it.
+//! The cost of a pass is counted in scheduling steps: about one step for each job or machine examined. The next pass
+//! begins no sooner than the steps of the last pass allow. Scheduling therefore takes the same part of the processor
+//! for any size of the cluster and any length of the queue, and does not delay heartbeats, lease renewals and users'
+//! requests.
 
 use crate::configuration::OverLimit;
 use crate::model::{JobId, JobSpec, MachineId, Micros, SECOND, Shape, seconds_from_micros};
@@ -13,7 +14,7 @@
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
-/// Capacity up to this many times as expensive as the cheapest capacity of its tier counts as equally expensive.
+/// Capacity up to this many times as expensive as the cheapest capacity of its price rank counts as equally expensive.
 const SIMILAR_PRICE: f64 = 1.5;
 
 /// Minimum interval, in microseconds for each machine, between passes over the whole queue that are started by
@@ -46,7 +47,8 @@
     pub fn run_scheduling_pass(&mut self, now: Micros) {
         let steps_before = self.passes.steps.get();
         if self.quota.over_limit == OverLimit::Stop {
-            // A new leader learns of running attempts as machines report them.
+            // Each pass enforces the limits, since a new leader learns of running attempts only as machines report
+            // them.
             self.enforce_limits(now);
         }
         self.propagate_downstream_demand(now);
@@ -136,8 +138,9 @@
         }
     }
 
-    /// Returns the time for which no further pass or plan may begin after `steps` steps. Policy and the process's
-    /// share of a processor set the number of steps that scheduling may take in a second.
+    /// Returns the minimum delay before the next pass after a pass of `steps` steps, or before the next plan after a
+    /// plan of as many. Policy and the process's share of a processor set the number of steps that scheduling may take
+    /// in a second.
     pub fn pacing_delay(&self, steps: u64) -> Micros {
         (steps as f64 * SECOND as f64 / self.settings.max_scheduling_steps_per_s()) as Micros
     }
@@ -210,8 +213,8 @@
             let job = reservation.job.clone();
             return self.use_reserved_capacity(id, &job, now);
         }
-        // Cheaper capacity elsewhere, or capacity of smaller machines, is used first, so that expensive and large
-        // machines empty. In that case the next pass decides.
+        // If there is cheaper capacity elsewhere, or capacity on smaller machines, the next pass decides: such capacity
+        // is used first, so that expensive and large machines empty.
         if self.has_preferred_capacity(machine_type, machine.spot, &first.spec, now) {
             return;
         }
@@ -221,7 +224,8 @@
         self.offer_machine(id, now);
     }
 
-    /// Returns the first jobs in the order of the last pass that have tasks to place and whose tasks fit a machine.
+    /// Returns those of the first jobs in the order of the last pass that have tasks to place and whose tasks fit a
+    /// machine.
     fn jobs_that_fit(&self, machine: &Machine) -> impl Iterator<Item = &Job> {
         let free = machine.free();
         let offered = self.passes.placement_order.iter().take(MAX_JOBS_OFFERED);
--- a/crates/gannethub-core/src/scheduling/placement.rs
+++ b/crates/gannethub-core/src/scheduling/placement.rs
@@ -20,7 +20,8 @@
 /// Number of further candidates for each task of the job.
 const CANDIDATES_PER_TASK: usize = 4;
 
-/// A reservation for a stage of a pipeline expires after this time unless a pass renews it.
+/// A reservation for a stage of a pipeline, or for a gang while machines are unconfirmed, expires after this time
+/// unless a pass renews it.
 pub(super) const STAGE_RESERVATION: Micros = 2 * SECOND;
 
 /// A number of tasks to place on one machine.
@@ -42,8 +43,8 @@
         .flat_map(|placement| std::iter::repeat_n(&placement.machine, placement.tasks))
 }
 
-/// Jobs that found too little capacity in a pass. Capacity only shrinks during a pass, so a job that needs as much
-/// and may use no other machines need not search again.
+/// Jobs that found too little capacity in a pass. Capacity only shrinks during a pass, so a job that needs at least as
+/// much and may use no other machines need not search again.
 #[derive(Debug, Default)]
 pub(super) struct UnplaceableJobs(Vec<UnplaceableJob>);
 
@@ -61,7 +62,7 @@
         self.0.push(UnplaceableJob { spec, tasks });
     }
 
-    /// Whether a job that needs no more, and may use at least the same machines, has found no capacity already.
+    /// Whether another job that needs no more, and may use at least the same machines, has found no capacity already.
     pub fn contains(&self, spec: &JobSpec, tasks: usize) -> bool {
         self.0.iter().any(|known| {
             let other = &known.spec;
@@ -204,7 +205,7 @@
             None => self.first_fit(id, &spec, &mut zones, wanted, now),
         };
         let found = placed_tasks(&placements);
-        // An array takes any capacity there is, so a later job is certain to find none only if this one found none at
+        // An array takes any capacity there is, so a later job is certain to find none only if this job found none at
         // all.
         if only.is_none() && is_typical && found == 0 {
             unplaceable.record(&spec, 1);
@@ -259,7 +260,7 @@
         best.map(|(zone, _)| zone.clone())
     }
 
-    /// Places up to `wanted` tasks of a job on one machine, as far as it has capacity.
+    /// Finds capacity for up to `wanted` tasks of a job on one machine.
     fn fit_on_machine(
         &self,
         machine: &MachineId,
@@ -287,7 +288,7 @@
     }
 
     /// Finds capacity for up to `wanted` tasks of a job by first-fit in the order of tiers. Among the machines of a
-    /// tier, whose capacity costs the same, machines that hold the job's image come first.
+    /// tier, which are equally preferred, machines that hold the job's image come first.
     pub(super) fn first_fit(
         &self,
         id: &JobId,
@@ -376,9 +377,9 @@
         machine.placement.reservation = Some(reservation);
     }
 
-    /// Reserves machines that have too little free capacity yet for a stage of a pipeline, in order of decreasing
-    /// number of attempts that can end next. Otherwise smaller tasks further down the queue would take all capacity
-    /// bit by bit as it becomes free, and a task that needs more would never find enough.
+    /// Reserves machines that have too little free capacity yet for a stage of a pipeline. The machines with the most
+    /// attempts that can end come first. Without the reservations, smaller tasks further down the queue would take all
+    /// capacity bit by bit as it becomes free, and a task that needs more would never find enough.
     pub(super) fn reserve_for_stage(&mut self, id: &JobId, tasks: usize, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.scheduling.downstream_demand.is_none() || job.spec.is_zone_constrained() {
@@ -425,8 +426,8 @@
     })
 }
 
-/// Places up to `wanted` tasks on a candidate, as far as the job's zone constraints allow. Returns the number of
-/// tasks placed.
+/// Adds a placement of up to `wanted` tasks on a candidate, as far as the job's zone constraints allow. Returns the
+/// number of tasks in the placement.
 fn take_candidate(
     candidate: Candidate<'_>,
     spec: &JobSpec,
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -26,8 +26,8 @@
 /// Time budget of a pass for preemption, in microseconds, converted to steps at the rate of steps that policy allows.
 const PREEMPTION_STEP_BUDGET: Micros = 500_000;
 
-/// After a pass that did not reach all gangs, jobs for which capacity was preempted yield to the others for this
-/// time.
+/// After a pass that ran out of its budget for preemption, jobs for which capacity was preempted yield to the others
+/// for this time.
 const PREEMPTION_RETRY: Micros = 3 * SECOND;
 
 /// Maximum number of tasks of an array for which capacity is preempted at once.
@@ -49,7 +49,7 @@
     borrowed: Option<BorrowedQuota>,
     /// Number of scheduling steps after which nothing more is preempted in this pass.
     step_limit: u64,
-    /// Whether the last round did not reach all gangs.
+    /// Whether all gangs gather capacity again in this pass, and an earlier pass ran out of its budget for preemption.
     catching_up: bool,
     /// Requests for which preemption cannot free enough capacity.
     infeasible: Vec<PreemptionRequest>,
@@ -126,8 +126,8 @@
             job,
             is_urgent,
             is_gang,
-            // The tasks of an array find capacity as others end, so stopping as many other tasks would only move the
-            // work.
+            // The tasks of an array find capacity as other tasks end, so stopping as many other tasks would only
+            // move the work.
             only_without_guarantee: !is_urgent && !is_gang,
         }
     }
@@ -150,13 +150,13 @@
 }
 
 impl Cluster {
-    /// Prepares the preemption state of a pass that begins now. `is_round`: whether all gangs gather capacity again
+    /// Prepares the preemption state of a pass that begins now. `regather_all`: whether all gangs gather capacity again
     /// in the pass.
-    pub(super) fn begin_preemption_pass(&mut self, is_round: bool) -> PreemptionPass {
+    pub(super) fn begin_preemption_pass(&mut self, regather_all: bool) -> PreemptionPass {
         let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
         PreemptionPass {
             step_limit: self.passes.steps.get() + steps as u64,
-            catching_up: is_round && std::mem::take(&mut self.passes.gang_requests_deferred),
+            catching_up: regather_all && std::mem::take(&mut self.passes.gang_requests_deferred),
             ..PreemptionPass::default()
         }
     }
@@ -308,8 +308,8 @@
         Some((chosen, preemptions.tasks))
     }
 
-    /// Removes the victims on the chosen machines from a plan. Returns `None` if a gang would get only a part of the
-    /// capacity that it needs, which is of no use to the gang.
+    /// Chooses victims on the chosen machines, and removes these machines' victims from the plan. Returns `None` if a
+    /// gang would get only a part of the capacity that it needs, which is of no use to the gang.
     fn choose_victims(
         &self,
         preemptor: &Preemptor<'_>,
@@ -333,7 +333,7 @@
                 }
                 if let Some(borrower) = victim.borrower {
                     let left = &mut preemptions.borrowed[borrower];
-                    // The victims never hold more than the team has borrowed.
+                    // A team's victims together never hold more than the team has borrowed.
                     if !Team::fits_within(left, &NO_RESOURCES, &victim.resources) {
                         continue;
                     }
@@ -446,8 +446,8 @@
     (preemptor.is_urgent || scheduling.within_guarantee) && !(pass.catching_up && was_just_served)
 }
 
-/// Returns the run time that is lost if an attempt is stopped now. An attempt that saves checkpoints loses only the
-/// time that saving takes.
+/// Returns the run time that is lost if an attempt is stopped now. An attempt that saves checkpoints loses at
+/// most the time that saving takes.
 fn work_lost(job: &Job, attempt: &Attempt, now: Micros) -> Micros {
     let ran = running_time(attempt, now);
     if job.spec.checkpoint_interval > 0 {
@@ -480,8 +480,8 @@
             free += victim.resources;
             loss += victim.loss + 1;
         }
-        // Free capacity needs no preemption: if an array does not use it, another rule prevents that. A gang needs
-        // the free capacity together with the freed capacity.
+        // Free capacity needs no preemption: if an array does not use free capacity, some other rule prevents the use.
+        // A gang needs the free capacity together with the freed capacity.
         if !preemptor.is_gang && loss == 0 {
             return;
         }
--- a/crates/gannethub-core/src/scheduling/provisioning_plan.rs
+++ b/crates/gannethub-core/src/scheduling/provisioning_plan.rs
@@ -1,8 +1,8 @@
 //! The provisioning plan: the number of machines of each offer that are needed to serve the queue in time.
 //!
 //! The plan simulates the queue on a [`Forecast`] of the present machines and of the machines that boot or are
-//! requested. Work that would start too late there gets a new machine, of the offer with the lowest price for the
-//! capacity that this work and the jobs behind it use.
+//! requested. Work that would start too late in the simulation gets a new machine, of the offer with the lowest price
+//! for the capacity that this work and the jobs behind it use.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
@@ -22,12 +22,12 @@
 use crate::state::job::Job;
 use crate::state::machine::Machine;
 
-/// Number of steps of a plan, in queue order. A step places all tasks of a job that start on one machine at one time.
-/// Plans are recomputed all the time.
-const BASE_STEPS: usize = 3000;
-/// Number of further steps for each machine in the forecast. Otherwise the plan of a large cluster would end among the
-/// present machines and never reach the work that needs new machines.
-const STEPS_PER_MACHINE: usize = 12;
+/// Maximum number of placements of a plan, in queue order. A placement covers all tasks of a job that start on one
+/// machine at one time. Work that a plan does not reach is left to the next plans, which are computed all the time.
+const BASE_PLACEMENTS: usize = 3000;
+/// Number of further placements for each machine in the forecast. Otherwise the plan of a large cluster would end among
+/// the present machines and never reach the work that needs new machines.
+const PLACEMENTS_PER_MACHINE: usize = 12;
 
 /// Maximum number of jobs behind the first that are examined for other uses of a new machine.
 const LOOKAHEAD_JOBS: usize = 32;
@@ -35,7 +35,7 @@
 /// Maximum number of different shapes with indexes of their own; with more shapes, similar shapes share an index.
 const MAX_EXACT_SHAPES: usize = 24;
 
-/// Fraction of the time between its release and its latest start for which upcoming work may wait in the plan.
+/// Upcoming work may wait in the plan for this fraction of the time between its release and its latest start.
 const UPCOMING_SLACK: f64 = 0.2;
 
 /// Tasks whose remaining backoff exceeds this time are not planned.
@@ -61,7 +61,7 @@
     /// Whether each shape has an index of its own. Capacity that is too small for one job is then not read again by
     /// all other jobs of its shape.
     has_exact_shapes: bool,
-    steps_left: usize,
+    placements_left: usize,
     wanted: BTreeMap<Offer, u32>,
     /// Machines on which upcoming work is planned.
     planned_machines: HashSet<MachineId>,
@@ -85,7 +85,7 @@
         let offers = self.available_offers(now);
         let mut plan = Plan::new(self, &pending, &offers, now);
         for position in 0..pending.len() {
-            if plan.steps_left == 0 {
+            if plan.placements_left == 0 {
                 break;
             }
             let (head, behind) = pending.split_at_mut(position + 1);
@@ -355,7 +355,7 @@
             offers,
             min_resources: resources.reduce(min).unwrap_or_default(),
             has_exact_shapes: shapes.len() <= MAX_EXACT_SHAPES,
-            steps_left: BASE_STEPS + STEPS_PER_MACHINE * forecast.machines.len(),
+            placements_left: BASE_PLACEMENTS + PLACEMENTS_PER_MACHINE * forecast.machines.len(),
             forecast,
             wanted: BTreeMap::new(),
             planned_machines: HashSet::new(),
@@ -373,8 +373,8 @@
         candidates.resize(self.forecast.groups.len());
         // The best offer for the job, kept while it is known to stay the best.
         let mut best_offer = BestOffer::Unknown;
-        while work.tasks > 0 && self.steps_left > 0 {
-            self.steps_left -= 1;
+        while work.tasks > 0 && self.placements_left > 0 {
+            self.placements_left -= 1;
             if let Some(choice) = self.forecast.best_choice(work, &mut candidates) {
                 let is_late = choice.start > work.latest_start;
                 let offer = match (is_late, &best_offer) {
@@ -388,7 +388,8 @@
                 };
                 let new_machine_at =
                     offer.map(|priced| self.cluster.expected_boot_end(&priced.offer, now));
-                // A new machine would be up no sooner than the present capacity is free.
+                // The choice is taken if it is in time, if there is no offer, or if a new machine would be up no sooner
+                // than the capacity of the choice is free.
                 if new_machine_at.is_none_or(|at| choice.start <= at) {
                     if work.earliest_start > now {
                         let machine = &self.forecast.machines[choice.machine];
@@ -429,7 +430,7 @@
             .collect()
     }
 
-    /// Plans a new machine, and the job's first tasks on it.
+    /// Plans a new machine, and on it as many of the job's remaining tasks as fit.
     fn add_new_machine(
         &mut self,
         priced: &PricedOffer,
--- a/crates/gannethub-core/src/scheduling/queue_order.rs
+++ b/crates/gannethub-core/src/scheduling/queue_order.rs
@@ -15,12 +15,11 @@
 /// Interval between computations of the order, in microseconds for each job in the queue.
 const REORDER_INTERVAL_PER_JOB: Micros = 200;
 
-/// Steps per unit for the numbers that policy returns: they are compared as whole thousandths, so that the order is
-/// total.
+/// Numbers that policy returns are multiplied by this factor and compared as whole numbers, so that the order is total.
 const KEY_PRECISION: f64 = 1000.0;
 
-/// Deducts a job's remaining tasks from the rest of its team's guarantee. Returns whether the job fits into that
-/// rest.
+/// Deducts a job's remaining tasks from what remains of its team's guarantee. Returns whether the job fits into the
+/// remainder.
 fn charge_guarantee(remaining: &mut [Resources], job: &Job) -> bool {
     let Some(team) = job.team.filter(|_| !job.is_crash_looping()) else {
         return false;
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -1,11 +1,11 @@
 //! Division of the cluster among shards: the quota of each team in each shard, the machines provisioned for each
-//! shard, and the jobs that move to another shard before any of their tasks has been launched.
+//! shard, and the jobs that are transferred to another shard before any of their tasks has been launched.
 //!
 //! A team's limit is never given out twice. The quota of a shard other than 0 is stored under a key of its own; shard
 //! 0 has the rest of the limit. A shard's quota is lowered only by the shard's own owner, which keeps to the lower
-//! quota from before that quota is stored. A quota is raised only by the owner of shard 0, after this owner has
-//! deducted the same amount from its own quota. So at any moment the shards' quotas add up to the limit at most,
-//! whichever messages are late or lost.
+//! quota even before storing it. A quota is raised only by the owner of shard 0, after this owner has deducted the
+//! same amount from its own quota. So at any moment the shards' quotas add up to the limit at most, whichever messages
+//! are late or lost.
 
 use std::collections::BTreeMap;
 
@@ -22,11 +22,12 @@
 /// state service.
 const MIN_RETURNED_PART: i64 = 8;
 
-/// Time, in addition to a heartbeat interval, after which a job without any launch looks for another shard.
-const MIN_WAIT_BEFORE_MOVE: u64 = 2 * SECOND;
+/// Unless its shard is given up, a job without launches is transferred to another shard only after it has waited for
+/// this time and a heartbeat interval.
+const MIN_WAIT_BEFORE_TRANSFER: u64 = 2 * SECOND;
 
-/// Maximum number of jobs that move to other shards at once.
-const MAX_JOBS_MOVED_AT_ONCE: usize = 4;
+/// Maximum number of jobs that are transferred to other shards at once.
+const MAX_JOBS_TRANSFERRED_AT_ONCE: usize = 4;
 
 /// Quotas of the teams in each shard other than 0: CPU and GPU, in the order of the teams in the settings.
 pub type ShardQuotas = BTreeMap<u32, Vec<Resources>>;
@@ -43,8 +44,8 @@
 pub fn remaining_quota(limits: &[Resources], quotas: &ShardQuotas) -> Vec<Resources> {
     let mut remaining = limits.to_vec();
     for quota in quotas.values() {
-        for (remaining, used) in remaining.iter_mut().zip(quota) {
-            *remaining -= *used;
+        for (remaining, assigned) in remaining.iter_mut().zip(quota) {
+            *remaining -= *assigned;
         }
     }
     remaining
@@ -229,8 +230,8 @@
             .collect()
     }
 
-    /// Moves jobs that have no launches and find no capacity here to a shard with free capacity. If this shard is to
-    /// be given up, all jobs that can move are moved.
+    /// Transfers jobs that have no launches and find no capacity here to a shard with free capacity. If this shard is
+    /// to be given up, all jobs that can be transferred are, a few at a time.
     pub fn transfer_waiting_jobs(&mut self, is_surplus: bool) {
         if !self.takeover.is_settled || self.other_shards.loads.len() < 2 {
             return;
@@ -238,24 +239,24 @@
         let queued = self.passes.placement_order.iter();
         let queued = queued.filter_map(|id| self.jobs.get(id));
         let all = self.jobs.values().filter(|_| is_surplus);
-        let mut moves: Vec<(JobId, u32)> = Vec::new();
+        let mut transfers: Vec<(JobId, u32)> = Vec::new();
         for job in queued.chain(all) {
-            if moves.len() >= MAX_JOBS_MOVED_AT_ONCE {
+            if transfers.len() >= MAX_JOBS_TRANSFERRED_AT_ONCE {
                 break;
             }
             if self.may_transfer(job, is_surplus) {
                 let shard = self.shard_with_most_free_cpu(job, is_surplus);
-                moves.extend(shard.map(|shard| (job.id.clone(), shard)));
+                transfers.extend(shard.map(|shard| (job.id.clone(), shard)));
             }
         }
-        if !moves.is_empty() {
+        if !transfers.is_empty() {
             self.passes.needed = true;
         }
-        for (id, shard) in moves {
+        for (id, shard) in transfers {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.scheduling.target_shard = Some(shard);
             }
-            // No further job moves to the shard until its owner reports its load again.
+            // No further job is transferred to the shard until its owner reports its load again.
             let mut loads = self.other_shards.loads.iter_mut();
             if let Some(load) = loads.find(|load| load.shard == shard) {
                 load.free_cpu = 0;
@@ -263,11 +264,11 @@
         }
     }
 
-    /// Whether a job may move to another shard: none of its tasks has been launched and its record is not being
-    /// written.
+    /// Whether a job may be transferred to another shard: none of its tasks has been launched, and its record is not
+    /// being written. Unless this shard is given up, the job must also have waited long enough and must not be a gang.
     fn may_transfer(&self, job: &Job, is_surplus: bool) -> bool {
         let waited = self.unix_time.saturating_sub(job.ready_at);
-        let has_waited = waited > MIN_WAIT_BEFORE_MOVE + self.settings.heartbeat_interval;
+        let has_waited = waited > MIN_WAIT_BEFORE_TRANSFER + self.settings.heartbeat_interval;
         let persistence = &job.persistence;
         job.has_no_launches()
             && !job.cancelled
