--- a/crates/gannethub-core/src/state/cluster.rs
+++ b/crates/gannethub-core/src/state/cluster.rs
@@ -43,17 +43,18 @@
 /// following state spans several fields, which have to change together:
 ///
 /// - the attempts on machines, the usage of machines and teams, and the capacity index. [`Cluster::adjust_usage`]
-///   changes the latter three for every attempt that takes or gives back capacity. Apart from it, only
-///   `reconcile::configuration` adds to [`QuotaState::team_usage`], when a team becomes known;
+///   changes both usages and the index for every attempt that takes or gives back capacity. The only other change is
+///   that `reconcile::configuration` adds to [`QuotaState::team_usage`] when a team becomes known;
 /// - the live attempts of a job and the attempts on its machines, which refer to each other. [`Cluster::place_task`]
 ///   adds to both, and `reconcile::attempts` adopts and removes attempts;
 /// - `passes.needed`, which has to be set by any code that changes an input of a scheduling pass.
 ///
 /// The modules above this one add methods of their own. `scheduling` makes decisions: it changes the queue, the
 /// passes, the calls of the fleet, and the contents of [`JobScheduling`](super::job::JobScheduling) and
-/// [`PlacementState`](super::machine::PlacementState). `reconcile` applies heartbeats, stored records and answers of
-/// the cloud, and so changes jobs, machines and pipelines. `controller` calls methods, and sets only `starts_paused`,
-/// `watermarks.not_required` and the state reported by other shards.
+/// [`PlacementState`](super::machine::PlacementState). `reconcile` applies heartbeats, stored records and
+/// responses of the cloud, and so changes jobs, machines and pipelines. `controller` calls methods, and sets only the
+/// time of day, `starts_paused`, `passes.needed`, `watermarks.not_required`, `store_writes.transaction_rejections` and
+/// the state of other shards.
 #[derive(Debug)]
 pub struct Cluster {
     /// The term under which this controller owns the shard: the fencing token of all messages that it sends.
@@ -77,7 +78,7 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// The same machines, indexed by their free capacity.
     pub capacity_index: CapacityIndex,
-    /// The capacity of all machines that are up.
+    /// The capacity of all machines that have booted.
     pub total_capacity: Resources,
     /// Time of the last scan of all machines for changes that depend on time alone, such as expired leases.
     pub(crate) machines_scanned_at: Micros,
@@ -88,7 +89,7 @@
 
     /// All jobs in scheduling order.
     pub queue: Queue,
-    /// State that scheduling passes keep for the next ones.
+    /// State that scheduling passes leave for later passes.
     pub passes: PassState,
     /// Quota and usage of the teams.
     pub quota: QuotaState,
@@ -195,20 +196,19 @@
         }
     }
 
-    /// Returns the version of a waiting job's record.
     pub fn waiting_job_version(&self, id: &str) -> Option<u64> {
         let waiting = self.pipelines.waiting.get(id);
         waiting.map(|job| job.version)
     }
 
-    /// Detects zones that have become unreachable.
     pub fn detect_unreachable_zones(&mut self, now: Micros) {
         let heartbeat_interval = self.settings.heartbeat_interval;
         let machines = self.machines.values();
         self.zones.detect(machines, heartbeat_interval, now);
     }
 
-    /// Returns the time without an answer after which a worker's lease has expired, whatever the drift of its clock.
+    /// Returns the time without a response after which a worker's lease has expired, even if the worker's clock runs
+    /// slow by the maximum drift.
     pub fn lease_expiry_bound(&self) -> Micros {
         let lease = self.settings.lease_duration;
         lease + lease / MAX_CLOCK_DRIFT + LEASE_MARGIN
@@ -238,8 +238,8 @@
         })
     }
 
-    /// Returns the maximum number of changes in a transaction. Transactions that the state service rejected as too
-    /// large are retried as smaller ones.
+    /// Returns the maximum number of changes in a transaction. Each consecutive rejection by the state service halves
+    /// the maximum, down to a lower bound.
     pub fn max_transaction_changes(&self) -> usize {
         let halvings = self.store_writes.transaction_rejections.min(8);
         (self.settings.max_transaction_operations >> halvings).max(MIN_TRANSACTION_CHANGES)
--- a/crates/gannethub-core/src/state/cluster/attempts.rs
+++ b/crates/gannethub-core/src/state/cluster/attempts.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Preempts the work on a machine that loses nothing by a move: tasks that save their progress, and service tasks.
+    /// Preempts the tasks on a machine that can move to another machine without losing progress: tasks that save their
+    /// progress, and service tasks.
     pub fn drain_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Places a task on a machine. The launch is sent with the answer to the machine's next heartbeat.
+    /// Places a task on a machine. The launch is sent with the response to the machine's next heartbeat.
     pub fn place_task(&mut self, id: AttemptId, machine_id: &MachineId, now: Micros) {
         let usage_record = self.open_usage_record(&id, machine_id, now);
         let TaskId { job: job_id, index } = &id.task;
@@ -100,8 +101,8 @@
         self.adjust_usage(machine_id, team, resources, now);
     }
 
-    /// Whether the launch of a task may be sent: the job's watermark covers the task, or no successor relies on
-    /// watermarks.
+    /// Whether the launch of a task may be sent: starts are not paused, and either the job's durable watermark covers
+    /// the task or no successor relies on watermarks.
     pub fn may_launch(&self, job: &Job, index: u32) -> bool {
         let is_covered = index < job.persistence.durable_watermark;
         !self.starts_paused && (is_covered || self.watermarks.not_required)
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -58,14 +58,14 @@
         outcome: impl Fn(&JobId) -> DependencyOutcome,
     ) -> PipelineEffects {
         self.unknown_outcomes.remove(id);
-        let mut is_lost = cancelled;
+        let mut is_cancelled = cancelled;
         let state = self.saga.element_state(id);
         if !matches!(state, Some(SagaState::Waiting | SagaState::Aborted)) {
             let mut unfinished = Vec::new();
             for job in upstream {
                 match outcome(job) {
                     DependencyOutcome::Done => continue,
-                    DependencyOutcome::Cancelled => is_lost = true,
+                    DependencyOutcome::Cancelled => is_cancelled = true,
                     DependencyOutcome::Unknown => {
                         self.unknown_outcomes.insert(job.clone());
                     }
@@ -75,7 +75,7 @@
             }
             self.saga.add(id.clone(), false, &unfinished);
         }
-        if is_lost {
+        if is_cancelled {
             self.cancel(id)
         } else {
             PipelineEffects::default()
--- a/crates/gannethub-core/src/state/fleet.rs
+++ b/crates/gannethub-core/src/state/fleet.rs
@@ -6,9 +6,10 @@
 use crate::model::{MachineType, Micros, SECOND};
 use crate::wire::cloud::{CloudRequest, ListedMachine};
 
-/// Share of the cloud's request rate that the leader uses: peers may read the machine types now and then.
+/// Share of the cloud's request rate that the leader uses. The rest is left to peers, which may read the machine types
+/// now and then.
 const LEADER_RATE_SHARE: f64 = 0.85;
-/// Maximum number of saved tokens for calls that were not made, in seconds of the request rate.
+/// Maximum number of unused tokens that are kept, as the time in seconds in which this number is added.
 const MAX_SAVED_SECONDS: f64 = 2.0;
 
 /// A kind of machine that can be requested.
@@ -20,7 +21,7 @@
     pub spot: bool,
 }
 
-/// Machines that have been requested and for which the cloud has not answered.
+/// Machines in a provisioning request to which the cloud has not responded yet.
 #[derive(Clone, Debug)]
 pub struct PendingProvision {
     pub offer: Offer,
@@ -39,7 +40,7 @@
     pub(crate) machines_held: usize,
 }
 
-/// A call to the cloud with its purpose.
+/// A call to the cloud, with the data needed to send the call again.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
     /// Reads the machine types.
@@ -85,7 +86,7 @@
 
 /// The state of the calls to the cloud, and the information learned from them.
 ///
-/// `scheduling::autoscaler` decides on calls; `reconcile::provisioning` applies their answers.
+/// `scheduling::autoscaler` decides on calls; `reconcile::provisioning` applies the responses.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) term: u64,
--- a/crates/gannethub-core/src/state/job.rs
+++ b/crates/gannethub-core/src/state/job.rs
@@ -12,7 +12,8 @@
 
 /// Number of machines on which a job has to fail, without finishing a task on any, to be crash-looping.
 const CRASH_LOOP_MACHINES: usize = 3;
-/// Time without free capacity for a probe after which a machine may be provisioned for it.
+/// Time for which a probe has to be due before a machine may be provisioned for it. Until then, the probe waits for
+/// capacity that becomes free.
 const PROBE_PROVISIONING_DELAY: Micros = 30 * SECOND;
 
 /// A live job that waits for no other job, so its tasks may be placed.
@@ -83,7 +84,7 @@
     pub target_shard: Option<u32>,
     /// Whether the job was within its team's guarantee when the queue was last sorted.
     pub within_guarantee: bool,
-    /// Whether gang placement has been tried for the job. Further attempts are made in the rounds for all gangs.
+    /// Whether gang placement has been tried for the job. It is tried again only in the rounds for all gangs.
     pub gang_placement_tried: bool,
     /// Time at which other work was last preempted for the job.
     pub last_preemption_at: Option<Micros>,
@@ -98,7 +99,7 @@
 pub struct JobPersistence {
     /// Version of the stored record, which guards the next write.
     pub version: u64,
-    /// Whether the version is unknown until the record has been read again, because a write had no clear answer.
+    /// Whether the version is unknown until the record has been read again, because the outcome of a write is unknown.
     pub version_unknown: bool,
     /// Whether a transaction with the job's record is in flight.
     pub(crate) write_in_flight: bool,
@@ -201,7 +202,8 @@
         self.tasks.live_attempts.len() as u32
     }
 
-    /// Whether the job fails on every machine, most likely because of a user's mistake.
+    /// Whether the job seems to fail on every machine, most likely because of a user's mistake: the job has finished no
+    /// task, and has failed on `CRASH_LOOP_MACHINES` machines or is crash-looping according to its stored record.
     pub fn is_crash_looping(&self) -> bool {
         let failures = &self.failure_tracking;
         self.tasks.done.is_empty()
@@ -225,8 +227,8 @@
     }
 
     /// Returns the number of tasks for which machines may be provisioned. The next probe of a crash-looping job uses
-    /// existing capacity. Only if none has become free for a long time is a machine provisioned, because otherwise
-    /// the job could never be cleared.
+    /// existing capacity. If the probe has found none for a long time, a machine may be provisioned for it, because
+    /// otherwise the job could never be cleared.
     pub fn tasks_worth_provisioning(&self, now: Micros) -> i64 {
         let provision_from = self.failure_tracking.next_probe_at + PROBE_PROVISIONING_DELAY;
         if self.is_crash_looping() && now < provision_from {
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -2,9 +2,9 @@
 //!
 //! The copy has every live job. Before queries are answered, the copy is brought up to date with one read of the
 //! changes; a query that arrives while this read is in flight waits for the next read. An answer is therefore never
-//! older than its query, and no user is told less than another controller has said already, also during a takeover or
-//! after a partition. Of the jobs that are over, only recently given or seen answers are kept, because an end never
-//! changes.
+//! older than its query, and no user is told less than another controller has said already, even during a takeover or
+//! after a partition. Of the jobs that are over, only ends that were recently read or written here are kept. A kept end
+//! never becomes outdated, because an end never changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -124,8 +124,8 @@
         std::mem::take(&mut self.new_cancellations)
     }
 
-    /// Returns live jobs whose cancellation is known here and was stored after `version`. Some jobs are returned
-    /// twice.
+    /// Returns live jobs whose cancellation is known here and was stored after `version`. A job may be
+    /// returned twice.
     pub fn cancelled_since(&self, version: u64) -> impl Iterator<Item = &JobId> {
         let live = self
             .live
@@ -141,8 +141,9 @@
             .map(|(id, _)| id)
     }
 
-    /// Records that the job was neither live nor over at this version. This holds until a change shows the job,
-    /// provided that all later changes are still to be applied.
+    /// Records that the job was neither live nor over at this version, so that it counts as never submitted until a
+    /// change shows it. Nothing is recorded if the copy already reflects a later version, because a change between the
+    /// two versions may have created the job.
     pub fn record_absent(&mut self, id: JobId, version: u64) {
         if self.version.is_none_or(|known| known > version) {
             return;
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -36,9 +36,10 @@
 
 /// Known state of the worker on a machine: its heartbeats and its lease.
 ///
-/// A worker that gets no answer for the duration of its lease kills everything that it runs. A machine with lost
-/// responses is therefore known to be empty once [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound)
-/// has passed since [`WorkerState::last_answered_at`].
+/// A worker that gets no response for the duration of its lease kills everything that it runs. A machine whose
+/// heartbeats are not answered is therefore known to be empty once
+/// [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed since
+/// [`WorkerState::last_answered_at`].
 #[derive(Debug)]
 pub struct WorkerState {
     /// Whether the worker has sent a heartbeat with this term's fencing token, and has thereby reported all its
@@ -53,17 +54,18 @@
     pub last_heartbeat_at: Option<Micros>,
     /// Arrival time of the heartbeat before the last one.
     pub previous_heartbeat_at: Option<Micros>,
-    /// Whether heartbeats between the last two are missing.
+    /// Whether the worker may have sent heartbeats between the last two that did not arrive here.
     pub missed_heartbeats: bool,
-    /// Time at which the last answer was sent that may have renewed the worker's lease.
+    /// Time at which the last response was sent that may have renewed the worker's lease. Before the first response,
+    /// the time at which the machine became known or at which this leader took over.
     pub last_answered_at: Micros,
     /// Address at which the worker accepts orders that do not wait for its next heartbeat.
     pub address: Option<SocketAddrV4>,
-    /// Number of consecutive incarnations that ended although their heartbeats were answered, so the answers do not
-    /// arrive.
+    /// Number of consecutive incarnations that ended although their heartbeats were answered, which shows that the
+    /// responses do not arrive.
     pub lost_response_incarnations: u32,
-    /// Hash of the tasks in the last heartbeat, unless there are new orders for the tasks since then. A heartbeat with
-    /// the same hash changes nothing.
+    /// Hash of the tasks in the last heartbeat, unless there have been new orders for the tasks since then. A
+    /// heartbeat with the same hash changes nothing.
     pub heartbeat_digest: Option<u64>,
 }
 
@@ -79,7 +81,8 @@
     pub known_since: Micros,
     /// Time at which the machine was provisioned, as far as known.
     pub provisioned_at: Micros,
-    /// Whether the machine's worker has ever sent a heartbeat.
+    /// Whether the machine has booted: its worker has sent a heartbeat, or the machine was on the shard's record when
+    /// this leader took over.
     pub has_booted: bool,
     /// Whether the boot has taken much longer than expected. Each machine is counted as overdue once.
     pub boot_overdue: bool,
@@ -93,7 +96,8 @@
     pub deleting: bool,
     /// Whether the machine's work is being moved elsewhere so that the machine can be returned.
     pub draining: bool,
-    /// Whether placement on the machine is disabled because the machine is faulty or of an unknown type.
+    /// Whether placement on the machine is disabled for good, because the machine is faulty or of an unknown type, or
+    /// because responses do not reach its worker.
     pub quarantined: bool,
 }
 
@@ -110,8 +114,8 @@
     pub reservation: Option<Reservation>,
     /// Time until which the machine is not returned because work that will be released soon is planned on it.
     pub planned_work_until: Micros,
-    /// Time until which nothing is placed on the machine, because a launch was refused or answers do not reach the
-    /// worker.
+    /// Time until which nothing is placed on the machine, because a launch was refused or responses do not reach
+    /// the worker.
     pub unschedulable_until: Micros,
     /// Time at which work of high priority was last placed on the machine.
     pub high_priority_placed_at: Option<Micros>,
@@ -200,8 +204,8 @@
     }
 
     /// Whether the incarnation that the worker now replaces ended although its heartbeats were answered. The
-    /// incarnation ended within one lease of an answered heartbeat, so the answers do not arrive. Heartbeats that
-    /// were held back and arrived together are no evidence of this, because their answers came too late.
+    /// incarnation ended within one lease of an answered heartbeat, so the responses do not arrive. Heartbeats that
+    /// were held back and arrived together are no evidence of lost responses, because the responses came too late.
     pub(crate) fn ended_with_lost_responses(&self, now: Micros, lease: Micros) -> bool {
         let (Some(last), Some(previous)) = (
             self.worker.last_heartbeat_at,
@@ -214,7 +218,7 @@
             && last >= previous + MIN_HEARTBEAT_SPACING
     }
 
-    /// Whether answers to the machine's heartbeats do not arrive (a one-way partition), so nothing is planned on the
+    /// Whether responses to the machine's heartbeats do not arrive (a one-way partition), so nothing is planned on the
     /// machine for a while.
     pub fn has_lost_responses(&self, now: Micros) -> bool {
         self.worker.lost_response_incarnations > 0 && now < self.placement.unschedulable_until
--- a/crates/gannethub-core/src/state/mod.rs
+++ b/crates/gannethub-core/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State that a controller keeps in memory. It holds no decisions: `scheduling` makes decisions, and `reconcile`
+//! State that a controller keeps in memory. These modules make no decisions: `scheduling` decides, and `reconcile`
 //! applies input from outside.
 //!
 //! | modules | contents |
@@ -6,8 +6,8 @@
 //! | [`cluster`] | [`Cluster`](cluster::Cluster): the complete view that a shard owner has of its shard |
 //! | [`machine`], [`attempt`], [`capacity_index`], [`zones`] | machines, their attempts, and where capacity is free |
 //! | [`job`], [`failure_tracking`], [`queue`], [`quota`], [`pass_state`] | jobs, their order, and scheduler state |
-//! | [`pipeline`], [`dependencies`], [`deadline`] | jobs that wait for other jobs |
-//! | [`unconfirmed`], [`watermarks`] | what a new leader can rely on before all machines have confirmed its term |
+//! | [`pipeline`], [`dependencies`], [`downstream_demand`] | jobs that wait for other jobs |
+//! | [`unconfirmed`], [`watermarks`] | knowledge of a new leader before all machines have confirmed its term |
 //! | [`shard`], [`shard_load`], [`shard_transfers`] | the shard's durable record, and the other shards |
 //! | [`fleet`], [`provisioning_times`] | known state of the cloud |
 //! | [`writes`], [`kill_orders`] | pending messages to the state service and to workers |
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -1,11 +1,11 @@
-//! State that scheduling passes and provisioning plans keep for the next ones, and their cost.
+//! State that scheduling passes and provisioning plans leave for later passes and plans, and their cost.
 
 use std::cell::Cell;
 
 use crate::model::{JobId, Micros};
 
-/// The scheduler's state between passes. Only the module `scheduling` changes this state; other code only sets the
-/// flags that request a pass.
+/// The scheduler's state between passes. Only the module `scheduling` changes this state, with two exceptions: any code
+/// may set the flags that request a pass, and `reconcile::configuration` makes the next pass and plan due at once.
 #[derive(Debug)]
 pub struct PassState {
     /// Whether a change has to be considered by a pass over the whole queue.
--- a/crates/gannethub-core/src/state/pipeline.rs
+++ b/crates/gannethub-core/src/state/pipeline.rs
@@ -5,7 +5,7 @@
 //!
 //! - a job is done when its `over` record says so, which never changes;
 //! - a job is cancelled when its own record says so, live or over, or when an upstream job is cancelled. A cancelled
-//!   job is never done, so this never changes either;
+//!   job is never done, so a cancellation never changes either;
 //! - a waiting job has another kind of record than a released job. Only the leader rewrites a waiting record into a
 //!   released record, after it has read or written the ends of all upstream jobs. Only jobs that the leader keeps
 //!   among its jobs can be placed on a machine, and a waiting job is never one of these.
@@ -35,7 +35,7 @@
     pub(crate) cancellation_recorded: bool,
     /// Whether a transaction with the job's record is in flight.
     pub(crate) write_in_flight: bool,
-    /// Whether the version is unknown until the record has been read again, because a write had no clear answer.
+    /// Whether the version is unknown until the record has been read again, because the outcome of a write is unknown.
     pub(crate) version_unknown: bool,
 }
 
--- a/crates/gannethub-core/src/state/shard.rs
+++ b/crates/gannethub-core/src/state/shard.rs
@@ -1,4 +1,4 @@
-//! Shards of machines: the machines on which a controller may place tasks, and the lease that allows it.
+//! Shards of machines: the machines on which a controller may place tasks, and the term under which it owns them.
 //!
 //! A shard's machines are stored in the state service in chunks, so that no value exceeds its size limit. A machine
 //! is written to a chunk before the first launch on the machine, so a controller that takes over the shard reads
@@ -16,7 +16,7 @@
 const MEMBER_OVERHEAD_BYTES: usize = 50;
 /// Maximum number of bytes of a chunk's value, besides its members and its owner's name.
 const CHUNK_OVERHEAD_BYTES: usize = 150;
-/// First chunk number that is invalid in a shard.
+/// Chunk numbers from this value on are invalid.
 const MAX_CHUNKS: usize = 100_000;
 
 /// A machine in its shard's record.
@@ -198,7 +198,7 @@
     }
 
     /// Adds a machine to any chunk but `except`. The machine counts only once its chunk is written. Returns the
-    /// chunk.
+    /// index of the chunk.
     pub fn add(&mut self, name: &str, member: ShardMember, except: Option<usize>) -> usize {
         if let Some(chunk) = self.chunk_by_machine.get(name) {
             return *chunk;
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -1,4 +1,4 @@
-//! Load reports that shard owners exchange, and the choice of a new job's home shard by them.
+//! Load reports that shard owners exchange, and the choice of a new job's home shard by these reports.
 
 use super::fleet::Offer;
 use crate::model::{JobSpec, Resources, Shape};
--- a/crates/gannethub-core/src/state/shard_transfers.rs
+++ b/crates/gannethub-core/src/state/shard_transfers.rs
@@ -1,4 +1,4 @@
-//! Machines in transfer between shards, and the state of the other shards that the owner of shard 0 knows.
+//! Machines in transfer between shards, and the known state of the other shards.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,8 +9,8 @@
 
 /// Machines that are being transferred from or to this shard.
 ///
-/// Only the owner of shard 0 gives machines away; any owner accepts them. `reconcile::shard_transfer` changes this
-/// state, except for the provisioning requests, which `scheduling::quota_partition` adds.
+/// Only the owner of shard 0 gives machines away; any owner accepts them. `reconcile` changes this state, except that
+/// `scheduling::quota_partition` adds the provisioning requests.
 #[derive(Debug, Default)]
 pub struct ShardTransfers {
     /// New machines that are to be transferred to other shards, by name, until the transfer is durable.
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -21,7 +21,8 @@
 /// `scheduling::failover` updates this state as machines confirm the term or lose their leases.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
-    /// Number of machines of each kind that may still hold tasks. A machine of unknown kind may hold any tasks.
+    /// Number of machines of each kind that may still hold tasks. `None`: machines of unknown type, which may hold any
+    /// task.
     pub unconfirmed_machines: Vec<(Option<MachineKind>, i64)>,
     /// Maximum usage of each team's tasks on these machines, which counts against the team's limit.
     pub possible_usage: Vec<Resources>,
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -1,7 +1,7 @@
 //! The leader's side of the usage ledger: the attempts that are charged, and their owners.
 //!
-//! [`gannethub_ledger`] charges usage, writes the ledger and decays old usage; these modules feed it with the cluster's
-//! events. If no ledger is kept, every call of these modules does nothing.
+//! The crate [`gannethub_ledger`] charges usage, writes the ledger and decays old usage; the modules here pass the
+//! cluster's events to that crate. If no ledger is kept, every call of these modules does nothing.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -106,8 +106,8 @@
                 missed_heartbeats: worker.missed_heartbeats,
             };
         }
-        // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired after the last
-        // answer in it. For a silent machine, the time is not known.
+        // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired, most likely one
+        // lease duration after its last heartbeat. For a silent machine, the time of the end is not known.
         match worker.last_heartbeat_at {
             Some(at) if at == now => EndObservation::Silence {
                 last_heartbeat_at: worker.previous_heartbeat_at,
@@ -159,8 +159,8 @@
         jobs
     }
 
-    /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends have an empty
-    /// owner.
+    /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends are charged to an
+    /// empty owner.
     pub fn apply_usage_owner(&mut self, job: &JobId, owner: Option<JobAccount>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
--- a/crates/gannethub-core/src/state/usage/ledger.rs
+++ b/crates/gannethub-core/src/state/usage/ledger.rs
@@ -17,8 +17,7 @@
     pub book: Book,
     /// Attempts charged by earlier leaders that this leader may still encounter.
     pub(super) charged_before: HashSet<ChargedAttempt>,
-    /// Tickets of ends that an earlier leader had charged but not made durable, and that this leader has charged
-    /// again.
+    /// Tickets under which this leader has charged ends that the previous leader sent and had not made durable.
     pub(super) inherited_tickets: HashMap<ChargedAttempt, u64>,
     /// Whether the copy of the previous leader's records that this leader took over was complete.
     pub(super) replica_was_complete: bool,
@@ -34,7 +33,7 @@
     /// The last attempt number with a timestamp that was assigned.
     pub(super) last_attempt_number: u64,
     pub(super) replication: Replication,
-    /// Each team's share of all usage, in the order of teams in the settings, and the time of the last computation.
+    /// Each team's share of all usage, in the order of teams in the settings.
     pub(super) shares: Vec<UsageShare>,
     pub(super) shares_updated_at: Option<Micros>,
 }
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -18,8 +18,8 @@
 const TERM_LIMIT: u64 = 1 << 21;
 /// The start of 2020, in milliseconds since 1970.
 const EPOCH_MS: u64 = 1_577_836_800_000;
-/// Time after which a worker that gets no answer sends its next heartbeat.
-const LOST_ANSWER_DELAY: Micros = 5 * SECOND;
+/// Time after which a worker that gets no response sends its next heartbeat.
+const LOST_RESPONSE_DELAY: Micros = 5 * SECOND;
 
 /// Estimated time since an attempt was placed, with its maximum error.
 #[derive(Clone, Copy)]
@@ -114,8 +114,8 @@
         record
     }
 
-    /// Estimates the record of an attempt that no earlier leader reported. The attempt's age is derived from its
-    /// number.
+    /// Estimates the record of an attempt for which the previous leader sent no record of this incarnation. The
+    /// attempt's age is derived from its number.
     fn estimate_record(
         &self,
         id: &MachineId,
@@ -139,9 +139,9 @@
             None if has_ended && ledger.charged_before.contains(&key) => ChargeState::ChargedBefore,
             None => ChargeState::Open,
         };
-        // The delay of the launch is unknown: it came with the answer to a heartbeat, or to the next one after a lost
-        // answer.
-        uncertainty += 2 * self.settings.heartbeat_interval + LOST_ANSWER_DELAY;
+        // The delay of the launch is unknown: the launch came with the response to a heartbeat or, if that response was
+        // lost, with the response to the next heartbeat.
+        uncertainty += 2 * self.settings.heartbeat_interval + LOST_RESPONSE_DELAY;
         let meter = match has_ended {
             true => Meter::adopted(age / 2, uncertainty + age, stage(phase), self.now),
             false => Meter::adopted(age, uncertainty, stage(phase), self.now),
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Records that the launches pending on a machine are sent with the answer to its heartbeat.
+    /// Records that the launches pending on a machine are sent with the response to its heartbeat.
     pub(crate) fn launches_sent(&mut self, id: &MachineId, now: Micros) {
         let Some(machine) = self.machines.get(id) else {
             return;
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Keeps an attempt that had not ended until its worker reports it or the worker's lease expires.
+    /// Keeps the record of an attempt that had not ended. The record is kept until the worker reports the attempt, or
+    /// until the attempt is known to be lost.
     fn adopt_orphan(
         &mut self,
         machine: MachineId,
@@ -177,8 +178,8 @@
             .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
     }
 
-    /// Charges the orphans of a machine for which `is_ended` holds. `likely_continuation`: the most likely time that
-    /// the orphans continued after they were last known.
+    /// Charges the orphans of a machine for which `is_ended` holds. `likely_continuation`: the most likely time for
+    /// which the orphans continued after they were last known.
     fn charge_orphans_where(
         &mut self,
         id: &MachineId,
@@ -204,7 +205,7 @@
                 last_heartbeat_at: Some(orphan.last_known_at),
                 likely_duration: likely_continuation,
             };
-            // The end was not observed, whenever it happened.
+            // No worker reported the end, so its time is estimated from when the orphan was last known.
             let reading = orphan.record.meter.end(now, observation);
             let end = AttemptEnd {
                 id: attempt,
--- a/crates/gannethub-core/src/state/usage/record.rs
+++ b/crates/gannethub-core/src/state/usage/record.rs
@@ -55,7 +55,7 @@
     pub reading: MeteredUsage,
     /// Time at which the attempt's capacity was freed, on this process's clock.
     pub at: Micros,
-    /// The same time as a time of day.
+    /// Time of day at which the attempt's capacity was freed, in microseconds since 1970.
     pub unix_time: Micros,
     pub reason: Reason,
     pub saved: bool,
@@ -103,7 +103,7 @@
     )
 }
 
-/// Returns the name of an attempt in the ledger.
+/// Returns the key that identifies an attempt in the ledger.
 pub(super) fn ledger_key(machine: &MachineId, attempt: &AttemptId) -> ChargedAttempt {
     let AttemptId { task, number } = attempt;
     (
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -262,7 +262,7 @@
     }
 }
 
-/// Returns the name of an attempt in messages between controllers.
+/// Returns the key that identifies an attempt in messages between controllers.
 pub(super) fn attempt_key(machine: &MachineId, attempt: &AttemptId) -> AttemptKey {
     let AttemptId { task, number } = attempt;
     AttemptKey {
--- a/crates/gannethub-core/src/state/watermarks.rs
+++ b/crates/gannethub-core/src/state/watermarks.rs
@@ -5,7 +5,7 @@
 
 use crate::model::{Micros, SECOND};
 
-/// Lead of the watermarks over launches: the number of launches in this time.
+/// Watermarks are raised ahead of launches by at least the number of tasks that were recently placed in this time.
 const WATERMARK_LEAD_TIME: Micros = SECOND;
 /// Interval at which the launch rate is measured.
 const MEASUREMENT_INTERVAL: Micros = SECOND;
@@ -17,8 +17,8 @@
     pub reliable: bool,
     /// Whether the state service has recorded that this term's watermarks are reliable.
     pub recorded: ReliabilityRecord,
-    /// Whether launches are sent without waiting for a watermark. All peers know this, and none relies on the
-    /// watermarks.
+    /// Whether launches are sent without waiting for a watermark. All peers know of this setting, and no peer relies on
+    /// the watermarks.
     pub not_required: bool,
     /// Rate at which tasks are launched, which determines the lead of the watermarks.
     pub launch_rate: LaunchRate,
