--- a/crates/gannethub-core/src/controller/acceptance.rs
+++ b/crates/gannethub-core/src/controller/acceptance.rs
@@ -197,8 +197,8 @@
                 let version = committed_version(answer);
                 return self.job_changes.push(JobChange { job, version });
             }
-            // Only another job of the transaction conflicted, since it was known already. This job is retried without
-            // that one.
+            // Only the guards of the configuration version or of other jobs failed. This job is queued again, and goes
+            // into a later transaction.
             Ok(409) if !failed_keys.is_empty() && !is_own_failure() => {
                 return self.accept_queue.push_back(QueuedSubmission {
                     connection,
--- a/crates/gannethub-core/src/controller/config_status.rs
+++ b/crates/gannethub-core/src/controller/config_status.rs
@@ -16,11 +16,11 @@
     version: u64,
     /// Newest version seen in the state service.
     newest: u64,
-    /// Why the newest version cannot be used, if so.
+    /// Why the newest version cannot be used, if it cannot.
     refused: Option<&'a str>,
     /// Whether the version in force may be acted on now.
     fresh: bool,
-    /// Time in milliseconds since the version was last known to be the newest.
+    /// Time in milliseconds since the newest known version was last confirmed to be the newest.
     known_ms_ago: Option<u64>,
     nodes: Vec<NodeStatus<'a>>,
 }
@@ -31,8 +31,8 @@
     name: &'a str,
     /// Whether a message of the controller arrived within the last few seconds.
     heard: bool,
-    /// Version in force in that controller. Null if its release does not support configurations or no message ever
-    /// arrived.
+    /// Version in force in that controller. Null if its release does not support configurations or no heartbeat of the
+    /// controller ever arrived.
     version: Option<u64>,
 }
 
--- a/crates/gannethub-core/src/controller/config_watch.rs
+++ b/crates/gannethub-core/src/controller/config_watch.rs
@@ -27,7 +27,8 @@
 
 /// Maximum time for which a version may be acted on after it was last known to be the newest.
 pub(super) const MAX_VERSION_AGE: Micros = 6_500_000;
-/// Maximum interval between reads of changes once a version was stored.
+/// Once a version was stored, a read of changes is sent this long after the time from which the read is allowed, even
+/// if no request waits for it.
 pub(super) const CHANGE_READ_INTERVAL: Micros = 2 * SECOND;
 /// Time after which a failed read is retried.
 const READ_RETRY_INTERVAL: Micros = 300_000;
@@ -171,7 +172,7 @@
         self.confirmed_newest_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether no task may be started under the version in force. Starts are not held as long as no version is known
+    /// Whether no task may be started under the version in force. Starts are not paused as long as no version is known
     /// to have been stored.
     pub fn must_pause_starts(&self, now: Micros) -> bool {
         (self.has_stored_version() || self.newest_peer_version > 0) && !self.is_fresh(now)
--- a/crates/gannethub-core/src/controller/dependency_outcomes.rs
+++ b/crates/gannethub-core/src/controller/dependency_outcomes.rs
@@ -1,4 +1,4 @@
-//! Reads the outcomes of upstream jobs. A job that is not live either is finished or was never accepted. Only its
+//! Reads the outcomes of upstream jobs. A job without a live record is finished, or was never accepted. Only its
 //! finished record tells which of the two holds, and whether its downstream jobs may run.
 
 use std::collections::BTreeSet;
--- a/crates/gannethub-core/src/controller/election.rs
+++ b/crates/gannethub-core/src/controller/election.rs
@@ -11,7 +11,7 @@
 
 /// Delay before a store lease that may not have been revoked is revoked again.
 const REVOKE_RETRY_INTERVAL: Micros = SECOND;
-/// Time after a process's start from which votes given before the start count for no owner.
+/// Time after a process's start at which votes from before that start no longer count for any owner.
 const FORGOTTEN_VOTE_LIFETIME: Micros = VOTE_TIMEOUT + SECOND / 2;
 /// Interval at which a process asks its peers whether a term's launch watermarks hold, until it knows.
 const WATERMARK_QUERY_INTERVAL: Micros = SECOND;
@@ -51,7 +51,7 @@
     revoke_at: Micros,
     /// Last term of the shard at the start of this process, which remembers its votes in all later terms.
     term_at_start: Option<u64>,
-    /// Highest term in which this process has voted, or launched without watermarks.
+    /// Highest term in which this process has voted, or was allowed to launch without watermarks.
     highest_voted_term: u64,
     /// Last term for which a peer confirmed to this process that nothing was launched without watermarks.
     reliable_watermarks_term: u64,
@@ -59,14 +59,15 @@
     watermark_query_at: Micros,
     /// Whether a takeover is under way.
     pub attempt_in_progress: bool,
-    /// Whether the records below come from a read of the state service since the last takeover.
+    /// Whether the records below come from a read of the state service since this controller's last takeover, and since
+    /// its last takeover attempt whose outcome is unknown.
     has_observed_store: bool,
     owner: Option<StoredLease>,
     last_term: Option<StoredLease>,
 }
 
 impl Election {
-    /// Creates the eligibility of a process that starts now.
+    /// Creates the election state of a process that starts now.
     pub fn new(name: &str, now: Micros) -> Election {
         Election {
             name: name.into(),
@@ -96,7 +97,7 @@
         self.last_term = last_term;
     }
 
-    /// Whether a read has shown that the shard was ever owned.
+    /// Whether this process knows that the shard was ever owned.
     pub fn has_known_term(&self) -> bool {
         self.last_term.is_some()
     }
@@ -141,7 +142,7 @@
         self.reliable_watermarks_term = self.reliable_watermarks_term.max(term);
     }
 
-    /// Records that this controller owned the shard in this term and launched without watermarks.
+    /// Records that this controller owns the shard in this term, and may launch without watermarks from now on.
     pub fn record_launch_without_watermarks(&mut self, term: u64) {
         self.highest_voted_term = self.highest_voted_term.max(term);
     }
@@ -222,7 +223,7 @@
     // ---- Voting ----
 
     /// Votes for the owner in this term, which binds this controller not to take over for `duration`. Returns false,
-    /// and gives no vote, if this controller cannot promise that.
+    /// and gives no vote, if this controller cannot make that promise.
     pub fn vote(&mut self, term: u64, now: Micros, duration: Micros) -> bool {
         let knows_newer = self
             .last_term
--- a/crates/gannethub-core/src/controller/heartbeat_routing.rs
+++ b/crates/gannethub-core/src/controller/heartbeat_routing.rs
@@ -12,7 +12,7 @@
 use crate::wire::peer::{Body, RelayAnswer, RelayHeartbeat};
 use crate::wire::worker::HeartbeatRedirect;
 
-/// Maximum time in which a relayed or deferred heartbeat is answered or refused.
+/// Time after which a relayed heartbeat without an answer is refused, and a deferred heartbeat is dropped.
 const RELAY_TIMEOUT: Micros = 1_500_000;
 
 /// Decision on how to handle a heartbeat.
@@ -23,7 +23,8 @@
         owner: Option<usize>,
         machine: String,
     },
-    /// The machine's shard is known, but its owner is unknown or does not know of the machine yet.
+    /// The machine's shard is known, but either its owner is unknown, or this controller owns the shard and does not
+    /// know of the machine yet.
     NoOwner,
     /// The heartbeat can be answered once the state has been read.
     AfterLoad,
@@ -167,7 +168,8 @@
                 heartbeat,
             } = deferred;
             match sender {
-                // Past the deadline nobody waits for the answer, so the heartbeat must not count as answered.
+                // Past the deadline nobody waits for the answer. The heartbeat is not handled, since the shard owner
+                // would count it as answered.
                 _ if now >= deadline => {}
                 HeartbeatSender::Worker { connection } => {
                     if self.outbox.awaits_reply(connection) {
@@ -235,7 +237,7 @@
     }
 
     /// Handles the answer of a peer that does not own the machine's shard. The heartbeat is relayed to the leader,
-    /// which knows the shard owner.
+    /// which knows the shard owner, unless the leader itself gave this answer.
     fn handle_relay_refusal(&mut self, from: usize, relayed: RelayedHeartbeat) {
         let RelayedHeartbeat {
             connection,
--- a/crates/gannethub-core/src/controller/interface.rs
+++ b/crates/gannethub-core/src/controller/interface.rs
@@ -16,7 +16,7 @@
 pub struct Clock {
     /// Monotonic clock of this process. Leases and timeouts are counted on this clock alone.
     pub now: Micros,
-    /// Wall-clock time in microseconds since 1970, for records and users.
+    /// Time of day in microseconds since 1970, for records and users.
     pub unix_time: u64,
 }
 
--- a/crates/gannethub-core/src/controller/job_api.rs
+++ b/crates/gannethub-core/src/controller/job_api.rs
@@ -130,7 +130,8 @@
 }
 
 impl JobApi {
-    /// Drops the state of a request that was not answered in time. Nothing more is done for that request.
+    /// Drops the state of a request that was not answered in time. The answers to the transaction and the reads that
+    /// were sent for the request are not acted on for it any more.
     pub fn drop_request(&mut self, connection: u64) {
         self.accepts_in_flight.remove(&connection);
         self.dependency_checks.remove(&connection);
--- a/crates/gannethub-core/src/controller/job_lookups.rs
+++ b/crates/gannethub-core/src/controller/job_lookups.rs
@@ -149,7 +149,8 @@
         });
     }
 
-    /// Answers the requests that wait for a job that is neither live nor finished.
+    /// Handles the requests that wait for a job that is neither live nor finished. A valid submission of the job is
+    /// accepted.
     fn handle_absent_job(&mut self, outbox: &mut Outbox, job: &JobId) {
         for LookupWaiter { connection, reason } in self.take_lookup_waiters(outbox, job) {
             match reason {
--- a/crates/gannethub-core/src/controller/job_views.rs
+++ b/crates/gannethub-core/src/controller/job_views.rs
@@ -14,7 +14,7 @@
     pub done: u32,
 }
 
-/// Returns the progress of a job, if a shard owner from which this controller hears has reported it.
+/// Returns the progress of a job, if one of this controller's own shards or a reachable peer reports the job.
 pub(super) type ProgressLookup<'a> = &'a dyn Fn(&JobId) -> Option<JobProgress>;
 
 /// Builds the view of a live job from its record and its progress.
--- a/crates/gannethub-core/src/controller/lease.rs
+++ b/crates/gannethub-core/src/controller/lease.rs
@@ -1,5 +1,5 @@
-//! The lease on a shard: the owner's key in the state service, the store lease of that key, the key's version, the
-//! term, and the time until which the owner may act on the lease.
+//! The lease on a shard: the owner's key in the state service, the store lease under which that key is stored, the
+//! key's version, the term, and the time until which the owner may act on the lease.
 //!
 //! The owner renews the lease, bridges an outage of the state service with votes of its peers, and guards every write
 //! by the key's version. When the lease has expired or the key is gone, the owner does nothing more in the lease's
--- a/crates/gannethub-core/src/controller/lease_validity.rs
+++ b/crates/gannethub-core/src/controller/lease_validity.rs
@@ -13,7 +13,7 @@
 /// Maximum time between a vote request and its vote; a later vote does not count. A vote that a process gave before
 /// its restart therefore counts for no owner once the process has been running again for this time.
 pub(super) const VOTE_TIMEOUT: Micros = 2 * SECOND;
-/// Margin subtracted, in addition to the drift, from every duration that is counted on another process's clock.
+/// Safety margin, in addition to the drift, for durations that are counted on another process's clock.
 pub(super) const CLOCK_MARGIN: Micros = 150_000;
 /// Bound on clock drift: any two clocks drift apart by less than one part in this number, and each clock may be off by
 /// half of that.
--- a/crates/gannethub-core/src/controller/ledger_queries.rs
+++ b/crates/gannethub-core/src/controller/ledger_queries.rs
@@ -14,8 +14,8 @@
 const CHARGE_LINE: &str = "charge";
 
 impl JobApi {
-    /// Reads the ledger's head or one of its pages for a user. If a team is named, only that team's lines of the page
-    /// are returned.
+    /// Reads the ledger's head or one of its pages for a user. If a team is named, only those lines of the page are
+    /// returned that charge the team.
     pub fn read_ledger(
         &mut self,
         outbox: &mut Outbox,
--- a/crates/gannethub-core/src/controller/load_stage.rs
+++ b/crates/gannethub-core/src/controller/load_stage.rs
@@ -26,7 +26,6 @@
 }
 
 impl LoadStage {
-    /// Returns the next stage.
     pub fn next(self) -> LoadStage {
         match self {
             LoadStage::Jobs => LoadStage::DoneParts,
--- a/crates/gannethub-core/src/controller/membership.rs
+++ b/crates/gannethub-core/src/controller/membership.rs
@@ -26,9 +26,10 @@
 const PEER_TIMEOUT: Micros = 1_800_000;
 /// Time for which a leader that stepped down because it was isolated does not campaign.
 const ABSTAIN_AFTER_ISOLATION: Micros = 12 * SECOND;
-/// Maximum number of cancellations in one vote, which fits into one message. A voter that knows more does not claim
+/// Maximum number of cancellations in one vote: this many fit into one message. A voter that knows more does not claim
 /// to report all of them.
 const MAX_CANCELLATIONS_PER_VOTE: usize = 10_000;
+
 /// State of a peer according to its last messages.
 #[derive(Debug, Default, Clone)]
 pub(super) struct PeerStatus {
@@ -37,7 +38,7 @@
     pub leading_term: u64,
     /// Whether the state service answers the peer.
     pub store_reachable: bool,
-    /// Whether the peer leads or can pass workers' heartbeats on to the leader.
+    /// Whether the peer leads or can relay workers' heartbeats to the leader.
     pub accepts_heartbeats: bool,
     running_jobs: HashMap<String, JobProgress>,
     /// Loads of the shards that the peer owns.
@@ -345,8 +346,8 @@
         outbox.revoke_store_lease(0, store_lease);
     }
 
-    /// Revokes this controller's store lease after it led. `was_isolated` tells whether it stepped down because it
-    /// received messages from neither workers nor peers.
+    /// Revokes the store lease of this controller after it has stepped down as leader. `was_isolated` tells whether the
+    /// reason was that no messages arrived from workers or peers.
     pub fn handle_step_down(&mut self, outbox: &mut Outbox, store_lease: u64, was_isolated: bool) {
         let now = outbox.clock.now;
         if was_isolated {
@@ -358,9 +359,10 @@
 
     // ---- Requests of peers ----
 
-    /// Handles a peer's request for a vote not to replace the peer for a while. This controller votes only in an
-    /// outage of the state service that it sees too. The vote reports every cancellation that this controller knows
-    /// and the peer may not know, because an owner that votes carry through an outage has to act on them.
+    /// Handles a vote request, with which a peer asks not to be replaced as shard owner for a while. This controller
+    /// votes only in an outage of the state service that it sees too. The vote reports every cancellation that this
+    /// controller knows and the peer may not know, because an owner whose lease is extended by votes has to act on all
+    /// cancellations.
     pub fn handle_vote_request(
         outbox: &mut Outbox,
         election: &mut Election,
@@ -400,8 +402,8 @@
         outbox.send_to_peer(peer, Body::Vote(vote));
     }
 
-    /// Handles the query of a peer that started within a term whether the term's watermarks hold. `owner` is the
-    /// shard's owner, if this controller owns the shard.
+    /// Handles a peer's query whether a term's launch watermarks hold. The peer asks because it started within that
+    /// term. `owner` is the shard's owner, if this controller owns the shard.
     pub fn handle_watermark_query(
         outbox: &mut Outbox,
         election: &Election,
--- a/crates/gannethub-core/src/controller/membership/tests.rs
+++ b/crates/gannethub-core/src/controller/membership/tests.rs
@@ -106,7 +106,7 @@
         !vote.knows_cancellations && vote.cancelled_jobs == "6:777",
         "known cancellations are still reported"
     );
-    // A requester of the earlier release does not report which changes it has seen.
+    // A requester of an earlier release does not report which changes it has seen.
     let (vote, _) = vote_with(&replica_with(20), 0);
     assert!(!vote.knows_cancellations && vote.cancelled_count == 0);
 }
--- a/crates/gannethub-core/src/controller/mod.rs
+++ b/crates/gannethub-core/src/controller/mod.rs
@@ -9,7 +9,7 @@
 //! | [`membership`] | peers: their reachability, the leader, and this controller's eligibility to lead |
 //! | [`shard_assignment`], [`quota_partitioner`] | with several shards: the shards' owners and quota partitions |
 //! | [`shard_owner`] | under a [`lease`]: a shard's machines, the tasks on them, and all writes of their state |
-//! | [`heartbeat_routing`] | workers' heartbeats: answered here, or passed on to the owner of the machine's shard |
+//! | [`heartbeat_routing`] | workers' heartbeats: answered here, or relayed to the owner of the machine's shard |
 //! | [`config_watch`] | the version of the configuration in force |
 //!
 //! The modules [`ticking`], [`requests`], [`peer_messages`],
@@ -71,7 +71,7 @@
 /// State of the configuration on one controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationState {
-    /// Version in force; 0 stands for the platform's settings alone.
+    /// Version in force. 0: only the platform settings.
     pub version: u64,
     /// Whether the controller may act on this version now.
     pub is_fresh: bool,
@@ -88,7 +88,7 @@
     heartbeats: PendingHeartbeats,
     /// Usage records that the leader has not charged yet.
     usage_replica: UsageReplica,
-    /// Time of the next request to the cloud for its machine types.
+    /// Earliest time of the next request to the cloud for its machine types.
     machine_types_request_at: Micros,
     next_tick_at: Micros,
     /// Whether the state service has answered since the last tick. The resulting work is then still to be done.
@@ -161,8 +161,8 @@
     }
 
     /// Returns how long [`Controller::step`] need not be called if no command arrives. Each call wakes up the
-    /// process, and most controllers are on standby: a controller that has a reachable leader, no waiting user and no
-    /// queued request has nothing to do until its next heartbeat or probe.
+    /// process, and most controllers are on standby: a controller without shards that has a reachable leader, no
+    /// waiting user and no queued request has nothing to do until its next heartbeat or probe.
     pub fn max_idle_time(&self) -> Micros {
         let outbox = &self.outbox;
         let is_standby = self.shard_owners.is_empty()
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -28,7 +28,7 @@
 pub(super) const PROBE_INTERVAL: Micros = 500_000;
 /// Number of unanswered probes after which the state service counts as unreachable.
 const MISSED_PROBES: u64 = 3;
-/// Time without a refusal after which the request rate's factor is raised by [`RATE_RECOVERY_STEP`].
+/// Time since the last change of the request rate after which its factor is raised by [`RATE_RECOVERY_STEP`].
 const RATE_RECOVERY_INTERVAL: Micros = 5 * SECOND;
 const RATE_RECOVERY_STEP: f64 = 0.05;
 /// Factor by which a refusal multiplies the request rate, down to [`MIN_RATE_FACTOR`].
@@ -74,7 +74,8 @@
     /// Factor of the rates that is used after refusals, at most 1.
     rate_factor: f64,
     rate_changed_at: Micros,
-    /// Time of the state service's last answer.
+    /// Time of the last answer that shows the state service to be healthy. Answers with status 429 or 5xx, and answers
+    /// to watches, do not count.
     pub store_answered_at: Option<Micros>,
     /// Time at which the state service last refused a request of this controller with status 503.
     pub store_refused_at: Option<Micros>,
@@ -181,7 +182,11 @@
         if self.store_rates != self.settings.next_store_rates {
             self.store_rates = self.settings.next_store_rates;
             let Rates { requests, changes } = self.store_rates;
-            tracing::info!(requests, changes, "state service lowered its rate limits");
+            tracing::info!(
+                requests,
+                changes,
+                "state service refused a request as one too many; using its next rates"
+            );
         } else {
             self.rate_factor = (self.rate_factor * RATE_REDUCTION).max(MIN_RATE_FACTOR);
         }
@@ -210,9 +215,9 @@
             .is_some_and(|answered| self.clock.now < answered + MISSED_PROBES * PROBE_INTERVAL)
     }
 
-    /// Whether the state service has not answered for a while, or has refused the latest request. Either is
-    /// sufficient for a vote, because a vote binds only this controller. A vote also cannot wait: a leader that
-    /// was refused shortly before an outage has one second left.
+    /// Whether the state service has not answered for a while, or has refused a request with status 503 since its last
+    /// healthy answer. Either is sufficient for a vote, because a vote binds only this controller. A vote also cannot
+    /// wait: a leader that was refused shortly before an outage has one second left.
     pub fn is_store_failing(&self) -> bool {
         !self.is_store_reachable() || self.store_refused_at > self.store_answered_at
     }
--- a/crates/gannethub-core/src/controller/ownership.rs
+++ b/crates/gannethub-core/src/controller/ownership.rs
@@ -35,7 +35,6 @@
         }
     }
 
-    /// Steps down from a shard.
     pub(super) fn step_down(&mut self, shard: u32, reason: EndReason) {
         let Some(owner) = self.shard_owners.remove(&shard) else {
             return;
--- a/crates/gannethub-core/src/controller/peer_messages.rs
+++ b/crates/gannethub-core/src/controller/peer_messages.rs
@@ -15,6 +15,7 @@
 /// Maximum time that a message may take, beyond the possible offset between the clocks, and still count as sent
 /// without delay.
 const MESSAGE_DELAY_TOLERANCE: Micros = SECOND;
+
 impl Controller {
     /// Handles a message. A message of an unknown sender is dropped.
     pub(super) fn handle_peer_message(&mut self, message: Envelope) {
@@ -78,7 +79,7 @@
 
     // ---- Votes ----
 
-    /// Returns the state of the election for a shard, if the shard is known here.
+    /// Returns this controller's eligibility to own a shard, if the shard is known here.
     pub(super) fn election_mut(&mut self, shard: u32) -> Option<&mut Election> {
         match shard {
             0 => Some(&mut self.membership.election),
@@ -145,12 +146,12 @@
     }
 
     /// Logs, once for each peer, that a vote could not be parsed in full.
-    fn log_malformed_vote(&mut self, peer: usize, vote: &Vote, read: usize) {
+    fn log_malformed_vote(&mut self, peer: usize, vote: &Vote, parsed: usize) {
         let status = &mut self.membership.peers[peer];
         if !std::mem::replace(&mut status.malformed_vote_logged, true) {
             let from = &self.outbox.settings.peers[peer].name;
-            let told = vote.cancelled_count;
-            tracing::warn!(%from, told, read, "cannot parse all cancelled jobs of a vote");
+            let sent = vote.cancelled_count;
+            tracing::warn!(%from, sent, parsed, "cannot parse all cancelled jobs of a vote");
         }
     }
 
@@ -168,7 +169,7 @@
     }
 
     fn handle_watermark_confirmation(&mut self, confirmation: &WatermarkCheck) {
-        // An answer to an earlier process of the same name proves nothing about this one.
+        // A confirmation for an earlier process of the same name proves nothing about the votes of this process.
         if confirmation.incarnation != self.membership.incarnation {
             return;
         }
--- a/crates/gannethub-core/src/controller/pending_heartbeats.rs
+++ b/crates/gannethub-core/src/controller/pending_heartbeats.rs
@@ -33,6 +33,7 @@
 /// A heartbeat that was relayed to a peer.
 #[derive(Debug)]
 pub(super) struct RelayedHeartbeat {
+    /// The worker's connection.
     pub connection: u64,
     /// Time until which the peer may answer.
     pub deadline: Micros,
--- a/crates/gannethub-core/src/controller/pending_request.rs
+++ b/crates/gannethub-core/src/controller/pending_request.rs
@@ -73,7 +73,7 @@
     Probe,
     /// Acquires a store lease for the owner of a shard.
     AcquireLease { shard: u32, requested_at: Micros },
-    /// Reads all terms before a takeover of a shard.
+    /// Reads the leader's term and the counter of terms, before a takeover of a shard.
     ReadTerms(AcquiredLease),
     /// Takes over a shard.
     TakeOver(Takeover),
@@ -118,8 +118,8 @@
 /// Requests of [`JobApi`](super::job_api::JobApi).
 #[derive(Debug)]
 pub(super) enum JobApiRequest {
-    /// Reads the ledger's head or one of its pages for a user. If a team is named, only that team's lines of the page
-    /// are returned.
+    /// Reads the ledger's head or one of its pages for a user. If a team is named, only those lines of the page are
+    /// returned that charge the team.
     ReadLedger {
         connection: u64,
         team: Option<String>,
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -1,8 +1,9 @@
 //! Answers queries from a replica of all live jobs, and keeps that replica up to date.
 //!
-//! A query is never answered from the replica as it is. Every query waits for the next read of changes, since the
-//! replica may be older than a state that another controller has already told a user. All waiting queries share one
-//! read.
+//! A query for a job whose final state is known is answered at once, since that state never changes. Every other query
+//! waits for the next read of changes, since the replica may be older than a state that another controller has already
+//! told a user. All waiting queries share one read. As long as there is no complete replica, jobs are looked up one by
+//! one.
 
 use super::config_watch::CHANGE_READ_INTERVAL;
 use super::job_api::{
@@ -20,7 +21,8 @@
 
 /// Minimum interval between refreshes of the replica.
 const MIN_REFRESH_INTERVAL: Micros = 100_000;
-/// Maximum interval between refreshes of the replica, so that few changes pile up.
+/// A refresh without waiting requests is sent this long after the time from which it is allowed, so that few changes
+/// pile up.
 const MAX_REFRESH_INTERVAL: Micros = 5 * SECOND;
 /// Minimum interval between complete reads of the replica after it was lost.
 const LISTING_INTERVAL: Micros = SECOND;
@@ -30,7 +32,8 @@
 const MIN_REQUEST_RATE: f64 = 0.1;
 
 impl JobApi {
-    /// Handles a query. The query waits for the next refresh, which answers all queries that wait by then.
+    /// Handles a query. Unless its answer is known to be final, the query waits for the next refresh, which answers all
+    /// queries that wait by then.
     pub fn query(&mut self, outbox: &mut Outbox, connection: u64, job: JobId) {
         if self.job_replica.version().is_none() {
             let waiter = LookupWaiter::new(connection, LookupReason::Query);
@@ -161,7 +164,8 @@
                 let waiter = LookupWaiter::new(connection, LookupReason::Query);
                 self.look_up_finished_job(outbox, job, waiter);
             }
-            // The query is repeated once the outcome of the upstream job has been read.
+            // The query waits for another refresh, and for more of them until the outcome of the upstream job has been
+            // read.
             JobLookup::DependencyUnknown => {
                 if outbox.awaits_reply(connection) {
                     self.next_refresh_waiters
@@ -172,8 +176,8 @@
     }
 }
 
-/// Whether the answer to a read of changes says that the replica is too old to be refreshed, since the state service
-/// no longer keeps the changes.
+/// Whether a failed read of changes means that the replica is too old to be refreshed, since the state service no
+/// longer keeps the changes. Every answer except a temporary refusal (status 429 or 503) counts as this case.
 fn is_replica_too_old(answer: &CallResult) -> bool {
     matches!(answer, Ok(Answer { status, .. }) if *status != 429 && *status != 503)
 }
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -25,7 +25,8 @@
 
 /// Interval between reads of the partitions.
 const READ_INTERVAL: Micros = SECOND / 2;
-/// Interval between reads of the partitions while no task of the shard waits for quota.
+/// Interval between reads of the partitions while the shard has neither waiting tasks nor quota to return. Shard 0
+/// always uses [`READ_INTERVAL`].
 const IDLE_READ_INTERVAL: Micros = 2 * SECOND;
 /// Time for which quota must be idle before it is returned.
 const RETURN_DELAY: Micros = 2 * SECOND;
@@ -40,7 +41,7 @@
     version: u64,
 }
 
-/// A quota partition that was read before the teams are known, with its limits by team name.
+/// A quota partition as stored, with its limits by team name and not yet in the settings' order of teams.
 #[derive(Debug)]
 struct UnresolvedPartition {
     shard: u32,
@@ -67,7 +68,8 @@
     pending_write: Option<PendingWrite>,
     /// Time since which more quota is idle than the shard is to keep.
     idle_since: Option<Micros>,
-    /// Whether the last read contained records that cannot be parsed. No partition is raised while there are any.
+    /// Whether the last read contained records that cannot be parsed. While there are any, no partition is raised, and
+    /// shard 0 may use no quota.
     has_damaged_records: bool,
     /// Whether the read before the last contained records that cannot be parsed.
     had_damaged_records: bool,
@@ -147,7 +149,8 @@
         let total = team_limits(cluster);
         let mut quotas = self.quotas();
         if let Some(pending) = &self.pending_write {
-            // The pending write may have been carried out already: the more for other shards, the less for this one.
+            // The pending write may have been carried out already. Its values give this shard the lower limits: they
+            // either raise the partitions of other shards, or lower this shard's own.
             quotas.extend(pending.quotas.clone());
         }
         let zero_limits = vec![Resources::default(); total.len()];
@@ -159,7 +162,8 @@
         }
     }
 
-    /// Reads the partitions when a read is due, and resends a write that got no answer.
+    /// Sends the pending write, or sends it again if no answer arrived. Without a pending write, reads the partitions
+    /// when a read is due.
     pub fn tick(&mut self, outbox: &mut Outbox, lease: &ShardLease) {
         let now = outbox.clock.now;
         if !outbox.is_sharded {
--- a/crates/gannethub-core/src/controller/shard_owner/recovery.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/recovery.rs
@@ -90,7 +90,8 @@
         self.cluster.finish_loading(outbox.clock.now);
     }
 
-    /// Retries a failed read once its delay is over. Reading a page twice is harmless.
+    /// Retries a failed read once its delay is over, from the first page of its stage. Reading a page twice is
+    /// harmless.
     pub(super) fn retry_load(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.load.retry_at.take_if(|at| *at <= now).is_some() {
@@ -153,7 +154,7 @@
                     tracing::error!(key = %item.key, "cannot parse ledger page; the stored page is left unchanged")
                 }
             },
-            // After the first load the owner's own records are newer, because nobody else writes these.
+            // After the first load the owner's state in memory is newer, because nobody else writes these records.
             _ if self.load.was_loaded => {}
             LoadStage::Transfers => self.apply_transfer_record(item, now),
             LoadStage::QuotaPartitions => self.quota_partitioner.add_record(item),
--- a/crates/gannethub-core/src/controller/shard_owner/watch.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/watch.rs
@@ -25,7 +25,7 @@
 const CATCH_UP_INTERVAL: Micros = SECOND;
 
 impl ShardOwner {
-    /// Opens the watch, unless the watch is already open or its interval is not over.
+    /// Opens the watch, unless the watch is already open or its next request is not due yet.
     pub(super) fn send_watch(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.watch.in_flight || now < self.watch.next_at {
--- a/crates/gannethub-core/src/controller/shard_owner/writes.rs
+++ b/crates/gannethub-core/src/controller/shard_owner/writes.rs
@@ -16,14 +16,14 @@
 const MIN_WRITE_INTERVAL: Micros = 100_000;
 /// Delay after a transaction that the state service refused with status 429 or 503.
 const WRITE_RETRY_INTERVAL: Micros = 300_000;
-/// Minimum interval between reads of the keys in doubt.
+/// Minimum interval between reads of the keys in doubt, unless a transaction fails: its keys are read without delay.
 const MIN_REREAD_INTERVAL: Micros = 300_000;
 /// Maximum number of doublings of the delay after a rejected transaction. The delay doubles with each consecutive
 /// rejection.
 const MAX_REJECTION_DOUBLINGS: u32 = 6;
 
 impl ShardOwner {
-    /// Sends the next transaction, unless one is under way or the interval is not over.
+    /// Sends the next transaction, unless a transaction is under way or the next one is not due yet.
     pub(super) fn write_batch(&mut self, outbox: &mut Outbox) {
         let now = outbox.clock.now;
         if self.writes.in_flight || now < self.writes.next_at {
@@ -93,7 +93,8 @@
         self.write_failed(now, batch);
     }
 
-    /// Marks all keys of a transaction to be reread, because it is not known whether the transaction was carried out.
+    /// Marks all keys of a transaction to be reread. The transaction failed or got no usable answer, so the stored
+    /// values of its keys are in doubt.
     fn write_failed(&mut self, now: Micros, batch: WriteBatch) {
         self.cluster.transaction_failed(&batch, true, now);
         self.writes
--- a/crates/gannethub-core/src/controller/store_answers.rs
+++ b/crates/gannethub-core/src/controller/store_answers.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// Calls `answer_queries` with a lookup of the progress of jobs, which this controller's own shards and the reachable
+/// Calls `answer_queries` with a look-up of the progress of jobs, which this controller's own shards and the reachable
 /// peers report.
 fn with_progress(
     membership: &Membership,
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -42,8 +42,8 @@
                 };
                 self.accept(outbox, queued);
             }
-            // A submission of a known job is answered with the state of that job, whatever the answer to this body
-            // would be.
+            // The job is known or may be known. A submission of a known job is answered with the state of that job,
+            // whatever the answer to this body would be.
             (Some(job), checked) => {
                 let waiter = LookupWaiter::new(connection, LookupReason::Submit(checked));
                 self.look_up_live_job(outbox, job, waiter);
@@ -81,9 +81,8 @@
         named.filter(is_unknown).cloned().collect()
     }
 
-    /// Continues with a submission after a refresh of the replica. A named job that is not live after the refresh
-    /// either is finished or was not accepted before the submission arrived. Its finished record is read to tell
-    /// which of the two holds.
+    /// Continues with a submission after a refresh of the replica. A named job without a live record is then finished,
+    /// or was not accepted before the submission arrived. Its finished record is read to tell which of the two holds.
     pub fn check_dependencies(&mut self, outbox: &mut Outbox, queued: QueuedSubmission) {
         let connection = queued.connection;
         if !outbox.awaits_reply(connection) {
@@ -157,7 +156,8 @@
     }
 }
 
-/// Checks whether a job can ever run under the configuration in force in this controller.
+/// Checks whether a job can ever run under the configuration in force in this controller, and notes the version of
+/// that configuration in the submission.
 pub(super) fn check_submission(
     outbox: &Outbox,
     submission: &mut Submission,
--- a/crates/gannethub-core/src/controller/ticking.rs
+++ b/crates/gannethub-core/src/controller/ticking.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads the outcomes of finished upstream jobs for which downstream jobs wait.
+    /// Reads the outcomes, where unknown, of upstream jobs for which downstream jobs wait.
     pub(super) fn read_dependency_outcomes(&mut self) {
         let leader = self.shard_owners.get(&0).map(|leader| &**leader);
         self.job_api
