--- a/crates/gannethub-core/src/configuration.rs
+++ b/crates/gannethub-core/src/configuration.rs
@@ -14,7 +14,7 @@
 use crate::policy::{Policy, Setting};
 use crate::settings::{Objective, Settings, zero_as_unlimited};
 
-/// Maximum number of teams at one time, including removed teams that still have jobs.
+/// Maximum number of teams, including removed teams, which keep their positions.
 pub const MAX_TEAMS: usize = 2000;
 /// Maximum of any amount in a document.
 const MAX_AMOUNT: f64 = 1e9;
@@ -90,7 +90,7 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pub gpus_max: f64,
     #[serde(default, skip_serializing_if = "is_false")]
-    /// Whether the team is removed: it gets no new jobs, and finishes those that it has.
+    /// Whether the team is removed. A removed team gets no new jobs, and its existing jobs finish.
     pub removed: bool,
 }
 
--- a/crates/gannethub-core/src/http.rs
+++ b/crates/gannethub-core/src/http.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// The answer of another service to a request of this process.
+/// The response of another service to a request of this process. [`Response`] is the opposite direction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -100,7 +100,7 @@
 }
 
 impl Answer {
-    /// Creates an answer with this status and body.
+    /// Creates a response of another service with this status and body.
     pub fn new(status: u16, body: impl Into<Bytes>) -> Answer {
         Answer {
             status,
@@ -124,20 +124,20 @@
     }
 }
 
-/// Reason for which a request has no answer. In either case the service may have carried out the request already, or
+/// Reason for which a request has no response. In either case the service may have carried out the request already, or
 /// may still do so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    #[error("timed out waiting for the answer")]
+    #[error("timed out waiting for the response")]
     Timeout,
-    #[error("the connection could not be opened, or failed before the answer arrived")]
+    #[error("the connection could not be opened, or failed before the response arrived")]
     Disconnected,
 }
 
 /// Result of a request to another service.
 pub type CallResult = Result<Answer, CallError>;
 
-/// Parses the body of an answer as JSON if the request was answered and carried out.
+/// Parses the body of a response as JSON if there is a response and the request was carried out.
 pub fn decode_ok<T: DeserializeOwned>(result: &CallResult) -> Option<T> {
     result.as_ref().ok()?.decode_ok()
 }
--- a/crates/gannethub-core/src/model.rs
+++ b/crates/gannethub-core/src/model.rs
@@ -213,7 +213,7 @@
 pub enum Shape {
     /// Independent tasks, which may run at any time.
     Array,
-    /// Tasks that run only all at the same time.
+    /// Tasks that have to run all at the same time.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
@@ -253,7 +253,7 @@
     /// Whether all tasks have to run in the same zone.
     #[serde(rename = "one_zone")]
     pub single_zone: bool,
-    /// Whether no zone may have more than half of the tasks.
+    /// Whether no zone may have more than half of the tasks, rounded up.
     pub spread: bool,
     /// Whether the tasks may run on spot instances.
     pub spot: bool,
@@ -266,7 +266,7 @@
     /// Time that a task takes to save its progress.
     #[serde(rename = "save")]
     pub save_time: Micros,
-    /// Maximum time from the acceptance of the job until the job has to be done.
+    /// Time after the acceptance of the job by which the job has to be done.
     pub deadline: Option<Micros>,
 }
 
--- a/crates/gannethub-core/src/reconcile/attempt_end.rs
+++ b/crates/gannethub-core/src/reconcile/attempt_end.rs
@@ -93,7 +93,8 @@
         self.adjust_usage(id, team, resources.scaled_by(-1), now);
     }
 
-    /// Marks a task as done. The task's element of a gang saga commits, and with the last task the job's saga commits.
+    /// Marks a task as done. In a gang, the task's element of the gang's saga commits. With the last task, the saga of
+    /// the job commits.
     pub(super) fn complete_task(&mut self, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -127,8 +128,9 @@
         }
     }
 
-    /// Removes an attempt that is known to be gone. Its task becomes pending again unless it is done. `reason`: `None`
-    /// if the attempt was lost with its machine, or if its worker stopped reporting it without an end.
+    /// Removes an attempt that is known to be gone. Its task becomes pending again unless the task is done or the job
+    /// is cancelled. `reason`: `None` if the attempt was lost with its machine, or if its worker stopped reporting the
+    /// attempt without reporting its end.
     pub(super) fn remove_live_attempt(
         &mut self,
         attempt_id: &AttemptId,
@@ -188,8 +190,9 @@
         }
     }
 
-    /// Handles the loss of a gang attempt's task that was not done. Before the gang runs, a replacement task with the
-    /// same attempt number can complete the gang; afterwards the whole gang attempt is aborted.
+    /// Handles the loss of a gang attempt's task that was not done. Before the gang runs, a task that vanished, that
+    /// failed or that found no free resources can be replaced under the same attempt number. Any other loss, and any
+    /// loss after the gang has started to run, aborts the whole gang attempt.
     fn gang_task_lost(&mut self, task: &TaskId, number: u64, reason: Option<ExitReason>) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
--- a/crates/gannethub-core/src/reconcile/cancellation.rs
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -6,8 +6,9 @@
 use crate::state::cluster::Cluster;
 
 impl Cluster {
-    /// Applies the cancellation of a job that another controller has confirmed to its users and that the watch here may
-    /// not show yet. The job's record is still read, and is applied like any other record.
+    /// Applies the cancellation of a job that another controller has confirmed to its users. The watch of this
+    /// controller may not have delivered the cancellation yet. The job's record is still read, and is applied like any
+    /// other record.
     pub fn apply_remote_cancellation(&mut self, id: &str) {
         let is_upstream_only =
             self.pipelines.waiting.contains_key(id) || self.other_shards.jobs.contains_key(id);
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -39,7 +39,8 @@
     booted: Option<(usize, Micros)>,
     /// Whether the worker has restarted since its last heartbeat.
     is_new_incarnation: bool,
-    /// Whether this is the first heartbeat of an incarnation or the first heartbeat to this leader.
+    /// Whether this is the first heartbeat of an incarnation, or no heartbeat with this term's fencing token has
+    /// arrived from the worker so far.
     is_first_contact: bool,
     /// Whether this is the first heartbeat with the cloud's preemption notice for the machine.
     is_preemption_announced: bool,
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Applies the tasks that a heartbeat lists. Only a heartbeat with this term's fencing token lists all tasks that
-    /// run on the machine.
+    /// Applies the parts of a heartbeat that count only with this term's fencing token, above all the tasks that the
+    /// heartbeat lists: only a heartbeat with this token lists all tasks that run on the machine.
     fn apply_confirmed_heartbeat(
         &mut self,
         now: Micros,
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Reconciles the machine's attempts with the heartbeat, unless it lists the same attempts in the same states as
-    /// the last heartbeat.
+    /// Reconciles the machine's attempts with the heartbeat, unless the heartbeat lists the same attempts in the same
+    /// states as the last one.
     fn reconcile_if_changed(
         &mut self,
         id: &MachineId,
@@ -252,6 +253,8 @@
 }
 
 /// Records an incarnation that ended although its heartbeats were answered, and backs off placement on the machine.
+/// The machine is quarantined after [`MAX_UNANSWERED_INCARNATIONS`] such incarnations in a row.
+///
 /// Heartbeats arrive from the machine but the responses do not reach it. Tasks placed on the machine are lost with each
 /// incarnation, and as its capacity may be the cheapest of all, they would be placed there again and again.
 fn record_unanswered_incarnation(machine: &mut Machine, now: Micros, lease: Micros) {
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -79,7 +79,7 @@
         let moves_to_other_shard = job
             .scheduling
             .target_shard
-            .is_some_and(|home| home != self.shard.id);
+            .is_some_and(|target| target != self.shard.id);
         if moves_to_other_shard && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
         }
@@ -107,19 +107,19 @@
         due(WriteReason::Progress, dirty_since)
     }
 
-    /// Adds the transfer of a job to another shard. Like the other `add_job_` functions, this function returns `false`
-    /// if the write does not fit into the transaction.
+    /// Adds the transfer of a job to another shard. Like `add_job_end` and `add_job_progress`, returns `false` if the
+    /// write does not fit into the transaction.
     fn add_job_transfer(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let Some(home) = job.scheduling.target_shard else {
+        let Some(target_shard) = job.scheduling.target_shard else {
             return true;
         };
         if !builder.fits(1) {
             return false;
         }
-        let record = job_record(job, home);
+        let record = job_record(job, target_shard);
         let key = store::live_job_key(&id);
         builder.transaction.guard(&key, job.persistence.version);
         builder.transaction.put(&key, record.to_value(), None);
@@ -161,8 +161,8 @@
 
     /// Adds the write of a job's record, and of those changed parts of its finished tasks that have keys of their own.
     ///
-    /// Every write of finished tasks changes the live record and is guarded by its version: a transaction of parts
-    /// alone, carried out late, would overwrite finished tasks that were written since.
+    /// Every write of finished tasks changes the live record and is guarded by the record's version. A transaction of
+    /// parts alone, carried out late, would overwrite finished tasks that were written since.
     fn add_job_progress(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let max_value_bytes = self.settings.max_value_bytes;
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -1,9 +1,10 @@
 //! Pushed kill orders: workers are told to stop the tasks of a just cancelled job by `POST /commands`, in addition to
 //! the next response to their heartbeats.
 //!
-//! A push saves the work that a task would do, or the start of a task, within a heartbeat interval, and reaches workers
-//! that cannot reach any controller. Nothing relies on a push: it is sent once and its response is ignored. A worker
-//! that a push does not reach gets the order with its next heartbeat response, or stops the tasks when its lease ends.
+//! A push saves up to one heartbeat interval of a task's work, or prevents the task's start. A push also reaches
+//! workers that cannot reach any controller. Nothing relies on a push: it is sent once and its response is ignored. A
+//! worker that a push does not reach gets the order with its next heartbeat response, or stops the tasks when its lease
+//! ends.
 //!
 //! A push may arrive minutes after it was sent, and must be harmless then. A kill order is harmless: it names an
 //! attempt that is never used again, of a job that is cancelled for good, under this term's fencing token and the
@@ -11,7 +12,7 @@
 
 use std::net::SocketAddrV4;
 
-use super::orders::{MAX_ORDERS_PER_ANSWER, stop_order};
+use super::orders::{MAX_ORDERS_PER_RESPONSE, stop_order};
 use crate::model::{AttemptId, MachineId, Micros};
 use crate::policy::Setting;
 use crate::state::attempt::AttemptPhase;
@@ -45,7 +46,7 @@
         let order = self.kill_orders.pending.entry(machine.clone()).or_default();
         order.since = self.now;
         order.has_unstarted |= is_unstarted;
-        if order.attempts.len() < MAX_ORDERS_PER_ANSWER {
+        if order.attempts.len() < MAX_ORDERS_PER_RESPONSE {
             order.attempts.push(attempt_id);
         }
     }
@@ -79,7 +80,8 @@
         deliveries
     }
 
-    /// Drops orders for machines that are lost, whose heartbeats were answered since, or are about to be answered.
+    /// Drops kill orders for machines that were removed, that have sent a heartbeat since the order was queued, or
+    /// whose next heartbeat is due by now. The response to the heartbeat carries the same order.
     fn drop_unneeded_kill_orders(&mut self, now: Micros) {
         let machines = &self.machines;
         let answered_within =
--- a/crates/gannethub-core/src/reconcile/orders.rs
+++ b/crates/gannethub-core/src/reconcile/orders.rs
@@ -11,7 +11,7 @@
 use crate::wire::worker::{ExitReason, Order};
 
 /// Maximum number of orders in one response or push. The maximum keeps the body below the 64 KiB that workers read.
-pub(super) const MAX_ORDERS_PER_ANSWER: usize = 300;
+pub(super) const MAX_ORDERS_PER_RESPONSE: usize = 300;
 
 impl Cluster {
     /// Returns the orders for a machine: orders that stop or forget attempts come first, then launches.
@@ -29,7 +29,7 @@
             }
         }
         orders.append(&mut launches);
-        orders.truncate(MAX_ORDERS_PER_ANSWER);
+        orders.truncate(MAX_ORDERS_PER_RESPONSE);
         if self.usage_ledger.is_some() {
             self.launches_sent(id, self.now);
         }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Removes a waiting job whose live record was deleted. The job was cancelled, as only a cancelled waiting job ends
-    /// without a release. Returns whether there was such a job.
+    /// Removes a waiting job whose live record was deleted. The job was cancelled, as only a cancelled job ends without
+    /// a release. Returns whether the job was a waiting job.
     pub fn remove_waiting_job(&mut self, id: &str) -> bool {
         if self.pipelines.waiting.remove(id).is_none() {
             return false;
--- a/crates/gannethub-core/src/reconcile/provisioning.rs
+++ b/crates/gannethub-core/src/reconcile/provisioning.rs
@@ -18,8 +18,8 @@
 /// Number of times that a provisioning request without a clear response is sent again before its offer counts as
 /// refused.
 const MAX_PROVISION_RETRIES: u32 = 4;
-/// Time for which a refused offer is not requested again. The time doubles with each further consecutive refusal, up to
-/// [`MAX_REFUSAL_DOUBLINGS`] times, i.e. to four times this value.
+/// Time for which a refused offer is not requested again. The time doubles with each further consecutive refusal, but
+/// only [`MAX_REFUSAL_DOUBLINGS`] times.
 const REFUSAL_BACKOFF: Micros = 8 * SECOND;
 const MAX_REFUSAL_DOUBLINGS: u32 = 2;
 
@@ -169,7 +169,10 @@
 
 fn has_same_names(types: &[MachineType], known: &[MachineType]) -> bool {
     let names = |types: &[MachineType]| -> Vec<Arc<str>> {
-        types.iter().map(|known| known.name.clone()).collect()
+        types
+            .iter()
+            .map(|machine_type| machine_type.name.clone())
+            .collect()
     };
     names(types) == names(known)
 }
--- a/crates/gannethub-core/src/reconcile/shard_transfer.rs
+++ b/crates/gannethub-core/src/reconcile/shard_transfer.rs
@@ -40,7 +40,8 @@
         self.transfers.outgoing.insert(machine.into(), transfer);
     }
 
-    /// Adds the records of outgoing machine transfers to a transaction, until it has `max_changes` changes.
+    /// Adds the records of outgoing machine transfers to a transaction, until the transaction has `max_changes`
+    /// changes.
     pub(super) fn add_machine_transfers(
         &mut self,
         builder: &mut TransactionBuilder,
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Applies the record of a job that waits for no upstream job. The record is that of a new job, of a cancelled job,
-    /// or one that was read again.
+    /// Applies the record of a job that waits for no upstream job. The job may be new or cancelled, or its record may
+    /// have been read again.
     pub fn apply_job_record(&mut self, id: &str, record: JobRecord, version: u64) {
         if record.shard != self.shard.id {
             return self.apply_foreign_job_record(id, &record, version);
@@ -58,7 +58,7 @@
 
     /// Adds a job that is not known yet.
     fn add_job(&mut self, id: &str, record: JobRecord, version: u64) {
-        // Tasks of a job from before this term may be on machines that have not been heard from yet.
+        // Tasks of a job from an earlier term may be on machines that this leader has not heard from yet.
         let possibly_launched = match self.takeover.unconfirmed.loading {
             true if self.watermarks.reliable => record.effective_watermark(),
             true => record.spec.tasks,
--- a/crates/gannethub-core/src/reconcile/transaction.rs
+++ b/crates/gannethub-core/src/reconcile/transaction.rs
@@ -66,7 +66,7 @@
         self.bytes > MAX_BYTES
     }
 
-    /// Whether the transaction's body has room for changes that can wait.
+    /// Whether the transaction's body is still below its maximum size.
     fn has_spare_bytes(&self) -> bool {
         self.bytes < MAX_BYTES
     }
@@ -105,7 +105,7 @@
     }
 
     /// Adds changed chunks of the shard's machine records, until the transaction has `max_changes` changes. `idle`:
-    /// there is nothing else to write, so chunks that only lost machines, which can wait, are added as well.
+    /// there is nothing else to write, so chunks that only lost a few machines, which can wait, are added as well.
     fn add_shard_chunks(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -145,7 +145,7 @@
         let key = store::ledger_page_key(write.page);
         builder.add_value_bytes(write.value.len());
         builder.transaction.guard(&key, write.version);
-        // The page is built as JSON. An invalid page would be refused by the state service and then be read again.
+        // The page is built as JSON, so the conversion succeeds.
         let value = RawValue::from_string(write.value).unwrap_or_default();
         builder.transaction.put(&key, value, None);
         if let Some(head) = &write.head {
--- a/crates/gannethub-core/src/reconcile/transaction_outcome.rs
+++ b/crates/gannethub-core/src/reconcile/transaction_outcome.rs
@@ -82,7 +82,7 @@
         self.shard.mark_written(index, version);
         for name in members {
             if self.transfers.incoming.remove(&name) {
-                // The transfer record may only be deleted now that the machine is on this shard's record.
+                // The transfer record may be deleted from now on, as the machine is in this shard's record.
                 let key = store::machine_transfer_key(self.shard.id, &name);
                 self.store_writes.stale_keys.push(key);
             }
--- a/crates/gannethub-core/src/saga.rs
+++ b/crates/gannethub-core/src/saga.rs
@@ -17,7 +17,8 @@
     Active,
     /// The element or saga ended successfully. An element is then undone only if the whole saga aborts.
     Committed,
-    /// The element or saga was cancelled or compensated.
+    /// The element or saga was aborted. An element of an aborted saga that had committed before stays `Committed` and
+    /// has to be compensated.
     Aborted,
 }
 
@@ -161,7 +162,7 @@
         self.elements.keys()
     }
 
-    /// Commits an active element and returns the elements that this releases, in order.
+    /// Commits an active element and returns the waiting elements that the commit releases, in order.
     pub fn commit(&mut self, key: &K) -> Vec<K> {
         let Some(element) = self.elements.get_mut(key) else {
             return Vec::new();
@@ -261,7 +262,7 @@
         self.detach(key, upstream);
     }
 
-    /// Removes `key` from the downstream elements of `upstream`, for which it no longer waits.
+    /// Removes `key` from the downstream elements of the elements in `upstream`, for which `key` no longer waits.
     fn detach(&mut self, key: &K, upstream: BTreeSet<K>) {
         for upstream_key in upstream {
             if let Some(element) = self.elements.get_mut(&upstream_key) {
--- a/crates/gannethub-core/src/saga/tests.rs
+++ b/crates/gannethub-core/src/saga/tests.rs
@@ -46,7 +46,7 @@
 #[test]
 fn an_open_ended_saga_accepts_any_order_and_aborts_long_chains() {
     let mut saga = Saga::open_ended();
-    // Downstream elements are added first, as in a listing in the order of ids.
+    // Downstream elements are added first, which can happen when jobs are listed in the order of their ids.
     (1..50_000)
         .rev()
         .for_each(|index: u32| saga.add(index, false, &[index - 1]));
--- a/crates/gannethub-core/src/settings.rs
+++ b/crates/gannethub-core/src/settings.rs
@@ -74,7 +74,7 @@
     pub listen: SocketAddrV4,
     /// Address that peers connect to.
     pub cluster_listen: SocketAddrV4,
-    /// The other controllers. Peer messages refer to them by their position in this list.
+    /// The other controllers. Inside this process a peer is identified by its position in this list.
     pub peers: Vec<Peer>,
     pub cloud_addr: SocketAddrV4,
     pub store_addr: SocketAddrV4,
@@ -93,7 +93,7 @@
     /// Maximum time until the tasks of a cancelled job have ended, even if a worker cannot be reached.
     pub cancel_timeout: Micros,
     pub store_rates: Rates,
-    /// Rates that the state service will switch to without notice.
+    /// Rates that the state service will switch to without notice, or `store_rates` where those are lower.
     pub next_store_rates: Rates,
     /// Maximum size of a value that the state service accepts, now and after it switches to its next limits.
     pub max_value_bytes: usize,
--- a/crates/gannethub-core/src/settings/validation.rs
+++ b/crates/gannethub-core/src/settings/validation.rs
@@ -14,8 +14,8 @@
     max: f64,
 }
 
-/// Number of processor cores that a controller may have. With less than a thousandth of a core it would answer no
-/// request in time.
+/// Number of processor cores that a controller may have. With less than a thousandth of a core, a controller would
+/// answer no request in time.
 const CORES: Range = Range {
     min: 0.001,
     max: 1024.0,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns the smaller one of a current limit of the state service and of the next limit, if that is known. The
+    /// Returns the smaller of a current limit of the state service and the next limit, if the next limit is known. The
     /// state service switches to its next limits without notice, so a write that would exceed the next limit is never
     /// made.
     fn state_limit(
--- a/crates/gannethub-core/src/wire/api.rs
+++ b/crates/gannethub-core/src/wire/api.rs
@@ -1,4 +1,4 @@
-//! Wire format of the user API: routes, submissions and answers.
+//! Wire format of the user API: routes, submissions and responses.
 
 mod admission;
 mod refusal;
@@ -15,10 +15,10 @@
 pub use self::routes::{Route, route};
 pub use self::submission::{MAX_TASKS, Submission, parse_json_object, parse_submission};
 
-/// Maximum number of a job's dependencies that an answer lists.
-const MAX_SHOWN_DEPENDENCIES: usize = 100;
+/// Maximum number of a job's upstream jobs that a response lists.
+const MAX_SHOWN_UPSTREAM_JOBS: usize = 100;
 
-/// The status of a job in answers to users.
+/// The status of a job in responses to users.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Builds the answer that describes a job.
+/// Builds the response that describes a job.
 pub fn job_response(status: u16, id: &str, view: &JobView) -> Response {
     #[derive(Serialize)]
     struct Body<'a> {
@@ -63,7 +63,7 @@
         #[serde(skip_serializing_if = "Vec::is_empty")]
         waits_on: Vec<&'a str>,
     }
-    let shown = view.waits_on.iter().take(MAX_SHOWN_DEPENDENCIES);
+    let shown = view.waits_on.iter().take(MAX_SHOWN_UPSTREAM_JOBS);
     let body = Body {
         id,
         status: view.status,
--- a/crates/gannethub-core/src/wire/api/admission.rs
+++ b/crates/gannethub-core/src/wire/api/admission.rs
@@ -84,8 +84,8 @@
     Ok(())
 }
 
-/// Checks that a spread job has enough zones. A zone may run at most half of a spread job's tasks, so a job whose tasks
-/// all run at the same time needs two zones.
+/// Checks that a spread job has enough zones. A zone may run at most half of a spread job's tasks, rounded up. A job
+/// whose tasks all run at the same time therefore needs two zones, unless it has only one task.
 fn check_spread(spec: &JobSpec, fitting: &[&MachineType]) -> Result<(), Refusal> {
     if !spec.spread || tasks_at_once(spec) <= 1 {
         return Ok(());
--- a/crates/gannethub-core/src/wire/api/routes.rs
+++ b/crates/gannethub-core/src/wire/api/routes.rs
@@ -20,7 +20,7 @@
     },
 }
 
-/// Finds the route of a request. Returns the error answer if no route matches.
+/// Finds the route of a request. Returns an error response if no route matches.
 pub fn route(method: Method, path: &str) -> Result<Route<'_>, Response> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let (route, expected_method) = match path {
--- a/crates/gannethub-core/src/wire/api/submission.rs
+++ b/crates/gannethub-core/src/wire/api/submission.rs
@@ -22,7 +22,7 @@
     pub spec: JobSpec,
     /// Upstream jobs that the job waits for, sorted and without duplicates.
     pub waits_on: Vec<JobId>,
-    /// The configuration version that the submission was checked against.
+    /// The configuration version that the submission was checked against; 0 before that check.
     pub configuration_version: u64,
 }
 
--- a/crates/gannethub-core/src/wire/budget.rs
+++ b/crates/gannethub-core/src/wire/budget.rs
@@ -93,7 +93,7 @@
     lanes: [VecDeque<Queued<T>>; 4],
     /// Whether transactions have the next turn.
     transactions_next: bool,
-    /// The one of the two user lanes that comes first in the users' next turn.
+    /// The user lane that comes first in the users' next turn.
     next_user_lane: Lane,
 }
 
--- a/crates/gannethub-core/src/wire/budget/tests.rs
+++ b/crates/gannethub-core/src/wire/budget/tests.rs
@@ -50,7 +50,7 @@
     budget.push(Urgency::Background, 0, 3000);
     let first: Vec<u32> = std::iter::from_fn(|| budget.pop(SECOND)).collect();
     assert_eq!(first, [0, 2000, 1, 2001, 2, 2002]);
-    // A transaction that waits for change tokens delays no reads, but the changes behind it.
+    // A transaction that waits for change tokens delays the changes behind it, but no reads.
     let mut budget = RequestBudget::new(10.0, 4.0);
     budget.push(Urgency::User, 4, 0);
     budget.push(Urgency::User, 4, 1);
--- a/crates/gannethub-core/src/wire/cloud.rs
+++ b/crates/gannethub-core/src/wire/cloud.rs
@@ -6,7 +6,7 @@
 use crate::http::{Answer, CallResult, Method};
 use crate::model::{MachineType, Resources, micros_from_seconds};
 
-/// Number of machines in one page of a listing.
+/// Maximum number of machines in one page of a listing.
 const PAGE_MACHINES: u32 = 500;
 /// Fetch rate of a machine, in GB per second, if the cloud does not state the rate.
 const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
@@ -68,7 +68,6 @@
         CloudRequest::post("/rentals", &body)
     }
 
-    /// Deletes machines.
     pub fn delete_machines(machines: &[String]) -> CloudRequest {
         #[derive(Serialize)]
         struct Body<'a> {
@@ -150,8 +149,8 @@
     }
 }
 
-/// Reads the machine types from the result of a call. Returns `None` if no answer came, if the answer is an error, or
-/// if the answer holds no usable machine type.
+/// Reads the machine types from the result of a call. Returns `None` if no response came, if the response is an error,
+/// or if the response holds no usable machine type.
 pub fn decode_machine_types(result: &CallResult) -> Option<Vec<MachineType>> {
     let answer = result.as_ref().ok().filter(|answer| answer.is_ok())?;
     parse_machine_types(&answer.body)
@@ -168,8 +167,8 @@
     (!machine_types.is_empty()).then_some(machine_types)
 }
 
-/// The answer to a provisioning request: the names of the machines, which are fewer than requested if the cloud has no
-/// more.
+/// The response to a provisioning request: the names of the machines, which are fewer than requested if the cloud has
+/// no more.
 #[derive(Deserialize)]
 pub struct ProvisionAnswer {
     #[serde(rename = "hosts")]
@@ -202,7 +201,7 @@
     pub spot: bool,
     #[serde(default)]
     pub status: String,
-    /// Time since the machine was rented, in seconds.
+    /// Time since the machine was provisioned, in seconds.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
--- a/crates/gannethub-core/src/wire/configuration.rs
+++ b/crates/gannethub-core/src/wire/configuration.rs
@@ -12,7 +12,7 @@
 
 /// Key of the version in force. The key sorts before the keys of all jobs.
 pub const CURRENT_VERSION_KEY: &str = "gh/live/configuration";
-/// Key of the versions before the one in force, newest first.
+/// Key of the history of versions, which includes the version in force.
 pub const HISTORY_KEY: &str = "gh/config/history";
 /// Prefix of the keys of document parts; the version's id follows.
 const DOCUMENT_PREFIX: &str = "gh/config/doc/";
@@ -29,7 +29,7 @@
     pub id: String,
     /// Number of parts of the document.
     pub parts: u32,
-    /// Unix time of creation in microseconds, by the operator's clock.
+    /// Unix time at which the version was created, in microseconds by the operator's clock.
     #[serde(rename = "at")]
     pub created_at: u64,
     #[serde(rename = "by")]
@@ -38,7 +38,7 @@
     pub reason: String,
 }
 
-/// Versions that were in force, newest first.
+/// The version in force and the versions that were in force before, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct HistoryRecord {
     pub versions: Vec<VersionRecord>,
--- a/crates/gannethub-core/src/wire/peer/message.rs
+++ b/crates/gannethub-core/src/wire/peer/message.rs
@@ -37,8 +37,8 @@
     /// Asks whether a launch watermark covered every launch in the term so far.
     #[prost(message, tag = "10")]
     WatermarkQuery(WatermarkCheck),
-    /// Confirms that a launch watermark covered every launch in the term so far. A peer that does not know sends no
-    /// answer.
+    /// Confirms that a launch watermark covered every launch in the term so far. A peer that cannot confirm this sends
+    /// no response.
     #[prost(message, tag = "11")]
     WatermarkConfirmation(WatermarkCheck),
 }
@@ -49,7 +49,7 @@
     /// The sender's term if it is the leader, else 0.
     #[prost(uint64, tag = "1")]
     pub leading_term: u64,
-    /// Whether the state service answers the sender.
+    /// Whether the state service responds to the sender's requests.
     #[prost(bool, tag = "2")]
     pub store_reachable: bool,
     /// Whether the sender is the leader or can relay workers' heartbeats to the leader.
@@ -142,7 +142,7 @@
 /// A worker's heartbeat, relayed to the owner of the shard that the worker's machine belongs to.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayHeartbeat {
-    /// The sender's number for the relayed heartbeat, repeated in the answer.
+    /// The sender's number for the relayed heartbeat, repeated in the response.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// The request body as the worker sent it.
@@ -150,7 +150,7 @@
     pub heartbeat: Bytes,
 }
 
-/// The shard owner's answer to a relayed heartbeat. The receiver passes the answer on to the worker.
+/// The shard owner's response to a relayed heartbeat. The receiver passes the response on to the worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct RelayAnswer {
     #[prost(uint64, tag = "1")]
@@ -206,14 +206,14 @@
     pub configuration_version: u64,
 }
 
-/// A query whether every launch in a term so far was covered by a launch watermark, or the confirmation. A process that
-/// started during the term sends the query, as it cannot know about launches before its start.
+/// The query whether a launch watermark covered every launch in a term so far, or the confirmation. A process that
+/// started during the term sends the query, as the process cannot know about launches before its start.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatermarkCheck {
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The incarnation of the process that sent the query. An answer to an earlier process of the same name does not
-    /// count.
+    /// The incarnation of the process that sent the query. A confirmation to an earlier process of the same name does
+    /// not count.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     #[prost(uint32, tag = "3")]
--- a/crates/gannethub-core/src/wire/store.rs
+++ b/crates/gannethub-core/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! Wire format of the state service: keys, the records stored under them, requests and answers.
+//! Wire format of the state service: keys, the records stored under them, requests and responses.
 //!
 //! JSON field names are those of the service's protocol and of stored records, which outlive releases. Where a Rust
 //! name differs, a `serde` attribute on the field gives the JSON name.
--- a/crates/gannethub-core/src/wire/store/answers.rs
+++ b/crates/gannethub-core/src/wire/store/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the state service.
+//! Responses of the state service.
 
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
@@ -48,7 +48,7 @@
     pub version: u64,
 }
 
-/// The body of a 200 answer to a transaction, and of a 404 answer to a read.
+/// The body of a 200 response to a transaction, and of a 404 response to a read.
 #[derive(Deserialize, Debug)]
 pub struct Committed {
     /// The version at which the transaction was carried out, or as of which the key that was read does not exist.
@@ -56,7 +56,7 @@
     pub version: u64,
 }
 
-/// The body of a 409 answer to a transaction: some guards did not hold.
+/// The body of a 409 response to a transaction: some guards did not hold.
 #[derive(Deserialize, Debug)]
 pub struct Conflict {
     /// Keys whose versions differed from their guards.
@@ -64,14 +64,14 @@
     pub failed_keys: Vec<String>,
 }
 
-/// The answer that grants a store lease.
+/// The response that grants a store lease.
 #[derive(Deserialize, Debug)]
 pub struct LeaseGranted {
     #[serde(rename = "permit")]
     pub lease_id: u64,
 }
 
-/// The answer to a watch or to a read of changes.
+/// The response to a watch or to a read of changes.
 #[derive(Deserialize, Debug)]
 pub struct ChangeLog {
     /// The version up to which the changes are listed.
--- a/crates/gannethub-core/src/wire/store/keys.rs
+++ b/crates/gannethub-core/src/wire/store/keys.rs
@@ -13,7 +13,7 @@
 //! | `gh/block/<shard>/<chunk>` | machines of a shard; the record is written before the first launch on them |
 //! | `gh/move/<shard>/<machine>` | a machine that was transferred to the shard and is in no shard's record yet: [`MachineTransferRecord`](super::MachineTransferRecord) |
 //! | `gh/allot/<shard>` | the resources that teams may use in the shard: [`QuotaPartitionRecord`](super::QuotaPartitionRecord). Shard 0 has the rest of the teams' limits |
-//! | `gh/config/…` | earlier configuration versions, and the documents of versions |
+//! | `gh/config/…` | the history of configuration versions, and their documents |
 //! | `gh/ledger/head` | the head of the ledger |
 //! | `gh/ledger/page/<n>` | a page of the ledger |
 
--- a/crates/gannethub-core/src/wire/store/records.rs
+++ b/crates/gannethub-core/src/wire/store/records.rs
@@ -27,9 +27,9 @@
     pub spot: bool,
 }
 
-/// A quota partition: the maximum resources that each team may use in a shard. The shard's owner lowers the amounts and
-/// obeys the lower amounts from before the record is written. Only the owner of shard 0 raises them, out of quota that
-/// no other shard has.
+/// A quota partition: the maximum resources that each team may use in a shard. The shard's owner lowers the amounts,
+/// and obeys the lower amounts even before the record is written. Only the owner of shard 0 raises the amounts, out of
+/// quota that no other shard has.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct QuotaPartitionRecord {
     pub teams: BTreeMap<String, Resources>,
@@ -281,7 +281,7 @@
     pub cancelled: bool,
     pub tasks: u32,
     /// The team and class that the job's attempts are charged to, stored if a ledger is kept. They are needed after the
-    /// end of the job, as an attempt's end may be found later than its job's.
+    /// end of the job, as the end of an attempt may be found later than the end of its job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<JobAccount>,
 }
--- a/crates/gannethub-core/src/wire/store/requests.rs
+++ b/crates/gannethub-core/src/wire/store/requests.rs
@@ -12,11 +12,11 @@
 const DEFAULT_TIMEOUT: Micros = 2 * SECOND;
 /// Time after which an unanswered renewal is sent again. The timeout is short because the lease runs out meanwhile.
 const RENEWAL_TIMEOUT: Micros = SECOND;
-/// Time for which the service holds back the answer to a watch while nothing changes.
+/// Time for which the service holds back the response to a watch while nothing changes.
 const WATCH_BLOCK_MS: u64 = 10_000;
-/// Timeout of a watch: the time for which the service holds back the answer, plus time for the network.
+/// Timeout of a watch: the time for which the service holds back the response, plus time for the network.
 const WATCH_TIMEOUT: Micros = 13 * SECOND;
-/// Number of items in one answer to a listing.
+/// Maximum number of items in one page of a listing.
 const PAGE_ITEMS: u32 = 200;
 
 /// A request to the state service.
@@ -25,7 +25,7 @@
     pub method: Method,
     pub path: String,
     pub body: Bytes,
-    /// Maximum time to wait for an answer.
+    /// Maximum time to wait for the response.
     pub timeout: Micros,
     /// Number of puts and deletes in the request. Changes have a rate limit of their own.
     pub change_count: u32,
@@ -143,7 +143,7 @@
         });
     }
 
-    /// Adds the write of a key, bound to the store lease `lease` if one is given.
+    /// Adds the write of a key, bound to the store lease `lease` if there is one.
     pub fn put(&mut self, key: &str, value: Box<RawValue>, lease: Option<u64>) {
         self.writes.push(Write::Put {
             key: key.into(),
--- a/crates/gannethub-core/src/wire/worker.rs
+++ b/crates/gannethub-core/src/wire/worker.rs
@@ -1,4 +1,4 @@
-//! Wire format of the worker protocol: heartbeats, the answers to them, and commands pushed to workers.
+//! Wire format of the worker protocol: heartbeats, the responses to them, and commands pushed to workers.
 
 use std::borrow::Cow;
 
@@ -147,7 +147,7 @@
     pub orders: &'a [Order],
 }
 
-/// The answer to a heartbeat, which renews the worker's lease.
+/// The response to a heartbeat, which renews the worker's lease.
 #[derive(Serialize, Debug)]
 pub struct HeartbeatResponse<'a> {
     /// The sender's term.
@@ -156,7 +156,7 @@
     pub orders: &'a [Order],
 }
 
-/// The body of a 421 answer to a heartbeat: this controller does not accept the heartbeat.
+/// The body of a 421 response to a heartbeat: this controller does not accept the heartbeat.
 #[derive(Serialize, Debug)]
 pub struct HeartbeatRedirect<'a> {
     /// The name of a controller that may accept the heartbeat.
