--- a/crates/gannethub-core/src/controller/acceptance.rs
+++ b/crates/gannethub-core/src/controller/acceptance.rs
@@ -11,7 +11,7 @@
 use super::pending_request::{JobApiRequest, PendingAccept};
 use super::submissions::check_submission;
 use crate::http::{CallResult, Response};
-use crate::state::dependencies::DependencyOutcome;
+use crate::state::dependencies::UpstreamOutcome;
 use crate::wire::api::{self, JobStatus, JobView, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::configuration::CURRENT_VERSION_KEY;
@@ -127,15 +127,15 @@
         let spec = submission.spec.clone();
         let (mut unfinished, mut is_cancelled) = (Vec::new(), false);
         for upstream in &submission.waits_on {
-            let outcome = self.job_replica.dependency_outcome(upstream);
-            if outcome != DependencyOutcome::Done {
+            let outcome = self.job_replica.upstream_outcome(upstream);
+            if outcome != UpstreamOutcome::Done {
                 unfinished.push(upstream.clone());
-                is_cancelled |= outcome == DependencyOutcome::Cancelled;
+                is_cancelled |= outcome == UpstreamOutcome::Cancelled;
             }
         }
         if unfinished.is_empty() {
             let record = JobRecord {
-                shard: outbox.choose_home_shard(&spec),
+                shard: outbox.choose_target_shard(&spec),
                 ..JobRecord::new(spec, accepted_at)
             };
             return NewRecord {
--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -238,10 +238,10 @@
         self.settings.policy.number(Setting::ShardCount, &[]) as u32
     }
 
-    /// Chooses the home shard of a job that is accepted now, and adds the job to that shard's load.
-    pub fn choose_home_shard(&mut self, spec: &JobSpec) -> u32 {
+    /// Chooses the target shard of a job that is accepted now, and adds the job to that shard's load.
+    pub fn choose_target_shard(&mut self, spec: &JobSpec) -> u32 {
         let shard_count = self.shard_count();
-        shard_load::choose_home_shard(&mut self.shard_loads, shard_count, spec)
+        shard_load::choose_target_shard(&mut self.shard_loads, shard_count, spec)
     }
 
     // ---- Messages ----
--- a/crates/gannethub-core/src/controller/queries.rs
+++ b/crates/gannethub-core/src/controller/queries.rs
@@ -166,7 +166,7 @@
             }
             // The query waits for another refresh, and for more of them until the outcome of the upstream job has been
             // read.
-            JobLookup::DependencyUnknown => {
+            JobLookup::UpstreamOutcomeUnknown => {
                 if outbox.awaits_reply(connection) {
                     self.next_refresh_waiters
                         .push(RefreshWaiter::Query { connection, job });
--- a/crates/gannethub-core/src/controller/quota_partitioner.rs
+++ b/crates/gannethub-core/src/controller/quota_partitioner.rs
@@ -157,7 +157,7 @@
         match cluster.shard.id {
             0 if self.has_damaged_records => Some(zero_limits),
             0 if quotas.is_empty() => None,
-            0 => Some(quota_partition::remaining_quota(&total, &quotas)),
+            0 => Some(quota_partition::shard_0_quotas(&total, &quotas)),
             shard => Some(quotas.remove(&shard).unwrap_or(zero_limits)),
         }
     }
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -11,7 +11,7 @@
 use super::pending_request::JobApiRequest;
 use crate::http::CallResult;
 use crate::model::{JobId, SECOND};
-use crate::state::dependencies::DependencyOutcome;
+use crate::state::dependencies::UpstreamOutcome;
 use crate::wire::api::{self, Refusal, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, StoreRequest};
@@ -76,7 +76,7 @@
     /// Returns the jobs that a submission names and of which nothing is known here.
     fn unknown_dependencies(&self, submission: &Submission) -> Vec<JobId> {
         let is_unknown =
-            |job: &&JobId| self.job_replica.dependency_outcome(job) == DependencyOutcome::Unknown;
+            |job: &&JobId| self.job_replica.upstream_outcome(job) == UpstreamOutcome::Unknown;
         let named = submission.waits_on.iter();
         named.filter(is_unknown).cloned().collect()
     }
--- a/crates/gannethub-core/src/reconcile/heartbeat.rs
+++ b/crates/gannethub-core/src/reconcile/heartbeat.rs
@@ -15,7 +15,7 @@
 
 /// Number of consecutive incarnations that ended although their heartbeats were answered, after which a machine is
 /// quarantined and returned to the cloud. The responses evidently do not reach its worker.
-const MAX_UNANSWERED_INCARNATIONS: u32 = 3;
+const MAX_LOST_RESPONSE_INCARNATIONS: u32 = 3;
 
 /// Outcome of a worker's heartbeat, which determines the response.
 #[derive(Debug, PartialEq)]
@@ -120,7 +120,7 @@
         let is_new_incarnation = heartbeat.incarnation > machine.worker.incarnation;
         let is_first_contact = is_new_incarnation || !machine.worker.confirmed;
         if is_new_incarnation && machine.ended_with_lost_responses(now, lease) {
-            record_unanswered_incarnation(machine, now, lease);
+            record_lost_response_incarnation(machine, now, lease);
         }
         record_heartbeat(machine, heartbeat, now, max_interval);
         if is_first_contact || machine.worker.address.is_none() {
@@ -253,15 +253,16 @@
 }
 
 /// Records an incarnation that ended although its heartbeats were answered, and backs off placement on the machine.
-/// The machine is quarantined after [`MAX_UNANSWERED_INCARNATIONS`] such incarnations in a row.
+/// The machine is quarantined after [`MAX_LOST_RESPONSE_INCARNATIONS`] such incarnations in a row.
 ///
 /// Heartbeats arrive from the machine but the responses do not reach it. Tasks placed on the machine are lost with each
 /// incarnation, and as its capacity may be the cheapest of all, they would be placed there again and again.
-fn record_unanswered_incarnation(machine: &mut Machine, now: Micros, lease: Micros) {
+fn record_lost_response_incarnation(machine: &mut Machine, now: Micros, lease: Micros) {
     machine.worker.lost_response_incarnations += 1;
     let count = machine.worker.lost_response_incarnations;
-    machine.placement.unschedulable_until = now + (lease << count.min(MAX_UNANSWERED_INCARNATIONS));
-    machine.lifecycle.quarantined |= count >= MAX_UNANSWERED_INCARNATIONS;
+    machine.placement.unschedulable_until =
+        now + (lease << count.min(MAX_LOST_RESPONSE_INCARNATIONS));
+    machine.lifecycle.quarantined |= count >= MAX_LOST_RESPONSE_INCARNATIONS;
     tracing::info!(machine = %machine.id, incarnations = count, "responses do not reach worker");
 }
 
@@ -283,7 +284,7 @@
     machine.worker.incarnation = heartbeat.incarnation;
     machine.worker.sequence = heartbeat.sequence;
     machine.worker.previous_heartbeat_at = machine.worker.last_heartbeat_at.replace(now);
-    machine.worker.last_answered_at = now;
+    machine.worker.last_response_at = now;
 }
 
 /// Returns a hash of the attempts that a heartbeat lists and of their states. A heartbeat with the same digest as the
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -8,7 +8,7 @@
 use crate::model::{JobId, Micros, SECOND, TaskSet, seconds_from_micros};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
-use crate::state::usage::job_owner;
+use crate::state::usage::job_account;
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{
     self, DonePartRecord, FinishedJobRecord, JobRecord, TASKS_PER_PART, VALUE_SLACK_BYTES,
@@ -145,7 +145,7 @@
         let record = FinishedJobRecord {
             cancelled,
             tasks: job.spec.tasks,
-            owner: self.usage_ledger.as_ref().map(|_| job_owner(job)),
+            owner: self.usage_ledger.as_ref().map(|_| job_account(job)),
         };
         builder.transaction.finish_job(&id, &record);
         builder.add_bytes(JOB_END_BYTES);
--- a/crates/gannethub-core/src/reconcile/kill_delivery.rs
+++ b/crates/gannethub-core/src/reconcile/kill_delivery.rs
@@ -44,7 +44,7 @@
             AttemptPhase::Starting | AttemptPhase::Fetching | AttemptPhase::Waiting
         );
         let order = self.kill_orders.pending.entry(machine.clone()).or_default();
-        order.since = self.now;
+        order.last_cancelled_at = self.now;
         order.has_unstarted |= is_unstarted;
         if order.attempts.len() < MAX_ORDERS_PER_RESPONSE {
             order.attempts.push(attempt_id);
@@ -89,9 +89,9 @@
         self.kill_orders.pending.retain(|id, order| {
             let is_unanswered = machines.get(id).is_some_and(|machine| {
                 let last = machine.worker.last_heartbeat_at;
-                last.is_none_or(|last| last <= order.since)
+                last.is_none_or(|last| last <= order.last_cancelled_at)
             });
-            is_unanswered && now < order.since + answered_within
+            is_unanswered && now < order.last_cancelled_at + answered_within
         });
     }
 
--- a/crates/gannethub-core/src/reconcile/lease_expiry.rs
+++ b/crates/gannethub-core/src/reconcile/lease_expiry.rs
@@ -52,7 +52,7 @@
         let expired: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| now > machine.worker.last_answered_at + bound)
+            .filter(|machine| now > machine.worker.last_response_at + bound)
             .filter(|machine| !machine.worker.confirmed || !machine.attempts.is_empty())
             .map(|machine| machine.id.clone())
             .collect();
@@ -71,7 +71,7 @@
     /// Settles the takeover once no machine may hold a task that this leader does not know of.
     fn settle_takeover(&mut self, now: Micros) {
         let unconfirmed = self.update_unconfirmed(now);
-        self.return_few_silent_machines(now, unconfirmed);
+        self.return_silent_machines(now, unconfirmed);
         if unconfirmed == 0 {
             let (machines, jobs) = (self.machines.len(), self.jobs.len());
             tracing::info!(machines, jobs, "settled");
@@ -84,7 +84,7 @@
     /// Before machines are returned, every worker has had the time to find this leader. If only a few machines are
     /// silent, they have most likely failed, and the cloud confirms their deletion before their leases end. If a zone
     /// is cut off, more machines are silent and their tasks go on: the takeover waits for such machines.
-    fn return_few_silent_machines(&mut self, now: Micros, unconfirmed: usize) {
+    fn return_silent_machines(&mut self, now: Micros, unconfirmed: usize) {
         let max_silent = (self.machines.len() / MACHINES_PER_SILENT_ALLOWED).max(1);
         let all_heard_by =
             self.takeover.started_at + 2 * self.settings.heartbeat_interval + 2 * SECOND;
--- a/crates/gannethub-core/src/reconcile/machine_listing.rs
+++ b/crates/gannethub-core/src/reconcile/machine_listing.rs
@@ -81,7 +81,7 @@
             let listed_by = lifecycle.known_since + max_age + LISTING_LAG_MARGIN;
             if now > listed_by
                 && lifecycle.missed_listings >= MIN_MISSED_LISTINGS
-                && now > machine.worker.last_answered_at + lease_bound
+                && now > machine.worker.last_response_at + lease_bound
             {
                 gone.push(machine.id.clone());
             }
--- a/crates/gannethub-core/src/reconcile/pipelines.rs
+++ b/crates/gannethub-core/src/reconcile/pipelines.rs
@@ -9,7 +9,7 @@
 use super::transaction::TransactionBuilder;
 use crate::model::{JobId, seconds_from_micros};
 use crate::state::cluster::Cluster;
-use crate::state::dependencies::{DependencyOutcome, PipelineEffects};
+use crate::state::dependencies::{PipelineEffects, UpstreamOutcome};
 use crate::state::pipeline::WaitingJob;
 use crate::state::shard_load;
 use crate::state::writes::BatchedWrite;
@@ -84,11 +84,11 @@
         let (jobs, waiting) = (&self.jobs, &self.pipelines.waiting);
         let in_other_shards = &self.other_shards.jobs;
         let outcome = |id: &JobId| match jobs.get(id) {
-            Some(job) if job.cancelled => DependencyOutcome::Cancelled,
-            Some(_) => DependencyOutcome::Live,
-            None if in_other_shards.contains_key(id) => DependencyOutcome::Live,
-            None if waiting.contains_key(id) => DependencyOutcome::Live,
-            None => DependencyOutcome::Unknown,
+            Some(job) if job.cancelled => UpstreamOutcome::Cancelled,
+            Some(_) => UpstreamOutcome::Live,
+            None if in_other_shards.contains_key(id) => UpstreamOutcome::Live,
+            None if waiting.contains_key(id) => UpstreamOutcome::Live,
+            None => UpstreamOutcome::Unknown,
         };
         self.pipelines
             .dependencies
@@ -161,7 +161,7 @@
             job.write_in_flight = true;
             let write = match write {
                 WaitingJobWrite::Release => {
-                    let shard = shard_load::choose_home_shard(
+                    let shard = shard_load::choose_target_shard(
                         &mut self.other_shards.loads,
                         u32::MAX,
                         &job.spec,
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -134,7 +134,7 @@
             let machine =
                 self.get_or_adopt_machine(name, machine_type, zone, member.spot, took_over_at);
             machine.lifecycle.recorded = true;
-            machine.worker.last_answered_at = took_over_at;
+            machine.worker.last_response_at = took_over_at;
             machine.lifecycle.has_booted = true;
         }
         self.shard.load_chunk(index, record, version);
@@ -168,7 +168,7 @@
         self.takeover.unconfirmed.loading = false;
         self.shard.finish_loading();
         for machine in self.machines.values_mut() {
-            machine.worker.last_answered_at = now;
+            machine.worker.last_response_at = now;
         }
         // A heartbeat may arrive before the next tick, and limits have to count unconfirmed tasks from now on.
         self.update_unconfirmed(now);
--- a/crates/gannethub-core/src/scheduling/autoscaler.rs
+++ b/crates/gannethub-core/src/scheduling/autoscaler.rs
@@ -335,7 +335,7 @@
         return None;
     }
     // The lease has expired, so no work is lost by returning a machine that sends no heartbeats.
-    if now > machine.worker.last_answered_at + lease_expiry {
+    if now > machine.worker.last_response_at + lease_expiry {
         return Some("lease expired");
     }
     let mut attempts = machine.attempts.values();
--- a/crates/gannethub-core/src/scheduling/failover.rs
+++ b/crates/gannethub-core/src/scheduling/failover.rs
@@ -48,7 +48,7 @@
             }
             None => i64::MAX,
         };
-        let unconfirmed = self.takeover.unconfirmed.unconfirmed_machines.iter();
+        let unconfirmed = self.takeover.unconfirmed.machine_counts.iter();
         unconfirmed
             .map(|(kind, machines)| tasks_on(kind).saturating_mul(*machines))
             .fold(0, i64::saturating_add)
@@ -60,7 +60,7 @@
         let machines = self.unconfirmed_machines(now);
         let count = machines.by_kind.values().sum::<i64>() as usize;
         let has_unknown_type = machines.by_kind.contains_key(&None);
-        self.takeover.unconfirmed.unconfirmed_machines = machines.by_kind.into_iter().collect();
+        self.takeover.unconfirmed.machine_counts = machines.by_kind.into_iter().collect();
         let mut possible_usage = vec![Resources::default(); self.quota.team_usage.len()];
         let mut confirmed: Vec<JobId> = Vec::new();
         let jobs = self.jobs.values();
--- a/crates/gannethub-core/src/scheduling/gang.rs
+++ b/crates/gannethub-core/src/scheduling/gang.rs
@@ -56,9 +56,9 @@
     pub(super) fn begin_gang_pass(&mut self, now: Micros) -> GangPass {
         let interval =
             (GATHER_INTERVAL_PER_MACHINE * self.machines.len() as Micros).min(MAX_GATHER_INTERVAL);
-        let regather_all = now >= self.passes.last_gather_at + interval;
+        let regather_all = now >= self.passes.last_gang_placement_at + interval;
         if regather_all {
-            self.passes.last_gather_at = now;
+            self.passes.last_gang_placement_at = now;
         }
         GangPass {
             regather_all,
--- a/crates/gannethub-core/src/scheduling/preemption.rs
+++ b/crates/gannethub-core/src/scheduling/preemption.rs
@@ -156,7 +156,8 @@
         let steps = PREEMPTION_STEP_BUDGET as f64 / self.pacing_delay(1).max(1) as f64;
         PreemptionPass {
             step_limit: self.passes.steps.get() + steps as u64,
-            catching_up: regather_all && std::mem::take(&mut self.passes.gang_requests_deferred),
+            catching_up: regather_all
+                && std::mem::take(&mut self.passes.preemption_requests_deferred),
             ..PreemptionPass::default()
         }
     }
@@ -203,7 +204,7 @@
             return;
         }
         if self.passes.steps.get() > pass.step_limit {
-            self.passes.gang_requests_deferred = true;
+            self.passes.preemption_requests_deferred = true;
             return;
         }
         if preemptor.only_without_guarantee && !self.has_team_without_guarantee() {
--- a/crates/gannethub-core/src/scheduling/quota_partition.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition.rs
@@ -41,7 +41,7 @@
 }
 
 /// Returns the quotas of shard 0: the rest of the limits.
-pub fn remaining_quota(limits: &[Resources], quotas: &ShardQuotas) -> Vec<Resources> {
+pub fn shard_0_quotas(limits: &[Resources], quotas: &ShardQuotas) -> Vec<Resources> {
     let mut remaining = limits.to_vec();
     for quota in quotas.values() {
         for (remaining, assigned) in remaining.iter_mut().zip(quota) {
@@ -60,7 +60,7 @@
     loads: &BTreeMap<u32, Vec<TeamLoad>>,
 ) -> ShardQuotas {
     let mut raised = ShardQuotas::new();
-    let remaining = remaining_quota(limits, quotas).into_iter();
+    let remaining = shard_0_quotas(limits, quotas).into_iter();
     for (team, (mut free, own)) in remaining.zip(own).enumerate() {
         free -= own.used;
         let shortages: Vec<(u32, Resources)> = loads
--- a/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
+++ b/crates/gannethub-core/src/scheduling/quota_partition/tests.rs
@@ -22,7 +22,7 @@
     let loads = BTreeMap::from([(1, vec![team(0, 60)]), (2, vec![team(0, 60)])]);
     let quotas = raised_quotas(&limits, &ShardQuotas::new(), &[team(20, 0)], &loads);
     assert_eq!((quotas[&1][0].cpu, quotas[&2][0].cpu), (40, 40));
-    assert_eq!(remaining_quota(&limits, &quotas), [cpus(20)]);
+    assert_eq!(shard_0_quotas(&limits, &quotas), [cpus(20)]);
     // No free quota is left.
     assert!(raised_quotas(&limits, &quotas, &[team(20, 9)], &loads).is_empty());
     assert_eq!(lowered_quota(&quotas[&1], &[team(30, 10)]), None);
@@ -70,7 +70,7 @@
                     let quotas: ShardQuotas =
                         known.iter().map(|(id, quota)| (*id, quota.1.clone())).collect();
                     let loads = BTreeMap::from([(shard, vec![team(used, waiting)])]);
-                    let free = remaining_quota(&limits, &quotas)[0].cpu;
+                    let free = shard_0_quotas(&limits, &quotas)[0].cpu;
                     let own = team(free.min(7), 3);
                     let raised = raised_quotas(&limits, &quotas, &[own], &loads);
                     if known != stored {
@@ -85,7 +85,7 @@
             }
             let quotas: ShardQuotas =
                 stored.iter().map(|(id, quota)| (*id, quota.1.clone())).collect();
-            prop_assert!(remaining_quota(&limits, &quotas)[0].cpu >= 0, "{quotas:?}");
+            prop_assert!(shard_0_quotas(&limits, &quotas)[0].cpu >= 0, "{quotas:?}");
             for (id, (_, quota)) in &applied {
                 prop_assert!(
                     quota[0].cpu <= stored[id].1[0].cpu,
--- a/crates/gannethub-core/src/state/dependencies.rs
+++ b/crates/gannethub-core/src/state/dependencies.rs
@@ -10,7 +10,7 @@
 
 /// Known outcome of an upstream job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum DependencyOutcome {
+pub enum UpstreamOutcome {
     /// The job has not ended.
     Live,
     /// All tasks of the job are done.
@@ -55,7 +55,7 @@
         id: &JobId,
         upstream: &[JobId],
         cancelled: bool,
-        outcome: impl Fn(&JobId) -> DependencyOutcome,
+        outcome: impl Fn(&JobId) -> UpstreamOutcome,
     ) -> PipelineEffects {
         self.unknown_outcomes.remove(id);
         let mut is_cancelled = cancelled;
@@ -64,12 +64,12 @@
             let mut unfinished = Vec::new();
             for job in upstream {
                 match outcome(job) {
-                    DependencyOutcome::Done => continue,
-                    DependencyOutcome::Cancelled => is_cancelled = true,
-                    DependencyOutcome::Unknown => {
+                    UpstreamOutcome::Done => continue,
+                    UpstreamOutcome::Cancelled => is_cancelled = true,
+                    UpstreamOutcome::Unknown => {
                         self.unknown_outcomes.insert(job.clone());
                     }
-                    DependencyOutcome::Live => {}
+                    UpstreamOutcome::Live => {}
                 }
                 unfinished.push(job.clone());
             }
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 
 use crate::model::{JobId, TaskSet};
-use crate::state::dependencies::{DependencyGraph, DependencyOutcome};
+use crate::state::dependencies::{DependencyGraph, UpstreamOutcome};
 use crate::wire::api::{JobStatus, JobView};
 use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::store::{
@@ -62,7 +62,7 @@
     /// The job is not live. Whether it is over has not been queried yet.
     NotLive,
     /// The job waits for other jobs, and the end of an upstream job has not been read yet.
-    DependencyUnknown,
+    UpstreamOutcomeUnknown,
     /// No job of this id was ever submitted.
     NeverSubmitted,
 }
@@ -172,7 +172,7 @@
             return JobLookup::Job(JobView::new(JobStatus::Cancelled, 0));
         }
         if !self.dependencies.is_complete_for(id) {
-            return JobLookup::DependencyUnknown;
+            return JobLookup::UpstreamOutcomeUnknown;
         }
         JobLookup::Job(JobView {
             waits_on: self.dependencies.open_dependencies(id),
@@ -180,12 +180,12 @@
         })
     }
 
-    /// Returns the known outcome of an upstream job. Every outcome except [`DependencyOutcome::Unknown`] shows that
+    /// Returns the known outcome of an upstream job. Every outcome except [`UpstreamOutcome::Unknown`] shows that
     /// the job was accepted, and an end never changes.
-    pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
+    pub fn upstream_outcome(&self, id: &JobId) -> UpstreamOutcome {
         match recorded_outcome(&self.final_views, &self.live, id) {
-            DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
-                DependencyOutcome::Cancelled
+            UpstreamOutcome::Live if self.dependencies.is_cancelled(id) => {
+                UpstreamOutcome::Cancelled
             }
             outcome => outcome,
         }
@@ -313,13 +313,13 @@
     final_views: &HashMap<JobId, JobView>,
     live: &HashMap<JobId, LiveJob>,
     id: &JobId,
-) -> DependencyOutcome {
+) -> UpstreamOutcome {
     match (final_views.get(id), live.get(id)) {
-        (Some(view), _) if view.status == JobStatus::Cancelled => DependencyOutcome::Cancelled,
-        (Some(_), _) => DependencyOutcome::Done,
-        (None, Some(job)) if job.cancelled => DependencyOutcome::Cancelled,
-        (None, Some(_)) => DependencyOutcome::Live,
-        (None, None) => DependencyOutcome::Unknown,
+        (Some(view), _) if view.status == JobStatus::Cancelled => UpstreamOutcome::Cancelled,
+        (Some(_), _) => UpstreamOutcome::Done,
+        (None, Some(job)) if job.cancelled => UpstreamOutcome::Cancelled,
+        (None, Some(_)) => UpstreamOutcome::Live,
+        (None, None) => UpstreamOutcome::Unknown,
     }
 }
 
--- a/crates/gannethub-core/src/state/kill_orders.rs
+++ b/crates/gannethub-core/src/state/kill_orders.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct KillOrder {
     /// Time at which the last of the attempts was cancelled.
-    pub since: Micros,
+    pub last_cancelled_at: Micros,
     pub attempts: Vec<AttemptId>,
     /// Whether one of the attempts does not run yet, and would start after the user was told that the job is
     /// cancelled.
--- a/crates/gannethub-core/src/state/machine.rs
+++ b/crates/gannethub-core/src/state/machine.rs
@@ -39,7 +39,7 @@
 /// A worker that gets no response for the duration of its lease kills everything that it runs. A machine whose
 /// heartbeats are not answered is therefore known to be empty once
 /// [`lease_expiry_bound`](super::cluster::Cluster::lease_expiry_bound) has passed since
-/// [`WorkerState::last_answered_at`].
+/// [`WorkerState::last_response_at`].
 #[derive(Debug)]
 pub struct WorkerState {
     /// Whether the worker has sent a heartbeat with this term's fencing token, and has thereby reported all its
@@ -58,7 +58,7 @@
     pub missed_heartbeats: bool,
     /// Time at which the last response was sent that may have renewed the worker's lease. Before the first response,
     /// the time at which the machine became known or at which this leader took over.
-    pub last_answered_at: Micros,
+    pub last_response_at: Micros,
     /// Address at which the worker accepts orders that do not wait for its next heartbeat.
     pub address: Option<SocketAddrV4>,
     /// Number of consecutive incarnations that ended although their heartbeats were answered, which shows that the
@@ -230,7 +230,7 @@
     pub fn is_unconfirmed(&self, now: Micros, lease_bound: Micros) -> bool {
         self.lifecycle.recorded
             && !self.worker.confirmed
-            && now <= self.worker.last_answered_at + lease_bound
+            && now <= self.worker.last_response_at + lease_bound
     }
 
     /// Whether new tasks may be placed on the machine now. A heartbeat is recent enough for two heartbeat intervals
@@ -273,7 +273,7 @@
             last_heartbeat_at: None,
             previous_heartbeat_at: None,
             missed_heartbeats: false,
-            last_answered_at: now,
+            last_response_at: now,
             address: None,
             lost_response_incarnations: 0,
             heartbeat_digest: None,
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -24,9 +24,9 @@
     /// Earliest time of the next provisioning plan.
     pub next_plan_at: Micros,
     /// Whether the last pass ran out of scheduling steps before it reached all gangs that request preemption.
-    pub gang_requests_deferred: bool,
+    pub preemption_requests_deferred: bool,
     /// Time at which gang placement was last tried for all waiting gangs.
-    pub last_gather_at: Micros,
+    pub last_gang_placement_at: Micros,
     /// Scheduling steps taken so far: the number of machines, jobs and forecasts examined. Passes and plans are paced
     /// by their cost in steps. The counter is a cell because read-only helpers count steps as well.
     pub steps: Cell<u64>,
@@ -57,8 +57,8 @@
             last_at: 0,
             next_at: 0,
             next_plan_at: 0,
-            gang_requests_deferred: false,
-            last_gather_at: 0,
+            preemption_requests_deferred: false,
+            last_gang_placement_at: 0,
             steps: Cell::new(0),
             cost: SchedulingCost::default(),
         }
--- a/crates/gannethub-core/src/state/shard_load.rs
+++ b/crates/gannethub-core/src/state/shard_load.rs
@@ -1,4 +1,4 @@
-//! Load reports that shard owners exchange, and the choice of a new job's home shard by these reports.
+//! Load reports that shard owners exchange, and the choice of a new job's target shard by these reports.
 
 use super::fleet::Offer;
 use crate::model::{JobSpec, Resources, Shape};
@@ -31,13 +31,13 @@
     pub waiting: Resources,
 }
 
-/// Chooses the home shard of a new job among the shards below `shard_count`: the shard with the smallest backlog,
+/// Chooses the target shard of a new job among the shards below `shard_count`: the shard with the smallest backlog,
 /// which then grows by the work of the job.
 ///
 /// All gangs go to shard 0, because a gang needs its resources at once and each of several shards would have only a
 /// part of them. All other jobs also go to shard 0 as long as the owner of shard 0 is not known to distribute
 /// machines and limits.
-pub fn choose_home_shard(loads: &mut [ShardLoad], shard_count: u32, spec: &JobSpec) -> u32 {
+pub fn choose_target_shard(loads: &mut [ShardLoad], shard_count: u32, spec: &JobSpec) -> u32 {
     if loads.iter().all(|load| load.shard != 0) {
         return 0;
     }
--- a/crates/gannethub-core/src/state/shard_transfers.rs
+++ b/crates/gannethub-core/src/state/shard_transfers.rs
@@ -47,7 +47,7 @@
     pub machines: BTreeMap<String, u32>,
     /// Jobs of other shards, with the versions of their records.
     pub jobs: BTreeMap<JobId, u64>,
-    /// Loads of the shards, from which the home shard of a new job is chosen.
+    /// Loads of the shards, from which the target shard of a new job is chosen.
     pub loads: Vec<ShardLoad>,
     /// Machines that the owners of other shards request and that have not been requested from the cloud yet.
     pub demand: BTreeMap<u32, BTreeMap<Offer, u32>>,
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -23,7 +23,7 @@
 pub struct Unconfirmed {
     /// Number of machines of each kind that may still hold tasks. `None`: machines of unknown type, which may hold any
     /// task.
-    pub unconfirmed_machines: Vec<(Option<MachineKind>, i64)>,
+    pub machine_counts: Vec<(Option<MachineKind>, i64)>,
     /// Maximum usage of each team's tasks on these machines, which counts against the team's limit.
     pub possible_usage: Vec<Resources>,
     /// Whether records are being read. The tasks in these records existed before this term.
@@ -37,7 +37,7 @@
             started_at: now,
             is_settled: false,
             unconfirmed: Unconfirmed {
-                unconfirmed_machines: Vec::new(),
+                machine_counts: Vec::new(),
                 possible_usage: vec![Resources::default(); team_count],
                 loading: true,
             },
--- a/crates/gannethub-core/src/state/usage.rs
+++ b/crates/gannethub-core/src/state/usage.rs
@@ -24,5 +24,5 @@
 mod shares;
 
 pub use ends::end_reason;
-pub(crate) use ends::job_owner;
+pub(crate) use ends::job_account;
 pub(crate) use pages::log_damaged_page;
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -22,8 +22,8 @@
 /// Maximum number of owners queried at a time.
 const MAX_OWNER_QUERIES: usize = 5;
 
-/// Returns the owner that a job's attempts are charged to.
-pub(crate) fn job_owner(job: &Job) -> JobAccount {
+/// Returns the account that a job's attempts are charged to.
+pub(crate) fn job_account(job: &Job) -> JobAccount {
     JobAccount {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
@@ -129,7 +129,7 @@
     ) -> Option<u64> {
         let job_id = &end.id.task.job;
         let job = self.jobs.get(job_id);
-        let owner = owner.or_else(|| job.map(|job| Arc::new(job_owner(job))));
+        let owner = owner.or_else(|| job.map(|job| Arc::new(job_account(job))));
         let ledger = self.usage_ledger.as_mut()?;
         let Some(owner) = owner else {
             ledger.replication.mark_changed(&end.machine, &end.id);
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -4,7 +4,7 @@
 
 use gannethub_ledger::meter::{Meter, Stage};
 
-use super::ends::job_owner;
+use super::ends::job_account;
 use super::record::{ChargeState, MachineRate, OrphanedAttempt, UsageRecord, ledger_key};
 use crate::model::{AttemptId, MachineId, Micros, SECOND};
 use crate::state::attempt::AttemptPhase;
@@ -60,7 +60,7 @@
         ledger.replication.mark_changed(machine, attempt);
         Some(Box::new(UsageRecord {
             meter: Meter::new(now),
-            owner: Some(Arc::new(job_owner(job))),
+            owner: Some(Arc::new(job_account(job))),
             charge: ChargeState::Open,
             saved: false,
         }))
@@ -110,7 +110,7 @@
         let job = self.jobs.get(&attempt.task.job);
         record.owner = record
             .owner
-            .or_else(|| job.map(|job| Arc::new(job_owner(job))));
+            .or_else(|| job.map(|job| Arc::new(job_account(job))));
         record
     }
 
@@ -148,7 +148,7 @@
         };
         Some(UsageRecord {
             meter,
-            owner: job.map(|job| Arc::new(job_owner(job))),
+            owner: job.map(|job| Arc::new(job_account(job))),
             charge,
             saved: false,
         })
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -78,9 +78,9 @@
         now: Micros,
     ) {
         let key = ledger_key(&end.machine, &end.id);
-        let owner = replicated.record.owner.as_ref();
-        let owner = owner.map(|owner| Arc::new(read_owner(owner)));
-        if let Some(ticket) = self.charge_end(owner, end, now)
+        let account = replicated.record.account.as_ref();
+        let account = account.map(|account| Arc::new(read_owner(account)));
+        if let Some(ticket) = self.charge_end(account, end, now)
             && let Some(ledger) = &mut self.usage_ledger
         {
             ledger.inherited_tickets.insert(key, ticket);
@@ -113,11 +113,11 @@
             begin_uncertainty: record.begin_uncertainty + replicated.current_until - received_at,
             begin_estimated: record.begin_estimated,
         };
-        let owner = record.owner.as_ref();
+        let account = record.account.as_ref();
         let orphan = OrphanedAttempt {
             record: UsageRecord {
                 meter,
-                owner: owner.map(|owner| Arc::new(read_owner(owner))),
+                owner: account.map(|account| Arc::new(read_owner(account))),
                 charge: ChargeState::Open,
                 saved: record.saved,
             },
--- a/crates/gannethub-core/src/state/usage/replication.rs
+++ b/crates/gannethub-core/src/state/usage/replication.rs
@@ -225,7 +225,7 @@
     let rate = rate.clone();
     OpenUsageRecord {
         key: Some(key),
-        owner: record.owner.as_deref().map(write_owner),
+        account: record.owner.as_deref().map(write_owner),
         machine_type: rate.machine_type,
         zone: rate.zone,
         spot: rate.spot,
@@ -247,7 +247,7 @@
     let reason = END_REASONS.iter().position(|known| *known == end.reason);
     OpenUsageRecord {
         key: Some(attempt_key(&end.machine, &end.id)),
-        owner: owner.map(write_owner),
+        account: owner.map(write_owner),
         machine_type: rate.machine_type,
         zone: rate.zone,
         spot: rate.spot,
--- a/crates/gannethub-core/src/state/zones.rs
+++ b/crates/gannethub-core/src/state/zones.rs
@@ -44,7 +44,7 @@
         let mut zones: HashMap<Arc<str>, ZoneHeartbeats> = HashMap::new();
         for machine in machines.filter(|machine| machine.lifecycle.has_booted) {
             let worker = &machine.worker;
-            let heard_at = worker.last_heartbeat_at.unwrap_or(worker.last_answered_at);
+            let heard_at = worker.last_heartbeat_at.unwrap_or(worker.last_response_at);
             let zone = zones.entry(machine.zone.clone()).or_default();
             zone.machines += 1;
             zone.silent += u32::from(now > heard_at + max_silence);
--- a/crates/gannethub-core/src/wire/peer/usage.rs
+++ b/crates/gannethub-core/src/wire/peer/usage.rs
@@ -47,7 +47,7 @@
     #[prost(message, optional, tag = "1")]
     pub key: Option<AttemptKey>,
     #[prost(message, optional, tag = "2")]
-    pub owner: Option<UsageAccount>,
+    pub account: Option<UsageAccount>,
     #[prost(string, tag = "3")]
     pub machine_type: String,
     #[prost(string, tag = "4")]
--- a/crates/gannethub-core/tests/formats/peer.rs
+++ b/crates/gannethub-core/tests/formats/peer.rs
@@ -172,7 +172,7 @@
 fn peer_message_usage_records() {
     let record = peer::OpenUsageRecord {
         key: Some(usage_key()),
-        owner: Some(peer::UsageAccount {
+        account: Some(peer::UsageAccount {
             team: "blue".into(),
             class: "train".into(),
             cpu: 303,
