--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -72,9 +72,9 @@
             }
         }
         assert!(
-            w.counters.close_look_requests > 500,
+            w.counters.repeated_requests > 500,
             "only {} repeated requests",
-            w.counters.close_look_requests
+            w.counters.repeated_requests
         );
         assert!(
             w.state.kept_changes.is_none() || w.state.refused_old_watches > 0,
--- a/crates/gannethub-core/tests/simulation/harness/controllers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/controllers.rs
@@ -190,7 +190,7 @@
         if let Origin::User { job, .. } = &origin
             && body["status"] == json!("cancelled")
         {
-            self.cancellations_told
+            self.confirmed_cancellations
                 .insert((node, incarnation, job.clone()));
         }
         let is_slow =
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -125,7 +125,9 @@
             let task = order["piece"].as_str().unwrap_or("");
             let job = task.split('/').next().unwrap_or("").to_string();
             if order["verb"] == json!("launch")
-                && self.cancellations_told.contains(&(node, incarnation, job))
+                && self
+                    .confirmed_cancellations
+                    .contains(&(node, incarnation, job))
             {
                 self.violations.push(format!(
                     "launched: {task} by n{node}, which has told a user that its job is cancelled"
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -82,7 +82,7 @@
     /// Submissions that lack a field or can never run, by an id of their own.
     pub invalid_submissions: BTreeMap<String, InvalidSubmission>,
     /// Cancellations that a controller has confirmed to a user: node, incarnation of its process and job id.
-    cancellations_told: HashSet<(usize, u32, String)>,
+    confirmed_cancellations: HashSet<(usize, u32, String)>,
     pub faults: Faults,
     pub counters: Counters,
     pub workers: BTreeMap<String, Worker>,
--- a/crates/gannethub-core/tests/simulation/harness/setup.rs
+++ b/crates/gannethub-core/tests/simulation/harness/setup.rs
@@ -61,7 +61,7 @@
             repeats_requests: false,
             cancel_at_end: 0.0,
             invalid_submissions: BTreeMap::new(),
-            cancellations_told: HashSet::new(),
+            confirmed_cancellations: HashSet::new(),
             faults: Faults::default(),
             counters: Counters::default(),
             workers: BTreeMap::new(),
--- a/crates/gannethub-core/tests/simulation/harness/users.rs
+++ b/crates/gannethub-core/tests/simulation/harness/users.rs
@@ -119,7 +119,7 @@
                         node,
                     },
                 );
-                self.counters.close_look_requests += 1;
+                self.counters.repeated_requests += 1;
             }
         }
     }
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -302,7 +302,9 @@
             }
             DriverMessage::State(counts) => self.measured.state = Some(counts),
             DriverMessage::Cloud(FromCloud::Counts(counts)) => self.measured.cloud = Some(counts),
-            DriverMessage::Cloud(FromCloud::Rented(provisioned)) => self.on_rented(provisioned),
+            DriverMessage::Cloud(FromCloud::Rented(provisioned)) => {
+                self.on_provisioned(provisioned)
+            }
             DriverMessage::Cloud(FromCloud::Deleted(hosts)) => self.on_deleted(&hosts),
         }
     }
@@ -319,12 +321,12 @@
         if let Some((tasks, run)) = self.gang_info.get(job).copied() {
             let notices = (self.load.workers.gang_peer_s * 1e6) as u64;
             if let Some(change) = self.gangs.on_event(event, tasks, run, notices) {
-                self.send_gang_step(change);
+                self.send_gang_change(change);
             }
         }
     }
 
-    fn send_gang_step(&self, change: GangChange) {
+    fn send_gang_change(&self, change: GangChange) {
         self.send_to_hosts(&match change {
             GangChange::Starts((job, attempt)) => ToHosts::GangStarts { job, attempt },
             GangChange::Ends((job, attempt), done) => ToHosts::GangEnds { job, attempt, done },
@@ -340,7 +342,7 @@
 
     /// Records a provisioned machine and assigns its worker to the emptiest process with free capacity. Processes of
     /// real workers are filled first, then the rack, then the other hollow processes.
-    fn on_rented(&mut self, provisioned: ProvisionedMachine) {
+    fn on_provisioned(&mut self, provisioned: ProvisionedMachine) {
         let info = HostInfo {
             flavor: provisioned.flavor.clone(),
             zone: provisioned.zone.clone(),
@@ -386,7 +388,7 @@
 
     fn tick(&mut self, now: u64) -> Result<(), RunError> {
         for change in self.gangs.due_ends(now) {
-            self.send_gang_step(change);
+            self.send_gang_change(change);
         }
         self.submit_due(now);
         while let Some(entry) = self.scheduled.first_entry().filter(|e| *e.key() <= now) {
