--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Lowers the request rate after the state service refused a request as one too many. Either the state service has
+    /// Lowers the request rate after the state service answered a request with status 429. Either the state service has
     /// switched to its next rates, or all controllers together send more requests than it allows.
     fn reduce_rate(&mut self) {
         if self.clock.now < self.rate_changed_at + SECOND {
@@ -185,7 +185,7 @@
             tracing::info!(
                 requests,
                 changes,
-                "state service refused a request as one too many; using its next rates"
+                "state service answered 429; using its next rates"
             );
         } else {
             self.rate_factor = (self.rate_factor * RATE_REDUCTION).max(MIN_RATE_FACTOR);
--- a/crates/gannethub-core/src/reconcile/cancellation.rs
+++ b/crates/gannethub-core/src/reconcile/cancellation.rs
@@ -38,7 +38,7 @@
             .iter()
             .map(|(index, attempt)| (*index, attempt.clone()))
             .collect();
-        tracing::info!(job = id, tasks = live.len(), "job cancelled");
+        tracing::info!(job = id, tasks = live.len(), "cancelled");
         self.mark_upstream_cancelled(id);
         if !actions.contains(&AbortAction::Cancel(0)) {
             return;
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -26,7 +26,7 @@
 enum WriteReason {
     /// Launches wait for a higher launch watermark.
     Watermark,
-    /// The job moves to another shard.
+    /// The job is transferred to another shard.
     Transfer,
     /// All tasks of the job are done, and its users wait for its end.
     Finished,
@@ -76,11 +76,11 @@
             let id = job.id.clone();
             Some(DueWrite { reason, since, id })
         };
-        let moves_to_other_shard = job
+        let is_transferred_away = job
             .scheduling
             .target_shard
             .is_some_and(|target| target != self.shard.id);
-        if moves_to_other_shard && job.has_no_launches() {
+        if is_transferred_away && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
         }
         if job.is_finished() {
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -90,7 +90,11 @@
     /// other jobs may wait for it.
     fn apply_foreign_job_record(&mut self, id: &str, record: &JobRecord, version: u64) {
         if self.jobs.remove(id).is_some() {
-            tracing::info!(job = id, shard = record.shard, "job moves to another shard");
+            tracing::info!(
+                job = id,
+                shard = record.shard,
+                "job transferred to another shard"
+            );
         }
         if self.shard.id != 0 || self.store_writes.has_tombstone(id, version) {
             return;
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -23,7 +23,8 @@
     pub next_at: Micros,
     /// Earliest time of the next provisioning plan.
     pub next_plan_at: Micros,
-    /// Whether the last pass ran out of scheduling steps before it reached all gangs that request preemption.
+    /// Whether an earlier pass ran out of scheduling steps before it reached all jobs that request preemption: arrays
+    /// and services as well as gangs.
     pub preemption_requests_deferred: bool,
     /// Time at which gang placement was last tried for all waiting gangs.
     pub last_gang_placement_at: Micros,
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -278,7 +278,7 @@
                 1 | 2 => w.crash(owner, 20 * SECOND),
                 3 | 4 => w.crash(owner, SECOND / 5),
                 5 => w.isolate(owner),
-                // All shards are merged into one: tasks, jobs and machines move to the owner of shard 0.
+                // All shards are merged into one: tasks, jobs and machines are transferred to the owner of shard 0.
                 _ => {
                     w.set_shard_count(1);
                     (0..3).for_each(|i| w.crash(i, SECOND / 5 + i as u64 * SECOND));
