--- a/crates/gannethub-ledger/src/account.rs
+++ b/crates/gannethub-ledger/src/account.rs
@@ -91,8 +91,8 @@
     /// Subtracts charges that were added before.
     fn subtract(&mut self, other: &Account) {
         self.charged_attempts -= other.charged_attempts.min(self.charged_attempts);
-        for (sum, less) in self.sums.iter_mut().zip(&other.sums) {
-            *sum = sum.saturating_sub(*less);
+        for (sum, subtrahend) in self.sums.iter_mut().zip(&other.sums) {
+            *sum = sum.saturating_sub(*subtrahend);
         }
         self.decayed.subtract(&other.decayed);
     }
--- a/crates/gannethub-ledger/src/audit.rs
+++ b/crates/gannethub-ledger/src/audit.rs
@@ -20,7 +20,7 @@
     pub first: u64,
     /// MAC of the line before the first line.
     pub prev: String,
-    /// Id of the key of the MACs of the page's lines.
+    /// Id of the key with which the MACs of the lines are computed.
     pub key: String,
     pub lines: Vec<Value>,
 }
@@ -36,7 +36,8 @@
 /// Kind of fault that verification finds in a ledger.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultKind {
-    /// The value is not a line, or its text does not match the MAC.
+    /// The line is unreadable, does not match its MAC, or is not the line that the head of an earlier verification
+    /// names; or the page does not continue the page before it.
     Altered,
     /// The expected line is missing.
     Missing,
@@ -103,7 +104,7 @@
     pub charged_attempts: u64,
     /// Number of the first line.
     pub first_line: u64,
-    /// Number after that of the last line.
+    /// Number that follows the number of the last line.
     pub next_line: u64,
     /// MAC of the last line.
     pub last_mac: LineMac,
@@ -266,8 +267,8 @@
         if verified.covers_all_lines {
             return account_sums(&recorded) == account_sums(&verified.accounts);
         }
-        // The first balance after the oldest remaining line also covers the deleted lines, so its sums replace those of
-        // the lines read so far.
+        // The first balance after the oldest remaining line also covers the deleted lines, so its sums replace the
+        // sums of the lines read so far.
         verified.accounts = recorded;
         verified.covers_all_lines = true;
         true
--- a/crates/gannethub-ledger/src/book.rs
+++ b/crates/gannethub-ledger/src/book.rs
@@ -3,9 +3,10 @@
 //! One controller at a time, the leader, writes the ledger, and every page is written in a transaction that fails once
 //! the leader is deposed. A line is chained (given its number and MAC) once and then stays in its page: a page whose
 //! write got no answer is written again with the same lines and possibly more, so whichever of the two writes is
-//! carried out, and in whatever order, no line is in the ledger twice. A charge stays open until its write is
-//! confirmed, and until then the attempt's worker is not told to forget the attempt: from the worker the next leader
-//! learns of each attempt whose charge this leader could no longer write.
+//! carried out, and in whatever order, no line is in the ledger twice.
+//!
+//! A charge stays open until its write is confirmed. Until then the attempt's worker is not told to forget the attempt,
+//! so the worker still reports to the next leader each attempt whose charge this leader could no longer write.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -19,18 +20,18 @@
 use crate::settings::Settings;
 use crate::{Micros, SECOND};
 
-/// Bytes of a page besides its lines.
+/// Upper bound of the bytes of a page besides its lines.
 const PAGE_OVERHEAD_BYTES: usize = 160;
-/// Minimum number of pages from one balance to the next, per page that a balance takes: balances take at most one page
-/// in eight.
+/// Minimum number of pages from one balance to the next, per page that a balance takes. This bounds the part of the
+/// ledger that balances take.
 const MIN_PAGES_PER_BALANCE_PAGE: u64 = 8;
 /// Maximum number of time marks in the head. The time marks decide which pages are old enough to be folded.
 const MAX_TIME_MARKS: usize = 64;
 /// Maximum number of folded pages that one transaction deletes.
 const MAX_DELETES_PER_WRITE: usize = 4;
 
-/// Bytes of a charge line besides its group and its entries: the MAC (28 bytes), and the lowest attempt and begin
-/// (40 bytes).
+/// Upper bound of the bytes of a charge line besides its group and its entries: the MAC, and the lowest attempt and
+/// begin.
 const CHARGE_OVERHEAD_BYTES: usize = 28 + 40;
 
 /// Unique key of an attempt on a machine: job, task, attempt number and machine.
@@ -50,7 +51,7 @@
     pub from: u64,
     /// First page that must still exist; earlier pages are folded into a balance and may be deleted.
     pub kept: u64,
-    /// Pages in which a balance began, with the wall-clock time at which it began.
+    /// Pages in which a balance began, with the time of day at which it began.
     #[serde(default)]
     pub marks: Vec<(u64, Micros)>,
 }
@@ -70,7 +71,7 @@
 /// A page of the ledger that is missing or differs from what was written. A damaged page is kept as it is, and a new
 /// page is begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("page {0} of the ledger differs from what was written")]
+#[error("page {0} of the ledger is missing or differs from what was written")]
 pub struct DamagedPage(pub u64);
 
 /// State of the ledger that a new leader continues with.
@@ -115,7 +116,9 @@
     has_started: bool,
     /// Newest page at the last confirmed write of the head.
     head_written_at_page: Option<u64>,
-    /// Full pages that may charge attempts that workers can still report, with the time of the last line of each page.
+    /// Pages before the open page that may charge attempts that workers can still report. The time of each page is the
+    /// time of day at which the page was left, or of the last event in the page if an earlier leader left it. The time
+    /// is 0 if the page was left for a reason other than being full.
     full_pages: VecDeque<(u64, Micros)>,
     /// Lines other than charges that are not chained yet.
     queued_lines: VecDeque<LineBody>,
@@ -132,15 +135,16 @@
     lines_in_flight: Option<usize>,
     /// Newest page according to the head that the write in flight includes.
     in_flight_head: Option<u64>,
-    /// Whether the last write may or may not have been carried out.
+    /// Whether it is unknown if the last write was carried out.
     outcome_unknown: bool,
     /// First page of the newest balance whose write is confirmed completely.
     balance_page: Option<u64>,
     /// The balance being written: its first page, the number of the line after it, and the first page that is kept.
     pending_balance: Option<(u64, u64, u64)>,
-    /// First page of the last balance.
+    /// First page of the newest balance, whether its write is confirmed or not. Without a balance, the head's `from` at
+    /// the time the book was opened.
     balance_began_at_page: u64,
-    /// Number of pages of the last balance.
+    /// Number of pages of the newest balance.
     balance_page_count: u64,
     pages_to_delete: VecDeque<u64>,
 }
@@ -194,7 +198,7 @@
         if !is_newest_intact || book.open_page.key_id != book.keys.newest().id {
             book.begin_page(0);
         }
-        // The previous leader may have folded pages without deleting them.
+        // The previous leader may not have deleted the last pages that it folded, so their deletion is queued again.
         let first_kept = book.head.kept;
         let first_folded = first_kept.saturating_sub(MAX_DELETES_PER_WRITE as u64);
         book.pages_to_delete.extend(first_folded..first_kept);
@@ -378,8 +382,8 @@
         self.unwritten.len()
     }
 
-    /// Returns the next write, if one is due. `now` is the monotonic time and `at` the wall-clock time, both in
-    /// microseconds; `room` is the maximum number of puts and deletes. One write is in flight at a time.
+    /// Returns the next write, if one is due. `now` is the time of the monotonic clock and `at` the time of day,
+    /// both in microseconds; `room` is the maximum number of puts and deletes. One write is in flight at a time.
     pub fn next_write(&mut self, now: Micros, at: Micros, room: usize) -> Option<PageWrite> {
         // A write may put both a page and the head.
         if self.lines_in_flight.is_some() || self.outcome_unknown || room < 2 {
@@ -427,7 +431,8 @@
         })
     }
 
-    /// Begins the next page.
+    /// Begins the next page. `at` is the time of day, or 0 if the caller does not know the time: then no page is
+    /// dropped from `full_pages` and no balance is queued.
     fn begin_page(&mut self, at: Micros) {
         let is_used = self.open_page.version > 0 || !self.open_page.lines.is_empty();
         if is_used {
--- a/crates/gannethub-ledger/src/decay.rs
+++ b/crates/gannethub-ledger/src/decay.rs
@@ -1,14 +1,15 @@
 //! Exponential decay of usage, computed on demand and independent of the order in which usage is added.
 //!
-//! Usage at a constant rate from `begin` to `end` has decayed, at a later time, to the integral of
-//! `rate * 2^-(now - t) / half-life`. The integral equals `rate * (F(end) - F(begin)) * 2^-(now - mark) / half-life`
-//! with `F(t) = 2^((t - mark) / half-life) * half-life / ln 2`, for any reference time `mark`. The stored state is
+//! Usage at a constant rate from `begin` to `end` has decayed, at a later time `now`, to the integral over `t` of
+//! `rate * 2^(-(now - t) / half-life)`. The integral equals
+//! `rate * (F(end) - F(begin)) * 2^(-(now - mark) / half-life)` with
+//! `F(t) = 2^((t - mark) / half-life) * half-life / ln 2`, for any reference time `mark`. The stored state is
 //! therefore the integer sum of `rate * (F(end) - F(begin))` together with the mark, and needs no timer to update it.
 //! Sums of integers are the same in any order, and usage that is split into two lines weighs as much as in one line.
 //!
 //! `F` doubles with every half-life, so the mark has to advance: time is divided into epochs of sixteen half-lives, and
 //! the usage of each epoch is summed relative to the epoch's own mark. Usage that lies four epochs before the newest
-//! epoch has decayed by a factor of at least 2^-48 and is dropped; which epochs are kept depends only on the newest
+//! epoch has decayed to at most 2^-48 of its amount and is dropped. Which epochs are kept depends only on the newest
 //! epoch, not on the order in which usage is added.
 
 use crate::Micros;
@@ -139,7 +140,8 @@
     }
 
     /// Returns the decayed usage at `now`, in rate times microseconds. If the clock is behind the times in the lines,
-    /// usage in the future counts as not decayed yet, never as more than the original usage.
+    /// usage that lies after `now` counts as more than its amount: twice as much for each half-life that it lies after
+    /// `now` or, if `now` is before the epoch of the usage, after the mark of that epoch.
     pub fn at(&self, half_life: HalfLife, now: Micros) -> f64 {
         let value = |&(epoch, sum): &(u64, u128)| {
             let mark = (epoch * HALF_LIVES_PER_EPOCH) as f64;
--- a/crates/gannethub-ledger/src/export.rs
+++ b/crates/gannethub-ledger/src/export.rs
@@ -90,14 +90,14 @@
     let mut rows = Vec::new();
     for page in pages {
         for (line, _) in page.read().map_err(|_| ExportError::Page(page.page))? {
-            let LineBody::Charge(c) = line.body else {
+            let LineBody::Charge(charge) = line.body else {
                 continue;
             };
-            let group = &c.group;
+            let group = &charge.group;
             if team.is_some_and(|t| t != group.team) {
                 continue;
             }
-            for e in &c.entries {
+            for entry in &charge.entries {
                 let text = |t: &String| Cell::Text(t.clone());
                 let mut row = vec![
                     int(page.page),
@@ -105,9 +105,9 @@
                     text(&group.team),
                     text(&group.class),
                     text(&group.job),
-                    int(u64::from(e.task)),
-                    int(e.attempt),
-                    text(&e.machine),
+                    int(u64::from(entry.task)),
+                    int(entry.attempt),
+                    text(&entry.machine),
                     text(&group.machine_type),
                     text(&group.zone),
                     Cell::Flag(group.spot),
@@ -117,11 +117,11 @@
                     int(group.resources.0),
                     int(group.resources.1),
                     int(group.resources.2),
-                    int(e.begin),
-                    int(e.end()),
+                    int(entry.begin),
+                    int(entry.end()),
                 ];
-                row.extend(e.stage_times.0.iter().map(|t| int(*t)));
-                row.extend([int(e.max_error), Cell::Flag(e.is_estimate)]);
+                row.extend(entry.stage_times.0.iter().map(|t| int(*t)));
+                row.extend([int(entry.max_error), Cell::Flag(entry.is_estimate)]);
                 rows.push(row);
             }
         }
--- a/crates/gannethub-ledger/src/lib.rs
+++ b/crates/gannethub-ledger/src/lib.rs
@@ -5,8 +5,8 @@
 //! returns. Any holder of the pages and the keys can [`verify`](audit::verify) the pages and compute the same
 //! [`Accounts`].
 //!
-//! Times are whole microseconds. Timestamps in lines are wall-clock times of the leader; durations are measured on
-//! the leader's monotonic clock, so a wall clock that steps back cannot make a charge negative.
+//! Times are whole microseconds. Timestamps in lines are the leader's time of day; durations are measured on the
+//! leader's monotonic clock, so a time of day that steps back cannot make a charge negative.
 
 pub mod account;
 pub mod audit;
--- a/crates/gannethub-ledger/src/line.rs
+++ b/crates/gannethub-ledger/src/line.rs
@@ -24,11 +24,16 @@
 pub enum Reason {
     Done,
     Stopped,
+    /// Another task of the gang is gone.
     PeersGone,
+    /// The gang was not complete in time.
     Alone,
     Error,
+    /// The worker refused the launch: the machine lacks free resources.
     NoRoom,
+    /// The worker refused the launch: another attempt of the task is on the machine.
     Busy,
+    /// The worker refused the launch: the task does not exist.
     Unknown,
     /// The worker gave a reason that this version of the protocol does not define.
     Other,
@@ -48,7 +53,7 @@
     Useful,
     /// The attempt's progress was saved.
     Saved,
-    /// The work since the attempt's last checkpoint, or all of its work without a checkpoint, must be repeated.
+    /// The work since the attempt's last checkpoint must be repeated, or all of its work if it has no checkpoint.
     Lost,
 }
 
@@ -58,7 +63,7 @@
     pub task: u32,
     pub attempt: u64,
     pub machine: String,
-    /// Wall-clock time at which the attempt was placed on the machine.
+    /// Time of day at which the attempt was placed on the machine.
     pub begin: Micros,
     pub stage_times: StageTimes,
     /// Maximum error of the time at the worker, in microseconds.
@@ -73,7 +78,7 @@
 type EntryWire = (u32, u64, String, Micros, Vec<Micros>, u64);
 
 impl AttemptCharge {
-    /// Returns the wall-clock time at which the attempt was known to have released its place on the machine.
+    /// Returns the time of day at which the attempt was known to have released its place on the machine.
     pub fn end(&self) -> Micros {
         self.begin.saturating_add(self.stage_times.total())
     }
@@ -131,7 +136,7 @@
     pub zone: String,
     /// Whether the machine was a spot instance.
     pub spot: bool,
-    /// Price of the machine per hour at that time, in millionths.
+    /// Price of the machine per hour at the time of the attempt, in millionths.
     pub price: u64,
     pub reason: Reason,
     pub usefulness: Usefulness,
@@ -155,7 +160,7 @@
     pub has_all_open_usage: bool,
 }
 
-/// Record that a machine was given up without knowing which attempts ran on the machine.
+/// Record that a machine was given up although the leader did not know which attempts ran on the machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnmeteredInterval {
     pub machine: String,
@@ -265,47 +270,48 @@
     /// bracket.
     pub fn text(&self) -> String {
         let text = match &self.body {
-            LineBody::Charge(c) => {
-                let k = &c.group;
-                let group: ChargeGroupWire = (
-                    k.team.clone(),
-                    k.class.clone(),
-                    k.job.clone(),
-                    k.resources,
-                    k.machine_type.clone(),
-                    k.zone.clone(),
-                    k.spot,
-                    k.price,
-                    k.reason,
-                    k.usefulness,
+            LineBody::Charge(charge) => {
+                let group = &charge.group;
+                let group_wire: ChargeGroupWire = (
+                    group.team.clone(),
+                    group.class.clone(),
+                    group.job.clone(),
+                    group.resources,
+                    group.machine_type.clone(),
+                    group.zone.clone(),
+                    group.spot,
+                    group.price,
+                    group.reason,
+                    group.usefulness,
                 );
-                let attempt = c.entries.iter().map(|e| e.attempt).min().unwrap_or(0);
-                let begin = c.entries.iter().map(|e| e.begin).min().unwrap_or(0);
+                let attempt = charge.entries.iter().map(|e| e.attempt).min().unwrap_or(0);
+                let begin = charge.entries.iter().map(|e| e.begin).min().unwrap_or(0);
                 let least = (attempt, begin);
-                let entries: Vec<EntryWire> = c.entries.iter().map(|e| e.wire(least)).collect();
-                serde_json::to_string(&(self.number, "charge", group, least, entries))
+                let entries: Vec<EntryWire> =
+                    charge.entries.iter().map(|e| e.wire(least)).collect();
+                serde_json::to_string(&(self.number, "charge", group_wire, least, entries))
             }
-            LineBody::LeaderChanged(t) => serde_json::to_string(&(
+            LineBody::LeaderChanged(change) => serde_json::to_string(&(
                 self.number,
                 "took",
-                t.term,
-                &t.owner,
-                t.at,
-                t.has_all_open_usage,
+                change.term,
+                &change.owner,
+                change.at,
+                change.has_all_open_usage,
             )),
-            LineBody::Unmetered(g) => {
-                let machine = (&g.machine, &g.machine_type, &g.zone, g.spot);
-                serde_json::to_string(&(self.number, "gap", machine, g.from, g.to))
+            LineBody::Unmetered(gap) => {
+                let machine = (&gap.machine, &gap.machine_type, &gap.zone, gap.spot);
+                serde_json::to_string(&(self.number, "gap", machine, gap.from, gap.to))
             }
             LineBody::Balance(b) => {
                 serde_json::to_string(&(self.number, "balance", b.end_line, b.parts, b.kept, b.at))
             }
-            LineBody::Part(p) => {
-                let amounts: Vec<String> = p.amounts.iter().copied().map(to_hex).collect();
+            LineBody::Part(part) => {
+                let amounts: Vec<String> = part.amounts.iter().copied().map(to_hex).collect();
                 let decayed: Vec<(u64, String)> =
-                    p.decayed.iter().map(|d| (d.0, to_hex(d.1))).collect();
-                let name = (&p.team, &p.class);
-                let sums = (p.entries, amounts, p.half_life, decayed);
+                    part.decayed.iter().map(|d| (d.0, to_hex(d.1))).collect();
+                let name = (&part.team, &part.class);
+                let sums = (part.entries, amounts, part.half_life, decayed);
                 serde_json::to_string(&(self.number, "part", name, sums))
             }
         };
@@ -332,7 +338,7 @@
         (format!("{text},\"{mac}\"]"), mac)
     }
 
-    /// Returns the wall-clock time of the latest event in the line, or `None` if the line contains no time.
+    /// Returns the time of day of the latest event in the line, or `None` if the line contains no time.
     pub fn last_event_at(&self) -> Option<Micros> {
         match &self.body {
             LineBody::Charge(c) => c.entries.iter().map(AttemptCharge::end).max(),
--- a/crates/gannethub-ledger/src/meter.rs
+++ b/crates/gannethub-ledger/src/meter.rs
@@ -1,10 +1,11 @@
-//! Meters of attempts: the time that an attempt stage_times in each stage, as observed by the leader.
+//! Meters of attempts: the time that an attempt spends in each stage, as observed by the leader.
 //!
 //! A heartbeat does not say when a change happened, only that the change had happened when the heartbeat was sent. A
 //! worker reports a change at once, but not within half a second of another heartbeat: an end is therefore observed at
 //! most half a second late, or, if heartbeats were lost, late by at most the time since the last heartbeat that
-//! arrived. A launch takes effect when the heartbeat response that carries it arrives, so fetching begins with the last
-//! response before the worker reports the attempt, unless an earlier response had arrived after all.
+//! arrived. A launch takes effect when the heartbeat response that carries it arrives. Fetching is therefore counted
+//! from the last time that the launch was sent before the worker reports the attempt. An earlier response may have
+//! arrived after all, so the time between the first and the last sending is an uncertainty of the begin.
 
 use crate::{Micros, SECOND};
 
--- a/crates/gannethub-ledger/src/settings.rs
+++ b/crates/gannethub-ledger/src/settings.rs
@@ -56,7 +56,7 @@
     pub retention: Micros,
     /// Number of pages after which a balance is written. The number is higher if the balance itself takes many pages.
     pub balance_pages: u64,
-    /// Maximum difference between the wall clocks of two controllers.
+    /// Maximum difference between the time of day at two controllers.
     pub max_clock_offset: Micros,
 }
 
--- a/crates/gannethub-ledger/tests/formats.rs
+++ b/crates/gannethub-ledger/tests/formats.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn line_owner_change() {
+fn line_leader_change() {
     let leader_change = LeaderChange {
         term: 7,
         owner: "n0".into(),
