--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -99,7 +99,8 @@
     },
     #[error("no controller of {0:?} reports the version in force; nothing was changed")]
     NoController(Vec<SocketAddrV4>),
-    /// These controllers do not support versions and would keep their current configuration.
+    /// These controllers do not support versions, or were never heard from, so they might keep their current
+    /// configuration.
     #[error(
         "controllers {0:?} run a release without configuration versions, or were never heard from; nothing was changed"
     )]
--- a/src/config/show.rs
+++ b/src/config/show.rs
@@ -53,7 +53,7 @@
     document.teams.iter().find(|team| team.name == name)
 }
 
-/// Formats all values in force with the origin of each.
+/// Formats the current version, the values of each team, the number of objectives and the policy, with their origins.
 pub fn current(current: &CurrentConfig, base: &Settings) -> String {
     let version_origin = format!("version {}", current.version());
     let document = &current.document;
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -46,8 +46,8 @@
     NoFinalAnswer { last_status: Option<u16> },
     #[error("the state service answered {request} with status {status}")]
     UnexpectedAnswer { status: u16, request: String },
-    /// The value stored under this key is not a valid record.
-    #[error("cannot parse the value of {0}: another program changed it")]
+    /// The value stored under this key is not a valid record, or the key was deleted.
+    #[error("cannot parse the value of {0}; another program may have changed or deleted it")]
     MalformedRecord(&'static str),
     /// Another change became the next version before this one.
     #[error("version {version} by {author} was stored first: {reason}")]
@@ -112,7 +112,7 @@
 }
 
 impl<C: StateClient> ConfigStore<'_, C> {
-    /// Sends a request until a final answer comes, which is one that sending the request again would not change.
+    /// Sends a request until a final answer comes (see [`is_final`]), at most [`MAX_ATTEMPTS`] times.
     async fn call(&self, request: &StoreRequest) -> Result<Answer, ConfigError> {
         let mut last_status = None;
         for _ in 0..MAX_ATTEMPTS {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -51,7 +51,8 @@
 /// Delay before the next accept after a failed one, such as an accept without a free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Runs a controller until the process is killed. Returns only if the controller's sockets cannot be opened.
+/// Runs a controller until the process is killed. Returns only if the runtime cannot be built, a socket of the
+/// controller cannot be opened, or the controller's loop panics.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -107,7 +108,8 @@
     }
 }
 
-/// Requests of users and workers that wait for the controller's reply, by connection number. Clones share one table.
+/// Requests of users and workers that wait for the controller's reply. Each request has a connection number of its own
+/// (see [`ConnectionNumbers`]). Clones share one table.
 #[derive(Clone, Default)]
 struct PendingReplies(Rc<RefCell<HashMap<u64, oneshot::Sender<Response>>>>);
 
@@ -222,8 +224,8 @@
         });
     }
 
-    /// Sends commands to a worker before the worker's next heartbeat. If all slots are taken, the commands are left to
-    /// the answer to that heartbeat.
+    /// Sends commands to a worker before the worker's next heartbeat. If all slots are taken, nothing is sent: the
+    /// response to that heartbeat carries the commands.
     fn send_to_worker(&self, addr: SocketAddrV4, body: Bytes) {
         let Ok(slot) = self.worker_slots.clone().try_acquire_owned() else {
             return;
@@ -255,8 +257,8 @@
 }
 
 impl UserServer {
-    /// Accepts connections until the process ends. The number of concurrent connections is what the settings leave for
-    /// users and workers.
+    /// Accepts connections until the process ends. The limit of concurrent connections is `max_connections` less
+    /// [`RESERVED_CONNECTIONS`], but at least [`MIN_USER_CONNECTIONS`].
     async fn accept(self, listener: TcpListener, max_connections: usize) {
         let user_connections = max_connections
             .saturating_sub(RESERVED_CONNECTIONS)
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -183,7 +183,8 @@
         Ok(request)
     }
 
-    /// Writes the response to the most recently read request. `close` tells the client that no response will follow.
+    /// Writes the response to the most recently read request. `close` tells the client that the connection is closed
+    /// after this response.
     pub async fn write(&mut self, response: &Response, close: bool) -> std::io::Result<()> {
         let bytes = encode(response, close)?;
         self.body_permit = None;
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -60,7 +60,8 @@
     Shares,
     /// Check that no line was changed since it was written
     Verify {
-        /// Number and tie of a line, as printed by an earlier check; the ledger must still contain this line
+        /// Number and tie of a line, as printed by an earlier check; the ledger must still contain this line or have
+        /// folded it into a balance
         #[arg(long, value_name = "NUMBER:TIE")]
         head: Option<String>,
     },
@@ -104,7 +105,7 @@
         file: PathBuf,
         source: std::io::Error,
     },
-    /// The ledger was changed after it was written, or does not contain the given head.
+    /// The ledger was changed after it was written, or does not reach the given head.
     #[error("{0}")]
     Changed(#[from] gannethub_ledger::audit::Fault),
     #[error("{0}")]
@@ -162,7 +163,8 @@
     reader.run(command, output)
 }
 
-/// The number and the MAC of a ledger's last line. The command line calls the MAC a tie.
+/// The number and the MAC of the line that was the ledger's last at an earlier check. The command line calls the MAC a
+/// tie.
 struct LedgerHead {
     number: u64,
     mac: LineMac,
@@ -230,8 +232,8 @@
         self.runtime.block_on(fetch_pages(&self.servers))
     }
 
-    /// Reads all pages and checks that no line was changed since it was written, and that the line of an earlier check
-    /// is still present.
+    /// Reads all pages and checks that no line was changed since it was written. The line of an earlier check must
+    /// still be present, or have been folded into a balance since.
     fn fetch_verified(&self, head: Option<LedgerHead>) -> Result<Verified, LedgerError> {
         let pages = self.fetch()?;
         let head = head.map(|head| (head.number, head.mac));
--- a/src/main.rs
+++ b/src/main.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Runs the command of the command line. Errors concern the files that the command line names.
+/// Runs the command that the command line selects. Errors concern the files that the command line names.
 fn run(mut options: Options) -> Result<ExitCode, FileError> {
     match options.command.take() {
         None => run_controller(&options),
@@ -129,7 +129,7 @@
     let Err(error) = daemon::run(settings) else {
         return Ok(ExitCode::SUCCESS);
     };
-    tracing::error!(%error, "cannot serve");
+    tracing::error!(%error, "cannot run the controller");
     Ok(ExitCode::FAILURE)
 }
 
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -131,8 +131,8 @@
 ///
 /// A message that is written alone costs a packet and a poll of the socket at both ends, and so does its answer. The
 /// delay does not affect the worker: the interval to its next heartbeat is many times as long, and its lease counts
-/// from the time at which the worker *sent* the heartbeat, so a delayed heartbeat can only be taken for younger than
-/// it is.
+/// from the time at which the worker *sent* the heartbeat. The controller can therefore only take a delayed heartbeat
+/// for more recent than it is.
 async fn collect_batch(
     messages: &mut mpsc::Receiver<Envelope>,
     batch: &mut Vec<Envelope>,
