--- a/crates/gannethub-core/benches/day.rs
+++ b/crates/gannethub-core/benches/day.rs
@@ -218,7 +218,7 @@
             CloudCall::Provision {
                 name, offer, count, ..
             } => {
-                let flavor = self.view.c.machine_types[offer.machine_type]
+                let flavor = self.view.cluster.machine_types[offer.machine_type]
                     .name
                     .to_string();
                 let kind = (flavor.clone(), offer.zone.clone(), offer.spot);
@@ -254,7 +254,7 @@
             // These calls get no answer: the machine types do not change, and a list would contain no new information.
             CloudCall::MachineTypes | CloudCall::List { .. } => None,
         };
-        let c = &mut self.view.c;
+        let c = &mut self.view.cluster;
         let (status, text) = match body {
             Some(body) => (200, body.to_string()),
             None => (503, json!({"error": "no capacity"}).to_string()),
@@ -269,7 +269,8 @@
     }
 
     fn run(&mut self, machines: usize, seconds: u64, load: f64) {
-        // `cpus` is the total capacity of the machines in CPUs. An average job takes some 200 CPUs for 30 s.
+        // `cpus` is the total capacity of the machines in CPUs. An average job takes some 200 CPUs for 32 s:
+        // the image is fetched for 2 s, and a task runs for 30 s on average.
         let cpus = machines as f64 * 6.8;
         let rate = load * cpus / (0.55 * 320.0 * 32.0 + 0.45 * 2.0 * 30.0 * 32.0);
         let end = self.view.now + seconds * SECOND;
@@ -295,7 +296,7 @@
             ready
                 .into_iter()
                 .for_each(|(_, call)| self.handle_cloud_call(call));
-            let c = &mut self.view.c;
+            let c = &mut self.view.cluster;
             let s = &mut self.costs;
             timed(&mut s.rest, &mut s.longest[3], || c.tick(now, WALL + now));
             if now >= schedule_at.max(c.passes.next_at)
@@ -315,18 +316,18 @@
             }
             if now >= write_at {
                 write_at = now + 100_000;
-                let stamp = &mut self.view.version;
+                let version = &mut self.view.version;
                 timed(&mut s.rest, &mut s.longest[3], || {
                     if let Some((commit, batch)) = c.next_transaction(now, 1) {
                         s.changes += commit.change_count() as u64;
-                        *stamp += 1;
-                        c.transaction_committed(batch, *stamp);
+                        *version += 1;
+                        c.transaction_committed(batch, *version);
                     }
                 });
             }
         }
-        self.costs.queue = self.view.c.passes.placement_order.len();
-        self.costs.machines = self.view.c.machines.len();
+        self.costs.queue = self.view.cluster.passes.placement_order.len();
+        self.costs.machines = self.view.cluster.machines.len();
     }
 }
 
@@ -351,7 +352,7 @@
         let s = &simulation.costs;
         assert!(s.started > 0, "no task was started");
         assert_eq!(
-            simulation.view.c.index_inconsistencies(),
+            simulation.view.cluster.index_inconsistencies(),
             Vec::<String>::new(),
             "the index of free capacity is inconsistent"
         );
--- a/crates/gannethub-core/benches/decide.rs
+++ b/crates/gannethub-core/benches/decide.rs
@@ -26,50 +26,50 @@
         ("red", cpus * 0.5, cpus * 4.0),
         ("blue", cpus * 0.1, cpus * 4.0),
     ];
-    let mut f = LeaderView::with(&teams, Some(20.0));
-    f.machines("small", machines * 9 / 10, "small", "a");
-    f.machines("large", machines / 10, "large", "b");
-    f.submit(
+    let mut view = LeaderView::with(&teams, Some(20.0));
+    view.machines("small", machines * 9 / 10, "small", "a");
+    view.machines("large", machines / 10, "large", "b");
+    view.submit(
         "j-1",
         JobSpec {
             checkpoint_interval: SECOND,
             ..spec(Shape::Array, "blue", 7 * machines as u32, 1.0)
         },
     );
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
     for i in 0..machines / 20 {
         let cpus = 0.6 + (i % 9) as f64 * 0.1;
-        f.submit(
+        view.submit(
             &format!("j-{}", 2 * i + 2),
             spec(Shape::Array, "red", 40, cpus),
         );
-        f.submit(
+        view.submit(
             &format!("j-{}", 2 * i + 3),
             spec(Shape::Gang, "red", 2, 30.0),
         );
     }
-    f.c.run_scheduling_pass(f.now);
-    f
+    view.cluster.run_scheduling_pass(view.now);
+    view
 }
 
 fn decide(c: &mut Criterion) {
     let mut group = c.benchmark_group("decide");
     group.sample_size(20);
     for machines in SIZES {
-        let mut f = full_cluster(machines);
+        let mut view = full_cluster(machines);
         group.bench_with_input(BenchmarkId::new("pass", machines), &machines, |b, _| {
             b.iter(|| {
-                f.now += 100_000;
-                f.c.run_scheduling_pass(f.now);
+                view.now += 100_000;
+                view.cluster.run_scheduling_pass(view.now);
             });
         });
         group.bench_with_input(BenchmarkId::new("plan", machines), &machines, |b, _| {
-            b.iter(|| black_box(f.c.compute_machine_demand(f.now)));
+            b.iter(|| black_box(view.cluster.compute_machine_demand(view.now)));
         });
         // One task ends with each heartbeat, and another one takes its place. Scheduling passes are kept out of the
         // measurement by setting the time of the last pass.
-        let f = RefCell::new(full_cluster(machines));
+        let view = RefCell::new(full_cluster(machines));
         let names: Vec<String> = (0..machines * 9 / 10)
             .map(|i| format!("small-{i:04}"))
             .collect();
@@ -79,7 +79,7 @@
                 || {
                     next = (next + 1) % names.len();
                     let name = names[next].clone();
-                    let tasks: Vec<(String, u64)> = f.borrow().c.machines[name.as_str()]
+                    let tasks: Vec<(String, u64)> = view.borrow().cluster.machines[name.as_str()]
                         .attempts
                         .keys()
                         .map(|id| (id.task.to_string(), id.number))
@@ -87,13 +87,13 @@
                     (name, tasks)
                 },
                 |(name, tasks)| {
-                    let mut f = f.borrow_mut();
-                    f.c.passes.last_at = f.now;
+                    let mut view = view.borrow_mut();
+                    view.cluster.passes.last_at = view.now;
                     let done = tasks
                         .iter()
                         .enumerate()
                         .map(|(i, (t, n))| (t.as_str(), *n, i == 0));
-                    black_box(f.heartbeat(&name, "small", "a", &done.collect::<Vec<_>>()))
+                    black_box(view.heartbeat(&name, "small", "a", &done.collect::<Vec<_>>()))
                 },
                 BatchSize::PerIteration,
             );
@@ -109,10 +109,10 @@
 /// pass. Returns the length of the queue.
 fn takeover(machines: usize) -> usize {
     let cpus = machines as f64 * 6.8;
-    let mut f = LeaderView::unread(&[("red", cpus * 0.5, cpus * 4.0)], Some(20.0));
+    let mut view = LeaderView::unread(&[("red", cpus * 0.5, cpus * 4.0)], Some(20.0));
     for i in 0..machines / 10 {
         let record = JobRecord::new(spec(Shape::Array, "red", 40, 1.0), WALL);
-        f.c.apply_job_record(&format!("j-{i}"), record, 5);
+        view.cluster.apply_job_record(&format!("j-{i}"), record, 5);
     }
     let names: Vec<String> = (0..machines).map(|i| format!("host-{i:06}")).collect();
     for (chunk, names) in names.chunks(40).enumerate() {
@@ -127,16 +127,17 @@
             owner: "n1".into(),
             machines,
         };
-        f.c.apply_shard_chunk(&f.c.shard.chunk_key(chunk), record, 5);
+        view.cluster
+            .apply_shard_chunk(&view.cluster.shard.chunk_key(chunk), record, 5);
     }
-    f.c.finish_loading(f.now);
+    view.cluster.finish_loading(view.now);
     names
         .iter()
-        .for_each(|n| drop(f.heartbeat(n, "small", "a", &[])));
-    f.pass(1);
-    assert!(f.c.takeover.is_settled);
-    f.c.run_scheduling_pass(f.now);
-    f.c.passes.placement_order.len()
+        .for_each(|n| drop(view.heartbeat(n, "small", "a", &[])));
+    view.advance(1);
+    assert!(view.cluster.takeover.is_settled);
+    view.cluster.run_scheduling_pass(view.now);
+    view.cluster.passes.placement_order.len()
 }
 
 criterion_group!(benches, decide);
--- a/crates/gannethub-core/tests/architecture.rs
+++ b/crates/gannethub-core/tests/architecture.rs
@@ -1,4 +1,4 @@
-//! Checks that every function, type and module that the architecture page names exists in the sources.
+//! Checks that the names of functions, types and modules on the architecture page occur in the sources.
 
 use std::collections::HashSet;
 use std::path::Path;
@@ -19,8 +19,8 @@
     }
 }
 
-/// Returns the identifiers in the code spans of a page, such as `name` and `Type::name`. Paths, commands and keys are
-/// left out.
+/// Returns the identifiers in the code spans of a page, such as `function_name` and `Type::function_name`. Paths,
+/// commands, keys and words of lower-case letters alone are left out.
 fn identifiers(page: &str) -> Vec<&str> {
     let is_identifier = |name: &&str| {
         let mut characters = name.chars();
--- a/crates/gannethub-core/tests/heartbeat_allocations.rs
+++ b/crates/gannethub-core/tests/heartbeat_allocations.rs
@@ -27,18 +27,18 @@
 
 #[test]
 fn unchanged_heartbeats_allocate_only_their_task_list() {
-    let mut f = LeaderView::new();
-    let machine = f.machines("m", 1, "small", "a").remove(0);
-    f.submit("j-000001", spec(Shape::Array, "red", 4, 1.0));
-    f.pass(1);
-    f.c.run_scheduling_pass(f.now);
-    f.write();
-    let attempts = f.c.machines[&*machine].attempts.keys();
+    let mut view = LeaderView::new();
+    let machine = view.machines("m", 1, "small", "a").remove(0);
+    view.submit("j-000001", spec(Shape::Array, "red", 4, 1.0));
+    view.advance(1);
+    view.cluster.run_scheduling_pass(view.now);
+    view.write();
+    let attempts = view.cluster.machines[&*machine].attempts.keys();
     let tasks: Vec<(String, u64)> = attempts
         .map(|id| (id.task.to_string(), id.number))
         .collect();
     assert_eq!(tasks.len(), 4);
-    f.run_all();
+    view.run_all();
     let texts: Vec<String> = (0..50)
         .map(|i| heartbeat_json(&machine, 100 + i, &tasks))
         .collect();
@@ -46,11 +46,11 @@
     let mut parsing = 0;
     let mut applying = 0;
     for (i, text) in texts.iter().enumerate() {
-        f.now += SECOND / 10;
+        view.now += SECOND / 10;
         let before = dhat::HeapStats::get().total_blocks;
         let report: WorkerHeartbeat<'_> = serde_json::from_str(text).expect("a report");
         let parsed = dhat::HeapStats::get().total_blocks;
-        let outcome = f.c.apply_heartbeat(f.now, &report);
+        let outcome = view.cluster.apply_heartbeat(view.now, &report);
         let done = dhat::HeapStats::get().total_blocks;
         assert_eq!(outcome, HeartbeatOutcome::Orders(Vec::new()));
         // The first heartbeat is not counted. It differs from the one that `run_all` sent only in its sequence number.
@@ -73,6 +73,6 @@
     let ended: &mut ReportedTask<'_> = &mut changed.tasks[0];
     ended.state = TaskState::Saving;
     let before = dhat::HeapStats::get().total_blocks;
-    f.c.apply_heartbeat(f.now, &changed);
+    view.cluster.apply_heartbeat(view.now, &changed);
     assert!(dhat::HeapStats::get().total_blocks > before);
 }
--- a/crates/gannethub-core/tests/layers.rs
+++ b/crates/gannethub-core/tests/layers.rs
@@ -23,7 +23,6 @@
     })
 }
 
-/// Returns all files below a folder.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).expect("cannot read the folder") {
@@ -210,7 +209,7 @@
             upward.extend(above.map(|other| format!("{} imports {other}", path.display())));
         }
     }
-    // Modules beside the folders are below all layers.
+    // Modules outside the folders of the layers may import no layer.
     for module in [
         "configuration",
         "http",
--- a/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
+++ b/crates/gannethub-core/tests/simulation/cancellation_and_failover.rs
@@ -12,7 +12,7 @@
 /// Ends the faults, waits until all jobs are over, and repeats a poll and the submission of every job at all nodes.
 fn recover_and_finish(mut w: World, seed: u64) {
     w.end_faults();
-    w.run_until(300, "all are over", World::all_jobs_ended);
+    w.run_until(300, "all jobs have ended", World::all_jobs_ended);
     let ids: Vec<String> = w.jobs.keys().cloned().collect();
     for id in &ids {
         for node in 0..w.nodes.len() {
@@ -72,9 +72,9 @@
             }
         }
         assert!(
-            w.counters.close_look_requests > 500,
+            w.counters.repeated_requests > 500,
             "only {} repeated requests",
-            w.counters.close_look_requests
+            w.counters.repeated_requests
         );
         assert!(
             w.state.kept_changes.is_none() || w.state.refused_old_watches > 0,
@@ -101,7 +101,7 @@
             w.submit(job(i, 1 + i % 3, json!({"shape": shape})));
             w.run(u64::from(i % 2));
         }
-        w.run_until(120, "all are over", World::all_jobs_ended);
+        w.run_until(120, "all jobs have ended", World::all_jobs_ended);
         ends.0 += w
             .jobs
             .values()
@@ -195,7 +195,7 @@
                 let until =
                     w.now + [WORKER_LEASE - SECOND, 2 * WORKER_LEASE][seed as usize / 4 % 2];
                 some.iter()
-                    .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
+                    .for_each(|n| w.workers.get_mut(n).expect("a worker").hung_until = until);
             }
             2 => w.faults.isolated_workers.extend(some),
             _ => (0..3).for_each(|n| {
@@ -251,7 +251,7 @@
 fn cancellations_during_leader_change_meet_their_deadline() {
     for seed in 1..=4 {
         cancel_throughout_handover(World::new(3, seed), seed, |w| {
-            let leader = w.leader().expect("a leader");
+            let leader = w.leader().expect("a controller leads");
             match seed {
                 1 => w.crash(leader, 30 * SECOND),
                 2 => w.crash(leader, SECOND / 5),
@@ -594,7 +594,7 @@
             );
             body.as_object_mut()
                 .expect("an object")
-                .extend(bound.as_object().cloned().expect("one"));
+                .extend(bound.as_object().cloned().expect("fields"));
             if body["scatter"] == json!(true) && body["shape"] == "array" {
                 body["crew"] = json!("red");
             }
@@ -683,7 +683,7 @@
             w.submit(job(i, 6, json!({"guess_s": 1.0, "rigs": ["small"]})));
         }
         w.run_until(60, "30 tasks have started", |w| w.starts >= 30);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("a controller leads");
         match seed {
             1 | 2 => {
                 w.faults.hung_watches.insert(leader);
@@ -717,7 +717,7 @@
         w.run(2);
         w.submit(job(1, 20, json!({"guess_s": 25.0, "rigs": ["small"]})));
         w.run_until(60, "all tasks of the first job run", |w| w.starts >= 20);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("a controller leads");
         w.faults.max_watch_delay = SECOND / 2;
         for i in 2..=30 {
             w.submit(job(i, 3, json!({"rigs": ["small"]})));
@@ -884,7 +884,7 @@
         );
         let requests = (w.state.requests - requests) as f64 / f64::from(next);
         assert!(requests < 25.0, "{requests:.1} requests a job");
-        w.run_until(200, "all are over", World::all_jobs_ended);
+        w.run_until(200, "all jobs have ended", World::all_jobs_ended);
         let told = w
             .jobs
             .values()
@@ -1063,18 +1063,18 @@
     assert!(without_id.iter().all(|o| o.refused == 1), "{without_id:?}");
     w.end_faults();
     w.run(3);
-    w.run_until(200, "all are over", World::all_jobs_ended);
+    w.run_until(200, "all jobs have ended", World::all_jobs_ended);
     // All machines have been returned. Accepted jobs are still known, even if the repeated submission has another body.
     w.run_until(120, "the machines are returned", |w| w.workers.is_empty());
     let known: Vec<String> = w.jobs.keys().cloned().collect();
     for id in &known {
         let before = w.now;
-        let job = w.jobs.get_mut(id).expect("it is there");
+        let job = w.jobs.get_mut(id).expect("the job exists");
         let body = job.body.clone();
         job.body = json!({"id": id, "crew": "nobody"});
         (0..3).for_each(|n| w.send_request_to(id, "submit", n));
         w.run(1);
-        let job = w.jobs.get_mut(id).expect("it is there");
+        let job = w.jobs.get_mut(id).expect("the job exists");
         assert!(job.answered > before, "{id} got no answer");
         job.body = body;
     }
--- a/crates/gannethub-core/tests/simulation/concurrent_failures.rs
+++ b/crates/gannethub-core/tests/simulation/concurrent_failures.rs
@@ -349,8 +349,9 @@
     }
 }
 
-/// Plays random concurrent faults drawn from `seed`: two or more at any time, with long tasks and with cancellations
-/// throughout. With `changes`, operators also change the configuration meanwhile.
+/// Plays random faults drawn from `seed`, with long tasks and with cancellations throughout. A fault is injected every
+/// few seconds, and most faults last until another draw ends them, so several are in force at once. With
+/// `changes`, operators also change the configuration meanwhile.
 fn play_concurrent_faults(seed: u64, changes: bool) -> World {
     let nodes = if seed % 4 == 3 { 5 } else { 3 };
     let mut w = World::new(nodes, seed);
--- a/crates/gannethub-core/tests/simulation/configuration.rs
+++ b/crates/gannethub-core/tests/simulation/configuration.rs
@@ -125,8 +125,8 @@
 }
 
 /// Returns the settings of a leader's view with another limit for team red.
-fn settings_with_limit(f: &LeaderView, cpus_max: f64) -> Arc<Settings> {
-    let settings = &f.c.settings;
+fn settings_with_limit(view: &LeaderView, cpus_max: f64) -> Arc<Settings> {
+    let settings = &view.cluster.settings;
     Arc::new(
         limit_of_red(cpus_max)
             .apply_to(settings, settings)
@@ -135,9 +135,16 @@
 }
 
 /// Number of tasks that machines are told to launch now, in answer to one heartbeat from each machine.
-fn launches(f: &mut LeaderView) -> usize {
-    let names: Vec<String> = f.c.machines.keys().map(|m| m.to_string()).collect();
-    let orders = names.iter().flat_map(|n| f.heartbeat(n, "small", "a", &[]));
+fn launches(view: &mut LeaderView) -> usize {
+    let names: Vec<String> = view
+        .cluster
+        .machines
+        .keys()
+        .map(|m| m.to_string())
+        .collect();
+    let orders = names
+        .iter()
+        .flat_map(|n| view.heartbeat(n, "small", "a", &[]));
     orders.filter(|o| matches!(o, Order::Start { .. })).count()
 }
 
@@ -145,16 +152,17 @@
 /// lowered from 16 to 6 CPUs must not be launched above 6 CPUs.
 #[test]
 fn placed_tasks_above_a_lowered_limit_are_not_launched() {
-    let mut f = LeaderView::with(&[("red", 4.0, 16.0)], None);
-    f.machines("up", 4, "small", "a");
-    f.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
-    f.c.run_scheduling_pass(f.now);
-    f.write();
-    let settings = settings_with_limit(&f, 6.0);
-    f.c.apply_settings(&settings, OverLimit::Run, f.now);
-    assert_eq!(launches(&mut f), 6);
+    let mut view = LeaderView::with(&[("red", 4.0, 16.0)], None);
+    view.machines("up", 4, "small", "a");
+    view.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
+    view.write();
+    let settings = settings_with_limit(&view, 6.0);
+    view.cluster
+        .apply_settings(&settings, OverLimit::Run, view.now);
+    assert_eq!(launches(&mut view), 6);
     assert_eq!(
-        f.c.jobs["j-1"].tasks.live_attempts.len(),
+        view.cluster.jobs["j-1"].tasks.live_attempts.len(),
         6,
         "the other tasks wait for quota"
     );
@@ -164,21 +172,24 @@
 /// exist, no task may be launched or placed.
 #[test]
 fn nothing_starts_while_a_newer_version_may_exist() {
-    let mut f = LeaderView::with(&[("red", 4.0, 16.0)], None);
-    f.machines("up", 4, "small", "a");
-    f.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
-    f.c.run_scheduling_pass(f.now);
-    f.write();
-    f.c.starts_paused = true;
-    assert_eq!(launches(&mut f), 0);
-    f.submit("j-2", spec(Shape::Array, "blue", 1, 1.0));
-    f.c.run_scheduling_pass(f.now);
+    let mut view = LeaderView::with(&[("red", 4.0, 16.0)], None);
+    view.machines("up", 4, "small", "a");
+    view.submit("j-1", spec(Shape::Array, "red", 16, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
+    view.write();
+    view.cluster.starts_paused = true;
+    assert_eq!(launches(&mut view), 0);
+    view.submit("j-2", spec(Shape::Array, "blue", 1, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
     assert!(
-        !f.c.jobs["j-2"].tasks.live_attempts.contains_key(&0),
+        !view.cluster.jobs["j-2"]
+            .tasks
+            .live_attempts
+            .contains_key(&0),
         "no task may be placed while starts are paused"
     );
-    f.c.starts_paused = false;
-    assert_eq!(launches(&mut f), 16);
+    view.cluster.starts_paused = false;
+    assert_eq!(launches(&mut view), 16);
 }
 
 /// Guards against versions that are applied in the wrong order or skipped: the limit is lowered, raised and lowered
@@ -203,7 +214,7 @@
     }
 }
 
-/// Guards against a missed version when the watch of the leader hangs while all its other requests are answered.
+/// Guards against a version that the leader misses because its watch hangs, while all its other requests are answered.
 #[test]
 fn a_leader_with_a_hung_watch_misses_no_version() {
     let mut w = world_with_replicas(15, 6);
@@ -544,8 +555,8 @@
     w.finish();
 }
 
-/// Guards against needless configuration requests and records where no operator ever stored a version: every
-/// controller must report version 0, and no key of the configuration may exist.
+/// Guards against configuration records that no operator stored: every controller must report version 0, and no key
+/// of the configuration may exist.
 #[test]
 fn a_cluster_without_a_stored_version_runs_with_version_0() {
     let w = world_with_replicas(55, 4);
--- a/crates/gannethub-core/tests/simulation/constrained_processor.rs
+++ b/crates/gannethub-core/tests/simulation/constrained_processor.rs
@@ -1,4 +1,5 @@
-//! Tests of controllers that are short of processor time: which wake-ups they omit, and that nothing is late for it.
+//! Tests of controllers that are short of CPU time: which wake-ups they omit, and that takeovers and renewals are not
+//! late because of that.
 
 use crate::*;
 
@@ -27,7 +28,7 @@
     (after.0 - before.0, after.1 - before.1)
 }
 
-/// Guards against followers that use processor time for nothing: in 10 s both together may be woken at most 200 times
+/// Guards against followers that use CPU time for nothing: in 10 s both together may be woken at most 200 times
 /// by their clocks, instead of 400 times.
 #[test]
 fn followers_are_rarely_woken() {
@@ -94,8 +95,8 @@
 
 /// Guards against a leader that acts on an expired store lease. The leader is 0.8 s to 4 s behind. It sends a
 /// renewal, is cut off from the state service right after the renewal was carried out, and handles the answer late.
-/// Its lease validity counts from when the renewal was sent: with that guard removed (lease validity from when the
-/// answer was handled), the checker sees the old leader answer workers after a peer took over.
+/// Its lease validity counts from when the renewal was sent. If it counted from when the answer was handled, the
+/// checker would see the old leader answer workers after a peer took over.
 #[test]
 fn a_slow_leader_never_acts_on_an_expired_store_lease() {
     for seed in 1..=6 {
--- a/crates/gannethub-core/tests/simulation/failover.rs
+++ b/crates/gannethub-core/tests/simulation/failover.rs
@@ -126,8 +126,8 @@
 }
 
 /// Guards against a team above its limit after a takeover. The team has tasks on machines that hang, and the new
-/// leader must count them until these machines are confirmed. The second run takes this guard away, and the checker
-/// must detect the usage above the limit.
+/// leader must count them until these machines are confirmed. In the second run edited job records hide these tasks
+/// from the new leader, and the checker must detect the usage above the limit.
 #[test]
 fn the_team_limit_counts_tasks_on_unconfirmed_machines() {
     // The limit of team red is 16 CPUs, and 12 of them are in use on machines that hang.
@@ -240,7 +240,6 @@
 #[test]
 fn watermarks_are_unreliable_after_a_release_without_them() {
     let mut w = world_with_replicas(31, "blue", 12);
-    // The previous release writes records without the fields of watermarks.
     let without = |v: &mut Value| {
         drop(
             v.as_object_mut()
@@ -276,8 +275,8 @@
 /// used.
 #[test]
 fn limits_count_unconfirmed_tasks_right_after_loading() {
-    let mut f = LeaderView::unread(&[("red", 8.0, 8.0)], None);
-    f.c.watermarks.set_reliable(true);
+    let mut view = LeaderView::unread(&[("red", 8.0, 8.0)], None);
+    view.cluster.watermarks.set_reliable(true);
     let member = |_| ShardMember {
         machine_type: "small".into(),
         zone: "a".into(),
@@ -291,23 +290,23 @@
     };
     let mut record = JobRecord::new(spec(Shape::Array, "red", 20, 1.0), 1);
     record.watermark = Some(6);
-    f.c.apply_job_record("j-1", record, 5);
-    f.c.apply_shard_chunk("gh/block/0/0", chunk, 6);
-    f.c.finish_loading(f.now);
+    view.cluster.apply_job_record("j-1", record, 5);
+    view.cluster.apply_shard_chunk("gh/block/0/0", chunk, 6);
+    view.cluster.finish_loading(view.now);
     assert_eq!(
-        f.c.takeover.unconfirmed.possible_usage[0].cpu, 6_000,
+        view.cluster.takeover.unconfirmed.possible_usage[0].cpu, 6_000,
         "six tasks may run on the unconfirmed machines"
     );
     // The first machine reports two of these tasks before any tick. Two more CPUs of the limit are left, for tasks
     // from the watermark (6) on.
-    f.heartbeat(
+    view.heartbeat(
         "up-1",
         "small",
         "a",
         &[("j-1/0", 1, false), ("j-1/1", 1, false)],
     );
-    f.c.run_scheduling_pass(f.now);
-    let placed: Vec<u32> = f.c.machines["up-1"]
+    view.cluster.run_scheduling_pass(view.now);
+    let placed: Vec<u32> = view.cluster.machines["up-1"]
         .attempts
         .keys()
         .map(|id| id.task.index)
@@ -317,9 +316,9 @@
         [0, 1],
         "reported tasks count on top of the possible usage until the next tick computes it again"
     );
-    f.pass(0);
-    f.c.run_scheduling_pass(f.now);
-    let placed: Vec<u32> = f.c.machines["up-1"]
+    view.advance(0);
+    view.cluster.run_scheduling_pass(view.now);
+    let placed: Vec<u32> = view.cluster.machines["up-1"]
         .attempts
         .keys()
         .map(|id| id.task.index)
--- a/crates/gannethub-core/tests/simulation/harness/answers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/answers.rs
@@ -74,7 +74,7 @@
             503 if response.retry_after.is_some() => {}
             status => {
                 let text = format!(
-                    "odd: {} gets {status} {why:?}, not {}",
+                    "invalid submission: {} gets {status} {why:?}, not a refusal that names {}",
                     invalid_submission.body, invalid_submission.field
                 );
                 self.violations.push(text);
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Checks that no valid job is refused, and that no job stays pending or running past the cancellation deadline
-    /// of one of its upstream jobs.
+    /// Checks that no valid job is refused: a job without upstream jobs, or one whose upstream jobs were all accepted.
+    /// Also checks that no job stays pending or running past the cancellation deadline of one of its upstream jobs.
     fn check_status(
         &mut self,
         id: &str,
@@ -126,8 +126,9 @@
             }
         }
         if response.status == 422 && known.upstream_accepted && known.has_upstream {
-            self.violations
-                .push(format!("forgotten: all that {id} names was accepted"));
+            self.violations.push(format!(
+                "forgotten: {id} gets 422 although all its upstream jobs were accepted"
+            ));
         }
     }
 
@@ -146,8 +147,9 @@
         if what == "submit" {
             j.accepted.get_or_insert(now);
             if !known.upstream_accepted {
-                self.violations
-                    .push(format!("invented: {id} names a job that nobody submitted"));
+                self.violations.push(format!(
+                    "invented: {id} is accepted although one of its upstream jobs is not"
+                ));
             }
         }
         if what == "poll" {
@@ -155,7 +157,8 @@
             j.waits_on = ids.filter_map(Value::as_str).map(String::from).collect();
             j.polls += 1;
         }
-        // Answers may overtake one another, so the check covers only requests that were sent after the user was told.
+        // Answers may overtake one another, so an older status is a violation only if the request was sent after the
+        // user was told of the end.
         let knew = |told: Option<u64>| told.is_some_and(|t| t < known.asked);
         if (knew(j.done_confirmed_at) && status != "done")
             || (knew(j.cancellation_confirmed_at) && status != "cancelled")
@@ -178,16 +181,20 @@
         };
         if status == "done" {
             if !known.is_completed {
-                self.violations.push(format!("not_done: {id}"));
+                self.violations.push(format!(
+                    "not_done: {id} is reported as done before all its tasks are"
+                ));
             }
             j.done_confirmed_at.get_or_insert(now);
         }
         if status == "cancelled" {
             j.cancellation_confirmed_at.get_or_insert(now);
         }
-        // The check holds for answers in any order of their requests.
+        // A job has only one end, so this is a violation even if answers overtook one another.
         if j.done_confirmed_at.is_some() && j.cancellation_confirmed_at.is_some() {
-            self.violations.push(format!("two ends: {id}"));
+            self.violations.push(format!(
+                "two ends: {id} is reported as done and as cancelled"
+            ));
         }
         j.status = status;
     }
--- a/crates/gannethub-core/tests/simulation/harness/config_changes.rs
+++ b/crates/gannethub-core/tests/simulation/harness/config_changes.rs
@@ -25,7 +25,7 @@
 pub struct StoredVersion {
     /// Time from which no controller acts on the previous version any more, and no task that was launched under it
     /// starts.
-    superseded_at: u64,
+    predecessor_ends_at: u64,
     /// Teams' limits in CPUs.
     limits: BTreeMap<String, f64>,
 }
@@ -97,7 +97,11 @@
             .map(|t| (t.name.clone(), t.limit.cpu as f64 / 1000.0))
             .collect();
         self.config_versions.push(StoredVersion {
-            superseded_at: self.now + ROLLOUT_TIME + FETCH_TIME + self.max_answer_delay + late,
+            predecessor_ends_at: self.now
+                + ROLLOUT_TIME
+                + FETCH_TIME
+                + self.max_answer_delay
+                + late,
             limits,
         });
         self.document = document;
@@ -111,8 +115,8 @@
         if self.state.down {
             self.config_versions
                 .iter_mut()
-                .filter(|c| c.superseded_at > now)
-                .for_each(|c| c.superseded_at += step);
+                .filter(|c| c.predecessor_ends_at > now)
+                .for_each(|c| c.predecessor_ends_at += step);
         }
     }
 
@@ -128,7 +132,7 @@
         let mut limit = base.map_or(0.0, |t| t.limit.cpu as f64 / 1000.0);
         let mut limits = Vec::new();
         for version in &self.config_versions {
-            if version.superseded_at > self.now {
+            if version.predecessor_ends_at > self.now {
                 limits.push(limit);
             }
             limit = version.limits.get(team).copied().unwrap_or(limit);
--- a/crates/gannethub-core/tests/simulation/harness/controllers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/controllers.rs
@@ -19,8 +19,8 @@
         Some(self.state.value(&key)?["holder"].as_str()?.to_string())
     }
 
-    /// Returns the cluster state of the shard's owner. If several controllers hold the shard, the one with the highest
-    /// term is returned.
+    /// Returns the cluster state of the shard's owner. If several controllers consider themselves its owner, the
+    /// state under the highest term is returned.
     pub fn shard(&self, shard: u32) -> Option<&Cluster> {
         let all = self.nodes.iter().filter_map(|n| n.controller.as_ref());
         all.flat_map(|c| c.clusters())
@@ -29,7 +29,7 @@
     }
 
     pub(super) fn clock(&self, node: usize) -> Clock {
-        // The steady clocks of nodes with an odd number run fast by 1/2000; the other clocks are exact.
+        // The monotonic clocks of nodes with an odd number run fast by 1/2000; the other clocks are exact.
         let t = self.now - self.nodes[node].started_at;
         let drift = (t / 2000) * (node as u64 % 2);
         Clock {
--- a/crates/gannethub-core/tests/simulation/harness/events.rs
+++ b/crates/gannethub-core/tests/simulation/harness/events.rs
@@ -109,7 +109,7 @@
                     .filter(|(_, j)| j.done_confirmed_at.is_none())
                     .collect();
                 panic!(
-                    "condition not met within {seconds} s: {what}; broken: {:?}; open: {open:?}",
+                    "condition not met within {seconds} s: {what}; violations: {:?}; open jobs: {open:?}",
                     self.violations
                 );
             }
--- a/crates/gannethub-core/tests/simulation/harness/faults.rs
+++ b/crates/gannethub-core/tests/simulation/harness/faults.rs
@@ -56,7 +56,7 @@
     /// Transactions that were carried out without additional delay but not answered.
     pub unanswered_commits: usize,
     /// Requests that users repeated at all nodes after an acceptance, end or cancellation.
-    pub close_look_requests: usize,
+    pub repeated_requests: usize,
     /// Tasks that started after their users were told of the cancellation and before the cancellation deadline. Such
     /// tasks were launched before the launching controller knew of the cancellation.
     pub late_starts: usize,
@@ -70,8 +70,8 @@
 }
 
 impl World {
-    /// Ends the faults of the state service and of the network. From this time on, every accepted job must be answered
-    /// for.
+    /// Ends the faults of the state service and of the network, except corrupted votes. From this time on, the checker
+    /// requires answers about every accepted job.
     pub fn end_faults(&mut self) {
         self.state.down = false;
         self.faults.max_store_delay = 0;
--- a/crates/gannethub-core/tests/simulation/harness/invariants.rs
+++ b/crates/gannethub-core/tests/simulation/harness/invariants.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Checks the start of a task: from now on, the task counts as on the machine of `w`.
+    /// Checks the start of a task on the machine of `w`.
     pub fn check_start(&mut self, w: &Worker, name: &str) {
         self.starts += 1;
         let id = name.split('/').next().unwrap_or("").to_string();
@@ -56,7 +56,7 @@
         violations
     }
 
-    /// Returns the running workers other than `w`.
+    /// Returns the workers other than `w` that are not dead and whose tasks have not been stopped by lease expiry.
     fn other_workers<'a>(&'a self, w: &'a Worker) -> impl Iterator<Item = &'a Worker> {
         self.workers
             .values()
@@ -92,7 +92,10 @@
         }
         let limit = self.max_possible_limit(body["crew"].as_str().unwrap_or(""));
         if used > limit + 1e-6 {
-            violations.push(format!("quota: {} uses {used}", body["crew"]));
+            violations.push(format!(
+                "quota: {} uses {used} CPUs, above the limit of {limit}",
+                body["crew"]
+            ));
         }
         violations
     }
@@ -119,7 +122,8 @@
         (zones, used)
     }
 
-    /// Checks that a controller that has told a user of a job's cancellation launches none of the job's tasks.
+    /// Checks that a controller launches no task of a job after its current incarnation has told a user that the job is
+    /// cancelled.
     pub(super) fn check_launches(&mut self, node: usize, incarnation: u32, body: &Value) {
         for order in body["orders"].as_array().into_iter().flatten() {
             let task = order["piece"].as_str().unwrap_or("");
@@ -248,12 +252,12 @@
                 .iter()
                 .filter(|u| **u != id)
                 .all(|u| self.completed(u));
-            let called_off = chain
+            let cancel_asked = chain
                 .iter()
                 .any(|u| self.jobs.get(u).is_some_and(|j| j.cancel_asked));
             let j = &self.jobs[&id];
             let waits = j.accepted.is_some()
-                && !called_off
+                && !cancel_asked
                 && released
                 && !begun.contains(&id)
                 && j.body["jobclass"] != "broken";
@@ -275,7 +279,7 @@
         }
     }
 
-    /// Checks that each leader's index of free capacity agrees with its machine state.
+    /// Checks that each leader's index of free capacity agrees with its machine state, and checks the shard records.
     pub(super) fn check_index(&mut self) {
         let leading = self
             .nodes
@@ -290,13 +294,13 @@
     /// limit do not add up to more than the limit.
     pub(super) fn check_shards(&mut self) {
         let mut seen: HashMap<String, String> = HashMap::new();
-        let block_of = |key: &str| key.split('/').nth(2).unwrap_or("").to_string();
+        let shard_of = |key: &str| key.split('/').nth(2).unwrap_or("").to_string();
         for key in self.state.keys("gh/block/") {
             let machines = self.state.value(&key).map(|v| v["machines"].clone());
             let machines = machines.as_ref().and_then(Value::as_object).cloned();
             for name in machines.into_iter().flatten().map(|m| m.0) {
-                let other = seen.insert(name.clone(), block_of(&key));
-                if other.as_ref().is_some_and(|o| *o != block_of(&key)) {
+                let other = seen.insert(name.clone(), shard_of(&key));
+                if other.as_ref().is_some_and(|o| *o != shard_of(&key)) {
                     self.violations
                         .push(format!("held twice: {name} in {other:?} and {key}"));
                 }
@@ -317,8 +321,10 @@
         for team in &self.settings[0].teams {
             let sum = sums.get(&team.name).copied().unwrap_or(0);
             if sum > team.limit.cpu {
-                self.violations
-                    .push(format!("allotted: {sum} of {}", team.name));
+                self.violations.push(format!(
+                    "allotted: partitions of {sum} millicores exceed the limit of {}",
+                    team.name
+                ));
             }
         }
     }
@@ -387,8 +393,8 @@
         self.violations.extend(violations);
     }
 
-    /// Checks that a controller's answer obeys the rules for leaders: a leader answers workers only while no other
-    /// controller can have replaced it, and launches no task of a job that it told a user is cancelled.
+    /// Checks that a controller's answer obeys the rules for leaders: a leader answers no worker after a higher leader
+    /// term is stored, and launches no task of a job that it told a user is cancelled.
     pub(super) fn check_reply(
         &mut self,
         node: usize,
@@ -404,7 +410,9 @@
         let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
         let acts = leading_term.is_some() && body["baton"].as_u64() == leading_term;
         if response.status == 200 && acts && last > leading_term {
-            let late = format!("acted: {leading_term:?} answered a worker under {last:?}");
+            let late = format!(
+                "acted: leader of {leading_term:?} answered a worker while term {last:?} is stored"
+            );
             self.violations.push(late);
         }
         // An answer with another term is relayed: the launches in it were decided by another controller.
--- a/crates/gannethub-core/tests/simulation/harness/mod.rs
+++ b/crates/gannethub-core/tests/simulation/harness/mod.rs
@@ -79,7 +79,7 @@
     /// Fraction of jobs that are cancelled at about the time their last task ends. If it is above 0, users repeat
     /// their requests for every job at all nodes when its last task ends.
     pub cancel_at_end: f64,
-    /// Submissions that lack a field or can never run, by an id of their own.
+    /// Submissions that lack a field or can never run, by an id that the harness gives them.
     pub invalid_submissions: BTreeMap<String, InvalidSubmission>,
     /// Cancellations that a controller has confirmed to a user: node, incarnation of its process and job id.
     cancellations_told: HashSet<(usize, u32, String)>,
@@ -87,10 +87,14 @@
     pub counters: Counters,
     pub workers: BTreeMap<String, Worker>,
     pub cloud: Cloud,
+    /// Due times and numbers of the scheduled events; `queue` contains the events by number.
     events: BinaryHeap<Reverse<(u64, u64)>>,
     queue: HashMap<u64, Event>,
     seq: u64,
+    /// Open watches: node, incarnation, request id, key prefix, version after which changes are asked for, and end
+    /// time.
     watches: Vec<(usize, u32, u64, String, u64, u64)>,
+    /// Open connections, each with the sender of the request and the node and incarnation to which it was sent.
     connections: HashMap<u64, (Origin, usize, u32)>,
     pub jobs: BTreeMap<String, UserJob>,
     pub violations: Vec<String>,
--- a/crates/gannethub-core/tests/simulation/harness/network.rs
+++ b/crates/gannethub-core/tests/simulation/harness/network.rs
@@ -2,19 +2,20 @@
 
 use super::*;
 
-/// Clears the fields that the previous release does not write into a message: those about cancellations.
+/// Clears the fields that the previous release does not write into a message: all fields of a vote except round, term
+/// and shard, and the known version in a vote request.
 fn clear_cancellation_fields(message: &mut Envelope) {
     match &mut message.body {
-        Some(Body::Vote(p)) => {
-            let (round, term, block) = (p.round, p.term, p.shard);
-            *p = Vote {
+        Some(Body::Vote(vote)) => {
+            let (round, term, shard_id) = (vote.round, vote.term, vote.shard);
+            *vote = Vote {
                 round,
                 term,
-                shard: block,
+                shard: shard_id,
                 ..Vote::default()
             };
         }
-        Some(Body::VoteRequest(ask)) => ask.known_version = 0,
+        Some(Body::VoteRequest(request)) => request.known_version = 0,
         _ => {}
     }
 }
--- a/crates/gannethub-core/tests/simulation/harness/state_service.rs
+++ b/crates/gannethub-core/tests/simulation/harness/state_service.rs
@@ -1,4 +1,5 @@
-//! Controllers' requests to the state service. It may answer late, lose answers, refuse requests or let watches hang.
+//! Controllers' requests to the state service. By the faults in force, the state service answers late, refuses requests
+//! or lets watches hang, and answers are lost.
 
 use super::*;
 
--- a/crates/gannethub-core/tests/simulation/harness/users.rs
+++ b/crates/gannethub-core/tests/simulation/harness/users.rs
@@ -68,8 +68,8 @@
     pub fn submit_once(&mut self, body: Value, node: usize) {
         let id = body["id"].as_str().unwrap_or("").to_string();
         let origin = Origin::User {
-            job: format!("quietly {id}"),
-            what: "quietly",
+            job: format!("once {id}"),
+            what: "submit once",
             asked: self.now,
         };
         self.http(
@@ -84,10 +84,10 @@
     /// Submits at this node a job that lacks a field or can never run. The checker requires that the refusal names
     /// `field`.
     pub fn submit_invalid(&mut self, body: Value, field: &str, node: usize) {
-        let id = format!("odd {} {}", field, self.invalid_submissions.len());
+        let id = format!("invalid {} {}", field, self.invalid_submissions.len());
         let origin = Origin::User {
             job: id.clone(),
-            what: "odd",
+            what: "submit invalid",
             asked: self.now,
         };
         let text = Bytes::from(body.to_string());
@@ -119,7 +119,7 @@
                         node,
                     },
                 );
-                self.counters.close_look_requests += 1;
+                self.counters.repeated_requests += 1;
             }
         }
     }
--- a/crates/gannethub-core/tests/simulation/harness/workers.rs
+++ b/crates/gannethub-core/tests/simulation/harness/workers.rs
@@ -42,7 +42,9 @@
             .flatten()
             .map(|o| o["verb"].clone());
         if verbs.clone().any(|v| v != json!("halt")) {
-            self.violations.push(format!("sent directly: {text}"));
+            self.violations.push(format!(
+                "sent directly: {text}, which is more than stops of tasks"
+            ));
         }
         let to = self.workers.values().find(|w| self.addr(&w.name) == addr);
         let Some(w) = to.filter(|w| !w.dead && !self.faults.unanswered_workers.contains(&w.name))
--- a/crates/gannethub-core/tests/simulation/large_clusters.rs
+++ b/crates/gannethub-core/tests/simulation/large_clusters.rs
@@ -11,74 +11,91 @@
 /// one zone.
 #[test]
 fn gangs_never_reserve_the_same_booting_machine() {
-    let mut f = LeaderView::new();
+    let mut view = LeaderView::new();
     for (i, zone) in ["a", "a", "a", "b", "b"].iter().enumerate() {
-        f.c.get_or_adopt_machine(&format!("host-{i}"), "large", zone, false, f.now);
+        view.cluster
+            .get_or_adopt_machine(&format!("host-{i}"), "large", zone, false, view.now);
     }
     for id in ["j-1", "j-2", "j-3"] {
-        f.submit(id, spec(Shape::Gang, "red", 2, 30.0));
+        view.submit(id, spec(Shape::Gang, "red", 2, 30.0));
     }
-    f.c.run_scheduling_pass(f.now);
+    view.cluster.run_scheduling_pass(view.now);
     // Each gang has its reservations in one zone. The third machine of zone a is half of what the third gang needs,
     // and no reservation is made for half a gang.
     assert_eq!(
         [
-            f.reserved_tasks("j-1"),
-            f.reserved_tasks("j-2"),
-            f.reserved_tasks("j-3")
+            view.reserved_tasks("j-1"),
+            view.reserved_tasks("j-2"),
+            view.reserved_tasks("j-3")
         ],
         [2, 2, 0]
     );
-    for m in
-        f.c.machines
-            .values()
-            .filter(|m| m.active_reservation(f.now).is_some())
+    for m in view
+        .cluster
+        .machines
+        .values()
+        .filter(|m| m.active_reservation(view.now).is_some())
     {
         let same = |o: &&gannethub_core::state::machine::Machine| {
-            o.active_reservation(f.now).map(|k| &k.job)
-                == m.active_reservation(f.now).map(|k| &k.job)
+            o.active_reservation(view.now).map(|k| &k.job)
+                == m.active_reservation(view.now).map(|k| &k.job)
         };
-        assert!(f.c.machines.values().filter(same).all(|o| o.zone == m.zone));
+        assert!(
+            view.cluster
+                .machines
+                .values()
+                .filter(same)
+                .all(|o| o.zone == m.zone)
+        );
     }
 }
 
 /// Guards against a gang of high priority that waits behind the reservations of a gang later in the queue.
 #[test]
 fn a_gang_takes_reservations_of_a_gang_later_in_the_queue() {
-    let mut f = LeaderView::new();
+    let mut view = LeaderView::new();
     for i in 0..2 {
-        f.c.get_or_adopt_machine(&format!("host-{i}"), "large", "a", false, f.now);
+        view.cluster
+            .get_or_adopt_machine(&format!("host-{i}"), "large", "a", false, view.now);
     }
-    f.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
-    f.c.run_scheduling_pass(f.now);
-    assert_eq!(f.reserved_tasks("j-1"), 2);
+    view.submit("j-1", spec(Shape::Gang, "red", 2, 30.0));
+    view.cluster.run_scheduling_pass(view.now);
+    assert_eq!(view.reserved_tasks("j-1"), 2);
     let first = JobSpec {
         priority: Priority::High,
         ..spec(Shape::Gang, "blue", 2, 30.0)
     };
-    f.submit("j-2", first);
-    f.pass(1);
-    f.c.run_scheduling_pass(f.now);
-    assert_eq!([f.reserved_tasks("j-2"), f.reserved_tasks("j-1")], [2, 0]);
+    view.submit("j-2", first);
+    view.advance(1);
+    view.cluster.run_scheduling_pass(view.now);
+    assert_eq!(
+        [view.reserved_tasks("j-2"), view.reserved_tasks("j-1")],
+        [2, 0]
+    );
 }
 
 /// Guards against a gang that waits for a machine long overdue to boot although preemption on a ready machine gives
 /// it the capacity.
 #[test]
 fn a_gang_preempts_instead_of_waiting_for_an_overdue_machine() {
-    let mut f = LeaderView::new();
-    f.machines("up", 3, "large", "a");
-    f.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
-    f.c.get_or_adopt_machine("late-0", "large", "a", false, f.now);
+    let mut view = LeaderView::new();
+    view.machines("up", 3, "large", "a");
+    view.submit("j-1", spec(Shape::Array, "blue", 96, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
+    view.cluster
+        .get_or_adopt_machine("late-0", "large", "a", false, view.now);
     for _ in 0..8 {
-        f.pass(7);
-        f.run_all();
+        view.advance(7);
+        view.run_all();
     }
-    f.submit("j-2", spec(Shape::Gang, "red", 1, 30.0));
-    f.c.run_scheduling_pass(f.now);
-    let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
+    view.submit("j-2", spec(Shape::Gang, "red", 1, 30.0));
+    view.cluster.run_scheduling_pass(view.now);
+    let attempts = view
+        .cluster
+        .machines
+        .values()
+        .flat_map(|m| m.attempts.values());
     let stopped = attempts.filter(|a| a.stop_grace.is_some()).count();
     assert_eq!(stopped, 30, "tasks on a ready machine are preempted");
 }
@@ -90,24 +107,32 @@
     // Team blue uses 96 CPUs, 32 above its guarantee. Preemption of borrowed quota frees one large machine, but not
     // two.
     for (tasks, expected) in [(1, 30), (2, 0)] {
-        let mut f = LeaderView::new();
-        f.machines("up", 3, "large", "a");
-        f.submit("j-1", spec(Shape::Array, "blue", 200, 1.0));
-        f.c.run_scheduling_pass(f.now);
-        f.run_all();
-        assert_eq!(f.c.quota.team_usage[1].cpu, 96_000);
-        f.submit("j-2", spec(Shape::Gang, "red", tasks, 30.0));
-        f.c.run_scheduling_pass(f.now);
-        let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
+        let mut view = LeaderView::new();
+        view.machines("up", 3, "large", "a");
+        view.submit("j-1", spec(Shape::Array, "blue", 200, 1.0));
+        view.cluster.run_scheduling_pass(view.now);
+        view.run_all();
+        assert_eq!(view.cluster.quota.team_usage[1].cpu, 96_000);
+        view.submit("j-2", spec(Shape::Gang, "red", tasks, 30.0));
+        view.cluster.run_scheduling_pass(view.now);
+        let attempts = view
+            .cluster
+            .machines
+            .values()
+            .flat_map(|m| m.attempts.values());
         assert_eq!(
             attempts.filter(|a| a.stop_grace.is_some()).count(),
             expected,
             "gang of {tasks} tasks"
         );
         // A second scheduling pass preempts no further task.
-        f.pass(1);
-        f.c.run_scheduling_pass(f.now);
-        let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
+        view.advance(1);
+        view.cluster.run_scheduling_pass(view.now);
+        let attempts = view
+            .cluster
+            .machines
+            .values()
+            .flat_map(|m| m.attempts.values());
         assert_eq!(
             attempts.filter(|a| a.stop_grace.is_some()).count(),
             expected
@@ -119,18 +144,22 @@
 /// are preempted on the only machine.
 #[test]
 fn an_urgent_array_preempts_tasks_on_the_only_machine() {
-    let mut f = LeaderView::new();
-    f.machines("up", 1, "large", "a");
-    f.submit("j-1", spec(Shape::Array, "blue", 32, 1.0));
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
+    let mut view = LeaderView::new();
+    view.machines("up", 1, "large", "a");
+    view.submit("j-1", spec(Shape::Array, "blue", 32, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
     let urgent = JobSpec {
         priority: Priority::High,
         ..spec(Shape::Array, "red", 1, 4.0)
     };
-    f.submit("j-2", urgent);
-    f.c.run_scheduling_pass(f.now);
-    let attempts = f.c.machines.values().flat_map(|m| m.attempts.values());
+    view.submit("j-2", urgent);
+    view.cluster.run_scheduling_pass(view.now);
+    let attempts = view
+        .cluster
+        .machines
+        .values()
+        .flat_map(|m| m.attempts.values());
     assert_eq!(attempts.filter(|a| a.stop_grace.is_some()).count(), 4);
 }
 
@@ -138,14 +167,14 @@
 /// requests, or that spreads a gang over zones.
 #[test]
 fn the_provisioning_plan_covers_the_whole_queue() {
-    let mut f = LeaderView::new();
-    f.submit("j-1", spec(Shape::Array, "red", 2000, 1.0));
-    f.submit("j-2", spec(Shape::Gang, "blue", 3, 30.0));
-    f.pass(59);
-    let provisioned = f.provision_all();
+    let mut view = LeaderView::new();
+    view.submit("j-1", spec(Shape::Array, "red", 2000, 1.0));
+    view.submit("j-2", spec(Shape::Gang, "blue", 3, 30.0));
+    view.advance(59);
+    let provisioned = view.provision_all();
     let cpus: u32 = provisioned
         .iter()
-        .map(|((f, _), n)| if f == "small" { 4 * n } else { 32 * n })
+        .map(|((type_name, _), n)| if type_name == "small" { 4 * n } else { 32 * n })
         .sum();
     assert!(cpus > 1500, "{provisioned:?}");
     let large = |zone: &str| {
@@ -164,23 +193,26 @@
 /// is provisioned there, as a probe, and a heartbeat from the zone makes it usable again.
 #[test]
 fn an_unreachable_zone_gets_at_most_one_probe_machine() {
-    let mut f = LeaderView::new();
-    f.machines("cut", 6, "small", "a");
-    let reachable = f.machines("ok", 6, "small", "b");
-    f.submit("j-1", spec(Shape::Array, "red", 400, 1.0));
+    let mut view = LeaderView::new();
+    view.machines("cut", 6, "small", "a");
+    let reachable = view.machines("ok", 6, "small", "b");
+    view.submit("j-1", spec(Shape::Array, "red", 400, 1.0));
     for _ in 0..8 {
-        f.pass(1);
+        view.advance(1);
         reachable
             .iter()
-            .for_each(|n| drop(f.heartbeat(n, "small", "b", &[])));
+            .for_each(|n| drop(view.heartbeat(n, "small", "b", &[])));
     }
-    f.c.plan_cloud_calls(f.now);
-    assert!(f.c.zones.unreachable.contains_key("a") && !f.c.zones.unreachable.contains_key("b"));
-    f.pass(52);
+    view.cluster.plan_cloud_calls(view.now);
+    assert!(
+        view.cluster.zones.unreachable.contains_key("a")
+            && !view.cluster.zones.unreachable.contains_key("b")
+    );
+    view.advance(52);
     reachable
         .iter()
-        .for_each(|n| drop(f.heartbeat(n, "small", "b", &[])));
-    let provisioned = f.provision_all();
+        .for_each(|n| drop(view.heartbeat(n, "small", "b", &[])));
+    let provisioned = view.provision_all();
     assert!(provisioned.keys().any(|k| k.1 == "b"), "{provisioned:?}");
     let probed: u32 = provisioned
         .iter()
@@ -188,28 +220,29 @@
         .map(|(_, n)| n)
         .sum();
     assert!(probed <= 1, "{provisioned:?}");
-    f.heartbeat("new-0000", "small", "a", &[]);
+    view.heartbeat("new-0000", "small", "a", &[]);
     assert!(
-        !f.c.zones.unreachable.contains_key("a"),
+        !view.cluster.zones.unreachable.contains_key("a"),
         "the zone is reachable again"
     );
 }
 
-/// Guards against heartbeats whose cost grows with the cluster, with 400 machines and 20 waiting jobs.
+/// Guards against costly heartbeats, with 400 machines and 20 waiting jobs. A heartbeat without changes may take no
+/// scheduling step; one that frees capacity may take two steps per machine, but not per machine and job.
 #[test]
 fn the_cost_of_a_heartbeat_depends_only_on_its_changes() {
-    let mut f = LeaderView::new();
-    let names = f.machines("host", 400, "small", "a");
+    let mut view = LeaderView::new();
+    let names = view.machines("host", 400, "small", "a");
     for i in 0..20 {
-        f.submit(&format!("j-{i}"), spec(Shape::Array, "red", 150, 1.0));
+        view.submit(&format!("j-{i}"), spec(Shape::Array, "red", 150, 1.0));
     }
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
-    f.write();
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
+    view.write();
     let running: Vec<Vec<(String, u64)>> = names
         .iter()
         .map(|n| {
-            f.c.machines[n.as_str()]
+            view.cluster.machines[n.as_str()]
                 .attempts
                 .keys()
                 .map(|id| (id.task.to_string(), id.number))
@@ -218,32 +251,32 @@
         .collect();
     assert!(running.iter().all(|r| r.len() == 4));
     // Heartbeats without changes take no scheduling steps on other machines.
-    let before = f.c.passes.steps.get();
-    f.run_all();
-    assert_eq!(f.c.passes.steps.get(), before);
-    // 100 machines report one completed task each at the same time. Each heartbeat may take one look over the
-    // machines, not one for each waiting job.
+    let before = view.cluster.passes.steps.get();
+    view.run_all();
+    assert_eq!(view.cluster.passes.steps.get(), before);
+    // 100 machines report one completed task each at the same time. Each heartbeat may lead to one scan of the
+    // machines, but not to one for each waiting job.
     for (name, tasks) in names.iter().zip(&running).take(100) {
         let tasks: Vec<_> = tasks
             .iter()
             .enumerate()
             .map(|(i, (t, a))| (t.as_str(), *a, i == 0))
             .collect();
-        let orders = f.heartbeat(name, "small", "a", &tasks);
+        let orders = view.heartbeat(name, "small", "a", &tasks);
         let starts = orders
             .iter()
             .filter(|o| matches!(o, Order::Start { .. }))
             .count();
         assert_eq!(starts, 1, "freed capacity is used in the same answer");
     }
-    let steps = f.c.passes.steps.get() - before;
+    let steps = view.cluster.passes.steps.get() - before;
     assert!(
         steps < 100 * 2 * 400,
         "{steps} scheduling steps for 100 heartbeats"
     );
     // 100 completions of a few jobs are stored in few changes.
-    f.pass(3);
-    let (calls, changes) = f.write();
+    view.advance(3);
+    let (calls, changes) = view.write();
     assert!(
         calls <= 4 && changes <= 20,
         "{calls} transactions with {changes} changes"
--- a/crates/gannethub-core/tests/simulation/leader_view.rs
+++ b/crates/gannethub-core/tests/simulation/leader_view.rs
@@ -22,7 +22,7 @@
 
 /// The cluster state of one leader, whose clock, heartbeats and transactions a test provides.
 pub struct LeaderView {
-    pub c: Cluster,
+    pub cluster: Cluster,
     pub now: u64,
     pub version: u64,
     sequences: BTreeMap<String, u64>,
@@ -106,35 +106,35 @@
 
     /// Returns a leader that has loaded an empty state service, with the given teams and objective, see `settings`.
     pub fn with(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> LeaderView {
-        let mut f = LeaderView::unread(teams, wait_s);
-        f.c.finish_loading(f.now);
-        f.c.tick(f.now, WALL);
-        assert!(f.c.takeover.is_settled);
-        f
+        let mut view = LeaderView::unread(teams, wait_s);
+        view.cluster.finish_loading(view.now);
+        view.cluster.tick(view.now, WALL);
+        assert!(view.cluster.takeover.is_settled);
+        view
     }
 
     /// Returns a leader that has not loaded the state service yet.
     pub fn unread(teams: &[(&str, f64, f64)], wait_s: Option<f64>) -> LeaderView {
         let now = 100 * SECOND;
-        let c = Cluster::new(TERM, settings(teams, wait_s), machine_types(), now, WALL);
+        let cluster = Cluster::new(TERM, settings(teams, wait_s), machine_types(), now, WALL);
         LeaderView {
-            c,
+            cluster,
             now,
             version: 10,
             sequences: BTreeMap::new(),
         }
     }
 
-    /// Advances the clock by this number of seconds and ticks.
-    pub fn pass(&mut self, seconds: u64) {
+    /// Advances the clock by this number of seconds, and sends one tick.
+    pub fn advance(&mut self, seconds: u64) {
         self.now += seconds * SECOND;
-        self.c.tick(self.now, WALL + self.now);
+        self.cluster.tick(self.now, WALL + self.now);
     }
 
     /// Adds a job as if its record had just been stored.
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
         self.version += 1;
-        self.c
+        self.cluster
             .apply_job_record(id, JobRecord::new(spec, WALL + self.now), self.version);
     }
 
@@ -199,18 +199,18 @@
             preemption_notice_s: None,
             tasks,
         };
-        self.c.apply_heartbeat(self.now, &report)
+        self.cluster.apply_heartbeat(self.now, &report)
     }
 
     /// Commits all pending transactions; returns their number and the number of their changes.
     pub fn write(&mut self) -> (usize, usize) {
         let (mut calls, mut changes) = (0, 0);
-        while let Some((commit, batch)) = self.c.next_transaction(self.now, 1) {
-            assert!(commit.change_count() <= self.c.settings.max_transaction_operations);
+        while let Some((commit, batch)) = self.cluster.next_transaction(self.now, 1) {
+            assert!(commit.change_count() <= self.cluster.settings.max_transaction_operations);
             calls += 1;
             changes += commit.change_count();
             self.version += 1;
-            self.c.transaction_committed(batch, self.version);
+            self.cluster.transaction_committed(batch, self.version);
         }
         (calls, changes)
     }
@@ -237,13 +237,13 @@
     /// Sends a heartbeat from every machine in which all tasks that were placed on it run.
     pub fn run_all(&mut self) {
         let all: Vec<_> = self
-            .c
+            .cluster
             .machines
             .values()
             .map(|m| {
                 let type_name = m
                     .machine_type
-                    .map_or("", |f| if f == 0 { "small" } else { "large" });
+                    .map_or("", |index| if index == 0 { "small" } else { "large" });
                 let tasks: Vec<(String, u64)> = m
                     .attempts
                     .keys()
@@ -261,7 +261,7 @@
     /// Number of tasks that the active reservations of a job have capacity for.
     pub fn reserved_tasks(&self, job: &str) -> i64 {
         let reservations = self
-            .c
+            .cluster
             .machines
             .values()
             .filter_map(|m| m.active_reservation(self.now));
@@ -277,13 +277,15 @@
         let mut provisioned = BTreeMap::new();
         for round in 0..40 {
             self.now += SECOND / 2;
-            for call in self.c.plan_cloud_calls(self.now) {
+            for call in self.cluster.plan_cloud_calls(self.now) {
                 let body = match &call {
                     CloudCall::Provision {
                         name, offer, count, ..
                     } => {
                         assert!(*count <= 50);
-                        let type_name = self.c.machine_types[offer.machine_type].name.to_string();
+                        let type_name = self.cluster.machine_types[offer.machine_type]
+                            .name
+                            .to_string();
                         *provisioned
                             .entry((type_name, offer.zone.clone()))
                             .or_default() += count;
@@ -294,8 +296,11 @@
                     }
                     _ => json!({"hosts": []}),
                 };
-                self.c
-                    .apply_cloud_answer(call, &Ok(Answer::new(200, body.to_string())), self.now);
+                self.cluster.apply_cloud_answer(
+                    call,
+                    &Ok(Answer::new(200, body.to_string())),
+                    self.now,
+                );
             }
         }
         provisioned
--- a/crates/gannethub-core/tests/simulation/main.rs
+++ b/crates/gannethub-core/tests/simulation/main.rs
@@ -196,7 +196,6 @@
     let mut w = world_with_running_jobs(18);
     let leader = w.leader().expect("a controller leads");
     let near = (leader + 1) % 3;
-    // The workers and one controller cannot reach the leader.
     w.faults
         .partitioned
         .extend([(leader, near), (near, leader)]);
@@ -238,7 +237,6 @@
         w.leader().is_some_and(|l| l != old)
     });
     w.run(10);
-    // Messages held by the network arrive now, long after the takeover.
     w.faults.partitioned.clear();
     w.faults.unreachable_zones.clear();
     w.run_until(120, "all jobs are done", World::all_jobs_ended);
@@ -261,12 +259,10 @@
     }
 }
 
-/// Proves that the checker detects a task that runs twice. The controllers believe in leases of 1 s, far shorter than
-/// those of the workers.
+/// Proves that the checker detects a task that runs twice. The controllers are configured with a lease of 1 s, far
+/// shorter than the workers' lease, so they start tasks elsewhere while the first machine still runs them.
 #[test]
 fn the_checker_detects_a_double_run_with_too_short_leases() {
-    // Controllers that believe in a lease far shorter than the workers' lease start tasks elsewhere while the first
-    // machine still runs them.
     let mut w = World::with_lease(3, 11, 1.0);
     w.run(2);
     w.submit(job(1, 8, json!({"shape": "service"})));
@@ -395,13 +391,11 @@
 }
 
 /// Guards against a gang that waits for ever. All machines that the cloud's capacity allows stand idle in one zone,
-/// and half the gang needs the other zone: if the gang reserved all of them, the cloud would have no capacity left
-/// there.
+/// where the first gang ran, and half of the second gang needs the other zone. If the second gang reserved all idle
+/// machines, none would be returned and the cloud could provision no machine in the other zone.
 #[test]
 fn a_gang_reserves_no_capacity_that_its_zone_rule_forbids() {
     for seed in 17..23 {
-        // The first gang fills one zone with all of the cloud's capacity. A reservation of all these machines for the
-        // second gang would leave no machine to provision in the other zone, for ever.
         let mut w = World::new(3, seed);
         w.run(2);
         w.cloud.capacity = 9;
@@ -491,7 +485,7 @@
         ClusterKind::Plain | ClusterKind::RareWakeUps => {
             World::with_settings(3, seed, WORKER_LEASE as f64 / SECOND as f64, &next_limits)
         }
-        ClusterKind::Shards(blocks) => World::with_shards(3, seed, blocks, &next_limits),
+        ClusterKind::Shards(shards) => World::with_shards(3, seed, shards, &next_limits),
     };
     w.respects_idle_time = matches!(kind, ClusterKind::RareWakeUps);
     w.run(2);
--- a/crates/gannethub-core/tests/simulation/operations.rs
+++ b/crates/gannethub-core/tests/simulation/operations.rs
@@ -22,7 +22,7 @@
     let mut w = World::with_settings(3, 60, 10.0, &slow_state);
     w.run(2);
     (0..150).for_each(|i| w.submit(job(i, 1, json!({"shape": "service"}))));
-    w.run_until(60, "all are accepted", |w| {
+    w.run_until(60, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
     w.extra_queries = 40;
@@ -71,7 +71,7 @@
         w.failures.len(),
         w.workers.keys().cloned().collect::<Vec<_>>(),
     );
-    let old = w.leader().expect("a leader");
+    let old = w.leader().expect("a controller leads");
     w.crash(old, 6 * SECOND);
     w.run(90);
     // Each of the three jobs is tried only a few times: the new leader knows from its predecessor that they are
@@ -97,7 +97,7 @@
         "fewer than five machines were kept"
     );
     // The cause of the failures is fixed: the array's next probe succeeds, and its other tasks start at once.
-    w.jobs.get_mut("j-000002").expect("known").body["jobclass"] = json!("c");
+    w.jobs.get_mut("j-000002").expect("the job exists").body["jobclass"] = json!("c");
     w.run_until(180, "the array is done", |w| {
         w.jobs["j-000002"].done_confirmed_at.is_some()
     });
@@ -108,41 +108,41 @@
 
 #[test]
 fn late_heartbeat_of_a_deleted_machine_is_ignored() {
-    let mut f = LeaderView::new();
-    f.machines("host", 2, "large", "a");
-    f.submit("j-1", spec(Shape::Array, "red", 2, 30.0));
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
-    let mine: Vec<(String, u64)> = f.c.machines["host-0000"]
+    let mut view = LeaderView::new();
+    view.machines("host", 2, "large", "a");
+    view.submit("j-1", spec(Shape::Array, "red", 2, 30.0));
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
+    let mine: Vec<(String, u64)> = view.cluster.machines["host-0000"]
         .attempts
         .keys()
         .map(|id| (id.task.to_string(), id.number))
         .collect();
     // The first machine sends no heartbeat for longer than its lease and is deleted. The second one continues.
     for _ in 0..6 {
-        f.pass(2);
-        f.heartbeat("host-0001", "large", "a", &[]);
+        view.advance(2);
+        view.heartbeat("host-0001", "large", "a", &[]);
     }
-    let calls = f.c.plan_cloud_calls(f.now);
+    let calls = view.cluster.plan_cloud_calls(view.now);
     let delete = calls
         .into_iter()
         .find(|c| matches!(c, CloudCall::Delete { .. }));
-    f.c.apply_cloud_answer(
+    view.cluster.apply_cloud_answer(
         delete.expect("the silent machine is deleted"),
         &Ok(Answer::new(200, "{}")),
-        f.now,
+        view.now,
     );
     // A heartbeat that the deleted machine had sent before was delayed in the network. The machine's former task must
     // not wait for that machine again.
-    f.pass(60);
+    view.advance(60);
     let tasks: Vec<_> = mine.iter().map(|(t, n)| (t.as_str(), *n, false)).collect();
     assert_eq!(
-        f.try_heartbeat("host-0000", "large", "a", &tasks),
+        view.try_heartbeat("host-0000", "large", "a", &tasks),
         HeartbeatOutcome::Stale
     );
-    assert!(!f.c.machines.contains_key("host-0000"));
+    assert!(!view.cluster.machines.contains_key("host-0000"));
     assert!(
-        f.c.jobs["j-1"]
+        view.cluster.jobs["j-1"]
             .tasks
             .live_attempts
             .values()
@@ -152,12 +152,12 @@
 
 #[test]
 fn consolidation_empties_and_returns_a_machine_when_idle() {
-    let mut f = LeaderView::new();
-    let names = f.machines("host", 3, "small", "a");
-    f.submit("j-1", spec(Shape::Array, "red", 3, 3.0));
+    let mut view = LeaderView::new();
+    let names = view.machines("host", 3, "small", "a");
+    view.submit("j-1", spec(Shape::Array, "red", 3, 3.0));
     let long = spec(Shape::Array, "red", 3, 1.0);
     let save = 3 * SECOND;
-    f.submit(
+    view.submit(
         "j-2",
         JobSpec {
             run_time_estimate: 400 * SECOND,
@@ -166,11 +166,11 @@
             ..long
         },
     );
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
     // The tasks of j-1 end, and each machine is left with one long task.
     for name in &names {
-        let attempts = f.c.machines[name.as_str()].attempts.keys();
+        let attempts = view.cluster.machines[name.as_str()].attempts.keys();
         let tasks: Vec<_> = attempts
             .map(|id| (id.task.to_string(), id.number))
             .collect();
@@ -180,53 +180,58 @@
             .iter()
             .map(|(t, n)| (t.as_str(), *n, ended(t)))
             .collect();
-        f.heartbeat(name, "small", "a", &tasks);
-        f.heartbeat(name, "small", "a", &tasks[1..]);
+        view.heartbeat(name, "small", "a", &tasks);
+        view.heartbeat(name, "small", "a", &tasks[1..]);
     }
-    let wait = |f: &mut LeaderView| {
+    let wait = |view: &mut LeaderView| {
         for _ in 0..40 {
-            f.pass(1);
-            f.run_all();
+            view.advance(1);
+            view.run_all();
         }
-        f.c.plan_cloud_calls(f.now);
-        f.c.machines
+        view.cluster.plan_cloud_calls(view.now);
+        view.cluster
+            .machines
             .values()
             .filter(|m| m.lifecycle.draining)
             .map(|m| m.id.to_string())
             .collect::<Vec<_>>()
     };
-    f.submit("j-3", spec(Shape::Array, "red", 1, 30.0));
+    view.submit("j-3", spec(Shape::Array, "red", 1, 30.0));
     assert!(
-        wait(&mut f).is_empty(),
+        wait(&mut view).is_empty(),
         "no consolidation while a task waits for capacity"
     );
-    f.c.apply_job_end("j-3", u64::MAX, None);
-    let leaving = wait(&mut f);
+    view.cluster.apply_job_end("j-3", u64::MAX, None);
+    let leaving = wait(&mut view);
     assert_eq!(
         leaving.len(),
         1,
         "only a part of the machines is drained at a time"
     );
-    let m = &f.c.machines[leaving[0].as_str()];
+    let m = &view.cluster.machines[leaving[0].as_str()];
     assert!(
         m.attempts
             .values()
             .all(|a| a.stop_grace.is_some_and(|grace| grace > save))
     );
-    assert!(!m.is_schedulable(f.now, SECOND));
+    assert!(!m.is_schedulable(view.now, SECOND));
     // After the task has saved a checkpoint, the machine is deleted and the task continues on another machine.
-    f.heartbeat(&leaving[0], "small", "a", &[]);
-    f.c.run_scheduling_pass(f.now);
-    f.c.plan_cloud_calls(f.now);
-    assert!(f.c.machines[leaving[0].as_str()].lifecycle.deleting);
+    view.heartbeat(&leaving[0], "small", "a", &[]);
+    view.cluster.run_scheduling_pass(view.now);
+    view.cluster.plan_cloud_calls(view.now);
     assert!(
-        f.c.jobs["j-2"]
+        view.cluster.machines[leaving[0].as_str()]
+            .lifecycle
+            .deleting
+    );
+    assert!(
+        view.cluster.jobs["j-2"]
             .tasks
             .live_attempts
             .values()
             .all(|live| *live.machine != *leaving[0])
     );
-    assert_eq!(f.c.jobs["j-2"].tasks.live_attempts.len(), 3);
+    assert_eq!(view.cluster.jobs["j-2"].tasks.live_attempts.len(), 3);
 }
 
 #[test]
@@ -235,19 +240,19 @@
     w.run(2);
     w.submit(job(1, 30, json!({"shape": "service"})));
     w.run_until(30, "the replicas run", |w| w.starts >= 30);
-    let old = w.leader().expect("a leader");
+    let old = w.leader().expect("a controller leads");
     w.crash(old, 20 * SECOND);
     let dead = w.workers.values_mut().next().expect("a machine");
     dead.dead = true;
     dead.tasks.clear();
-    w.run_until(8, "another leads", |w| w.leader().is_some_and(|l| l != old));
+    w.run_until(8, "a new leader", |w| w.leader().is_some_and(|l| l != old));
     let settled = |w: &World| {
         let leader = w.leader().and_then(|l| w.nodes[l].controller.as_ref());
         leader
             .and_then(|c| c.cluster())
             .is_some_and(|c| c.takeover.is_settled)
     };
-    w.run_until(6, "every machine is accounted for", settled);
+    w.run_until(6, "the takeover is settled", settled);
     w.finish();
 }
 
@@ -257,7 +262,7 @@
     w.run(2);
     w.submit(job(1, 30, json!({"shape": "service"})));
     w.run_until(30, "the replicas run", |w| w.starts >= 30);
-    let old = w.leader().expect("a leader");
+    let old = w.leader().expect("a controller leads");
     w.crash(old, 20 * SECOND);
     let hung = w.now + 9 * SECOND;
     let zone = w.workers.values().next().expect("a machine").zone.clone();
@@ -284,26 +289,30 @@
         save_time: 3 * SECOND,
         ..spec(Shape::Array, team, 80, 1.0)
     };
-    let stopped = |f: &LeaderView| {
-        let all = f.c.machines.values().flat_map(|m| m.attempts.values());
+    let stopped = |view: &LeaderView| {
+        let all = view
+            .cluster
+            .machines
+            .values()
+            .flat_map(|m| m.attempts.values());
         all.filter(|a| a.stop_grace.is_some()).count()
     };
     for (team, expected) in [("guest", 20), ("blue", 0)] {
-        let mut f = LeaderView::new();
-        f.machines("host", 20, "small", "a");
-        f.submit("j-1", checkpointing(team));
-        f.c.run_scheduling_pass(f.now);
-        f.run_all();
-        f.pass(2);
-        f.run_all();
+        let mut view = LeaderView::new();
+        view.machines("host", 20, "small", "a");
+        view.submit("j-1", checkpointing(team));
+        view.cluster.run_scheduling_pass(view.now);
+        view.run_all();
+        view.advance(2);
+        view.run_all();
         // Twenty tasks are within the guarantee of their team, the other hundred are not.
-        f.submit("j-2", spec(Shape::Array, "red", 20, 1.0));
-        f.submit("j-3", spec(Shape::Array, "red", 100, 1.0));
+        view.submit("j-2", spec(Shape::Array, "red", 20, 1.0));
+        view.submit("j-3", spec(Shape::Array, "red", 100, 1.0));
         for _ in 0..3 {
-            f.c.run_scheduling_pass(f.now);
-            f.pass(1);
+            view.cluster.run_scheduling_pass(view.now);
+            view.advance(1);
         }
-        assert_eq!(stopped(&f), expected, "preempted tasks of team {team}");
+        assert_eq!(stopped(&view), expected, "preempted tasks of team {team}");
     }
 }
 
@@ -312,7 +321,7 @@
     let mut w = World::new(3, 65);
     w.run(2);
     (0..60).for_each(|i| w.submit(job(i, 1, json!({"shape": "service"}))));
-    w.run_until(60, "all are accepted", |w| {
+    w.run_until(60, "all jobs are accepted", |w| {
         w.jobs.values().all(|j| j.accepted.is_some())
     });
     w.run(20);
@@ -366,7 +375,7 @@
     (w.cloud.never_boot_probability, w.cloud.boot) = (0.0, (1, 2));
     let starts_before = w.starts;
     w.submit(job(2, 8, json!({})));
-    w.run_until(12, "all run", |w| w.starts >= starts_before + 8);
+    w.run_until(12, "all tasks run", |w| w.starts >= starts_before + 8);
     w.run_until(60, "the second is done", World::all_jobs_ended);
     w.finish();
 }
--- a/crates/gannethub-core/tests/simulation/pipelines.rs
+++ b/crates/gannethub-core/tests/simulation/pipelines.rs
@@ -35,7 +35,8 @@
         .is_some()
 }
 
-/// Submits a diamond of four jobs: jobs 2 and 3, a gang, wait for job 1, and job 4, of another team, waits for both.
+/// Submits a diamond of four jobs: job 2 and job 3 (a gang, which names job 1 twice) wait for job 1, and job 4 (of
+/// another team) waits for both.
 fn submit_diamond(w: &mut World) {
     submit_accepted(w, job(1, 4, json!({})));
     submit_accepted(w, job_after(2, 5, &[1]));
@@ -259,50 +260,52 @@
 /// a waiting job. Provisioning starts when the release is about one boot time (30 s) away.
 #[test]
 fn machines_are_provisioned_shortly_before_a_release() {
-    let mut f = LeaderView::new();
-    f.machines("up", 1, "small", "a");
+    let mut view = LeaderView::new();
+    view.machines("up", 1, "small", "a");
     let long = JobSpec {
         run_time_estimate: 60 * SECOND,
         ..spec(Shape::Array, "blue", 1, 4.0)
     };
-    f.submit("j-1", long);
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
+    view.submit("j-1", long);
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
     let waiting_record = WaitingRecord::new(
         spec(Shape::Array, "blue", 6, 4.0),
         0,
         false,
         &["j-1".into()],
     );
-    f.version += 1;
-    f.c.apply_waiting_job("j-2", waiting_record, f.version);
-    let provision_requests = |f: &mut LeaderView| {
-        let calls = f.c.plan_cloud_calls(f.now);
+    view.version += 1;
+    view.cluster
+        .apply_waiting_job("j-2", waiting_record, view.version);
+    let provision_requests = |view: &mut LeaderView| {
+        let calls = view.cluster.plan_cloud_calls(view.now);
         calls
             .iter()
             .filter(|c| matches!(c, CloudCall::Provision { .. }))
             .count()
     };
-    f.pass(1);
-    f.run_all();
+    view.advance(1);
+    view.run_all();
     assert_eq!(
-        provision_requests(&mut f),
+        provision_requests(&mut view),
         0,
         "the release is further away than the boot time"
     );
     for _ in 0..7 {
-        f.pass(5);
-        f.run_all();
+        view.advance(5);
+        view.run_all();
     }
-    assert!(provision_requests(&mut f) > 0);
-    f.c.run_scheduling_pass(f.now);
+    assert!(provision_requests(&mut view) > 0);
+    view.cluster.run_scheduling_pass(view.now);
     assert!(
-        f.c.machines
+        view.cluster
+            .machines
             .values()
-            .all(|m| m.active_reservation(f.now).is_none())
+            .all(|m| m.active_reservation(view.now).is_none())
     );
     assert!(
-        f.c.passes.placement_order.is_empty(),
+        view.cluster.passes.placement_order.is_empty(),
         "the waiting job is not in the queue"
     );
 }
@@ -311,29 +314,34 @@
 /// for the stage, which takes on the high priority of its downstream job, and not go to other small tasks.
 #[test]
 fn small_tasks_do_not_starve_a_stage_of_a_pipeline() {
-    let mut f = LeaderView::new();
-    f.machines("up", 1, "small", "a");
-    f.submit("j-1", spec(Shape::Array, "blue", 30, 1.0));
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
-    f.submit("j-2", spec(Shape::Array, "blue", 1, 2.0));
+    let mut view = LeaderView::new();
+    view.machines("up", 1, "small", "a");
+    view.submit("j-1", spec(Shape::Array, "blue", 30, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
+    view.submit("j-2", spec(Shape::Array, "blue", 1, 2.0));
     let last = JobSpec {
         priority: Priority::High,
         deadline: Some(60 * SECOND),
         ..spec(Shape::Array, "blue", 1, 1.0)
     };
-    f.version += 1;
-    let waiting_record = WaitingRecord::new(last, WALL + f.now, false, &["j-2".into()]);
-    f.c.apply_waiting_job("j-3", waiting_record, f.version);
-    f.pass(1);
-    f.c.run_scheduling_pass(f.now);
+    view.version += 1;
+    let waiting_record = WaitingRecord::new(last, WALL + view.now, false, &["j-2".into()]);
+    view.cluster
+        .apply_waiting_job("j-3", waiting_record, view.version);
+    view.advance(1);
+    view.cluster.run_scheduling_pass(view.now);
     assert_eq!(
-        f.c.jobs["j-2"].effective_priority(),
+        view.cluster.jobs["j-2"].effective_priority(),
         Priority::High,
         "the job takes on the priority of its downstream job"
     );
     // One small task ends, then another: the CPU that the first task frees is held for the stage.
-    let running: Vec<_> = f.c.machines["up-0000"].attempts.keys().cloned().collect();
+    let running: Vec<_> = view.cluster.machines["up-0000"]
+        .attempts
+        .keys()
+        .cloned()
+        .collect();
     for ended in 1..=2 {
         let tasks: Vec<(String, u64, bool)> = running
             .iter()
@@ -341,16 +349,16 @@
             .map(|(i, id)| (id.task.to_string(), id.number, i < ended))
             .collect();
         let tasks: Vec<_> = tasks.iter().map(|(t, a, d)| (t.as_str(), *a, *d)).collect();
-        f.pass(1);
-        f.heartbeat("up-0000", "small", "a", &tasks);
-        f.c.run_scheduling_pass(f.now);
+        view.advance(1);
+        view.heartbeat("up-0000", "small", "a", &tasks);
+        view.cluster.run_scheduling_pass(view.now);
         assert_eq!(
-            f.c.jobs["j-1"].tasks.live_attempts.len(),
+            view.cluster.jobs["j-1"].tasks.live_attempts.len(),
             4 - ended,
             "no other task has started"
         );
         assert_eq!(
-            f.c.jobs["j-2"].tasks.live_attempts.len(),
+            view.cluster.jobs["j-2"].tasks.live_attempts.len(),
             usize::from(ended == 2)
         );
     }
--- a/crates/gannethub-core/tests/simulation/scheduling_cost.rs
+++ b/crates/gannethub-core/tests/simulation/scheduling_cost.rs
@@ -16,42 +16,42 @@
         ("red", cpus * 0.4, cpus * 4.0),
         ("blue", cpus * 0.1, cpus * 4.0),
     ];
-    let mut f = LeaderView::with(&teams, Some(20.0));
-    let names = f.machines("host", n / 2, "small", "a");
-    f.machines("more", n / 2, "small", "b");
-    f.machines("big", n / 20, "large", "a");
-    f.machines("huge", n / 20, "large", "b");
-    f.submit(
+    let mut view = LeaderView::with(&teams, Some(20.0));
+    let names = view.machines("host", n / 2, "small", "a");
+    view.machines("more", n / 2, "small", "b");
+    view.machines("big", n / 20, "large", "a");
+    view.machines("huge", n / 20, "large", "b");
+    view.submit(
         "j-1",
         JobSpec {
             checkpoint_interval: SECOND,
             ..spec(Shape::Array, "blue", 7 * n as u32, 1.0)
         },
     );
-    f.c.run_scheduling_pass(f.now);
-    f.run_all();
-    f.pass(1);
+    view.cluster.run_scheduling_pass(view.now);
+    view.run_all();
+    view.advance(1);
     for i in 0..n / 10 {
         let cpus = 0.6 + (i % 9) as f64 * 0.1;
-        f.submit(
+        view.submit(
             &format!("j-{}", 2 * i + 2),
             spec(Shape::Array, "red", 40, cpus),
         );
         let team = if i % 2 == 0 { "red" } else { "blue" };
-        f.submit(
+        view.submit(
             &format!("j-{}", 2 * i + 3),
             spec(Shape::Gang, team, 1 + (i % 3) as u32, 30.0),
         );
     }
-    assert_eq!(f.c.index_inconsistencies(), Vec::<String>::new());
-    (f, names)
+    assert_eq!(view.cluster.index_inconsistencies(), Vec::<String>::new());
+    (view, names)
 }
 
 /// Number of scheduling steps that `work` takes.
-fn count_steps(f: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
-    let before = f.c.passes.steps.get();
-    work(f);
-    (f.c.passes.steps.get() - before) as f64
+fn count_steps(view: &mut LeaderView, work: impl FnOnce(&mut LeaderView)) -> f64 {
+    let before = view.cluster.passes.steps.get();
+    work(view);
+    (view.cluster.passes.steps.get() - before) as f64
 }
 
 /// Guards against scheduling cost that outgrows the cluster: with three times the machines and jobs, passes, plans
@@ -61,16 +61,16 @@
     // Costs in this order: the first pass, which preempts tasks; a pass in which nothing can be done; a provisioning
     // plan; heartbeats that free capacity.
     let costs = |n: usize| {
-        let (mut f, names) = full_cluster(n);
-        let first = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
-        f.pass(1);
-        let idle = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
-        let plan = count_steps(&mut f, |f| drop(f.c.compute_machine_demand(f.now)));
-        f.write();
+        let (mut view, names) = full_cluster(n);
+        let first = count_steps(&mut view, |view| view.cluster.run_scheduling_pass(view.now));
+        view.advance(1);
+        let idle = count_steps(&mut view, |view| view.cluster.run_scheduling_pass(view.now));
+        let plan = count_steps(&mut view, |v| drop(v.cluster.compute_machine_demand(v.now)));
+        view.write();
         let mut starts = 0;
-        let reports = count_steps(&mut f, |f| {
+        let reports = count_steps(&mut view, |view| {
             for name in names.iter().take(n / 20) {
-                let on_it: Vec<(String, u64)> = f.c.machines[name.as_str()]
+                let on_it: Vec<(String, u64)> = view.cluster.machines[name.as_str()]
                     .attempts
                     .keys()
                     .map(|id| (id.task.to_string(), id.number))
@@ -79,7 +79,7 @@
                     .iter()
                     .enumerate()
                     .map(|(i, (t, a))| (t.as_str(), *a, i < 2));
-                let orders = f.heartbeat(name, "small", "a", &done.collect::<Vec<_>>());
+                let orders = view.heartbeat(name, "small", "a", &done.collect::<Vec<_>>());
                 starts += orders
                     .iter()
                     .filter(|o| matches!(o, Order::Start { .. }))
@@ -111,11 +111,17 @@
 fn an_empty_cluster_is_not_scanned_for_every_job() {
     let cost = |n: usize| {
         let cpus = n as f64 * 4.0;
-        let mut f = LeaderView::with(&[("red", cpus, cpus)], Some(20.0));
-        f.machines("host", n, "small", "a");
-        (0..n / 20).for_each(|i| f.submit(&format!("j-{i}"), spec(Shape::Array, "red", 40, 1.0)));
-        let steps = count_steps(&mut f, |f| f.c.run_scheduling_pass(f.now));
-        let placed: usize = f.c.machines.values().map(|m| m.attempts.len()).sum();
+        let mut view = LeaderView::with(&[("red", cpus, cpus)], Some(20.0));
+        view.machines("host", n, "small", "a");
+        (0..n / 20)
+            .for_each(|i| view.submit(&format!("j-{i}"), spec(Shape::Array, "red", 40, 1.0)));
+        let steps = count_steps(&mut view, |view| view.cluster.run_scheduling_pass(view.now));
+        let placed: usize = view
+            .cluster
+            .machines
+            .values()
+            .map(|m| m.attempts.len())
+            .sum();
         assert_eq!(placed, n / 20 * 40, "every task finds capacity");
         steps
     };
@@ -130,24 +136,24 @@
 /// their next heartbeat.
 #[test]
 fn a_silent_machine_gets_no_tasks_until_its_next_heartbeat() {
-    let mut f = LeaderView::new();
-    f.machines("quiet", 3, "small", "a");
-    f.machines("up", 1, "small", "b");
-    f.pass(4);
-    f.heartbeat("up-0000", "small", "b", &[]);
-    f.pass(1);
-    f.submit("j-1", spec(Shape::Array, "red", 12, 1.0));
-    f.c.run_scheduling_pass(f.now);
-    let on = |f: &LeaderView, name: &str| f.c.machines[name].attempts.len();
-    assert_eq!([on(&f, "up-0000"), on(&f, "quiet-0000")], [4, 0]);
-    f.heartbeat("quiet-0001", "small", "a", &[]);
-    f.c.run_scheduling_pass(f.now);
+    let mut view = LeaderView::new();
+    view.machines("quiet", 3, "small", "a");
+    view.machines("up", 1, "small", "b");
+    view.advance(4);
+    view.heartbeat("up-0000", "small", "b", &[]);
+    view.advance(1);
+    view.submit("j-1", spec(Shape::Array, "red", 12, 1.0));
+    view.cluster.run_scheduling_pass(view.now);
+    let on = |view: &LeaderView, name: &str| view.cluster.machines[name].attempts.len();
+    assert_eq!([on(&view, "up-0000"), on(&view, "quiet-0000")], [4, 0]);
+    view.heartbeat("quiet-0001", "small", "a", &[]);
+    view.cluster.run_scheduling_pass(view.now);
     assert_eq!(
-        [on(&f, "quiet-0001"), on(&f, "quiet-0000")],
+        [on(&view, "quiet-0001"), on(&view, "quiet-0000")],
         [4, 0],
         "a machine gets tasks again after a heartbeat"
     );
-    assert_eq!(f.c.index_inconsistencies(), Vec::<String>::new());
+    assert_eq!(view.cluster.index_inconsistencies(), Vec::<String>::new());
 }
 
 proptest! {
@@ -160,24 +166,24 @@
         jobs in proptest::collection::vec((0..3usize, 1..60u32, 1..40u32, 0..3u8), 1..40),
         cut in 0..40usize,
     ) {
-        let submit = |f: &mut LeaderView, from: usize, to: usize| {
+        let submit = |view: &mut LeaderView, from: usize, to: usize| {
             for (i, (team, tasks, cpus, priority)) in jobs.iter().enumerate().take(to).skip(from) {
                 let team = ["red", "blue", "guest"][*team];
                 let priority = [Priority::Low, Priority::Normal, Priority::High][*priority as usize];
                 let job = spec(Shape::Array, team, *tasks, f64::from(*cpus) / 10.0);
-                f.submit(&format!("j-{i:03}"), JobSpec { priority, ..job });
+                view.submit(&format!("j-{i:03}"), JobSpec { priority, ..job });
             }
         };
-        let order = |f: &LeaderView| f.c.queue.jobs().map(|(id, w)| (id.clone(), w)).collect::<Vec<_>>();
+        let order = |view: &LeaderView| view.cluster.queue.jobs().map(|(id, w)| (id.clone(), w)).collect::<Vec<_>>();
         let cut = cut.min(jobs.len());
         let mut incremental = LeaderView::new();
         submit(&mut incremental, 0, cut);
-        incremental.c.update_queue_order(incremental.now);
+        incremental.cluster.update_queue_order(incremental.now);
         submit(&mut incremental, cut, jobs.len());
-        incremental.c.update_queue_order(incremental.now);
+        incremental.cluster.update_queue_order(incremental.now);
         let mut recomputed = LeaderView::new();
         submit(&mut recomputed, 0, jobs.len());
-        recomputed.c.update_queue_order(recomputed.now);
+        recomputed.cluster.update_queue_order(recomputed.now);
         prop_assert_eq!(order(&incremental), order(&recomputed));
     }
 }
--- a/crates/gannethub-core/tests/simulation/sharding.rs
+++ b/crates/gannethub-core/tests/simulation/sharding.rs
@@ -19,8 +19,7 @@
     (0..3).filter_map(|b| w.shard_owner(b)).collect()
 }
 
-/// Returns a world with three shards, each with an owner of its own, and six services that run in more than one
-/// shard.
+/// Returns a world with three shards, each with an owner of its own, and six services (jobs 1 to 6) that run.
 fn world_with_services(seed: u64, replicas: u32) -> World {
     let mut w = world_with_three_shards(seed);
     w.cloud.capacity = 30;
--- a/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
+++ b/crates/gannethub-core/tests/simulation/unseen_cancellation.rs
@@ -28,7 +28,7 @@
 
 /// Returns the leader and the other nodes, in an order that depends on the seed.
 pub fn leader_and_others(w: &World, seed: u64) -> (usize, Vec<usize>) {
-    let old = w.leader().expect("a leader");
+    let old = w.leader().expect("a controller leads");
     let mut others: Vec<usize> = (0..w.nodes.len()).filter(|i| *i != old).collect();
     let first = seed as usize % others.len();
     others.rotate_left(first);
@@ -49,7 +49,7 @@
 fn cancel_while_leader_is_refused(w: &mut World, old: usize, near: usize, jobs: &[u32]) {
     w.faults.store_refuses.insert(old);
     jobs.iter().for_each(|i| w.cancel_at(*i, near));
-    w.run_until(1, "the users are told", |w| {
+    w.run_until(1, "the users are told of the cancellations", |w| {
         cancellations_confirmed(w, jobs)
     });
 }
@@ -70,7 +70,7 @@
     w.run_time_range = (2 * SECOND, 8 * SECOND);
     open.iter()
         .for_each(|i| w.cancel(i[2..].parse().expect("a number")));
-    w.run_until(240, "all are over", World::all_jobs_ended);
+    w.run_until(240, "all jobs have ended", World::all_jobs_ended);
     w.run_until(60, "no live job is left", |w| {
         w.state.keys("gh/live/").is_empty()
     });
@@ -165,7 +165,7 @@
         w.run_until(1, "the cancellations are stored", stored);
         assert!(!cancellations_confirmed(&w, &[1]), "no user is told yet");
         w.state.down = true;
-        w.run_until(3, "the users are told", |w| {
+        w.run_until(3, "the users are told of the cancellations", |w| {
             cancellations_confirmed(w, &[1, 2, 3, 4])
         });
         outlast_cancel_deadline(w, seed);
@@ -186,8 +186,8 @@
     }
 }
 
-/// Another controller confirms the cancellations and the rest vote. One of these is also refused by the state service,
-/// frozen, or partitioned from the leader.
+/// Another controller confirms the cancellations, and the other peers vote. One of the voting peers is also refused by
+/// the state service, frozen, or partitioned from the leader.
 #[test]
 fn cancellation_meets_its_deadline_despite_a_third_failing_node() {
     for seed in 1..=9 {
@@ -212,7 +212,7 @@
     }
 }
 
-/// Cancels a gang, a job with a downstream job, tasks that were told to save a checkpoint, and a job whose launches may
+/// Cancels a gang that has a downstream job, tasks that were told to save a checkpoint, and a job whose launches may
 /// still be in transit.
 #[test]
 fn cancelled_jobs_end_whatever_state_their_tasks_are_in() {
@@ -228,7 +228,8 @@
         w.submit(job(12, 4, save));
         w.run_until(60, "all 23 tasks run", |w| w.starts >= 23);
         w.submit(job(13, 2, json!({"waits_on": ["j-000011"]})));
-        // A preemption notice for the machines shortly before makes the leader tell these tasks to save.
+        // A preemption notice for the machines, shortly before the cancellation, makes the leader tell these tasks to
+        // save a checkpoint.
         let on = |x: &harness::Worker| x.tasks.keys().any(|t| t.starts_with("j-000012"));
         w.workers
             .values_mut()
@@ -270,7 +271,7 @@
                 let until = w.now + WORKER_LEASE - SECOND;
                 names
                     .iter()
-                    .for_each(|n| w.workers.get_mut(n).expect("there").hung_until = until);
+                    .for_each(|n| w.workers.get_mut(n).expect("a worker").hung_until = until);
             }
             // The leader gets its workers' heartbeats only through its peers.
             2 => w
@@ -331,8 +332,8 @@
     }
 }
 
-/// The cancellations are confirmed while no controller leads. A peer takes over, and the outage begins before it has
-/// read anything. The new leader must not keep tasks running that it does not know to be still wanted.
+/// The cancellations are confirmed while no controller leads. A peer takes over, and the outage begins before the peer
+/// has read anything. The new leader must not keep tasks running unless it knows that their jobs are not cancelled.
 #[test]
 fn outage_during_takeover_does_not_revive_cancelled_jobs() {
     for seed in 1..=8 {
@@ -341,7 +342,7 @@
         w.crash(old, 5 * SECOND);
         w.run(1);
         (1..=4).for_each(|i| w.cancel_at(i, others[0]));
-        w.run_until(1, "the users are told", |w| {
+        w.run_until(1, "the users are told of the cancellations", |w| {
             cancellations_confirmed(w, &[1, 2, 3, 4])
         });
         if seed > 4 {
@@ -369,7 +370,7 @@
             .store_refuses
             .extend(&refused[..1 + seed as usize % 2]);
         (1..=4).for_each(|i| w.cancel_at(i, near));
-        w.run_until(1, "the users are told", |w| {
+        w.run_until(1, "the users are told of the cancellations", |w| {
             cancellations_confirmed(w, &[1, 2, 3, 4])
         });
         outlast_cancel_deadline(w, seed);
@@ -400,7 +401,8 @@
     }
 }
 
-/// During an ordinary outage of any length, with no unknown cancellation, all tasks keep running.
+/// Tasks keep running in an outage without any cancellation, here for 120 s: votes extend the leadership however long
+/// the outage lasts.
 #[test]
 fn long_outage_without_cancellations_loses_no_task() {
     for (nodes, seed) in [(3, 1), (3, 2), (5, 3)] {
--- a/crates/gannethub-core/tests/simulation/upgrade.rs
+++ b/crates/gannethub-core/tests/simulation/upgrade.rs
@@ -1,6 +1,6 @@
-//! Compatibility of stored records and peer frames with the previous version, in both directions. The previous version
-//! is the last one without pipelines. The fixtures were printed by its own record types and frames, in a test that was
-//! added to its commit. Its deserialization is reproduced here by small types with the same fields.
+//! Compatibility of stored records and peer frames with the previous release, in both directions. The previous release
+//! is here the last one without pipelines. The fixtures were printed by the record types and frames of that release, in
+//! a test that was added to its commit. Its deserialization is reproduced here by small types with the same fields.
 
 use bytes::BytesMut;
 use gannethub_core::model::{JobId, JobSpec};
@@ -30,7 +30,7 @@
     format!("{{\"spec\":{SPEC}{tail}")
 }
 
-/// Fields of a live job's record that a leader of the previous version reads. Every field without a default is
+/// Fields of a live job's record that a leader of the previous release reads. Every field without a default is
 /// required.
 #[derive(Deserialize)]
 struct PreviousJobRecord {
@@ -44,7 +44,7 @@
     failing: bool,
 }
 
-/// Fields of a live job's record that the job replica of the previous version reads to answer queries.
+/// Fields of a live job's record that the job replica of the previous release reads to answer queries.
 #[derive(Deserialize)]
 struct PreviousJobSummary {
     spec: PreviousSpecSummary,
@@ -97,7 +97,7 @@
             Body::VoteRequest(p) => (p.term, p.duration as usize),
             Body::Vote(p) => (p.term, p.round as usize),
             Body::JobChanged(c) => (c.version, c.job.len()),
-            other => panic!("the previous version had no message {other:?}"),
+            other => panic!("the previous release had no message {other:?}"),
         });
     }
     assert_eq!(
@@ -118,23 +118,23 @@
         let text = store::to_raw_value(&waiting).get().to_string();
         assert!(
             serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
-            "a leader of the previous version cannot parse the record"
+            "a leader of the previous release cannot parse the record"
         );
         let summary: PreviousJobSummary =
-            serde_json::from_str(&text).expect("the replica of the previous version reads it");
+            serde_json::from_str(&text).expect("the replica of the previous release reads it");
         assert_eq!((summary.spec.tasks, summary.cancelled), (70, cancelled));
         assert_eq!(
             LiveRecord::parse(&text).expect("a readable record"),
             LiveRecord::Waiting(waiting)
         );
     }
-    // A released job has an ordinary record. If the previous version drops the field `ready`, the job only loses its
+    // A released job has an ordinary record. If the previous release drops the field `ready`, the job only loses its
     // place in the queue.
     let mut released = JobRecord::new(r.spec.clone(), r.accepted_at);
     released.ready_at = Some(r.accepted_at + 5);
     released.done = "0-2,9".into();
     let old: PreviousJobRecord = serde_json::from_str(store::to_raw_value(&released).get())
-        .expect("the previous version reads it");
+        .expect("the previous release reads it");
     assert_eq!(
         (old.spec, old.at, &*old.done),
         (r.spec, r.accepted_at, "0-2,9")
@@ -148,10 +148,10 @@
         panic!()
     };
     r.watermark = Some(40);
-    // A leader of the previous version runs jobs of shard 0 and ignores the launch watermark. The records that it
-    // writes lack the watermark, so the current version treats all tasks as launched.
+    // A leader of the previous release runs jobs of shard 0 and ignores the launch watermark. The records that it
+    // writes lack the watermark, so the current release treats all tasks as launched.
     let old: PreviousJobRecord =
-        serde_json::from_str(r.to_value().get()).expect("the previous version reads it");
+        serde_json::from_str(r.to_value().get()).expect("the previous release reads it");
     assert_eq!(old.done, r.done);
     let LiveRecord::Job(without_watermark) =
         LiveRecord::parse(&record(RECORD_TAIL)).expect("a job")
@@ -172,10 +172,10 @@
         let text = r.to_value().get().to_string();
         assert!(
             serde_json::from_str::<PreviousJobRecord>(&text).is_err(),
-            "a leader of the previous version cannot parse the record"
+            "a leader of the previous release cannot parse the record"
         );
         let summary: PreviousJobSummary =
-            serde_json::from_str(&text).expect("the replica of the previous version reads it");
+            serde_json::from_str(&text).expect("the replica of the previous release reads it");
         assert_eq!((summary.spec.tasks, summary.cancelled), (70, cancelled));
         assert_eq!(
             LiveRecord::parse(&text).expect("a readable record"),
@@ -193,7 +193,7 @@
     );
 }
 
-/// Returns a job record in the previous version's format, with `tasks` tasks of which those in `done` are done.
+/// Returns a job record in the previous release's format, with `tasks` tasks of which those in `done` are done.
 fn previous_record(tasks: u32, done: &str) -> String {
     let mut record: Value = serde_json::from_str(&record(RECORD_TAIL)).expect("JSON");
     record["spec"]["tasks"] = json!(tasks);
@@ -243,7 +243,7 @@
 
 #[test]
 fn finished_tasks_beyond_the_value_limit_go_to_a_readable_part() {
-    // The record has as many ranges of finished tasks as the previous version could store under its larger limit, and
+    // The record has as many ranges of finished tasks as the previous release could store under its larger limit, and
     // an image name of the maximum length (128 bytes).
     let limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[cluster.cloud]";
     let mut w = World::with_settings(1, 81, 10.0, &|t| t.replace("[cluster.cloud]", limits));
@@ -269,7 +269,7 @@
     let live = w.state.value("gh/live/j-000077").expect("the job is live");
     let part = w.state.value("gh/part/j-000077/0").expect("the job's part");
     let old: PreviousJobRecord =
-        serde_json::from_value(live.clone()).expect("the previous version reads it");
+        serde_json::from_value(live.clone()).expect("the previous release reads it");
     assert_eq!(old.done, "");
     let mut stored_done = gannethub_core::model::TaskSet::default();
     store::decode_done_part(part["done"].as_str().expect("text"), 0, &mut stored_done);
--- a/crates/gannethub-core/tests/simulation/usage_ledger.rs
+++ b/crates/gannethub-core/tests/simulation/usage_ledger.rs
@@ -192,7 +192,7 @@
 }
 
 /// Guards against attempts that are charged twice, never or to another team, under random faults. The ledger must
-/// declare every attempt that it lacks, and that may be less than one attempt in eight.
+/// declare every attempt that it lacks, and these must be fewer than one for every eight that it charges.
 #[test]
 fn random_faults_charge_every_attempt_exactly_once() {
     let (mut all, mut declared_missing, mut leaders) = (0, 0, 0);
