--- a/crates/gannethub-emulators/src/record.rs
+++ b/crates/gannethub-emulators/src/record.rs
@@ -9,7 +9,7 @@
 pub struct Span {
     /// Beginning of the last run.
     pub began_at: u64,
-    /// End of the last run; `None` while the attempt is at its worker.
+    /// End of the last run; `None` until then.
     pub ended: Option<u64>,
     /// Whether the attempt was lost with its machine or its worker's lease.
     pub lost: bool,
--- a/crates/gannethub-emulators/src/state.rs
+++ b/crates/gannethub-emulators/src/state.rs
@@ -25,7 +25,8 @@
     last_lease_id: u64,
     /// Whether the service is in an outage: all requests fail, and no lease expires.
     pub down: bool,
-    /// Maximum number of items in a page of a listing. The default is small, so that clients always have to page.
+    /// Maximum number of items in a page of a listing. [`State::new`] sets a small number, so that clients have to page
+    /// through short listings too.
     pub page: usize,
     /// Number of requests so far.
     pub requests: usize,
@@ -48,11 +49,11 @@
     pub unordered: bool,
     /// Number of most recent changes that watches can ask for; `None` for all changes.
     pub kept_changes: Option<usize>,
-    /// Number of watches refused because they asked for older changes.
+    /// Number of watches refused because they asked for changes older than those that `kept_changes` keeps.
     pub refused_old_watches: usize,
 }
 
-/// Takes `amount` out of a token bucket that refills at `change_rate` per second and holds at most one second's worth.
+/// Takes `amount` out of a token bucket that refills at `rate` per second and holds at most one second's worth.
 /// Returns false, and takes nothing, if the bucket holds less than `amount`.
 fn take_tokens(bucket: &mut (f64, u64), rate: f64, amount: f64, now: u64) -> bool {
     let refill = now.saturating_sub(bucket.1) as f64 / 1e6 * rate;
@@ -341,8 +342,8 @@
         (200, json!({"ledger_no": self.version}))
     }
 
-    /// Writes a key without guards and without a lease, in place of a record that an earlier software version has left
-    /// behind.
+    /// Writes a key without guards and without a lease. Tests plant records with it that an earlier software version
+    /// would have left behind.
     pub fn put(&mut self, key: &str, value: &str) {
         self.version += 1;
         let value = serde_json::from_str(value).unwrap_or(Value::Null);
--- a/crates/gannethub-emulators/src/worker.rs
+++ b/crates/gannethub-emulators/src/worker.rs
@@ -98,12 +98,13 @@
     pub name: String,
     pub attempt: u64,
     pub phase: Phase,
-    /// Time at which the phase ends, unless an order or the task's gang ends the phase earlier.
+    /// Time at which the phase ends, unless an order or the task's gang ends the phase earlier. The running phase of a
+    /// gang's task does not end by itself.
     pub phase_ends_at: u64,
     pub gang: bool,
     pub service: bool,
     pub broken: bool,
-    /// Time since which a running gang task misses a peer, or has a peer on a machine that hangs.
+    /// Time at which a running gang task first missed a peer, or first had a peer on a machine that hangs.
     pub peers_missing_since: Option<u64>,
     /// Whether the task saved a checkpoint when it was stopped.
     pub checkpoint_saved: bool,
@@ -137,7 +138,6 @@
     /// Whether every task fails on this worker.
     pub faulty: bool,
     pub tasks: BTreeMap<String, Task>,
-    /// Incarnation of the worker.
     pub incarnation: u64,
     sequence: u64,
     /// Highest fencing token that a controller has sent.
@@ -196,7 +196,6 @@
             .min(now.max(self.last_heartbeat_at + SECOND / 2));
     }
 
-    /// Whether the worker's lease has expired.
     pub fn lease_expired(&self, now: u64) -> bool {
         now > self.lease_start.saturating_add(self.lease)
     }
@@ -220,11 +219,11 @@
             Some(sent) => sent + 4 * SECOND + 1,
             None => self.next_heartbeat_at,
         };
-        let running = |t: &&Task| !(t.ended() || t.gang && t.phase == Phase::Running);
+        let phase_ends_by_time = |t: &&Task| !(t.ended() || t.gang && t.phase == Phase::Running);
         let tasks = self
             .tasks
             .values()
-            .filter(running)
+            .filter(phase_ends_by_time)
             .map(|t| t.phase_ends_at)
             .min();
         let lease = self.lease_start.saturating_add(self.lease) + 1;
@@ -234,7 +233,7 @@
             .max(self.boot_ends_at)
     }
 
-    /// Moves the worker and its tasks on to the present time, and sends a heartbeat if one is due.
+    /// Advances the worker and its tasks to the present time, and sends a heartbeat if one is due.
     pub fn step(&mut self, environment: &mut dyn Environment) {
         let now = environment.now();
         if self.is_unresponsive(now) {
@@ -417,8 +416,7 @@
                 let Some(facts) = environment.job(job_id_of_task(&name)) else {
                     return;
                 };
-                // A task that ended under another attempt is replaced. While a task has not ended under another
-                // attempt, the launch is refused.
+                // Another attempt of the task is replaced if it has ended. Otherwise the launch is refused.
                 if existing.is_some_and(|h| !h.1) {
                     return;
                 }
@@ -498,7 +496,7 @@
             .iter()
             .all(|m| phase(m).is_some_and(|p| p.0 == Phase::Waiting));
         let run = environment.run_time(&facts);
-        // A hung machine blocks its whole gang, and the gang's other tasks end after `peer_timeout`.
+        // A hung machine blocks its whole gang, and the gang's running tasks end after `peer_timeout`.
         let all_responsive = members
             .iter()
             .all(|(w, _)| workers.get(w).is_some_and(|w| !w.is_unresponsive(now)));
--- a/crates/gannethub-scale/src/changes.rs
+++ b/crates/gannethub-scale/src/changes.rs
@@ -46,8 +46,8 @@
     pub in_force: Times,
     /// Number of versions that were not in force at all controllers after 60 s.
     pub never_in_force: u64,
-    /// Number of cases in which a controller would have acted on an older version more than 7 s after a new version
-    /// was stored.
+    /// Number of controllers that would have acted on an older version more than 7 s after a new version was stored,
+    /// summed over all new versions.
     pub acted_on_older: u64,
 }
 
--- a/crates/gannethub-scale/src/cloud_role.rs
+++ b/crates/gannethub-scale/src/cloud_role.rs
@@ -48,15 +48,16 @@
     Request(EmulatorRequest),
 }
 
-/// The environment of the cloud model: the time, randomness and the addresses of workers. No workers run in it.
-struct CloudSite {
+/// The environment of the cloud model: the time, randomness and the addresses of workers. No worker runs in this
+/// process.
+struct CloudEnvironment {
     now: u64,
     rng: StdRng,
     controllers: usize,
     worker_port: u16,
 }
 
-impl Environment for CloudSite {
+impl Environment for CloudEnvironment {
     fn now(&self) -> u64 {
         self.now
     }
@@ -90,7 +91,7 @@
 struct CloudEmulator {
     cloud: Cloud,
     machines: BTreeMap<String, Worker>,
-    site: CloudSite,
+    env: CloudEnvironment,
     kinds: BTreeMap<String, KindCount>,
 }
 
@@ -110,7 +111,7 @@
     cloud.capacity = args.capacity;
     cloud.boot = (args.boot_least_us, args.boot_most_us);
     cloud.list_lag = args.list_lag_us;
-    let site = CloudSite {
+    let env = CloudEnvironment {
         now: 0,
         rng: StdRng::seed_from_u64(args.seed),
         controllers: args.controllers,
@@ -119,11 +120,11 @@
     let mut emulator = CloudEmulator {
         cloud,
         machines: BTreeMap::new(),
-        site,
+        env,
         kinds: BTreeMap::new(),
     };
     while let Some(command) = commands.recv().await {
-        emulator.site.now = clock.now();
+        emulator.env.now = clock.now();
         emulator.execute(command);
     }
     Ok(())
@@ -163,7 +164,7 @@
             &request.path,
             &request.body,
             &mut self.machines,
-            &mut self.site,
+            &mut self.env,
         );
         if !deleted.is_empty() {
             send_to_driver(&FromCloud::Deleted(
@@ -192,7 +193,7 @@
             .and_then(|p| p.parse().ok())
             .unwrap_or(500usize)
             .min(500);
-        let now = self.site.now;
+        let now = self.env.now;
         let visible = |w: &&Worker| now > w.provisioned_at + self.cloud.list_lag;
         let mut listed = self
             .machines
@@ -209,7 +210,7 @@
                     (false, false) => "running",
                 };
                 let held = (now - w.provisioned_at) as f64 / 1e6;
-                json!({"id": w.name, "addr": self.site.addr(&w.name), "rig": w.flavor,
+                json!({"id": w.name, "addr": self.env.addr(&w.name), "rig": w.flavor,
                        "yard": w.zone, "loaners": w.spot, "status": status, "held_s": held})
             })
             .collect();
@@ -226,7 +227,7 @@
             .flatten()
             .filter_map(Value::as_str)
         {
-            let is_new = |w: &&Worker| w.provisioned_at == self.site.now;
+            let is_new = |w: &&Worker| w.provisioned_at == self.env.now;
             let Some(machine) = self.machines.get(host).filter(is_new) else {
                 continue;
             };
@@ -236,7 +237,7 @@
                 zone: machine.zone.clone(),
                 spot: machine.spot,
                 boot: machine.boot_ends_at - machine.provisioned_at,
-                node: self.site.rng.random_range(0..self.site.controllers),
+                node: self.env.rng.random_range(0..self.env.controllers),
             };
             send_to_driver(&FromCloud::Rented(provisioned));
         }
--- a/crates/gannethub-scale/src/deployment.rs
+++ b/crates/gannethub-scale/src/deployment.rs
@@ -74,8 +74,8 @@
 
 /// Returns the guarantee and the limit of a team, in processors.
 pub fn team_cpus(options: &RunOptions, load: &Load) -> (f64, f64) {
-    let candidates = options.workers as f64 * load.machine.cpus;
-    let guarantee = (candidates * load.teams.guaranteed / options.teams as f64)
+    let total_cpus = options.workers as f64 * load.machine.cpus;
+    let guarantee = (total_cpus * load.teams.guaranteed / options.teams as f64)
         .floor()
         .max(1.0);
     let largest_gang = f64::from(options.gang);
--- a/crates/gannethub-scale/src/fit.rs
+++ b/crates/gannethub-scale/src/fit.rs
@@ -229,7 +229,7 @@
     for (name, quantity) in QUANTITIES {
         let measured: Vec<f64> = reports.iter().map(quantity).collect();
         if measured.iter().any(|x| x.is_nan()) {
-            table.add_row([name, "not measured in each run"]);
+            table.add_row([name, "not measured in every run"]);
             continue;
         }
         let fitted = least_squares(&rows, &measured)?;
@@ -265,7 +265,8 @@
     table.to_string()
 }
 
-/// Formats a number with three significant digits.
+/// Formats a number with three significant digits. Numbers from 1000 on are rounded to integers. Numbers below 0.01
+/// are shown in scientific notation with two digits.
 fn format_figure(x: f64) -> String {
     if x == 0.0 || !x.is_finite() {
         return if x.is_nan() {
--- a/crates/gannethub-scale/src/host_role.rs
+++ b/crates/gannethub-scale/src/host_role.rs
@@ -107,7 +107,7 @@
 }
 
 /// The environment of the workers.
-struct WorkerSite {
+struct WorkerEnvironment {
     now: u64,
     rng: StdRng,
     args: HostsArgs,
@@ -120,7 +120,7 @@
     counts: ReportCounts,
 }
 
-impl Environment for WorkerSite {
+impl Environment for WorkerEnvironment {
     fn now(&self) -> u64 {
         self.now
     }
@@ -173,9 +173,9 @@
         self.sent.push((worker.into(), body.len() + HEADER_BYTES));
         let (host, sent, queue) = (worker.to_string(), self.now, self.queue.clone());
         spawn_local(async move {
-            let report = body.as_bytes();
+            let heartbeat = body.as_bytes();
             let answer = client
-                .call(Method::Post, "/v1/report", report, ANSWER_TIMEOUT)
+                .call(Method::Post, "/v1/report", heartbeat, ANSWER_TIMEOUT)
                 .await;
             let _ = queue
                 .send(Command::Answer {
@@ -201,7 +201,7 @@
 
 struct Hosts {
     clock: RunClock,
-    site: WorkerSite,
+    env: WorkerEnvironment,
     workers: BTreeMap<String, HostedWorker>,
     /// Stop channels of the tasks' processes, by machine and task. Dropping a channel ends its process.
     processes: HashMap<(String, String), oneshot::Sender<()>>,
@@ -212,7 +212,7 @@
     let clock = RunClock(args.epoch);
     let (queue, mut commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     read_from_driver(queue.clone(), Command::Driver);
-    let site = WorkerSite {
+    let env = WorkerEnvironment {
         now: 0,
         rng: StdRng::seed_from_u64(args.seed),
         args,
@@ -225,7 +225,7 @@
     let (workers, processes) = (BTreeMap::new(), HashMap::new());
     let mut hosts = Hosts {
         clock,
-        site,
+        env,
         workers,
         processes,
         events: Vec::new(),
@@ -234,7 +234,7 @@
     loop {
         let _ = timeout(TICK, commands.recv_many(&mut batch, 256)).await;
         for command in batch.drain(..) {
-            hosts.site.now = hosts.clock.now();
+            hosts.env.now = hosts.clock.now();
             hosts.execute(command);
         }
         hosts.step_due();
@@ -289,7 +289,7 @@
             ToHosts::Measure => {
                 // The events so far are sent before the counts.
                 send_to_driver(&FromHosts::Events(std::mem::take(&mut self.events)));
-                send_to_driver(&FromHosts::Counts(std::mem::take(&mut self.site.counts)));
+                send_to_driver(&FromHosts::Counts(std::mem::take(&mut self.env.counts)));
             }
         }
     }
@@ -301,15 +301,15 @@
             estimate: job.run,
             ..JobFacts::default()
         };
-        self.site.jobs.insert(job.id.clone(), facts);
+        self.env.jobs.insert(job.id.clone(), facts);
     }
 
     fn boot(&mut self, provisioned: &ProvisionedMachine) {
-        let rental = json!({"rig": provisioned.flavor, "yard": provisioned.zone, "loaners": provisioned.spot});
-        let (now, lease) = (self.site.now, self.site.args.lease_us);
+        let request = json!({"rig": provisioned.flavor, "yard": provisioned.zone, "loaners": provisioned.spot});
+        let (now, lease) = (self.env.now, self.env.args.lease_us);
         let worker = Worker::new(
             &provisioned.host,
-            &rental,
+            &request,
             now,
             provisioned.boot,
             provisioned.node,
@@ -317,8 +317,8 @@
         );
         let listener = spawn_local(take_commands(
             provisioned.host.clone(),
-            worker_address(&provisioned.host, self.site.args.worker_port),
-            self.site.queue.clone(),
+            worker_address(&provisioned.host, self.env.args.worker_port),
+            self.env.queue.clone(),
         ));
         let hosted = HostedWorker {
             next_step_at: worker.next_step_at(),
@@ -342,13 +342,13 @@
         if let Some(listener) = hosted.listener.take() {
             listener.abort();
         }
-        self.site.clients.remove(host);
+        self.env.clients.remove(host);
     }
 
     /// Steps the workers whose next step is due.
     fn step_due(&mut self) {
         let now = self.clock.now();
-        self.site.now = now;
+        self.env.now = now;
         let due: Vec<String> = self
             .workers
             .iter()
@@ -356,7 +356,7 @@
             .map(|(host, _)| host.clone())
             .collect();
         for host in due {
-            self.update_worker(&host, |worker, site| worker.step(site));
+            self.update_worker(&host, |worker, env| worker.step(env));
         }
     }
 
@@ -365,10 +365,10 @@
     fn update_worker<T>(
         &mut self,
         host: &str,
-        act: impl FnOnce(&mut Worker, &mut WorkerSite) -> T,
+        act: impl FnOnce(&mut Worker, &mut WorkerEnvironment) -> T,
     ) -> Option<T> {
         let mut hosted = self.workers.remove(host)?;
-        let result = act(&mut hosted.worker, &mut self.site);
+        let result = act(&mut hosted.worker, &mut self.env);
         self.record_task_changes(host, &mut hosted);
         self.count_heartbeats(&mut hosted);
         hosted.next_step_at = hosted.worker.next_step_at();
@@ -379,7 +379,7 @@
     /// Compares a worker's tasks with those last reported, and records the changes as task events and counts.
     fn record_task_changes(&mut self, host: &str, hosted: &mut HostedWorker) {
         let changes = count_task_changes(&mut hosted.reported, &hosted.worker);
-        self.site.counts.changes += changes;
+        self.env.counts.changes += changes;
         hosted.changed |= changes > 0;
         let present: BTreeMap<String, u64> = hosted
             .worker
@@ -405,7 +405,7 @@
                 } else {
                     TaskEventKind::Gone
                 };
-                self.site.counts.ends += 1;
+                self.env.counts.ends += 1;
                 self.add_event(host, task, *attempt, what);
                 self.processes.remove(&(host.to_string(), task.clone()));
             }
@@ -417,9 +417,9 @@
             .map(|(task, attempt)| (task.clone(), *attempt))
             .collect();
         for (task, attempt) in started {
-            self.site.counts.starts += 1;
+            self.env.counts.starts += 1;
             self.add_event(host, &task, attempt, TaskEventKind::Started);
-            if self.site.args.real {
+            if self.env.args.real {
                 self.start_process(host, &task, attempt);
             }
         }
@@ -428,7 +428,7 @@
     fn add_event(&mut self, host: &str, task: &str, attempt: u64, what: TaskEventKind) {
         let (host, task) = (host.to_string(), task.to_string());
         self.events.push(TaskEvent {
-            at: self.site.now,
+            at: self.env.now,
             host,
             task,
             attempt,
@@ -438,8 +438,8 @@
 
     /// Counts the heartbeats that a worker sent in this step.
     fn count_heartbeats(&mut self, hosted: &mut HostedWorker) {
-        let counts = &mut self.site.counts;
-        for (_, bytes) in self.site.sent.drain(..) {
+        let counts = &mut self.env.counts;
+        for (_, bytes) in self.env.sent.drain(..) {
             counts.reports += 1;
             counts.report_bytes += bytes as u64;
             let tasks = hosted.worker.tasks.len() as u32;
@@ -447,12 +447,12 @@
             *by_tasks = (by_tasks.0 + 1, by_tasks.1 + bytes as u64);
             let changed = std::mem::take(&mut hosted.changed);
             counts.with_change += u64::from(changed);
-            if let Some(before) = hosted.last_heartbeat_at.replace(self.site.now) {
+            if let Some(before) = hosted.last_heartbeat_at.replace(self.env.now) {
                 let interval = counts
                     .intervals
                     .entry(2 * tasks + u32::from(changed))
                     .or_default();
-                *interval = (interval.0 + 1, interval.1 + self.site.now - before);
+                *interval = (interval.0 + 1, interval.1 + self.env.now - before);
             }
         }
     }
@@ -460,24 +460,24 @@
     fn handle_answer(&mut self, host: &str, node: usize, sent: u64, answer: CallResult) {
         match &answer {
             Ok(Answer { status: 200, body }) => {
-                self.site.counts.answers += 1;
-                self.site.counts.answer_bytes += (body.len() + HEADER_BYTES) as u64;
+                self.env.counts.answers += 1;
+                self.env.counts.answer_bytes += (body.len() + HEADER_BYTES) as u64;
             }
-            _ => self.site.counts.unanswered += 1,
+            _ => self.env.counts.unanswered += 1,
         }
         // If no answer came, the worker notices by its own clock.
         if let Ok(Answer { status, body }) = answer {
-            self.update_worker(host, |worker, site| {
-                worker.handle_answer(site, node, sent, status, &body)
+            self.update_worker(host, |worker, env| {
+                worker.handle_answer(env, node, sent, status, &body)
             });
         }
     }
 
     fn handle_commands(&mut self, host: &str, request: EmulatorRequest) {
-        self.site.counts.direct += 1;
-        self.site.counts.direct_bytes += (request.body.len() + HEADER_BYTES) as u64;
+        self.env.counts.direct += 1;
+        self.env.counts.direct_bytes += (request.body.len() + HEADER_BYTES) as u64;
         let body = request.body.clone();
-        let status = self.update_worker(host, |worker, site| worker.handle_commands(site, &body));
+        let status = self.update_worker(host, |worker, env| worker.handle_commands(env, &body));
         request.answer(status.unwrap_or(503), json!({}));
     }
 
@@ -494,13 +494,13 @@
             .map(|p| p.worker.name.clone())
             .collect();
         for host in hosts {
-            self.update_worker(&host, |worker, site| {
+            self.update_worker(&host, |worker, env| {
                 worker
                     .tasks
                     .values_mut()
                     .filter(|t| member(t))
                     .for_each(|t| t.phase = to);
-                worker.send_heartbeat_soon(site.now);
+                worker.send_heartbeat_soon(env.now);
             });
         }
     }
@@ -515,12 +515,12 @@
 
     fn start_process(&mut self, host: &str, task: &str, attempt: u64) {
         let job = job_id_of_task(task);
-        let facts = self.site.jobs.get(job).cloned().unwrap_or_default();
+        let facts = self.env.jobs.get(job).cloned().unwrap_or_default();
         // The driver ends a gang's tasks when the gang is over.
         let run = if facts.gang {
             RUN_TIME_UNTIL_ENDED
         } else {
-            run_time(facts.estimate, &mut self.site.rng)
+            run_time(facts.estimate, &mut self.env.rng)
         };
         let Ok(program) = std::env::current_exe() else {
             return;
@@ -537,7 +537,7 @@
         let input = child.stdin.take();
         let (stop, stopped) = oneshot::channel();
         self.processes.insert((host.into(), task.into()), stop);
-        let (host, task, queue) = (host.to_string(), task.to_string(), self.site.queue.clone());
+        let (host, task, queue) = (host.to_string(), task.to_string(), self.env.queue.clone());
         spawn_local(async move {
             let _input = input;
             tokio::select! {
@@ -553,12 +553,12 @@
 
     /// Completes the task whose process has ended, if the worker still runs the task.
     fn handle_exit(&mut self, host: &str, task: &str, attempt: u64) {
-        let now = self.site.now;
-        self.update_worker(host, |worker, site| {
+        let now = self.env.now;
+        self.update_worker(host, |worker, env| {
             let ended = worker.tasks.get_mut(task).filter(|t| t.attempt == attempt);
             if let Some(t) = ended.filter(|t| t.phase == Phase::Running) {
                 t.phase_ends_at = now;
-                worker.step(site);
+                worker.step(env);
             }
         });
     }
@@ -569,8 +569,8 @@
     reported: &mut BTreeMap<String, (u64, Discriminant<Phase>)>,
     worker: &Worker,
 ) -> u64 {
-    // Waiting and running count as the same state: heartbeats also report that a gang is complete, but which of the
-    // gang's tasks are on this worker is a matter of the load.
+    // Waiting and running count as the same state. Heartbeats also report the change from waiting to running, but how
+    // many of a gang's tasks are on this worker depends on the load.
     let phase = |t: &Task| match t.phase {
         Phase::Waiting => discriminant(&Phase::Running),
         phase => discriminant(&phase),
--- a/crates/gannethub-scale/src/load.rs
+++ b/crates/gannethub-scale/src/load.rs
@@ -114,7 +114,7 @@
     pub rank: String,
     /// Share of all task starts, above 0 and at most 1.
     pub share: f64,
-    /// Minimum and maximum number of tasks of a job.
+    /// Minimum and maximum number of tasks of a job. For gangs the option `--gang` replaces the maximum.
     pub tasks: [u32; 2],
     /// Mean run time of a task in seconds, before it is scaled to the requested number of running tasks.
     pub run_s: f64,
@@ -134,7 +134,7 @@
 pub enum FaultKind {
     /// The process with the hollow workers of the rack is killed.
     Rack,
-    /// All hollow workers of the first zone end.
+    /// All workers of the first zone end.
     Zone,
     /// The leader is killed and started again.
     Leader,
@@ -282,8 +282,8 @@
         }
     }
 
-    /// Returns the mean number of tasks of a job. Sizes of gangs follow a density of 1/size, sizes of arrays are
-    /// uniformly distributed.
+    /// Returns the mean number of tasks of a job. Sizes of gangs follow a density of 1/size, and sizes of
+    /// arrays are uniformly distributed.
     pub fn mean_tasks(&self, gang: u32) -> f64 {
         let (min, max) = (f64::from(self.tasks[0]), f64::from(self.max_tasks(gang)));
         match self.shape {
--- a/crates/gannethub-scale/src/messages.rs
+++ b/crates/gannethub-scale/src/messages.rs
@@ -91,7 +91,7 @@
     /// Number of heartbeats that a controller answered with 200.
     pub answers: u64,
     pub answer_bytes: u64,
-    /// Number of heartbeats that no controller answered with 200.
+    /// Number of heartbeats without an answer of status 200.
     pub unanswered: u64,
     /// Number of tasks that started on a machine.
     pub starts: u64,
@@ -151,7 +151,7 @@
 pub enum ToState {
     /// Begins (`true`) or ends (`false`) an outage, in which the service refuses all requests.
     Outage(bool),
-    /// Refuses all requests of this controller only, or with `None` of no controller.
+    /// Refuses all requests of this controller and of no other. `None` ends the refusal.
     Refuse(Option<usize>),
     Measure,
 }
@@ -181,7 +181,7 @@
     pub keys: u64,
     /// Total bytes of the values of those keys.
     pub bytes: u64,
-    /// Name of the owner in the leader's key.
+    /// Name of the leader in the leader lease record.
     pub leader: Option<String>,
 }
 
--- a/crates/gannethub-scale/src/process.rs
+++ b/crates/gannethub-scale/src/process.rs
@@ -42,7 +42,7 @@
         let (lines, mut queued_lines) = mpsc::unbounded_channel::<Vec<u8>>();
         spawn_local(async move {
             while let Some(line) = queued_lines.recv().await {
-                // The child has ended, so all further messages are dropped.
+                // If the child has ended, all further messages are dropped.
                 if input.write_all(&line).await.is_err() {
                     return;
                 }
--- a/crates/gannethub-scale/src/record.rs
+++ b/crates/gannethub-scale/src/record.rs
@@ -42,12 +42,12 @@
     pub told_done: Option<u64>,
     pub cancel_requested: Option<u64>,
     pub told_cancelled: Option<u64>,
-    /// Answers that violated the protocol: the rule's name and a description of each.
+    /// Violations of rules that the user observed, such as a wrong answer or none: the rule's name and a description.
     pub violations: Vec<(&'static str, String)>,
 }
 
 /// Limit of a team in processors that counts from the time `at` on, in microseconds of the run's clock. Before `at`,
-/// `cpus` or the preceding limit counts, whichever is more.
+/// the preceding limit counts. A run only lowers limits, so the preceding limit is the higher one.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitEntry {
     pub at: u64,
@@ -192,7 +192,7 @@
     }
 
     /// Returns, for each cancelled job, the time in microseconds from the confirmed cancellation until the last task
-    /// was gone.
+    /// was gone. A task that has not ended counts as gone at `until`.
     pub fn cancellation_times(&self, until: u64) -> Vec<u64> {
         let mut last: HashMap<&str, u64> = HashMap::new();
         for (task, placements) in &self.placements {
@@ -215,7 +215,7 @@
     }
 
     /// Checks all observed events against the rules and returns the violations. All events that workers observed
-    /// before `until` must have been recorded; answers that users received later are not checked.
+    /// before `until` must have been recorded. Answers that users received later are not compared with these events.
     pub fn check_rules(&mut self, until: u64) -> Vec<Violation> {
         self.check_tasks(until);
         self.check_quota(until);
--- a/crates/gannethub-scale/src/report.rs
+++ b/crates/gannethub-scale/src/report.rs
@@ -10,10 +10,11 @@
 use crate::messages::{KindCount, ReportCounts, StateCounts};
 use crate::process::Usage;
 
-/// Maximum relative difference between the reports of hollow workers and those of real workers.
+/// Maximum relative difference between the heartbeats of hollow workers and those of real workers.
 pub const MAX_DIFFERENCE: f64 = 0.05;
-/// Minimum number of reports of each kind of worker for a comparison. With fewer reports chance decides the result.
-const MIN_REPORTS: u64 = 200;
+/// Minimum number of heartbeats of each kind of worker for a comparison. With fewer heartbeats, chance decides the
+/// result.
+const MIN_HEARTBEATS: u64 = 200;
 
 /// The requested sizes of a run. Times are in seconds, `starts` is in task starts per second.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -51,7 +52,7 @@
     pub system: f64,
     /// Number of cores that the busiest process used in both modes.
     pub busiest: f64,
-    /// Maximum memory of any process, in MiB.
+    /// Maximum peak memory of any process, in MiB.
     pub peak_mb: f64,
     /// Maximum number of sockets of any process.
     pub sockets: usize,
@@ -86,24 +87,24 @@
     }
 }
 
-/// Comparison of the reports of real workers with those of hollow workers under the same conditions. Each pair holds
-/// the figure of the real workers, and the figure that hollow workers would have had in their place.
+/// Comparison of the heartbeats of real workers with those of hollow workers under the same conditions. Each pair
+/// holds the figure of the real workers, and the figure that hollow workers would have had in their place.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Agreement {
-    /// Mean size of a report, in bytes.
+    /// Mean size of a heartbeat, in bytes.
     pub report_bytes: [f64; 2],
-    /// Mean interval between two reports of a worker, in milliseconds.
+    /// Mean interval between two heartbeats of a worker, in milliseconds.
     pub interval_ms: [f64; 2],
-    /// Number of reported task state changes for each start or end of a task. The number of changes in one report is
-    /// not compared, because it depends on the load.
+    /// Number of reported task state changes for each start or end of a task. The number of changes in one heartbeat
+    /// is not compared, because it depends on the load.
     pub changes_a_start: [f64; 2],
     pub agree: bool,
 }
 
 impl Agreement {
-    /// Compares the reports of real and hollow workers. Returns `None` if there are too few reports to compare.
+    /// Compares the heartbeats of real and hollow workers. Returns `None` if there are too few to compare.
     pub fn of(real: &ReportCounts, hollow: &ReportCounts) -> Option<Agreement> {
-        if real.reports < MIN_REPORTS || hollow.reports < MIN_REPORTS {
+        if real.reports < MIN_HEARTBEATS || hollow.reports < MIN_HEARTBEATS {
             return None;
         }
         let report_bytes = weighted_means(&real.by_tasks, &hollow.by_tasks)?;
@@ -122,20 +123,21 @@
     }
 }
 
-/// Returns the mean of the real workers, and the mean of the hollow workers in which each condition is weighted as
-/// often as it occurred with the real workers. Conditions that did not occur with hollow workers are left out.
+/// Returns the mean of the real workers and the mean of the hollow workers. Each map has the number of heartbeats and
+/// the sum of the compared figure, by condition. The mean of the hollow workers weights each condition by the number
+/// of heartbeats of real workers. Conditions that did not occur with hollow workers are left out of both means.
 fn weighted_means<K: Ord>(
     real: &BTreeMap<K, (u64, u64)>,
     hollow: &BTreeMap<K, (u64, u64)>,
 ) -> Option<[f64; 2]> {
     let (mut count, mut sum, mut expected) = (0.0, 0.0, 0.0);
-    for (key, (reports, total)) in real {
-        let Some((hollow_reports, hollow_total)) = hollow.get(key).filter(|h| h.0 > 0) else {
+    for (key, (heartbeats, total)) in real {
+        let Some((hollow_heartbeats, hollow_total)) = hollow.get(key).filter(|h| h.0 > 0) else {
             continue;
         };
-        count += *reports as f64;
+        count += *heartbeats as f64;
         sum += *total as f64;
-        expected += *reports as f64 * *hollow_total as f64 / *hollow_reports as f64;
+        expected += *heartbeats as f64 * *hollow_total as f64 / *hollow_heartbeats as f64;
     }
     (count > 0.0).then(|| [sum / count, expected / count])
 }
@@ -188,8 +190,9 @@
 }
 
 impl Report {
-    /// Whether no rule was violated, no controller ended by itself, every configuration version came into force in
-    /// time, and hollow workers agree with real ones.
+    /// Whether no rule was violated and no controller ended by itself. Also, every stored configuration version must
+    /// have come into force in time, no controller may have acted on an older version for too long, and hollow workers
+    /// must agree with real ones if they were compared.
     pub fn passed(&self) -> bool {
         self.rules.is_empty()
             && self.ended_by_themselves == 0
@@ -286,7 +289,7 @@
         }
         self.faults
             .iter()
-            .for_each(|fault| text += &format!("fault at {fault}\n"));
+            .for_each(|fault| text += &format!("fault: {fault}\n"));
         if self.rules.is_empty() {
             text += "no rule broken\n";
         }
--- a/crates/gannethub-scale/src/report/tests.rs
+++ b/crates/gannethub-scale/src/report/tests.rs
@@ -2,7 +2,7 @@
 
 fn counts(bytes: u64, interval: u64) -> ReportCounts {
     ReportCounts {
-        reports: MIN_REPORTS,
+        reports: MIN_HEARTBEATS,
         changes: 40,
         starts: 10,
         ends: 10,
--- a/crates/gannethub-scale/src/role.rs
+++ b/crates/gannethub-scale/src/role.rs
@@ -1,4 +1,5 @@
-//! Code that all child processes of a run share: the run's clock, and the messages to and from the driver.
+//! Code that the processes of a run share: the run's clock, the runtime, and the messages between the driver and its
+//! child processes.
 
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -37,7 +38,7 @@
         .map_or(0, |d| d.as_micros() as u64)
 }
 
-/// Runs a child's work on one thread.
+/// Runs all work of a process on one thread.
 pub fn run_local<F: Future>(work: F) -> std::io::Result<F::Output> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/gannethub-scale/src/run/faults.rs
+++ b/crates/gannethub-scale/src/run/faults.rs
@@ -10,7 +10,7 @@
             FaultKind::Rack => self.end_rack().await,
             FaultKind::Zone => {
                 self.send_to_hosts(&ToHosts::EndZone(zone_name(0)));
-                format!("all hollow workers of {} end", zone_name(0))
+                format!("all workers of {} end", zone_name(0))
             }
             FaultKind::Leader => {
                 let leader = self.leader().await;
@@ -32,7 +32,10 @@
                     .entry(ends_at)
                     .or_default()
                     .push(ScheduledAction::EndOutage);
-                format!("the state service refuses all for {} s", fault.for_s)
+                format!(
+                    "the state service refuses all requests for {} s",
+                    fault.for_s
+                )
             }
             FaultKind::RefuseLeader => {
                 let leader = self.leader().await;
@@ -43,7 +46,7 @@
                     .or_default()
                     .push(ScheduledAction::EndRefusal);
                 format!(
-                    "the state service refuses {leader:?} alone for {} s",
+                    "the state service refuses only the requests of {leader:?} for {} s",
                     fault.for_s
                 )
             }
@@ -84,7 +87,7 @@
                 .push(ScheduledAction::StartController(*node));
         }
         format!(
-            "controllers {nodes:?} are killed, back after {} s",
+            "controllers {nodes:?} are killed, and started again after {} s",
             RESTART_DELAY / MICROS_PER_SECOND
         )
     }
--- a/crates/gannethub-scale/src/run/measurement.rs
+++ b/crates/gannethub-scale/src/run/measurement.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Resource use of all processes at one time.
+/// Resource use of all processes and of the machine at one time.
 pub(super) struct Snapshot {
     /// Time of the snapshot, in microseconds of the run's clock.
     pub(super) at: u64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns the process ids of each role.
+    /// Returns the process ids of each role. Each controller is listed under its own name.
     pub(super) fn pids(&self) -> BTreeMap<String, Vec<u32>> {
         let mut pids: BTreeMap<String, Vec<u32>> = BTreeMap::new();
         let mut add =
@@ -221,7 +221,8 @@
     ])
 }
 
-/// Returns the short hash of the measured commit, or an empty text if git fails.
+/// Returns the short hash of the checked-out commit, or an empty text if git fails. The controllers' program is
+/// assumed to be built from this commit.
 fn commit() -> String {
     let output = std::process::Command::new("git")
         .args(["rev-parse", "--short", "HEAD"])
--- a/crates/gannethub-scale/src/run/mod.rs
+++ b/crates/gannethub-scale/src/run/mod.rs
@@ -302,7 +302,7 @@
             }
             DriverMessage::State(counts) => self.measured.state = Some(counts),
             DriverMessage::Cloud(FromCloud::Counts(counts)) => self.measured.cloud = Some(counts),
-            DriverMessage::Cloud(FromCloud::Rented(provisioned)) => self.on_rented(provisioned),
+            DriverMessage::Cloud(FromCloud::Rented(machine)) => self.on_provisioned(machine),
             DriverMessage::Cloud(FromCloud::Deleted(hosts)) => self.on_deleted(&hosts),
         }
     }
@@ -317,8 +317,8 @@
     fn on_gang_event(&mut self, event: &TaskEvent) {
         let job = job_id_of_task(&event.task);
         if let Some((tasks, run)) = self.gang_info.get(job).copied() {
-            let notices = (self.load.workers.gang_peer_s * 1e6) as u64;
-            if let Some(change) = self.gangs.on_event(event, tasks, run, notices) {
+            let notice_time = (self.load.workers.gang_peer_s * 1e6) as u64;
+            if let Some(change) = self.gangs.on_event(event, tasks, run, notice_time) {
                 self.send_gang_step(change);
             }
         }
@@ -340,7 +340,7 @@
 
     /// Records a provisioned machine and assigns its worker to the emptiest process with free capacity. Processes of
     /// real workers are filled first, then the rack, then the other hollow processes.
-    fn on_rented(&mut self, provisioned: ProvisionedMachine) {
+    fn on_provisioned(&mut self, provisioned: ProvisionedMachine) {
         let info = HostInfo {
             flavor: provisioned.flavor.clone(),
             zone: provisioned.zone.clone(),
@@ -364,7 +364,7 @@
                 process.hosts.insert(provisioned.host.clone());
                 process.child_process.send(&ToHosts::Boot(provisioned));
             }
-            // The process that had room for the machine has ended, so the machine never boots.
+            // No process that still runs has room, because another process has ended. The machine never boots.
             None => self.cloud.send(&ToCloud::Failed(vec![provisioned.host])),
         }
     }
@@ -409,8 +409,8 @@
         Ok(())
     }
 
-    /// Returns the time of the first submission of each class, drawn uniformly from one mean interval between
-    /// submissions.
+    /// Returns the time of the first submission of each class: a uniformly random time in the first mean interval
+    /// between submissions.
     fn first_submissions(&mut self, began: u64) -> Vec<u64> {
         let rates = self.load.job_rates(self.options.starts, self.options.gang);
         let first_at = |rate: f64| began + (self.rng.random_range(0.0..1.0) / rate * 1e6) as u64;
@@ -468,7 +468,7 @@
             .find(|h| h.kind == HostKind::Hollow && h.hosts.len() > 1);
         let Some(process) = hollow else { return false };
         self.faults.push(format!(
-            "on purpose: {task} said to be started beside {not_on}"
+            "on purpose: a machine other than {not_on} reports the start of {task}"
         ));
         process.child_process.send(&ToHosts::Pretend {
             task,
--- a/crates/gannethub-scale/src/state_role.rs
+++ b/crates/gannethub-scale/src/state_role.rs
@@ -25,7 +25,7 @@
 const TICK: Duration = Duration::from_millis(5);
 /// Maximum number of items in a page of a listing.
 const PAGE_ITEMS: usize = 1000;
-/// Key of the leader's record.
+/// Key of the leader lease record.
 const LEADER_KEY: &str = "gh/lead/holder";
 
 #[derive(Args)]
@@ -54,8 +54,8 @@
     Request(usize, EmulatorRequest),
 }
 
-/// Returns the address of the state service for this controller. The index after the last controller's is the address
-/// for operators.
+/// Returns the address of the state service for the controller with index `node`. The index after the last
+/// controller's gives the address for operators and the driver.
 pub fn address(node: usize, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 0, 1, node as u8 + 1), port)
 }
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Counts a request. Returns the same request with a reply channel that counts the response before passing it on.
+    /// Counts a request. Returns the same request with another reply channel, so that its response is counted as well
+    /// before it is passed on.
     fn count(&self, node: usize, request: EmulatorRequest) -> EmulatorRequest {
         let kind = kind(&request);
         let mut counts = self.counts.borrow_mut();
--- a/crates/gannethub-scale/src/users.rs
+++ b/crates/gannethub-scale/src/users.rs
@@ -25,10 +25,10 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Time for which a request is repeated, in microseconds.
 const MAX_RETRY_TIME: u64 = 60_000_000;
-/// Maximum time in which every status poll of a job may fail, in microseconds. A longer time violates a rule.
+/// Maximum time for which every status poll of a job may fail, in microseconds. A longer time violates a rule.
 const MAX_UNANSWERED_TIME: u64 = 90_000_000;
 
-/// Latencies of requests, and the number of requests without a good answer. Each latency is a pair: the time at which
+/// Latencies of requests, and the numbers of requests without a good answer. Each latency is a pair: the time at which
 /// the request was made, and the time until the answer, both in microseconds.
 #[derive(Default)]
 pub struct Latencies {
@@ -36,9 +36,9 @@
     /// Latencies of status polls.
     pub status_polls: Vec<(u64, u64)>,
     pub cancellations: Vec<(u64, u64)>,
-    /// Number of answers that sent the user away to retry later.
+    /// Number of answers with a status that makes the user try again later.
     pub turned_away: u64,
-    /// Number of requests that were not answered in time.
+    /// Number of requests that failed or were not answered in time.
     pub unanswered: u64,
     /// Number of requests that were given up after repeated attempts.
     pub given_up: u64,
@@ -75,7 +75,7 @@
         }
     }
 
-    fn random_index(&self, to: usize) -> usize {
+    fn random_below(&self, to: usize) -> usize {
         self.rng.borrow_mut().random_range(0..to.max(1))
     }
 
@@ -89,7 +89,7 @@
         good_statuses: &[u16],
     ) -> Option<(u16, Value)> {
         let until = self.clock.now() + MAX_RETRY_TIME;
-        let first = self.random_index(self.clients.len());
+        let first = self.random_below(self.clients.len());
         for client in self.clients.iter().cycle().skip(first) {
             match client.call(method, path, body, REQUEST_TIMEOUT).await {
                 Ok(Answer { status, body }) if good_statuses.contains(&status) => {
@@ -148,7 +148,7 @@
         self.edit(&job.id, |j| j.accepted = Some(now));
         let cancel_after = job.cancelled.then(|| {
             let run_time = (job.run_s * 1e6) as usize;
-            now + self.random_index(run_time) as u64
+            now + self.random_below(run_time) as u64
         });
         self.poll_until_over(&job, cancel_after).await;
     }
@@ -162,7 +162,7 @@
                 return self.cancel(job).await;
             }
             let sent_at = self.clock.now();
-            let client = self.clients[self.random_index(self.clients.len())].clone();
+            let client = self.clients[self.random_below(self.clients.len())].clone();
             let answer = client.call(Method::Get, &path, b"", POLL_TIMEOUT).await;
             let now = self.clock.now();
             match answer {
@@ -176,7 +176,8 @@
                     match body["status"].as_str() {
                         Some("done") => return self.edit(&job.id, |j| j.told_done = Some(now)),
                         Some("cancelled") => {
-                            let what = "called cancelled, which nobody asked for".to_string();
+                            let what = "reported as cancelled, but nobody asked for a cancellation"
+                                .to_string();
                             return self.edit(&job.id, |j| j.violations.push(("went_back", what)));
                         }
                         _ => {}
@@ -238,7 +239,7 @@
             .collect();
         for (id, expected) in known {
             let path = format!("/api/jobs/{id}");
-            let client = self.clients[self.random_index(self.clients.len())].clone();
+            let client = self.clients[self.random_below(self.clients.len())].clone();
             let answer = client.call(Method::Get, &path, b"", POLL_TIMEOUT).await;
             let Ok(Answer { status, body }) = answer else {
                 continue;
@@ -246,7 +247,8 @@
             let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
             if status == 404 {
                 self.edit(&id, |j| {
-                    j.violations.push(("forgotten", "404 at the end".into()))
+                    j.violations
+                        .push(("forgotten", "404 at the end of the run".into()))
                 });
             }
             if let Some(expected) = expected.filter(|e| status == 200 && body["status"] != **e) {
