--- a/crates/gannethub-core/src/controller/outbox.rs
+++ b/crates/gannethub-core/src/controller/outbox.rs
@@ -28,7 +28,7 @@
 pub(super) const PROBE_INTERVAL: Micros = 500_000;
 /// Number of unanswered probes after which the state service counts as unreachable.
 const MISSED_PROBES: u64 = 3;
-/// Time without a refusal after which the request rate's factor is raised by [`RATE_RECOVERY_STEP`].
+/// Time since the last change of the request rate after which its factor is raised by [`RATE_RECOVERY_STEP`].
 const RATE_RECOVERY_INTERVAL: Micros = 5 * SECOND;
 const RATE_RECOVERY_STEP: f64 = 0.05;
 /// Factor by which a refusal multiplies the request rate, down to [`MIN_RATE_FACTOR`].
@@ -74,7 +74,8 @@
     /// Factor of the rates that is used after refusals, at most 1.
     rate_factor: f64,
     rate_changed_at: Micros,
-    /// Time of the state service's last answer.
+    /// Time of the last answer that shows the state service to be healthy. Answers with status 429 or 5xx, and answers
+    /// to watches, do not count.
     pub store_answered_at: Option<Micros>,
     /// Time at which the state service last refused a request of this controller with status 503.
     pub store_refused_at: Option<Micros>,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Lowers the request rate after the state service refused a request as one too many. Either the state service has
+    /// Lowers the request rate after the state service answered a request with status 429. Either the state service has
     /// switched to its next rates, or all controllers together send more requests than it allows.
     fn reduce_rate(&mut self) {
         if self.clock.now < self.rate_changed_at + SECOND {
@@ -181,7 +182,11 @@
         if self.store_rates != self.settings.next_store_rates {
             self.store_rates = self.settings.next_store_rates;
             let Rates { requests, changes } = self.store_rates;
-            tracing::info!(requests, changes, "state service lowered its rate limits");
+            tracing::info!(
+                requests,
+                changes,
+                "state service answered 429; using its next rates"
+            );
         } else {
             self.rate_factor = (self.rate_factor * RATE_REDUCTION).max(MIN_RATE_FACTOR);
         }
@@ -210,9 +215,9 @@
             .is_some_and(|answered| self.clock.now < answered + MISSED_PROBES * PROBE_INTERVAL)
     }
 
-    /// Whether the state service has not answered for a while, or has refused the latest request. Either is
-    /// sufficient for a vote, because a vote binds only this controller. A vote also cannot wait: a leader that
-    /// was refused shortly before an outage has one second left.
+    /// Whether the state service has not answered for a while, or has refused a request with status 503 since its last
+    /// healthy answer. Either is sufficient for a vote, because a vote binds only this controller. A vote also cannot
+    /// wait: a leader that was refused shortly before an outage has one second left.
     pub fn is_store_failing(&self) -> bool {
         !self.is_store_reachable() || self.store_refused_at > self.store_answered_at
     }
@@ -233,10 +238,10 @@
         self.settings.policy.number(Setting::ShardCount, &[]) as u32
     }
 
-    /// Chooses the home shard of a job that is accepted now, and adds the job to that shard's load.
-    pub fn choose_home_shard(&mut self, spec: &JobSpec) -> u32 {
+    /// Chooses the target shard of a job that is accepted now, and adds the job to that shard's load.
+    pub fn choose_target_shard(&mut self, spec: &JobSpec) -> u32 {
         let shard_count = self.shard_count();
-        shard_load::choose_home_shard(&mut self.shard_loads, shard_count, spec)
+        shard_load::choose_target_shard(&mut self.shard_loads, shard_count, spec)
     }
 
     // ---- Messages ----
--- a/crates/gannethub-core/src/controller/submissions.rs
+++ b/crates/gannethub-core/src/controller/submissions.rs
@@ -11,7 +11,7 @@
 use super::pending_request::JobApiRequest;
 use crate::http::CallResult;
 use crate::model::{JobId, SECOND};
-use crate::state::dependencies::DependencyOutcome;
+use crate::state::dependencies::UpstreamOutcome;
 use crate::wire::api::{self, Refusal, Submission};
 use crate::wire::budget::Urgency;
 use crate::wire::store::{self, StoreRequest};
@@ -42,8 +42,8 @@
                 };
                 self.accept(outbox, queued);
             }
-            // A submission of a known job is answered with the state of that job, whatever the answer to this body
-            // would be.
+            // The job is known or may be known. A submission of a known job is answered with the state of that job,
+            // whatever the answer to this body would be.
             (Some(job), checked) => {
                 let waiter = LookupWaiter::new(connection, LookupReason::Submit(checked));
                 self.look_up_live_job(outbox, job, waiter);
@@ -76,14 +76,13 @@
     /// Returns the jobs that a submission names and of which nothing is known here.
     fn unknown_dependencies(&self, submission: &Submission) -> Vec<JobId> {
         let is_unknown =
-            |job: &&JobId| self.job_replica.dependency_outcome(job) == DependencyOutcome::Unknown;
+            |job: &&JobId| self.job_replica.upstream_outcome(job) == UpstreamOutcome::Unknown;
         let named = submission.waits_on.iter();
         named.filter(is_unknown).cloned().collect()
     }
 
-    /// Continues with a submission after a refresh of the replica. A named job that is not live after the refresh
-    /// either is finished or was not accepted before the submission arrived. Its finished record is read to tell
-    /// which of the two holds.
+    /// Continues with a submission after a refresh of the replica. A named job without a live record is then finished,
+    /// or was not accepted before the submission arrived. Its finished record is read to tell which of the two holds.
     pub fn check_dependencies(&mut self, outbox: &mut Outbox, queued: QueuedSubmission) {
         let connection = queued.connection;
         if !outbox.awaits_reply(connection) {
@@ -157,7 +156,8 @@
     }
 }
 
-/// Checks whether a job can ever run under the configuration in force in this controller.
+/// Checks whether a job can ever run under the configuration in force in this controller, and notes the version of
+/// that configuration in the submission.
 pub(super) fn check_submission(
     outbox: &Outbox,
     submission: &mut Submission,
--- a/crates/gannethub-core/src/reconcile/job_writes.rs
+++ b/crates/gannethub-core/src/reconcile/job_writes.rs
@@ -8,7 +8,7 @@
 use crate::model::{JobId, Micros, SECOND, TaskSet, seconds_from_micros};
 use crate::state::cluster::Cluster;
 use crate::state::job::Job;
-use crate::state::usage::job_owner;
+use crate::state::usage::job_account;
 use crate::state::writes::BatchedWrite;
 use crate::wire::store::{
     self, DonePartRecord, FinishedJobRecord, JobRecord, TASKS_PER_PART, VALUE_SLACK_BYTES,
@@ -26,7 +26,7 @@
 enum WriteReason {
     /// Launches wait for a higher launch watermark.
     Watermark,
-    /// The job moves to another shard.
+    /// The job is transferred to another shard.
     Transfer,
     /// All tasks of the job are done, and its users wait for its end.
     Finished,
@@ -76,11 +76,11 @@
             let id = job.id.clone();
             Some(DueWrite { reason, since, id })
         };
-        let moves_to_other_shard = job
+        let is_transferred_away = job
             .scheduling
             .target_shard
-            .is_some_and(|home| home != self.shard.id);
-        if moves_to_other_shard && job.has_no_launches() {
+            .is_some_and(|target| target != self.shard.id);
+        if is_transferred_away && job.has_no_launches() {
             return due(WriteReason::Transfer, 0);
         }
         if job.is_finished() {
@@ -107,19 +107,19 @@
         due(WriteReason::Progress, dirty_since)
     }
 
-    /// Adds the transfer of a job to another shard. Like the other `add_job_` functions, this function returns `false`
-    /// if the write does not fit into the transaction.
+    /// Adds the transfer of a job to another shard. Like `add_job_end` and `add_job_progress`, returns `false` if the
+    /// write does not fit into the transaction.
     fn add_job_transfer(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return true;
         };
-        let Some(home) = job.scheduling.target_shard else {
+        let Some(target_shard) = job.scheduling.target_shard else {
             return true;
         };
         if !builder.fits(1) {
             return false;
         }
-        let record = job_record(job, home);
+        let record = job_record(job, target_shard);
         let key = store::live_job_key(&id);
         builder.transaction.guard(&key, job.persistence.version);
         builder.transaction.put(&key, record.to_value(), None);
@@ -145,7 +145,7 @@
         let record = FinishedJobRecord {
             cancelled,
             tasks: job.spec.tasks,
-            owner: self.usage_ledger.as_ref().map(|_| job_owner(job)),
+            owner: self.usage_ledger.as_ref().map(|_| job_account(job)),
         };
         builder.transaction.finish_job(&id, &record);
         builder.add_bytes(JOB_END_BYTES);
@@ -161,8 +161,8 @@
 
     /// Adds the write of a job's record, and of those changed parts of its finished tasks that have keys of their own.
     ///
-    /// Every write of finished tasks changes the live record and is guarded by its version: a transaction of parts
-    /// alone, carried out late, would overwrite finished tasks that were written since.
+    /// Every write of finished tasks changes the live record and is guarded by the record's version. A transaction of
+    /// parts alone, carried out late, would overwrite finished tasks that were written since.
     fn add_job_progress(&mut self, builder: &mut TransactionBuilder, id: JobId) -> bool {
         let max_value_bytes = self.settings.max_value_bytes;
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/gannethub-core/src/reconcile/stored_records.rs
+++ b/crates/gannethub-core/src/reconcile/stored_records.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Applies the record of a job that waits for no upstream job. The record is that of a new job, of a cancelled job,
-    /// or one that was read again.
+    /// Applies the record of a job that waits for no upstream job. The job may be new or cancelled, or its record may
+    /// have been read again.
     pub fn apply_job_record(&mut self, id: &str, record: JobRecord, version: u64) {
         if record.shard != self.shard.id {
             return self.apply_foreign_job_record(id, &record, version);
@@ -58,7 +58,7 @@
 
     /// Adds a job that is not known yet.
     fn add_job(&mut self, id: &str, record: JobRecord, version: u64) {
-        // Tasks of a job from before this term may be on machines that have not been heard from yet.
+        // Tasks of a job from an earlier term may be on machines that this leader has not heard from yet.
         let possibly_launched = match self.takeover.unconfirmed.loading {
             true if self.watermarks.reliable => record.effective_watermark(),
             true => record.spec.tasks,
@@ -90,7 +90,11 @@
     /// other jobs may wait for it.
     fn apply_foreign_job_record(&mut self, id: &str, record: &JobRecord, version: u64) {
         if self.jobs.remove(id).is_some() {
-            tracing::info!(job = id, shard = record.shard, "job moves to another shard");
+            tracing::info!(
+                job = id,
+                shard = record.shard,
+                "job transferred to another shard"
+            );
         }
         if self.shard.id != 0 || self.store_writes.has_tombstone(id, version) {
             return;
@@ -134,7 +138,7 @@
             let machine =
                 self.get_or_adopt_machine(name, machine_type, zone, member.spot, took_over_at);
             machine.lifecycle.recorded = true;
-            machine.worker.last_answered_at = took_over_at;
+            machine.worker.last_response_at = took_over_at;
             machine.lifecycle.has_booted = true;
         }
         self.shard.load_chunk(index, record, version);
@@ -168,7 +172,7 @@
         self.takeover.unconfirmed.loading = false;
         self.shard.finish_loading();
         for machine in self.machines.values_mut() {
-            machine.worker.last_answered_at = now;
+            machine.worker.last_response_at = now;
         }
         // A heartbeat may arrive before the next tick, and limits have to count unconfirmed tasks from now on.
         self.update_unconfirmed(now);
--- a/crates/gannethub-core/src/state/job_replica.rs
+++ b/crates/gannethub-core/src/state/job_replica.rs
@@ -2,16 +2,16 @@
 //!
 //! The copy has every live job. Before queries are answered, the copy is brought up to date with one read of the
 //! changes; a query that arrives while this read is in flight waits for the next read. An answer is therefore never
-//! older than its query, and no user is told less than another controller has said already, also during a takeover or
-//! after a partition. Of the jobs that are over, only recently given or seen answers are kept, because an end never
-//! changes.
+//! older than its query, and no user is told less than another controller has said already, even during a takeover or
+//! after a partition. Of the jobs that are over, only ends that were recently read or written here are kept. A kept end
+//! never becomes outdated, because an end never changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use serde::Deserialize;
 
 use crate::model::{JobId, TaskSet};
-use crate::state::dependencies::{DependencyGraph, DependencyOutcome};
+use crate::state::dependencies::{DependencyGraph, UpstreamOutcome};
 use crate::wire::api::{JobStatus, JobView};
 use crate::wire::configuration::CURRENT_VERSION_KEY;
 use crate::wire::store::{
@@ -62,7 +62,7 @@
     /// The job is not live. Whether it is over has not been queried yet.
     NotLive,
     /// The job waits for other jobs, and the end of an upstream job has not been read yet.
-    DependencyUnknown,
+    UpstreamOutcomeUnknown,
     /// No job of this id was ever submitted.
     NeverSubmitted,
 }
@@ -124,8 +124,8 @@
         std::mem::take(&mut self.new_cancellations)
     }
 
-    /// Returns live jobs whose cancellation is known here and was stored after `version`. Some jobs are returned
-    /// twice.
+    /// Returns live jobs whose cancellation is known here and was stored after `version`. A job may be
+    /// returned twice.
     pub fn cancelled_since(&self, version: u64) -> impl Iterator<Item = &JobId> {
         let live = self
             .live
@@ -141,8 +141,9 @@
             .map(|(id, _)| id)
     }
 
-    /// Records that the job was neither live nor over at this version. This holds until a change shows the job,
-    /// provided that all later changes are still to be applied.
+    /// Records that the job was neither live nor over at this version, so that it counts as never submitted until a
+    /// change shows it. Nothing is recorded if the copy already reflects a later version, because a change between the
+    /// two versions may have created the job.
     pub fn record_absent(&mut self, id: JobId, version: u64) {
         if self.version.is_none_or(|known| known > version) {
             return;
@@ -171,7 +172,7 @@
             return JobLookup::Job(JobView::new(JobStatus::Cancelled, 0));
         }
         if !self.dependencies.is_complete_for(id) {
-            return JobLookup::DependencyUnknown;
+            return JobLookup::UpstreamOutcomeUnknown;
         }
         JobLookup::Job(JobView {
             waits_on: self.dependencies.open_dependencies(id),
@@ -179,12 +180,12 @@
         })
     }
 
-    /// Returns the known outcome of an upstream job. Every outcome except [`DependencyOutcome::Unknown`] shows that
+    /// Returns the known outcome of an upstream job. Every outcome except [`UpstreamOutcome::Unknown`] shows that
     /// the job was accepted, and an end never changes.
-    pub fn dependency_outcome(&self, id: &JobId) -> DependencyOutcome {
+    pub fn upstream_outcome(&self, id: &JobId) -> UpstreamOutcome {
         match recorded_outcome(&self.final_views, &self.live, id) {
-            DependencyOutcome::Live if self.dependencies.is_cancelled(id) => {
-                DependencyOutcome::Cancelled
+            UpstreamOutcome::Live if self.dependencies.is_cancelled(id) => {
+                UpstreamOutcome::Cancelled
             }
             outcome => outcome,
         }
@@ -312,13 +313,13 @@
     final_views: &HashMap<JobId, JobView>,
     live: &HashMap<JobId, LiveJob>,
     id: &JobId,
-) -> DependencyOutcome {
+) -> UpstreamOutcome {
     match (final_views.get(id), live.get(id)) {
-        (Some(view), _) if view.status == JobStatus::Cancelled => DependencyOutcome::Cancelled,
-        (Some(_), _) => DependencyOutcome::Done,
-        (None, Some(job)) if job.cancelled => DependencyOutcome::Cancelled,
-        (None, Some(_)) => DependencyOutcome::Live,
-        (None, None) => DependencyOutcome::Unknown,
+        (Some(view), _) if view.status == JobStatus::Cancelled => UpstreamOutcome::Cancelled,
+        (Some(_), _) => UpstreamOutcome::Done,
+        (None, Some(job)) if job.cancelled => UpstreamOutcome::Cancelled,
+        (None, Some(_)) => UpstreamOutcome::Live,
+        (None, None) => UpstreamOutcome::Unknown,
     }
 }
 
--- a/crates/gannethub-core/src/state/pass_state.rs
+++ b/crates/gannethub-core/src/state/pass_state.rs
@@ -1,11 +1,11 @@
-//! State that scheduling passes and provisioning plans keep for the next ones, and their cost.
+//! State that scheduling passes and provisioning plans leave for later passes and plans, and their cost.
 
 use std::cell::Cell;
 
 use crate::model::{JobId, Micros};
 
-/// The scheduler's state between passes. Only the module `scheduling` changes this state; other code only sets the
-/// flags that request a pass.
+/// The scheduler's state between passes. Only the module `scheduling` changes this state, with two exceptions: any code
+/// may set the flags that request a pass, and `reconcile::configuration` makes the next pass and plan due at once.
 #[derive(Debug)]
 pub struct PassState {
     /// Whether a change has to be considered by a pass over the whole queue.
@@ -23,10 +23,11 @@
     pub next_at: Micros,
     /// Earliest time of the next provisioning plan.
     pub next_plan_at: Micros,
-    /// Whether the last pass ran out of scheduling steps before it reached all gangs that request preemption.
-    pub gang_requests_deferred: bool,
+    /// Whether an earlier pass ran out of scheduling steps before it reached all jobs that request preemption: arrays
+    /// and services as well as gangs.
+    pub preemption_requests_deferred: bool,
     /// Time at which gang placement was last tried for all waiting gangs.
-    pub last_gather_at: Micros,
+    pub last_gang_placement_at: Micros,
     /// Scheduling steps taken so far: the number of machines, jobs and forecasts examined. Passes and plans are paced
     /// by their cost in steps. The counter is a cell because read-only helpers count steps as well.
     pub steps: Cell<u64>,
@@ -57,8 +58,8 @@
             last_at: 0,
             next_at: 0,
             next_plan_at: 0,
-            gang_requests_deferred: false,
-            last_gather_at: 0,
+            preemption_requests_deferred: false,
+            last_gang_placement_at: 0,
             steps: Cell::new(0),
             cost: SchedulingCost::default(),
         }
--- a/crates/gannethub-core/src/state/shard_transfers.rs
+++ b/crates/gannethub-core/src/state/shard_transfers.rs
@@ -1,4 +1,4 @@
-//! Machines in transfer between shards, and the state of the other shards that the owner of shard 0 knows.
+//! Machines in transfer between shards, and the known state of the other shards.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,8 +9,8 @@
 
 /// Machines that are being transferred from or to this shard.
 ///
-/// Only the owner of shard 0 gives machines away; any owner accepts them. `reconcile::shard_transfer` changes this
-/// state, except for the provisioning requests, which `scheduling::quota_partition` adds.
+/// Only the owner of shard 0 gives machines away; any owner accepts them. `reconcile` changes this state, except that
+/// `scheduling::quota_partition` adds the provisioning requests.
 #[derive(Debug, Default)]
 pub struct ShardTransfers {
     /// New machines that are to be transferred to other shards, by name, until the transfer is durable.
@@ -47,7 +47,7 @@
     pub machines: BTreeMap<String, u32>,
     /// Jobs of other shards, with the versions of their records.
     pub jobs: BTreeMap<JobId, u64>,
-    /// Loads of the shards, from which the home shard of a new job is chosen.
+    /// Loads of the shards, from which the target shard of a new job is chosen.
     pub loads: Vec<ShardLoad>,
     /// Machines that the owners of other shards request and that have not been requested from the cloud yet.
     pub demand: BTreeMap<u32, BTreeMap<Offer, u32>>,
--- a/crates/gannethub-core/src/state/unconfirmed.rs
+++ b/crates/gannethub-core/src/state/unconfirmed.rs
@@ -21,8 +21,9 @@
 /// `scheduling::failover` updates this state as machines confirm the term or lose their leases.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
-    /// Number of machines of each kind that may still hold tasks. A machine of unknown kind may hold any tasks.
-    pub unconfirmed_machines: Vec<(Option<MachineKind>, i64)>,
+    /// Number of machines of each kind that may still hold tasks. `None`: machines of unknown type, which may hold any
+    /// task.
+    pub machine_counts: Vec<(Option<MachineKind>, i64)>,
     /// Maximum usage of each team's tasks on these machines, which counts against the team's limit.
     pub possible_usage: Vec<Resources>,
     /// Whether records are being read. The tasks in these records existed before this term.
@@ -36,7 +37,7 @@
             started_at: now,
             is_settled: false,
             unconfirmed: Unconfirmed {
-                unconfirmed_machines: Vec::new(),
+                machine_counts: Vec::new(),
                 possible_usage: vec![Resources::default(); team_count],
                 loading: true,
             },
--- a/crates/gannethub-core/src/state/usage/ends.rs
+++ b/crates/gannethub-core/src/state/usage/ends.rs
@@ -22,8 +22,8 @@
 /// Maximum number of owners queried at a time.
 const MAX_OWNER_QUERIES: usize = 5;
 
-/// Returns the owner that a job's attempts are charged to.
-pub(crate) fn job_owner(job: &Job) -> JobAccount {
+/// Returns the account that a job's attempts are charged to.
+pub(crate) fn job_account(job: &Job) -> JobAccount {
     JobAccount {
         team: job.spec.team.clone(),
         class: job.spec.class.clone(),
@@ -106,8 +106,8 @@
                 missed_heartbeats: worker.missed_heartbeats,
             };
         }
-        // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired after the last
-        // answer in it. For a silent machine, the time is not known.
+        // A heartbeat of a new incarnation shows that the lease of the previous incarnation expired, most likely one
+        // lease duration after its last heartbeat. For a silent machine, the time of the end is not known.
         match worker.last_heartbeat_at {
             Some(at) if at == now => EndObservation::Silence {
                 last_heartbeat_at: worker.previous_heartbeat_at,
@@ -129,7 +129,7 @@
     ) -> Option<u64> {
         let job_id = &end.id.task.job;
         let job = self.jobs.get(job_id);
-        let owner = owner.or_else(|| job.map(|job| Arc::new(job_owner(job))));
+        let owner = owner.or_else(|| job.map(|job| Arc::new(job_account(job))));
         let ledger = self.usage_ledger.as_mut()?;
         let Some(owner) = owner else {
             ledger.replication.mark_changed(&end.machine, &end.id);
@@ -159,8 +159,8 @@
         jobs
     }
 
-    /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends have an empty
-    /// owner.
+    /// Charges the ends of a job that is over to its stored owner. If no owner is stored, the ends are charged to an
+    /// empty owner.
     pub fn apply_usage_owner(&mut self, job: &JobId, owner: Option<JobAccount>, now: Micros) {
         let Some(ledger) = &mut self.usage_ledger else {
             return;
--- a/crates/gannethub-core/src/state/usage/open_records.rs
+++ b/crates/gannethub-core/src/state/usage/open_records.rs
@@ -4,7 +4,7 @@
 
 use gannethub_ledger::meter::{Meter, Stage};
 
-use super::ends::job_owner;
+use super::ends::job_account;
 use super::record::{ChargeState, MachineRate, OrphanedAttempt, UsageRecord, ledger_key};
 use crate::model::{AttemptId, MachineId, Micros, SECOND};
 use crate::state::attempt::AttemptPhase;
@@ -18,8 +18,8 @@
 const TERM_LIMIT: u64 = 1 << 21;
 /// The start of 2020, in milliseconds since 1970.
 const EPOCH_MS: u64 = 1_577_836_800_000;
-/// Time after which a worker that gets no answer sends its next heartbeat.
-const LOST_ANSWER_DELAY: Micros = 5 * SECOND;
+/// Time after which a worker that gets no response sends its next heartbeat.
+const LOST_RESPONSE_DELAY: Micros = 5 * SECOND;
 
 /// Estimated time since an attempt was placed, with its maximum error.
 #[derive(Clone, Copy)]
@@ -60,7 +60,7 @@
         ledger.replication.mark_changed(machine, attempt);
         Some(Box::new(UsageRecord {
             meter: Meter::new(now),
-            owner: Some(Arc::new(job_owner(job))),
+            owner: Some(Arc::new(job_account(job))),
             charge: ChargeState::Open,
             saved: false,
         }))
@@ -110,12 +110,12 @@
         let job = self.jobs.get(&attempt.task.job);
         record.owner = record
             .owner
-            .or_else(|| job.map(|job| Arc::new(job_owner(job))));
+            .or_else(|| job.map(|job| Arc::new(job_account(job))));
         record
     }
 
-    /// Estimates the record of an attempt that no earlier leader reported. The attempt's age is derived from its
-    /// number.
+    /// Estimates the record of an attempt for which the previous leader sent no record of this incarnation. The
+    /// attempt's age is derived from its number.
     fn estimate_record(
         &self,
         id: &MachineId,
@@ -139,16 +139,16 @@
             None if has_ended && ledger.charged_before.contains(&key) => ChargeState::ChargedBefore,
             None => ChargeState::Open,
         };
-        // The delay of the launch is unknown: it came with the answer to a heartbeat, or to the next one after a lost
-        // answer.
-        uncertainty += 2 * self.settings.heartbeat_interval + LOST_ANSWER_DELAY;
+        // The delay of the launch is unknown: the launch came with the response to a heartbeat or, if that response was
+        // lost, with the response to the next heartbeat.
+        uncertainty += 2 * self.settings.heartbeat_interval + LOST_RESPONSE_DELAY;
         let meter = match has_ended {
             true => Meter::adopted(age / 2, uncertainty + age, stage(phase), self.now),
             false => Meter::adopted(age, uncertainty, stage(phase), self.now),
         };
         Some(UsageRecord {
             meter,
-            owner: job.map(|job| Arc::new(job_owner(job))),
+            owner: job.map(|job| Arc::new(job_account(job))),
             charge,
             saved: false,
         })
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Records that the launches pending on a machine are sent with the answer to its heartbeat.
+    /// Records that the launches pending on a machine are sent with the response to its heartbeat.
     pub(crate) fn launches_sent(&mut self, id: &MachineId, now: Micros) {
         let Some(machine) = self.machines.get(id) else {
             return;
--- a/crates/gannethub-core/src/state/usage/orphans.rs
+++ b/crates/gannethub-core/src/state/usage/orphans.rs
@@ -78,16 +78,17 @@
         now: Micros,
     ) {
         let key = ledger_key(&end.machine, &end.id);
-        let owner = replicated.record.owner.as_ref();
-        let owner = owner.map(|owner| Arc::new(read_owner(owner)));
-        if let Some(ticket) = self.charge_end(owner, end, now)
+        let account = replicated.record.account.as_ref();
+        let account = account.map(|account| Arc::new(read_owner(account)));
+        if let Some(ticket) = self.charge_end(account, end, now)
             && let Some(ledger) = &mut self.usage_ledger
         {
             ledger.inherited_tickets.insert(key, ticket);
         }
     }
 
-    /// Keeps an attempt that had not ended until its worker reports it or the worker's lease expires.
+    /// Keeps the record of an attempt that had not ended. The record is kept until the worker reports the attempt, or
+    /// until the attempt is known to be lost.
     fn adopt_orphan(
         &mut self,
         machine: MachineId,
@@ -112,11 +113,11 @@
             begin_uncertainty: record.begin_uncertainty + replicated.current_until - received_at,
             begin_estimated: record.begin_estimated,
         };
-        let owner = record.owner.as_ref();
+        let account = record.account.as_ref();
         let orphan = OrphanedAttempt {
             record: UsageRecord {
                 meter,
-                owner: owner.map(|owner| Arc::new(read_owner(owner))),
+                owner: account.map(|account| Arc::new(read_owner(account))),
                 charge: ChargeState::Open,
                 saved: record.saved,
             },
@@ -177,8 +178,8 @@
             .for_each(|id| self.charge_orphans(id, Reason::Machine, now));
     }
 
-    /// Charges the orphans of a machine for which `is_ended` holds. `likely_continuation`: the most likely time that
-    /// the orphans continued after they were last known.
+    /// Charges the orphans of a machine for which `is_ended` holds. `likely_continuation`: the most likely time for
+    /// which the orphans continued after they were last known.
     fn charge_orphans_where(
         &mut self,
         id: &MachineId,
@@ -204,7 +205,7 @@
                 last_heartbeat_at: Some(orphan.last_known_at),
                 likely_duration: likely_continuation,
             };
-            // The end was not observed, whenever it happened.
+            // No worker reported the end, so its time is estimated from when the orphan was last known.
             let reading = orphan.record.meter.end(now, observation);
             let end = AttemptEnd {
                 id: attempt,
