--- a/crates/gannethub-core/src/reconcile/transaction_outcome.rs
+++ b/crates/gannethub-core/src/reconcile/transaction_outcome.rs
@@ -28,8 +28,8 @@
                     deadline_missed_by_s,
                 } => {
                     match deadline_missed_by_s {
-                        Some(late_s) => tracing::info!(job = %id, late_s, "job ended late"),
-                        None => tracing::info!(job = %id, cancelled, "job ended"),
+                        Some(late_s) => tracing::info!(job = %id, late_s, "over"),
+                        None => tracing::info!(job = %id, cancelled, "over"),
                     }
                     self.apply_job_end(&id, version, Some(cancelled));
                 }
